--- a/internal/router/body_budget.go
+++ b/internal/router/body_budget.go
@@ -7,60 +7,60 @@
 	"github.com/go-faster/errors"
 )
 
-// errNoRoom says that the bodies under way take all the room that there is for them.
-var errNoRoom = errors.New("no room for the body")
+// errBodyBudgetExhausted reports that the request bodies currently held use up the whole body budget.
+var errBodyBudgetExhausted = errors.New("request bodies exceed the body budget")
 
-// bodyBudget bounds the bytes of all requests' bodies that a router holds at once: each is read whole before it is
-// sent on, and many long ones at once must not take the machine's memory.
+// bodyBudget limits the total size of the request bodies that a router holds at once. Each body is buffered
+// completely before it is forwarded, so without a limit many large bodies could exhaust the machine's memory.
 type bodyBudget struct {
-	most int64 // no bound if zero
-	used atomic.Int64
+	limit int64 // unlimited if zero
+	used  atomic.Int64
 }
 
-// take reserves bytes; it tells whether there was room.
-func (b *bodyBudget) take(n int64) bool {
-	if b.used.Add(n) <= b.most || b.most == 0 {
+// reserve reserves n bytes and reports whether they fit into the budget.
+func (b *bodyBudget) reserve(n int64) bool {
+	if b.used.Add(n) <= b.limit || b.limit == 0 {
 		return true
 	}
 	b.used.Add(-n)
 	return false
 }
 
-func (b *bodyBudget) give(n int64) { b.used.Add(-n) }
+func (b *bodyBudget) release(n int64) { b.used.Add(-n) }
 
-// reservation is what one request has of the budget.
+// reservation is the share of the budget that one request has reserved.
 type reservation struct {
 	budget *bodyBudget
-	held   int64
+	bytes  int64
 }
 
-func (r *reservation) take(n int64) bool {
-	if !r.budget.take(n) {
+func (r *reservation) reserve(n int64) bool {
+	if !r.budget.reserve(n) {
 		return false
 	}
-	r.held += n
+	r.bytes += n
 	return true
 }
 
 func (r *reservation) release() {
-	r.budget.give(r.held)
-	r.held = 0
+	r.budget.release(r.bytes)
+	r.bytes = 0
 }
 
-// growth is how many bytes a buffer of unknown length may have for each byte in it.
-const growth = 2
+// bufferGrowth is how many bytes of buffer a body of unknown length may occupy for each byte read.
+const bufferGrowth = 2
 
-// reservingReader reserves what it reads of a body whose length is not known.
+// reservingReader reserves budget for a body of unknown length as it is read.
 type reservingReader struct {
 	io.Reader
 	*reservation
 }
 
-// Read reads within the budget.
+// Read reads from the body and fails with errBodyBudgetExhausted if the budget does not allow the bytes read.
 func (r reservingReader) Read(b []byte) (int, error) {
 	n, err := r.Reader.Read(b)
-	if n > 0 && !r.take(int64(n)*growth) {
-		return 0, errNoRoom
+	if n > 0 && !r.reserve(int64(n)*bufferGrowth) {
+		return 0, errBodyBudgetExhausted
 	}
 	return n, err
 }
--- a/internal/router/conns_test.go
+++ b/internal/router/conn_pool_test.go
@@ -20,10 +20,10 @@
 // standIn is a server of a test: it hands each connection, with its number from 0, to a function.
 type standIn struct {
 	net.Listener
-	mu    sync.Mutex
-	conns []net.Conn
-	got   []*http.Request // with their bodies read
-	body  []string
+	mu             sync.Mutex
+	conns          []net.Conn
+	received       []*http.Request // with their bodies read
+	receivedBodies []string
 }
 
 func newStandIn(t testing.TB, serve func(s *standIn, n int, c net.Conn, br *bufio.Reader)) *standIn {
@@ -76,21 +76,21 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.got = append(s.got, q)
-	s.body = append(s.body, string(b))
+	s.received = append(s.received, q)
+	s.receivedBodies = append(s.receivedBodies, string(b))
 	return q
 }
 
 func (s *standIn) requests() []*http.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]*http.Request{}, s.got...)
+	return append([]*http.Request{}, s.received...)
 }
 
 func (s *standIn) bodies() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]string{}, s.body...)
+	return append([]string{}, s.receivedBodies...)
 }
 
 func (s *standIn) accepted() int {
@@ -106,7 +106,7 @@
 	return s.conns[n]
 }
 
-func idleConns(p *conns) (n int) {
+func countIdle(p *connPool) (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range p.idle {
@@ -119,7 +119,7 @@
 func askConn(t *testing.T, c *conn) string {
 	_, err := io.WriteString(c.Conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	require.NoError(t, err)
-	a, err := c.answer(&http.Request{Method: http.MethodGet}, 1<<16)
+	a, err := c.readResponse(&http.Request{Method: http.MethodGet}, 1<<16)
 	require.NoError(t, err)
 	b, err := io.ReadAll(a.Body)
 	require.NoError(t, err)
@@ -190,7 +190,7 @@
 			s.mu.Lock()
 			c.do(s.conns[0])
 			s.mu.Unlock()
-			require.Eventually(t, func() bool { return !x.fresh() }, soon, time.Millisecond)
+			require.Eventually(t, func() bool { return !x.reusable() }, soon, time.Millisecond)
 			y, reused, err := p.get(context.Background(), endpoint{addr: s.addr()}, time.Time{})
 			require.NoError(t, err)
 			require.False(t, reused)
@@ -209,7 +209,7 @@
 		for s.next(br) != nil {
 		}
 	})
-	p := newConns(ConnOptions{MaxIdle: 2, Idle: time.Hour})
+	p := newConns(ConnOptions{MaxIdlePerEndpoint: 2, Idle: time.Hour})
 	defer p.close()
 	var l []*conn
 	for range 4 {
@@ -221,7 +221,7 @@
 	for _, c := range l {
 		p.put(c)
 	}
-	require.Equal(t, 2, idleConns(p))
+	require.Equal(t, 2, countIdle(p))
 	for _, want := range []*conn{l[3], l[2]} {
 		c, reused, err := p.get(context.Background(), endpoint{addr: s.addr()}, time.Time{})
 		require.NoError(t, err)
@@ -230,13 +230,13 @@
 	}
 	p.put(l[2])
 	p.closeIdle(s.addr())
-	require.Zero(t, idleConns(p))
+	require.Zero(t, countIdle(p))
 
-	l[3].keep, l[3].heard = time.Nanosecond, true // its last answer said so
+	l[3].idleTimeout, l[3].answered = time.Nanosecond, true // its last answer said so
 	p.put(l[3])
 	p.reap()
-	require.Zero(t, idleConns(p))
-	require.False(t, p.armed)
+	require.Zero(t, countIdle(p))
+	require.False(t, p.reapScheduled)
 
 	_, _, err := p.get(context.Background(), endpoint{addr: "127.0.0.1:1"}, time.Time{})
 	require.Error(t, err)
@@ -258,13 +258,13 @@
 	c, _, err := p.get(context.Background(), endpoint{addr: s.addr()}, time.Time{})
 	require.NoError(t, err)
 	defer c.close()
-	_, err = c.answer(&http.Request{Method: http.MethodGet}, 4096)
+	_, err = c.readResponse(&http.Request{Method: http.MethodGet}, 4096)
 	require.Error(t, err)
-	require.Zero(t, c.room)
+	require.Zero(t, c.readLimit)
 }
 
 // closeIdle closes the idle connections to whatever is or was at an address.
-func (p *conns) closeIdle(addr string) {
+func (p *connPool) closeIdle(addr string) {
 	var l []*conn
 	p.mu.Lock()
 	for to, kept := range p.idle {
--- a/internal/router/kept_test.go
+++ b/internal/router/conn_reuse_test.go
@@ -17,13 +17,13 @@
 )
 
 // socket is the relay's end of its newest connection to a server.
-type socket struct {
+type clientSocket struct {
 	mu  sync.Mutex
 	raw syscall.RawConn
 }
 
 // dialer notes the socket of each connection that it opens, and bounds what it takes in.
-func (s *socket) dialer() *net.Dialer {
+func (s *clientSocket) dialer() *net.Dialer {
 	return &net.Dialer{ControlContext: func(_ context.Context, _, _ string, c syscall.RawConn) error {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -35,7 +35,7 @@
 }
 
 // await waits until something has come to the socket: bytes, an end or a reset.
-func (s *socket) await(t testing.TB) {
+func (s *clientSocket) awaitInput(t testing.TB) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	require.Eventually(t, func() bool {
@@ -47,7 +47,7 @@
 	}, soon, time.Millisecond)
 }
 
-func reset(c net.Conn) {
+func resetConn(c net.Conn) {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
 }
@@ -64,20 +64,20 @@
 	for _, c := range []struct {
 		name  string
 		body  int
-		last  func(t *testing.T, c net.Conn, k *socket) // at the relay's last look
+		last  func(t *testing.T, c net.Conn, k *clientSocket) // at the relay's last look
 		serve func(s *standIn, c net.Conn, br *bufio.Reader)
 		once  []End // how the attempts of the second request end, if it may run once
 		again []End // and if it may be repeated
 		wrote int   // so many whole requests reach the first server, beside the one before
 	}{
-		{name: "reset at the last look", last: func(t *testing.T, c net.Conn, k *socket) { reset(c); k.await(t) },
+		{name: "reset at the last look", last: func(t *testing.T, c net.Conn, k *clientSocket) { resetConn(c); k.awaitInput(t) },
 			once: []End{Unsent, Done}, again: []End{Unsent, Done}},
-		{name: "closed at the last look", last: func(t *testing.T, c net.Conn, k *socket) { _ = c.Close(); k.await(t) },
+		{name: "closed at the last look", last: func(t *testing.T, c net.Conn, k *clientSocket) { _ = c.Close(); k.awaitInput(t) },
 			once: []End{Lost}, again: []End{Lost, Done}},
 		{name: "reset in the write", body: bigBody, serve: func(_ *standIn, c net.Conn, br *bufio.Reader) {
 			_ = c.(*net.TCPConn).SetReadBuffer(readBuffer)
 			_, _ = br.Discard(1 << 10)
-			reset(c)
+			resetConn(c)
 		}, once: []End{Lost}, again: []End{Lost, Done}},
 		{name: "closed in the write", body: bigBody, serve: func(_ *standIn, c net.Conn, br *bufio.Reader) {
 			_ = c.(*net.TCPConn).SetReadBuffer(readBuffer)
@@ -85,7 +85,7 @@
 		}, once: []End{Lost}, again: []End{Lost, Done}},
 		{name: "reset after the write", serve: func(s *standIn, c net.Conn, br *bufio.Reader) {
 			s.next(br)
-			reset(c)
+			resetConn(c)
 		}, once: []End{Lost}, again: []End{Lost, Done}, wrote: 1},
 		{name: "closed after the write", serve: func(s *standIn, _ net.Conn, br *bufio.Reader) { s.next(br) },
 			once: []End{Lost}, again: []End{Lost, Done}, wrote: 1},
@@ -96,12 +96,12 @@
 		{name: "reset in the body", serve: func(s *standIn, c net.Conn, br *bufio.Reader) {
 			s.next(br)
 			_, _ = io.WriteString(c, plain("1", "good")[:60])
-			reset(c)
+			resetConn(c)
 		}, once: []End{Lost}, again: []End{Lost, Done}, wrote: 1},
 	} {
 		for _, again := range []bool{false, true} {
 			t.Run(fmt.Sprint(c.name, " ", again), func(t *testing.T) {
-				var k socket
+				var k clientSocket
 				srv := newStandIn(t, func(s *standIn, _ int, conn net.Conn, br *bufio.Reader) {
 					if s.next(br) == nil {
 						return
@@ -125,7 +125,7 @@
 				b.mu.Lock()
 				b.to = append(b.to, other.addr())
 				if looks := 0; c.last != nil {
-					b.last = func() {
+					b.beforeSend = func() {
 						if looks++; looks == 1 {
 							c.last(t, srv.conn(0), &k)
 						}
@@ -184,7 +184,7 @@
 		{"bytes at the last look", "", "", "\x00\x01", 502, 1, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var k socket
+			var k clientSocket
 			srv := newStandIn(t, func(s *standIn, _ int, conn net.Conn, br *bufio.Reader) {
 				for q := s.next(br); q != nil; q = s.next(br) {
 					id := q.Header.Get("X-Try")
@@ -205,12 +205,12 @@
 			write := func(what string) {
 				if what != "" {
 					_, _ = io.WriteString(srv.conn(0), what)
-					k.await(t)
+					k.awaitInput(t)
 				}
 			}
 			write(c.idle)
 			b.mu.Lock()
-			b.last = func() { write(c.look) }
+			b.beforeSend = func() { write(c.look) }
 			b.mu.Unlock()
 			cl.send(get("2"))
 			a, body, err := cl.answer("GET")
@@ -225,7 +225,7 @@
 			}
 			require.Equal(t, c.accepted, srv.accepted())
 			b.settled(t)
-			require.Equal(t, c.kept, idleConns(b.relay.conns) > 0)
+			require.Equal(t, c.kept, countIdle(b.relay.conns) > 0)
 			if c.status == 200 {
 				require.Len(t, srv.requests(), 2)
 			} else {
--- a/internal/router/dialect.go
+++ b/internal/router/dialect.go
@@ -9,36 +9,36 @@
 	"tidedeck/internal/ident"
 )
 
-// Attempt is what one attempt's request at a server says beside the caller's own words.
+// Attempt holds the properties of one attempt that are sent to the server in addition to the client's own headers.
 type Attempt struct {
-	Server ident.Server // the only one that may run it
-	Left   clock.Span   // how much longer the caller waits
-	Seen   uint64       // the stream is taken up after the event of this number; zero begins it
-	Rank   int          // how urgent it is: 0 comes first
-	Keyed  bool         // the caller's key was looked at, and goes no further
-	Tenant string       // whose request it is; empty for nobody's
+	Server ident.Server // the only server that may run the request
+	Left   clock.Span   // how much longer the client waits
+	Seen   uint64       // resume the stream after the event with this number; zero starts from the beginning
+	Rank   int          // urgency of the request; 0 is the most urgent
+	Keyed  bool         // the router verified the client's key, which is not forwarded
+	Tenant string       // tenant that the request belongs to; empty if none
 }
 
-// Said is what the head of a server's answer says.
+// Said is the information that the head of a server's response carries.
 type Said struct {
-	ID     string       // of the request that it answers
+	ID     string       // request that the response belongs to
 	NotRun bool         // the server did not run the request and never will
-	Kind   failure.Kind // why, when it did not
-	Sealed bool         // it is marked as the server's own
+	Kind   failure.Kind // reason if the request was not run
+	Sealed bool         // the response carries the mark that proves that it comes from the server itself
 }
 
-// Dialect is how a deployment's callers and servers speak HTTP. It holds names and formats and
-// decides nothing.
+// Dialect defines how the clients and servers of a deployment use HTTP: the names and formats of paths and
+// headers. It contains no decision logic.
 type Dialect interface {
-	// Read gives the facts of a caller's request; the fault says what of its head cannot be read.
+	// Read extracts the properties of a client's request; the fault describes a malformed head.
 	Read(r *http.Request) (fleetplan.Call, *fleetplan.Fault)
-	// Write adds to the head of an attempt's request what the attempt says; the caller's own
-	// headers are in it already. What they say of a tenant is no word of the router's, and goes.
+	// Write adds the properties of an attempt to the headers of its request, which already contain the client's
+	// own headers. Tenant headers set by the client are removed.
 	Write(h http.Header, a Attempt)
-	// Answer reads the head of a server's answer.
+	// Answer extracts the properties of a server's response from its status and headers.
 	Answer(status int, h http.Header) Said
-	// Event gives the number of an event of a stream, from one line of it.
+	// Event returns the event number that a line of an event stream carries, if any.
 	Event(line []byte) (n uint64, ok bool)
-	// Ready is the path at which a router tells whether it can be given callers.
+	// Ready returns the path of the router's readiness endpoint.
 	Ready() string
 }
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -21,10 +21,10 @@
 // attempt a clean answer.
 type fuzzServer struct {
 	*standIn
-	mu     sync.Mutex
-	method string
-	bytes  map[string][]byte // by request
-	seen   map[string]int    // attempts of each request
+	mu            sync.Mutex
+	method        string
+	responses     map[string][]byte // by request
+	attemptCounts map[string]int    // attempts of each request
 }
 
 func newFuzzServer(t testing.TB) *fuzzServer {
@@ -47,7 +47,7 @@
 func (f *fuzzServer) begin(method string, first, second []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.method, f.bytes, f.seen = method, map[string][]byte{"1": first, "2": second}, map[string]int{}
+	f.method, f.responses, f.attemptCounts = method, map[string][]byte{"1": first, "2": second}, map[string]int{}
 }
 
 // answer gives the bytes for an attempt, and whether the connection stays open behind them: it does
@@ -55,21 +55,21 @@
 func (f *fuzzServer) answer(id string) ([]byte, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.seen[id]++; f.seen[id] > 1 {
+	if f.attemptCounts[id]++; f.attemptCounts[id] > 1 {
 		return cleanAnswer(id, f.method), true
 	}
-	for _, a := range answersIn(f.bytes[id], f.method) {
+	for _, a := range parseResponses(f.responses[id], f.method) {
 		if a.id == id {
-			return f.bytes[id], a.whole
+			return f.responses[id], a.complete
 		}
 	}
-	return f.bytes[id], false
+	return f.responses[id], false
 }
 
 func (f *fuzzServer) attempts(id string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.seen[id]
+	return f.attemptCounts[id]
 }
 
 // cleanAnswer is what a server without trouble answers.
@@ -82,16 +82,16 @@
 }
 
 // told is an answer that stands in a server's bytes, read without the relay's code.
-type told struct {
-	id     string
-	sealed bool
-	status int
-	body   []byte
-	whole  bool // its body came to its end before the bytes did
+type serverResponse struct {
+	id       string
+	sealed   bool
+	status   int
+	body     []byte
+	complete bool // its body came to its end before the bytes did
 }
 
 // answersIn reads the final answers to a method one after the other, as far as bytes are answers.
-func answersIn(b []byte, method string) (l []told) {
+func parseResponses(b []byte, method string) (l []serverResponse) {
 	br := bufio.NewReader(bytes.NewReader(b))
 	for {
 		a, err := http.ReadResponse(br, &http.Request{Method: method})
@@ -101,29 +101,29 @@
 		if a.StatusCode < 200 {
 			continue
 		}
-		v := told{id: a.Header.Get("X-Try"), sealed: a.Header.Get("X-Seal") != "", status: a.StatusCode}
+		v := serverResponse{id: a.Header.Get("X-Try"), sealed: a.Header.Get("X-Seal") != "", status: a.StatusCode}
 		framed := a.ContentLength >= 0 || len(a.TransferEncoding) > 0 || a.Body == http.NoBody
 		v.body, err = io.ReadAll(a.Body)
-		v.whole = err == nil && framed
-		if l = append(l, v); !v.whole {
+		v.complete = err == nil && framed
+		if l = append(l, v); !v.complete {
 			return l
 		}
 	}
 }
 
 // heardAnswer is what a client got: nothing, part of an answer or a whole one.
-type heardAnswer struct {
-	head  *http.Response
-	body  []byte
-	whole bool
+type clientResponse struct {
+	head     *http.Response
+	body     []byte
+	complete bool
 }
 
 // checkAnswer holds what the client of a request got against what a server said to one of its attempts.
-func checkAnswer(t *testing.T, got heardAnswer, id, method string, said ...[]byte) {
+func checkAnswer(t *testing.T, got clientResponse, id, method string, said ...[]byte) {
 	if got.head.Header.Get("X-Try") == "" {
 		require.GreaterOrEqual(t, got.head.StatusCode, 400, "a success that no server gave")
 		require.Empty(t, got.head.Header.Get("X-Seal"), "an answer of the router's own with a seal")
-		if method != http.MethodHead && got.whole {
+		if method != http.MethodHead && got.complete {
 			require.Contains(t, string(got.body), `"kind"`)
 		}
 		return
@@ -132,9 +132,9 @@
 	var why []string
 	for _, b := range said {
 		fault := "no answer to the request"
-		for _, a := range answersIn(b, method) {
+		for _, a := range parseResponses(b, method) {
 			if a.id == id {
-				fault = a.faultOf(got)
+				fault = a.mismatch(got)
 				break
 			}
 		}
@@ -147,7 +147,7 @@
 }
 
 // faultOf tells in what a client's answer is not this one of a server.
-func (a told) faultOf(got heardAnswer) string {
+func (a serverResponse) mismatch(got clientResponse) string {
 	switch {
 	case a.status != got.head.StatusCode:
 		return "another status"
@@ -157,7 +157,7 @@
 		return "another seal"
 	case !bytes.HasPrefix(a.body, got.body):
 		return "bytes that are not the answer's"
-	case got.whole && (!a.whole || len(got.body) != len(a.body)):
+	case got.complete && (!a.complete || len(got.body) != len(a.body)):
 		return "ended early and looks whole"
 	}
 	return ""
@@ -187,18 +187,18 @@
 		for i, said := range [][]byte{first, second} {
 			id := strconv.Itoa(i + 1)
 			client.send(method + " /a HTTP/1.1\r\nHost: h\r\nX-Try: " + id + "\r\n\r\n")
-			got := client.hear(method)
+			got := client.readAny(method)
 			s.settled(t)
 			attempts := srv.attempts(id)
 			if !again && !resume {
-				require.LessOrEqual(t, attempts, 1+s.declined(), "sent again")
+				require.LessOrEqual(t, attempts, 1+s.countDropped(), "sent again")
 			}
 			if got.head != nil && attempts > 1 {
 				checkAnswer(t, got, id, method, said, cleanAnswer(id, method))
 			} else if got.head != nil {
 				checkAnswer(t, got, id, method, said)
 			}
-			if got.head == nil || !got.whole || got.head.Close {
+			if got.head == nil || !got.complete || got.head.Close {
 				return
 			}
 		}
@@ -209,14 +209,14 @@
 }
 
 // hear reads what comes in answer to a request.
-func (c *client) hear(method string) (got heardAnswer) {
+func (c *client) readAny(method string) (got clientResponse) {
 	a, err := http.ReadResponse(c.br, &http.Request{Method: method})
 	if err != nil {
 		return got
 	}
 	got.head = a
 	got.body, err = io.ReadAll(a.Body)
-	got.whole = err == nil
+	got.complete = err == nil
 	return got
 }
 
@@ -224,12 +224,12 @@
 func (s *script) begin(again, resume bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.again, s.resume, s.at = again, resume, map[Ref]int{}
-	s.calls, s.ends, s.begun, s.quits, s.given = nil, nil, nil, nil, nil
+	s.again, s.resume, s.nextServer = again, resume, map[Ref]int{}
+	s.calls, s.ends, s.begun, s.quits, s.receipts = nil, nil, nil, nil, nil
 }
 
 // declined counts the attempts that servers did not run.
-func (s *script) declined() (n int) {
+func (s *script) countDropped() (n int) {
 	for _, how := range s.hows() {
 		n += generic.One(how == Dropped)
 	}
--- a/internal/router/host.go
+++ b/internal/router/host.go
@@ -13,151 +13,154 @@
 	"tidedeck/internal/protocol"
 )
 
-// HostOptions of a router that runs under a hosting platform, its agent in the same process.
+// HostOptions configures a router that runs on a hosting platform, with its agent in the same process.
 type HostOptions struct {
 	ID        string
 	Zone      string
-	Ingress   string                   // where callers come in
-	Readiness string                   // where the platform asks whether they may
-	Post      string                   // where other nodes reach the agent
-	Admin     string                   // where metrics and traces are
-	Metrics   string                   // and metrics a second time; nowhere if empty
-	Bind      func(told string) string // where to listen for what others are told to reach at an address
+	Ingress   string                         // where clients connect
+	Readiness string                         // where the platform checks readiness
+	Post      string                         // where other nodes reach the agent
+	Admin     string                         // where metrics and request traces are served
+	Metrics   string                         // additional address for metrics; none if empty
+	Bind      func(advertised string) string // returns the address to listen on for an advertised address
 	Seeds     []string
-	Follow    func(step func(protocol.Reseed)) // tells of other seeds as they come; none if it is left out
+	Follow    func(step func(protocol.Reseed)) // calls step with changed seeds as they arrive; no updates if nil
 	Logs      io.Writer
 	Dialect   Dialect
 	Read      func([]byte) (*fleetplan.Plan, fleetplan.Faults)
-	Grace     clock.Span // to stop in
-	Lame      clock.Span // callers still come for so long after a router says that it stops
-	Lend      float64    // arrivals beyond the first that the fleet is lent in each Window
-	LendAgain float64    // the same for lives that follow another, in the first Window of each
+	Grace     clock.Span // time in which the process has to stop
+	Lame      clock.Span // how long after becoming unready the router still accepts clients
+	Lend      float64    // retries that all routers together may make in each Window in addition to Fraction
+	LendAgain float64    // the same for restarted routers, in the first Window after their start
 	Window    clock.Span
 	First     bool    // the whole system starts for the first time
-	Bodies    int64   // bytes of requests' bodies that are held at once; no bound if zero
-	Fraction  float64 // of first arrivals at a service that further ones may come to in any Window
+	Bodies    int64   // maximum total size of the request bodies held at once, in bytes; unlimited if zero
+	Fraction  float64 // retries allowed in any Window as a fraction of the first attempts at a service
 
-	plans *fleetplan.Memo
+	planCache *fleetplan.Memo
 }
 
 const (
-	nearRouter = "router"
-	nearAgent  = "agent"
+	localRouter = "router"
+	localAgent  = "agent"
 
-	hostedHello = 100 * time.Millisecond // a router tells its load so often
-	routerBeat  = 20 * time.Millisecond  // its core looks at what waits so often
-	agentBeat   = 25 * time.Millisecond
-	serverDial  = 400 * time.Millisecond // a server that takes longer to connect to is passed over
-	agentDial   = 200 * time.Millisecond // a node without power must not hold up the link to the core
+	helloInterval      = 100 * time.Millisecond // interval of the router's load reports
+	routerTickInterval = 20 * time.Millisecond  // interval at which the router's core examines waiting requests
+	agentTickInterval  = 25 * time.Millisecond
+	serverDialTimeout  = 400 * time.Millisecond // a server that takes longer to connect to is skipped
+	agentDialTimeout   = 200 * time.Millisecond // a node without power must not delay the link to the controller
 )
 
-// turnAwayAfter is when a router that stops tells those who still wait to go elsewhere: at half of its grace, so that
-// they have time for that. endAfter is when it cuts what is left, with an eighth in hand for its own end.
-func turnAwayAfter(grace clock.Span) clock.Span { return grace / 2 }
-func endAfter(grace clock.Span) clock.Span      { return grace * 7 / 8 }
+// rejectWaitingAfter returns when a stopping router rejects the requests that still wait for a server: after half
+// of the grace period, so that their clients have time to go elsewhere. forceCloseAfter returns when the router
+// closes the remaining connections, which leaves an eighth of the grace period for its own shutdown.
+func rejectWaitingAfter(grace clock.Span) clock.Span { return grace / 2 }
+func forceCloseAfter(grace clock.Span) clock.Span    { return grace * 7 / 8 }
 
-// earnedPart is the part of the retry fraction that first arrivals earn. What they earned is kept for so long that all that may be
-// spent in a window, from before it as well, is within the fraction.
-const earnedPart = 0.8
+// earnedShare is the part of the retry fraction that each first attempt adds to the retry allowance. The
+// allowance is kept for allowanceLifetime, so that the retries in any window, including those saved up before it,
+// stay within the retry fraction.
+const earnedShare = 0.8
 
-// savedFor is how long what was earned may be spent.
-func savedFor(window clock.Span) clock.Span {
-	return clock.Span(float64(window) * (1/earnedPart - 1))
+// allowanceLifetime returns how long an earned retry allowance may be spent.
+func allowanceLifetime(window clock.Span) clock.Span {
+	return clock.Span(float64(window) * (1/earnedShare - 1))
 }
 
-// cores makes the router and its agent, which share the process.
+// newCores creates the cores of the router and of its agent, which share the process.
 func (h HostOptions) cores() (*Core, *agent.Core) {
-	h.Read = h.plans.Plan
+	h.Read = h.planCache.Plan
 	core := New(Options{
-		Me: protocol.Sibling{ID: nearRouter, Addr: nearRouter}, Inc: host.NewInc(), Agent: protocol.Sibling{Addr: nearAgent},
-		Read: h.Read, Zone: ident.Zone(h.Zone), Free: true, Guards: true, Hello: clock.Span(hostedHello), Lend: h.Lend, LendAgain: h.LendAgain, Window: h.Window, Share: h.Fraction * earnedPart, Save: savedFor(h.Window), Restarted: !h.First,
+		Me: protocol.Sibling{ID: localRouter, Addr: localRouter}, Inc: host.NewInc(), Agent: protocol.Sibling{Addr: localAgent},
+		Read: h.Read, Zone: ident.Zone(h.Zone), Free: true, Guards: true, Hello: clock.Span(helloInterval), Lend: h.Lend, LendAgain: h.LendAgain, Window: h.Window, Share: h.Fraction * earnedShare, Save: allowanceLifetime(h.Window), Restarted: !h.First,
 	})
-	beside := agent.New(agent.Options{
+	agentCore := agent.New(agent.Options{
 		Me: protocol.Sibling{ID: ident.Node(h.ID), Addr: h.Post}, Zone: ident.Zone(h.Zone), Inc: host.NewInc(), Life: ident.Inc(host.Now()),
-		Seeds: host.Siblings(h.Seeds), Rand: host.NewRand(), Brisk: true, Router: protocol.Sibling{ID: nearRouter, Addr: nearRouter},
+		Seeds: host.Siblings(h.Seeds), Rand: host.NewRand(), Brisk: true, Router: protocol.Sibling{ID: localRouter, Addr: localRouter},
 	})
-	return core, beside
+	return core, agentCore
 }
 
-// readAhead reads the plans that come for the router, so that requests need not wait meanwhile.
-func (h HostOptions) readAhead(e protocol.Env) {
-	news, ok := e.Body.(protocol.News)
+// parsePlansAhead parses the plans addressed to the router before its core gets them, so that requests do not wait
+// for the parser.
+func (h HostOptions) parsePlansAhead(env protocol.Env) {
+	news, ok := env.Body.(protocol.News)
 	if !ok {
 		return
 	}
-	for _, i := range news.Items {
-		if i.Desired != nil && len(i.Desired.Plan) > 0 {
-			_, _ = h.plans.Plan(i.Desired.Plan)
+	for _, item := range news.Items {
+		if item.Desired != nil && len(item.Desired.Plan) > 0 {
+			_, _ = h.planCache.Plan(item.Desired.Plan)
 		}
 	}
 }
 
-// headLimits gives what a plan allows heads to be; nothing is said without one.
-func headLimits(p *fleetplan.Plan) HeadLimits {
+// planHeadLimits returns the limits on request heads that a plan sets, or no limits without a plan.
+func planHeadLimits(p *fleetplan.Plan) HeadLimits {
 	if p == nil {
 		return HeadLimits{}
 	}
-	return HeadLimits{Bytes: p.HeadMost, Wait: p.HeadWait}
+	return HeadLimits{Bytes: p.HeadMost, Timeout: p.HeadWait}
 }
 
-// Host runs a router and its agent under a hosting platform until it is told to stop.
+// Host runs a router and its agent on a hosting platform until the process is told to stop.
 func Host(h HostOptions) error {
 	ring := host.NewRingWith(host.RingOptions{Name: h.ID, Out: os.Stderr, Lines: h.Logs})
-	h.plans = &fleetplan.Memo{Read: h.Read}
-	core, agent := h.cores()
-	log := NewRequestLog(h.ID, ring, defaultRequestLog)
-	var router, beside *host.Process
-	inForce := func() (p *fleetplan.Plan) {
-		router.With(func(clock.Tick) { p = core.plan })
+	h.planCache = &fleetplan.Memo{Read: h.Read}
+	core, agentCore := h.cores()
+	requestLog := NewRequestLog(h.ID, ring, defaultRequestLogSize)
+	var routerProcess, agentProcess *host.Process
+	currentPlan := func() (p *fleetplan.Plan) {
+		routerProcess.With(func(clock.Tick) { p = core.plan })
 		return p
 	}
-	limits := func() (most int64, wait time.Duration) {
-		if p := inForce(); p != nil {
-			most, wait = int64(p.BodyMost), p.Idle
+	bodyLimits := func() (size int64, wait time.Duration) {
+		if p := currentPlan(); p != nil {
+			size, wait = int64(p.BodyMost), p.Idle
 		}
-		return most, wait
+		return size, wait
 	}
-	heads := func() HeadLimits { return headLimits(inForce()) }
-	resting := func() (told time.Duration) {
-		if p := inForce(); p != nil {
-			told = p.Idle
+	headLimits := func() HeadLimits { return planHeadLimits(currentPlan()) }
+	idleTimeout := func() (timeout time.Duration) {
+		if p := currentPlan(); p != nil {
+			timeout = p.Idle
 		}
-		return told
+		return timeout
 	}
-	relay := NewRelay(RelayOptions{Dialect: h.Dialect, Refused: log.Add, BodyBudget: h.Bodies, Limits: limits, Conns: ConnOptions{Dialer: host.Dialer(h.Ingress, serverDial)}})
-	router = host.New(host.Options{Core: core, Beat: routerBeat, Ring: ring, Else: log.Tap(relay.Act),
-		Local: map[string]func(protocol.Env){nearAgent: func(e protocol.Env) { beside.Step(e) }}})
-	beside = host.New(host.Options{Core: agent, Listen: []string{h.Bind(h.Post)}, Told: h.Post, Beat: agentBeat, Dial: agentDial, Ring: ring, Else: func(any) {},
-		Local: map[string]func(protocol.Env){nearRouter: func(e protocol.Env) {
-			h.readAhead(e)
-			router.Step(e)
+	relay := NewRelay(RelayOptions{Dialect: h.Dialect, OnRefusal: requestLog.Add, BodyBudget: h.Bodies, BodyLimits: bodyLimits, Conns: ConnOptions{Dialer: host.Dialer(h.Ingress, serverDialTimeout)}})
+	routerProcess = host.New(host.Options{Core: core, Beat: routerTickInterval, Ring: ring, Else: requestLog.Intercept(relay.Act),
+		Local: map[string]func(protocol.Env){localAgent: func(env protocol.Env) { agentProcess.Step(env) }}})
+	agentProcess = host.New(host.Options{Core: agentCore, Listen: []string{h.Bind(h.Post)}, Told: h.Post, Beat: agentTickInterval, Dial: agentDialTimeout, Ring: ring, Else: func(any) {},
+		Local: map[string]func(protocol.Env){localRouter: func(env protocol.Env) {
+			h.parsePlansAhead(env)
+			routerProcess.Step(env)
 		}}})
-	relay.Use(Held(router, core))
-	if err := beside.Run(); err != nil {
+	relay.Use(NewHostedDecider(routerProcess, core))
+	if err := agentProcess.Run(); err != nil {
 		return err
 	}
-	defer beside.Stop()
+	defer agentProcess.Stop()
 	if h.Follow != nil {
-		h.Follow(func(r protocol.Reseed) { beside.Step(r) })
+		h.Follow(func(r protocol.Reseed) { agentProcess.Step(r) })
 	}
-	if err := router.Run(); err != nil {
+	if err := routerProcess.Run(); err != nil {
 		return err
 	}
-	defer router.Stop()
+	defer routerProcess.Stop()
 	ready := func() (ok bool) {
-		router.With(func(now clock.Tick) {
-			_, e, held := core.Rules(now)
-			ok = e > 0 && (held || core.alone())
+		routerProcess.With(func(now clock.Tick) {
+			_, epoch, held := core.Rules(now)
+			ok = epoch > 0 && (held || core.alone())
 		})
 		return ok
 	}
-	defer host.ServeBeside(ring, operatorRoutes(log, metrics(router, core, relay, log)), h.Bind(h.Admin), h.Bind(h.Metrics))()
+	defer host.ServeBeside(ring, operatorRoutes(requestLog, metrics(routerProcess, core, relay, requestLog)), h.Bind(h.Admin), h.Bind(h.Metrics))()
 	stop := host.Stopping()
 	go func() {
 		<-stop
-		time.Sleep(turnAwayAfter(h.Grace))
-		router.Step(protocol.Stop{})
+		time.Sleep(rejectWaitingAfter(h.Grace))
+		routerProcess.Step(protocol.Stop{})
 	}()
 	return ServeRelay(stop, RelayServe{Relay: relay, Ingress: h.Bind(h.Ingress), Readiness: h.Bind(h.Readiness), Ready: ready,
-		Resting: resting, Heads: heads, Lame: h.Lame, Grace: endAfter(h.Grace)})
+		Resting: idleTimeout, PlanHeadLimits: headLimits, Lame: h.Lame, Grace: forceCloseAfter(h.Grace)})
 }
--- a/internal/router/invariants_test.go
+++ b/internal/router/invariants_test.go
@@ -22,9 +22,9 @@
 	{invariant.TriesBounded, "ledger.go", "if m.again && r.sent() >= most {", "if m.again && r.sent() >= 1000 {", "TestTries"},
 	{invariant.TimeLeftShrinks, "admission.go", "\t\tr.due = r.came.Add(w)", "\t\tr.due = c.now.Add(w)", "TestTimeLeftOnARepeat"},
 	{invariant.EndsInTime, "core.go", "\t\t\tif c.now >= r.due {\n\t\t\t\tc.finish", "\t\t\tif false {\n\t\t\t\tc.finish", "TestWaitsNoLongerThanItsTime"},
-	{invariant.AnswerIsServers, "relay_attempt.go", `if said.ID == x.facts.ID && said.ID != "" {`, `if said.ID != "" {`, "TestSurplus"},
-	{invariant.RefusalIsOurs, "relay_reply.go", "\th := x.w.Header()\n\tb, _ := json", "\th := x.w.Header()\n\th[\"X-Seal\"] = []string{\"s\"}\n\tb, _ := json", "TestOwnAnswersBearNoSeal"},
-	{invariant.ConnectionMatches, "conns.go", "\tl := p.idle[to]\n", "\tl := p.idle[to]\n\tfor to, l = range p.idle {\n\t\tbreak\n\t}\n", "TestKeptForOneServer"},
+	{invariant.AnswerIsServers, "relay_attempt.go", `if info.ID == x.facts.ID && info.ID != "" {`, `if info.ID != "" {`, "TestSurplus"},
+	{invariant.RefusalIsOurs, "relay_reply.go", "\th := x.w.Header()\n\tbody, _ := json", "\th := x.w.Header()\n\th[\"X-Seal\"] = []string{\"s\"}\n\tbody, _ := json", "TestOwnAnswersBearNoSeal"},
+	{invariant.ConnectionMatches, "conn_pool.go", "\tidle := p.idle[to]\n", "\tidle := p.idle[to]\n\tfor to, idle = range p.idle {\n\t\tbreak\n\t}\n", "TestKeptForOneServer"},
 	{invariant.TenantHoldsKey, "admission.go", " || m.Keyed != r.keyed || m.Tenant != r.tenant)", ")", "TestKeysThatChangeUnderWay"},
 	{invariant.EpochRises, "core.go", "if d.Gen < c.gen || d.Gen == c.gen && d.Epoch <= c.epoch {", "if false {", "TestEpochsOnlyRise|TestOtherGeneration"},
 }
--- a/internal/router/record.go
+++ b/internal/router/record.go
@@ -15,8 +15,8 @@
 	"tidedeck/internal/host"
 )
 
-// Logged is one line of a recorded day. Without the prompt's text, its length and the
-// digests of its shared parts stand in for it.
+// Logged is one line of a record of requests. Unless prompts are recorded, the length of the prompt and the
+// checksums of its shared parts replace the text.
 type Logged struct {
 	At     int64  `json:"at_ms"`
 	Route  string `json:"route"`
@@ -40,82 +40,82 @@
 	Text   string `json:"text,omitempty"`
 }
 
-// Recorder writes a day's requests, a line each, every line with its own checksum.
+// Recorder writes incoming requests to a file, one per line, each line with its own checksum.
 type Recorder struct {
-	mu    sync.Mutex // guards the writer; the recorder's goroutine alone holds it across a write
-	f     *os.File
-	w     *bufio.Writer
-	lines chan Logged
-	done  chan struct{}
-	text  bool
-	from  int64
-	lost  int
+	mu       sync.Mutex // guards dropped and sends on lines
+	file     *os.File
+	writer   *bufio.Writer
+	lines    chan Logged
+	done     chan struct{}
+	keepText bool
+	start    int64
+	dropped  int
 }
 
-// OpenRecorder begins a record; a file that is there already is not written over.
-func OpenRecorder(path, name string, text bool) (*Recorder, error) {
+// OpenRecorder starts a record. It fails if the file already exists.
+func OpenRecorder(path, name string, keepText bool) (*Recorder, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
-		return nil, errors.Wrap(err, "record")
+		return nil, errors.Wrap(err, "create record file")
 	}
-	r := &Recorder{f: f, w: bufio.NewWriter(f), lines: make(chan Logged, 4096), done: make(chan struct{}), text: text, from: int64(host.Now())}
+	r := &Recorder{file: f, writer: bufio.NewWriter(f), lines: make(chan Logged, 4096), done: make(chan struct{}), keepText: keepText, start: int64(host.Now())}
 	r.write(fmt.Sprintf(`{"record":"tidedeck","v":1,"router":%q,"began":%q}`, name, time.Now().UTC().Format(time.RFC3339)))
 	go r.run()
 	return r, nil
 }
 
-func (r *Recorder) write(s string) {
-	_, _ = fmt.Fprintf(r.w, "%08x %s\n", crc32.ChecksumIEEE([]byte(s)), s)
+func (r *Recorder) write(line string) {
+	_, _ = fmt.Fprintf(r.writer, "%08x %s\n", crc32.ChecksumIEEE([]byte(line)), line)
 }
 
 func (r *Recorder) run() {
 	defer close(r.done)
-	t := time.NewTicker(time.Second)
-	defer t.Stop()
-	n := 0
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
+	recorded := 0
 	for {
 		select {
-		case l, ok := <-r.lines:
+		case request, ok := <-r.lines:
 			if !ok {
-				r.write(fmt.Sprintf(`{"end":%d,"lost":%d}`, n, r.lost))
-				_ = r.w.Flush()
-				_ = r.f.Sync()
-				_ = r.f.Close()
+				r.write(fmt.Sprintf(`{"end":%d,"lost":%d}`, recorded, r.dropped))
+				_ = r.writer.Flush()
+				_ = r.file.Sync()
+				_ = r.file.Close()
 				return
 			}
-			b, _ := json.Marshal(l)
-			r.write(string(b))
-			n++
-		case <-t.C:
-			_ = r.w.Flush()
+			line, _ := json.Marshal(request)
+			r.write(string(line))
+			recorded++
+		case <-ticker.C:
+			_ = r.writer.Flush()
 		}
 	}
 }
 
-// Add records a request; a record that cannot keep up loses lines, and counts them.
+// Add records a request. If the writer cannot keep up, the request is dropped from the record and counted.
 func (r *Recorder) Add(route string, c fleetplan.Call) {
-	l := Logged{At: (int64(host.Now()) - r.from) / 1e6, Route: route, ID: c.ID, Base: c.Base, Extra: c.Extra, Kind: c.Kind,
+	line := Logged{At: (int64(host.Now()) - r.start) / 1e6, Route: route, ID: c.ID, Base: c.Base, Extra: c.Extra, Kind: c.Kind,
 		Length: len(c.Prompt), Max: c.Max, WaitMs: c.Wait.Milliseconds(), Again: c.Again, Repeat: c.Repeat}
-	if r.text {
-		l.Prompt = c.Prompt
+	if r.keepText {
+		line.Prompt = c.Prompt
 	}
-	for _, p := range c.Parts {
-		q := Part{Sum: fmt.Sprintf("%08x", crc32.ChecksumIEEE([]byte(p))), Length: len(p)}
-		if r.text {
-			q.Text = p
+	for _, text := range c.Parts {
+		part := Part{Sum: fmt.Sprintf("%08x", crc32.ChecksumIEEE([]byte(text))), Length: len(text)}
+		if r.keepText {
+			part.Text = text
 		}
-		l.Parts = append(l.Parts, q)
+		line.Parts = append(line.Parts, part)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	select {
-	case r.lines <- l:
+	case r.lines <- line:
 	default:
-		r.lost++
+		r.dropped++
 	}
 }
 
-// Close ends the record; its last line counts the others.
+// Close ends the record with a line that has the number of recorded and of dropped requests.
 func (r *Recorder) Close() {
 	close(r.lines)
 	<-r.done
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -12,121 +12,122 @@
 	"tidedeck/internal/host"
 )
 
-// The relay is the router's second door: it passes requests on to servers as they are, and the servers'
-// answers back. This file has its options, its counters and the seam to the core that decides.
+// The relay forwards requests to servers unchanged, and the servers' responses to clients. This file contains its
+// options, its counters and the interface to the core, which makes the decisions.
 
-// Decider decides what becomes of requests.
+// Decider decides what happens to requests.
 type Decider interface {
-	// Step takes what happened: Call, Begun, Ended, Quit. What follows comes to Relay.Act.
+	// Step takes an event: Call, Begun, Ended or Quit. Resulting decisions are delivered to Relay.Act.
 	Step(in any)
-	// MaySend is asked at the very point of sending.
+	// MaySend reports whether an attempt may be sent. It is called immediately before sending.
 	MaySend(ref Ref, n int) bool
 }
 
-type held struct {
-	c    *host.Process
-	core *Core
+type hostedDecider struct {
+	process *host.Process
+	core    *Core
 }
 
-// Held makes a decider of a core in its host.
-func Held(c *host.Process, core *Core) Decider { return held{c, core} }
+// NewHostedDecider returns the Decider of a core that runs in a host process.
+func NewHostedDecider(c *host.Process, core *Core) Decider { return hostedDecider{c, core} }
 
-// Step gives the core one input.
-func (h held) Step(in any) { h.c.Step(in) }
+// Step passes one input to the core.
+func (h hostedDecider) Step(in any) { h.process.Step(in) }
 
-// MaySend asks the core.
-func (h held) MaySend(ref Ref, n int) (may bool) {
-	h.c.With(func(now clock.Tick) { may = h.core.MaySend(now, ref, n) })
-	return may
+// MaySend asks the core whether an attempt may be sent.
+func (h hostedDecider) MaySend(ref Ref, n int) (allowed bool) {
+	h.process.With(func(now clock.Tick) { allowed = h.core.MaySend(now, ref, n) })
+	return allowed
 }
 
-// defaultSlack is how long after a request's time its answer may still end: a server stops by its own
-// clock from the request's arrival, so its last word is late by the way there and back. More than a
-// quarter of a second past a route's time counts as held too long.
+// defaultSlack is how long after a request's deadline its response may still end. Servers measure the time left
+// from the arrival of the request, so their last bytes can be late by one round trip. A request held for more than
+// 250 ms past its route's horizon counts as held too long.
 const defaultSlack = 150 * time.Millisecond
 
-// RelayOptions of a relay.
+// RelayOptions configures a relay.
 type RelayOptions struct {
-	Decider Decider // may be set later, with Relay.Use
+	Decider Decider // may be set later with Relay.Use
 	Dialect Dialect
 	Conns   ConnOptions
-	// Limits gives the bytes that a request's body may have and how long it may take to come, by the
-	// plan in force. Zeros, or no function, leave it to the defaults: 4 MiB and 15 s.
-	Limits     func() (bodyMost int64, bodyWait time.Duration)
-	BodyBudget int64              // bytes of all bodies held at once; no bound if zero
-	Wait       time.Duration      // an attempt that says no time left may take so long; 60 s
-	Slack      time.Duration      // an answer may end so long after the time left; 150 ms
-	WriteWait  time.Duration      // a client that takes nothing for so long is given up; 10 s
-	Refused    func(RequestTrace) // hears of requests that are refused before the core knows of them; nobody if nil
-	KeepAlive  time.Duration      // told to clients as the time for which their idle connections stay; none
+	// BodyLimits returns the maximum size of a request body and the time within which it must arrive, according to
+	// the plan in force. Zero values, or no function, select the defaults: 4 MiB and 15 s.
+	BodyLimits     func() (bodyMost int64, bodyWait time.Duration)
+	BodyBudget     int64              // maximum total size of the bodies held at once, in bytes; unlimited if zero
+	AttemptTimeout time.Duration      // limit for attempts without a time left; 60 s
+	Slack          time.Duration      // how long after the time left a response may still end; 150 ms
+	WriteWait      time.Duration      // a client that accepts no data for this long is disconnected; 10 s
+	OnRefusal      func(RequestTrace) // called for requests that are refused before they reach the core; may be nil
+	KeepAlive      time.Duration      // keep-alive timeout announced to clients; none if zero
 }
 
-// Defaults fills what was left out.
+// Defaults returns the options with unset fields replaced by their defaults.
 func (o RelayOptions) Defaults() RelayOptions {
-	generic.SetDefault(&o.Wait, 60*time.Second)
+	generic.SetDefault(&o.AttemptTimeout, 60*time.Second)
 	generic.SetDefault(&o.Slack, defaultSlack)
 	generic.SetDefault(&o.WriteWait, 10*time.Second)
-	if o.Refused == nil {
-		o.Refused = func(RequestTrace) {}
+	if o.OnRefusal == nil {
+		o.OnRefusal = func(RequestTrace) {}
 	}
 	return o
 }
 
-// RelayTally counts what a relay did.
+// RelayTally counts events of a relay.
 type RelayTally struct {
 	Surplus, Foreign, Broken, Aborts, Refusals, Smuggled uint64
 	ConnTally
 }
 
-// Relay passes requests on to servers as they are, and the servers' answers back. A Decider
-// decides everything.
+// Relay forwards requests to servers unchanged, and the servers' responses to clients. All decisions are made by a
+// Decider.
 type Relay struct {
-	o     RelayOptions
-	core  Decider
-	conns *conns
-	close func() bool // whether answers end their connections
-
-	bodies  bodyBudget
-	late    atomic.Bool          // a stop is far on: what comes now is sent to no server any more
-	seconds prometheus.Histogram // from a request's head to its last word
-	opened
-	told  sync.Mutex // guards tally
-	tally RelayTally
+	o       RelayOptions
+	decider Decider
+	conns   *connPool
+	closing func() bool // whether responses close their client's connection
+
+	bodies         bodyBudget
+	rejectNew      atomic.Bool          // set late in a shutdown: new requests are refused and sent to no server
+	requestSeconds prometheus.Histogram // time from a request's head to the end of its response
+	inFlight
+	tallyMu sync.Mutex // guards tally
+	tally   RelayTally
 }
 
-// NewRelay makes a relay.
+// NewRelay creates a relay.
 func NewRelay(o RelayOptions) *Relay {
 	o = o.Defaults()
-	r := &Relay{o: o, core: o.Decider, conns: newConns(o.Conns), close: func() bool { return false }, seconds: newRequestSeconds()}
-	r.bodies.most = o.BodyBudget
+	r := &Relay{o: o, decider: o.Decider, conns: newConns(o.Conns), closing: func() bool { return false }, requestSeconds: newRequestSeconds()}
+	r.bodies.limit = o.BodyBudget
 	return r
 }
 
-// newRequestSeconds makes the histogram of how long requests take: 5 ms to 40 s, each bound twice the one before.
+// newRequestSeconds creates the histogram of request durations, with buckets from 5 ms to 40 s, each twice as
+// large as the one before.
 func newRequestSeconds() prometheus.Histogram {
 	return prometheus.NewHistogram(prometheus.HistogramOpts{
-		Name: "tidedeck_relay_request_seconds", Help: "From a request's head to the last word of its answer.",
+		Name: "tidedeck_relay_request_seconds", Help: "Time from a request's head to the end of its response.",
 		Buckets: prometheus.ExponentialBuckets(0.005, 2, 14),
 	})
 }
 
-// Use sets who decides, before the first request comes.
-func (r *Relay) Use(d Decider) { r.core = d }
+// Use sets the Decider. It must be called before the first request arrives.
+func (r *Relay) Use(d Decider) { r.decider = d }
 
 // Close closes the idle connections to servers.
 func (r *Relay) Close() { r.conns.close() }
 
-// Counts gives the tally so far.
+// Counts returns the current counters.
 func (r *Relay) Counts() RelayTally {
-	r.told.Lock()
+	r.tallyMu.Lock()
 	t := r.tally
-	r.told.Unlock()
+	r.tallyMu.Unlock()
 	t.ConnTally = r.conns.tally()
 	return t
 }
 
 func (r *Relay) count(f func(t *RelayTally)) {
-	r.told.Lock()
+	r.tallyMu.Lock()
 	f(&r.tally)
-	r.told.Unlock()
+	r.tallyMu.Unlock()
 }
--- a/internal/router/relay_answer.go
+++ b/internal/router/relay_answer.go
@@ -10,45 +10,45 @@
 	"tidedeck/internal/failure"
 )
 
-// What becomes of the answer to an attempt: it is passed on, or it tells that the request did not run, or it
-// is as good as none.
+// Handling of the response to an attempt: the response is forwarded, or reports that the request was not run, or
+// is unusable.
 
-// take passes on the answer to this attempt, or tells why it cannot.
-func (x *exchange) take(v Launch, use *connUse, a *http.Response, said Said) (End, failure.Kind) {
-	x.status = a.StatusCode
-	good, stream := a.StatusCode >= 200 && a.StatusCode < 300, isStream(a)
+// handleResponse forwards the response to this attempt, or returns why it cannot be forwarded.
+func (x *exchange) handleResponse(v Launch, use *connUse, resp *http.Response, info Said) (End, failure.Kind) {
+	x.status = resp.StatusCode
+	success, stream := resp.StatusCode >= 200 && resp.StatusCode < 300, isStream(resp)
 	switch {
-	case said.NotRun:
-		x.drain(use, a)
-		return Dropped, said.Kind
-	case good && !said.Sealed:
+	case info.NotRun:
+		x.drain(use, resp)
+		return Dropped, info.Kind
+	case success && !info.Sealed:
 		x.cause = CauseUnsealed
 		return Lost, failure.None
-	case x.open && !(good && stream):
+	case x.started && !(success && stream):
 		x.cause = CauseStatus
 		return Lost, failure.None
-	case !good && promisesNotRun(a.StatusCode):
-		x.drain(use, a)
+	case !success && promisesNotRun(resp.StatusCode):
+		x.drain(use, resp)
 		x.cause = CauseStatus
-		return Lost, failure.None // its status would say that it did not run, and it may have
-	case a.StatusCode >= 500 && v.Again:
-		x.drain(use, a)
+		return Lost, failure.None // without the server's mark the status does not prove that the request was not run
+	case resp.StatusCode >= 500 && v.Again:
+		x.drain(use, resp)
 		x.cause = CauseStatus
 		return Lost, failure.None
 	}
 	if stream && x.req.Method != http.MethodHead {
-		return x.flow(v, use, a)
+		return x.relayStream(v, use, resp)
 	}
-	return x.whole(v, use, a)
+	return x.relayBuffered(v, use, resp)
 }
 
-// isStream tells whether an answer is a series of events.
-func isStream(a *http.Response) bool {
-	t, _, err := mime.ParseMediaType(a.Header.Get("Content-Type"))
-	return err == nil && t == "text/event-stream"
+// isStream reports whether a response is a stream of server-sent events.
+func isStream(resp *http.Response) bool {
+	mediaType, _, err := mime.ParseMediaType(resp.Header.Get("Content-Type"))
+	return err == nil && mediaType == "text/event-stream"
 }
 
-// promisesNotRun tells whether a status says that a request did not run and never will.
+// promisesNotRun reports whether a status code means that the request was not run and never will be.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -57,128 +57,130 @@
 	return false
 }
 
-// drain reads a small body off, so that the connection can be kept; nobody waits long for that.
-func (x *exchange) drain(use *connUse, a *http.Response) {
-	if a.ContentLength > mostDrain || closeDelimited(a) || use.c.SetReadDeadline(time.Now().Add(drainWait)) != nil {
-		use.end(false)
+// drain reads and discards a small body so that the connection can be reused. The time for this is bounded by
+// drainTimeout.
+func (x *exchange) drain(use *connUse, resp *http.Response) {
+	if resp.ContentLength > maxDrainBytes || closeDelimited(resp) || use.conn.SetReadDeadline(time.Now().Add(drainTimeout)) != nil {
+		use.release(false)
 		return
 	}
-	n, err := io.CopyN(io.Discard, a.Body, mostDrain)
-	use.end(err == io.EOF && n < mostDrain)
+	n, err := io.CopyN(io.Discard, resp.Body, maxDrainBytes)
+	use.release(err == io.EOF && n < maxDrainBytes)
 }
 
-// whole passes an answer on that is no stream. A small one is read whole first: if it breaks off,
-// the client has no byte of it yet.
-func (x *exchange) whole(v Launch, use *connUse, a *http.Response) (End, failure.Kind) {
+// relayBuffered forwards a response that is not a stream. A small body is read completely before any byte is sent,
+// so that after a break the request can still be retried.
+func (x *exchange) relayBuffered(v Launch, use *connUse, resp *http.Response) (End, failure.Kind) {
 	switch {
-	case a.Body == http.NoBody:
-		use.end(true)
-		x.bodiless(a)
+	case resp.Body == http.NoBody:
+		use.release(true)
+		x.relayWithoutBody(resp)
 		return Done, failure.None
-	case closeDelimited(a):
-		return x.broken(CauseUnframed) // its end cannot be told from a break
-	case a.ContentLength > mostKept:
-		return x.long(v, use, a, nil)
+	case closeDelimited(resp):
+		return x.connectionBroken(CauseUnframed) // a complete body cannot be told from a truncated one
+	case resp.ContentLength > maxBufferedResponse:
+		return x.relayUnbuffered(v, use, resp, nil)
 	}
 	b := getBuffer()
-	if a.ContentLength > 0 {
-		b.Grow(int(a.ContentLength) + bytes.MinRead)
+	if resp.ContentLength > 0 {
+		b.Grow(int(resp.ContentLength) + bytes.MinRead)
 	}
-	switch _, err := io.CopyN(b, a.Body, mostKept+1); err {
+	switch _, err := io.CopyN(b, resp.Body, maxBufferedResponse+1); err {
 	case io.EOF:
-		use.end(true)
-		x.reply = &reply{a.StatusCode, a.Header, b}
+		use.release(true)
+		x.reply = &reply{resp.StatusCode, resp.Header, b}
 		return Done, failure.None
 	case nil:
 		defer putBuffer(b)
-		return x.long(v, use, a, b.Bytes())
+		return x.relayUnbuffered(v, use, resp, b.Bytes())
 	}
 	putBuffer(b)
-	return x.broken(CauseBody)
+	return x.connectionBroken(CauseBody)
 }
 
-// bodiless readies an answer that has no body by the request's method or the status. Its length stands for
-// the body that there would be, but for a status that never has one.
-func (x *exchange) bodiless(a *http.Response) {
-	if n, ok := a.Header["Content-Length"]; ok && a.StatusCode != http.StatusNoContent {
+// relayWithoutBody prepares a response that has no body because of the request's method or the status code. It
+// keeps the Content-Length header, which describes the body that a GET would return, except with 204, which never
+// has a body.
+func (x *exchange) relayWithoutBody(resp *http.Response) {
+	if n, ok := resp.Header["Content-Length"]; ok && resp.StatusCode != http.StatusNoContent {
 		x.w.Header()["Content-Length"] = n
 	}
-	x.reply = &reply{status: a.StatusCode, head: a.Header}
+	x.reply = &reply{status: resp.StatusCode, header: resp.Header}
 }
 
-// long passes an answer on as it comes, after what was read of it already.
-func (x *exchange) long(v Launch, use *connUse, a *http.Response, read []byte) (End, failure.Kind) {
-	if a.ContentLength > 0 {
-		x.w.Header()["Content-Length"] = a.Header["Content-Length"]
+// relayUnbuffered forwards a response as it arrives, after the part that has already been read.
+func (x *exchange) relayUnbuffered(v Launch, use *connUse, resp *http.Response, read []byte) (End, failure.Kind) {
+	if resp.ContentLength > 0 {
+		x.w.Header()["Content-Length"] = resp.Header["Content-Length"]
 	}
-	x.r.core.Step(Begun{Ref: v.Ref, N: v.N})
-	x.writeHead(a.StatusCode, a.Header)
+	x.r.decider.Step(Begun{Ref: v.Ref, N: v.N})
+	x.writeHead(resp.StatusCode, resp.Header)
 	x.writeBody(read, false)
-	how, kind := x.pump(a, func(p []byte) bool {
-		x.writeBody(p, false)
+	how, kind := x.copyBody(resp, func(chunk []byte) bool {
+		x.writeBody(chunk, false)
 		return true
 	})
 	if how == Done {
-		use.end(true)
+		use.release(true)
 	}
 	return how, kind
 }
 
-// pump reads an answer's body to its end and hands on each piece as it comes.
-func (x *exchange) pump(a *http.Response, f func(p []byte) bool) (End, failure.Kind) {
-	p := pieces.Get().(*[]byte)
-	defer pieces.Put(p)
+// copyBody reads a response's body to its end and passes each chunk to write as it arrives.
+func (x *exchange) copyBody(resp *http.Response, write func(chunk []byte) bool) (End, failure.Kind) {
+	buffer := copyBuffers.Get().(*[]byte)
+	defer copyBuffers.Put(buffer)
 	for {
-		n, err := a.Body.Read(*p)
-		if n > 0 && !f((*p)[:n]) {
+		n, err := resp.Body.Read(*buffer)
+		if n > 0 && !write((*buffer)[:n]) {
 			x.cause = CauseEvents
 			return Lost, failure.None
 		}
-		if x.gone {
+		if x.clientGone {
 			x.cause = CauseCaller
-			return Lost, failure.None // nobody reads it any more
+			return Lost, failure.None // the client is gone, so nobody reads the response
 		}
 		switch err {
 		case nil:
 		case io.EOF:
 			return Done, failure.None
 		default:
-			return x.broken(CauseBody)
+			return x.connectionBroken(CauseBody)
 		}
 	}
 }
 
-// flow passes a stream on as it comes.
-func (x *exchange) flow(v Launch, use *connUse, a *http.Response) (End, failure.Kind) {
-	f := &events{x: x, resumed: x.open, begin: func() {
-		x.r.core.Step(Begun{Ref: v.Ref, N: v.N})
-		if !x.open {
-			if a.ContentLength >= 0 && !v.Resume {
-				x.w.Header()["Content-Length"] = a.Header["Content-Length"]
+// relayStream forwards an event stream as it arrives.
+func (x *exchange) relayStream(v Launch, use *connUse, resp *http.Response) (End, failure.Kind) {
+	relay := &eventRelay{exchange: x, resuming: x.started, onBegin: func() {
+		x.r.decider.Step(Begun{Ref: v.Ref, N: v.N})
+		if !x.started {
+			if resp.ContentLength >= 0 && !v.Resume {
+				x.w.Header()["Content-Length"] = resp.Header["Content-Length"]
 			}
-			x.units = v.Resume
-			x.writeHead(a.StatusCode, a.Header)
+			x.wholeEvents = v.Resume
+			x.writeHead(resp.StatusCode, resp.Header)
 		}
 	}}
-	defer f.free()
-	each := f.bytes
+	defer relay.releaseBuffers()
+	forward := relay.relayBytes
 	if v.Resume {
-		each = f.whole
+		forward = relay.relayEvents
 	}
-	how, kind := x.pump(a, each)
+	how, kind := x.copyBody(resp, forward)
 	if how != Done {
 		return how, kind
 	}
-	if closeDelimited(a) {
-		return x.broken(CauseUnframed)
+	if closeDelimited(resp) {
+		return x.connectionBroken(CauseUnframed)
 	}
-	if !f.end() {
+	if !relay.finish() {
 		x.cause = CauseEvents
 		return Lost, failure.None
 	}
-	use.end(true)
-	if !f.begun {
-		f.start()
+	use.release(true)
+	if !relay.begun {
+		relay.start()
 	}
 	return Done, failure.None
 }
--- a/internal/router/relay_attempt.go
+++ b/internal/router/relay_attempt.go
@@ -14,152 +14,152 @@
 	"tidedeck/internal/generic"
 )
 
-// An attempt writes the request to one server, once, on a connection that nobody else has meanwhile, and
-// finds the answer that is its own among what comes back.
+// An attempt sends the request once to one server, on a connection that carries no other request at the time, and
+// identifies its response among those received.
 
-// attempt sends the request to one server and passes its answer on.
+// attempt sends the request to one server and forwards the response.
 func (x *exchange) attempt(ctx context.Context, v Launch) (End, failure.Kind) {
 	r := x.r
 	left := v.Left
-	generic.SetDefault(&left, r.o.Wait)
-	due := time.Now().Add(left)
-	c, _, err := r.conns.get(ctx, endpoint{v.Server, v.Addr}, due)
+	generic.SetDefault(&left, r.o.AttemptTimeout)
+	deadline := time.Now().Add(left)
+	c, _, err := r.conns.get(ctx, endpoint{v.Server, v.Addr}, deadline)
 	if err != nil {
 		x.cause = CauseDial
 		return Unsent, failure.None
 	}
-	use := &connUse{r: r, c: c, stop: context.AfterFunc(ctx, c.cut)}
-	defer use.end(false)
-	if left = time.Until(due); left <= 0 {
-		use.end(true)
+	use := &connUse{relay: r, conn: c, stop: context.AfterFunc(ctx, c.closeSocket)}
+	defer use.release(false)
+	if left = time.Until(deadline); left <= 0 {
+		use.release(true)
 		x.cause = CauseNoTime
 		return Kept, failure.None
 	}
-	if !r.core.MaySend(v.Ref, v.N) {
-		use.end(true)
+	if !r.decider.MaySend(v.Ref, v.N) {
+		use.release(true)
 		x.cause = CauseNotAllowed
 		return Kept, failure.None
 	}
-	a := Attempt{Server: v.Server, Left: left, Rank: v.Rank, Keyed: v.Keyed, Tenant: v.Work.Tenant}
-	if x.seen {
-		a.Seen = x.last
+	props := Attempt{Server: v.Server, Left: left, Rank: v.Rank, Keyed: v.Keyed, Tenant: v.Work.Tenant}
+	if x.hasLastEvent {
+		props.Seen = x.lastEvent
 	}
-	r.o.Dialect.Write(x.head, a)
-	if sent, err := x.send(c, due); err != nil {
+	r.o.Dialect.Write(x.header, props)
+	if sent, err := x.send(c, deadline); err != nil {
 		if sent == 0 && ctx.Err() == nil {
 			x.cause = CauseWrite
-			return Unsent, failure.None // not one byte of it left
+			return Unsent, failure.None // not a single byte was sent
 		}
-		return x.broken(CauseWrite)
+		return x.connectionBroken(CauseWrite)
 	}
-	return x.receive(v, use, due)
+	return x.readResponse(v, use, deadline)
 }
 
 // connUse is the use of a connection by one attempt.
 type connUse struct {
-	r    *Relay
-	c    *conn
-	stop func() bool
+	relay *Relay
+	conn  *conn
+	stop  func() bool
 }
 
-// end gives the connection back, or closes it.
-func (u *connUse) end(keep bool) {
-	if u.c == nil {
+// release returns the connection to the pool, or closes it.
+func (u *connUse) release(reuse bool) {
+	if u.conn == nil {
 		return
 	}
-	if u.stop() && keep {
-		u.r.conns.put(u.c)
+	if u.stop() && reuse {
+		u.relay.conns.put(u.conn)
 	} else {
-		u.c.close()
+		u.conn.close()
 	}
-	u.c = nil
+	u.conn = nil
 }
 
-// broken says what a broken connection means.
-func (x *exchange) broken(cause Cause) (End, failure.Kind) {
+// connectionBroken returns the outcome of an attempt whose connection broke.
+func (x *exchange) connectionBroken(cause Cause) (End, failure.Kind) {
 	x.cause = cause
 	x.r.count(func(t *RelayTally) { t.Broken++ })
-	if x.open {
+	if x.started {
 		return Split, failure.None
 	}
 	return Lost, failure.None
 }
 
-// send writes the request, in one write if it is small. It tells how many bytes left.
-func (x *exchange) send(c *conn, due time.Time) (int64, error) {
+// send writes the request, in a single write if it is small, and returns the number of bytes sent.
+func (x *exchange) send(c *conn, deadline time.Time) (int64, error) {
 	b := getBuffer()
 	defer putBuffer(b)
 	if err := x.formatHead(b); err != nil {
 		return 0, err
 	}
-	if err := c.SetWriteDeadline(due); err != nil {
+	if err := c.SetWriteDeadline(deadline); err != nil {
 		return 0, err
 	}
-	if len(x.body) <= mostPiece {
+	if len(x.body) <= maxSingleWriteBody {
 		b.Write(x.body)
 		n, err := c.Conn.Write(b.Bytes())
 		return int64(n), err
 	}
-	l := net.Buffers{b.Bytes(), x.body}
-	return l.WriteTo(c.Conn)
+	pieces := net.Buffers{b.Bytes(), x.body}
+	return pieces.WriteTo(c.Conn)
 }
 
-// formatHead puts the request's head together. The body goes with a length, however it came.
+// formatHead writes the head of the request. The body is sent with a Content-Length, also if it arrived in chunks.
 func (x *exchange) formatHead(b *bytes.Buffer) error {
-	q := x.req
-	target := q.RequestURI
+	req := x.req
+	target := req.RequestURI
 	if !strings.HasPrefix(target, "/") && target != "*" {
-		target = q.URL.RequestURI()
+		target = req.URL.RequestURI()
 	}
-	b.WriteString(q.Method)
+	b.WriteString(req.Method)
 	b.WriteByte(' ')
 	b.WriteString(target)
 	b.WriteString(" HTTP/1.1\r\nHost: ")
-	b.WriteString(q.Host)
+	b.WriteString(req.Host)
 	b.WriteString("\r\n")
-	if _, ok := q.Header["Content-Length"]; ok || len(x.body) > 0 || len(q.TransferEncoding) > 0 {
+	if _, ok := req.Header["Content-Length"]; ok || len(x.body) > 0 || len(req.TransferEncoding) > 0 {
 		b.WriteString("Content-Length: ")
 		b.WriteString(strconv.Itoa(len(x.body)))
 		b.WriteString("\r\n")
 	}
-	if err := x.head.Write(b); err != nil {
+	if err := x.header.Write(b); err != nil {
 		return err
 	}
 	b.WriteString("\r\n")
 	return nil
 }
 
-// receive reads the answer to this attempt, past those that belong to earlier ones.
-func (x *exchange) receive(v Launch, use *connUse, due time.Time) (End, failure.Kind) {
-	r, c := x.r, use.c
-	if c.SetReadDeadline(due.Add(r.o.Slack)) != nil {
-		return x.broken(CauseHead)
-	}
-	for n := 0; ; n++ {
-		a, err := c.answer(x.req, r.conns.o.MaxHeadSize)
+// readResponse reads the response to this attempt and skips surplus responses to earlier attempts.
+func (x *exchange) readResponse(v Launch, use *connUse, deadline time.Time) (End, failure.Kind) {
+	r, c := x.r, use.conn
+	if c.SetReadDeadline(deadline.Add(r.o.Slack)) != nil {
+		return x.connectionBroken(CauseHead)
+	}
+	for skipped := 0; ; skipped++ {
+		resp, err := c.readResponse(x.req, r.conns.options.MaxHeadSize)
 		if err != nil {
-			return x.broken(CauseHead)
+			return x.connectionBroken(CauseHead)
 		}
-		said := r.o.Dialect.Answer(a.StatusCode, a.Header)
-		if said.ID == x.facts.ID && said.ID != "" {
-			if n > 0 {
-				c.keep = 0 // who knows what else comes on it
+		info := r.o.Dialect.Answer(resp.StatusCode, resp.Header)
+		if info.ID == x.facts.ID && info.ID != "" {
+			if skipped > 0 {
+				c.idleTimeout = 0 // further surplus responses may follow
 			}
-			return x.take(v, use, a, said)
+			return x.handleResponse(v, use, resp, info)
 		}
-		// Where HEAD was asked, the end of another request's answer is not known either.
-		if said.ID == "" || n == mostSurplus || closeDelimited(a) || x.req.Method == http.MethodHead {
+		// After a HEAD request, the end of another request's response cannot be determined either.
+		if info.ID == "" || skipped == maxSurplusResponses || closeDelimited(resp) || x.req.Method == http.MethodHead {
 			r.count(func(t *RelayTally) { t.Foreign++ })
-			return x.broken(CauseForeign)
+			return x.connectionBroken(CauseForeign)
 		}
 		r.count(func(t *RelayTally) { t.Surplus++ })
-		if m, err := io.CopyN(io.Discard, a.Body, mostSurplusBody); err != io.EOF || m == mostSurplusBody {
-			return x.broken(CauseForeign)
+		if discarded, err := io.CopyN(io.Discard, resp.Body, maxSurplusBody); err != io.EOF || discarded == maxSurplusBody {
+			return x.connectionBroken(CauseForeign)
 		}
 	}
 }
 
-// closeDelimited tells whether nothing but the end of the connection ends an answer's body.
-func closeDelimited(a *http.Response) bool {
-	return a.ContentLength < 0 && len(a.TransferEncoding) == 0 && a.Body != http.NoBody
+// closeDelimited reports whether the body of a response ends only with the connection.
+func closeDelimited(resp *http.Response) bool {
+	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.Body != http.NoBody
 }
--- a/internal/router/relay_buffers.go
+++ b/internal/router/relay_buffers.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// Buffers that requests and answers are gathered in are used again, and each kind has its bound.
+// Pooled buffers for requests and responses, and the size limits of each use.
 
 const (
-	mostKept  = 256 << 10 // of an answer that is read whole before it is passed on
-	mostDrain = 64 << 10  // of an answer that is read to be thrown away
-	drainWait = 100 * time.Millisecond
+	maxBufferedResponse = 256 << 10 // of a response that is buffered completely before it is forwarded
+	maxDrainBytes       = 64 << 10  // of a response that is read and discarded
+	drainTimeout        = 100 * time.Millisecond
 
-	mostSurplus     = 2        // answers to others that are read off before a connection is given up
-	mostSurplusBody = 1 << 20  // of one of them
-	mostPiece       = 16 << 10 // of a request's body that goes with its head in one write
-	mostEvents      = 1 << 20  // of one event
+	maxSurplusResponses = 2        // surplus responses skipped before the connection is abandoned
+	maxSurplusBody      = 1 << 20  // of one surplus response
+	maxSingleWriteBody  = 16 << 10 // of a request that is sent with its head in a single write
+	maxStreamEventBytes = 1 << 20  // of one event
 )
 
 var (
-	buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
-	pieces  = sync.Pool{New: func() any { b := make([]byte, 32<<10); return &b }}
+	buffers     = sync.Pool{New: func() any { return new(bytes.Buffer) }}
+	copyBuffers = sync.Pool{New: func() any { b := make([]byte, 32<<10); return &b }}
 )
 
-// getBuffer gives an empty buffer.
+// getBuffer returns an empty buffer.
 func getBuffer() *bytes.Buffer { return buffers.Get().(*bytes.Buffer) }
 
-// putBuffer takes a buffer back, unless it has grown out of its kind.
+// putBuffer returns a buffer to the pool unless it has grown too large.
 func putBuffer(b *bytes.Buffer) {
-	if b.Cap() <= mostKept {
+	if b.Cap() <= maxBufferedResponse {
 		b.Reset()
 		buffers.Put(b)
 	}
--- a/internal/router/relay_events.go
+++ b/internal/router/relay_events.go
@@ -4,129 +4,129 @@
 	"bytes"
 )
 
-// The events of a stream. Where a stream may be taken up at another server only whole events are passed on,
-// and the next server's must begin right behind the last.
+// Forwarding of event streams. If a stream can be resumed at another server, only complete events are forwarded,
+// and the next server's events must follow directly after the last one that was forwarded.
 
-// events follows the events of one attempt's stream.
-type events struct {
-	x       *exchange
-	begin   func()
-	begun   bool
-	resumed bool // it continues what an earlier attempt began
+// eventRelay forwards the events of one attempt's stream.
+type eventRelay struct {
+	exchange *exchange
+	onBegin  func()
+	begun    bool
+	resuming bool // the attempt continues a stream that an earlier one began, and no new event has arrived yet
 
-	buf  *bytes.Buffer // of an event that is not whole yet
-	out  *bytes.Buffer // whole events to be passed on
-	wait *bytes.Buffer // events without a number before the first new one of a resumed stream
+	partial    *bytes.Buffer // start of an incomplete event
+	complete   *bytes.Buffer // complete events to be forwarded
+	unnumbered *bytes.Buffer // unnumbered events received before the first new event of a resumed stream
 }
 
-func (f *events) free() {
-	for _, b := range []*bytes.Buffer{f.buf, f.out, f.wait} {
+func (f *eventRelay) releaseBuffers() {
+	for _, b := range []*bytes.Buffer{f.partial, f.complete, f.unnumbered} {
 		if b != nil {
 			putBuffer(b)
 		}
 	}
 }
 
-func (f *events) start() {
+func (f *eventRelay) start() {
 	f.begun = true
-	f.begin()
+	f.onBegin()
 }
 
-func (f *events) pass(b []byte) {
+func (f *eventRelay) write(b []byte) {
 	if len(b) == 0 {
 		return
 	}
 	if !f.begun {
 		f.start()
 	}
-	f.x.writeBody(b, true)
+	f.exchange.writeBody(b, true)
 }
 
-// bytes passes a stream on that cannot be taken up: every byte as it comes.
-func (f *events) bytes(p []byte) bool {
-	f.pass(p)
+// relayBytes forwards the bytes of a stream that cannot be resumed, as they arrive.
+func (f *eventRelay) relayBytes(p []byte) bool {
+	f.write(p)
 	return true
 }
 
-// whole passes on the events that are whole, and keeps the rest.
-func (f *events) whole(p []byte) bool {
-	if f.buf == nil {
-		f.buf, f.out, f.wait = getBuffer(), getBuffer(), getBuffer()
+// relayEvents forwards the complete events and keeps the rest. It returns false if the stream cannot be continued.
+func (f *eventRelay) relayEvents(p []byte) bool {
+	if f.partial == nil {
+		f.partial, f.complete, f.unnumbered = getBuffer(), getBuffer(), getBuffer()
 	}
-	f.buf.Write(p)
+	f.partial.Write(p)
 	ok := true
 	for ok {
-		n := eventEnd(f.buf.Bytes())
+		n := eventLength(f.partial.Bytes())
 		if n == 0 {
 			break
 		}
-		ok = f.event(f.buf.Next(n))
+		ok = f.handleEvent(f.partial.Next(n))
 	}
-	f.pass(f.out.Bytes())
-	f.out.Reset()
-	return ok && f.buf.Len() <= mostEvents
+	f.write(f.complete.Bytes())
+	f.complete.Reset()
+	return ok && f.partial.Len() <= maxStreamEventBytes
 }
 
-// end takes what stands behind the last whole event of a stream that ended cleanly.
-func (f *events) end() bool {
-	if f.buf == nil {
+// finish handles the bytes after the last complete event of a stream that ended cleanly.
+func (f *eventRelay) finish() bool {
+	if f.partial == nil {
 		return true
 	}
-	ok := f.buf.Len() == 0 || f.event(f.buf.Bytes())
-	if f.resumed && ok {
-		f.out.Write(f.wait.Bytes())
+	ok := f.partial.Len() == 0 || f.handleEvent(f.partial.Bytes())
+	if f.resuming && ok {
+		f.complete.Write(f.unnumbered.Bytes())
 	}
-	f.pass(f.out.Bytes())
-	f.out.Reset()
+	f.write(f.complete.Bytes())
+	f.complete.Reset()
 	return ok
 }
 
-// event takes one event; false tells that it does not follow what the client has.
-func (f *events) event(b []byte) bool {
-	x := f.x
-	id, ok := x.r.number(b)
-	if f.resumed {
+// handleEvent handles one event. It returns false if the event does not follow those that the client has.
+func (f *eventRelay) handleEvent(b []byte) bool {
+	x := f.exchange
+	id, ok := x.r.eventNumber(b)
+	if f.resuming {
 		switch {
 		case !ok:
-			f.wait.Write(b)
+			f.unnumbered.Write(b)
 			return true
-		case x.seen && id <= x.last:
-			f.wait.Reset()
+		case x.hasLastEvent && id <= x.lastEvent:
+			f.unnumbered.Reset()
 			return true
-		case x.seen && id != x.last+1:
+		case x.hasLastEvent && id != x.lastEvent+1:
 			return false
 		}
-		f.resumed = false
-		f.out.Write(f.wait.Bytes())
-		f.wait.Reset()
+		f.resuming = false
+		f.complete.Write(f.unnumbered.Bytes())
+		f.unnumbered.Reset()
 	}
 	if ok {
-		x.seen, x.last, x.loose = true, id, false
-	} else if !comment(b) {
-		x.loose = true
+		x.hasLastEvent, x.lastEvent, x.unnumberedTail = true, id, false
+	} else if !isComment(b) {
+		x.unnumberedTail = true
 	}
-	f.out.Write(b)
+	f.complete.Write(b)
 	return true
 }
 
-// number gives the number of an event.
-func (r *Relay) number(b []byte) (id uint64, ok bool) {
+// eventNumber returns the number of an event.
+func (r *Relay) eventNumber(b []byte) (id uint64, ok bool) {
 	for len(b) > 0 {
-		l := b
+		line := b
 		if i := bytes.IndexByte(b, '\n'); i >= 0 {
-			l, b = b[:i], b[i+1:]
+			line, b = b[:i], b[i+1:]
 		} else {
 			b = nil
 		}
-		if n, is := r.o.Dialect.Event(bytes.TrimSuffix(l, []byte("\r"))); is {
+		if n, found := r.o.Dialect.Event(bytes.TrimSuffix(line, []byte("\r"))); found {
 			id, ok = n, true
 		}
 	}
 	return id, ok
 }
 
-// comment tells whether an event carries nothing: all of its lines are empty or begin with a colon.
-func comment(b []byte) bool {
+// isComment reports whether an event carries no data: each of its lines is empty or begins with a colon.
+func isComment(b []byte) bool {
 	for line := range bytes.Lines(b) {
 		if line = bytes.TrimRight(line, "\r\n"); len(line) > 0 && line[0] != ':' {
 			return false
@@ -135,8 +135,9 @@
 	return true
 }
 
-// eventEnd gives the length of the first event with the empty line behind it; 0 if it is not whole.
-func eventEnd(b []byte) int {
+// eventLength returns the length of the first event, including its terminating empty line, or 0 if the event is
+// incomplete.
+func eventLength(b []byte) int {
 	for i := 0; i < len(b); {
 		n := bytes.IndexByte(b[i:], '\n')
 		if n < 0 {
--- a/internal/router/relay_exchange.go
+++ b/internal/router/relay_exchange.go
@@ -16,194 +16,194 @@
 	"tidedeck/internal/host"
 )
 
-// An exchange is one caller's request from its arrival to its last word: it is read whole, the core is
-// asked, and what the core says is done until the request has its end.
+// An exchange handles one client's request from its arrival to the end of its response: it reads the complete
+// request, passes it to the core and carries out the core's decisions until the request has ended.
 
-// exchange is one client's request and its answer.
+// exchange is one client's request and its response.
 type exchange struct {
-	r     *Relay
-	w     http.ResponseWriter
-	to    *http.ResponseController
-	req   *http.Request
-	facts fleetplan.Call
-	head  http.Header // what goes through
-	body  []byte
-	armed time.Time // when the deadline of writes was set
-
-	reply *reply // a whole answer that is still to be written
-	open  bool   // the client has bytes of an answer
-	units bool   // they are whole events
-	gone  bool   // the client takes no more
-
-	status int   // of the server's answer to the attempt under way
-	cause  Cause // that this attempt ends for, as far as it is known
-
-	came  time.Time // when its head was read
-	seen  bool      // an event with a number was passed on
-	last  uint64    // the number of the last
-	loose bool      // and behind it one without a number, which another run may send again
+	r           *Relay
+	w           http.ResponseWriter
+	control     *http.ResponseController
+	req         *http.Request
+	facts       fleetplan.Call
+	header      http.Header // headers that are forwarded
+	body        []byte
+	deadlineSet time.Time // when the write deadline was last set
+
+	reply       *reply // complete response that is still to be written
+	started     bool   // the client has received part of a response
+	wholeEvents bool   // that part consists of complete events
+	clientGone  bool   // the client accepts no more data
+
+	status int   // of the server's response to the current attempt
+	cause  Cause // why the current attempt ends, as far as known
+
+	arrived        time.Time // when the request's head was read
+	hasLastEvent   bool      // lastEvent is set
+	lastEvent      uint64    // number of the last numbered event that the client has
+	unnumberedTail bool      // an unnumbered event followed it, which another attempt may send again
 }
 
-// reply is a whole answer.
+// reply is a complete response.
 type reply struct {
 	status int
-	head   http.Header
+	header http.Header
 	body   *bytes.Buffer
 }
 
-// addedHeaders is about how many headers an attempt adds to a request's own.
+// addedHeaders is the approximate number of headers that an attempt adds to those of a request.
 const addedHeaders = 6
 
-// ServeHTTP carries one client's request from its arrival to its last word.
-func (r *Relay) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	x := &exchange{r: r, w: w, to: http.NewResponseController(w), req: q, came: time.Now()}
-	defer func() { r.seconds.Observe(time.Since(x.came).Seconds()) }()
-	if g := guardOf(q); g != nil {
-		defer g.next()
+// ServeHTTP handles one client's request from its arrival to the end of its response.
+func (r *Relay) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+	x := &exchange{r: r, w: w, control: http.NewResponseController(w), req: req, arrived: time.Now()}
+	defer func() { r.requestSeconds.Observe(time.Since(x.arrived).Seconds()) }()
+	if g := headGuardOf(req); g != nil {
+		defer g.reset()
 	}
-	if !unambiguous(q) {
+	if !unambiguousFraming(req) {
 		r.count(func(t *RelayTally) { t.Smuggled++ })
 		x.traceRefusal(failure.Malformed)
-		x.refuse(failure.Malformed, 0, true, fleetplan.Faults{{Path: "$", Why: "where the body ends is not clear"}})
+		x.writeRefusal(failure.Malformed, 0, true, fleetplan.Faults{{Path: "$", Why: "ambiguous request framing: the end of the body is not uniquely defined"}})
 		return
 	}
-	if tooLong(q) {
+	if headTooLong(req) {
 		x.traceRefusal(failure.HeadTooLong)
-		x.refuse(failure.HeadTooLong, 0, true, nil)
+		x.writeRefusal(failure.HeadTooLong, 0, true, nil)
 		return
 	}
-	facts, fault := r.o.Dialect.Read(q)
+	facts, fault := r.o.Dialect.Read(req)
 	if fault != nil {
 		x.traceRefusal(failure.Malformed)
-		x.refuse(failure.Malformed, 0, q.Body != http.NoBody, fleetplan.Faults{*fault})
+		x.writeRefusal(failure.Malformed, 0, req.Body != http.NoBody, fleetplan.Faults{*fault})
 		return
 	}
 	x.facts = facts
-	if r.late.Load() {
+	if r.rejectNew.Load() {
 		x.traceRefusal(failure.Moved)
-		x.refuse(failure.Moved, 0, true, nil)
+		x.writeRefusal(failure.Moved, 0, true, nil)
 		return
 	}
-	room := &reservation{budget: &r.bodies}
-	defer room.release()
+	reserved := &reservation{budget: &r.bodies}
+	defer reserved.release()
 	b := getBuffer()
 	defer putBuffer(b)
-	if !x.read(b, room) {
+	if !x.readBody(b, reserved) {
 		return
 	}
 	x.body = b.Bytes()
-	x.last, x.seen = facts.Seen, facts.Seen > 0
-	x.head = make(http.Header, len(q.Header)+addedHeaders)
-	copyHeaders(x.head, q.Header)
+	x.lastEvent, x.hasLastEvent = facts.Seen, facts.Seen > 0
+	x.header = make(http.Header, len(req.Header)+addedHeaders)
+	copyHeaders(x.header, req.Header)
 	x.run()
 	if x.reply != nil {
 		x.writeReply()
 	}
-	x.armDeadline() // for the end that net/http writes: a stream may have paused for long before it
+	x.armDeadline() // for the end that net/http writes after a stream that may have paused for a long time
 }
 
-// What a request's body may have and take where the plan says nothing.
+// Limits on a request's body that apply where the plan sets none.
 const (
-	defaultBodyMost = 4 << 20
-	defaultBodyWait = 15 * time.Second
+	defaultMaxBodySize = 4 << 20
+	defaultBodyTimeout = 15 * time.Second
 )
 
-// bodyLimits gives the bytes that a body may have, and how long it may take to come.
-func (r *Relay) bodyLimits() (most int64, wait time.Duration) {
-	if r.o.Limits != nil {
-		most, wait = r.o.Limits()
+// bodyLimits returns the maximum size of a request body and the time within which it must arrive.
+func (r *Relay) bodyLimits() (limit int64, timeout time.Duration) {
+	if r.o.BodyLimits != nil {
+		limit, timeout = r.o.BodyLimits()
 	}
-	generic.SetDefault(&most, defaultBodyMost)
-	generic.SetDefault(&wait, defaultBodyWait)
-	return most, wait
+	generic.SetDefault(&limit, defaultMaxBodySize)
+	generic.SetDefault(&timeout, defaultBodyTimeout)
+	return limit, timeout
 }
 
-// read reads the request's body; what it cannot take is answered at once.
-func (x *exchange) read(b *bytes.Buffer, room *reservation) bool {
-	q := x.req
-	if q.Body == nil || q.Body == http.NoBody {
+// readBody reads the request's body. If that fails, it responds to the client and returns false.
+func (x *exchange) readBody(b *bytes.Buffer, reserved *reservation) bool {
+	req := x.req
+	if req.Body == nil || req.Body == http.NoBody {
 		return true
 	}
-	most, wait := x.r.bodyLimits()
-	big := fleetplan.Faults{{Path: "$", Why: "the body has more bytes than are allowed"}}
-	if q.ContentLength > most {
+	limit, timeout := x.r.bodyLimits()
+	faults := fleetplan.Faults{{Path: "$", Why: "request body exceeds the size limit"}}
+	if req.ContentLength > limit {
 		x.traceRefusal(failure.Oversize)
-		x.refuse(failure.Oversize, 0, true, big)
+		x.writeRefusal(failure.Oversize, 0, true, faults)
 		return false
 	}
-	body := io.Reader(http.MaxBytesReader(x.w, q.Body, most))
+	body := io.Reader(http.MaxBytesReader(x.w, req.Body, limit))
 	switch {
-	case q.ContentLength < 0:
-		body = reservingReader{body, room}
-	case !room.take(q.ContentLength):
+	case req.ContentLength < 0:
+		body = reservingReader{body, reserved}
+	case !reserved.reserve(req.ContentLength):
 		x.refuseBody()
 		return false
 	default:
-		b.Grow(int(q.ContentLength) + bytes.MinRead)
+		b.Grow(int(req.ContentLength) + bytes.MinRead)
 	}
-	_ = x.to.SetReadDeadline(time.Now().Add(wait))
+	_ = x.control.SetReadDeadline(time.Now().Add(timeout))
 	_, err := b.ReadFrom(body)
-	_ = x.to.SetReadDeadline(time.Time{})
-	var over *http.MaxBytesError
-	var late net.Error
+	_ = x.control.SetReadDeadline(time.Time{})
+	var tooLarge *http.MaxBytesError
+	var netErr net.Error
 	switch {
 	case err == nil:
 		return true
-	case errors.Is(err, errNoRoom):
+	case errors.Is(err, errBodyBudgetExhausted):
 		x.refuseBody()
-	case errors.As(err, &over):
+	case errors.As(err, &tooLarge):
 		x.traceRefusal(failure.Oversize)
-		x.refuse(failure.Oversize, 0, true, big)
-	case errors.As(err, &late) && late.Timeout():
+		x.writeRefusal(failure.Oversize, 0, true, faults)
+	case errors.As(err, &netErr) && netErr.Timeout():
 		x.traceRefusal(failure.Expired)
 		x.writeProblem(http.StatusRequestTimeout, host.Problem{Kind: failure.Expired, Dropped: true}, 0, true)
 	default:
-		x.r.o.Refused(x.refusal(EndedLeft, failure.None))
-		x.abort()
+		x.r.o.OnRefusal(x.refusal(EndedLeft, failure.None))
+		x.abortResponse()
 	}
 	return false
 }
 
-// refuseBody tells a client to come back: there is no room for its body now.
+// refuseBody refuses a request, with a time to retry, because the body budget is exhausted.
 func (x *exchange) refuseBody() {
 	x.traceRefusal(failure.Full)
-	x.refuse(failure.Full, 0, true, nil)
+	x.writeRefusal(failure.Full, 0, true, nil)
 }
 
-// traceRefusal has it known that the request is refused before the core hears of it.
-func (x *exchange) traceRefusal(kind failure.Kind) { x.r.o.Refused(x.refusal(EndedRefused, kind)) }
+// traceRefusal reports a request that is refused before it reaches the core.
+func (x *exchange) traceRefusal(kind failure.Kind) { x.r.o.OnRefusal(x.refusal(EndedRefused, kind)) }
 
 func (x *exchange) refusal(end string, kind failure.Kind) RequestTrace {
-	return RequestTrace{ID: x.facts.ID, Route: x.req.URL.Path, TookMs: time.Since(x.came).Milliseconds(), End: end, Kind: kind}
+	return RequestTrace{ID: x.facts.ID, Route: x.req.URL.Path, TookMs: time.Since(x.arrived).Milliseconds(), End: end, Kind: kind}
 }
 
-// run asks the decider and does what it says until the request has its end.
+// run passes the request to the decider and carries out its decisions until the request has ended.
 func (x *exchange) run() {
 	r := x.r
-	ref, ch, done := r.add()
+	ref, decisions, done := r.register()
 	settled := false
 	defer func() {
 		if !settled {
-			r.core.Step(Quit{ref})
+			r.decider.Step(Quit{ref})
 		}
 		done()
 	}()
-	r.core.Step(Call{Ref: ref, Route: x.req.URL.Path, Age: time.Since(x.came), Call: x.facts})
+	r.decider.Step(Call{Ref: ref, Route: x.req.URL.Path, Age: time.Since(x.arrived), Call: x.facts})
 	ctx := x.req.Context()
 	for {
 		select {
 		case <-ctx.Done():
-			x.breakOff()
-		case o := <-ch:
-			switch v := o.(type) {
+			x.dropConnection()
+		case decision := <-decisions:
+			switch v := decision.(type) {
 			case Receipt:
 				settled = true
-				x.receipt(v)
+				x.finishWithReceipt(v)
 				return
 			case Launch:
-				ended := x.launch(ctx, v)
+				ended := x.runAttempt(ctx, v)
 				settled = ended.How == Done
-				r.core.Step(ended)
+				r.decider.Step(ended)
 				if settled {
 					return
 				}
@@ -212,28 +212,28 @@
 	}
 }
 
-// launch makes the attempt that the decider asks for, and breaks the client's connection off where that
-// cannot end in an answer any more.
-func (x *exchange) launch(ctx context.Context, v Launch) Ended {
-	if x.open && !x.resumable(v) {
-		x.abort()
+// runAttempt makes the attempt that the decider launched. It drops the client's connection if the attempt can no
+// longer lead to a complete response.
+func (x *exchange) runAttempt(ctx context.Context, v Launch) Ended {
+	if x.started && !x.resumable(v) {
+		x.abortResponse()
 	}
 	x.status, x.cause = 0, CauseNone
 	how, kind := x.attempt(ctx, v)
-	if how != Done && (x.gone || ctx.Err() != nil) {
-		x.breakOff()
+	if how != Done && (x.clientGone || ctx.Err() != nil) {
+		x.dropConnection()
 	}
 	return Ended{Ref: v.Ref, N: v.N, How: how, Kind: kind, Status: x.status, Cause: x.cause}
 }
 
-// resumable tells whether an answer that has begun may go on with another attempt: the client has whole
-// events, and nothing behind the last numbered one that another run may send again.
-func (x *exchange) resumable(v Launch) bool { return x.units && v.Resume && !x.loose }
+// resumable reports whether a response that has been started can continue with another attempt: the client has
+// only complete events, and none after the last numbered one that the next attempt may send again.
+func (x *exchange) resumable(v Launch) bool { return x.wholeEvents && v.Resume && !x.unnumberedTail }
 
-// receipt says the last word when it is not a server's.
-func (x *exchange) receipt(v Receipt) {
-	if x.open {
-		x.abort()
+// finishWithReceipt ends a request that no server has completed.
+func (x *exchange) finishWithReceipt(v Receipt) {
+	if x.started {
+		x.abortResponse()
 	}
-	x.refuse(v.Kind, v.Back, false, nil)
+	x.writeRefusal(v.Kind, v.Back, false, nil)
 }
--- a/internal/router/relay_headers.go
+++ b/internal/router/relay_headers.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// Which headers of a request or an answer go through, and which concern one connection only.
+// Selection of the headers that are forwarded; hop-by-hop headers are not.
 
-// hopByHop tells whether a header concerns one connection only.
+// hopByHop reports whether a header applies to a single connection only.
 func hopByHop(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length", "Host":
@@ -17,16 +17,16 @@
 	return strings.HasPrefix(name, "Proxy-")
 }
 
-// copyHeaders copies the headers that go through to c.
-func copyHeaders(c, h http.Header) {
-	for k, v := range h {
+// copyHeaders copies the headers that are forwarded from src to dst.
+func copyHeaders(dst, src http.Header) {
+	for k, v := range src {
 		if !hopByHop(k) {
-			c[k] = v
+			dst[k] = v
 		}
 	}
-	for _, l := range h["Connection"] {
-		for f := range strings.SplitSeq(l, ",") {
-			delete(c, textproto.CanonicalMIMEHeaderKey(textproto.TrimString(f)))
+	for _, line := range src["Connection"] {
+		for name := range strings.SplitSeq(line, ",") {
+			delete(dst, textproto.CanonicalMIMEHeaderKey(textproto.TrimString(name)))
 		}
 	}
 }
--- a/internal/router/relay_serve.go
+++ b/internal/router/relay_serve.go
@@ -16,22 +16,22 @@
 	"github.com/go-faster/errors"
 )
 
-// RelayServe says where a relay is reached and how it stops.
+// RelayServe configures the listeners and the shutdown of a relay.
 type RelayServe struct {
-	Relay     *Relay
-	Ingress   string               // where clients come in, ip:port
-	Readiness string               // where a router tells whether it can be given clients, ip:port
-	Ready     func() bool          // whether it can
-	HeadWait  time.Duration        // for a request's head, at the least; 10 s
-	HeadMost  int                  // bytes of it, at the least; 64 KiB
-	Heads     func() HeadLimits    // and by the plan in force clients may send so much and take so long
-	Idle      time.Duration        // a client's connection may be idle for so long at least; 30 s
-	Resting   func() time.Duration // and by the plan in force clients may use it again for so long
-	Lame      time.Duration        // after the stop, clients are still served for so long; 2.5 s
-	Grace     time.Duration        // in all, what is under way may take so long after the stop; 7 s
+	Relay          *Relay
+	Ingress        string               // address for clients, ip:port
+	Readiness      string               // address of the readiness endpoint, ip:port
+	Ready          func() bool          // reports whether the router is ready for clients; always if nil
+	HeadTimeout    time.Duration        // minimum time allowed for a request's head; 10 s
+	HeadBytes      int                  // minimum size allowed for a request's head; 64 KiB
+	PlanHeadLimits func() HeadLimits    // limits on heads that the plan in force announces to clients
+	Idle           time.Duration        // minimum time for which a client's connection may be idle; 30 s
+	Resting        func() time.Duration // idle timeout that the plan in force announces to clients
+	Lame           time.Duration        // how long new requests are still served after the stop; 2.5 s
+	Grace          time.Duration        // total time for requests in progress to finish after the stop; 7 s
 }
 
-// Defaults fills what was left out.
+// Defaults returns the options with unset fields replaced by their defaults.
 func (o RelayServe) Defaults() RelayServe {
 	if o.Ready == nil {
 		o.Ready = func() bool { return true }
@@ -39,49 +39,52 @@
 	if o.Resting == nil {
 		o.Resting = func() time.Duration { return 0 }
 	}
-	if o.Heads == nil {
-		o.Heads = func() HeadLimits { return HeadLimits{} }
+	if o.PlanHeadLimits == nil {
+		o.PlanHeadLimits = func() HeadLimits { return HeadLimits{} }
 	}
-	generic.SetDefault(&o.HeadWait, 10*time.Second)
-	generic.SetDefault(&o.HeadMost, 64<<10)
+	generic.SetDefault(&o.HeadTimeout, 10*time.Second)
+	generic.SetDefault(&o.HeadBytes, 64<<10)
 	generic.SetDefault(&o.Idle, 30*time.Second)
 	generic.SetDefault(&o.Lame, 2500*time.Millisecond)
 	generic.SetDefault(&o.Grace, 7*time.Second)
 	return o
 }
 
-// ServeRelay serves a relay until it is told to stop and then ends in order: it is unready at once,
-// serves on for a while in which clients are led to other routers, and lets what is under way finish.
+// ServeRelay serves a relay until stop is closed and then shuts it down gracefully: it reports unready at once,
+// continues to serve for a while so that clients can move to other routers, and waits for the requests in
+// progress.
 func ServeRelay(stop <-chan struct{}, o RelayServe) error {
 	o = o.Defaults()
-	in, err := net.Listen("tcp", o.Ingress)
+	ingress, err := net.Listen("tcp", o.Ingress)
 	if err != nil {
 		return errors.Wrap(err, "listen for clients")
 	}
-	told, err := net.Listen("tcp", o.Readiness)
+	readinessListener, err := net.Listen("tcp", o.Readiness)
 	if err != nil {
-		_ = in.Close()
+		_ = ingress.Close()
 		return errors.Wrap(err, "listen for readiness")
 	}
-	return serveRelay(stop, o, in, told)
+	return serveRelay(stop, o, ingress, readinessListener)
 }
 
-func serveRelay(stop <-chan struct{}, o RelayServe, in, told net.Listener) error {
+func serveRelay(stop <-chan struct{}, o RelayServe, ingress, readinessListener net.Listener) error {
 	o = o.Defaults()
-	var turn atomic.Bool
-	o.Relay.close = turn.Load
-	quiet := log.New(io.Discard, "", 0)
-	front := &http.Server{
-		Handler: o.Relay, ReadHeaderTimeout: o.HeadWait, IdleTimeout: o.Idle, MaxHeaderBytes: mostHead,
-		ErrorLog: quiet, DisableGeneralOptionsHandler: true,
+	var closing atomic.Bool
+	o.Relay.closing = closing.Load
+	discard := log.New(io.Discard, "", 0)
+	clientServer := &http.Server{
+		Handler: o.Relay, ReadHeaderTimeout: o.HeadTimeout, IdleTimeout: o.Idle, MaxHeaderBytes: maxHeadBytes,
+		ErrorLog: discard, DisableGeneralOptionsHandler: true,
 		ConnState: func(c net.Conn, s http.ConnState) {
-			if g, ok := c.(*guard); ok && s == http.StateIdle {
-				g.resting.Store(true)
+			if g, ok := c.(*headGuard); ok && s == http.StateIdle {
+				g.idleNext.Store(true)
 			}
 		},
-		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, guarded{}, c) },
+		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
+			return context.WithValue(ctx, headGuardKey{}, c)
+		},
 	}
-	side := &http.Server{ReadHeaderTimeout: o.HeadWait, IdleTimeout: o.Idle, MaxHeaderBytes: 8 << 10, ErrorLog: quiet,
+	readinessServer := &http.Server{ReadHeaderTimeout: o.HeadTimeout, IdleTimeout: o.Idle, MaxHeaderBytes: 8 << 10, ErrorLog: discard,
 		Handler: readiness(o.Relay.o.Dialect.Ready(), func() bool {
 			select {
 			case <-stop:
@@ -90,68 +93,68 @@
 				return o.Ready()
 			}
 		})}
-	end := make(chan error, 2)
+	failed := make(chan error, 2)
 	go func() {
-		end <- front.Serve(guardListener{in, o.limits, o.HeadMost})
+		failed <- clientServer.Serve(headGuardListener{ingress, o.limits, o.HeadBytes})
 	}()
-	go func() { end <- side.Serve(told) }()
+	go func() { failed <- readinessServer.Serve(readinessListener) }()
 	defer o.Relay.Close()
-	defer side.Close()
+	defer readinessServer.Close()
 	select {
-	case err := <-end:
-		_ = front.Close()
-		return errors.Wrap(err, "serve")
+	case err := <-failed:
+		_ = clientServer.Close()
+		return errors.Wrap(err, "serve clients")
 	case <-stop:
 	}
-	o.finish(front, in, func() { turn.Store(true) })
+	o.finish(clientServer, ingress, func() { closing.Store(true) })
 	return nil
 }
 
-// finish ends the service of clients in order: they are led elsewhere for a while, then nothing new is taken, and
-// what is under way may end.
-func (o RelayServe) finish(front *http.Server, in net.Listener, turn func()) {
-	ctx, done := context.WithTimeout(context.Background(), o.Grace)
-	defer done()
+// finish shuts the client server down: clients are directed to other routers for a while, then new requests are
+// refused and those in progress may finish.
+func (o RelayServe) finish(clientServer *http.Server, ingress net.Listener, startClosing func()) {
+	ctx, cancel := context.WithTimeout(context.Background(), o.Grace)
+	defer cancel()
 	time.Sleep(min(o.Lame/2, o.Grace))
-	turn() // clients that are still here go elsewhere with their next request
-	t := time.NewTimer(o.Lame - o.Lame/2)
-	defer t.Stop()
+	startClosing() // from now on responses close their connections, which moves clients to other routers
+	timer := time.NewTimer(o.Lame - o.Lame/2)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
-	o.Relay.late.Store(true)
-	// net/http would close connections on requests that come from now on, without a word. They are told to go
-	// elsewhere for as long as others are under way.
-	_ = in.Close()
-	o.Relay.idle(ctx)
-	if front.Shutdown(ctx) == nil {
+	o.Relay.rejectNew.Store(true)
+	// net/http would close the connections of requests that arrive from now on without a response. Instead they
+	// are refused with a response for as long as other requests are in progress.
+	_ = ingress.Close()
+	o.Relay.waitIdle(ctx)
+	if clientServer.Shutdown(ctx) == nil {
 		return
 	}
-	_ = front.Close() // whoever is still served by then is cut off
-	closed, done := context.WithTimeout(context.Background(), closeWait)
-	defer done()
-	o.Relay.idle(closed)
+	_ = clientServer.Close() // cuts off the requests that are still in progress
+	closed, cancel := context.WithTimeout(context.Background(), forcedCloseTimeout)
+	defer cancel()
+	o.Relay.waitIdle(closed)
 }
 
-// closeWait is how long a stop waits for requests whose connections it has cut.
-const closeWait = 500 * time.Millisecond
+// forcedCloseTimeout is how long a shutdown waits for requests whose connections it has closed.
+const forcedCloseTimeout = 500 * time.Millisecond
 
-// idlePoll is the time between two looks at what is under way.
+// idlePoll is the interval at which a shutdown checks for requests in progress.
 const idlePoll = 10 * time.Millisecond
 
-// idle waits until nothing is under way.
-func (r *Relay) idle(ctx context.Context) {
+// waitIdle waits until no request is in progress.
+func (r *Relay) waitIdle(ctx context.Context) {
 	for r.Open() > 0 && ctx.Err() == nil {
 		time.Sleep(idlePoll)
 	}
 }
 
-// readiness answers whether a router can be given clients.
+// readiness returns a handler that reports whether the router is ready for clients.
 func readiness(path string, ready func() bool) http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		switch {
-		case q.URL.Path != path:
+		case req.URL.Path != path:
 			w.WriteHeader(http.StatusNotFound)
 		case ready():
 			w.WriteHeader(http.StatusOK)
@@ -161,185 +164,188 @@
 	})
 }
 
-type guarded struct{}
+type headGuardKey struct{}
 
-// mostHead bounds a request's head whatever the plan allows.
-const mostHead = 1 << 20
+// maxHeadBytes limits a request's head regardless of the plan.
+const maxHeadBytes = 1 << 20
 
-// HeadLimits bound the heads of requests.
+// HeadLimits are limits on the heads of requests.
 type HeadLimits struct {
-	Bytes int
-	Wait  time.Duration
+	Bytes   int
+	Timeout time.Duration
 }
 
-// clientLimits are what a client's connection may do, by the plan in force.
+// clientLimits are the limits on a client's connection according to the plan in force.
 type clientLimits struct {
-	idle     time.Duration // how long it may rest
-	headWait time.Duration // how long a head may take
-	headMost int           // bytes of it
+	idleTimeout time.Duration // how long the connection may be idle
+	headTimeout time.Duration // time for a request's head
+	headBytes   int           // size of a request's head
 }
 
-// limits draws what clients may do from the plan in force and from the router's own least figures. Beyond what
-// the plan tells clients there is a quarter for what lies between them and here.
+// limits derives the limits on clients from the plan in force and the router's own minimums. The limits that the
+// plan announces are extended by a quarter, to allow for the network between clients and the router.
 func (o RelayServe) limits() clientLimits {
-	told := o.Heads()
+	announced := o.PlanHeadLimits()
 	return clientLimits{
-		idle:     idleFor(o.Idle, o.Resting()),
-		headWait: max(o.HeadWait, told.Wait+told.Wait/4),
-		headMost: max(o.HeadMost, told.Bytes+told.Bytes/4),
+		idleTimeout: idleFor(o.Idle, o.Resting()),
+		headTimeout: max(o.HeadTimeout, announced.Timeout+announced.Timeout/4),
+		headBytes:   max(o.HeadBytes, announced.Bytes+announced.Bytes/4),
 	}
 }
 
-// guardListener watches the heads of requests on the connections it accepts.
-type guardListener struct {
+// headGuardListener wraps each accepted connection in a headGuard.
+type headGuardListener struct {
 	net.Listener
-	limits  func() clientLimits
-	headAny int // bytes of a head that may come whatever the plan says
+	limits       func() clientLimits
+	minHeadBytes int // size of a head that is always allowed, whatever the plan says
 }
 
-// Accept waits for a client.
-func (l guardListener) Accept() (net.Conn, error) {
+// Accept waits for a client's connection.
+func (l headGuardListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &guard{Conn: c, limits: l.limits, headAny: l.headAny}, nil
+	return &headGuard{Conn: c, limits: l.limits, minHeadBytes: l.minHeadBytes}, nil
 }
 
-// guard watches a request's head for two ways of telling where its body ends: net/http settles on
-// one and forgets that there was another, and what is behind may be a request that nobody sent.
-type guard struct {
+// headGuard inspects a request's head for conflicting declarations of where its body ends. net/http picks one of
+// them and discards the other, so the bytes after the body could contain a smuggled request.
+type headGuard struct {
 	net.Conn
-	mu   sync.Mutex
-	line []byte // of a line that is not whole yet
-	head guardedHead
+	mu       sync.Mutex
+	line     []byte // start of an incomplete line
+	observed observedHead
 
-	limits  func() clientLimits
-	headAny int
-	resting atomic.Bool // the next deadline is that of an idle connection
+	limits       func() clientLimits
+	minHeadBytes int
+	idleNext     atomic.Bool // the next read deadline is that of an idle connection
 }
 
-// SetReadDeadline sets the time of an idle connection, and that of a head, by the plan that is in force then: the
-// server's own are fixed at its start.
-func (g *guard) SetReadDeadline(t time.Time) error {
+// SetReadDeadline replaces the deadlines of idle connections and of heads by those of the plan in force, because
+// the timeouts of http.Server are fixed at its start.
+func (g *headGuard) SetReadDeadline(t time.Time) error {
 	switch {
-	case t.IsZero(), t.Before(time.Now()): // none, or one that ends a read under way
-	case g.resting.Swap(false):
-		t = time.Now().Add(g.limits().idle)
-	case !g.saw().over:
-		t = time.Now().Add(g.limits().headWait)
+	case t.IsZero(), t.Before(time.Now()): // none, or one that interrupts a read in progress
+	case g.idleNext.Swap(false):
+		t = time.Now().Add(g.limits().idleTimeout)
+	case !g.snapshot().complete:
+		t = time.Now().Add(g.limits().headTimeout)
 	}
 	return g.Conn.SetReadDeadline(t)
 }
 
-// resetOnClose has the connection end with a reset.
-func (g *guard) resetOnClose() {
+// resetOnClose makes the connection end with a reset.
+func (g *headGuard) resetOnClose() {
 	if c, ok := g.Conn.(*net.TCPConn); ok {
 		_ = c.SetLinger(0)
 	}
 }
 
-// guardedHead is what a guard saw of a head.
-type guardedHead struct {
-	bytes  int
-	over   bool // it has come whole
-	lines  int
-	first  bool // its first line
-	length bool // a Content-Length
-	chunks bool // a Transfer-Encoding
+// observedHead is the information that a headGuard collects about a head.
+type observedHead struct {
+	bytes               int
+	complete            bool // the head has ended
+	lines               int
+	validRequestLine    bool // the request line names HTTP/1.0 or HTTP/1.1
+	hasLength           bool // has a Content-Length
+	hasTransferEncoding bool // has a Transfer-Encoding
 }
 
-// Read reads from the client.
-func (g *guard) Read(b []byte) (int, error) {
+// Read reads from the client and inspects the request's head.
+func (g *headGuard) Read(b []byte) (int, error) {
 	n, err := g.Conn.Read(b)
 	if n > 0 {
 		g.mu.Lock()
-		g.watch(b[:n])
+		g.observe(b[:n])
 		g.mu.Unlock()
 	}
 	return n, err
 }
 
-func (g *guard) watch(b []byte) {
-	for !g.head.over && len(b) > 0 {
+func (g *headGuard) observe(b []byte) {
+	for !g.observed.complete && len(b) > 0 {
 		i := bytes.IndexByte(b, '\n')
 		if i < 0 {
-			g.head.bytes += len(b)
+			g.observed.bytes += len(b)
 			g.line = append(g.line, b...)
 			return
 		}
-		g.head.bytes += i + 1
-		l := b[:i]
+		g.observed.bytes += i + 1
+		line := b[:i]
 		if b = b[i+1:]; len(g.line) > 0 {
-			l = append(g.line, l...)
-			g.line = l[:0]
+			line = append(g.line, line...)
+			g.line = line[:0]
 		}
-		g.see(bytes.TrimSuffix(l, []byte("\r")))
+		g.observeLine(bytes.TrimSuffix(line, []byte("\r")))
 	}
 }
 
-func (g *guard) see(l []byte) {
-	h := &g.head
+func (g *headGuard) observeLine(line []byte) {
+	h := &g.observed
 	switch h.lines++; {
 	case h.lines == 1:
-		h.first = bytes.HasSuffix(l, []byte(" HTTP/1.1")) || bytes.HasSuffix(l, []byte(" HTTP/1.0"))
-	case len(l) == 0:
-		h.over = true
-	case named(l, "content-length"):
-		h.length = true
-	case named(l, "transfer-encoding"):
-		h.chunks = true
+		h.validRequestLine = bytes.HasSuffix(line, []byte(" HTTP/1.1")) || bytes.HasSuffix(line, []byte(" HTTP/1.0"))
+	case len(line) == 0:
+		h.complete = true
+	case hasFieldName(line, "content-length"):
+		h.hasLength = true
+	case hasFieldName(line, "transfer-encoding"):
+		h.hasTransferEncoding = true
 	}
 }
 
-func named(l []byte, name string) bool {
-	return len(l) > len(name) && l[len(name)] == ':' && bytes.EqualFold(l[:len(name)], []byte(name))
+func hasFieldName(line []byte, name string) bool {
+	return len(line) > len(name) && line[len(name)] == ':' && bytes.EqualFold(line[:len(name)], []byte(name))
 }
 
-// next begins to watch for the next head.
-func (g *guard) next() {
+// reset prepares for the next head.
+func (g *headGuard) reset() {
 	g.mu.Lock()
-	g.head, g.line = guardedHead{}, g.line[:0]
+	g.observed, g.line = observedHead{}, g.line[:0]
 	g.mu.Unlock()
 }
 
-func (g *guard) saw() guardedHead {
+func (g *headGuard) snapshot() observedHead {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.head
+	return g.observed
 }
 
-// tooLong tells whether a request's head has more bytes than the plan in force allows.
-func tooLong(q *http.Request) bool {
-	g := guardOf(q)
+// headTooLong reports whether a request's head exceeds the size that the plan in force allows.
+func headTooLong(req *http.Request) bool {
+	g := headGuardOf(req)
 	if g == nil {
 		return false
 	}
-	bytes := g.saw().bytes
-	return bytes > g.headAny && bytes > g.limits().headMost // the plan is asked only by heads that need it
+	bytes := g.snapshot().bytes
+	return bytes > g.minHeadBytes && bytes > g.limits().headBytes // only heads above the minimum require the plan
 }
 
-func guardOf(q *http.Request) *guard {
-	g, _ := q.Context().Value(guarded{}).(*guard)
+func headGuardOf(req *http.Request) *headGuard {
+	g, _ := req.Context().Value(headGuardKey{}).(*headGuard)
 	return g
 }
 
-// unambiguous tells whether the head of a request says in one way only where its body ends.
-func unambiguous(q *http.Request) bool {
-	if q.ProtoMajor != 1 {
+// unambiguousFraming reports whether a request's head determines the end of its body in only one way.
+func unambiguousFraming(req *http.Request) bool {
+	if req.ProtoMajor != 1 {
 		return false
 	}
-	g := guardOf(q)
+	g := headGuardOf(req)
 	if g == nil {
 		return true
 	}
-	h := g.saw()
-	if h.chunks && (h.length || !q.ProtoAtLeast(1, 1)) {
+	h := g.snapshot()
+	if h.hasTransferEncoding && (h.hasLength || !req.ProtoAtLeast(1, 1)) {
 		return false
 	}
-	return len(q.TransferEncoding) == 0 || h.first
+	return len(req.TransferEncoding) == 0 || h.validRequestLine
 }
 
-// idleFor gives how long a client's connection may be idle, by the plan: clients may use one again
-// until the time that the plan tells, so it is closed a quarter of that later, and no sooner than by default.
-func idleFor(least, told time.Duration) time.Duration { return max(least, told+told/4) }
+// clientIdleTimeout returns how long a client's connection may be idle. Clients may reuse a connection for the
+// time that the plan announces, so the router closes it a quarter of that time later, and never earlier than its
+// own minimum.
+func idleFor(minimum, announced time.Duration) time.Duration {
+	return max(minimum, announced+announced/4)
+}
--- a/internal/router/relay_test.go
+++ b/internal/router/relay_test.go
@@ -66,23 +66,23 @@
 // script decides as a test wants it: it launches at one server after another while the ends of
 // attempts allow that, and notes all it is told.
 type script struct {
-	relay  *Relay
-	mu     sync.Mutex
-	to     []string // servers' addresses, in order
-	names  []string // and the servers' names; without them each address has one server
-	again  bool
-	resume bool
-	left   clock.Span
-	refuse *Receipt // the answer to each call, where no server is to be asked
-	deny   int      // so many sends are not allowed
-	last   func()   // is called at the last look of each send
+	relay       *Relay
+	mu          sync.Mutex
+	to          []string // servers' addresses, in order
+	names       []string // and the servers' names; without them each address has one server
+	again       bool
+	resume      bool
+	left        clock.Span
+	refuse      *Receipt // the answer to each call, where no server is to be asked
+	deniedSends int      // so many sends are not allowed
+	beforeSend  func()   // is called at the last look of each send
 
-	at    map[Ref]int
-	calls []Call
-	ends  []Ended
-	begun []Begun
-	quits []Quit
-	given []Receipt
+	nextServer map[Ref]int
+	calls      []Call
+	ends       []Ended
+	begun      []Begun
+	quits      []Quit
+	receipts   []Receipt
 }
 
 func (s *script) Step(in any) {
@@ -121,7 +121,7 @@
 		}
 	}
 	if r, ok := out.(Receipt); ok {
-		s.given = append(s.given, r)
+		s.receipts = append(s.receipts, r)
 	}
 	s.mu.Unlock()
 	if out != nil {
@@ -130,11 +130,11 @@
 }
 
 func (s *script) launch(ref Ref, or failure.Kind) any {
-	n := s.at[ref]
+	n := s.nextServer[ref]
 	if n >= len(s.to) {
 		return Receipt{Ref: ref, Kind: or, Back: 250 * time.Millisecond}
 	}
-	s.at[ref] = n + 1
+	s.nextServer[ref] = n + 1
 	return Launch{Ref: ref, N: n + 1, Server: s.name(n), Addr: s.to[n], Left: s.left, Again: s.again, Resume: s.resume}
 }
 
@@ -147,13 +147,13 @@
 }
 
 func (s *script) MaySend(Ref, int) bool {
-	if s.last != nil {
-		s.last()
+	if s.beforeSend != nil {
+		s.beforeSend()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deny--
-	return s.deny < 0
+	s.deniedSends--
+	return s.deniedSends < 0
 }
 
 func (s *script) hows() (l []End) {
@@ -179,7 +179,7 @@
 	for _, v := range s.quits {
 		n[v.Ref]++
 	}
-	for _, v := range s.given {
+	for _, v := range s.receipts {
 		n[v.Ref]++
 	}
 	for _, v := range s.calls {
@@ -187,15 +187,15 @@
 	}
 }
 
-type served struct {
+type relayFixture struct {
 	*script
 	addr string
 }
 
 // relayFor serves a relay before a script.
-func relayFor(t testing.TB, s *script, o RelayOptions) *served {
+func relayFor(t testing.TB, s *script, o RelayOptions) *relayFixture {
 	generic.SetDefault(&s.left, time.Minute)
-	s.at = map[Ref]int{}
+	s.nextServer = map[Ref]int{}
 	o.Dialect, o.Decider = fakeDialect{}, s
 	s.relay = NewRelay(o)
 	in, err := net.Listen("tcp", "127.0.0.1:0")
@@ -211,13 +211,13 @@
 		require.NoError(t, <-end)
 		s.settled(t)
 	})
-	return &served{s, in.Addr().String()}
+	return &relayFixture{s, in.Addr().String()}
 }
 
 // serveUntil serves a relay before a script until it is stopped.
-func serveUntil(t testing.TB, s *script, o RelayServe) (b *served, told net.Listener, stop chan struct{}, end chan error) {
+func serveUntil(t testing.TB, s *script, o RelayServe) (b *relayFixture, told net.Listener, stop chan struct{}, end chan error) {
 	generic.SetDefault(&s.left, time.Minute)
-	s.at = map[Ref]int{}
+	s.nextServer = map[Ref]int{}
 	s.relay = NewRelay(RelayOptions{Dialect: fakeDialect{}, Decider: s})
 	o.Relay = s.relay
 	in, err := net.Listen("tcp", "127.0.0.1:0")
@@ -226,7 +226,7 @@
 	require.NoError(t, err)
 	stop, end = make(chan struct{}), make(chan error, 1)
 	go func() { end <- serveRelay(stop, o, in, told) }()
-	return &served{s, in.Addr().String()}, told, stop, end
+	return &relayFixture{s, in.Addr().String()}, told, stop, end
 }
 
 // client is a client's connection.
@@ -236,7 +236,7 @@
 	t  testing.TB
 }
 
-func (b *served) dial(t testing.TB) *client {
+func (b *relayFixture) dial(t testing.TB) *client {
 	c, err := net.Dial("tcp", b.addr)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
@@ -441,7 +441,7 @@
 // A server that cannot be reached, and a send that is not allowed: nothing was sent.
 func TestRelayNotSent(t *testing.T) {
 	srv := says(t, plain("1", "good"), false)
-	b := relayFor(t, &script{to: []string{"127.0.0.1:1", srv.addr(), srv.addr()}, deny: 1}, RelayOptions{})
+	b := relayFor(t, &script{to: []string{"127.0.0.1:1", srv.addr(), srv.addr()}, deniedSends: 1}, RelayOptions{})
 	cl := b.dial(t)
 	cl.send(get("1"))
 	a, body, err := cl.answer("GET")
@@ -503,7 +503,7 @@
 				b.relay.conns.mu.Lock()
 				defer b.relay.conns.mu.Unlock()
 				l := b.relay.conns.idle[endpoint{"s0", srv.addr()}]
-				return len(l) == 1 && !l[0].fresh()
+				return len(l) == 1 && !l[0].reusable()
 			}, soon, time.Millisecond)
 		}
 		cl.send(get(fmt.Sprint("id", i)))
@@ -574,9 +574,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			srv := says(t, plain("1", "good"), false)
-			o := RelayOptions{Limits: limits}
+			o := RelayOptions{BodyLimits: limits}
 			if c.half {
-				o.Limits = func() (int64, time.Duration) { return 10, soon }
+				o.BodyLimits = func() (int64, time.Duration) { return 10, soon }
 			}
 			b := relayFor(t, &script{to: []string{srv.addr()}}, o)
 			cl := b.dial(t)
@@ -664,7 +664,7 @@
 }
 
 // parts writes a stream in parts, each once the one before it was taken.
-func parts(c net.Conn, l ...string) {
+func writeAll(c net.Conn, l ...string) {
 	for _, p := range l {
 		if _, err := io.WriteString(c, p); err != nil {
 			return
@@ -679,12 +679,12 @@
 			step := make(chan struct{})
 			srv := newStandIn(t, func(s *standIn, _ int, c net.Conn, br *bufio.Reader) {
 				for s.next(br) != nil {
-					parts(c, fmt.Sprintf(streamHead, "s"))
+					writeAll(c, fmt.Sprintf(streamHead, "s"))
 					for i := 1; i <= 3; i++ {
-						parts(c, chunk(event(i)))
+						writeAll(c, chunk(event(i)))
 						<-step // the client has it
 					}
-					parts(c, chunk("data: last\n\n"), "0\r\n\r\n")
+					writeAll(c, chunk("data: last\n\n"), "0\r\n\r\n")
 				}
 			})
 			b := relayFor(t, &script{to: []string{srv.addr()}, resume: resume}, RelayOptions{})
@@ -705,7 +705,7 @@
 				require.NoError(t, err)
 				require.Equal(t, "data: last\n\n", string(rest))
 				b.settled(t)
-				b.at[1], b.at[2] = 0, 0
+				b.nextServer[1], b.nextServer[2] = 0, 0
 			}
 			require.Equal(t, []End{Done, Done}, b.hows())
 			require.Len(t, b.begun, 2)
@@ -882,7 +882,7 @@
 func TestRelayClientStalls(t *testing.T) {
 	srv := newStandIn(t, func(s *standIn, _ int, c net.Conn, br *bufio.Reader) {
 		s.next(br)
-		parts(c, fmt.Sprintf(streamHead, "s"))
+		writeAll(c, fmt.Sprintf(streamHead, "s"))
 		for i := 1; ; i++ {
 			if _, err := io.WriteString(c, chunk(event(i)+strings.Repeat(":\n", 8000)+"\n")); err != nil {
 				return
@@ -1028,13 +1028,13 @@
 	core := New(Options{Inc: 7})
 	r := NewRelay(RelayOptions{Dialect: fakeDialect{}})
 	c := host.New(host.Options{Core: core, Beat: 10 * time.Millisecond, Ring: host.NewRing("t", io.Discard), Else: r.Act})
-	r.Use(Held(c, core))
+	r.Use(NewHostedDecider(c, core))
 	require.NoError(t, c.Run())
 	t.Cleanup(c.Stop)
-	require.False(t, Held(c, core).MaySend(1, 1))
-	ref, ch, done := r.add()
+	require.False(t, NewHostedDecider(c, core).MaySend(1, 1))
+	ref, ch, done := r.register()
 	defer done()
-	r.core.Step(Call{Ref: ref, Call: fleetplan.Call{ID: "1", Wait: -1}})
+	r.decider.Step(Call{Ref: ref, Call: fleetplan.Call{ID: "1", Wait: -1}})
 	require.Equal(t, failure.PastDue, (<-ch).(Receipt).Kind)
 	r.Act("what is not for it")
 }
--- a/internal/router/request_log.go
+++ b/internal/router/request_log.go
@@ -12,16 +12,16 @@
 	"tidedeck/internal/protocol"
 )
 
-// RequestLog keeps the traces of the requests that failed lately, or were served by a later attempt, in a
-// ring of fixed size. Operators ask for them by the request's id.
+// RequestLog keeps, in a ring buffer of fixed size, the traces of recent requests that failed, needed more than
+// one attempt or were answered late. Operators look them up by the request's ID.
 type RequestLog struct {
 	router string
-	ring   *host.Ring // gets a line for each that failed; none if nil
+	ring   *host.Ring // receives a line for each failed or late request; may be nil
 
-	mu     sync.Mutex // guards kept and next
-	kept   []LoggedRequest
-	next   int
-	counts map[failure.Kind]uint64 // ends by kind, and by way of ending
+	mu      sync.Mutex // guards entries, next and counts
+	entries []LoggedRequest
+	next    int
+	counts  map[failure.Kind]uint64 // requests by the way in which they ended
 }
 
 // LoggedRequest is a trace with the time at which its request ended.
@@ -31,53 +31,53 @@
 	RequestTrace
 }
 
-// defaultRequestLog is how many requests are remembered: about a minute of a busy router's failures.
-const defaultRequestLog = 2048
+// defaultRequestLogSize is the number of requests kept: about one minute of failures of a busy router.
+const defaultRequestLogSize = 2048
 
-// NewRequestLog makes a log of one router's requests.
+// NewRequestLog creates the log of one router's requests.
 func NewRequestLog(router string, ring *host.Ring, size int) *RequestLog {
-	return &RequestLog{router: router, ring: ring, kept: make([]LoggedRequest, 0, size), counts: map[failure.Kind]uint64{}}
+	return &RequestLog{router: router, ring: ring, entries: make([]LoggedRequest, 0, size), counts: map[failure.Kind]uint64{}}
 }
 
-// Add keeps a trace; the oldest makes way for it.
+// Add adds a trace and, if the log is full, overwrites the oldest one.
 func (l *RequestLog) Add(t RequestTrace) {
 	entry := LoggedRequest{At: time.Now(), Router: l.router, RequestTrace: t}
 	l.mu.Lock()
 	l.counts[failure.Kind(t.End)]++
-	if len(l.kept) < cap(l.kept) {
-		l.kept = append(l.kept, entry)
+	if len(l.entries) < cap(l.entries) {
+		l.entries = append(l.entries, entry)
 	} else {
-		l.kept[l.next] = entry
-		l.next = (l.next + 1) % len(l.kept)
+		l.entries[l.next] = entry
+		l.next = (l.next + 1) % len(l.entries)
 	}
 	l.mu.Unlock()
 	switch {
 	case l.ring == nil:
 	case t.End != EndedServed:
-		l.ring.Info("request ended without a server's answer", protocol.Field{Name: "request", Value: t})
+		l.ring.Info("request ended without a response from a server", protocol.Field{Name: "request", Value: t})
 	case t.FirstMs > t.AimMs:
 		l.ring.Info("request answered later than its aim", protocol.Field{Name: "request", Value: t})
 	}
 }
 
-// Tap takes traces out of what a core gives out, and hands on the rest.
-func (l *RequestLog) Tap(rest func(any)) func(any) {
+// Intercept returns a function that logs the traces among a core's outputs and passes all other outputs to next.
+func (l *RequestLog) Intercept(next func(any)) func(any) {
 	return func(out any) {
 		if t, ok := out.(RequestTrace); ok {
 			l.Add(t)
 			return
 		}
-		rest(out)
+		next(out)
 	}
 }
 
-// find gives what is known of a request, and with no id the newest ones.
-func (l *RequestLog) find(id string, most int) []LoggedRequest {
+// find returns the traces of a request, newest first, or of all requests if id is empty.
+func (l *RequestLog) find(id string, limit int) []LoggedRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	found := []LoggedRequest{}
-	for i := 1; i <= len(l.kept) && len(found) < most; i++ {
-		entry := l.kept[(l.next+len(l.kept)-i)%len(l.kept)]
+	for i := 1; i <= len(l.entries) && len(found) < limit; i++ {
+		entry := l.entries[(l.next+len(l.entries)-i)%len(l.entries)]
 		if id == "" || entry.ID == id {
 			found = append(found, entry)
 		}
@@ -85,7 +85,7 @@
 	return found
 }
 
-// Counts gives how many requests ended in each way that is logged.
+// Counts returns the number of logged requests by the way in which they ended.
 func (l *RequestLog) Counts() map[failure.Kind]uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,20 +97,20 @@
 }
 
 const (
-	defaultLast = 100
-	mostLast    = 10_000
+	defaultListed = 100
+	maxListed     = 10_000
 )
 
-// ServeHTTP answers GET with ?id=ID, or ?last=N for the newest.
+// ServeHTTP handles GET with ?id=ID, or ?last=N for the newest N requests.
 func (l *RequestLog) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	most := defaultLast
+	limit := defaultListed
 	if s := r.URL.Query().Get("last"); s != "" {
 		n, err := strconv.Atoi(s)
-		if err != nil || n < 1 || n > mostLast {
-			host.Error(w, failure.Malformed, 0, fleetplan.Faults{{Path: "last", Why: "wants a whole number from 1 to 10000"}})
+		if err != nil || n < 1 || n > maxListed {
+			host.Error(w, failure.Malformed, 0, fleetplan.Faults{{Path: "last", Why: "must be an integer from 1 to 10000"}})
 			return
 		}
-		most = n
+		limit = n
 	}
-	host.JSON(w, http.StatusOK, map[string][]LoggedRequest{"requests": l.find(r.URL.Query().Get("id"), most)})
+	host.JSON(w, http.StatusOK, map[string][]LoggedRequest{"requests": l.find(r.URL.Query().Get("id"), limit)})
 }
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -25,175 +25,175 @@
 	"tidedeck/internal/protocol"
 )
 
-// Settings of a router.
+// Settings are the settings of a router that runs without a hosting platform.
 type Settings struct {
-	Settings string `help:"File of settings, JSON; flags go before it." type:"path"`
+	Settings string `help:"JSON settings file; flags take precedence." type:"path"`
 	ID       string `help:"This router's name." required:""`
-	Listen   string `help:"Where callers reach this router over HTTP, ip:port." required:""`
-	Control  string `help:"Where the agent reaches this router, on loopback, ip:port." required:""`
-	Agent    string `help:"Where the agent is near, on loopback, ip:port." required:""`
-	Cache    int    `help:"Placement entries kept at the most." default:"512"`
-	RampMs   int    `help:"A replica is cold for so long, in ms." default:"4000"`
-	IdleMs   int    `help:"A server that sends nothing for so long is given up, in ms." default:"10000"`
-	Record   string `help:"File to record the day's requests in, for the replay tool." type:"path"`
-	Prompts  bool   `help:"Record the prompts' text too."`
-	StopMs   int    `help:"What is under way may take so long to finish at a stop, in ms." default:"600000"`
+	Listen   string `help:"Address for clients over HTTP, ip:port." required:""`
+	Control  string `help:"Loopback address at which the agent reaches this router, ip:port." required:""`
+	Agent    string `help:"Loopback address of the agent, ip:port." required:""`
+	Cache    int    `help:"Maximum number of cached placement entries." default:"512"`
+	RampMs   int    `help:"How long a new replica counts as cold, in ms." default:"4000"`
+	IdleMs   int    `help:"How long a server may send nothing before its attempt fails, in ms." default:"10000"`
+	Record   string `help:"File in which requests are recorded for the replay tool." type:"path"`
+	Prompts  bool   `help:"Record the text of prompts, too."`
+	StopMs   int    `help:"How long requests in progress may take to finish at a stop, in ms." default:"600000"`
 }
 
-// Check names what is wrong with the settings.
+// Check returns the faults of the settings.
 func (s *Settings) Check() (f fleetplan.Faults) {
 	f = append(f, host.Addr("listen", s.Listen)...)
 	f = append(f, host.Near("control", s.Control)...)
 	f = append(f, host.Near("agent", s.Agent)...)
 	if s.Cache < 1 || s.Cache > 1_000_000 {
-		f = append(f, fleetplan.Fault{Path: "cache", Why: "wants a whole number from 1 to 1000000"})
+		f = append(f, fleetplan.Fault{Path: "cache", Why: "must be an integer from 1 to 1000000"})
 	}
 	if s.IdleMs < 100 || s.IdleMs > 600_000 {
-		f = append(f, fleetplan.Fault{Path: "idle-ms", Why: "wants a whole number from 100 to 600000"})
+		f = append(f, fleetplan.Fault{Path: "idle-ms", Why: "must be an integer from 100 to 600000"})
 	}
 	if s.RampMs < 1 || s.RampMs > 600_000 {
-		f = append(f, fleetplan.Fault{Path: "ramp-ms", Why: "wants a whole number from 1 to 600000"})
+		f = append(f, fleetplan.Fault{Path: "ramp-ms", Why: "must be an integer from 1 to 600000"})
 	}
 	return f
 }
 
-// door is where callers come in.
-type door struct {
-	opened
-	c      *host.Process
-	core   *Core
-	stop   chan struct{}
-	idle   time.Duration
-	record *Recorder
-	log    *RequestLog
-	dial   *net.Dialer
+// frontend is the router's HTTP interface for clients.
+type frontend struct {
+	inFlight
+	process     *host.Process
+	core        *Core
+	stop        chan struct{}
+	idleTimeout time.Duration
+	recorder    *Recorder
+	log         *RequestLog
+	dialer      *net.Dialer
 }
 
-// patient is a connection to a server that is given up after a silence.
-type patient struct {
+// idleTimeoutConn is a connection to a server with a timeout on each read.
+type idleTimeoutConn struct {
 	net.Conn
-	idle time.Duration
+	timeout time.Duration
 }
 
-// Read waits for the server's next word, for a while.
-func (p patient) Read(b []byte) (int, error) {
-	_ = p.SetReadDeadline(time.Now().Add(p.idle))
+// Read reads from the server and fails if no data arrives within the timeout.
+func (p idleTimeoutConn) Read(b []byte) (int, error) {
+	_ = p.SetReadDeadline(time.Now().Add(p.timeout))
 	return p.Conn.Read(b)
 }
 
-// Main runs a router until it is told to stop.
+// Main runs a router until the process is told to stop.
 func Main(s Settings) error {
 	ring := host.NewRing(s.ID, os.Stderr)
 	core := New(Options{
 		Me: protocol.Sibling{ID: ident.Node(s.ID), Addr: s.Control}, Inc: host.NewInc(),
 		Agent: protocol.Sibling{ID: "", Addr: s.Agent}, Cache: s.Cache, Ramp: clock.Span(s.RampMs) * 1e6,
 	})
-	d := &door{dial: host.Dialer(s.Listen, 500*time.Millisecond), core: core, stop: make(chan struct{}), idle: time.Duration(s.IdleMs) * time.Millisecond,
-		log: NewRequestLog(s.ID, ring, defaultRequestLog)}
+	f := &frontend{dialer: host.Dialer(s.Listen, 500*time.Millisecond), core: core, stop: make(chan struct{}), idleTimeout: time.Duration(s.IdleMs) * time.Millisecond,
+		log: NewRequestLog(s.ID, ring, defaultRequestLogSize)}
 	if s.Record != "" {
-		r, err := OpenRecorder(s.Record, s.ID, s.Prompts)
+		recorder, err := OpenRecorder(s.Record, s.ID, s.Prompts)
 		if err != nil {
 			return err
 		}
-		defer r.Close()
-		d.record = r
+		defer recorder.Close()
+		f.recorder = recorder
 	}
-	d.c = host.New(host.Options{Core: core, Listen: []string{s.Control}, Beat: 10 * time.Millisecond, Ring: ring, Else: d.log.Tap(d.Act)})
-	if err := d.c.Run(); err != nil {
+	f.process = host.New(host.Options{Core: core, Listen: []string{s.Control}, Beat: 10 * time.Millisecond, Ring: ring, Else: f.log.Intercept(f.Act)})
+	if err := f.process.Run(); err != nil {
 		return err
 	}
-	defer d.c.Stop()
-	return host.Web(s.Listen, d.routes(), ring, func() { close(d.stop) }, time.Duration(s.StopMs)*time.Millisecond)
+	defer f.process.Stop()
+	return host.Web(s.Listen, f.routes(), ring, func() { close(f.stop) }, time.Duration(s.StopMs)*time.Millisecond)
 }
 
-func (d *door) routes() http.Handler {
-	m := flow.New()
-	host.Life(m, "/-", func() (ok bool, v map[string]any) {
-		d.c.With(func(now clock.Tick) {
-			_, e, held := d.core.Rules(now)
-			v, ok = map[string]any{"epoch": e}, held && e > 0
+func (f *frontend) routes() http.Handler {
+	mux := flow.New()
+	host.Life(mux, "/-", func() (ok bool, fields map[string]any) {
+		f.process.With(func(now clock.Tick) {
+			_, epoch, held := f.core.Rules(now)
+			fields, ok = map[string]any{"epoch": epoch}, held && epoch > 0
 		})
 		select {
-		case <-d.stop:
+		case <-f.stop:
 			ok = false
 		default:
 		}
-		return ok, v
+		return ok, fields
 	})
-	m.Handle("/-/metrics", metrics(d.c, d.core, nil, d.log), http.MethodGet)
-	m.Handle("/-/requests", d.log, http.MethodGet)
-	m.HandleFunc("/...", d.call, http.MethodPost)
-	return m
+	mux.Handle("/-/metrics", metrics(f.process, f.core, nil, f.log), http.MethodGet)
+	mux.Handle("/-/requests", f.log, http.MethodGet)
+	mux.HandleFunc("/...", f.serveCall, http.MethodPost)
+	return mux
 }
 
-// operatorRoutes are what a hosted router shows its operators: metrics, and what became of requests.
+// operatorRoutes returns the handler of a hosted router's operator interface: metrics and request traces.
 func operatorRoutes(log *RequestLog, metrics http.Handler) http.Handler {
-	m := flow.New()
+	mux := flow.New()
 	for _, path := range []string{"/-/metrics", "/metrics"} {
-		m.Handle(path, metrics, http.MethodGet)
+		mux.Handle(path, metrics, http.MethodGet)
 	}
-	m.Handle("/-/requests", log, http.MethodGet)
-	return m
+	mux.Handle("/-/requests", log, http.MethodGet)
+	return mux
 }
 
-// endedCounts is how many requests ended otherwise than by their first attempt, by way of ending.
-type endedCounts struct{ Ended map[failure.Kind]uint64 }
+// endCounts is the number of logged requests by the way in which they ended.
+type endCounts struct{ Ended map[failure.Kind]uint64 }
 
-// metrics shows what a router did and has.
+// metrics returns the handler of the router's metrics.
 func metrics(c *host.Process, core *Core, relay *Relay, log *RequestLog) http.Handler {
-	l := []prometheus.Collector{c.Times(), host.Tallies{Name: "router_requests", Get: func() any { return endedCounts{log.Counts()} }}}
+	collectors := []prometheus.Collector{c.Times(), host.Tallies{Name: "router_requests", Get: func() any { return endCounts{log.Counts()} }}}
 	if relay != nil {
-		l = append(l, relay.seconds, host.Tallies{Name: "relay", Get: func() any { return relay.Counts() }},
+		collectors = append(collectors, relay.requestSeconds, host.Tallies{Name: "relay", Get: func() any { return relay.Counts() }},
 			host.Tallies{Name: "connections", Get: func() any { return relay.Counts().ConnTally }})
 	}
-	return host.Metrics(append(l, host.Tallies{Name: "router", Get: func() (t any) {
+	return host.Metrics(append(collectors, host.Tallies{Name: "router", Get: func() (t any) {
 		c.With(func(clock.Tick) { t = core.Counts() })
 		return t
 	}}, host.Tallies{Name: "router", Get: func() any {
-		var v struct{ Entries, Waiting, Epoch, Leased, Parted int }
+		var values struct{ Entries, Waiting, Epoch, Leased, Parted int }
 		c.With(func(now clock.Tick) {
-			v.Entries, v.Waiting = core.Size()
-			_, e, held := core.Rules(now)
-			v.Epoch, v.Leased, v.Parted = int(e), generic.One(held), generic.One(core.parted)
+			values.Entries, values.Waiting = core.Size()
+			_, epoch, held := core.Rules(now)
+			values.Epoch, values.Leased, values.Parted = int(epoch), generic.One(held), generic.One(core.parted)
 		})
-		return v
+		return values
 	}})...)
 }
 
-// call carries one caller's request from its arrival to its last word.
-func (d *door) call(w http.ResponseWriter, r *http.Request) {
+// serveCall handles one client's request from its arrival to the end of its response.
+func (f *frontend) serveCall(w http.ResponseWriter, r *http.Request) {
 	raw, ok := host.Body(w, r, fleetplan.MostBody)
 	if !ok {
 		return
 	}
-	x, f := fleetplan.ReadCall(raw)
-	if f != nil {
-		host.Error(w, failure.Malformed, 0, f)
+	call, faults := fleetplan.ReadCall(raw)
+	if faults != nil {
+		host.Error(w, failure.Malformed, 0, faults)
 		return
 	}
-	x.Credential = fleetplan.ReadBearer(r.Header.Values("Authorization"))
-	ref, ch, done := d.add()
+	call.Credential = fleetplan.ReadBearer(r.Header.Values("Authorization"))
+	ref, decisions, done := f.register()
 	defer done()
-	if d.record != nil {
-		d.record.Add(r.URL.Path, x)
+	if f.recorder != nil {
+		f.recorder.Add(r.URL.Path, call)
 	}
-	d.c.Step(Call{Ref: ref, Route: r.URL.Path, Call: x})
-	s := &stream{w: w, to: http.NewResponseController(w), idle: d.idle}
+	f.process.Step(Call{Ref: ref, Route: r.URL.Path, Call: call})
+	stream := &clientStream{w: w, control: http.NewResponseController(w), writeTimeout: f.idleTimeout}
 	for {
 		select {
 		case <-r.Context().Done():
-			d.leave(ref)
-		case o := <-ch:
-			switch v := o.(type) {
+			f.abandon(ref)
+		case decision := <-decisions:
+			switch v := decision.(type) {
 			case Receipt:
-				s.drop(v)
+				stream.writeReceipt(v)
 				return
 			case Launch:
-				how, kind := d.run(r.Context(), v, s)
-				if s.gone || r.Context().Err() != nil {
-					d.leave(ref)
+				how, kind := f.runAttempt(r.Context(), v, stream)
+				if stream.clientGone || r.Context().Err() != nil {
+					f.abandon(ref)
 				}
-				d.c.Step(Ended{Ref: ref, N: v.N, How: how, Kind: kind})
+				f.process.Step(Ended{Ref: ref, N: v.N, How: how, Kind: kind})
 				if how == Done {
 					return
 				}
@@ -202,62 +202,63 @@
 	}
 }
 
-// leave ends a request whose caller left, and breaks the connection off: net/http would write an end behind
-// a handler that returned, and a caller that only ended its sending side would take it for an answer.
-func (d *door) leave(ref Ref) {
-	d.c.Step(Quit{ref})
+// abandon ends a request whose client has disconnected and aborts the connection. If the handler returned instead,
+// net/http would terminate the response, and a client that has only closed its sending side would take it for
+// complete.
+func (f *frontend) abandon(ref Ref) {
+	f.process.Step(Quit{ref})
 	panic(http.ErrAbortHandler)
 }
 
-// run makes one attempt: it dials first, asks whether it may send at the very point of sending,
-// and sends on a connection of its own, so that nothing below repeats a request unseen.
-func (d *door) run(ctx context.Context, v Launch, s *stream) (End, failure.Kind) {
-	conn, err := d.dial.DialContext(ctx, "tcp", v.Addr)
+// runAttempt makes one attempt. It dials first, then asks immediately before sending whether the request may be
+// sent, and sends it on a connection of its own, so that the HTTP transport cannot silently resend it.
+func (f *frontend) runAttempt(ctx context.Context, v Launch, stream *clientStream) (End, failure.Kind) {
+	conn, err := f.dialer.DialContext(ctx, "tcp", v.Addr)
 	if err != nil {
 		return Unsent, failure.None
 	}
 	defer conn.Close()
-	conn = patient{conn, d.idle}
+	conn = idleTimeoutConn{conn, f.idleTimeout}
 	b, err := json.Marshal(v.Work)
 	if err != nil {
 		return Unsent, failure.None
 	}
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+v.Addr+"/generate", bytes.NewReader(b))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+v.Addr+"/generate", bytes.NewReader(b))
 	if err != nil {
 		return Unsent, failure.None
 	}
-	q.GetBody = nil
-	q.Header.Set("Content-Type", "application/json")
-	may := false
-	d.c.With(func(now clock.Tick) { may = d.core.MaySend(now, v.Ref, v.N) })
-	if !may {
+	req.GetBody = nil
+	req.Header.Set("Content-Type", "application/json")
+	allowed := false
+	f.process.With(func(now clock.Tick) { allowed = f.core.MaySend(now, v.Ref, v.N) })
+	if !allowed {
 		return Kept, failure.None
 	}
-	t := &http.Transport{DisableKeepAlives: true, DisableCompression: true, DialContext: func(context.Context, string, string) (net.Conn, error) { return conn, nil }}
-	defer t.CloseIdleConnections()
-	a, err := t.RoundTrip(q)
+	transport := &http.Transport{DisableKeepAlives: true, DisableCompression: true, DialContext: func(context.Context, string, string) (net.Conn, error) { return conn, nil }}
+	defer transport.CloseIdleConnections()
+	resp, err := transport.RoundTrip(req)
 	if err != nil {
 		return Lost, failure.None
 	}
-	defer a.Body.Close()
-	if a.StatusCode != http.StatusOK {
-		var p host.Problem
-		b, _ := io.ReadAll(io.LimitReader(a.Body, 64<<10))
-		if json.Unmarshal(b, &p) == nil && (p.Dropped || p.Kind == failure.Repeated) {
-			return Dropped, p.Kind
+	defer resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		var problem host.Problem
+		b, _ := io.ReadAll(io.LimitReader(resp.Body, 64<<10))
+		if json.Unmarshal(b, &problem) == nil && (problem.Dropped || problem.Kind == failure.Repeated) {
+			return Dropped, problem.Kind
 		}
 		return Lost, failure.None
 	}
-	return d.flow(a.Body, v, s)
+	return f.relayStream(resp.Body, v, stream)
 }
 
-// mostEvent bounds one event of a server's.
-const mostEvent = 256 << 10
+// maxEventBytes limits the size of one event from a server.
+const maxEventBytes = 256 << 10
 
-// Readers of streams are used again: a new one for each attempt cost more than the attempt.
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, mostEvent) }}
+// streamReaders pools the readers of event streams: allocating a new one cost more than the rest of an attempt.
+var streamReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxEventBytes) }}
 
-// Line is what a router checks of every event.
+// Line is the part of an event that the router checks.
 type Line struct {
 	N      int          `json:"n"`
 	Go     string       `json:"go"`
@@ -265,79 +266,79 @@
 	Done   bool         `json:"done"`
 }
 
-// Follows tells whether an event is the next one of this go's own stream.
+// Follows reports whether an event is the next one of the attempt's own stream.
 func (l Line) Follows(v Launch, n int) bool {
 	return l.Go == v.Work.Go && l.Server == v.Server && l.N == n
 }
 
-// flow passes a server's events on, each checked to be the next one of this go.
-func (d *door) flow(body io.Reader, v Launch, s *stream) (End, failure.Kind) {
-	in := readers.Get().(*bufio.Reader)
-	in.Reset(body)
+// relayStream forwards a server's events and checks that each is the next one of this attempt.
+func (f *frontend) relayStream(body io.Reader, v Launch, stream *clientStream) (End, failure.Kind) {
+	reader := streamReaders.Get().(*bufio.Reader)
+	reader.Reset(body)
 	defer func() {
-		in.Reset(nil)
-		readers.Put(in)
+		reader.Reset(nil)
+		streamReaders.Put(reader)
 	}()
-	n := 0
+	next := 0
 	for {
-		l, err := in.ReadSlice('\n')
-		if err != nil { // an event past the bound, too
+		line, err := reader.ReadSlice('\n')
+		if err != nil { // also if an event exceeds maxEventBytes
 			return Lost, failure.None
 		}
-		data, ok := bytes.CutPrefix(bytes.TrimSpace(l), []byte("data: "))
+		data, ok := bytes.CutPrefix(bytes.TrimSpace(line), []byte("data: "))
 		if !ok {
 			continue
 		}
-		var x Line
-		if json.Unmarshal(data, &x) != nil || !x.Follows(v, n) {
+		var event Line
+		if json.Unmarshal(data, &event) != nil || !event.Follows(v, next) {
 			return Lost, failure.None
 		}
-		if n == 0 {
-			d.c.Step(Begun{Ref: v.Ref, N: v.N})
+		if next == 0 {
+			f.process.Step(Begun{Ref: v.Ref, N: v.N})
 		}
-		n++
-		if s.pass(data); s.gone {
-			return Lost, failure.None // nobody reads it any more
+		next++
+		if stream.writeEvent(data); stream.clientGone {
+			return Lost, failure.None // the client is gone, so nobody reads the response
 		}
-		if x.Done {
+		if event.Done {
 			return Done, failure.None
 		}
 	}
 }
 
-// stream is the caller's side of an answer.
-type stream struct {
-	w    http.ResponseWriter
-	to   *http.ResponseController
-	idle time.Duration // a caller that takes nothing for so long is given up
-	open bool
-	gone bool
+// clientStream is the client's side of a response.
+type clientStream struct {
+	w            http.ResponseWriter
+	control      *http.ResponseController
+	writeTimeout time.Duration // a client that accepts no data for this long is disconnected
+	started      bool
+	clientGone   bool
 }
 
-func (s *stream) pass(data []byte) {
-	if !s.open {
-		s.open = true
+func (s *clientStream) writeEvent(data []byte) {
+	if !s.started {
+		s.started = true
 		s.w.Header().Set("Content-Type", "text/event-stream")
 		s.w.Header().Set("Cache-Control", "no-store")
 		s.w.WriteHeader(http.StatusOK)
 	}
-	_ = s.to.SetWriteDeadline(time.Now().Add(s.idle))
+	_ = s.control.SetWriteDeadline(time.Now().Add(s.writeTimeout))
 	_, err := fmt.Fprintf(s.w, "data: %s\n\n", data)
-	s.gone = err != nil || s.to.Flush() != nil
+	s.clientGone = err != nil || s.control.Flush() != nil
 }
 
-// drop says the last word when it is not a server's: as a status while nothing was sent
-// yet, as an error event when the stream was already open.
-func (s *stream) drop(v Receipt) {
-	_ = s.to.SetWriteDeadline(time.Now().Add(s.idle))
-	if !s.open {
+// writeReceipt ends a response that no server has completed: with a status if nothing was sent yet, otherwise with
+// an error event.
+func (s *clientStream) writeReceipt(v Receipt) {
+	_ = s.control.SetWriteDeadline(time.Now().Add(s.writeTimeout))
+	if !s.started {
 		host.Error(s.w, v.Kind, v.Back, nil)
 		return
 	}
-	a := failure.Receipts[v.Kind]
-	b, _ := json.Marshal(host.Problem{Kind: v.Kind, Dropped: a.Dropped, BackMs: v.Back.Milliseconds()})
-	_, _ = fmt.Fprintf(s.w, "event: error\ndata: %s\n\n", b)
-	if f, ok := s.w.(http.Flusher); ok {
-		f.Flush()
+	receipt := failure.Receipts[v.Kind]
+	body, _ := json.Marshal(host.Problem{Kind: v.Kind, Dropped: receipt.Dropped, BackMs: v.Back.Milliseconds()})
+	_, _ = fmt.Fprintf(s.w, "event: error\ndata: %s\n\n", body)
+	if flusher, ok := s.w.(http.Flusher); ok {
+		flusher.Flush()
 	}
 }
--- a/internal/router/serve_test.go
+++ b/internal/router/serve_test.go
@@ -24,24 +24,24 @@
 )
 
 // front makes a router's HTTP side that holds its link and promises one server.
-func front(t testing.TB, server string, idle time.Duration) (*door, *httptest.Server) {
+func newTestFrontend(t testing.TB, server string, idle time.Duration) (*frontend, *httptest.Server) {
 	core := New(Options{Inc: 7})
-	d := &door{dial: host.Dialer("", time.Second), core: core, stop: make(chan struct{}), idle: idle}
+	d := &frontend{dialer: host.Dialer("", time.Second), core: core, stop: make(chan struct{}), idleTimeout: idle}
 	d.log = NewRequestLog("t", nil, 16)
-	d.c = host.New(host.Options{Core: core, Beat: 10 * time.Millisecond, Ring: host.NewRing("t", io.Discard), Else: d.log.Tap(d.Act)})
-	require.NoError(t, d.c.Run())
-	t.Cleanup(d.c.Stop)
+	d.process = host.New(host.Options{Core: core, Beat: 10 * time.Millisecond, Ring: host.NewRing("t", io.Discard), Else: d.log.Intercept(d.Act)})
+	require.NoError(t, d.process.Run())
+	t.Cleanup(d.process.Stop)
 	e := &protocol.Entry{Key: "m", Mark: 1, Replicas: []protocol.Replica{{Server: "s", Addr: strings.TrimPrefix(server, "http://"), Inc: 1, Slots: 8, Warm: 1e12}}}
-	d.c.Step(protocol.Env{Body: protocol.Hold{Session: ses, Until: host.Now().Add(time.Hour), Routers: 1}})
-	d.c.Step(protocol.Env{Body: protocol.News{Session: ses, Items: []protocol.Item{{Num: 1, Desired: &protocol.Desired{Gen: 1, Epoch: 1, Plan: []byte(plan)}}, {Num: 2, Entry: e}}}})
+	d.process.Step(protocol.Env{Body: protocol.Hold{Session: ses, Until: host.Now().Add(time.Hour), Routers: 1}})
+	d.process.Step(protocol.Env{Body: protocol.News{Session: ses, Items: []protocol.Item{{Num: 1, Desired: &protocol.Desired{Gen: 1, Epoch: 1, Plan: []byte(plan)}}, {Num: 2, Entry: e}}}})
 	s := httptest.NewServer(d.routes())
 	t.Cleanup(s.Close)
 	return d, s
 }
 
-func decode(r *http.Request, v any) error { return json.NewDecoder(r.Body).Decode(v) }
+func decodeBody(r *http.Request, v any) error { return json.NewDecoder(r.Body).Decode(v) }
 
-const ask = `{"id":"1","model":"m","kind":"k","max_tokens":2}`
+const testCall = `{"id":"1","model":"m","kind":"k","max_tokens":2}`
 
 func post(t *testing.T, url, body string) (int, http.Header, string) {
 	w, err := http.Post(url, "application/json", strings.NewReader(body))
@@ -53,7 +53,7 @@
 
 // Bad input gets its kind at once, and whether it was dropped.
 func TestBadInput(t *testing.T) {
-	_, s := front(t, "http://127.0.0.1:1", time.Second)
+	_, s := newTestFrontend(t, "http://127.0.0.1:1", time.Second)
 	for _, c := range []struct {
 		name, path, body string
 		code             int
@@ -64,12 +64,12 @@
 		{"duplicate key", "/r", `{"id":"1","id":"2","model":"m","kind":"k"}`, 400, failure.Malformed},
 		{"overflowing", "/r", `{"id":"1","model":"m","kind":"k","max_tokens":9223372036854775808}`, 400, failure.Malformed},
 		{"too large", "/r", `{"id":"` + strings.Repeat("x", fleetplan.MostBody) + `"}`, 413, failure.Oversize},
-		{"no such route", "/q", ask, 404, failure.NoRoute},
-		{"no such model", "/r", strings.Replace(ask, `"m"`, `"z"`, 1), 404, failure.NoModel},
-		{"no such adapter", "/r", strings.Replace(ask, `"kind"`, `"adapter":"z","kind"`, 1), 404, failure.NoModel},
-		{"no such kind", "/r", strings.Replace(ask, `"k"`, `"z"`, 1), 400, failure.NoKind},
-		{"past its horizon", "/r", strings.Replace(ask, `"kind"`, `"horizon_ms":0,"kind"`, 1), 400, failure.PastDue},
-		{"repeat without allowance", "/r", strings.Replace(ask, `"kind"`, `"repeat":true,"kind"`, 1), 503, failure.Spent},
+		{"no such route", "/q", testCall, 404, failure.NoRoute},
+		{"no such model", "/r", strings.Replace(testCall, `"m"`, `"z"`, 1), 404, failure.NoModel},
+		{"no such adapter", "/r", strings.Replace(testCall, `"kind"`, `"adapter":"z","kind"`, 1), 404, failure.NoModel},
+		{"no such kind", "/r", strings.Replace(testCall, `"k"`, `"z"`, 1), 400, failure.NoKind},
+		{"past its horizon", "/r", strings.Replace(testCall, `"kind"`, `"horizon_ms":0,"kind"`, 1), 400, failure.PastDue},
+		{"repeat without allowance", "/r", strings.Replace(testCall, `"kind"`, `"repeat":true,"kind"`, 1), 503, failure.Spent},
 	} {
 		code, head, body := post(t, s.URL+c.path, c.body)
 		require.Equal(t, c.code, code, c.name)
@@ -89,7 +89,7 @@
 	line := func(w http.ResponseWriter, r *http.Request, n int, more string) {
 		var g protocol.Work
 		if n == 0 {
-			_ = decode(r, &g)
+			_ = decodeBody(r, &g)
 			w.Header().Set("X-Go", g.Go)
 		}
 		_, _ = fmt.Fprintf(w, "data: {\"n\":%d,\"go\":%q,\"server\":\"s\"%s}\n\n", n, w.Header().Get("X-Go"), more)
@@ -118,7 +118,7 @@
 		}, 200, `"kind":"cut"`, "done", 1},
 		{"past any size", func(w http.ResponseWriter, r *http.Request) {
 			line(w, r, 0, "")
-			line(w, r, 1, `,"text":"`+strings.Repeat("x", mostEvent)+`"`)
+			line(w, r, 1, `,"text":"`+strings.Repeat("x", maxEventBytes)+`"`)
 		}, 200, `"kind":"cut"`, "xxx", 1},
 		{"not JSON", func(w http.ResponseWriter, r *http.Request) {
 			line(w, r, 0, "")
@@ -152,8 +152,8 @@
 				c.serve(w, r)
 			}))
 			t.Cleanup(back.Close)
-			_, s := front(t, back.URL, 200*time.Millisecond)
-			code, _, body := post(t, s.URL+"/r", ask)
+			_, s := newTestFrontend(t, back.URL, 200*time.Millisecond)
+			code, _, body := post(t, s.URL+"/r", testCall)
 			require.Equal(t, c.code, code, body)
 			require.Contains(t, body, c.has)
 			require.NotContains(t, body, c.lacks)
@@ -167,16 +167,16 @@
 	gone := make(chan struct{})
 	back := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var g protocol.Work
-		_ = decode(r, &g)
+		_ = decodeBody(r, &g)
 		_, _ = fmt.Fprintf(w, "data: {\"n\":0,\"go\":%q,\"server\":\"s\"}\n\n", g.Go)
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 		close(gone)
 	}))
 	t.Cleanup(back.Close)
-	d, s := front(t, back.URL, time.Minute)
+	d, s := newTestFrontend(t, back.URL, time.Minute)
 	ctx, leave := context.WithCancel(context.Background())
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, s.URL+"/r", strings.NewReader(ask))
+	q, err := http.NewRequestWithContext(ctx, http.MethodPost, s.URL+"/r", strings.NewReader(testCall))
 	require.NoError(t, err)
 	w, err := http.DefaultClient.Do(q)
 	require.NoError(t, err)
@@ -186,7 +186,7 @@
 	leave()
 	<-gone
 	s.Close() // waits for the router's own side
-	d.c.With(func(clock.Tick) {
+	d.process.With(func(clock.Tick) {
 		require.Zero(t, d.core.servers["s"].work)
 		require.Empty(t, d.core.requests)
 	})
@@ -198,7 +198,7 @@
 		reached := make(chan struct{})
 		back := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			var g protocol.Work
-			_ = decode(r, &g)
+			_ = decodeBody(r, &g)
 			if begun {
 				_, _ = fmt.Fprintf(w, "data: {\"n\":0,\"go\":%q,\"server\":\"s\"}\n\n", g.Go)
 				w.(http.Flusher).Flush()
@@ -207,12 +207,12 @@
 			<-r.Context().Done()
 		}))
 		t.Cleanup(back.Close)
-		_, s := front(t, back.URL, time.Minute)
+		_, s := newTestFrontend(t, back.URL, time.Minute)
 		c, err := net.Dial("tcp", strings.TrimPrefix(s.URL, "http://"))
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = c.Close() })
 		require.NoError(t, c.SetDeadline(time.Now().Add(soon)))
-		_, err = fmt.Fprintf(c, "POST /r HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", len(ask), ask)
+		_, err = fmt.Fprintf(c, "POST /r HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", len(testCall), testCall)
 		require.NoError(t, err)
 		<-reached
 		br := bufio.NewReader(c)
@@ -252,19 +252,19 @@
 func BenchmarkWay(b *testing.B) {
 	back := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var g protocol.Work
-		_ = decode(r, &g)
+		_ = decodeBody(r, &g)
 		for n := range 9 {
 			_, _ = fmt.Fprintf(w, "data: {\"n\":%d,\"go\":%q,\"server\":\"s\",\"done\":%v}\n\n", n, g.Go, n == 8)
 			w.(http.Flusher).Flush()
 		}
 	}))
 	defer back.Close()
-	_, s := front(b, back.URL, time.Minute)
+	_, s := newTestFrontend(b, back.URL, time.Minute)
 	h := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for name, url := range map[string]string{"straight": back.URL + "/generate", "through": s.URL + "/r"} {
 		b.Run(name, func(b *testing.B) {
 			for range b.N {
-				w, err := h.Post(url, "application/json", strings.NewReader(ask))
+				w, err := h.Post(url, "application/json", strings.NewReader(testCall))
 				require.NoError(b, err)
 				_, _ = io.Copy(io.Discard, w.Body)
 				_ = w.Body.Close()
@@ -278,7 +278,7 @@
 	gone := make(chan struct{})
 	back := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var g protocol.Work
-		_ = decode(r, &g)
+		_ = decodeBody(r, &g)
 		for n := 0; r.Context().Err() == nil; n++ {
 			if _, err := fmt.Fprintf(w, "data: {\"n\":%d,\"go\":%q,\"server\":\"s\",\"text\":%q}\n\n", n, g.Go, strings.Repeat("x", 100_000)); err != nil {
 				break
@@ -288,15 +288,15 @@
 		close(gone)
 	}))
 	t.Cleanup(back.Close)
-	d, s := front(t, back.URL, 200*time.Millisecond)
+	d, s := newTestFrontend(t, back.URL, 200*time.Millisecond)
 	c, err := net.Dial("tcp", strings.TrimPrefix(s.URL, "http://"))
 	require.NoError(t, err)
 	defer c.Close()
-	_, err = fmt.Fprintf(c, "POST /r HTTP/1.1\r\nHost: r\r\nContent-Length: %d\r\n\r\n%s", len(ask), ask)
+	_, err = fmt.Fprintf(c, "POST /r HTTP/1.1\r\nHost: r\r\nContent-Length: %d\r\n\r\n%s", len(testCall), testCall)
 	require.NoError(t, err)
 	<-gone
 	s.Close()
-	d.c.With(func(clock.Tick) {
+	d.process.With(func(clock.Tick) {
 		require.Zero(t, d.core.servers["s"].work)
 		require.Empty(t, d.core.requests)
 	})
