--- a/internal/router/conn_pool_test.go
+++ b/internal/router/conn_pool_test.go
@@ -14,15 +14,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// soon is how long a test waits at the most for what has to come.
+// testTimeout is how long a test waits at most for an expected event.
 const soon = 30 * time.Second
 
-// standIn is a server of a test: it hands each connection, with its number from 0, to a function.
+// testServer is a server that passes each connection, with its number starting from 0, to a function.
 type standIn struct {
 	net.Listener
 	mu             sync.Mutex
 	conns          []net.Conn
-	received       []*http.Request // with their bodies read
+	received       []*http.Request // requests whose bodies have been read
 	receivedBodies []string
 }
 
@@ -30,10 +30,10 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	s := &standIn{Listener: l}
-	var over sync.WaitGroup
-	over.Add(1)
+	var handlers sync.WaitGroup
+	handlers.Add(1)
 	go func() {
-		defer over.Done()
+		defer handlers.Done()
 		for n := 0; ; n++ {
 			c, err := l.Accept()
 			if err != nil {
@@ -42,9 +42,9 @@
 			s.mu.Lock()
 			s.conns = append(s.conns, c)
 			s.mu.Unlock()
-			over.Add(1)
+			handlers.Add(1)
 			go func() {
-				defer over.Done()
+				defer handlers.Done()
 				defer c.Close()
 				serve(s, n, c, bufio.NewReader(c))
 			}()
@@ -57,14 +57,14 @@
 			_ = c.Close()
 		}
 		s.mu.Unlock()
-		over.Wait()
+		handlers.Wait()
 	})
 	return s
 }
 
 func (s *standIn) addr() string { return s.Addr().String() }
 
-// next reads a request whole and notes it; nil when the connection has ended.
+// next reads and records a complete request. It returns nil if the connection has ended.
 func (s *standIn) next(br *bufio.Reader) *http.Request {
 	q, err := http.ReadRequest(br)
 	if err != nil {
@@ -99,7 +99,7 @@
 	return len(s.conns)
 }
 
-// conn gives a connection by its number.
+// conn returns a connection by its number.
 func (s *standIn) conn(n int) net.Conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,7 +115,7 @@
 	return n
 }
 
-// askConn sends a request on a connection and reads the answer to its end.
+// roundTrip sends a request on a connection and reads the complete response.
 func askConn(t *testing.T, c *conn) string {
 	_, err := io.WriteString(c.Conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	require.NoError(t, err)
@@ -126,19 +126,19 @@
 	return string(b)
 }
 
-// Which connections are used again, by what the server's answer says and does.
+// A connection is reused or not, depending on the server's response and behavior.
 func TestConnsKept(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
-		kept         bool
+		reused       bool
 	}{
 		{"plain", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", true},
 		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", true},
-		{"after an interim answer", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", true},
-		{"kept for seconds", "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=5\r\nContent-Length: 2\r\n\r\nok", true},
-		{"kept for no time", "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok", false},
-		{"closes", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", false},
-		{"old", "HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok", false},
+		{"after an interim response", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", true},
+		{"keep-alive timeout", "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=5\r\nContent-Length: 2\r\n\r\nok", true},
+		{"keep-alive timeout of zero", "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok", false},
+		{"connection close", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", false},
+		{"HTTP/1.0", "HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok", false},
 		{"surplus bytes", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok and more", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -152,11 +152,11 @@
 			for i := range 3 {
 				x, reused, err := p.get(context.Background(), endpoint{addr: s.addr()}, time.Time{})
 				require.NoError(t, err)
-				require.Equal(t, c.kept && i > 0, reused)
+				require.Equal(t, c.reused && i > 0, reused)
 				require.Equal(t, "ok", askConn(t, x))
 				p.put(x)
 			}
-			if c.kept {
+			if c.reused {
 				require.Equal(t, ConnTally{Opens: 1, Reuses: 2}, p.tally())
 			} else {
 				require.Equal(t, uint64(3), p.tally().Opens)
@@ -165,7 +165,7 @@
 	}
 }
 
-// An idle connection that its server closed, or on which bytes came, is not used again.
+// An idle connection that its server has closed, or that has received data, is not reused.
 func TestConnsStale(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -202,8 +202,8 @@
 	}
 }
 
-// The connection used last is used first, no more than allowed are idle, and the reaper and
-// closeIdle close them.
+// The most recently used connection is reused first, the number of idle connections stays within its limit, and
+// reap and closeIdle close idle connections.
 func TestConnsBounds(t *testing.T) {
 	s := newStandIn(t, func(s *standIn, _ int, _ net.Conn, br *bufio.Reader) {
 		for s.next(br) != nil {
@@ -232,7 +232,7 @@
 	p.closeIdle(s.addr())
 	require.Zero(t, countIdle(p))
 
-	l[3].idleTimeout, l[3].answered = time.Nanosecond, true // its last answer said so
+	l[3].idleTimeout, l[3].answered = time.Nanosecond, true // as announced by its last response
 	p.put(l[3])
 	p.reap()
 	require.Zero(t, countIdle(p))
@@ -243,7 +243,7 @@
 	require.Equal(t, uint64(1), p.tally().Failures)
 }
 
-// A head without an end is given up at its bound.
+// Reading an endless response head stops at the size limit.
 func TestConnsHeadBound(t *testing.T) {
 	s := newStandIn(t, func(_ *standIn, _ int, c net.Conn, _ *bufio.Reader) {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n")
@@ -263,7 +263,7 @@
 	require.Zero(t, c.readLimit)
 }
 
-// closeIdle closes the idle connections to whatever is or was at an address.
+// closeIdle closes all idle connections to an address, whichever server they were opened to.
 func (p *connPool) closeIdle(addr string) {
 	var l []*conn
 	p.mu.Lock()
--- a/internal/router/conn_reuse_test.go
+++ b/internal/router/conn_reuse_test.go
@@ -16,13 +16,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// socket is the relay's end of its newest connection to a server.
+// clientSocket is the relay's end of its most recent connection to a server.
 type clientSocket struct {
 	mu  sync.Mutex
 	raw syscall.RawConn
 }
 
-// dialer notes the socket of each connection that it opens, and bounds what it takes in.
+// dialer returns a dialer that records the socket of each connection and limits its send buffer.
 func (s *clientSocket) dialer() *net.Dialer {
 	return &net.Dialer{ControlContext: func(_ context.Context, _, _ string, c syscall.RawConn) error {
 		s.mu.Lock()
@@ -34,7 +34,7 @@
 	}}
 }
 
-// await waits until something has come to the socket: bytes, an end or a reset.
+// awaitInput waits until the socket has received data, an end of stream or a reset.
 func (s *clientSocket) awaitInput(t testing.TB) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,51 +53,51 @@
 }
 
 const (
-	bigBody    = 4_000_000 // of a request, far more than sockets take in at once
+	bigBody    = 4_000_000 // size of a request body that far exceeds the socket buffers
 	sendBuffer = 64 << 10
 	readBuffer = 64 << 10
 )
 
-// A kept connection dies under the second request, at each stage of it. What may run once is written
-// once, or to another server if surely nothing of it left; what may be repeated is sent again.
+// A reused connection breaks at each stage of the second request. A request that must run at most once is sent
+// once, and to another server only if no byte of it was sent; a repeatable request is sent again.
 func TestKeptDies(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		body  int
-		last  func(t *testing.T, c net.Conn, k *clientSocket) // at the relay's last look
-		serve func(s *standIn, c net.Conn, br *bufio.Reader)
-		once  []End // how the attempts of the second request end, if it may run once
-		again []End // and if it may be repeated
-		wrote int   // so many whole requests reach the first server, beside the one before
+		name       string
+		body       int
+		breakConn  func(t *testing.T, c net.Conn, k *clientSocket) // called immediately before the relay sends
+		serve      func(s *standIn, c net.Conn, br *bufio.Reader)
+		atMostOnce []End // outcomes of the second request's attempts if it must run at most once
+		repeatable []End // outcomes if it may be repeated
+		received   int   // complete requests that reach the first server after the initial one
 	}{
-		{name: "reset at the last look", last: func(t *testing.T, c net.Conn, k *clientSocket) { resetConn(c); k.awaitInput(t) },
-			once: []End{Unsent, Done}, again: []End{Unsent, Done}},
-		{name: "closed at the last look", last: func(t *testing.T, c net.Conn, k *clientSocket) { _ = c.Close(); k.awaitInput(t) },
-			once: []End{Lost}, again: []End{Lost, Done}},
-		{name: "reset in the write", body: bigBody, serve: func(_ *standIn, c net.Conn, br *bufio.Reader) {
+		{name: "reset before the send", breakConn: func(t *testing.T, c net.Conn, k *clientSocket) { resetConn(c); k.awaitInput(t) },
+			atMostOnce: []End{Unsent, Done}, repeatable: []End{Unsent, Done}},
+		{name: "closed before the send", breakConn: func(t *testing.T, c net.Conn, k *clientSocket) { _ = c.Close(); k.awaitInput(t) },
+			atMostOnce: []End{Lost}, repeatable: []End{Lost, Done}},
+		{name: "reset during the write", body: bigBody, serve: func(_ *standIn, c net.Conn, br *bufio.Reader) {
 			_ = c.(*net.TCPConn).SetReadBuffer(readBuffer)
 			_, _ = br.Discard(1 << 10)
 			resetConn(c)
-		}, once: []End{Lost}, again: []End{Lost, Done}},
-		{name: "closed in the write", body: bigBody, serve: func(_ *standIn, c net.Conn, br *bufio.Reader) {
+		}, atMostOnce: []End{Lost}, repeatable: []End{Lost, Done}},
+		{name: "closed during the write", body: bigBody, serve: func(_ *standIn, c net.Conn, br *bufio.Reader) {
 			_ = c.(*net.TCPConn).SetReadBuffer(readBuffer)
 			_, _ = br.Discard(1 << 10)
-		}, once: []End{Lost}, again: []End{Lost, Done}},
+		}, atMostOnce: []End{Lost}, repeatable: []End{Lost, Done}},
 		{name: "reset after the write", serve: func(s *standIn, c net.Conn, br *bufio.Reader) {
 			s.next(br)
 			resetConn(c)
-		}, once: []End{Lost}, again: []End{Lost, Done}, wrote: 1},
+		}, atMostOnce: []End{Lost}, repeatable: []End{Lost, Done}, received: 1},
 		{name: "closed after the write", serve: func(s *standIn, _ net.Conn, br *bufio.Reader) { s.next(br) },
-			once: []End{Lost}, again: []End{Lost, Done}, wrote: 1},
-		{name: "closed after an interim answer", serve: func(s *standIn, c net.Conn, br *bufio.Reader) {
+			atMostOnce: []End{Lost}, repeatable: []End{Lost, Done}, received: 1},
+		{name: "closed after an interim response", serve: func(s *standIn, c net.Conn, br *bufio.Reader) {
 			s.next(br)
 			_, _ = io.WriteString(c, "HTTP/1.1 103 Early Hints\r\nX-Try: 1\r\nX-Seal: s\r\n\r\n")
-		}, once: []End{Lost}, again: []End{Lost, Done}, wrote: 1},
-		{name: "reset in the body", serve: func(s *standIn, c net.Conn, br *bufio.Reader) {
+		}, atMostOnce: []End{Lost}, repeatable: []End{Lost, Done}, received: 1},
+		{name: "reset during the body", serve: func(s *standIn, c net.Conn, br *bufio.Reader) {
 			s.next(br)
 			_, _ = io.WriteString(c, plain("1", "good")[:60])
 			resetConn(c)
-		}, once: []End{Lost}, again: []End{Lost, Done}, wrote: 1},
+		}, atMostOnce: []End{Lost}, repeatable: []End{Lost, Done}, received: 1},
 	} {
 		for _, again := range []bool{false, true} {
 			t.Run(fmt.Sprint(c.name, " ", again), func(t *testing.T) {
@@ -111,7 +111,7 @@
 						c.serve(s, conn, br)
 						return
 					}
-					_, _ = br.ReadByte() // until the test ends it
+					_, _ = br.ReadByte() // until the test closes the connection
 				})
 				other := says(t, plain("1", "other"), false)
 				b := relayFor(t, &script{to: []string{srv.addr()}, again: again}, RelayOptions{Conns: ConnOptions{Dialer: k.dialer()}})
@@ -124,10 +124,10 @@
 
 				b.mu.Lock()
 				b.to = append(b.to, other.addr())
-				if looks := 0; c.last != nil {
+				if sends := 0; c.breakConn != nil {
 					b.beforeSend = func() {
-						if looks++; looks == 1 {
-							c.last(t, srv.conn(0), &k)
+						if sends++; sends == 1 {
+							c.breakConn(t, srv.conn(0), &k)
 						}
 					}
 				}
@@ -136,13 +136,13 @@
 				a, body, err := cl.answer("POST")
 				require.NoError(t, err)
 				b.settled(t)
-				want := c.once
+				want := c.atMostOnce
 				if again {
-					want = c.again
+					want = c.repeatable
 				}
 				require.Equal(t, want, b.hows()[1:])
-				require.Len(t, srv.requests(), 1+c.wrote)
-				require.Equal(t, 1, srv.accepted(), "written again to the same server")
+				require.Len(t, srv.requests(), 1+c.received)
+				require.Equal(t, 1, srv.accepted(), "sent again to the same server")
 				if want[len(want)-1] != Done {
 					require.Equal(t, 502, a.StatusCode)
 					require.Empty(t, other.requests())
@@ -155,33 +155,34 @@
 	}
 }
 
-// What comes on a kept connection and belongs to no request under way reaches nobody, whenever it comes.
+// Data that arrives on a reused connection and belongs to no request in progress reaches no client, whenever it
+// arrives.
 func TestSurplus(t *testing.T) {
 	other := plain("1", "another's")
 	for _, c := range []struct {
 		name     string
-		behind   string // comes with the first answer
-		idle     string // comes while the connection is idle
-		look     string // comes at the last look of the second request
+		after    string // sent together with the first response
+		idle     string // sent while the connection is idle
+		send     string // sent immediately before the second request
 		status   int
 		accepted int
 		kept     bool // whether the connection of the second request is kept
 	}{
 		{"none", "", "", "", 200, 1, true},
-		{"answer behind", other, "", "", 200, 2, true},
-		{"answer while idle", "", other, "", 200, 2, true},
-		{"answer at the last look", "", "", other, 200, 1, false},
-		{"two answers at the last look", "", "", other + other, 200, 1, false},
-		{"three answers at the last look", "", "", other + other + other, 502, 1, false},
-		{"interim answer at the last look", "", "", "HTTP/1.1 100 Continue\r\n\r\n", 200, 1, true},
-		{"answer in chunks at the last look", "", "", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\n0\r\n\r\n", 200, 1, false},
-		{"decline at the last look", "", "", "HTTP/1.1 503 Full\r\nX-Try: 1\r\nX-Not-Run: busy\r\nContent-Length: 0\r\n\r\n", 200, 1, false},
-		{"answer without an id at the last look", "", "", "HTTP/1.1 200 OK\r\nX-Seal: s\r\nContent-Length: 2\r\n\r\nno", 502, 1, false},
-		{"endless answer at the last look", "", "", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\n\r\nno", 502, 1, false},
-		{"half an answer at the last look", "", "", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 99\r\n\r\nno", 502, 1, false},
-		{"bytes behind", "\r\n", "", "", 200, 2, true},
+		{"response after the first", other, "", "", 200, 2, true},
+		{"response while idle", "", other, "", 200, 2, true},
+		{"response before the send", "", "", other, 200, 1, false},
+		{"two responses before the send", "", "", other + other, 200, 1, false},
+		{"three responses before the send", "", "", other + other + other, 502, 1, false},
+		{"interim response before the send", "", "", "HTTP/1.1 100 Continue\r\n\r\n", 200, 1, true},
+		{"response in chunks before the send", "", "", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\n0\r\n\r\n", 200, 1, false},
+		{"not run before the send", "", "", "HTTP/1.1 503 Full\r\nX-Try: 1\r\nX-Not-Run: busy\r\nContent-Length: 0\r\n\r\n", 200, 1, false},
+		{"response without an ID before the send", "", "", "HTTP/1.1 200 OK\r\nX-Seal: s\r\nContent-Length: 2\r\n\r\nno", 502, 1, false},
+		{"close-delimited response before the send", "", "", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\n\r\nno", 502, 1, false},
+		{"truncated response before the send", "", "", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 99\r\n\r\nno", 502, 1, false},
+		{"bytes after the first response", "\r\n", "", "", 200, 2, true},
 		{"bytes while idle", "", "x", "", 200, 2, true},
-		{"bytes at the last look", "", "", "\x00\x01", 502, 1, false},
+		{"bytes before the send", "", "", "\x00\x01", 502, 1, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var k clientSocket
@@ -192,7 +193,7 @@
 						_, _ = io.WriteString(conn, plain(id, "for "+id))
 						return
 					}
-					_, _ = io.WriteString(conn, plain(id, "for "+id)+c.behind) // in one piece
+					_, _ = io.WriteString(conn, plain(id, "for "+id)+c.after) // in a single write
 				}
 			})
 			b := relayFor(t, &script{to: []string{srv.addr()}}, RelayOptions{Conns: ConnOptions{Dialer: k.dialer()}})
@@ -210,7 +211,7 @@
 			}
 			write(c.idle)
 			b.mu.Lock()
-			b.beforeSend = func() { write(c.look) }
+			b.beforeSend = func() { write(c.send) }
 			b.mu.Unlock()
 			cl.send(get("2"))
 			a, body, err := cl.answer("GET")
@@ -229,19 +230,19 @@
 			if c.status == 200 {
 				require.Len(t, srv.requests(), 2)
 			} else {
-				require.LessOrEqual(t, len(srv.requests()), 2) // it may not have read the second yet
+				require.LessOrEqual(t, len(srv.requests()), 2) // the server may not have read the second request yet
 			}
 		})
 	}
 }
 
-// An answer that comes after its request was given up finds nobody on its connection.
+// A response that arrives after its request was abandoned reaches no other request.
 func TestAnswerAfterGivingUp(t *testing.T) {
-	free := make(chan struct{})
+	unblock := make(chan struct{})
 	srv := newStandIn(t, func(s *standIn, n int, conn net.Conn, br *bufio.Reader) {
 		for q := s.next(br); q != nil; q = s.next(br) {
 			if id := q.Header.Get("X-Try"); id == "1" {
-				<-free
+				<-unblock
 			}
 			_, _ = io.WriteString(conn, plain(q.Header.Get("X-Try"), "for "+q.Header.Get("X-Try")))
 		}
@@ -252,7 +253,7 @@
 	require.Eventually(t, func() bool { return len(srv.requests()) == 1 }, soon, time.Millisecond)
 	_ = leaves.Close()
 	b.settled(t)
-	close(free)
+	close(unblock)
 	for _, id := range []string{"2", "3"} {
 		cl := b.dial(t)
 		cl.send(get(id))
@@ -262,18 +263,18 @@
 		require.Equal(t, "for "+id, body)
 		b.settled(t)
 	}
-	require.Equal(t, 2, srv.accepted(), "the connection of the request that was given up is not used again")
+	require.Equal(t, 2, srv.accepted(), "the connection of the abandoned request is not reused")
 }
 
-// An answer of the router's own bears no seal, whatever the server's had that it stands for.
+// Responses generated by the router carry no seal, even if the server's response that they replace had one.
 func TestOwnAnswersBearNoSeal(t *testing.T) {
 	for _, c := range []struct{ name, answer string }{
-		{"failure that breaks off", "HTTP/1.1 500 Oops\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 9\r\n\r\nhalf"},
-		{"success that breaks off", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 9\r\n\r\nhalf"},
-		{"decline", "HTTP/1.1 503 Full\r\nX-Try: 1\r\nX-Seal: s\r\nX-Not-Run: busy\r\nContent-Length: 0\r\n\r\n"},
-		{"refusal that is no decline", "HTTP/1.1 429 Full\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 0\r\n\r\n"},
+		{"truncated failure", "HTTP/1.1 500 Oops\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 9\r\n\r\nhalf"},
+		{"truncated success", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 9\r\n\r\nhalf"},
+		{"not run", "HTTP/1.1 503 Full\r\nX-Try: 1\r\nX-Seal: s\r\nX-Not-Run: busy\r\nContent-Length: 0\r\n\r\n"},
+		{"refusal without proof", "HTTP/1.1 429 Full\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 0\r\n\r\n"},
 		{"wrong server", "HTTP/1.1 421 Wrong\r\nX-Try: 1\r\nX-Seal: s\r\nX-Not-Run: mismatch\r\nContent-Length: 0\r\n\r\n"},
-		{"another's", plain("2", "x")},
+		{"response to another request", plain("2", "x")},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			srv := says(t, c.answer, true)
@@ -291,7 +292,7 @@
 	}
 }
 
-// A failure of the server's own keeps its status, its seal and its body.
+// A failure response generated by a server keeps its status, seal and body.
 func TestOwnFailureOfServer(t *testing.T) {
 	for _, status := range []int{302, 400, 404, 500, 502, 504} {
 		srv := says(t, fmt.Sprintf("HTTP/1.1 %d X\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 2\r\n\r\nno", status), false)
--- a/internal/router/relay_test.go
+++ b/internal/router/relay_test.go
@@ -25,7 +25,7 @@
 	"tidedeck/internal/ident"
 )
 
-// fakeDialect speaks with made-up names.
+// fakeDialect uses invented header names.
 type fakeDialect struct{}
 
 func (fakeDialect) Read(r *http.Request) (fleetplan.Call, *fleetplan.Fault) {
@@ -63,19 +63,19 @@
 
 func (fakeDialect) Ready() string { return "/there" }
 
-// script decides as a test wants it: it launches at one server after another while the ends of
-// attempts allow that, and notes all it is told.
+// scriptedDecider launches attempts at one server after another for as long as their outcomes allow it, and
+// records the events that it receives.
 type script struct {
 	relay       *Relay
 	mu          sync.Mutex
-	to          []string // servers' addresses, in order
-	names       []string // and the servers' names; without them each address has one server
+	to          []string // addresses of the servers, in order
+	names       []string // names of the servers; if nil, each address stands for one server
 	again       bool
 	resume      bool
 	left        clock.Span
-	refuse      *Receipt // the answer to each call, where no server is to be asked
-	deniedSends int      // so many sends are not allowed
-	beforeSend  func()   // is called at the last look of each send
+	refuse      *Receipt // response to each call, in place of an attempt
+	deniedSends int      // number of sends to deny
+	beforeSend  func()   // called by each MaySend
 
 	nextServer map[Ref]int
 	calls      []Call
@@ -138,7 +138,7 @@
 	return Launch{Ref: ref, N: n + 1, Server: s.name(n), Addr: s.to[n], Left: s.left, Again: s.again, Resume: s.resume}
 }
 
-// name gives the name of the server at the place n of the script.
+// name returns the name of the n-th server of the script.
 func (s *script) name(n int) ident.Server {
 	if s.names != nil {
 		return ident.Server(s.names[n])
@@ -165,7 +165,7 @@
 	return l
 }
 
-// settled checks that every request had exactly one end.
+// requireOneEnd checks that every request has ended exactly once.
 func (s *script) settled(t testing.TB) {
 	require.Eventually(t, func() bool { return s.relay.Open() == 0 }, soon, time.Millisecond)
 	s.mu.Lock()
@@ -183,7 +183,7 @@
 		n[v.Ref]++
 	}
 	for _, v := range s.calls {
-		require.Equal(t, 1, n[v.Ref], "ends of request %d", v.Ref)
+		require.Equal(t, 1, n[v.Ref], "number of ends of request %d", v.Ref)
 	}
 }
 
@@ -192,7 +192,7 @@
 	addr string
 }
 
-// relayFor serves a relay before a script.
+// newRelayFixture serves a relay with a scripted decider.
 func relayFor(t testing.TB, s *script, o RelayOptions) *relayFixture {
 	generic.SetDefault(&s.left, time.Minute)
 	s.nextServer = map[Ref]int{}
@@ -214,7 +214,7 @@
 	return &relayFixture{s, in.Addr().String()}
 }
 
-// serveUntil serves a relay before a script until it is stopped.
+// serveUntil serves a relay with a scripted decider until stop is closed.
 func serveUntil(t testing.TB, s *script, o RelayServe) (b *relayFixture, told net.Listener, stop chan struct{}, end chan error) {
 	generic.SetDefault(&s.left, time.Minute)
 	s.nextServer = map[Ref]int{}
@@ -249,7 +249,7 @@
 	require.NoError(c.t, err)
 }
 
-// answer reads an answer; the error is that of its body.
+// answer reads a response. The error is that of reading the body.
 func (c *client) answer(method string) (*http.Response, string, error) {
 	a, err := http.ReadResponse(c.br, &http.Request{Method: method})
 	if err != nil {
@@ -261,7 +261,7 @@
 
 func get(id string) string { return "GET /a/b HTTP/1.1\r\nHost: h\r\nX-Try: " + id + "\r\n\r\n" }
 
-// plain is a sealed answer with a body.
+// sealedResponse returns a response with a seal and a body.
 func plain(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Try: %s\r\nX-Seal: s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
@@ -272,8 +272,8 @@
 
 func event(n int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", n, n) }
 
-// says makes a server that answers each request on its connections with the same bytes and then
-// closes, if the bytes are those of a break.
+// newFixedServer starts a server that sends the same bytes in response to each request. If end is set, it closes
+// the connection after the first response.
 func says(t testing.TB, answer string, end bool) *standIn {
 	return newStandIn(t, func(s *standIn, _ int, c net.Conn, br *bufio.Reader) {
 		for s.next(br) != nil {
@@ -284,7 +284,7 @@
 	})
 }
 
-// Requests reach the server, and answers the client, as they were sent.
+// Requests reach the server, and responses the client, unchanged.
 func TestRelayUnchanged(t *testing.T) {
 	for _, c := range []struct {
 		name, send, method, target, body string
@@ -297,7 +297,7 @@
 		{"in chunks", "PUT /p HTTP/1.1\r\nHost: h.example\r\nX-Try: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n", "PUT", "/p", "abcde", nil},
 		{"empty, with a length", "POST /p HTTP/1.1\r\nHost: h.example\r\nX-Try: 1\r\nContent-Length: 0\r\n\r\n", "POST", "/p", "", nil},
 		{"big", "POST /p HTTP/1.1\r\nHost: h.example\r\nX-Try: 1\r\nContent-Length: 300000\r\n\r\n" + strings.Repeat("0123456789", 30000), "POST", "/p", strings.Repeat("0123456789", 30000), nil},
-		{"own method", "FETCH /p HTTP/1.1\r\nHost: h.example\r\nX-Try: 1\r\n\r\n", "FETCH", "/p", "", nil},
+		{"custom method", "FETCH /p HTTP/1.1\r\nHost: h.example\r\nX-Try: 1\r\n\r\n", "FETCH", "/p", "", nil},
 		{
 			"headers", "GET /p HTTP/1.1\r\nHost: h.example\r\nX-Try: 1\r\nX-Many: a\r\nX-Many: b\r\nAccept-Encoding: identity\r\nUser-Agent: mine\r\n" +
 				"Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=3\r\nTE: trailers\r\nUpgrade: x\r\nProxy-Authorization: p\r\nProxy-Connection: p\r\nExpect: 100-continue\r\n\r\n",
@@ -332,7 +332,7 @@
 	}
 }
 
-// Answers without a body, of failures and in chunks come as the server gave them.
+// Responses without a body, with an error status or in chunks are forwarded unchanged.
 func TestRelayAnswers(t *testing.T) {
 	big := strings.Repeat("x", 700_000)
 	for _, c := range []struct {
@@ -345,17 +345,17 @@
 		{"chunks", "GET", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", 200, "abc"},
 		{"big", "GET", plain("1", big), 200, big},
 		{"big in chunks", "GET", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(big) + "0\r\n\r\n", 200, big},
-		{"moved", "GET", "HTTP/1.1 302 Found\r\nX-Try: 1\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n", 302, ""},
-		{"own 404", "GET", "HTTP/1.1 404 Not Found\r\nX-Try: 1\r\nContent-Length: 2\r\n\r\nno", 404, "no"},
-		{"own 500", "GET", "HTTP/1.1 500 Oops\r\nX-Try: 1\r\nContent-Length: 2\r\n\r\nno", 500, "no"},
-		{"own 504", "GET", "HTTP/1.1 504 Late\r\nX-Try: 1\r\nContent-Length: 2\r\n\r\nno", 504, "no"},
+		{"redirect", "GET", "HTTP/1.1 302 Found\r\nX-Try: 1\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n", 302, ""},
+		{"server's 404", "GET", "HTTP/1.1 404 Not Found\r\nX-Try: 1\r\nContent-Length: 2\r\n\r\nno", 404, "no"},
+		{"server's 500", "GET", "HTTP/1.1 500 Oops\r\nX-Try: 1\r\nContent-Length: 2\r\n\r\nno", 500, "no"},
+		{"server's 504", "GET", "HTTP/1.1 504 Late\r\nX-Try: 1\r\nContent-Length: 2\r\n\r\nno", 504, "no"},
 		{"encoded", "GET", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Encoding: gzip\r\nContent-Length: 3\r\n\r\nabc", 200, "abc"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			srv := says(t, c.answer, false)
 			b := relayFor(t, &script{to: []string{srv.addr()}}, RelayOptions{})
 			cl := b.dial(t)
-			for range 2 { // the second on kept connections
+			for range 2 { // the second request reuses the connections
 				cl.send(c.method + " / HTTP/1.1\r\nHost: h\r\nX-Try: 1\r\n\r\n")
 				a, body, err := cl.answer(c.method)
 				require.NoError(t, err)
@@ -375,17 +375,17 @@
 	}
 }
 
-// What servers do with a request, and what comes of it: the ends told, and the client's answer.
+// For each behavior of a server: the outcomes of the attempts and the client's response.
 func TestRelayEnds(t *testing.T) {
 	good := plain("1", "good")
 	notRun := "HTTP/1.1 503 Full\r\nX-Try: 1\r\nX-Not-Run: busy\r\nContent-Length: 4\r\n\r\nfull"
 	for _, c := range []struct {
 		name   string
-		first  string // answer of the first server, which then closes
+		first  string // response of the first server, which then closes the connection
 		again  bool
 		ends   []End
 		status int
-		body   string // of a server's answer
+		body   string // of a server's response
 	}{
 		{"not run", notRun, false, []End{Dropped, Done}, 200, "good"},
 		{"broken before the head", "", false, []End{Lost}, 502, ""},
@@ -394,23 +394,23 @@
 		{"broken body", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 9\r\n\r\nhalf", false, []End{Lost}, 502, ""},
 		{"broken body, repeatable", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 9\r\n\r\nhalf", true, []End{Lost, Done}, 200, "good"},
 		{"broken chunks, repeatable", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", true, []End{Lost, Done}, 200, "good"},
-		{"no HTTP", "\x16\x03\x01 what is this?\r\n\r\n", false, []End{Lost}, 502, ""},
-		{"no HTTP, repeatable", "\x16\x03\x01 what is this?\r\n\r\n", true, []End{Lost, Done}, 200, "good"},
+		{"not HTTP", "\x16\x03\x01 what is this?\r\n\r\n", false, []End{Lost}, 502, ""},
+		{"not HTTP, repeatable", "\x16\x03\x01 what is this?\r\n\r\n", true, []End{Lost, Done}, 200, "good"},
 		{"two lengths", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 4\r\nContent-Length: 2\r\n\r\nhalf", false, []End{Lost}, 502, ""},
 		{"other protocol", "HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n", false, []End{Lost}, 502, ""},
 		{"no seal", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nContent-Length: 4\r\n\r\nfake", false, []End{Lost}, 502, ""},
 		{"other id", plain("2", "not yours"), false, []End{Lost}, 502, ""},
 		{"other id, repeatable", plain("2", "not yours"), true, []End{Lost, Done}, 200, "good"},
 		{"no id", "HTTP/1.1 200 OK\r\nX-Seal: s\r\nContent-Length: 9\r\n\r\nnot yours", false, []End{Lost}, 502, ""},
-		{"not run, of another", strings.Replace(notRun, "X-Try: 1", "X-Try: 2", 1), false, []End{Lost}, 502, ""},
-		{"surplus before", plain("2", "not yours") + plain("1", "mine"), false, []End{Done}, 200, "mine"},
-		{"two surplus before", plain("2", "not yours") + plain("3", "nor this") + plain("1", "mine"), false, []End{Done}, 200, "mine"},
-		{"three surplus before", plain("2", "x") + plain("3", "x") + plain("4", "x") + plain("1", "mine"), false, []End{Lost}, 502, ""},
-		{"surplus behind", plain("1", "mine") + plain("2", "not yours"), false, []End{Done}, 200, "mine"},
-		{"own 500", "HTTP/1.1 500 Oops\r\nX-Try: 1\r\nContent-Length: 2\r\n\r\nno", false, []End{Done}, 500, "no"},
-		{"own 500, repeatable", "HTTP/1.1 500 Oops\r\nX-Try: 1\r\nContent-Length: 2\r\n\r\nno", true, []End{Lost, Done}, 200, "good"},
-		{"a promise that is none", "HTTP/1.1 503 Full\r\nX-Try: 1\r\nContent-Length: 2\r\n\r\nno", false, []End{Lost}, 502, ""},
-		{"a 429 that is none", "HTTP/1.1 429 Full\r\nX-Try: 1\r\nContent-Length: 2\r\n\r\nno", false, []End{Lost}, 502, ""},
+		{"not run, other id", strings.Replace(notRun, "X-Try: 1", "X-Try: 2", 1), false, []End{Lost}, 502, ""},
+		{"one surplus response first", plain("2", "not yours") + plain("1", "mine"), false, []End{Done}, 200, "mine"},
+		{"two surplus responses first", plain("2", "not yours") + plain("3", "nor this") + plain("1", "mine"), false, []End{Done}, 200, "mine"},
+		{"three surplus responses first", plain("2", "x") + plain("3", "x") + plain("4", "x") + plain("1", "mine"), false, []End{Lost}, 502, ""},
+		{"surplus response after it", plain("1", "mine") + plain("2", "not yours"), false, []End{Done}, 200, "mine"},
+		{"server's 500", "HTTP/1.1 500 Oops\r\nX-Try: 1\r\nContent-Length: 2\r\n\r\nno", false, []End{Done}, 500, "no"},
+		{"server's 500, repeatable", "HTTP/1.1 500 Oops\r\nX-Try: 1\r\nContent-Length: 2\r\n\r\nno", true, []End{Lost, Done}, 200, "good"},
+		{"503 without proof", "HTTP/1.1 503 Full\r\nX-Try: 1\r\nContent-Length: 2\r\n\r\nno", false, []End{Lost}, 502, ""},
+		{"429 without proof", "HTTP/1.1 429 Full\r\nX-Try: 1\r\nContent-Length: 2\r\n\r\nno", false, []End{Lost}, 502, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			first, second := says(t, c.first, true), says(t, good, false)
@@ -438,7 +438,7 @@
 	}
 }
 
-// A server that cannot be reached, and a send that is not allowed: nothing was sent.
+// An unreachable server and a denied send both leave the request unsent.
 func TestRelayNotSent(t *testing.T) {
 	srv := says(t, plain("1", "good"), false)
 	b := relayFor(t, &script{to: []string{"127.0.0.1:1", srv.addr(), srv.addr()}, deniedSends: 1}, RelayOptions{})
@@ -451,7 +451,7 @@
 	b.settled(t)
 	require.Equal(t, []End{Unsent, Kept, Done}, b.hows())
 	require.Len(t, srv.requests(), 1)
-	require.Equal(t, 1, srv.accepted(), "the connection that was not used is kept")
+	require.Equal(t, 1, srv.accepted(), "the unused connection is reused")
 
 	cl.send(strings.Replace(get("2"), "X-Try", "X-Other", 1))
 	a, body, err = cl.answer("GET")
@@ -460,7 +460,7 @@
 	require.Contains(t, body, `"kind":"malformed"`)
 }
 
-// Final answers of the router's own follow the table, with the time to come back in fractions.
+// Responses generated by the router follow failure.Receipts, with a fractional Retry-After.
 func TestRelayReceipts(t *testing.T) {
 	for k, want := range failure.Receipts {
 		t.Run(string(k), func(t *testing.T) {
@@ -477,7 +477,7 @@
 	}
 }
 
-// Many requests go over one kept connection, and a stale one is not used.
+// Many requests share one connection, and a stale connection is not reused.
 func TestRelayReuse(t *testing.T) {
 	srv := newStandIn(t, func(s *standIn, _ int, c net.Conn, br *bufio.Reader) {
 		for {
@@ -487,7 +487,7 @@
 			}
 			_, _ = io.WriteString(c, plain(q.Header.Get("X-Try"), "good"))
 			if len(s.requests()) == 5 {
-				return // closed while it is idle
+				return // closes the connection while it is idle
 			}
 		}
 	})
@@ -516,13 +516,13 @@
 	require.Equal(t, ConnTally{Opens: 2, Reuses: 8, Discards: 1}, b.relay.Counts().ConnTally)
 }
 
-// A request is never sent again by itself when a kept connection breaks under it.
+// The relay never resends a request on its own when a reused connection breaks.
 func TestRelayKeptBreaks(t *testing.T) {
 	srv := newStandIn(t, func(s *standIn, n int, c net.Conn, br *bufio.Reader) {
 		if s.next(br) != nil {
 			_, _ = io.WriteString(c, plain("1", "good"))
 		}
-		s.next(br) // and ends with no answer
+		s.next(br) // closes the connection without a response
 	})
 	b := relayFor(t, &script{to: []string{srv.addr()}}, RelayOptions{})
 	cl := b.dial(t)
@@ -536,18 +536,18 @@
 	require.Len(t, srv.requests(), 2)
 }
 
-// An answer after its time is lost, and its bytes are seen by nobody.
+// A response after the request's deadline is lost, and none of its bytes reach a client.
 func TestRelayLate(t *testing.T) {
-	free := make(chan struct{})
+	unblock := make(chan struct{})
 	srv := newStandIn(t, func(s *standIn, n int, c net.Conn, br *bufio.Reader) {
 		for s.next(br) != nil {
 			if n == 0 {
-				<-free
+				<-unblock
 			}
 			_, _ = io.WriteString(c, plain("1", "good"))
 		}
 	})
-	t.Cleanup(func() { close(free) })
+	t.Cleanup(func() { close(unblock) })
 	b := relayFor(t, &script{to: []string{srv.addr()}, left: 50 * time.Millisecond}, RelayOptions{Slack: 10 * time.Millisecond})
 	cl := b.dial(t)
 	cl.send(get("1"))
@@ -557,13 +557,13 @@
 	require.Equal(t, []End{Lost}, b.hows())
 }
 
-// Bodies: too long, broken off, too slow.
+// Request bodies that are too long, truncated or too slow are refused.
 func TestRelayBodies(t *testing.T) {
 	limits := func() (int64, time.Duration) { return 10, 50 * time.Millisecond }
 	for _, c := range []struct {
 		name, send string
-		half       bool // the client says that it sends no more
-		status     int  // 0 if the connection is closed with no answer
+		halfClose  bool // the client closes its sending side
+		status     int  // 0 if the connection is closed without a response
 	}{
 		{"at the bound", "Content-Length: 10\r\n\r\n0123456789", false, 200},
 		{"too long", "Content-Length: 11\r\n\r\n0123456789a", false, 413},
@@ -575,13 +575,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			srv := says(t, plain("1", "good"), false)
 			o := RelayOptions{BodyLimits: limits}
-			if c.half {
+			if c.halfClose {
 				o.BodyLimits = func() (int64, time.Duration) { return 10, soon }
 			}
 			b := relayFor(t, &script{to: []string{srv.addr()}}, o)
 			cl := b.dial(t)
 			cl.send("POST / HTTP/1.1\r\nHost: h\r\nX-Try: 1\r\n" + c.send)
-			if c.half {
+			if c.halfClose {
 				require.NoError(t, cl.Conn.(*net.TCPConn).CloseWrite())
 			}
 			a, _, err := cl.answer("POST")
@@ -598,8 +598,8 @@
 	}
 }
 
-// A request with two ways of telling where its body ends reaches no server, and neither does
-// what is hidden in it.
+// A request with conflicting declarations of where its body ends reaches no server, and neither does a request
+// hidden in its body.
 func TestRelaySmuggling(t *testing.T) {
 	hidden := "GET /hidden HTTP/1.1\r\nHost: h\r\nX-Try: 2\r\n\r\n"
 	for _, c := range []struct{ name, head, body string }{
@@ -620,7 +620,7 @@
 				for len(s) > 0 {
 					n := min(split, len(s))
 					if _, err := io.WriteString(cl, s[:n]); err != nil {
-						break // it was turned away already
+						break // the request was refused already
 					}
 					s = s[n:]
 				}
@@ -635,7 +635,7 @@
 		}
 	}
 
-	t.Run("old version with chunks", func(t *testing.T) {
+	t.Run("HTTP/1.0 with chunks", func(t *testing.T) {
 		srv := says(t, plain("1", "good"), false)
 		b := relayFor(t, &script{to: []string{srv.addr()}}, RelayOptions{})
 		cl := b.dial(t)
@@ -663,7 +663,7 @@
 	})
 }
 
-// parts writes a stream in parts, each once the one before it was taken.
+// writeAll writes the parts of a stream one after the other.
 func writeAll(c net.Conn, l ...string) {
 	for _, p := range l {
 		if _, err := io.WriteString(c, p); err != nil {
@@ -672,7 +672,7 @@
 	}
 }
 
-// Streams come as the server sends them, one event after the other, and end whole.
+// Event streams are forwarded as they arrive and end completely.
 func TestRelayStream(t *testing.T) {
 	for _, resume := range []bool{false, true} {
 		t.Run(fmt.Sprint(resume), func(t *testing.T) {
@@ -682,7 +682,7 @@
 					writeAll(c, fmt.Sprintf(streamHead, "s"))
 					for i := 1; i <= 3; i++ {
 						writeAll(c, chunk(event(i)))
-						<-step // the client has it
+						<-step // the client has received the event
 					}
 					writeAll(c, chunk("data: last\n\n"), "0\r\n\r\n")
 				}
@@ -714,8 +714,8 @@
 	}
 }
 
-// Streams that break off: the client sees it, or gets the rest from another server with nothing
-// missing and nothing twice.
+// A stream that breaks off either breaks off visibly at the client or is resumed at another server, with no event
+// missing or repeated.
 func TestRelayStreamBreaks(t *testing.T) {
 	head := fmt.Sprintf(streamHead, "s")
 	cut := head + chunk(event(1)) + chunk(event(2)) + chunk("id: 3\ndata: pie")
@@ -735,21 +735,21 @@
 		body          string
 		whole         bool
 	}{
-		{"cut, not to be taken up", false, cut, rest(3, 4), []End{Split}, event(1) + event(2) + "id: 3\ndata: pie", false},
-		{"cut without an end", false, head + chunk(event(1)), rest(2), []End{Split}, event(1), false},
-		{"ended by the connection", false, "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Type: text/event-stream\r\n\r\n" + event(1), rest(2), []End{Split}, event(1), false},
-		{"short of its length", false, "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Type: text/event-stream\r\nContent-Length: 999\r\n\r\n" + event(1), rest(2), []End{Split}, event(1), false},
-		{"taken up", true, cut, rest(3, 4), []End{Split, Done}, all, true},
-		{"taken up, with the last again", true, cut, rest(1, 2, 3, 4), []End{Split, Done}, all, true},
-		{"taken up in the middle of an event", true, head + chunk(event(1)[:4]) + chunk(event(1)[4:]+event(2)) + chunk("id: 3\n"), rest(3, 4), []End{Split, Done}, all, true},
-		{"taken up, with no number", true, cut, fmt.Sprintf(streamHead, "o") + chunk(": hello\n\n"+event(3)) + chunk(event(4)+"data: end\n\n") + "0\r\n\r\n", []End{Split, Done}, event(1) + event(2) + ": hello\n\n" + event(3) + event(4) + "data: end\n\n", true},
-		{"taken up at its last", true, cut, fmt.Sprintf(streamHead, "o") + chunk(event(2)) + chunk("data: end\n\n") + "0\r\n\r\n", []End{Split, Done}, event(1) + event(2) + "data: end\n\n", true},
-		{"taken up with a gap", true, cut, rest(4), []End{Split, Lost}, event(1) + event(2), false},
-		{"taken up by no stream", true, cut, plain("1", event(3)), []End{Split, Lost}, event(1) + event(2), false},
-		{"taken up unsealed", true, cut, strings.Replace(rest(3, 4), "X-Seal: other", "X-Unsealed: x", 1), []End{Split, Lost}, event(1) + event(2), false},
-		{"taken up by a failure", true, cut, "HTTP/1.1 500 Oops\r\nX-Try: 1\r\nContent-Length: 0\r\n\r\n", []End{Split, Lost}, event(1) + event(2), false},
-		{"not taken up", true, cut, "HTTP/1.1 503 Full\r\nX-Try: 1\r\nX-Not-Run: busy\r\nContent-Length: 0\r\n\r\n", []End{Split, Dropped}, event(1) + event(2), false},
-		{"cut twice", true, cut, fmt.Sprintf(streamHead, "o") + chunk(event(3)), []End{Split, Split}, event(1) + event(2) + event(3), false},
+		{"truncated, not resumable", false, cut, rest(3, 4), []End{Split}, event(1) + event(2) + "id: 3\ndata: pie", false},
+		{"not terminated, not resumable", false, head + chunk(event(1)), rest(2), []End{Split}, event(1), false},
+		{"close-delimited, not resumable", false, "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Type: text/event-stream\r\n\r\n" + event(1), rest(2), []End{Split}, event(1), false},
+		{"shorter than its length, not resumable", false, "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Type: text/event-stream\r\nContent-Length: 999\r\n\r\n" + event(1), rest(2), []End{Split}, event(1), false},
+		{"resumed", true, cut, rest(3, 4), []End{Split, Done}, all, true},
+		{"resumed with earlier events repeated", true, cut, rest(1, 2, 3, 4), []End{Split, Done}, all, true},
+		{"resumed after an incomplete event", true, head + chunk(event(1)[:4]) + chunk(event(1)[4:]+event(2)) + chunk("id: 3\n"), rest(3, 4), []End{Split, Done}, all, true},
+		{"resumed with unnumbered events", true, cut, fmt.Sprintf(streamHead, "o") + chunk(": hello\n\n"+event(3)) + chunk(event(4)+"data: end\n\n") + "0\r\n\r\n", []End{Split, Done}, event(1) + event(2) + ": hello\n\n" + event(3) + event(4) + "data: end\n\n", true},
+		{"resumed with no further numbered event", true, cut, fmt.Sprintf(streamHead, "o") + chunk(event(2)) + chunk("data: end\n\n") + "0\r\n\r\n", []End{Split, Done}, event(1) + event(2) + "data: end\n\n", true},
+		{"resumed with a gap", true, cut, rest(4), []End{Split, Lost}, event(1) + event(2), false},
+		{"resumed without a stream", true, cut, plain("1", event(3)), []End{Split, Lost}, event(1) + event(2), false},
+		{"resumed without a seal", true, cut, strings.Replace(rest(3, 4), "X-Seal: other", "X-Unsealed: x", 1), []End{Split, Lost}, event(1) + event(2), false},
+		{"resumed with a failure", true, cut, "HTTP/1.1 500 Oops\r\nX-Try: 1\r\nContent-Length: 0\r\n\r\n", []End{Split, Lost}, event(1) + event(2), false},
+		{"resumption not run", true, cut, "HTTP/1.1 503 Full\r\nX-Try: 1\r\nX-Not-Run: busy\r\nContent-Length: 0\r\n\r\n", []End{Split, Dropped}, event(1) + event(2), false},
+		{"truncated twice", true, cut, fmt.Sprintf(streamHead, "o") + chunk(event(3)), []End{Split, Split}, event(1) + event(2) + event(3), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			first, second := says(t, c.first, true), says(t, c.second, true)
@@ -772,7 +772,7 @@
 	}
 }
 
-// A stream that breaks before its first byte is as any answer that never came.
+// A stream that breaks before its first event counts as an attempt without a response.
 func TestRelayStreamEarly(t *testing.T) {
 	for _, again := range []bool{false, true} {
 		first, second := says(t, fmt.Sprintf(streamHead, "s"), true), says(t, fmt.Sprintf(streamHead, "o")+chunk(event(1))+"0\r\n\r\n", false)
@@ -790,7 +790,7 @@
 	}
 }
 
-// The client's own place in a stream is where it is taken up if nothing was passed on yet.
+// If no event was forwarded yet, a stream is resumed from the client's own position.
 func TestRelaySeen(t *testing.T) {
 	first, second := says(t, fmt.Sprintf(streamHead, "s")+chunk(event(8))+chunk("id"), true), says(t, fmt.Sprintf(streamHead, "o")+chunk(event(9))+"0\r\n\r\n", false)
 	b := relayFor(t, &script{to: []string{first.addr(), second.addr()}, resume: true}, RelayOptions{})
@@ -803,7 +803,7 @@
 	require.Equal(t, "8", second.requests()[0].Header.Get("X-After"))
 }
 
-// A big answer that breaks off once the client has some of it is broken visibly.
+// A large response that breaks off after the client has received part of it is aborted visibly.
 func TestRelayBigBreaks(t *testing.T) {
 	for _, head := range []string{"Content-Length: 900000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x\r\n", 900000)} {
 		first, second := says(t, "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\n"+head+strings.Repeat("x", 500_000), true), says(t, plain("1", "good"), false)
@@ -820,14 +820,14 @@
 	}
 }
 
-// A client that leaves takes its server's connection with it, whatever stage it left in.
+// When a client disconnects, its server's connection is closed at any stage of the request.
 func TestRelayClientLeaves(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
 	}{
 		{"before the head", ""},
-		{"in a body", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 9\r\n\r\nhalf"},
-		{"in a stream", fmt.Sprintf(streamHead, "s") + chunk(event(1))},
+		{"during a body", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 9\r\n\r\nhalf"},
+		{"during a stream", fmt.Sprintf(streamHead, "s") + chunk(event(1))},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			left := make(chan struct{})
@@ -836,7 +836,7 @@
 				s.next(br)
 				_, _ = io.WriteString(conn, c.answer)
 				close(reached)
-				_, _ = br.ReadByte() // until the relay closes it
+				_, _ = br.ReadByte() // until the relay closes the connection
 				close(left)
 			})
 			b := relayFor(t, &script{to: []string{srv.addr()}, again: true}, RelayOptions{})
@@ -854,10 +854,10 @@
 			require.Empty(t, b.ends)
 		})
 	}
-	t.Run("while it waits", func(t *testing.T) {
-		quiet := &mute{script: &script{}}
-		b := relayFor(t, quiet.script, RelayOptions{})
-		quiet.relay.Use(quiet)
+	t.Run("while waiting", func(t *testing.T) {
+		silent := &mute{script: &script{}}
+		b := relayFor(t, silent.script, RelayOptions{})
+		silent.relay.Use(silent)
 		cl := b.dial(t)
 		cl.send(get("1"))
 		require.Eventually(t, func() bool { return b.relay.Open() == 1 }, soon, time.Millisecond)
@@ -867,7 +867,7 @@
 	})
 }
 
-// mute launches nothing.
+// silentDecider launches no attempts.
 type mute struct{ *script }
 
 func (m *mute) Step(in any) {
@@ -878,7 +878,7 @@
 	}
 }
 
-// A client that stops reading is given up.
+// A client that stops reading is disconnected.
 func TestRelayClientStalls(t *testing.T) {
 	srv := newStandIn(t, func(s *standIn, _ int, c net.Conn, br *bufio.Reader) {
 		s.next(br)
@@ -899,10 +899,10 @@
 	require.Len(t, b.quits, 1)
 }
 
-// After many requests of all kinds, nothing is left behind.
+// After many requests of all kinds no goroutine is left behind.
 func TestRelayLeavesNothing(t *testing.T) {
-	was := runtime.NumGoroutine()
-	t.Run("day", func(t *testing.T) {
+	before := runtime.NumGoroutine()
+	t.Run("mixed requests", func(t *testing.T) {
 		srv := newStandIn(t, func(s *standIn, n int, c net.Conn, br *bufio.Reader) {
 			for k := n; ; k++ {
 				q := s.next(br)
@@ -926,11 +926,11 @@
 			}
 		})
 		b := relayFor(t, &script{to: []string{srv.addr(), srv.addr(), srv.addr()}, again: true, resume: true}, RelayOptions{})
-		var over sync.WaitGroup
+		var clients sync.WaitGroup
 		for w := range 8 {
-			over.Add(1)
+			clients.Add(1)
 			go func() {
-				defer over.Done()
+				defer clients.Done()
 				for i := range 40 {
 					c, err := net.Dial("tcp", b.addr)
 					if err != nil {
@@ -946,7 +946,7 @@
 							t.Error(err)
 						} else if a.StatusCode == 200 {
 							if got := a.Header.Get("X-Try"); got != id {
-								t.Errorf("%s got the answer of %s", id, got)
+								t.Errorf("%s received the response to %s", id, got)
 							}
 							_, _ = io.Copy(io.Discard, a.Body)
 						}
@@ -955,20 +955,20 @@
 				}
 			}()
 		}
-		over.Wait()
+		clients.Wait()
 		b.settled(t)
 	})
-	for end := time.Now().Add(soon); runtime.NumGoroutine() > was && time.Now().Before(end); {
+	for end := time.Now().Add(soon); runtime.NumGoroutine() > before && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	p := make([]byte, 1<<20)
-	require.LessOrEqual(t, runtime.NumGoroutine(), was, "%s", p[:runtime.Stack(p, true)])
+	require.LessOrEqual(t, runtime.NumGoroutine(), before, "%s", p[:runtime.Stack(p, true)])
 }
 
-// At a stop the router is unready at once, still serves, tells clients to go elsewhere, and lets
-// what is under way finish.
+// After the stop, the router reports unready at once, continues to serve, directs clients to other routers and
+// lets requests in progress finish.
 func TestRelayStops(t *testing.T) {
-	free := make(chan struct{})
+	unblock := make(chan struct{})
 	srv := newStandIn(t, func(s *standIn, n int, c net.Conn, br *bufio.Reader) {
 		for {
 			q := s.next(br)
@@ -976,7 +976,7 @@
 				return
 			}
 			if q.Header.Get("X-Try") == "slow" {
-				<-free
+				<-unblock
 			}
 			_, _ = io.WriteString(c, plain(q.Header.Get("X-Try"), "good"))
 		}
@@ -998,7 +998,7 @@
 	require.Eventually(t, func() bool { return len(srv.requests()) == 1 }, soon, time.Millisecond)
 	close(stop)
 	require.Equal(t, 503, ready())
-	for { // until the answers tell to go elsewhere
+	for { // until responses close their connections
 		kept.send(get("1"))
 		a, _, err := kept.answer("GET")
 		require.NoError(t, err)
@@ -1014,7 +1014,7 @@
 		}
 		return err != nil
 	}, soon, time.Millisecond)
-	close(free)
+	close(unblock)
 	a, body, err := slow.answer("GET")
 	require.NoError(t, err)
 	require.Equal(t, "good", body)
@@ -1023,7 +1023,7 @@
 	s.settled(t)
 }
 
-// The relay works before the real core in its host.
+// The relay works with the real core in its host.
 func TestRelayCore(t *testing.T) {
 	core := New(Options{Inc: 7})
 	r := NewRelay(RelayOptions{Dialect: fakeDialect{}})
@@ -1036,10 +1036,10 @@
 	defer done()
 	r.decider.Step(Call{Ref: ref, Call: fleetplan.Call{ID: "1", Wait: -1}})
 	require.Equal(t, failure.PastDue, (<-ch).(Receipt).Kind)
-	r.Act("what is not for it")
+	r.Act("an unknown output")
 }
 
-// BenchmarkRelay measures small requests over kept connections, with the client and the server.
+// BenchmarkRelay measures small requests over reused connections, including the client and the server.
 func BenchmarkRelay(b *testing.B) {
 	answer := plain("1", strings.Repeat("x", 200))
 	srv := newStandIn(b, func(_ *standIn, _ int, c net.Conn, br *bufio.Reader) {
--- a/internal/router/request_trace_test.go
+++ b/internal/router/request_trace_test.go
@@ -14,7 +14,8 @@
 	"tidedeck/internal/fleetplan"
 )
 
-// A request that no server answered is explained by its id: configuration, lease, servers and what each said.
+// The trace of a failed request, found by its ID, contains the configuration, the lease, the servers and their
+// responses.
 func TestTraceOfAFailedRequest(t *testing.T) {
 	b := free(t, Options{})
 	b.entry("web|", "s1", "s2")
@@ -42,7 +43,7 @@
 	require.Equal(t, CauseHead, trace.Attempts[1].Cause)
 }
 
-// A trace says by which configuration each attempt was sent, and which one ruled at the end.
+// A trace contains the configuration under which each attempt was sent, and the one in force at the end.
 func TestTraceNamesConfigurations(t *testing.T) {
 	first, second := hostPlan(nil), hostPlan(nil)
 	first.Name, second.Name = "55", "66"
@@ -58,7 +59,7 @@
 	require.EqualValues(t, 1, trace.Attempts[0].Epoch)
 }
 
-// What the first attempt serves leaves no trace; a caller that leaves does.
+// A request served by its first attempt leaves no trace; one whose client disconnects does.
 func TestTraceOnlyWhatMatters(t *testing.T) {
 	b := free(t, Options{})
 	b.entry("web|", "s1", "s2")
@@ -73,13 +74,13 @@
 	require.Equal(t, CauseCaller, trace.Attempts[0].Cause)
 }
 
-// The log keeps the newest, finds one by its id, and counts all.
+// The log keeps the newest traces, finds one by its ID, and counts all of them.
 func TestRequestLog(t *testing.T) {
 	l := NewRequestLog("r1", nil, 3)
 	for i := range 5 {
 		l.Add(RequestTrace{ID: fmt.Sprint(i), End: EndedRefused, Kind: failure.Unclear})
 	}
-	ask := func(query string) (list []LoggedRequest) {
+	list := func(query string) (found []LoggedRequest) {
 		w := httptest.NewRecorder()
 		l.ServeHTTP(w, httptest.NewRequest("GET", "/-/requests"+query, nil))
 		require.Equal(t, 200, w.Code)
@@ -87,13 +88,13 @@
 		require.NoError(t, json.Unmarshal(w.Body.Bytes(), &body))
 		return body.Requests
 	}
-	all := ask("")
+	all := list("")
 	require.Len(t, all, 3)
 	require.Equal(t, "4", all[0].ID)
 	require.Equal(t, "2", all[2].ID)
-	require.Len(t, ask("?last=1"), 1)
-	require.Empty(t, ask("?id=0"))
-	one := ask("?id=3")
+	require.Len(t, list("?last=1"), 1)
+	require.Empty(t, list("?id=0"))
+	one := list("?id=3")
 	require.Len(t, one, 1)
 	require.Equal(t, "r1", one[0].Router)
 	require.EqualValues(t, 5, l.Counts()[failure.Kind(EndedRefused)])
@@ -102,7 +103,7 @@
 	require.Equal(t, 400, w.Code)
 }
 
-// A repeat is handed the time that its caller has left, not what it had at first.
+// A repeated attempt is given the time that the client has left, not the initial time.
 func TestTimeLeftOnARepeat(t *testing.T) {
 	b := free(t, Options{})
 	b.entry("web|", "s1", "s2")
@@ -115,16 +116,16 @@
 	require.LessOrEqual(t, second.Left, first.Left-clock.Span(1e9))
 }
 
-// A request that no configuration decides about is answered at its time.
+// A request that no configuration covers is answered within its time.
 func TestWaitsNoLongerThanItsTime(t *testing.T) {
 	b := &bed{Core: New(Options{Free: true}), at: 1e9}
 	_, told := pick[Receipt](b.Step(b.at, Call{Ref: 1, Route: "/again/x", Call: fleetplan.Call{ID: "1", Host: "h", Wait: 2e9}}))
-	require.False(t, told, "it waits")
+	require.False(t, told, "the request waits")
 	_, told = pick[Receipt](b.wait(6 * time.Second))
 	require.True(t, told)
 }
 
-// The relay tells the core what a server said and why an attempt counts as lost.
+// The relay reports the server's status to the core, and the cause for which an attempt counts as lost.
 func TestEndsTellTheirCause(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
@@ -132,11 +133,11 @@
 		cause        Cause
 	}{
 		{"closed at once", "", 0, CauseHead},
-		{"another's answer", plain("2", "x"), 0, CauseHead}, // it is read off, and no other follows
-		{"no id", "HTTP/1.1 200 OK\r\nX-Seal: s\r\nContent-Length: 1\r\n\r\nx", 0, CauseForeign},
+		{"response to another request", plain("2", "x"), 0, CauseHead}, // skipped as surplus, and no other response follows
+		{"no ID", "HTTP/1.1 200 OK\r\nX-Seal: s\r\nContent-Length: 1\r\n\r\nx", 0, CauseForeign},
 		{"no seal", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nContent-Length: 1\r\n\r\nx", 200, CauseUnsealed},
 		{"too short", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 9\r\n\r\nx", 200, CauseBody},
-		{"a promise without proof", "HTTP/1.1 503 No\r\nX-Try: 1\r\nContent-Length: 0\r\n\r\n", 503, CauseStatus},
+		{"503 without proof", "HTTP/1.1 503 No\r\nX-Try: 1\r\nContent-Length: 0\r\n\r\n", 503, CauseStatus},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := &script{to: []string{says(t, c.answer, true).addr()}}
--- a/internal/router/serve_test.go
+++ b/internal/router/serve_test.go
@@ -23,7 +23,7 @@
 	"tidedeck/internal/protocol"
 )
 
-// front makes a router's HTTP side that holds its link and promises one server.
+// newTestFrontend creates a router's HTTP interface with a session, a plan and an entry with one server.
 func newTestFrontend(t testing.TB, server string, idle time.Duration) (*frontend, *httptest.Server) {
 	core := New(Options{Inc: 7})
 	d := &frontend{dialer: host.Dialer("", time.Second), core: core, stop: make(chan struct{}), idleTimeout: idle}
@@ -51,7 +51,7 @@
 	return w.StatusCode, w.Header, string(b)
 }
 
-// Bad input gets its kind at once, and whether it was dropped.
+// Invalid requests are answered at once with their failure kind, and as not run.
 func TestBadInput(t *testing.T) {
 	_, s := newTestFrontend(t, "http://127.0.0.1:1", time.Second)
 	for _, c := range []struct {
@@ -69,7 +69,7 @@
 		{"no such adapter", "/r", strings.Replace(testCall, `"kind"`, `"adapter":"z","kind"`, 1), 404, failure.NoModel},
 		{"no such kind", "/r", strings.Replace(testCall, `"k"`, `"z"`, 1), 400, failure.NoKind},
 		{"past its horizon", "/r", strings.Replace(testCall, `"kind"`, `"horizon_ms":0,"kind"`, 1), 400, failure.PastDue},
-		{"repeat without allowance", "/r", strings.Replace(testCall, `"kind"`, `"repeat":true,"kind"`, 1), 503, failure.Spent},
+		{"repeat without retry allowance", "/r", strings.Replace(testCall, `"kind"`, `"repeat":true,"kind"`, 1), 503, failure.Spent},
 	} {
 		code, head, body := post(t, s.URL+c.path, c.body)
 		require.Equal(t, c.code, code, c.name)
@@ -83,8 +83,8 @@
 	require.Equal(t, http.StatusMethodNotAllowed, w.StatusCode)
 }
 
-// What servers do, and what callers and servers see of it. Nothing below the router's own
-// ledger sends a request twice.
+// For each behavior of a server: what the client and the server observe. No layer below the router's ledger sends
+// a request twice.
 func TestStreams(t *testing.T) {
 	line := func(w http.ResponseWriter, r *http.Request, n int, more string) {
 		var g protocol.Work
@@ -96,27 +96,27 @@
 		w.(http.Flusher).Flush()
 	}
 	for _, c := range []struct {
-		name  string
-		serve func(w http.ResponseWriter, r *http.Request)
-		code  int
-		has   string
-		lacks string
-		hits  int64
+		name     string
+		serve    func(w http.ResponseWriter, r *http.Request)
+		code     int
+		contains string
+		excludes string
+		requests int64
 	}{
-		{"whole", func(w http.ResponseWriter, r *http.Request) {
+		{"complete", func(w http.ResponseWriter, r *http.Request) {
 			line(w, r, 0, "")
 			line(w, r, 1, "")
 			line(w, r, 2, `,"done":true`)
 		}, 200, `"done":true`, "event: error", 1},
-		{"broken off", func(w http.ResponseWriter, r *http.Request) {
+		{"connection aborted", func(w http.ResponseWriter, r *http.Request) {
 			line(w, r, 0, "")
 			panic(http.ErrAbortHandler)
 		}, 200, "event: error\ndata: {\"kind\":\"cut\",\"dropped\":false}", "done", 1},
-		{"skips", func(w http.ResponseWriter, r *http.Request) {
+		{"skips an event", func(w http.ResponseWriter, r *http.Request) {
 			line(w, r, 0, "")
 			line(w, r, 2, `,"done":true`)
 		}, 200, `"kind":"cut"`, "done", 1},
-		{"past any size", func(w http.ResponseWriter, r *http.Request) {
+		{"event too large", func(w http.ResponseWriter, r *http.Request) {
 			line(w, r, 0, "")
 			line(w, r, 1, `,"text":"`+strings.Repeat("x", maxEventBytes)+`"`)
 		}, 200, `"kind":"cut"`, "xxx", 1},
@@ -124,48 +124,48 @@
 			line(w, r, 0, "")
 			_, _ = io.WriteString(w, "data: {\"n\":1,\n\n")
 		}, 200, `"kind":"cut"`, "done", 1},
-		{"another's", func(w http.ResponseWriter, r *http.Request) {
+		{"event of another attempt", func(w http.ResponseWriter, r *http.Request) {
 			line(w, r, 0, "")
 			_, _ = io.WriteString(w, "data: {\"n\":1,\"go\":\"another\",\"server\":\"s\",\"done\":true}\n\n")
 		}, 200, `"kind":"cut"`, "done", 1},
-		{"twice", func(w http.ResponseWriter, r *http.Request) {
+		{"repeats an event", func(w http.ResponseWriter, r *http.Request) {
 			line(w, r, 0, "")
 			line(w, r, 0, "")
 		}, 200, `"kind":"cut"`, "done", 1},
-		{"late, after its end", func(w http.ResponseWriter, r *http.Request) {
+		{"event after the end", func(w http.ResponseWriter, r *http.Request) {
 			line(w, r, 0, `,"done":true`)
 			line(w, r, 1, `,"text":"late"`)
 		}, 200, `"done":true`, "late", 1},
-		{"ran it before", func(w http.ResponseWriter, r *http.Request) { host.Error(w, failure.Repeated, 0, nil) }, 409, `"kind":"repeated","dropped":false`, "data:", 1},
+		{"already run", func(w http.ResponseWriter, r *http.Request) { host.Error(w, failure.Repeated, 0, nil) }, 409, `"kind":"repeated","dropped":false`, "data:", 1},
 		{"silent", func(w http.ResponseWriter, r *http.Request) {
 			line(w, r, 0, "")
 			<-r.Context().Done()
 		}, 200, `"kind":"cut"`, "done", 1},
 		{"ends before its first event", func(w http.ResponseWriter, r *http.Request) { panic(http.ErrAbortHandler) }, 502, `"kind":"unclear","dropped":false`, "data:", 1},
-		{"fails in a way of its own", func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(500) }, 502, `"kind":"unclear"`, "data:", 1},
-		{"drops it", func(w http.ResponseWriter, r *http.Request) { host.Error(w, failure.Busy, 0, nil) }, 503, `"kind":"allowance_spent","dropped":true`, "data:", 1},
+		{"fails without a problem body", func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(500) }, 502, `"kind":"unclear"`, "data:", 1},
+		{"not run", func(w http.ResponseWriter, r *http.Request) { host.Error(w, failure.Busy, 0, nil) }, 503, `"kind":"allowance_spent","dropped":true`, "data:", 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var hits atomic.Int64
-			back := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				hits.Add(1)
+			var requests atomic.Int64
+			backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				requests.Add(1)
 				c.serve(w, r)
 			}))
-			t.Cleanup(back.Close)
-			_, s := newTestFrontend(t, back.URL, 200*time.Millisecond)
+			t.Cleanup(backend.Close)
+			_, s := newTestFrontend(t, backend.URL, 200*time.Millisecond)
 			code, _, body := post(t, s.URL+"/r", testCall)
 			require.Equal(t, c.code, code, body)
-			require.Contains(t, body, c.has)
-			require.NotContains(t, body, c.lacks)
-			require.Equal(t, c.hits, hits.Load())
+			require.Contains(t, body, c.contains)
+			require.NotContains(t, body, c.excludes)
+			require.Equal(t, c.requests, requests.Load())
 		})
 	}
 }
 
-// A caller that leaves takes its request from the server, too.
+// When a client disconnects, its request is canceled at the server, too.
 func TestCallerLeaves(t *testing.T) {
 	gone := make(chan struct{})
-	back := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var g protocol.Work
 		_ = decodeBody(r, &g)
 		_, _ = fmt.Fprintf(w, "data: {\"n\":0,\"go\":%q,\"server\":\"s\"}\n\n", g.Go)
@@ -173,8 +173,8 @@
 		<-r.Context().Done()
 		close(gone)
 	}))
-	t.Cleanup(back.Close)
-	d, s := newTestFrontend(t, back.URL, time.Minute)
+	t.Cleanup(backend.Close)
+	d, s := newTestFrontend(t, backend.URL, time.Minute)
 	ctx, leave := context.WithCancel(context.Background())
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, s.URL+"/r", strings.NewReader(testCall))
 	require.NoError(t, err)
@@ -185,18 +185,18 @@
 	require.NoError(t, err)
 	leave()
 	<-gone
-	s.Close() // waits for the router's own side
+	s.Close() // waits for the router's handler
 	d.process.With(func(clock.Tick) {
 		require.Zero(t, d.core.servers["s"].work)
 		require.Empty(t, d.core.requests)
 	})
 }
 
-// A caller that ends its sending side is given up, and what it reads then is no whole answer.
+// A client that closes its sending side is disconnected and does not receive a complete response.
 func TestHalfClosedCaller(t *testing.T) {
 	for _, begun := range []bool{false, true} {
 		reached := make(chan struct{})
-		back := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			var g protocol.Work
 			_ = decodeBody(r, &g)
 			if begun {
@@ -206,8 +206,8 @@
 			close(reached)
 			<-r.Context().Done()
 		}))
-		t.Cleanup(back.Close)
-		_, s := newTestFrontend(t, back.URL, time.Minute)
+		t.Cleanup(backend.Close)
+		_, s := newTestFrontend(t, backend.URL, time.Minute)
 		c, err := net.Dial("tcp", strings.TrimPrefix(s.URL, "http://"))
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = c.Close() })
@@ -231,7 +231,8 @@
 	}
 }
 
-// What a hit costs the core: routing under a callback, checked and ended.
+// BenchmarkHit measures the core's part of a request whose entry is cached: routing, the check before sending, and
+// the end.
 func BenchmarkHit(b *testing.B) {
 	b.ReportAllocs()
 	c := New(Options{Inc: 7})
@@ -248,9 +249,10 @@
 	}
 }
 
-// A request straight to a server, and the same through the router: only the ratio says something.
+// BenchmarkWay compares requests sent directly to a server with requests through the router. Only the ratio is
+// meaningful.
 func BenchmarkWay(b *testing.B) {
-	back := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var g protocol.Work
 		_ = decodeBody(r, &g)
 		for n := range 9 {
@@ -258,10 +260,10 @@
 			w.(http.Flusher).Flush()
 		}
 	}))
-	defer back.Close()
-	_, s := newTestFrontend(b, back.URL, time.Minute)
+	defer backend.Close()
+	_, s := newTestFrontend(b, backend.URL, time.Minute)
 	h := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	for name, url := range map[string]string{"straight": back.URL + "/generate", "through": s.URL + "/r"} {
+	for name, url := range map[string]string{"direct": backend.URL + "/generate", "routed": s.URL + "/r"} {
 		b.Run(name, func(b *testing.B) {
 			for range b.N {
 				w, err := h.Post(url, "application/json", strings.NewReader(testCall))
@@ -273,10 +275,11 @@
 	}
 }
 
-// A caller that stops reading is given up: it holds neither the server's slot nor a planned stop.
+// A client that stops reading is disconnected, so that it neither occupies a slot of the server nor delays a
+// planned stop.
 func TestCallerStopsReading(t *testing.T) {
 	gone := make(chan struct{})
-	back := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var g protocol.Work
 		_ = decodeBody(r, &g)
 		for n := 0; r.Context().Err() == nil; n++ {
@@ -287,8 +290,8 @@
 		}
 		close(gone)
 	}))
-	t.Cleanup(back.Close)
-	d, s := newTestFrontend(t, back.URL, 200*time.Millisecond)
+	t.Cleanup(backend.Close)
+	d, s := newTestFrontend(t, backend.URL, 200*time.Millisecond)
 	c, err := net.Dial("tcp", strings.TrimPrefix(s.URL, "http://"))
 	require.NoError(t, err)
 	defer c.Close()
