--- a/internal/router/conn_pool_test.go
+++ b/internal/router/conn_pool_test.go
@@ -127,7 +127,7 @@
 }
 
 // A connection is reused or not, depending on the server's response and behavior.
-func TestConnsKept(t *testing.T) {
+func TestConnReuse(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
 		reused       bool
@@ -166,7 +166,7 @@
 }
 
 // An idle connection that its server has closed, or that has received data, is not reused.
-func TestConnsStale(t *testing.T) {
+func TestStaleConns(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		do   func(net.Conn)
@@ -204,7 +204,7 @@
 
 // The most recently used connection is reused first, the number of idle connections stays within its limit, and
 // reap and closeIdle close idle connections.
-func TestConnsBounds(t *testing.T) {
+func TestConnPoolLimits(t *testing.T) {
 	s := newStandIn(t, func(s *standIn, _ int, _ net.Conn, br *bufio.Reader) {
 		for s.next(br) != nil {
 		}
@@ -244,7 +244,7 @@
 }
 
 // Reading an endless response head stops at the size limit.
-func TestConnsHeadBound(t *testing.T) {
+func TestResponseHeadLimit(t *testing.T) {
 	s := newStandIn(t, func(_ *standIn, _ int, c net.Conn, _ *bufio.Reader) {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n")
 		for i := 0; ; i++ {
--- a/internal/router/relay_test.go
+++ b/internal/router/relay_test.go
@@ -517,7 +517,7 @@
 }
 
 // The relay never resends a request on its own when a reused connection breaks.
-func TestRelayKeptBreaks(t *testing.T) {
+func TestRelayDoesNotResend(t *testing.T) {
 	srv := newStandIn(t, func(s *standIn, n int, c net.Conn, br *bufio.Reader) {
 		if s.next(br) != nil {
 			_, _ = io.WriteString(c, plain("1", "good"))
@@ -537,7 +537,7 @@
 }
 
 // A response after the request's deadline is lost, and none of its bytes reach a client.
-func TestRelayLate(t *testing.T) {
+func TestRelayResponseAfterDeadline(t *testing.T) {
 	unblock := make(chan struct{})
 	srv := newStandIn(t, func(s *standIn, n int, c net.Conn, br *bufio.Reader) {
 		for s.next(br) != nil {
@@ -791,7 +791,7 @@
 }
 
 // If no event was forwarded yet, a stream is resumed from the client's own position.
-func TestRelaySeen(t *testing.T) {
+func TestRelayResumesFromClientPosition(t *testing.T) {
 	first, second := says(t, fmt.Sprintf(streamHead, "s")+chunk(event(8))+chunk("id"), true), says(t, fmt.Sprintf(streamHead, "o")+chunk(event(9))+"0\r\n\r\n", false)
 	b := relayFor(t, &script{to: []string{first.addr(), second.addr()}, resume: true}, RelayOptions{})
 	cl := b.dial(t)
@@ -900,7 +900,7 @@
 }
 
 // After many requests of all kinds no goroutine is left behind.
-func TestRelayLeavesNothing(t *testing.T) {
+func TestRelayLeaksNoGoroutines(t *testing.T) {
 	before := runtime.NumGoroutine()
 	t.Run("mixed requests", func(t *testing.T) {
 		srv := newStandIn(t, func(s *standIn, n int, c net.Conn, br *bufio.Reader) {
--- a/internal/router/request_trace_test.go
+++ b/internal/router/request_trace_test.go
@@ -60,7 +60,7 @@
 }
 
 // A request served by its first attempt leaves no trace; one whose client disconnects does.
-func TestTraceOnlyWhatMatters(t *testing.T) {
+func TestTraceOnlyUnusualRequests(t *testing.T) {
 	b := free(t, Options{})
 	b.entry("web|", "s1", "s2")
 	ref, l, _ := b.go1("/again/x", fleetplan.Call{})
@@ -126,7 +126,7 @@
 }
 
 // The relay reports the server's status to the core, and the cause for which an attempt counts as lost.
-func TestEndsTellTheirCause(t *testing.T) {
+func TestAttemptEndCauses(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
 		status       int
--- a/internal/router/serve_test.go
+++ b/internal/router/serve_test.go
@@ -52,7 +52,7 @@
 }
 
 // Invalid requests are answered at once with their failure kind, and as not run.
-func TestBadInput(t *testing.T) {
+func TestInvalidRequests(t *testing.T) {
 	_, s := newTestFrontend(t, "http://127.0.0.1:1", time.Second)
 	for _, c := range []struct {
 		name, path, body string
@@ -163,7 +163,7 @@
 }
 
 // When a client disconnects, its request is canceled at the server, too.
-func TestCallerLeaves(t *testing.T) {
+func TestClientDisconnects(t *testing.T) {
 	gone := make(chan struct{})
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var g protocol.Work
@@ -193,7 +193,7 @@
 }
 
 // A client that closes its sending side is disconnected and does not receive a complete response.
-func TestHalfClosedCaller(t *testing.T) {
+func TestHalfClosedClientDisconnected(t *testing.T) {
 	for _, begun := range []bool{false, true} {
 		reached := make(chan struct{})
 		backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -231,9 +231,9 @@
 	}
 }
 
-// BenchmarkHit measures the core's part of a request whose entry is cached: routing, the check before sending, and
+// BenchmarkCachedEntry measures the core's part of a request whose entry is cached: routing, the check before sending, and
 // the end.
-func BenchmarkHit(b *testing.B) {
+func BenchmarkCachedEntry(b *testing.B) {
 	b.ReportAllocs()
 	c := New(Options{Inc: 7})
 	c.Step(1e9, protocol.Env{Body: protocol.Hold{Session: ses, Until: 1e18, Routers: 1}})
@@ -249,9 +249,9 @@
 	}
 }
 
-// BenchmarkWay compares requests sent directly to a server with requests through the router. Only the ratio is
+// BenchmarkRoundTrip compares requests sent directly to a server with requests through the router. Only the ratio is
 // meaningful.
-func BenchmarkWay(b *testing.B) {
+func BenchmarkRoundTrip(b *testing.B) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var g protocol.Work
 		_ = decodeBody(r, &g)
@@ -277,7 +277,7 @@
 
 // A client that stops reading is disconnected, so that it neither occupies a slot of the server nor delays a
 // planned stop.
-func TestCallerStopsReading(t *testing.T) {
+func TestClientStopsReading(t *testing.T) {
 	gone := make(chan struct{})
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var g protocol.Work
