--- a/internal/router/dialect.go
+++ b/internal/router/dialect.go
@@ -30,15 +30,15 @@
 // Dialect defines how the clients and servers of a deployment use HTTP: the names and formats of paths and
 // headers. It contains no decision logic.
 type Dialect interface {
-	// Read extracts the properties of a client's request; the fault describes a malformed head.
+	// ReadRequest extracts the properties of a client's request; the fault describes a malformed head.
 	Read(r *http.Request) (fleetplan.Call, *fleetplan.Fault)
-	// Write adds the properties of an attempt to the headers of its request, which already contain the client's
+	// WriteAttempt adds the properties of an attempt to the headers of its request, which already contain the client's
 	// own headers. Tenant headers set by the client are removed.
 	Write(h http.Header, a Attempt)
-	// Answer extracts the properties of a server's response from its status and headers.
+	// ReadResponse extracts the properties of a server's response from its status and headers.
 	Answer(status int, h http.Header) Said
-	// Event returns the event number that a line of an event stream carries, if any.
+	// EventNumber returns the event number that a line of an event stream carries, if any.
 	Event(line []byte) (n uint64, ok bool)
-	// Ready returns the path of the router's readiness endpoint.
+	// ReadinessPath returns the path of the router's readiness endpoint.
 	Ready() string
 }
--- a/internal/router/host.go
+++ b/internal/router/host.go
@@ -30,12 +30,12 @@
 	Read      func([]byte) (*fleetplan.Plan, fleetplan.Faults)
 	Grace     clock.Span // time in which the process has to stop
 	Lame      clock.Span // how long after becoming unready the router still accepts clients
-	Lend      float64    // retries that all routers together may make in each Window in addition to Fraction
-	LendAgain float64    // the same for restarted routers, in the first Window after their start
+	Lend      float64    // retries that all routers together may make in each RetryWindow in addition to RetryFraction
+	LendAgain float64    // the same for restarted routers, in the first RetryWindow after their start
 	Window    clock.Span
 	First     bool    // the whole system starts for the first time
 	Bodies    int64   // maximum total size of the request bodies held at once, in bytes; unlimited if zero
-	Fraction  float64 // retries allowed in any Window as a fraction of the first attempts at a service
+	Fraction  float64 // retries allowed in any RetryWindow as a fraction of the first attempts at a service
 
 	planCache *fleetplan.Memo
 }
--- a/internal/router/in_flight.go
+++ b/internal/router/in_flight.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// Act delivers a Launch or a Receipt to its request. It serves as the Else function of a host.
+// Deliver passes a Launch or a Receipt to its request. It serves as the Else function of a host.
 func (f *inFlight) Act(v any) {
 	var ref Ref
 	switch v := v.(type) {
@@ -43,7 +43,7 @@
 	}
 }
 
-// Open returns the number of requests in progress.
+// InFlight returns the number of requests in progress.
 func (f *inFlight) Open() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -17,7 +17,7 @@
 
 // Decider decides what happens to requests.
 type Decider interface {
-	// Step takes an event: Call, Begun, Ended or Quit. Resulting decisions are delivered to Relay.Act.
+	// Step takes an event: Call, Begun, Ended or Quit. Resulting decisions are passed to Relay.Deliver.
 	Step(in any)
 	// MaySend reports whether an attempt may be sent. It is called immediately before sending.
 	MaySend(ref Ref, n int) bool
@@ -47,7 +47,7 @@
 
 // RelayOptions configures a relay.
 type RelayOptions struct {
-	Decider Decider // may be set later with Relay.Use
+	Decider Decider // may be set later with Relay.SetDecider
 	Dialect Dialect
 	Conns   ConnOptions
 	// BodyLimits returns the maximum size of a request body and the time within which it must arrive, according to
