--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -17,14 +17,14 @@
 	"tidedeck/internal/generic"
 )
 
-// fuzzServer gives the first attempt of each request the bytes that a round has for it, and any further
-// attempt a clean answer.
+// fuzzServer sends the bytes of the current round in response to the first attempt of each request, and a well-
+// formed response to any further attempt.
 type fuzzServer struct {
 	*standIn
-	mu     sync.Mutex
-	method string
-	bytes  map[string][]byte // by request
-	seen   map[string]int    // attempts of each request
+	mu            sync.Mutex
+	method        string
+	responses     map[string][]byte // by request ID
+	attemptCounts map[string]int    // by request ID
 }
 
 func newFuzzServer(t testing.TB) *fuzzServer {
@@ -47,32 +47,32 @@
 func (f *fuzzServer) begin(method string, first, second []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.method, f.bytes, f.seen = method, map[string][]byte{"1": first, "2": second}, map[string]int{}
+	f.method, f.responses, f.attemptCounts = method, map[string][]byte{"1": first, "2": second}, map[string]int{}
 }
 
-// answer gives the bytes for an attempt, and whether the connection stays open behind them: it does
-// where an answer to the request has an end of its own.
+// answer returns the bytes for an attempt and whether the connection stays open after them, which it does if they
+// contain a response to the request that is complete without closing the connection.
 func (f *fuzzServer) answer(id string) ([]byte, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.seen[id]++; f.seen[id] > 1 {
+	if f.attemptCounts[id]++; f.attemptCounts[id] > 1 {
 		return cleanAnswer(id, f.method), true
 	}
-	for _, a := range answersIn(f.bytes[id], f.method) {
+	for _, a := range parseResponses(f.responses[id], f.method) {
 		if a.id == id {
-			return f.bytes[id], a.whole
+			return f.responses[id], a.complete
 		}
 	}
-	return f.bytes[id], false
+	return f.responses[id], false
 }
 
 func (f *fuzzServer) attempts(id string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.seen[id]
+	return f.attemptCounts[id]
 }
 
-// cleanAnswer is what a server without trouble answers.
+// cleanAnswer returns a well-formed response.
 func cleanAnswer(id, method string) []byte {
 	s := plain(id, "clean")
 	if method == http.MethodHead {
@@ -81,17 +81,17 @@
 	return []byte(s)
 }
 
-// told is an answer that stands in a server's bytes, read without the relay's code.
-type told struct {
-	id     string
-	sealed bool
-	status int
-	body   []byte
-	whole  bool // its body came to its end before the bytes did
+// serverResponse is a response found in a server's bytes, parsed independently of the relay's code.
+type serverResponse struct {
+	id       string
+	sealed   bool
+	status   int
+	body     []byte
+	complete bool // the body ended before the bytes did
 }
 
-// answersIn reads the final answers to a method one after the other, as far as bytes are answers.
-func answersIn(b []byte, method string) (l []told) {
+// parseResponses parses consecutive final responses to requests with a method, for as long as the bytes are valid.
+func parseResponses(b []byte, method string) (l []serverResponse) {
 	br := bufio.NewReader(bytes.NewReader(b))
 	for {
 		a, err := http.ReadResponse(br, &http.Request{Method: method})
@@ -101,40 +101,40 @@
 		if a.StatusCode < 200 {
 			continue
 		}
-		v := told{id: a.Header.Get("X-Try"), sealed: a.Header.Get("X-Seal") != "", status: a.StatusCode}
+		v := serverResponse{id: a.Header.Get("X-Try"), sealed: a.Header.Get("X-Seal") != "", status: a.StatusCode}
 		framed := a.ContentLength >= 0 || len(a.TransferEncoding) > 0 || a.Body == http.NoBody
 		v.body, err = io.ReadAll(a.Body)
-		v.whole = err == nil && framed
-		if l = append(l, v); !v.whole {
+		v.complete = err == nil && framed
+		if l = append(l, v); !v.complete {
 			return l
 		}
 	}
 }
 
-// heardAnswer is what a client got: nothing, part of an answer or a whole one.
-type heardAnswer struct {
-	head  *http.Response
-	body  []byte
-	whole bool
+// clientResponse is the part of a response that a client received.
+type clientResponse struct {
+	head     *http.Response
+	body     []byte
+	complete bool
 }
 
-// checkAnswer holds what the client of a request got against what a server said to one of its attempts.
-func checkAnswer(t *testing.T, got heardAnswer, id, method string, said ...[]byte) {
+// checkAnswer compares the response that a client received with those that a server sent to the attempts.
+func checkAnswer(t *testing.T, got clientResponse, id, method string, said ...[]byte) {
 	if got.head.Header.Get("X-Try") == "" {
-		require.GreaterOrEqual(t, got.head.StatusCode, 400, "a success that no server gave")
-		require.Empty(t, got.head.Header.Get("X-Seal"), "an answer of the router's own with a seal")
-		if method != http.MethodHead && got.whole {
+		require.GreaterOrEqual(t, got.head.StatusCode, 400, "a success that no server sent")
+		require.Empty(t, got.head.Header.Get("X-Seal"), "a response generated by the router with a seal")
+		if method != http.MethodHead && got.complete {
 			require.Contains(t, string(got.body), `"kind"`)
 		}
 		return
 	}
-	require.Equal(t, id, got.head.Header.Get("X-Try"), "another's answer")
+	require.Equal(t, id, got.head.Header.Get("X-Try"), "response to another request")
 	var why []string
 	for _, b := range said {
-		fault := "no answer to the request"
-		for _, a := range answersIn(b, method) {
+		fault := "no response to the request"
+		for _, a := range parseResponses(b, method) {
 			if a.id == id {
-				fault = a.faultOf(got)
+				fault = a.mismatch(got)
 				break
 			}
 		}
@@ -146,34 +146,34 @@
 	require.Fail(t, strings.Join(why, "; "))
 }
 
-// faultOf tells in what a client's answer is not this one of a server.
-func (a told) faultOf(got heardAnswer) string {
+// mismatch describes how a client's response differs from this one, or returns an empty string.
+func (a serverResponse) mismatch(got clientResponse) string {
 	switch {
 	case a.status != got.head.StatusCode:
-		return "another status"
+		return "different status"
 	case a.status < 300 && !a.sealed:
 		return "a success without a seal"
 	case a.sealed != (got.head.Header.Get("X-Seal") != ""):
-		return "another seal"
+		return "different seal"
 	case !bytes.HasPrefix(a.body, got.body):
-		return "bytes that are not the answer's"
-	case got.whole && (!a.whole || len(got.body) != len(a.body)):
-		return "ended early and looks whole"
+		return "bytes that are not from the response"
+	case got.complete && (!a.complete || len(got.body) != len(a.body)):
+		return "truncated but looks complete"
 	}
 	return ""
 }
 
-// Whatever a server sends on its connections, two requests one after the other each get their own answer
-// or a failure: never another's, never a success without a seal, never more than one, and none
-// that looks whole and is not. What may run once reaches servers once. The third input chooses the
-// method and whether the requests may be repeated or taken up; seeds stand in testdata.
+// Whatever a server sends on its connections, two consecutive requests each get their own response or a failure:
+// never a response to another request, a success without a seal, more than one response, or a truncated one that
+// looks complete. A request that must run at most once is sent to one server at most. The third input selects the
+// method and whether the requests may be repeated or resumed. The seed corpus is in testdata.
 func FuzzServerAnswer(f *testing.F) {
 	srv := newFuzzServer(f)
 	s := &script{to: []string{srv.addr(), srv.addr()}, names: []string{"s0", "s1"}, left: time.Second}
 	b := relayFor(f, s, RelayOptions{Slack: time.Millisecond})
 	f.Fuzz(func(t *testing.T, first, second []byte, flags byte) {
 		if len(first)+len(second) > 64<<10 {
-			return // a long answer shows nothing that a short one doesn't
+			return // longer inputs cover nothing that shorter ones do not
 		}
 		method, again, resume := http.MethodGet, flags&2 > 0, flags&4 > 0
 		if flags&1 > 0 {
@@ -187,49 +187,49 @@
 		for i, said := range [][]byte{first, second} {
 			id := strconv.Itoa(i + 1)
 			client.send(method + " /a HTTP/1.1\r\nHost: h\r\nX-Try: " + id + "\r\n\r\n")
-			got := client.hear(method)
+			got := client.readAny(method)
 			s.settled(t)
 			attempts := srv.attempts(id)
 			if !again && !resume {
-				require.LessOrEqual(t, attempts, 1+s.declined(), "sent again")
+				require.LessOrEqual(t, attempts, 1+s.countDropped(), "sent more than once")
 			}
 			if got.head != nil && attempts > 1 {
 				checkAnswer(t, got, id, method, said, cleanAnswer(id, method))
 			} else if got.head != nil {
 				checkAnswer(t, got, id, method, said)
 			}
-			if got.head == nil || !got.whole || got.head.Close {
+			if got.head == nil || !got.complete || got.head.Close {
 				return
 			}
 		}
 		require.NoError(t, client.Conn.(*net.TCPConn).CloseWrite())
 		rest, _ := io.ReadAll(client.br)
-		require.Empty(t, rest, "bytes behind the last answer")
+		require.Empty(t, rest, "bytes after the last response")
 	})
 }
 
-// hear reads what comes in answer to a request.
-func (c *client) hear(method string) (got heardAnswer) {
+// readAny reads whatever arrives in response to a request.
+func (c *client) readAny(method string) (got clientResponse) {
 	a, err := http.ReadResponse(c.br, &http.Request{Method: method})
 	if err != nil {
 		return got
 	}
 	got.head = a
 	got.body, err = io.ReadAll(a.Body)
-	got.whole = err == nil
+	got.complete = err == nil
 	return got
 }
 
-// begin forgets all that was.
+// begin resets the script for a new round.
 func (s *script) begin(again, resume bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.again, s.resume, s.at = again, resume, map[Ref]int{}
-	s.calls, s.ends, s.begun, s.quits, s.given = nil, nil, nil, nil, nil
+	s.again, s.resume, s.nextServer = again, resume, map[Ref]int{}
+	s.calls, s.ends, s.begun, s.quits, s.receipts = nil, nil, nil, nil, nil
 }
 
-// declined counts the attempts that servers did not run.
-func (s *script) declined() (n int) {
+// countDropped counts the attempts that servers did not run.
+func (s *script) countDropped() (n int) {
 	for _, how := range s.hows() {
 		n += generic.One(how == Dropped)
 	}
--- a/internal/router/serve_test.go
+++ b/internal/router/serve_test.go
@@ -23,25 +23,25 @@
 	"tidedeck/internal/protocol"
 )
 
-// front makes a router's HTTP side that holds its link and promises one server.
-func front(t testing.TB, server string, idle time.Duration) (*door, *httptest.Server) {
+// newTestFrontend creates a router's HTTP interface with a session, a plan and an entry with one server.
+func newTestFrontend(t testing.TB, server string, idle time.Duration) (*frontend, *httptest.Server) {
 	core := New(Options{Inc: 7})
-	d := &door{dial: host.Dialer("", time.Second), core: core, stop: make(chan struct{}), idle: idle}
+	d := &frontend{dialer: host.Dialer("", time.Second), core: core, stop: make(chan struct{}), idleTimeout: idle}
 	d.log = NewRequestLog("t", nil, 16)
-	d.c = host.New(host.Options{Core: core, Beat: 10 * time.Millisecond, Ring: host.NewRing("t", io.Discard), Else: d.log.Tap(d.Act)})
-	require.NoError(t, d.c.Run())
-	t.Cleanup(d.c.Stop)
+	d.process = host.New(host.Options{Core: core, Beat: 10 * time.Millisecond, Ring: host.NewRing("t", io.Discard), Else: d.log.Intercept(d.Act)})
+	require.NoError(t, d.process.Run())
+	t.Cleanup(d.process.Stop)
 	e := &protocol.Entry{Key: "m", Mark: 1, Replicas: []protocol.Replica{{Server: "s", Addr: strings.TrimPrefix(server, "http://"), Inc: 1, Slots: 8, Warm: 1e12}}}
-	d.c.Step(protocol.Env{Body: protocol.Hold{Session: ses, Until: host.Now().Add(time.Hour), Routers: 1}})
-	d.c.Step(protocol.Env{Body: protocol.News{Session: ses, Items: []protocol.Item{{Num: 1, Desired: &protocol.Desired{Gen: 1, Epoch: 1, Plan: []byte(plan)}}, {Num: 2, Entry: e}}}})
+	d.process.Step(protocol.Env{Body: protocol.Hold{Session: ses, Until: host.Now().Add(time.Hour), Routers: 1}})
+	d.process.Step(protocol.Env{Body: protocol.News{Session: ses, Items: []protocol.Item{{Num: 1, Desired: &protocol.Desired{Gen: 1, Epoch: 1, Plan: []byte(plan)}}, {Num: 2, Entry: e}}}})
 	s := httptest.NewServer(d.routes())
 	t.Cleanup(s.Close)
 	return d, s
 }
 
-func decode(r *http.Request, v any) error { return json.NewDecoder(r.Body).Decode(v) }
+func decodeBody(r *http.Request, v any) error { return json.NewDecoder(r.Body).Decode(v) }
 
-const ask = `{"id":"1","model":"m","kind":"k","max_tokens":2}`
+const testCall = `{"id":"1","model":"m","kind":"k","max_tokens":2}`
 
 func post(t *testing.T, url, body string) (int, http.Header, string) {
 	w, err := http.Post(url, "application/json", strings.NewReader(body))
@@ -51,9 +51,9 @@
 	return w.StatusCode, w.Header, string(b)
 }
 
-// Bad input gets its kind at once, and whether it was dropped.
-func TestBadInput(t *testing.T) {
-	_, s := front(t, "http://127.0.0.1:1", time.Second)
+// Invalid requests are answered at once with their failure kind, and as not run.
+func TestInvalidRequests(t *testing.T) {
+	_, s := newTestFrontend(t, "http://127.0.0.1:1", time.Second)
 	for _, c := range []struct {
 		name, path, body string
 		code             int
@@ -64,12 +64,12 @@
 		{"duplicate key", "/r", `{"id":"1","id":"2","model":"m","kind":"k"}`, 400, failure.Malformed},
 		{"overflowing", "/r", `{"id":"1","model":"m","kind":"k","max_tokens":9223372036854775808}`, 400, failure.Malformed},
 		{"too large", "/r", `{"id":"` + strings.Repeat("x", fleetplan.MostBody) + `"}`, 413, failure.Oversize},
-		{"no such route", "/q", ask, 404, failure.NoRoute},
-		{"no such model", "/r", strings.Replace(ask, `"m"`, `"z"`, 1), 404, failure.NoModel},
-		{"no such adapter", "/r", strings.Replace(ask, `"kind"`, `"adapter":"z","kind"`, 1), 404, failure.NoModel},
-		{"no such kind", "/r", strings.Replace(ask, `"k"`, `"z"`, 1), 400, failure.NoKind},
-		{"past its horizon", "/r", strings.Replace(ask, `"kind"`, `"horizon_ms":0,"kind"`, 1), 400, failure.PastDue},
-		{"repeat without allowance", "/r", strings.Replace(ask, `"kind"`, `"repeat":true,"kind"`, 1), 503, failure.Spent},
+		{"no such route", "/q", testCall, 404, failure.NoRoute},
+		{"no such model", "/r", strings.Replace(testCall, `"m"`, `"z"`, 1), 404, failure.NoModel},
+		{"no such adapter", "/r", strings.Replace(testCall, `"kind"`, `"adapter":"z","kind"`, 1), 404, failure.NoModel},
+		{"no such kind", "/r", strings.Replace(testCall, `"k"`, `"z"`, 1), 400, failure.NoKind},
+		{"past its horizon", "/r", strings.Replace(testCall, `"kind"`, `"horizon_ms":0,"kind"`, 1), 400, failure.PastDue},
+		{"repeat without retry allowance", "/r", strings.Replace(testCall, `"kind"`, `"repeat":true,"kind"`, 1), 503, failure.Spent},
 	} {
 		code, head, body := post(t, s.URL+c.path, c.body)
 		require.Equal(t, c.code, code, c.name)
@@ -83,100 +83,100 @@
 	require.Equal(t, http.StatusMethodNotAllowed, w.StatusCode)
 }
 
-// What servers do, and what callers and servers see of it. Nothing below the router's own
-// ledger sends a request twice.
+// For each behavior of a server: what the client and the server observe. No layer below the router's ledger sends
+// a request twice.
 func TestStreams(t *testing.T) {
 	line := func(w http.ResponseWriter, r *http.Request, n int, more string) {
 		var g protocol.Work
 		if n == 0 {
-			_ = decode(r, &g)
+			_ = decodeBody(r, &g)
 			w.Header().Set("X-Go", g.Go)
 		}
 		_, _ = fmt.Fprintf(w, "data: {\"n\":%d,\"go\":%q,\"server\":\"s\"%s}\n\n", n, w.Header().Get("X-Go"), more)
 		w.(http.Flusher).Flush()
 	}
 	for _, c := range []struct {
-		name  string
-		serve func(w http.ResponseWriter, r *http.Request)
-		code  int
-		has   string
-		lacks string
-		hits  int64
+		name     string
+		serve    func(w http.ResponseWriter, r *http.Request)
+		code     int
+		contains string
+		excludes string
+		requests int64
 	}{
-		{"whole", func(w http.ResponseWriter, r *http.Request) {
+		{"complete", func(w http.ResponseWriter, r *http.Request) {
 			line(w, r, 0, "")
 			line(w, r, 1, "")
 			line(w, r, 2, `,"done":true`)
 		}, 200, `"done":true`, "event: error", 1},
-		{"broken off", func(w http.ResponseWriter, r *http.Request) {
+		{"connection aborted", func(w http.ResponseWriter, r *http.Request) {
 			line(w, r, 0, "")
 			panic(http.ErrAbortHandler)
 		}, 200, "event: error\ndata: {\"kind\":\"cut\",\"dropped\":false}", "done", 1},
-		{"skips", func(w http.ResponseWriter, r *http.Request) {
+		{"skips an event", func(w http.ResponseWriter, r *http.Request) {
 			line(w, r, 0, "")
 			line(w, r, 2, `,"done":true`)
 		}, 200, `"kind":"cut"`, "done", 1},
-		{"past any size", func(w http.ResponseWriter, r *http.Request) {
+		{"event too large", func(w http.ResponseWriter, r *http.Request) {
 			line(w, r, 0, "")
-			line(w, r, 1, `,"text":"`+strings.Repeat("x", mostEvent)+`"`)
+			line(w, r, 1, `,"text":"`+strings.Repeat("x", maxEventBytes)+`"`)
 		}, 200, `"kind":"cut"`, "xxx", 1},
 		{"not JSON", func(w http.ResponseWriter, r *http.Request) {
 			line(w, r, 0, "")
 			_, _ = io.WriteString(w, "data: {\"n\":1,\n\n")
 		}, 200, `"kind":"cut"`, "done", 1},
-		{"another's", func(w http.ResponseWriter, r *http.Request) {
+		{"event of another attempt", func(w http.ResponseWriter, r *http.Request) {
 			line(w, r, 0, "")
 			_, _ = io.WriteString(w, "data: {\"n\":1,\"go\":\"another\",\"server\":\"s\",\"done\":true}\n\n")
 		}, 200, `"kind":"cut"`, "done", 1},
-		{"twice", func(w http.ResponseWriter, r *http.Request) {
+		{"repeats an event", func(w http.ResponseWriter, r *http.Request) {
 			line(w, r, 0, "")
 			line(w, r, 0, "")
 		}, 200, `"kind":"cut"`, "done", 1},
-		{"late, after its end", func(w http.ResponseWriter, r *http.Request) {
+		{"event after the end", func(w http.ResponseWriter, r *http.Request) {
 			line(w, r, 0, `,"done":true`)
 			line(w, r, 1, `,"text":"late"`)
 		}, 200, `"done":true`, "late", 1},
-		{"ran it before", func(w http.ResponseWriter, r *http.Request) { host.Error(w, failure.Repeated, 0, nil) }, 409, `"kind":"repeated","dropped":false`, "data:", 1},
+		{"already run", func(w http.ResponseWriter, r *http.Request) { host.Error(w, failure.Repeated, 0, nil) }, 409, `"kind":"repeated","dropped":false`, "data:", 1},
 		{"silent", func(w http.ResponseWriter, r *http.Request) {
 			line(w, r, 0, "")
 			<-r.Context().Done()
 		}, 200, `"kind":"cut"`, "done", 1},
 		{"ends before its first event", func(w http.ResponseWriter, r *http.Request) { panic(http.ErrAbortHandler) }, 502, `"kind":"unclear","dropped":false`, "data:", 1},
-		{"fails in a way of its own", func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(500) }, 502, `"kind":"unclear"`, "data:", 1},
-		{"drops it", func(w http.ResponseWriter, r *http.Request) { host.Error(w, failure.Busy, 0, nil) }, 503, `"kind":"allowance_spent","dropped":true`, "data:", 1},
+		{"fails without a problem body", func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(500) }, 502, `"kind":"unclear"`, "data:", 1},
+		{"not run", func(w http.ResponseWriter, r *http.Request) { host.Error(w, failure.Busy, 0, nil) }, 503, `"kind":"allowance_spent","dropped":true`, "data:", 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var hits atomic.Int64
-			back := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				hits.Add(1)
+			var requests atomic.Int64
+			backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				requests.Add(1)
 				c.serve(w, r)
 			}))
-			t.Cleanup(back.Close)
-			_, s := front(t, back.URL, 200*time.Millisecond)
-			code, _, body := post(t, s.URL+"/r", ask)
+			t.Cleanup(backend.Close)
+			_, s := newTestFrontend(t, backend.URL, 200*time.Millisecond)
+			code, _, body := post(t, s.URL+"/r", testCall)
 			require.Equal(t, c.code, code, body)
-			require.Contains(t, body, c.has)
-			require.NotContains(t, body, c.lacks)
-			require.Equal(t, c.hits, hits.Load())
+			require.Contains(t, body, c.contains)
+			require.NotContains(t, body, c.excludes)
+			require.Equal(t, c.requests, requests.Load())
 		})
 	}
 }
 
-// A caller that leaves takes its request from the server, too.
-func TestCallerLeaves(t *testing.T) {
+// When a client disconnects, its request is canceled at the server, too.
+func TestClientDisconnects(t *testing.T) {
 	gone := make(chan struct{})
-	back := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var g protocol.Work
-		_ = decode(r, &g)
+		_ = decodeBody(r, &g)
 		_, _ = fmt.Fprintf(w, "data: {\"n\":0,\"go\":%q,\"server\":\"s\"}\n\n", g.Go)
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 		close(gone)
 	}))
-	t.Cleanup(back.Close)
-	d, s := front(t, back.URL, time.Minute)
+	t.Cleanup(backend.Close)
+	d, s := newTestFrontend(t, backend.URL, time.Minute)
 	ctx, leave := context.WithCancel(context.Background())
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, s.URL+"/r", strings.NewReader(ask))
+	q, err := http.NewRequestWithContext(ctx, http.MethodPost, s.URL+"/r", strings.NewReader(testCall))
 	require.NoError(t, err)
 	w, err := http.DefaultClient.Do(q)
 	require.NoError(t, err)
@@ -185,20 +185,20 @@
 	require.NoError(t, err)
 	leave()
 	<-gone
-	s.Close() // waits for the router's own side
-	d.c.With(func(clock.Tick) {
+	s.Close() // waits for the router's handler
+	d.process.With(func(clock.Tick) {
 		require.Zero(t, d.core.servers["s"].work)
 		require.Empty(t, d.core.requests)
 	})
 }
 
-// A caller that ends its sending side is given up, and what it reads then is no whole answer.
-func TestHalfClosedCaller(t *testing.T) {
+// A client that closes its sending side is disconnected and does not receive a complete response.
+func TestHalfClosedClientDisconnected(t *testing.T) {
 	for _, begun := range []bool{false, true} {
 		reached := make(chan struct{})
-		back := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			var g protocol.Work
-			_ = decode(r, &g)
+			_ = decodeBody(r, &g)
 			if begun {
 				_, _ = fmt.Fprintf(w, "data: {\"n\":0,\"go\":%q,\"server\":\"s\"}\n\n", g.Go)
 				w.(http.Flusher).Flush()
@@ -206,13 +206,13 @@
 			close(reached)
 			<-r.Context().Done()
 		}))
-		t.Cleanup(back.Close)
-		_, s := front(t, back.URL, time.Minute)
+		t.Cleanup(backend.Close)
+		_, s := newTestFrontend(t, backend.URL, time.Minute)
 		c, err := net.Dial("tcp", strings.TrimPrefix(s.URL, "http://"))
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = c.Close() })
 		require.NoError(t, c.SetDeadline(time.Now().Add(soon)))
-		_, err = fmt.Fprintf(c, "POST /r HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", len(ask), ask)
+		_, err = fmt.Fprintf(c, "POST /r HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", len(testCall), testCall)
 		require.NoError(t, err)
 		<-reached
 		br := bufio.NewReader(c)
@@ -231,8 +231,9 @@
 	}
 }
 
-// What a hit costs the core: routing under a callback, checked and ended.
-func BenchmarkHit(b *testing.B) {
+// BenchmarkCachedEntry measures the core's part of a request whose entry is cached: routing, the check before sending, and
+// the end.
+func BenchmarkCachedEntry(b *testing.B) {
 	b.ReportAllocs()
 	c := New(Options{Inc: 7})
 	c.Step(1e9, protocol.Env{Body: protocol.Hold{Session: ses, Until: 1e18, Routers: 1}})
@@ -248,23 +249,24 @@
 	}
 }
 
-// A request straight to a server, and the same through the router: only the ratio says something.
-func BenchmarkWay(b *testing.B) {
-	back := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+// BenchmarkRoundTrip compares requests sent directly to a server with requests through the router. Only the ratio is
+// meaningful.
+func BenchmarkRoundTrip(b *testing.B) {
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var g protocol.Work
-		_ = decode(r, &g)
+		_ = decodeBody(r, &g)
 		for n := range 9 {
 			_, _ = fmt.Fprintf(w, "data: {\"n\":%d,\"go\":%q,\"server\":\"s\",\"done\":%v}\n\n", n, g.Go, n == 8)
 			w.(http.Flusher).Flush()
 		}
 	}))
-	defer back.Close()
-	_, s := front(b, back.URL, time.Minute)
+	defer backend.Close()
+	_, s := newTestFrontend(b, backend.URL, time.Minute)
 	h := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	for name, url := range map[string]string{"straight": back.URL + "/generate", "through": s.URL + "/r"} {
+	for name, url := range map[string]string{"direct": backend.URL + "/generate", "routed": s.URL + "/r"} {
 		b.Run(name, func(b *testing.B) {
 			for range b.N {
-				w, err := h.Post(url, "application/json", strings.NewReader(ask))
+				w, err := h.Post(url, "application/json", strings.NewReader(testCall))
 				require.NoError(b, err)
 				_, _ = io.Copy(io.Discard, w.Body)
 				_ = w.Body.Close()
@@ -273,12 +275,13 @@
 	}
 }
 
-// A caller that stops reading is given up: it holds neither the server's slot nor a planned stop.
-func TestCallerStopsReading(t *testing.T) {
+// A client that stops reading is disconnected, so that it neither occupies a slot of the server nor delays a
+// planned stop.
+func TestClientStopsReading(t *testing.T) {
 	gone := make(chan struct{})
-	back := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var g protocol.Work
-		_ = decode(r, &g)
+		_ = decodeBody(r, &g)
 		for n := 0; r.Context().Err() == nil; n++ {
 			if _, err := fmt.Fprintf(w, "data: {\"n\":%d,\"go\":%q,\"server\":\"s\",\"text\":%q}\n\n", n, g.Go, strings.Repeat("x", 100_000)); err != nil {
 				break
@@ -287,16 +290,16 @@
 		}
 		close(gone)
 	}))
-	t.Cleanup(back.Close)
-	d, s := front(t, back.URL, 200*time.Millisecond)
+	t.Cleanup(backend.Close)
+	d, s := newTestFrontend(t, backend.URL, 200*time.Millisecond)
 	c, err := net.Dial("tcp", strings.TrimPrefix(s.URL, "http://"))
 	require.NoError(t, err)
 	defer c.Close()
-	_, err = fmt.Fprintf(c, "POST /r HTTP/1.1\r\nHost: r\r\nContent-Length: %d\r\n\r\n%s", len(ask), ask)
+	_, err = fmt.Fprintf(c, "POST /r HTTP/1.1\r\nHost: r\r\nContent-Length: %d\r\n\r\n%s", len(testCall), testCall)
 	require.NoError(t, err)
 	<-gone
 	s.Close()
-	d.c.With(func(clock.Tick) {
+	d.process.With(func(clock.Tick) {
 		require.Zero(t, d.core.servers["s"].work)
 		require.Empty(t, d.core.requests)
 	})
