--- a/internal/controller/acceptor.go
+++ b/internal/controller/acceptor.go
@@ -9,14 +9,14 @@
 )
 
 // vote is the acceptor's part. What it says of accepted values is always durable already.
-type vote struct {
-	inc      ident.Inc
-	promised protocol.Ballot
-	reserved protocol.Ballot // the last one that was promised together with an accept
-	asked    clock.Tick      // when the proposer of what was promised was last heard
-	rival    clock.Tick      // when another proposer than this node was last heard
-	accepted protocol.Ballot
-	value    *protocol.Desired
+type acceptorState struct {
+	inc          ident.Inc
+	promised     protocol.Ballot
+	reserved     protocol.Ballot // the last one that was promised together with an accept
+	asked        clock.Tick      // when the proposer of what was promised was last heard
+	rivalHeardAt clock.Tick      // when another proposer than this node was last heard
+	accepted     protocol.Ballot
+	value        *protocol.Desired
 	// what the disk surely has
 	safeB protocol.Ballot
 	safeV *protocol.Desired
@@ -47,7 +47,7 @@
 	Owner protocol.Sibling
 }
 
-func (c *Core) start(s protocol.Start) {
+func (c *Core) onStart(s protocol.Start) {
 	c.vote.started = c.now
 	read := func(k string, p any) bool {
 		b, ok := s.Disk[k]
@@ -92,7 +92,7 @@
 		return
 	}
 	c.vote.promised = b.Ballot
-	c.noteProposer(e)
+	c.recordProposer(e)
 	a, v := c.vote.accepted, c.vote.value
 	if a == b.Known {
 		v = nil // the proposer has it
@@ -103,10 +103,10 @@
 }
 
 // noteProposer notes when the proposer of the promised ballot was heard.
-func (c *Core) noteProposer(e protocol.Env) {
+func (c *Core) recordProposer(e protocol.Env) {
 	c.vote.asked = c.now
 	if e.From.ID != c.o.Me.ID {
-		c.vote.rival = c.now
+		c.vote.rivalHeardAt = c.now
 	}
 }
 
@@ -129,8 +129,8 @@
 	c.checkAccept(b.Ballot, b.Value)
 	v := b.Value
 	c.vote.promised, c.vote.accepted, c.vote.value = b.Ballot, b.Ballot, &v
-	c.reserve(b.Next)
-	c.noteProposer(e)
+	c.promiseReserved(b.Next)
+	c.recordProposer(e)
 	c.save(map[string][]byte{diskB: jot(c.vote.promised), diskV: jot(safe{b.Ballot, &v})}, func() {
 		if c.vote.safeB.Less(b.Ballot) {
 			c.vote.safeB, c.vote.safeV = b.Ballot, &v
@@ -140,7 +140,7 @@
 }
 
 // reserve promises the ballot that an accept names for its proposer's next one.
-func (c *Core) reserve(next protocol.Ballot) {
+func (c *Core) promiseReserved(next protocol.Ballot) {
 	if !c.vote.promised.Less(next) {
 		return
 	}
@@ -149,11 +149,11 @@
 
 // blank tells whether this node knows of no core at all. A spare has accepted nothing, but knows of one:
 // it must not be counted among nodes that may form another.
-func (c *Core) blank() bool { return c.vote.safeV == nil && c.latest() == nil }
+func (c *Core) isBlank() bool { return c.vote.safeV == nil && c.latest() == nil }
 
 func (c *Core) onQuery(e protocol.Env) {
 	b := e.Body.(protocol.Query)
-	s := protocol.State{Round: b.Round, Inc: c.vote.inc, Last: c.vote.owner.ID, Prior: c.vote.owner.ID, Shy: c.ending || c.now < c.duty.shy, Leaving: c.ending && c.o.HandOver, Blank: c.blank(), Accepted: c.vote.safeB, Chosen: c.reg.at}
+	s := protocol.State{Round: b.Round, Inc: c.vote.inc, Last: c.vote.owner.ID, Prior: c.vote.owner.ID, Shy: c.ending || c.now < c.duty.shy, Leaving: c.ending && c.o.HandOver, Blank: c.isBlank(), Accepted: c.vote.safeB, Chosen: c.reg.at}
 	if c.vote.safeV != nil {
 		s.Epoch, s.Shape = c.vote.safeV.Epoch, c.vote.safeV.Shape
 	}
@@ -185,7 +185,7 @@
 }
 
 func (c *Core) pad(s clock.Span) clock.Span {
-	return s + clock.Span(float64(s)*c.o.Drift) + c.o.Margin
+	return s + clock.Span(float64(s)*c.o.ClockDrift) + c.o.ClockMargin
 }
 
 func (c *Core) onFetch(e protocol.Env) {
--- a/internal/controller/address_test.go
+++ b/internal/controller/address_test.go
@@ -18,7 +18,7 @@
 // Evidence: simulator scenes narrow-owner (padana, seed 50) and keys-troubles (corrib, seed 17), traced step by step; they pass now.
 
 // listed has a node know a server from the last owner's list only.
-func (c *cluster) listed(node string, l protocol.Listed) {
+func (c *cluster) setLastList(node string, l protocol.Listed) {
 	k := c.nodes[node]
 	k.delist(l.ID)
 	k.list = Roll{Duty: k.duty.top, List: []protocol.Listed{l}}
@@ -49,7 +49,7 @@
 	c.run(2e9)
 	old := m.Listed
 	old.ID = "old"
-	c.listed("b", old)
+	c.setLastList("b", old)
 	c.takeOver(t, "b")
 	require.Nil(t, c.lead().servers["old"])
 	c.run(5e9)
@@ -65,7 +65,7 @@
 	m.silent = true
 	old := m.Listed
 	old.ID = "old"
-	c.listed("b", old)
+	c.setLastList("b", old)
 	c.takeOver(t, "b")
 	c.run(10e9)
 	require.Zero(t, m.count, "what is meant for one server is carried out by no other")
@@ -85,7 +85,7 @@
 	c := newListedCluster(t, "llm|m")
 	gone := beacon("old", "live", 1).Listed
 	gone.Service = "llm"
-	c.listed("b", gone)
+	c.setLastList("b", gone)
 	c.takeOver(t, "b")
 	require.True(t, c.lead().servers["old"].silent(c.lead()), "an owner's beginning is no word of the server's")
 	require.True(t, c.until(3*c.lead().o.Wait+1e9, func() bool { return c.lead().servers["old"].dark }))
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -23,15 +23,15 @@
 	plans         map[string]*fleetplan.Plan
 	nodes         map[string]*Core
 	disks         map[string]map[string][]byte
-	make          func(id string) *Core
+	newNode       func(id string) *Core
 	parted        map[string]bool // nodes and routers that reach no node and that none reaches
 	models        map[string]*modelServer
 	routers       map[string]*router
 	out           []any // what nodes gave to neither of these
-	asks          []ask
+	asks          []pendingAsk
 	delay         clock.Span // of what nodes send each other: up to twice as long
-	mail          []letter
-	dice          *rand.Rand
+	inFlight      []inFlightMessage
+	rng           *rand.Rand
 	confirmations int // orders that ask whether one is done
 	ops           []sentOrder
 	begun         []clock.Tick // when loads from the store began
@@ -45,13 +45,13 @@
 const tickLength = clock.Span(20e6)
 
 // letter is an envelope on its way.
-type letter struct {
+type inFlightMessage struct {
 	at       clock.Tick
 	from, to string
 	protocol.Env
 }
 
-type ask struct {
+type pendingAsk struct {
 	node string
 	at   clock.Tick // when it is answered
 	ask  protocol.Ask
@@ -75,7 +75,7 @@
 func newTunedCluster(t testing.TB, plan *fleetplan.Plan, tune func(*Options), ids ...string) *cluster {
 	c := &cluster{
 		t: t, at: 1e9, plans: map[string]*fleetplan.Plan{}, nodes: map[string]*Core{}, disks: map[string]map[string][]byte{}, parted: map[string]bool{},
-		models: map[string]*modelServer{}, routers: map[string]*router{}, dice: rand.New(rand.NewPCG(3, 4)),
+		models: map[string]*modelServer{}, routers: map[string]*router{}, rng: rand.New(rand.NewPCG(3, 4)),
 		beside: func(run func()) { run() }, loses: func(protocol.Env) bool { return false },
 	}
 	v := protocol.Desired{Gen: 1, Shape: 1}
@@ -88,7 +88,7 @@
 		c.seeds = append(c.seeds, protocol.Sibling{Addr: id})
 	}
 	lives := uint64(0)
-	c.make = func(id string) *Core {
+	c.newNode = func(id string) *Core {
 		lives++
 		o := Options{
 			Me: protocol.Sibling{ID: ident.Node(id), Addr: id}, Inc: ident.Inc(5 + lives), Seeds: c.seeds, Rand: rand.New(rand.NewPCG(lives-1, 2)),
@@ -116,7 +116,7 @@
 // reboot starts nodes anew, all at the same moment, from what their disks have.
 func (c *cluster) reboot(ids ...string) {
 	for _, id := range ids {
-		c.nodes[id] = c.make(id)
+		c.nodes[id] = c.newNode(id)
 	}
 	for _, id := range ids {
 		c.step(id, protocol.Start{Disk: maps.Clone(c.disks[id])})
@@ -180,7 +180,7 @@
 			switch {
 			case to != x.id && (c.parted[x.id] || c.parted[to] || c.loses(v)):
 			case c.nodes[to] != nil && to != x.id && c.delay > 0:
-				c.mail = append(c.mail, letter{c.at.Add(c.delay/2 + clock.Span(c.dice.Int64N(int64(2*c.delay)))), x.id, to, v})
+				c.inFlight = append(c.inFlight, inFlightMessage{c.at.Add(c.delay/2 + clock.Span(c.rng.Int64N(int64(2*c.delay)))), x.id, to, v})
 			case c.nodes[to] != nil:
 				put(to, v)
 			case c.routers[to] != nil:
@@ -210,7 +210,7 @@
 	require.Greater(c.t, v.Until, c.at)
 	require.NotEmpty(c.t, v.Server, "whoever is asked is named")
 	m := c.models[v.Addr]
-	a := ask{node: node, at: c.at.Add(v.Wait), ask: v, told: &protocol.Told{Token: v.Token}}
+	a := pendingAsk{node: node, at: c.at.Add(v.Wait), ask: v, told: &protocol.Told{Token: v.Token}}
 	if m != nil && !m.mute && !c.parted[node] {
 		a.at = c.at.Add(20e6)
 		a.told = nil
@@ -245,24 +245,24 @@
 
 func (c *cluster) tick() {
 	c.at = c.at.Add(tickLength)
-	mail := c.mail
-	c.mail = nil
+	mail := c.inFlight
+	c.inFlight = nil
 	for _, e := range mail {
 		switch {
 		case e.at > c.at:
-			c.mail = append(c.mail, e)
+			c.inFlight = append(c.inFlight, e)
 		case !c.parted[e.from] && !c.parted[e.to]:
 			c.step(e.to, e.Env)
 		}
 	}
 	for _, id := range generic.SortedKeys(c.models) {
-		c.models[id].live()
+		c.models[id].advance()
 	}
 	for _, id := range generic.SortedKeys(c.nodes) {
 		c.step(id, protocol.Beat{})
 	}
 	for _, id := range generic.SortedKeys(c.routers) {
-		c.routers[id].live()
+		c.routers[id].advance()
 	}
 	for _, id := range generic.SortedKeys(c.processors) {
 		c.processors[id].run(c)
@@ -346,14 +346,14 @@
 	had       map[ident.Key]bool
 	doing     protocol.Order
 	until     clock.Tick
-	past      []past
+	past      []pastReport
 	lost      func(protocol.Order) (taken, heard bool) // of an order, its way there and back
 	whileBusy int                                      // what it answers to the order that it is carrying out, if not 409
 	diskPart  float64                                  // of a load's time that it takes from the server's own disk; all of it if 0
 	strict    bool                                     // an order that it refuses must fit, too
 }
 
-type past struct {
+type pastReport struct {
 	at clock.Tick
 	r  protocol.Report
 }
@@ -385,7 +385,7 @@
 	for _, k := range generic.SortedKeys(m.holds) {
 		r.Held = append(r.Held, protocol.Held{Key: k, Stage: "ready"})
 	}
-	m.past = append(m.past, past{m.c.at, r})
+	m.past = append(m.past, pastReport{m.c.at, r})
 }
 
 func (m *modelServer) report() protocol.Report {
@@ -398,7 +398,7 @@
 	return r
 }
 
-func (m *modelServer) live() {
+func (m *modelServer) advance() {
 	if m.doing.Op != "" && m.c.at >= m.until {
 		k := m.doing.Key
 		if m.doing.Op == "load" {
@@ -427,7 +427,7 @@
 }
 
 // limits fails the test if an order brings the server past its room or its places for adapters.
-func (m *modelServer) limits(o protocol.Order) {
+func (m *modelServer) checkLimits(o protocol.Order) {
 	v, size, adapters := m.c.plan().Services["llm"], m.c.plan().Models[o.Key].Size, 0
 	if o.Key.IsAdapter() {
 		adapters++
@@ -455,7 +455,7 @@
 // take is how a model server meets an order.
 func (m *modelServer) take(o protocol.Order) int {
 	if o.Op == "load" && m.strict {
-		m.limits(o)
+		m.checkLimits(o)
 	}
 	if m.doing.Op != "" && m.whileBusy != 0 && o.Op == m.doing.Op && o.Key == m.doing.Key && o.Expected == m.count {
 		return m.whileBusy
@@ -470,7 +470,7 @@
 	case o.Op == "load" && o.Key.IsAdapter() && !m.holds[o.Key.Base()]:
 		return 421
 	case o.Op == "load":
-		m.limits(o)
+		m.checkLimits(o)
 		if !o.Key.IsAdapter() {
 			took = m.c.plan().Models[o.Key].Load
 			if m.had[o.Key] && m.diskPart > 0 {
@@ -516,12 +516,12 @@
 
 func (c *cluster) route(id string) *router {
 	r := &router{c: c, id: id, burden: map[ident.Key]protocol.Burden{}, ses: protocol.Session{Node: ident.Node(id), Agent: 1, Router: 1}}
-	r.anew()
+	r.resetSession()
 	c.routers[id] = r
 	return r
 }
 
-func (r *router) anew() {
+func (r *router) resetSession() {
 	r.ses.N++
 	r.until, r.heard, r.fresh, r.next = 0, 0, true, r.c.at
 	r.sent, r.entries, r.asked = map[uint64]clock.Tick{}, map[ident.Key][]protocol.Replica{}, map[ident.Key]clock.Tick{}
@@ -532,9 +532,9 @@
 	return protocol.Env{From: protocol.Sibling{ID: ident.Node(r.id), Addr: r.id}, To: protocol.Sibling{ID: ident.Node(to), Addr: to}, Body: body}
 }
 
-func (r *router) live() {
+func (r *router) advance() {
 	if r.until != 0 && r.c.at > r.until {
-		r.anew()
+		r.resetSession()
 	}
 	if r.c.owner() == "" || r.c.parted[r.id] {
 		return
@@ -571,7 +571,7 @@
 		}
 	case protocol.NotOwner:
 		if b.Session == r.ses && b.Gone {
-			r.anew()
+			r.resetSession()
 		}
 	case protocol.News:
 		if b.Session != r.ses || r.holdup {
--- a/internal/controller/confirm_test.go
+++ b/internal/controller/confirm_test.go
@@ -96,7 +96,7 @@
 	r := c.route("r")
 	c.run(4e9)
 	r.ask("llm|n")
-	confirms := func() *ask {
+	confirms := func() *pendingAsk {
 		for i := range c.asks {
 			if o := c.asks[i].ask.Body.(protocol.Order); o.Confirms && c.asks[i].told != nil && c.asks[i].told.Code == holdsAlready {
 				return &c.asks[i]
--- a/internal/controller/contention_test.go
+++ b/internal/controller/contention_test.go
@@ -11,7 +11,7 @@
 )
 
 // mostOrders is how many orders operators have under way at once.
-const mostOrders = 8
+const maxOrders = 8
 
 // pendingOrder is an order that operators send again, to any node, until it is taken.
 type pendingOrder struct {
@@ -32,10 +32,10 @@
 		sent, taken, longest := 0, 0, clock.Span(0)
 		send := func(o *pendingOrder) {
 			o.last = c.at
-			o.answers = append(o.answers, c.admin(nodes[c.dice.IntN(len(nodes))], o.admin))
+			o.answers = append(o.answers, c.admin(nodes[c.rng.IntN(len(nodes))], o.admin))
 		}
 		for end := c.at.Add(60e9); c.at < end; c.tick() {
-			for len(open) < mostOrders {
+			for len(open) < maxOrders {
 				sent++
 				o := &pendingOrder{admin: Admin{Op: "put", Raw: []byte("1"), Any: true, Change: fmt.Sprint("order-", sent)}, first: c.at}
 				open = append(open, o)
--- a/internal/controller/control_test.go
+++ b/internal/controller/control_test.go
@@ -276,7 +276,7 @@
 	c.spare("e")
 	c.run(1e9)
 	for id, n := range c.nodes {
-		require.False(t, n.blank(), id)
+		require.False(t, n.isBlank(), id)
 	}
 }
 
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -25,26 +25,26 @@
 	Platform string
 	Rand     *rand.Rand
 
-	Hold    clock.Span // a router's hold, from the moment it sent its renewal
-	Duty    clock.Span // the duty's hold, from the moment its owner asked for it
-	Margin  clock.Span // a granter waits longer by this and by Drift
-	Drift   float64
-	Round   clock.Span // between two reads of the register
-	Poll    clock.Span // between two reports of a server
-	Wait    clock.Span // for a server's answer
-	Spare   clock.Span // a voter gone for so long is replaced by a spare
-	Form    clock.Span // every seed must be seen blank for so long
-	Most    int        // callbacks kept for one router
-	Pending int        // changes not yet acknowledged, for one router
-	Rest    clock.Span // a replica is not evicted sooner after it came
-	Lull    clock.Span // a replica without work for so long may be evicted
-	Blind   clock.Span // an owner that reaches too little for so long asks its siblings
-	Shy     clock.Span // and does not take the duty again for so long, if one reaches more
-	Even    clock.Span // unevenness must last so long before a move, and moves are so far apart
-	Gap     float64    // unevenness that is worth a move, as a part of a server's room
-	Recent  clock.Span // a key that had work so lately is worth a move
-	Lead    clock.Span // what a maintenance window closes is drained so long before it
-	Wall    func() time.Time
+	Hold        clock.Span // a router's hold, from the moment it sent its renewal
+	Duty        clock.Span // the duty's hold, from the moment its owner asked for it
+	ClockMargin clock.Span // a granter waits longer by this and by Drift
+	ClockDrift  float64
+	Round       clock.Span // between two reads of the register
+	Poll        clock.Span // between two reports of a server
+	Wait        clock.Span // for a server's answer
+	Spare       clock.Span // a voter gone for so long is replaced by a spare
+	Form        clock.Span // every seed must be seen blank for so long
+	Most        int        // callbacks kept for one router
+	Pending     int        // changes not yet acknowledged, for one router
+	Rest        clock.Span // a replica is not evicted sooner after it came
+	Lull        clock.Span // a replica without work for so long may be evicted
+	Blind       clock.Span // an owner that reaches too little for so long asks its siblings
+	Shy         clock.Span // and does not take the duty again for so long, if one reaches more
+	Even        clock.Span // unevenness must last so long before a move, and moves are so far apart
+	Gap         float64    // unevenness that is worth a move, as a part of a server's room
+	Recent      clock.Span // a key that had work so lately is worth a move
+	Lead        clock.Span // what a maintenance window closes is drained so long before it
+	Wall        func() time.Time
 
 	Read     func([]byte) (*fleetplan.Plan, fleetplan.Faults)             // of plans; it should remember those read last
 	Merge    func(plan, patch []byte) (merged []byte, f fleetplan.Faults) // of changes into plans
@@ -66,7 +66,7 @@
 func (o Options) Defaults() Options {
 	generic.SetDefault(&o.Hold, 2000e6)
 	generic.SetDefault(&o.Duty, 1200e6)
-	generic.SetDefault(&o.Margin, 50e6)
+	generic.SetDefault(&o.ClockMargin, 50e6)
 	generic.SetDefault(&o.Round, 250e6)
 	generic.SetDefault(&o.Poll, 250e6)
 	generic.SetDefault(&o.Wait, 600e6)
@@ -79,7 +79,7 @@
 	generic.SetDefault(&o.Recent, 60e9)
 	generic.SetDefault(&o.Blind, 4000e6)
 	generic.SetDefault(&o.Shy, 15e9)
-	generic.SetDefault(&o.Drift, 0.02)
+	generic.SetDefault(&o.ClockDrift, 0.02)
 	generic.SetDefault(&o.Gap, 0.35)
 	generic.SetDefault(&o.Most, 1024)
 	generic.SetDefault(&o.Pending, 4096)
@@ -103,9 +103,9 @@
 	out   []any
 	mates *membership.Core
 
-	vote  vote
+	vote  acceptorState
 	reg   register
-	duty  reign
+	duty  leadership
 	links map[protocol.Session]*link
 	tombs map[protocol.Session]clock.Tick
 	wants []protocol.Env
@@ -120,7 +120,7 @@
 	slowestAt   clock.Tick
 	diskPart    float64 // of a load's time from the store, that one from a server's own disk takes
 	entries     map[ident.Key]*entry
-	asks        map[uint64]func(protocol.Told)
+	pendingAsks map[uint64]func(protocol.Told)
 	token       uint64
 	saves       map[uint64]func() // what follows once the disk, or a computation, is done
 	forwards    forwards
@@ -152,7 +152,7 @@
 	acks        map[uint64]*leaving
 	weighed     clock.Tick
 	weighPause  clock.Span // until the next look at placement
-	fleet       fleet
+	fleet       serverIndex
 	disks       diskIndex
 	linkSet     linkSet
 	workload    *workload.Index
@@ -200,10 +200,10 @@
 	o = o.Defaults()
 	c := &Core{
 		o: o, diskPart: diskPartBegin, paces: map[ident.Key]pace{},
-		fleet: newFleet(), disks: diskIndex{}, linkSet: newLinkSet(), workload: workload.NewIndex(),
+		fleet: newServerIndex(), disks: diskIndex{}, linkSet: newLinkSet(), workload: workload.NewIndex(),
 		links: map[protocol.Session]*link{}, tombs: map[protocol.Session]clock.Tick{},
 		servers: map[ident.Server]*server{}, entries: map[ident.Key]*entry{},
-		asks: map[uint64]func(protocol.Told){}, saves: map[uint64]func(){}, forwards: forwards{open: map[uint64]*pendingChange{}},
+		pendingAsks: map[uint64]func(protocol.Told){}, saves: map[uint64]func(){}, forwards: forwards{open: map[uint64]*pendingChange{}},
 		demand: map[ident.Key]*need{}, shifts: map[ident.Key]*shift{}, empty: map[ident.Zone]bool{},
 		seats: map[ident.Server]int{}, roll: map[ident.Server]*enrolled{}, acks: map[uint64]*leaving{}, rolls: map[ident.Node]ident.Inc{}, recovered: map[ident.Node]ident.Inc{},
 	}
@@ -212,8 +212,8 @@
 		Seeds: o.Seeds, Rand: o.Rand,
 	})
 	c.reg.init(o.Inc)
-	c.stall.Least = stallLeast
-	c.mark, c.eye.round = firstNumber(o.Inc), firstNumber(o.Inc)
+	c.stall.Least = minStall
+	c.mark, c.eye.round = roundBaseOf(o.Inc), roundBaseOf(o.Inc)
 	return c
 }
 
@@ -222,7 +222,7 @@
 	c.now, c.out = now, nil
 	switch v := in.(type) {
 	case protocol.Start:
-		c.start(v)
+		c.onStart(v)
 	case protocol.Saved:
 		if f := c.saves[v.Token]; f != nil {
 			delete(c.saves, v.Token)
@@ -234,20 +234,20 @@
 			f()
 		}
 	case protocol.Told:
-		if f := c.asks[v.Token]; f != nil {
-			delete(c.asks, v.Token)
+		if f := c.pendingAsks[v.Token]; f != nil {
+			delete(c.pendingAsks, v.Token)
 			f(v)
 		}
 	case protocol.Env:
-		c.take(v)
+		c.dispatch(v)
 	case Admin:
 		c.admin(v)
 	case Announce:
 		c.onAnnounce(v)
 	case protocol.Reseed:
-		c.reseed(v.Seeds)
+		c.updateSeeds(v.Seeds)
 	case protocol.Stop:
-		c.release()
+		c.beginStop()
 	case protocol.Beat:
 		switch {
 		case !c.began:
@@ -261,7 +261,7 @@
 	return c.out
 }
 
-func (c *Core) take(e protocol.Env) {
+func (c *Core) dispatch(e protocol.Env) {
 	if !c.began {
 		return
 	}
@@ -269,19 +269,19 @@
 		return
 	}
 	if l, mine := c.mates.Take(c.now, e); mine {
-		c.post(l...)
+		c.emit(l...)
 		return
 	}
-	if f := takes[protocol.Kind(e.Body)]; f != nil {
+	if f := handlers[protocol.Kind(e.Body)]; f != nil {
 		f(c, e)
 	}
 }
 
 // Which message goes where: the one table.
-var takes map[string]func(*Core, protocol.Env)
+var handlers map[string]func(*Core, protocol.Env)
 
 func init() {
-	takes = map[string]func(*Core, protocol.Env){
+	handlers = map[string]func(*Core, protocol.Env){
 		"Prepare": (*Core).onPrepare, "Accept": (*Core).onAccept, "Query": (*Core).onQuery, "Release": (*Core).onRelease, "Fetch": (*Core).onFetch,
 		"Promise": (*Core).onPromise, "Accepted": (*Core).onAccepted, "State": (*Core).onState, "Value": (*Core).onValue,
 		"Listing": (*Core).onListing, "Look": (*Core).onLook, "Looked": (*Core).onLooked,
@@ -292,14 +292,14 @@
 }
 
 // stallLeast is a gap between two beats that the log tells of.
-const stallLeast = clock.Span(250e6)
+const minStall = clock.Span(250e6)
 
 func (c *Core) beat() {
 	if gap := c.stall.Beat(c.now); gap > 0 {
 		c.tally.Stalls++
 		c.note("stood still", field("ms", gap.Milliseconds()), field("owns", c.rules()))
 	}
-	c.post(c.mates.Beat(c.now)...)
+	c.emit(c.mates.Beat(c.now)...)
 	c.beatRegister()
 	c.beatDuty()
 	c.beatLinks()
@@ -308,7 +308,7 @@
 }
 
 // reseed takes other seeds. While a core may still form of those that it began with, it keeps to them.
-func (c *Core) reseed(seeds []protocol.Sibling) {
+func (c *Core) updateSeeds(seeds []protocol.Sibling) {
 	if c.latest() == nil && !c.o.Joined {
 		return
 	}
@@ -318,21 +318,21 @@
 
 // beatEnding keeps a node that was told to stop among the voters, until a spare has its seat.
 func (c *Core) beatEnding() {
-	c.post(c.mates.Beat(c.now)...)
+	c.emit(c.mates.Beat(c.now)...)
 	c.beatRegister()
 }
 
-func (c *Core) post(l ...protocol.Env) {
+func (c *Core) emit(l ...protocol.Env) {
 	for _, e := range l {
 		c.out = append(c.out, e)
 	}
 }
 
 func (c *Core) send(to protocol.Sibling, body any) {
-	c.post(protocol.Env{From: c.o.Me, To: to, Body: body})
+	c.emit(protocol.Env{From: c.o.Me, To: to, Body: body})
 }
 
-func (c *Core) reply(e protocol.Env, body any) { c.post(e.Reply(c.o.Me, body)) }
+func (c *Core) reply(e protocol.Env, body any) { c.emit(e.Reply(c.o.Me, body)) }
 
 func (c *Core) save(puts map[string][]byte, then func()) {
 	c.token++
@@ -347,18 +347,18 @@
 }
 
 func (c *Core) ask(addr, path string, body any, wait clock.Span, then func(protocol.Told)) {
-	c.askOnly("", addr, path, body, wait, then)
+	c.queueAsk("", addr, path, body, wait, then)
 }
 
 // askServer asks one server, or orders it something. It is named, since an address is no identity: another start of a server
 // may have it by now, and must neither carry out what is meant for this one nor answer for it.
 func (c *Core) askServer(s *server, path string, order protocol.Order, then func(protocol.Told)) {
-	c.askOnly(s.ID, s.Addr, path, order, c.o.Wait, then)
+	c.queueAsk(s.ID, s.Addr, path, order, c.o.Wait, then)
 }
 
-func (c *Core) askOnly(server ident.Server, addr, path string, body any, wait clock.Span, then func(protocol.Told)) {
+func (c *Core) queueAsk(server ident.Server, addr, path string, body any, wait clock.Span, then func(protocol.Told)) {
 	c.token++
-	c.asks[c.token] = then
+	c.pendingAsks[c.token] = then
 	a := protocol.Ask{Token: c.token, Addr: addr, Server: server, Path: path, Body: body, Wait: wait}
 	if o, ok := body.(protocol.Order); ok {
 		a.Kept = o.Op == "" && c.o.Unfenced
--- a/internal/controller/duty.go
+++ b/internal/controller/duty.go
@@ -13,7 +13,7 @@
 )
 
 // reign is this node's view of the duty.
-type reign struct {
+type leadership struct {
 	mine  bool
 	num   ident.Duty
 	again bool       // this node owned it before, and nobody since
@@ -28,11 +28,11 @@
 	left  clock.Tick       // and when
 }
 
-func (r *reign) until(c *Core) clock.Tick { return r.asked.Add(c.o.Duty) }
+func (r *leadership) until(c *Core) clock.Tick { return r.asked.Add(c.o.Duty) }
 
 // claims tells whether the next round should ask for the duty: its owner renews it, and
 // with no owner the first live node in the order of the voter set takes it.
-func (c *Core) claims(set protocol.Desired) (bool, ident.Duty) {
+func (c *Core) shouldClaim(set protocol.Desired) (bool, ident.Duty) {
 	d := &c.duty
 	if d.mine {
 		return true, d.num
@@ -72,7 +72,7 @@
 }
 
 // saw draws what a round showed of the duty.
-func (c *Core) saw(q *query) {
+func (c *Core) observeOwner(q *query) {
 	d := &c.duty
 	d.top = max(d.top, q.dutyN)
 	if d.mine && d.top > d.num {
@@ -85,7 +85,7 @@
 	// A grant of this node's own that won no majority keeps nobody but others from asking again. While no
 	// majority is open, a claim could not win: it would only renew the refusal of those that granted it, so
 	// that two claimants would keep each other out for good.
-	d.free = voterset.Majority(q.set, q.open)
+	d.free = voterset.Majority(q.set, q.vacant)
 	if !d.mine {
 		d.who = q.owner
 	}
@@ -93,18 +93,18 @@
 
 // renewed carries a term on that a majority grants again. What the newest value is does not matter to it, but for the
 // voter set: a majority of an older set counts for nothing.
-func (c *Core) renewed(q *query) {
+func (c *Core) renewTerm(q *query) {
 	d, known := &c.duty, c.reg.known
 	if c.ending || !d.mine || !q.won || q.num != d.num || known == nil || q.set.Shape != known.Shape || q.shape > known.Shape {
 		return
 	}
 	if q.at >= d.asked {
-		d.asked, d.shape = q.at, c.shapeOf(q.set)
+		d.asked, d.shape = q.at, c.chosenShape(q.set)
 	}
 }
 
 // won begins a term that a majority grants, once this node knows what is the newest.
-func (c *Core) won(q *query) {
+func (c *Core) beginTerm(q *query) {
 	d := &c.duty
 	if c.ending || d.mine {
 		return
@@ -113,14 +113,14 @@
 		return
 	}
 	c.seenAt = c.now
-	*d = reign{mine: true, again: q.again, shape: c.shapeOf(q.set), num: q.num, asked: q.at, began: c.now, top: q.num, who: c.o.Me}
+	*d = leadership{mine: true, again: q.uncontested, shape: c.chosenShape(q.set), num: q.num, asked: q.at, began: c.now, top: q.num, who: c.o.Me}
 	c.tally.Reigns++
 	c.note(fmt.Sprintf("duty %d begins", d.num))
-	c.clear()
+	c.resetTerm()
 }
 
 // shapeOf gives the number of a voter set that is known to be chosen, and zero for any other.
-func (c *Core) shapeOf(set protocol.Desired) uint64 {
+func (c *Core) chosenShape(set protocol.Desired) uint64 {
 	k := c.reg.known
 	if k == nil || !voterset.Same(k.Voters, set.Voters) || !voterset.Same(k.Prior, set.Prior) {
 		return 0
@@ -130,7 +130,7 @@
 
 // release gives the duty back at a planned stop, so that the next owner need not wait for its
 // hold to run out. By then this node grants and orders nothing any more.
-func (c *Core) release() {
+func (c *Core) beginStop() {
 	c.ending = true
 	if c.duty.mine {
 		c.giveBack("it stops", "")
@@ -142,7 +142,7 @@
 	c.reg.queries = nil // a round under way must not win back what is given back
 	c.note(fmt.Sprintf("duty %d is given back: %s", num, why))
 	c.duty.mine, c.duty.who, c.duty.free = false, protocol.Sibling{}, false
-	c.clear()
+	c.resetTerm()
 	for _, p := range voterset.Addresses(*c.reg.known) {
 		c.send(p, protocol.Release{Duty: num, Next: next})
 	}
@@ -162,16 +162,16 @@
 func (c *Core) lose(why string) {
 	c.oops(fmt.Sprintf("duty %d ends: %s", c.duty.num, why))
 	c.duty.mine, c.duty.who, c.duty.free = false, protocol.Sibling{}, false
-	c.clear()
+	c.resetTerm()
 }
 
 // clear forgets all that belongs to one reign.
-func (c *Core) clear() {
+func (c *Core) resetTerm() {
 	c.seats = map[ident.Server]int{}
 	c.links, c.tombs, c.wants = map[protocol.Session]*link{}, map[protocol.Session]clock.Tick{}, nil
 	c.linkSet, c.workload = newLinkSet(), workload.NewIndex()
 	c.beginVersions()
-	c.fleet = newFleet()
+	c.fleet = newServerIndex()
 	c.servers, c.entries = map[ident.Server]*server{}, map[ident.Key]*entry{}
 	c.demand = map[ident.Key]*need{}
 	c.shifts, c.uneven, c.shifted = map[ident.Key]*shift{}, 0, c.now
--- a/internal/controller/fenced.go
+++ b/internal/controller/fenced.go
@@ -15,7 +15,7 @@
 // order or only for its report, and an order is right as long as the server has not restarted.
 
 // forgetAfter is how long a server that is gone is remembered after its last report.
-const forgetAfter = 10e9
+const goneRetention = 10e9
 
 // beatServer carries a server's spots on, and asks it what is due.
 func (c *Core) beatServer(s *server) {
@@ -28,13 +28,13 @@
 	switch {
 	case s.State == "gone" && (s.fails > 0 || c.o.Enrolled):
 		c.dropSpots(s)
-		if c.now.Sub(max(s.ok, s.first)) > forgetAfter {
+		if c.now.Sub(max(s.ok, s.first)) > goneRetention {
 			c.removeServer(s.ID)
 		}
 	case c.o.Unfenced:
 		c.steer(s)
 	default:
-		c.orderFenced(s)
+		c.sendFenced(s)
 	}
 }
 
@@ -53,7 +53,7 @@
 }
 
 // orderFenced keeps one question under way at a time: the order that is due, or only for the report.
-func (c *Core) orderFenced(s *server) {
+func (c *Core) sendFenced(s *server) {
 	p := s.due()
 	if s.asking || p == nil && c.now < s.next {
 		return
@@ -113,7 +113,7 @@
 	}
 	changed := s.dark || !s.known
 	s.fails, s.ok, s.dark, s.known = 0, at, false, true
-	changed = c.seeServer(s, r) || changed
+	changed = c.updateServer(s, r) || changed
 	if odd := oddity(r); odd != s.odd {
 		if s.odd = odd; odd != "" {
 			c.tally.Odd++
@@ -123,7 +123,7 @@
 	held := map[ident.Key]bool{}
 	for _, h := range r.Held {
 		held[h.Key] = true
-		c.seeHeld(s, r.Num, h)
+		c.updateHeld(s, r.Num, h)
 	}
 	for _, key := range generic.SortedKeys(s.spots) {
 		if !held[key] && !s.spots[key].unsent(r.Num) {
@@ -147,7 +147,7 @@
 }
 
 // seeServer takes in a server's incarnation, room and slots, and tells whether any of them changed.
-func (c *Core) seeServer(s *server, r protocol.Report) bool {
+func (c *Core) updateServer(s *server, r protocol.Report) bool {
 	room, slots := min(max(r.Room, 0), mostSize), min(max(r.Slots, 1), mostSize)
 	if r.Inc == s.inc && room == s.room && slots == s.slots {
 		return false
@@ -160,7 +160,7 @@
 }
 
 // seeHeld takes in what a report that answers an order shows of one key.
-func (c *Core) seeHeld(s *server, num uint64, h protocol.Held) {
+func (c *Core) updateHeld(s *server, num uint64, h protocol.Held) {
 	h.Size, h.Active, h.AgeMs = min(max(h.Size, c.sizeOf(h.Key)), mostSize), max(h.Active, 0), max(h.AgeMs, 0)
 	p := s.spots[h.Key]
 	if p == nil {
--- a/internal/controller/forming.go
+++ b/internal/controller/forming.go
@@ -20,7 +20,7 @@
 	for _, s := range c.o.Seeds {
 		for _, id := range generic.SortedKeys(r.lives) {
 			v := r.lives[id]
-			if v.sib.Addr == s.Addr && v.state.Blank && c.now.Sub(v.at) < 2*c.o.Round+c.o.Margin {
+			if v.sib.Addr == s.Addr && v.state.Blank && c.now.Sub(v.at) < 2*c.o.Round+c.o.ClockMargin {
 				zone := ident.Zone("")
 				for _, m := range c.mates.All() {
 					if m.ID == id {
@@ -34,22 +34,22 @@
 	sort.Slice(l, func(i, j int) bool { return l[i].ID < l[j].ID })
 	all := len(l) == len(c.o.Seeds) || r.force && len(l) > 0
 	if !all || l[0].ID != c.o.Me.ID {
-		r.blank = 0
+		r.blankSince = 0
 		return
 	}
-	if r.blank == 0 {
-		r.blank, r.kept = c.now, nil
+	if r.blankSince == 0 {
+		r.blankSince, r.agentCopy = c.now, nil
 	}
 	for _, m := range c.mates.Alive("agent") {
-		c.send(m.Sibling, protocol.Keep{Round: uint64(r.blank)})
+		c.send(m.Sibling, protocol.Keep{Round: uint64(r.blankSince)})
 	}
-	if c.now.Sub(r.blank) < c.o.Form {
+	if c.now.Sub(r.blankSince) < c.o.Form {
 		return
 	}
-	r.blank = 0
+	r.blankSince = 0
 	// A generation's number is its former's disk life, so that it passes those that are lost.
 	d := protocol.Desired{Gen: uint64(c.vote.inc), Voters: l, Shape: 1}
-	if k := r.kept; k != nil {
+	if k := r.agentCopy; k != nil {
 		// All that was confirmed is gone but for what agents hold: the newest of it goes on,
 		// under an epoch that leaps past whatever the lost core may have counted to.
 		d.Gen, d.Plan, d.Empty, d.Windows, d.Epoch = max(d.Gen, k.Gen+1), k.Plan, k.Empty, k.Windows, k.Epoch+1000
@@ -57,7 +57,7 @@
 		c.oops("core disks lost: a new generation forms from an agent's copy")
 	}
 	r.hint = &d
-	c.read(func(k failure.Kind) {
+	c.fullRead(func(k failure.Kind) {
 		if k != failure.None {
 			r.hint = nil
 		}
@@ -66,11 +66,11 @@
 
 func (c *Core) onKept(e protocol.Env) {
 	b, r := e.Body.(protocol.Kept), &c.reg
-	if b.Value == nil || r.blank == 0 || b.Round != uint64(r.blank) {
+	if b.Value == nil || r.blankSince == 0 || b.Round != uint64(r.blankSince) {
 		return
 	}
-	if b.Value.Newer(r.kept) {
-		r.kept = b.Value
+	if b.Value.Newer(r.agentCopy) {
+		r.agentCopy = b.Value
 	}
 }
 
--- a/internal/controller/holders.go
+++ b/internal/controller/holders.go
@@ -10,19 +10,19 @@
 
 // fleet is the owner's servers in the order of their names, and by what they hold, so that whoever asks for the replicas of a
 // key looks at these alone.
-type fleet struct {
+type serverIndex struct {
 	ordered []*server
-	holders map[ident.Key][]*server // in the order of their names
+	byKey   map[ident.Key][]*server // in the order of their names
 }
 
-func newFleet() fleet { return fleet{holders: map[ident.Key][]*server{}} }
+func newServerIndex() serverIndex { return serverIndex{byKey: map[ident.Key][]*server{}} }
 
 func findServer(l []*server, id ident.Server) (at int, found bool) {
 	return slices.BinarySearchFunc(l, id, func(s *server, id ident.Server) int { return cmp.Compare(s.ID, id) })
 }
 
 // withServer puts a server in its place in an ordered list, if it is not there.
-func withServer(l []*server, s *server) []*server {
+func insertServer(l []*server, s *server) []*server {
 	at, found := findServer(l, s.ID)
 	if found {
 		l[at] = s
@@ -32,29 +32,31 @@
 }
 
 // withoutServer takes a server out of an ordered list.
-func withoutServer(l []*server, id ident.Server) []*server {
+func deleteServer(l []*server, id ident.Server) []*server {
 	if at, found := findServer(l, id); found {
 		return slices.Delete(l, at, at+1)
 	}
 	return l
 }
 
-func (f *fleet) hold(s *server, key ident.Key) { f.holders[key] = withServer(f.holders[key], s) }
+func (f *serverIndex) addHolder(s *server, key ident.Key) {
+	f.byKey[key] = insertServer(f.byKey[key], s)
+}
 
-func (f *fleet) release(s *server, key ident.Key) {
-	if l := withoutServer(f.holders[key], s.ID); len(l) > 0 {
-		f.holders[key] = l
+func (f *serverIndex) removeHolder(s *server, key ident.Key) {
+	if l := deleteServer(f.byKey[key], s.ID); len(l) > 0 {
+		f.byKey[key] = l
 	} else {
-		delete(f.holders, key)
+		delete(f.byKey, key)
 	}
 }
 
 // addServer takes a server into the owner's view.
 func (c *Core) addServer(s *server) {
 	c.servers[s.ID] = s
-	c.fleet.ordered = withServer(c.fleet.ordered, s)
+	c.fleet.ordered = insertServer(c.fleet.ordered, s)
 	for key := range s.spots {
-		c.fleet.hold(s, key)
+		c.fleet.addHolder(s, key)
 	}
 }
 
@@ -65,22 +67,22 @@
 		return
 	}
 	for key := range s.spots {
-		c.fleet.release(s, key)
+		c.fleet.removeHolder(s, key)
 	}
 	delete(c.servers, id)
-	c.fleet.ordered = withoutServer(c.fleet.ordered, id)
+	c.fleet.ordered = deleteServer(c.fleet.ordered, id)
 }
 
 // putSpot has a server hold a key, or be about to.
 func (c *Core) putSpot(s *server, p *spot) {
 	s.spots[p.key] = p
-	c.fleet.hold(s, p.key)
+	c.fleet.addHolder(s, p.key)
 }
 
 // removeSpot has a server hold a key no longer.
 func (c *Core) removeSpot(s *server, key ident.Key) {
 	delete(s.spots, key)
-	c.fleet.release(s, key)
+	c.fleet.removeHolder(s, key)
 }
 
 // holding lists the servers that have a key in whatever stage, in the order of their names: for a whole service, all of them.
@@ -88,7 +90,7 @@
 	if key.Plain() {
 		return c.fleet.ordered
 	}
-	return c.fleet.holders[key]
+	return c.fleet.byKey[key]
 }
 
 // diskIndex knows, for each key, the enrolled servers that have it on their own disk: surely (true) or likely.
@@ -103,7 +105,7 @@
 }
 
 // forget takes out all that a server has.
-func (x diskIndex) forget(server ident.Server, keys map[ident.Key]bool) {
+func (x diskIndex) removeServer(server ident.Server, keys map[ident.Key]bool) {
 	for key := range keys {
 		delete(x[key], server)
 		if len(x[key]) == 0 {
@@ -133,13 +135,13 @@
 // delist forgets a server that announced itself.
 func (c *Core) delist(id ident.Server) {
 	if e := c.roll[id]; e != nil {
-		c.disks.forget(id, e.had)
+		c.disks.removeServer(id, e.had)
 		delete(c.roll, id)
 	}
 }
 
 // onDiskOf lists the servers in the owner's view that surely have a key on their own disk, in the order of their names.
-func (c *Core) onDiskOf(key ident.Key) []*server {
+func (c *Core) serversWithOnDisk(key ident.Key) []*server {
 	var l []*server
 	for _, id := range generic.SortedKeys(c.disks[key]) {
 		if s := c.servers[id]; s != nil && c.disks[key][id] {
--- a/internal/controller/look.go
+++ b/internal/controller/look.go
@@ -17,20 +17,20 @@
 
 // place is a server that may load one more base.
 type place struct {
-	server  *server
-	stale   bool
-	free    int
-	pending int
-	load    float64     // servers' worth of work
-	may     []candidate // what may leave it, the cheapest for its size first
-	found   bool        // may is known
+	server         *server
+	stale          bool
+	free           int
+	pending        int
+	load           float64     // servers' worth of work
+	evictable      []candidate // what may leave it, the cheapest for its size first
+	evictableKnown bool        // may is known
 }
 
 // newLook begins a look.
 func (c *Core) newLook() *look {
 	l := &look{core: c, families: c.families(), byService: map[string][]*place{}, byServer: map[ident.Server]*place{}}
 	for _, s := range c.fleet.ordered {
-		if !c.loads(s) {
+		if !c.acceptsLoads(s) {
 			continue
 		}
 		p := &place{server: s, stale: true}
@@ -41,7 +41,7 @@
 }
 
 // loads tells whether a server may be ordered to load anything at all.
-func (c *Core) loads(s *server) bool { return c.stays(s) && s.odd == "" && !s.plain && !s.alien }
+func (c *Core) acceptsLoads(s *server) bool { return c.stays(s) && s.odd == "" && !s.plain && !s.alien }
 
 // refresh finds anew what a place has, if that may have changed.
 func (l *look) refresh(p *place) {
@@ -49,7 +49,7 @@
 		return
 	}
 	l.core.visit(len(p.server.spots))
-	p.stale, p.found = false, false
+	p.stale, p.evictableKnown = false, false
 	p.free, p.pending, p.load = p.server.free(), p.server.pending(), l.families.loadOf(p.server)
 }
 
@@ -74,7 +74,7 @@
 		return l.byService[f.model.Key.Service()]
 	}
 	var onDisk []*place
-	for _, s := range l.core.onDiskOf(f.model.Key) {
+	for _, s := range l.core.serversWithOnDisk(f.model.Key) {
 		if p := l.byServer[s.ID]; p != nil && s.Service == f.model.Key.Service() {
 			onDisk = append(onDisk, p)
 		}
@@ -100,11 +100,11 @@
 	if p.pending > 0 {
 		return way{}, false // what is under way there comes first
 	}
-	if !p.found || f.spare {
-		p.may, p.found = l.core.candidates(p.server, f, l.families), !f.spare
+	if !p.evictableKnown || f.spare {
+		p.evictable, p.evictableKnown = l.core.candidates(p.server, f, l.families), !f.spare
 	}
 	missing, w := f.model.Size-p.free, way{}
-	for _, may := range p.may {
+	for _, may := range p.evictable {
 		if missing <= 0 {
 			break
 		}
@@ -117,7 +117,7 @@
 
 // leave begins to take what must leave off a place.
 func (l *look) leave(p *place, w way) {
-	for _, may := range slices.Clone(p.may[:w.leaves]) {
+	for _, may := range slices.Clone(p.evictable[:w.leaves]) {
 		l.core.evict(p.server, may.spot)
 		if other := l.families[may.spot.key]; other != nil {
 			other.live--
--- a/internal/controller/processor_test.go
+++ b/internal/controller/processor_test.go
@@ -14,45 +14,45 @@
 
 // processor is the share of a core that a node has. What it has no time for yet waits.
 type processor struct {
-	share float64
-	node  string
-	free  clock.Tick
-	waits []any
+	share     float64
+	node      string
+	busyUntil clock.Tick
+	queued    []any
 }
 
 // bound gives every node a share of a core.
 func (c *cluster) bound(share float64) {
 	c.processors = map[string]*processor{}
 	for id := range c.nodes {
-		c.processors[id] = &processor{share: share, node: id, free: c.at}
+		c.processors[id] = &processor{share: share, node: id, busyUntil: c.at}
 	}
 }
 
 // freeze has the processor stand still for a while.
-func (p *processor) freeze(now clock.Tick, span clock.Span) { p.free = now.Add(span) }
+func (p *processor) freeze(now clock.Tick, span clock.Span) { p.busyUntil = now.Add(span) }
 
 // queue has an input wait for its turn. A timer that goes off while its last beat waits is lost.
 func (p *processor) queue(in any) {
 	if _, beat := in.(protocol.Beat); beat {
-		for _, w := range p.waits {
+		for _, w := range p.queued {
 			if _, beat := w.(protocol.Beat); beat {
 				return
 			}
 		}
 	}
-	p.waits = append(p.waits, in)
+	p.queued = append(p.queued, in)
 }
 
 // run takes in what there is time for until the next tick.
 func (p *processor) run(c *cluster) {
-	p.free = max(p.free, c.at)
-	for len(p.waits) > 0 && p.free < c.at.Add(tickLength) {
-		in := p.waits[0]
-		p.waits = p.waits[1:]
+	p.busyUntil = max(p.busyUntil, c.at)
+	for len(p.queued) > 0 && p.busyUntil < c.at.Add(tickLength) {
+		in := p.queued[0]
+		p.queued = p.queued[1:]
 		before := c.nodes[p.node].tally.Visits
 		c.stepNow(p.node, in)
 		cost := costOf(in) + clock.Span(c.nodes[p.node].tally.Visits-before)*visitCost
-		p.free = p.free.Add(clock.Span(float64(cost) / p.share))
+		p.busyUntil = p.busyUntil.Add(clock.Span(float64(cost) / p.share))
 	}
 }
 
--- a/internal/controller/proposer.go
+++ b/internal/controller/proposer.go
@@ -28,14 +28,14 @@
 
 // mutation is a change of the register's value.
 type mutation struct {
-	apply  func(protocol.Desired) (protocol.Desired, failure.Kind, fleetplan.Faults)
-	beside bool // apply looks at nothing of the core's and may take long: it is computed beside the core
-	fresh  bool // apply looks at who has just answered a prepare
-	done   func(applied)
+	apply        func(protocol.Desired) (protocol.Desired, failure.Kind, fleetplan.Faults)
+	beside       bool // apply looks at nothing of the core's and may take long: it is computed beside the core
+	needsPrepare bool // apply looks at who has just answered a prepare
+	done         func(applied)
 }
 
 // on gives what becomes of a mutation that is applied to a value.
-func (m *mutation) on(value protocol.Desired) applied {
+func (m *mutation) applyTo(value protocol.Desired) applied {
 	after, kind, faults := m.apply(value)
 	if kind != failure.None {
 		after = value
@@ -46,31 +46,31 @@
 // op is one change or full read in its rounds.
 type op struct {
 	mutation
-	came   clock.Tick
-	end    clock.Tick
-	set    protocol.Desired
-	ballot protocol.Ballot
-	round  uint64
-	phase  phase
-	sent   clock.Tick
-	wake   clock.Tick
-	yes    map[ident.Node]ident.Inc
-	best   protocol.Ballot
-	value  *protocol.Desired
-	next   protocol.Desired
-	base   *protocol.Desired // the newest value that was known to be chosen when the rounds began
-	baseAt protocol.Ballot
-	began  clock.Tick
-	resent int  // times that the messages of this phase were sent again
-	risky  bool // it may have been taken: an accept was sent whose fate is not settled, or it was forwarded
-	fails  int
-	result applied // in the rounds under way
-	joined []*op   // changes that go through in the same rounds, each after the one before
+	came      clock.Tick
+	end       clock.Tick
+	set       protocol.Desired
+	ballot    protocol.Ballot
+	round     uint64
+	phase     phase
+	sent      clock.Tick
+	wake      clock.Tick
+	yes       map[ident.Node]ident.Inc
+	best      protocol.Ballot
+	value     *protocol.Desired
+	next      protocol.Desired
+	baseValue *protocol.Desired // the newest value that was known to be chosen when the rounds began
+	baseAt    protocol.Ballot
+	beganAt   clock.Tick
+	resent    int  // times that the messages of this phase were sent again
+	risky     bool // it may have been taken: an accept was sent whose fate is not settled, or it was forwarded
+	fails     int
+	result    applied // in the rounds under way
+	batched   []*op   // changes that go through in the same rounds, each after the one before
 }
 
 // promise is what a majority promised together with its last accept: a proposer may go on from that accept's value, under
 // the ballot that was reserved, with no prepare. It is used once.
-type promise struct {
+type reservation struct {
 	ballot protocol.Ballot
 	value  protocol.Desired
 	at     protocol.Ballot // of the accept
@@ -100,18 +100,18 @@
 		return
 	}
 	c.reg.queue = append(c.reg.queue, o)
-	c.stir()
+	c.startNext()
 }
 
 // proposeFirst puts a change before all that wait: operators' changes may come as fast as they are
 // taken, and must not hold up the voter set's.
-func (c *Core) proposeFirst(m mutation) {
+func (c *Core) proposeAtFront(m mutation) {
 	c.reg.queue = append([]*op{c.newOp(m)}, c.reg.queue...)
-	c.stir()
+	c.startNext()
 }
 
 // read queues a full read: a round that proposes what it finds, and so mends old copies.
-func (c *Core) read(done func(failure.Kind)) {
+func (c *Core) fullRead(done func(failure.Kind)) {
 	c.tally.Reads++
 	c.propose(mutation{
 		apply: func(d protocol.Desired) (protocol.Desired, failure.Kind, fleetplan.Faults) {
@@ -121,28 +121,28 @@
 	})
 }
 
-func (c *Core) stir() {
+func (c *Core) startNext() {
 	r := &c.reg
 	if r.op == nil && len(r.queue) > 0 {
 		r.op, r.queue = r.queue[0], r.queue[1:]
 	}
 	o := r.op
-	if o == nil || o.phase != queued || c.now < o.wake || c.rivalIsAtIt() || c.givesWay(o) {
+	if o == nil || o.phase != queued || c.now < o.wake || c.rivalActive() || c.yieldsTurn(o) {
 		return
 	}
 	set := c.latest()
 	if set == nil {
 		return
 	}
-	if p := c.takePromise(); p != nil && !o.fresh {
-		c.beginPromised(o, p)
+	if p := c.takeReservation(); p != nil && !o.needsPrepare {
+		c.beginReserved(o, p)
 		return
 	}
-	c.begin(o, *set)
+	c.beginPrepare(o, *set)
 }
 
 // begin starts an attempt with a prepare.
-func (c *Core) begin(o *op, set protocol.Desired) {
+func (c *Core) beginPrepare(o *op, set protocol.Desired) {
 	r := &c.reg
 	r.top++
 	c.beginAttempt(o, c.ballotAt(r.top), set)
@@ -151,7 +151,7 @@
 }
 
 // beginPromised starts an attempt under a ballot that a majority has promised already.
-func (c *Core) beginPromised(o *op, p *promise) {
+func (c *Core) beginReserved(o *op, p *reservation) {
 	c.beginAttempt(o, p.ballot, p.value)
 	c.tally.RoundsPromised++
 	c.applyAll(o, p.value)
@@ -162,9 +162,9 @@
 	r := &c.reg
 	r.round++
 	o.set, o.ballot, o.round = set, ballot, r.round
-	o.sent, o.began, o.resent = c.now, c.now, 0
+	o.sent, o.beganAt, o.resent = c.now, c.now, 0
 	o.yes, o.best, o.value = map[ident.Node]ident.Inc{}, protocol.Ballot{}, nil
-	o.base, o.baseAt = r.known, r.at
+	o.baseValue, o.baseAt = r.known, r.at
 	c.tally.Rounds++
 }
 
@@ -175,7 +175,7 @@
 
 // takePromise gives what a majority has promised, if nobody is known to have gone past it, and forgets it: a ballot stands
 // for one value.
-func (c *Core) takePromise() *promise {
+func (c *Core) takeReservation() *reservation {
 	r := &c.reg
 	p := r.promised
 	r.promised = nil
@@ -190,7 +190,7 @@
 	set, body := o.set, any(protocol.Prepare{Round: o.round, Ballot: o.ballot, Known: o.baseAt})
 	if o.phase == accepting {
 		set = voterset.Both(o.set, o.next)
-		body = protocol.Accept{Round: o.round, Ballot: o.ballot, Value: o.next, Next: c.reserved(o), Chosen: c.reg.at}
+		body = protocol.Accept{Round: o.round, Ballot: o.ballot, Value: o.next, Next: c.reservedBallot(o), Chosen: c.reg.at}
 	}
 	for _, p := range voterset.Addresses(set) {
 		if _, answered := o.yes[p.ID]; !answered {
@@ -200,15 +200,15 @@
 }
 
 // reserved gives the ballot that voters promise together with an attempt's accept.
-func (c *Core) reserved(o *op) protocol.Ballot { return c.ballotAt(o.ballot.N + 1) }
+func (c *Core) reservedBallot(o *op) protocol.Ballot { return c.ballotAt(o.ballot.N + 1) }
 
 // mostResent is how often an attempt is sent again as it is, to those who have not answered: they may only be slow, and a
 // new ballot would make what they have done void. After that it begins anew.
-const mostResent = 2
+const maxResends = 2
 
 func (c *Core) resend(o *op) {
-	if o.resent == mostResent {
-		c.again(o)
+	if o.resent == maxResends {
+		c.retryLater(o)
 		return
 	}
 	o.resent++
@@ -217,7 +217,7 @@
 }
 
 // again gives an attempt up, for a later one under a new ballot.
-func (c *Core) again(o *op) {
+func (c *Core) retryLater(o *op) {
 	o.fails++
 	o.phase = queued
 	o.wake = c.now.Add(c.backoff(o))
@@ -232,13 +232,13 @@
 	}
 	if !b.OK {
 		if o.ballot.Less(b.Promised) {
-			c.again(o)
+			c.retryLater(o)
 		}
 		return
 	}
 	value := b.Value
 	if value == nil && b.Accepted == o.baseAt {
-		value = o.base
+		value = o.baseValue
 	}
 	if value != nil && o.best.Less(b.Accepted) {
 		o.best, o.value = b.Accepted, value
@@ -247,13 +247,13 @@
 	if !voterset.Majority(o.set, o.yes) {
 		return
 	}
-	c.majorityAnswered(o)
+	c.recordMajority(o)
 	now := o.set // with nothing accepted anywhere, only the forming of a core proposes a first value
 	if o.value != nil {
 		now = *o.value
 		if now.Shape >= o.set.Shape && !(voterset.Same(now.Voters, o.set.Voters) && voterset.Same(now.Prior, o.set.Prior)) {
 			c.reg.hint = o.value
-			c.begin(o, now)
+			c.beginPrepare(o, now)
 			return
 		}
 	}
@@ -261,7 +261,7 @@
 }
 
 // majorityAnswered notes that a majority has answered the messages of an attempt's phase.
-func (c *Core) majorityAnswered(o *op) {
+func (c *Core) recordMajority(o *op) {
 	c.reg.answered = c.now
 	if o.resent == 0 {
 		c.reg.trips.rounds.Observe(c.now.Sub(o.sent))
@@ -269,22 +269,22 @@
 }
 
 // mostJoined bounds how many changes go through in the same rounds.
-const mostJoined = 16
+const maxBatched = 16
 
 // join takes the changes that wait at this node into the rounds of one: they all become part of one value, so that the
 // node's changes do not take a turn each against other proposers'. Those that the core applies itself go first.
-func (c *Core) join(o *op) {
+func (c *Core) batchWaiting(o *op) {
 	beside := o.beside
-	for _, x := range o.joined {
+	for _, x := range o.batched {
 		beside = beside || x.beside
 	}
-	for len(c.reg.queue) > 0 && len(o.joined) < mostJoined {
+	for len(c.reg.queue) > 0 && len(o.batched) < maxBatched {
 		x := c.reg.queue[0]
-		if beside && !x.beside || x.fresh && len(o.yes) == 0 {
+		if beside && !x.beside || x.needsPrepare && len(o.yes) == 0 {
 			return
 		}
 		beside = x.beside
-		o.joined = append(o.joined, x)
+		o.batched = append(o.batched, x)
 		c.reg.queue = c.reg.queue[1:]
 	}
 }
@@ -292,11 +292,11 @@
 // applyAll applies a change to the newest value, and behind it those that wait at this node. What may take long is computed
 // beside the core, which goes on meanwhile.
 func (c *Core) applyAll(o *op, value protocol.Desired) {
-	c.join(o)
+	c.batchWaiting(o)
 	o.phase = applying
-	batch := append([]*op{o}, o.joined...)
+	batch := append([]*op{o}, o.batched...)
 	for len(batch) > 0 && !batch[0].beside {
-		batch[0].result = batch[0].on(value)
+		batch[0].result = batch[0].applyTo(value)
 		value = batch[0].result.after
 		batch = batch[1:]
 	}
@@ -305,7 +305,7 @@
 		return
 	}
 	round, results := o.round, make([]applied, len(batch))
-	c.compute(func() { applyInTurn(batch, value, results) }, func() {
+	c.compute(func() { applySequentially(batch, value, results) }, func() {
 		if c.reg.op != o || o.phase != applying || o.round != round {
 			return // it was given up meanwhile
 		}
@@ -317,9 +317,9 @@
 }
 
 // applyInTurn applies changes each to what came of the one before.
-func applyInTurn(batch []*op, value protocol.Desired, results []applied) {
+func applySequentially(batch []*op, value protocol.Desired, results []applied) {
 	for i, x := range batch {
-		results[i] = x.on(value)
+		results[i] = x.applyTo(value)
 		value = results[i].after
 	}
 }
@@ -329,10 +329,10 @@
 	o.next = value
 	o.phase, o.sent, o.yes, o.resent = accepting, c.now, map[ident.Node]ident.Inc{}, 0
 	o.risky = true
-	for _, x := range o.joined {
+	for _, x := range o.batched {
 		x.risky = true
 	}
-	c.reg.top = max(c.reg.top, c.reserved(o).N)
+	c.reg.top = max(c.reg.top, c.reservedBallot(o).N)
 	c.sendPhase(o)
 }
 
@@ -340,7 +340,7 @@
 func (o *op) awaitsAnswers() bool { return o.phase == preparing || o.phase == accepting }
 
 // givenUp is what is told of a change whose time is over: it may have been taken once an accept with it was sent.
-func (o *op) givenUp() failure.Kind {
+func (o *op) timeoutKind() failure.Kind {
 	if o.risky {
 		return failure.Unclear
 	}
@@ -348,9 +348,9 @@
 }
 
 // settle tells everyone whose change went through the rounds, or did not, in the order in which they were applied.
-func (o *op) settle() {
+func (o *op) reportResults() {
 	o.done(o.result)
-	for _, x := range o.joined {
+	for _, x := range o.batched {
 		x.done(x.result)
 	}
 }
@@ -363,7 +363,7 @@
 	}
 	if !b.OK {
 		if o.ballot.Less(b.Promised) {
-			c.again(o)
+			c.retryLater(o)
 		}
 		return
 	}
@@ -371,12 +371,12 @@
 	if !voterset.Majority(o.set, o.yes) || !voterset.Majority(o.next, o.yes) {
 		return
 	}
-	c.majorityAnswered(o)
+	c.recordMajority(o)
 	c.reg.op = nil
-	c.reg.promised = &promise{ballot: c.reserved(o), value: o.next, at: o.ballot}
-	c.noteRounds(o)
+	c.reg.promised = &reservation{ballot: c.reservedBallot(o), value: o.next, at: o.ballot}
+	c.recordRounds(o)
 	c.announceChosen(o.ballot, o.next)
-	c.learn(o.ballot, o.next)
-	o.settle()
-	c.stir()
+	c.learnChosen(o.ballot, o.next)
+	o.reportResults()
+	c.startNext()
 }
--- a/internal/controller/proposer_timing.go
+++ b/internal/controller/proposer_timing.go
@@ -10,15 +10,15 @@
 // of the time between two majority reads, which follows from the settings.
 
 // trips are the round trips that a node measures.
-type trips struct {
+type roundTrips struct {
 	reads    roundtrip.Estimator // from a majority read to the answers of a majority
 	rounds   roundtrip.Estimator // likewise for prepares and accepts, which carry the value
 	forwards roundtrip.Estimator // from a change that is handed to the owner of the lease to its outcome
 }
 
 const (
-	leastAnswerReads = 3  // times between two reads that answers are waited for at least
-	mostAnswerReads  = 16 // and at most
+	minAnswerRounds = 3  // times between two reads that answers are waited for at least
+	maxAnswerRounds = 16 // and at most
 )
 
 // answerWait is how long the answers of a majority are waited for before an attempt is sent again.
@@ -27,7 +27,7 @@
 	if !c.reg.trips.rounds.Known() {
 		wait = 2 * c.reg.trips.reads.Timeout() // a value takes longer than a question
 	}
-	return min(max(wait, leastAnswerReads*c.o.Round), mostAnswerReads*c.o.Round)
+	return min(max(wait, minAnswerRounds*c.o.Round), maxAnswerRounds*c.o.Round)
 }
 
 const (
@@ -42,19 +42,19 @@
 }
 
 const (
-	leastRivalReads = 1.2 // times between two reads after its last word that another proposer counts as being at work
-	mostRivalReads  = 8
+	minRivalRounds = 1.2 // times between two reads after its last word that another proposer counts as being at work
+	maxRivalRounds = 8
 )
 
 // rivalWait is how long after its last word another proposer counts as being at work.
 func (c *Core) rivalWait() clock.Span {
 	round := float64(c.o.Round)
-	return clock.Span(min(max(float64(c.reg.trips.reads.Timeout()), leastRivalReads*round), mostRivalReads*round))
+	return clock.Span(min(max(float64(c.reg.trips.reads.Timeout()), minRivalRounds*round), maxRivalRounds*round))
 }
 
 // rivalIsAtIt tells whether this voter has promised itself to another proposer whose value is not chosen yet, as far as
 // is known here. A new ballot now would make that proposer's rounds void, and they each other's for as long as changes come.
-func (c *Core) rivalIsAtIt() bool {
+func (c *Core) rivalActive() bool {
 	at := c.vote.promised
 	if at == c.vote.reserved {
 		at = c.vote.accepted // the promise came with an accept, and is used only once there is another change
@@ -63,31 +63,31 @@
 }
 
 // rivalsKept is how long after its last word another proposer is reckoned with.
-const rivalsKept = clock.Span(1e9)
+const rivalMemory = clock.Span(1e9)
 
 // noteRounds notes how long a change's rounds took, and that it is over: half of that time is what another proposer needs
 // to hear of it and to have its own prepare heard.
-func (c *Core) noteRounds(o *op) {
-	c.reg.rounds = c.now.Sub(o.began)
-	c.reg.over = c.now
+func (c *Core) recordRounds(o *op) {
+	c.reg.lastDuration = c.now.Sub(o.beganAt)
+	c.reg.lastFinishedAt = c.now
 }
 
 // givesWay tells whether a change waits for other proposers' turn, since this node has just had one. Without that a node
 // with many changes would begin its next one before others have heard that the last is over.
-func (c *Core) givesWay(o *op) bool {
-	rivals := c.vote.rival != 0 && c.now.Sub(c.vote.rival) < rivalsKept
-	return rivals && !c.urgent(o) && c.now.Sub(c.reg.over) <= c.reg.rounds/2
+func (c *Core) yieldsTurn(o *op) bool {
+	rivals := c.vote.rivalHeardAt != 0 && c.now.Sub(c.vote.rivalHeardAt) < rivalMemory
+	return rivals && !c.urgent(o) && c.now.Sub(c.reg.lastFinishedAt) <= c.reg.lastDuration/2
 }
 
 // wakeProposal has a change that was outbid begin soon, since a value was chosen.
-func (c *Core) wakeProposal() {
+func (c *Core) hastenRetry() {
 	o := c.reg.op
 	if o == nil || o.phase != queued || c.now >= o.wake {
 		return
 	}
 	soon := c.now
 	if !c.urgent(o) {
-		soon = c.now.Add(clock.Span(c.o.Rand.Int64N(int64(c.leastBackoff()))))
+		soon = c.now.Add(clock.Span(c.o.Rand.Int64N(int64(c.baseBackoff()))))
 	}
 	o.wake = min(o.wake, soon)
 }
@@ -101,18 +101,18 @@
 
 // An attempt that was outbid waits for up to the least backoff, twice as long after each further one, for backoffDoublings.
 const (
-	quickestBackoff  = clock.Span(20e6)
+	minBackoff       = clock.Span(20e6)
 	backoffDoublings = 4
-	backoffTrips     = 4 // parts of a read's round trip that the least backoff is at least
+	backoffDivisor   = 4 // parts of a read's round trip that the least backoff is at least
 )
 
-func (c *Core) leastBackoff() clock.Span {
-	return max(quickestBackoff, min(c.reg.trips.reads.Mean(), mostRivalReads*c.o.Round)/backoffTrips)
+func (c *Core) baseBackoff() clock.Span {
+	return max(minBackoff, min(c.reg.trips.reads.Mean(), maxRivalRounds*c.o.Round)/backoffDivisor)
 }
 
 // backoff draws how long an attempt that was outbid waits.
 func (c *Core) backoff(o *op) clock.Span {
-	back := c.leastBackoff()
+	back := c.baseBackoff()
 	if !c.urgent(o) {
 		back <<= min(o.fails, backoffDoublings)
 	}
--- a/internal/controller/reader.go
+++ b/internal/controller/reader.go
@@ -12,36 +12,36 @@
 // query is one majority read. Several may be under way at once: one that takes longer than the time to the next goes on,
 // so that a core whose nodes are slow to answer still learns what is the newest.
 type query struct {
-	round  uint64
-	at     clock.Tick
-	claim  bool
-	num    ident.Duty
-	again  bool // no voter of a majority has given the duty to another since this node had it
-	set    protocol.Desired
-	yes    map[ident.Node]ident.Inc
-	grant  map[ident.Node]ident.Inc
-	open   map[ident.Node]ident.Inc // voters that hold the duty for nobody but this node
-	others map[ident.Node]ident.Inc // voters that hold this node's own term for another
-	acc    map[ident.Node]protocol.Ballot
-	top    protocol.Ballot // highest accepted among the voters heard
-	shape  uint64          // highest number of a voter set that these have accepted
-	asked  bool            // the value at top is being fetched
-	read   bool            // a majority was heard
-	ended  bool            // a value as new as top is known: nothing newer was chosen before the read began
-	won    bool            // a majority grants the term
-	dutyN  ident.Duty
-	owner  protocol.Sibling
+	round       uint64
+	at          clock.Tick
+	claim       bool
+	num         ident.Duty
+	uncontested bool // no voter of a majority has given the duty to another since this node had it
+	set         protocol.Desired
+	yes         map[ident.Node]ident.Inc
+	grant       map[ident.Node]ident.Inc
+	vacant      map[ident.Node]ident.Inc // voters that hold the duty for nobody but this node
+	others      map[ident.Node]ident.Inc // voters that hold this node's own term for another
+	acc         map[ident.Node]protocol.Ballot
+	top         protocol.Ballot // highest accepted among the voters heard
+	shape       uint64          // highest number of a voter set that these have accepted
+	asked       bool            // the value at top is being fetched
+	read        bool            // a majority was heard
+	ended       bool            // a value as new as top is known: nothing newer was chosen before the read began
+	won         bool            // a majority grants the term
+	dutyN       ident.Duty
+	owner       protocol.Sibling
 }
 
 func newQuery(round uint64, at clock.Tick) *query {
 	return &query{
-		round: round, at: at, again: true, yes: map[ident.Node]ident.Inc{}, grant: map[ident.Node]ident.Inc{}, open: map[ident.Node]ident.Inc{},
+		round: round, at: at, uncontested: true, yes: map[ident.Node]ident.Inc{}, grant: map[ident.Node]ident.Inc{}, vacant: map[ident.Node]ident.Inc{},
 		others: map[ident.Node]ident.Inc{}, acc: map[ident.Node]protocol.Ballot{},
 	}
 }
 
 // mostQueries bounds the majority reads that are under way at once.
-const mostQueries = 16
+const maxQueries = 16
 
 // newestQuery gives the majority read that began last, if any did.
 func (r *register) newestQuery() *query {
@@ -52,7 +52,7 @@
 }
 
 // queryOf gives the majority read of a round, if it is still under way, or ended last.
-func (r *register) queryOf(round uint64) *query {
+func (r *register) queryByRound(round uint64) *query {
 	for _, q := range r.queries {
 		if q.round == round {
 			return q
@@ -67,7 +67,7 @@
 	r.round++
 	q := newQuery(r.round, c.now)
 	r.queries = append(r.queries, q)
-	if n := len(r.queries) - mostQueries; n > 0 {
+	if n := len(r.queries) - maxQueries; n > 0 {
 		for _, old := range r.queries[:n] {
 			c.countQuery(old)
 		}
@@ -83,12 +83,12 @@
 		return
 	}
 	r.next = c.now.Add(c.o.Round)
-	c.mendUnclear()
+	c.repairUnsettled()
 	q := c.beginQuery()
 	to := map[ident.Node]protocol.Sibling{}
 	if set := c.latest(); set != nil {
 		q.set = *set
-		q.claim, q.num = c.claims(q.set)
+		q.claim, q.num = c.shouldClaim(q.set)
 		for _, p := range voterset.Addresses(*set) {
 			to[p.ID] = p
 		}
@@ -115,13 +115,13 @@
 
 // unclearReads is how many reads in a row show one value that is newer and not known to be chosen before a full round is
 // begun for it.
-const unclearReads = 2
+const unsettledReads = 2
 
 // mendUnclear begins a full round if reads in a row showed the same newer value without its being known as chosen: its
 // proposer may be gone, and then only a full round can tell, and mends it. Where each read shows another one, changes
 // go on, and a round more would only hold them up.
-func (c *Core) mendUnclear() {
-	r, q := &c.reg, c.reg.queryOf(c.reg.lastRead)
+func (c *Core) repairUnsettled() {
+	r, q := &c.reg, c.reg.queryByRound(c.reg.lastRead)
 	if q == nil || r.known != nil && !r.at.Less(q.top) {
 		r.odd = 0
 		return
@@ -129,18 +129,18 @@
 	if q.top != r.oddTop {
 		r.odd, r.oddTop, r.oddSince = 0, q.top, c.now
 	}
-	if r.odd++; r.odd >= unclearReads && c.now.Sub(r.oddSince) >= c.unclearWait() && r.op == nil && len(r.queue) == 0 {
+	if r.odd++; r.odd >= unsettledReads && c.now.Sub(r.oddSince) >= c.unsettledWait() && r.op == nil && len(r.queue) == 0 {
 		r.odd = 0
-		c.read(func(failure.Kind) {})
+		c.fullRead(func(failure.Kind) {})
 	}
 }
 
 // unclearWait is how long reads show one value that is not known to be chosen before this node begins a full round for it:
 // its accept may still be on its way. While another node owns the leadership lease, it is given the time to mend it.
-func (c *Core) unclearWait() clock.Span {
-	trip := min(c.reg.trips.reads.Timeout(), mostRivalReads*c.o.Round)
+func (c *Core) unsettledWait() clock.Span {
+	trip := min(c.reg.trips.reads.Timeout(), maxRivalRounds*c.o.Round)
 	if _, other := c.proposerElsewhere(); other {
-		return leastAnswerReads*c.o.Round + 2*trip
+		return minAnswerRounds*c.o.Round + 2*trip
 	}
 	return trip
 }
@@ -148,37 +148,37 @@
 func (c *Core) onState(e protocol.Env) {
 	r, b := &c.reg, e.Body.(protocol.State)
 	r.top = max(r.top, b.Accepted.N)
-	if b.Round <= r.first {
+	if b.Round <= r.roundBase {
 		return // it answers an earlier life
 	}
 	if b.Round >= r.lives[e.From.ID].state.Round { // else it came after a later answer: what it says may be over
-		r.lives[e.From.ID] = sight{at: c.now, state: b, sib: e.From}
+		r.lives[e.From.ID] = stateReport{at: c.now, state: b, sib: e.From}
 		set := c.latest()
 		if !b.Blank && (set == nil || b.Shape > set.Shape) {
 			c.send(e.From, protocol.Fetch{})
 		}
 	}
 	c.hearOfChosen(b.Chosen, e.From)
-	q := r.queryOf(b.Round)
+	q := r.queryByRound(b.Round)
 	if q == nil {
 		return
 	}
-	c.tallyAnswer(q, e.From.ID, b)
-	c.renewed(q)
-	c.endQueries()
-	c.catchUp(q)
-	c.saw(q)
+	c.recordAnswer(q, e.From.ID, b)
+	c.renewTerm(q)
+	c.completeQueries()
+	c.fetchNewest(q)
+	c.observeOwner(q)
 }
 
 // tallyAnswer takes a voter's answer into a majority read.
-func (c *Core) tallyAnswer(q *query, from ident.Node, b protocol.State) {
+func (c *Core) recordAnswer(q *query, from ident.Node, b protocol.State) {
 	q.yes[from] = b.Inc
 	if b.Granted {
 		q.grant[from] = b.Inc
 	}
 	q.dutyN = max(q.dutyN, b.Duty)
 	if b.Owner.ID == "" || b.Owner.ID == c.o.Me.ID {
-		q.open[from] = b.Inc
+		q.vacant[from] = b.Inc
 	}
 	if b.Owner.ID != "" && b.Owner.ID != c.o.Me.ID && b.Duty == c.duty.num {
 		q.others[from] = b.Inc
@@ -194,7 +194,7 @@
 		}
 	}
 	if b.Prior != c.o.Me.ID {
-		q.again = false
+		q.uncontested = false
 	}
 	q.won = q.won || q.claim && voterset.Majority(q.set, q.grant)
 	if voterset.Majority(q.set, q.yes) {
@@ -213,14 +213,14 @@
 // read ends once a chosen value is known that is no older than the newest that it showed, also if that value was chosen,
 // or learned, after the answers came. One that asked an older voter set than the one that is known by then tells nothing:
 // a majority of the newer set may have chosen more, and none of it need show among the older one's answers.
-func (c *Core) endQueries() {
+func (c *Core) completeQueries() {
 	r := &c.reg
 	if r.known == nil {
 		return
 	}
 	for i := len(r.queries) - 1; i >= 0; i-- {
 		q := r.queries[i]
-		if q.ended && !q.wins(c) {
+		if q.ended && !q.winsTerm(c) {
 			return
 		}
 		if !q.read || r.at.Less(q.top) || q.set.Shape < r.known.Shape {
@@ -230,26 +230,26 @@
 			c.countQuery(old)
 		}
 		r.queries = r.queries[i:]
-		c.fresh(q)
+		c.completeQuery(q)
 		return
 	}
 }
 
 // wins tells whether a majority grants a term that this node has not begun.
-func (q *query) wins(c *Core) bool { return q.won && !c.duty.mine }
+func (q *query) winsTerm(c *Core) bool { return q.won && !c.duty.mine }
 
 // catchUp learns the newest value that a majority read showed, if a majority of the voters have accepted it: it is chosen
 // then, and only needs to be fetched.
-func (c *Core) catchUp(q *query) {
+func (c *Core) fetchNewest(q *query) {
 	if !q.read || q.ended || q.top == (protocol.Ballot{}) || !c.reg.at.Less(q.top) && c.reg.known != nil {
 		return
 	}
-	have := q.holders()
+	have := q.acceptedTop()
 	if !voterset.Majority(q.set, have) {
 		return
 	}
 	if c.vote.value != nil && c.vote.accepted == q.top {
-		c.learn(q.top, *c.vote.value)
+		c.learnChosen(q.top, *c.vote.value)
 		return
 	}
 	if q.asked {
@@ -260,7 +260,7 @@
 }
 
 // holders gives the voters that have accepted the newest value that a majority read showed.
-func (q *query) holders() map[ident.Node]ident.Inc {
+func (q *query) acceptedTop() map[ident.Node]ident.Inc {
 	have := map[ident.Node]ident.Inc{}
 	for id, b := range q.acc {
 		if b == q.top {
@@ -271,13 +271,13 @@
 }
 
 // fresh notes that, when a read began, nothing newer was chosen than what is known.
-func (c *Core) fresh(q *query) {
+func (c *Core) completeQuery(q *query) {
 	q.ended = true
 	c.reg.heard = max(c.reg.heard, q.at)
-	c.reg.ended = c.now
+	c.reg.completedAt = c.now
 	c.serveReads(q.at)
 	if q.won {
-		c.won(q)
+		c.beginTerm(q)
 	}
 }
 
@@ -294,7 +294,7 @@
 }
 
 // sweep mends a voter whose copy stays old: a full round brings the copies together.
-func (c *Core) sweep() {
+func (c *Core) repairStaleVoter() {
 	r := &c.reg
 	if r.known == nil || r.op != nil {
 		return
@@ -316,7 +316,7 @@
 	if c.now.Sub(r.unequal) > c.answerWait() {
 		r.unequal = 0
 		c.tally.Repairs++
-		c.read(func(failure.Kind) {})
+		c.fullRead(func(failure.Kind) {})
 	}
 }
 
@@ -325,8 +325,8 @@
 	if b.Value == nil {
 		return
 	}
-	if b.Chosen || c.shownChosen(b.Accepted) {
-		c.learn(b.Accepted, *b.Value)
+	if b.Chosen || c.seenChosen(b.Accepted) {
+		c.learnChosen(b.Accepted, *b.Value)
 	}
 	if set := c.latest(); set == nil || b.Value.Shape > set.Shape {
 		c.reg.hint = b.Value
@@ -334,7 +334,7 @@
 }
 
 // shownChosen tells whether a majority read has shown that a majority accepted a ballot.
-func (c *Core) shownChosen(b protocol.Ballot) bool {
+func (c *Core) seenChosen(b protocol.Ballot) bool {
 	for _, q := range c.reg.queries {
 		if q.asked && q.top == b {
 			return true
--- a/internal/controller/register.go
+++ b/internal/controller/register.go
@@ -11,64 +11,64 @@
 
 // register is the proposer's and reader's part.
 type register struct {
-	known     *protocol.Desired // newest value known to be chosen
-	at        protocol.Ballot
-	hint      *protocol.Desired // a voter set to try, from a value perhaps not chosen
-	round     uint64            // of the last question
-	first     uint64            // and before the first of this life
-	top       uint64            // highest ballot number seen anywhere
-	op        *op
-	queue     []*op
-	reads     []reader
-	queries   []*query        // majority reads from the last that ended on, oldest first
-	lastRead  uint64          // the newest of them that a majority has answered
-	wanted    protocol.Ballot // of the chosen value that was fetched last
-	wantedAt  clock.Tick
-	next      clock.Tick
-	heard     clock.Tick // when the last majority read was asked for that ended: nothing newer than what is known was chosen before
-	ended     clock.Tick // when the last of them ended
-	answered  clock.Tick // when a majority last answered, whatever it showed
-	lives     map[ident.Node]sight
-	blank     clock.Tick // since when every seed is seen blank
-	kept      *protocol.Desired
-	force     bool
-	unequal   clock.Tick                // since when some voter's copy is old
-	rounds    clock.Span                // that the last change's rounds took here
-	over      clock.Tick                // when they ended
-	odd       int                       // rounds in a row in which reads showed one value that is newer and not known to be chosen
-	oddSince  clock.Tick                // when the first of them did
-	oddTop    protocol.Ballot           // its ballot
-	promised  *promise                  // by a majority, together with this node's last accept
-	trips     trips                     // round trips that this node measures
-	reshaping bool                      // a change of the voter set is under way
-	inTouch   bool                      // a majority was heard lately, as the log was told last
-	starve    bool                      // likewise: a majority answers, and reads do not end
-	waitsFor  string                    // what the core lacks to go on, as the log was told last
-	absent    map[ident.Node]clock.Tick // voters that do not answer, and since when
+	known           *protocol.Desired // newest value known to be chosen
+	at              protocol.Ballot
+	hint            *protocol.Desired // a voter set to try, from a value perhaps not chosen
+	round           uint64            // of the last question
+	roundBase       uint64            // and before the first of this life
+	top             uint64            // highest ballot number seen anywhere
+	op              *op
+	queue           []*op
+	reads           []reader
+	queries         []*query        // majority reads from the last that ended on, oldest first
+	lastRead        uint64          // the newest of them that a majority has answered
+	wanted          protocol.Ballot // of the chosen value that was fetched last
+	wantedAt        clock.Tick
+	next            clock.Tick
+	heard           clock.Tick // when the last majority read was asked for that ended: nothing newer than what is known was chosen before
+	completedAt     clock.Tick // when the last of them ended
+	answered        clock.Tick // when a majority last answered, whatever it showed
+	lives           map[ident.Node]stateReport
+	blankSince      clock.Tick // since when every seed is seen blank
+	agentCopy       *protocol.Desired
+	force           bool
+	unequal         clock.Tick                // since when some voter's copy is old
+	lastDuration    clock.Span                // that the last change's rounds took here
+	lastFinishedAt  clock.Tick                // when they ended
+	odd             int                       // rounds in a row in which reads showed one value that is newer and not known to be chosen
+	oddSince        clock.Tick                // when the first of them did
+	oddTop          protocol.Ballot           // its ballot
+	promised        *reservation              // by a majority, together with this node's last accept
+	trips           roundTrips                // round trips that this node measures
+	changingVoters  bool                      // a change of the voter set is under way
+	majorityReached bool                      // a majority was heard lately, as the log was told last
+	readsStalled    bool                      // likewise: a majority answers, and reads do not end
+	waitsFor        string                    // what the core lacks to go on, as the log was told last
+	absent          map[ident.Node]clock.Tick // voters that do not answer, and since when
 }
 
-type sight struct {
+type stateReport struct {
 	at    clock.Tick
 	state protocol.State
 	sib   protocol.Sibling
 }
 
 // lifeBits is how many numbers each life of a node has for its questions.
-const lifeBits = 20
+const roundBits = 20
 
 // firstNumber gives the number before a life's first question. Lives have numbers of their own, so that a late
 // answer to a question of the life before is never taken for one to a question of this life.
-func firstNumber(life ident.Inc) uint64 { return uint64(life) << lifeBits }
+func roundBaseOf(life ident.Inc) uint64 { return uint64(life) << roundBits }
 
 func (r *register) init(life ident.Inc) {
-	r.first = firstNumber(life)
-	r.round = r.first
-	r.lives = map[ident.Node]sight{}
+	r.roundBase = roundBaseOf(life)
+	r.round = r.roundBase
+	r.lives = map[ident.Node]stateReport{}
 	r.absent = map[ident.Node]clock.Tick{}
 }
 
 // learn takes in a value that is known to be chosen.
-func (c *Core) learn(b protocol.Ballot, v protocol.Desired) {
+func (c *Core) learnChosen(b protocol.Ballot, v protocol.Desired) {
 	r := &c.reg
 	if r.known != nil && b.Less(r.at) {
 		return
@@ -86,8 +86,8 @@
 			c.pushAll()
 		}
 	}
-	c.wakeProposal()
-	c.endQueries()
+	c.hastenRetry()
+	c.completeQueries()
 	c.tellKnown()
 }
 
@@ -110,7 +110,7 @@
 		return
 	}
 	if c.vote.value != nil && c.vote.accepted == b {
-		c.learn(b, *c.vote.value)
+		c.learnChosen(b, *c.vote.value)
 		return
 	}
 	if !r.wanted.Less(b) && c.now.Sub(r.wantedAt) < max(c.o.Round, r.trips.reads.Timeout()) {
@@ -126,8 +126,8 @@
 		switch {
 		case c.now > o.end:
 			r.op = nil
-			k := o.givenUp()
-			r.queue = append(o.joined, r.queue...) // each has its own time
+			k := o.timeoutKind()
+			r.queue = append(o.batched, r.queue...) // each has its own time
 			o.done(applied{kind: k})
 		case o.awaitsAnswers() && c.now.Sub(o.sent) > c.answerWait()<<o.resent:
 			c.resend(o)
@@ -136,10 +136,10 @@
 	for len(r.queue) > 0 && c.now > r.queue[0].end {
 		o := r.queue[0]
 		r.queue = r.queue[1:]
-		o.done(applied{kind: o.givenUp()})
+		o.done(applied{kind: o.timeoutKind()})
 	}
 	c.beatForwards()
-	c.stir()
+	c.startNext()
 	c.dropReads()
 	c.beatQuery()
 	c.beatForm()
--- a/internal/controller/slow_rounds_test.go
+++ b/internal/controller/slow_rounds_test.go
@@ -19,10 +19,10 @@
 
 // outcome is what a run showed.
 type outcome struct {
-	noOwner, noVouch, length clock.Span // sums, not longest
-	sent, taken              int
-	rounds                   uint64
-	longest                  clock.Span // of the changes that were taken
+	noOwner, noFreshNode, length clock.Span // sums, not longest
+	sent, taken                  int
+	rounds                       uint64
+	longest                      clock.Span // of the changes that were taken
 }
 
 // slowRoundsLength is how long changes are sent for, and slowRoundsRest how long the last ones may still take.
@@ -31,7 +31,7 @@
 	slowRoundsRest   = clock.Span(4e9)
 )
 
-func (x roundsRun) play(t *testing.T) outcome {
+func (x roundsRun) run(t *testing.T) outcome {
 	c, others := newSlowCluster(t, x.delay)
 	for _, id := range others[len(others)-x.down:] {
 		c.parted[id] = true
@@ -78,12 +78,12 @@
 		if c.at >= end {
 			continue
 		}
-		o.length += beatGap
+		o.length += stepLength
 		if c.owner() == "" {
-			o.noOwner += beatGap
+			o.noOwner += stepLength
 		}
-		if !c.anyoneVouches() {
-			o.noVouch += beatGap
+		if !c.anyoneKnowsNewest() {
+			o.noFreshNode += stepLength
 		}
 	}
 	o.rounds = c.rounds() - before
@@ -91,11 +91,11 @@
 }
 
 // beatGap is how far apart the harness's steps are.
-const beatGap = clock.Span(20e6)
+const stepLength = clock.Span(20e6)
 
-func (c *cluster) anyoneVouches() bool {
+func (c *cluster) anyoneKnowsNewest() bool {
 	for id := range c.nodes {
-		if !c.parted[id] && c.vouches(id) {
+		if !c.parted[id] && c.knowsNewest(id) {
 			return true
 		}
 	}
@@ -119,11 +119,11 @@
 				for _, down := range []int{0, 2} {
 					x := roundsRun{delay: delay, gap: gap, spread: spread, down: down}
 					t.Run(fmt.Sprintf("%v/%v/spread=%v/down=%d", delay, gap, spread, down), func(t *testing.T) {
-						o := x.play(t)
+						o := x.run(t)
 						t.Logf("%d of %d changes taken, the longest after %v, %d attempts; no owner %v, nobody vouches %v of %v",
-							o.taken, o.sent, o.longest, o.rounds, o.noOwner, o.noVouch, o.length)
+							o.taken, o.sent, o.longest, o.rounds, o.noOwner, o.noFreshNode, o.length)
 						require.Zero(t, o.noOwner, "an owner that a majority keeps does not lose its term over slow rounds")
-						require.LessOrEqual(t, 20*o.noVouch, o.length, "nobody could tell what is the newest for %v of %v", o.noVouch, o.length)
+						require.LessOrEqual(t, 20*o.noFreshNode, o.length, "nobody could tell what is the newest for %v of %v", o.noFreshNode, o.length)
 						require.GreaterOrEqual(t, 4*o.taken, 3*o.sent, "%d of %d changes were taken", o.taken, o.sent)
 					})
 				}
--- a/internal/controller/starved_reads_test.go
+++ b/internal/controller/starved_reads_test.go
@@ -22,12 +22,12 @@
 }
 
 // absence follows for how long something is not so.
-type absence struct {
+type outage struct {
 	since, longest clock.Span
 	step           clock.Span
 }
 
-func (a *absence) see(there bool) {
+func (a *outage) observe(there bool) {
 	if there {
 		a.since = 0
 		return
@@ -37,7 +37,7 @@
 }
 
 // vouches tells whether a node can tell a router whether its configuration is the newest.
-func (c *cluster) vouches(id string) bool {
+func (c *cluster) knowsNewest(id string) bool {
 	n := c.nodes[id]
 	return n.reg.heard != 0 && c.at.Sub(n.reg.heard) < n.o.Hold
 }
@@ -45,7 +45,7 @@
 // quickChanges puts a change at one of the nodes each so often, for a while, each on whatever is in force, and tells for
 // how long there was no owner, and for how long no node could vouch.
 func (c *cluster) quickChanges(nodes []string, gap, length clock.Span) (noOwner, noVouch clock.Span, taken int) {
-	owner, vouch := absence{step: 20e6}, absence{step: 20e6}
+	owner, vouch := outage{step: 20e6}, outage{step: 20e6}
 	next := c.at
 	sent := 0
 	for end := c.at.Add(length); c.at < end; c.tick() {
@@ -56,12 +56,12 @@
 			c.plans[plan] = c.plans["1"]
 			c.admin(nodes[sent%len(nodes)], Admin{Op: "put", Raw: []byte(plan), Any: true, Change: plan})
 		}
-		owner.see(c.owner() != "")
+		owner.observe(c.owner() != "")
 		vouched := false
 		for id := range c.nodes {
-			vouched = vouched || c.vouches(id)
+			vouched = vouched || c.knowsNewest(id)
 		}
-		vouch.see(vouched)
+		vouch.observe(vouched)
 	}
 	for _, o := range c.out {
 		if r, is := o.(Receipt); is && r.Kind == "" {
@@ -108,7 +108,7 @@
 }
 
 // state answers a node's newest majority read in the name of a voter.
-func (c *cluster) state(to, voter string, change func(s *protocol.State)) {
+func (c *cluster) answerRead(to, voter string, change func(s *protocol.State)) {
 	n := c.nodes[to]
 	q := n.reg.newestQuery()
 	s := protocol.State{
@@ -120,7 +120,7 @@
 }
 
 // ask begins a majority read at a node that reaches nobody, so that a test can answer it.
-func (c *cluster) ask(node string) *query {
+func (c *cluster) beginRead(node string) *query {
 	n := c.nodes[node]
 	n.now, n.out = c.at, nil
 	n.reg.next = 0
@@ -150,11 +150,11 @@
 			n := c.nodes[owner]
 			c.parted[owner] = true
 			c.run(300e6)
-			q := c.ask(owner)
+			q := c.beginRead(owner)
 			was, heard := n.duty.asked, n.reg.heard
 			for _, id := range []string{"a", "b", "c"} {
 				if id != owner {
-					c.state(owner, id, func(s *protocol.State) { x.answer(n, s) })
+					c.answerRead(owner, id, func(s *protocol.State) { x.answer(n, s) })
 				}
 			}
 			require.Equal(t, x.renews, n.duty.asked == q.at, "the term")
@@ -206,17 +206,17 @@
 	c, other := newPartedNode(t)
 	n := c.nodes[other]
 	heard := n.reg.heard
-	first := c.ask(other)
+	first := c.beginRead(other)
 	top := protocol.Ballot{N: n.reg.at.N + 10, By: "z", Life: 1}
 	for _, id := range []string{"a", "b", "c"} {
 		if id != other {
-			c.state(other, id, func(s *protocol.State) { s.Accepted = top; top.N++ })
+			c.answerRead(other, id, func(s *protocol.State) { s.Accepted = top; top.N++ })
 		}
 	}
 	require.True(t, first.read)
 	require.Equal(t, heard, n.reg.heard)
 	c.run(300e6)
-	second := c.ask(other)
+	second := c.beginRead(other)
 	require.NotEqual(t, first.round, second.round)
 	value := *n.reg.known
 	value.Epoch++
@@ -264,11 +264,11 @@
 	c, other := newPartedNode(t)
 	n := c.nodes[other]
 	heard := n.reg.heard
-	q := c.ask(other)
+	q := c.beginRead(other)
 	top := protocol.Ballot{N: n.reg.at.N + 10, By: "z", Life: 1}
 	for _, id := range []string{"a", "b", "c"} {
 		if id != other {
-			c.state(other, id, func(s *protocol.State) { s.Accepted, s.Shape = top, s.Shape+1 })
+			c.answerRead(other, id, func(s *protocol.State) { s.Accepted, s.Shape = top, s.Shape+1 })
 		}
 	}
 	require.True(t, q.read)
@@ -287,7 +287,7 @@
 	chosen, excluded := 0, 0
 	for seed := range uint64(12) {
 		c := newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
-		c.dice = rand.New(rand.NewPCG(seed, 4))
+		c.rng = rand.New(rand.NewPCG(seed, 4))
 		c.run(2e9)
 		other := c.other()
 		top := protocol.Ballot{N: c.nodes[other].reg.top + 1, By: "z", Life: 1}
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -3,8 +3,8 @@
 // The store that weights are loaded from bears so many loads at once, and so many in every while.
 
 const (
-	leastAtOnce = 2 // loads at once that every store bears
-	newReign    = 3 // loads that a new owner may begin before it knows what the owner before began: the store's rate allows so many more at once
+	minConcurrentLoads = 2 // loads at once that every store bears
+	newTermLoads       = 3 // loads that a new owner may begin before it knows what the owner before began: the store's rate allows so many more at once
 )
 
 // storeRate is how many loads a second the store admits.
@@ -22,16 +22,16 @@
 		return c.plan.Loads, c.plan.Loads
 	}
 	rate := c.storeRate()
-	return c.loadsAtOnce(rate), c.loadsToBegin(rate)
+	return c.concurrentLoads(rate), c.loadsToBegin(rate)
 }
 
 // loadsAtOnce tells how many loads are under way at once where so many begin in a second.
-func (c *Core) loadsAtOnce(rate float64) int {
+func (c *Core) concurrentLoads(rate float64) int {
 	bases := c.bases()
 	if len(bases.keys) == 0 {
 		return c.plan.Loads
 	}
-	return max(leastAtOnce, int(rate*bases.load.Seconds()+0.5))
+	return max(minConcurrentLoads, int(rate*bases.load.Seconds()+0.5))
 }
 
 // loadsToBegin tells how many more loads may begin now: the store admits so many in every while.
@@ -41,7 +41,7 @@
 	}
 	left := int(rate*c.o.Rate.Seconds()) + 1 - len(c.begun)
 	if c.now.Sub(c.duty.began) < c.o.Rate {
-		left = min(left, newReign)
+		left = min(left, newTermLoads)
 	}
 	return left
 }
--- a/internal/controller/voters.go
+++ b/internal/controller/voters.go
@@ -14,18 +14,18 @@
 // left. docs/control.md says why that is safe, and in what time it must be done.
 
 const (
-	spareFresh = 3 // rounds within which a spare node must have answered to be taken into the set
-	voterFresh = 4 // rounds within which a voter must have answered not to count as absent
+	spareFreshRounds = 3 // rounds within which a spare node must have answered to be taken into the set
+	voterFresh       = 4 // rounds within which a voter must have answered not to count as absent
 )
 
 // watchVoters notes since when each voter is absent. Every core node does, so that an owner that has just
 // taken the duty does not begin to count then. A node that heard no majority lately knows nothing of
 // others' absence: it may be the one that was away.
-func (c *Core) watchVoters() {
+func (c *Core) trackAbsences() {
 	r := &c.reg
 	inTouch := r.known != nil && c.now.Sub(r.answered) <= voterFresh*c.o.Round
-	c.noteTouch(inTouch)
-	c.noteReads(inTouch)
+	c.logMajority(inTouch)
+	c.logReadProgress(inTouch)
 	c.watchMissing()
 	if !inTouch {
 		clear(r.absent)
@@ -41,12 +41,12 @@
 }
 
 // noteTouch logs when the majority is lost and when it is heard again, once it has been heard at all.
-func (c *Core) noteTouch(inTouch bool) {
+func (c *Core) logMajority(inTouch bool) {
 	r := &c.reg
-	if r.known == nil || inTouch == r.inTouch {
+	if r.known == nil || inTouch == r.majorityReached {
 		return
 	}
-	r.inTouch = inTouch
+	r.majorityReached = inTouch
 	if inTouch {
 		c.note("a majority of the core answers")
 		return
@@ -55,14 +55,14 @@
 }
 
 // noteReads logs when this node can no longer tell what is the newest although a majority answers it, and when it can again.
-func (c *Core) noteReads(inTouch bool) {
+func (c *Core) logReadProgress(inTouch bool) {
 	r := &c.reg
 	// A node that has just been cut off had its last answers, and the last of its reads end, at about the same moment.
-	starve := inTouch && r.ended != 0 && c.now.Sub(r.ended) > (voterFresh+1)*c.o.Round+r.trips.reads.Timeout()
-	if starve == r.starve {
+	starve := inTouch && r.completedAt != 0 && c.now.Sub(r.completedAt) > (voterFresh+1)*c.o.Round+r.trips.reads.Timeout()
+	if starve == r.readsStalled {
 		return
 	}
-	r.starve = starve
+	r.readsStalled = starve
 	if starve {
 		c.oops("majority reads do not end: a majority answers, and each answer shows a newer value than this node has learned")
 		return
@@ -78,14 +78,14 @@
 
 // beatVoters takes the next step that the voter set needs, if any.
 func (c *Core) beatVoters() {
-	c.watchVoters()
+	c.trackAbsences()
 	r := &c.reg
-	if !c.duty.mine || r.known == nil || r.reshaping {
+	if !c.duty.mine || r.known == nil || r.changingVoters {
 		return
 	}
 	k := *r.known
 	if len(k.Prior) > 0 {
-		c.leavePrior(k)
+		c.leaveJoint(k)
 		return
 	}
 	if next := c.nextVoters(k.Voters); next != nil {
@@ -93,13 +93,13 @@
 		c.reshape(k, next)
 		return
 	}
-	c.sweep()
+	c.repairStaleVoter()
 }
 
 // leavePrior ends the rule of two sets together, once the duty has been renewed under both. Then no
 // other node's duty can run on that only the old set knows of, and a majority of the new set has this
 // duty's number on disk, so that no later owner can be given it again.
-func (c *Core) leavePrior(k protocol.Desired) {
+func (c *Core) leaveJoint(k protocol.Desired) {
 	if c.duty.shape == k.Shape {
 		c.reshape(k, nil)
 	}
@@ -114,7 +114,7 @@
 	if len(spares) == 0 {
 		return nil
 	}
-	if i := c.replaceable(voters); i >= 0 {
+	if i := c.voterToReplace(voters); i >= 0 {
 		return voterset.Replace(voters, i, voterset.PickSpare(voters, i, spares, c.regionOf))
 	}
 	if c.anyAbsent(voters) {
@@ -147,7 +147,7 @@
 func (c *Core) spares(voters []protocol.Voter) (l []protocol.Voter) {
 	for _, m := range c.mates.Alive("controller") {
 		s := c.reg.lives[m.ID]
-		if c.answered(m.ID, spareFresh) && !s.state.Leaving && !voterset.Seats(voters, m.ID) {
+		if c.answered(m.ID, spareFreshRounds) && !s.state.Leaving && !voterset.Seats(voters, m.ID) {
 			l = append(l, protocol.Voter{Sibling: m.Sibling, Zone: m.Zone, Inc: s.state.Inc})
 		}
 	}
@@ -156,7 +156,7 @@
 
 // replaceable picks the voter that a spare should replace: one that leaves as planned, else the one that
 // has been absent longest, if long enough; -1 if none is.
-func (c *Core) replaceable(voters []protocol.Voter) int {
+func (c *Core) voterToReplace(voters []protocol.Voter) int {
 	longest := -1
 	for i, v := range voters {
 		if c.answered(v.ID, voterFresh) && c.reg.lives[v.ID].state.Leaving {
@@ -197,7 +197,7 @@
 }
 
 // absentAmong gives the voters that are absent.
-func (c *Core) absentAmong(voters []protocol.Voter) map[ident.Node]bool {
+func (c *Core) absentVoters(voters []protocol.Voter) map[ident.Node]bool {
 	absent := map[ident.Node]bool{}
 	for _, v := range voters {
 		if c.reg.absent[v.ID] != 0 {
@@ -210,9 +210,9 @@
 // stillWanted tells, as the rounds that carry a change of the voter set go on, whether its reason still stands: who gains
 // a seat still answers, and who loses one because it was absent has not come back, which it shows by its promise. Rounds
 // may wait long for a majority.
-func (c *Core) stillWanted(from, to []protocol.Voter, absent map[ident.Node]bool) bool {
+func (c *Core) stillJustified(from, to []protocol.Voter, absent map[ident.Node]bool) bool {
 	for _, v := range to {
-		if v.ID != c.o.Me.ID && !voterset.Names(from, v.ID, v.Inc) && !c.answered(v.ID, spareFresh) {
+		if v.ID != c.o.Me.ID && !voterset.Names(from, v.ID, v.Inc) && !c.answered(v.ID, spareFreshRounds) {
 			return false
 		}
 	}
@@ -228,10 +228,10 @@
 // (with no set given) the one before is left.
 func (c *Core) reshape(from protocol.Desired, to []protocol.Voter) {
 	shape := from.Shape
-	absent := c.absentAmong(from.Voters)
-	c.reg.reshaping = true
-	c.proposeFirst(mutation{fresh: true, apply: func(d protocol.Desired) (protocol.Desired, failure.Kind, fleetplan.Faults) {
-		if d.Shape != shape || (to == nil) != (len(d.Prior) > 0) || to != nil && !c.stillWanted(d.Voters, to, absent) {
+	absent := c.absentVoters(from.Voters)
+	c.reg.changingVoters = true
+	c.proposeAtFront(mutation{needsPrepare: true, apply: func(d protocol.Desired) (protocol.Desired, failure.Kind, fleetplan.Faults) {
+		if d.Shape != shape || (to == nil) != (len(d.Prior) > 0) || to != nil && !c.stillJustified(d.Voters, to, absent) {
 			return d, failure.Conflict, nil
 		}
 		if to != nil {
@@ -242,7 +242,7 @@
 		d.Shape++
 		return d, failure.None, nil
 	}, done: func(a applied) {
-		c.reg.reshaping = false
+		c.reg.changingVoters = false
 		if a.kind == failure.None && to != nil {
 			c.tally.Admit++
 			c.note("voter set changed")
--- a/internal/explorer/guards_test.go
+++ b/internal/explorer/guards_test.go
@@ -49,7 +49,7 @@
 		{"diskB: jot(c.vote.promised), diskV", "diskB: jot(b.Ballot), diskV"}}},
 	{"a promise is used once", "promised-again", "would go on without|durably holds|is chosen with plan|without change", []edit{
 		{"\tr.promised = nil\n\tif p == nil || r.top > p.ballot.N || p.at.Less(r.at) {", "\tif p == nil {"}}},
-	{"lives have numbers of their own", "late-answers", "without change", []edit{{"return uint64(life) << lifeBits", "return 0 * uint64(life)"}}},
+	{"lives have numbers of their own", "late-answers", "without change", []edit{{"return uint64(life) << roundBits", "return 0 * uint64(life)"}}},
 	{"a majority for the duty", "duty-restarts", "own the duty at once|was owned by", []edit{
 		{"q.claim && voterset.Majority(q.set, q.grant)", "q.claim"}, {"inc) || !d.free {", "inc) {"}}},
 }
--- a/internal/simulator/bites_test.go
+++ b/internal/simulator/bites_test.go
@@ -82,7 +82,7 @@
 	{"even out", "return", "unevenly filled", []edit{{"internal/controller/moves.go", "if c.now.Sub(c.uneven) < c.o.Even {", "if c.uneven != 1 {"}}},
 	{"sweep what reads do not mend", "sweep", "still has epoch", []edit{{"internal/controller/reader.go", "if c.now.Sub(r.unequal) > c.answerWait() {", "if false {"}}},
 	{"a seat outlives a restart", "spare", "a seat was given away", []edit{{"internal/controller/voters.go", "if since == 0 || c.now.Sub(since) <= c.o.Spare {", "if since == 0 {"}}},
-	{"hear agents before a core forms anew", "ruin", "plan did not come back", []edit{{"internal/controller/forming.go", "if c.now.Sub(r.blank) < c.o.Form {", "if c.now.Sub(r.blank) >= c.o.Form {"}}},
+	{"hear agents before a core forms anew", "ruin", "plan did not come back", []edit{{"internal/controller/forming.go", "if c.now.Sub(r.blankSince) < c.o.Form {", "if c.now.Sub(r.blankSince) >= c.o.Form {"}}},
 	{"come back soon", "power", "service came back", []edit{{"internal/controller/core.go", "generic.SetDefault(&o.Duty, 1200e6)", "generic.SetDefault(&o.Duty, 20e9)"}}},
 }
 
