--- a/internal/controller/acceptor.go
+++ b/internal/controller/acceptor.go
@@ -8,22 +8,23 @@
 	"tidedeck/internal/protocol"
 )
 
-// vote is the acceptor's part. What it says of accepted values is always durable already.
+// acceptorState is the acceptor's part of the register and of the leadership lease. Messages report accepted
+// values only after they are durable.
 type acceptorState struct {
 	inc          ident.Inc
 	promised     protocol.Ballot
-	reserved     protocol.Ballot // the last one that was promised together with an accept
-	asked        clock.Tick      // when the proposer of what was promised was last heard
-	rivalHeardAt clock.Tick      // when another proposer than this node was last heard
+	reserved     protocol.Ballot // the last ballot promised together with an accept
+	asked        clock.Tick      // when the proposer of the promised ballot was last heard
+	rivalHeardAt clock.Tick      // when a proposer other than this node was last heard
 	accepted     protocol.Ballot
 	value        *protocol.Desired
-	// what the disk surely has
+	// The last accepted ballot and value known to be durable.
 	safeB protocol.Ballot
 	safeV *protocol.Desired
 
-	started clock.Tick // from when other owners' holds may still run unseen
+	started clock.Tick // leases granted before a restart may still run until a lease duration after this
 	duty    ident.Duty
-	sure    ident.Duty // the highest that the disk has
+	sure    ident.Duty // the highest term known to be durable
 	owner   protocol.Sibling
 	until   clock.Tick
 }
@@ -37,11 +38,13 @@
 	diskR   = "leavings"
 )
 
+// safe is the stored form of the last accepted ballot and value.
 type safe struct {
 	Ballot protocol.Ballot
 	Value  *protocol.Desired
 }
 
+// pledge is the stored form of the last lease grant.
 type pledge struct {
 	Duty  ident.Duty
 	Owner protocol.Sibling
@@ -49,38 +52,38 @@
 
 func (c *Core) onStart(s protocol.Start) {
 	c.vote.started = c.now
-	read := func(k string, p any) bool {
+	load := func(k string, p any) bool {
 		b, ok := s.Disk[k]
 		if !ok {
 			return false
 		}
 		if err := json.Unmarshal(b, p); err != nil {
-			c.oops("disk: " + k + ": " + err.Error())
+			c.oops("cannot decode stored value " + k + ": " + err.Error())
 			return false
 		}
 		return true
 	}
-	if read(diskInc, &c.vote.inc) && c.vote.inc != 0 {
-		var v safe
-		var d pledge
-		read(diskB, &c.vote.promised)
-		read(diskV, &v)
-		read(diskD, &d)
-		read(diskL, &c.list)
-		var gone []protocol.Beacon
-		read(diskR, &gone)
-		c.recall(gone)
-		c.vote.accepted, c.vote.value = v.Ballot, v.Value
-		c.vote.safeB, c.vote.safeV = v.Ballot, v.Value
-		c.vote.duty, c.vote.sure, c.vote.owner = d.Duty, d.Duty, d.Owner
-		c.reg.hint = v.Value
-		c.reg.top = max(c.vote.promised.N, v.Ballot.N)
+	if load(diskInc, &c.vote.inc) && c.vote.inc != 0 {
+		var accepted safe
+		var grant pledge
+		load(diskB, &c.vote.promised)
+		load(diskV, &accepted)
+		load(diskD, &grant)
+		load(diskL, &c.list)
+		var departures []protocol.Beacon
+		load(diskR, &departures)
+		c.recall(departures)
+		c.vote.accepted, c.vote.value = accepted.Ballot, accepted.Value
+		c.vote.safeB, c.vote.safeV = accepted.Ballot, accepted.Value
+		c.vote.duty, c.vote.sure, c.vote.owner = grant.Duty, grant.Duty, grant.Owner
+		c.reg.hint = accepted.Value
+		c.reg.top = max(c.vote.promised.N, accepted.Ballot.N)
 		c.began, c.rollWhole = true, true
 		return
 	}
-	// An empty or damaged disk begins a new life, which no voter set names yet.
+	// An empty or damaged disk gets a new incarnation, which no voter set names yet.
 	c.vote.inc = c.o.Inc
-	c.rollWhole = !c.o.Joined // a system that starts for the first time has acknowledged no leaving
+	c.rollWhole = !c.o.Joined // a system that starts for the first time has acknowledged no departures
 	c.save(map[string][]byte{diskInc: jot(c.vote.inc)}, func() { c.began = true })
 }
 
@@ -95,14 +98,14 @@
 	c.recordProposer(e)
 	a, v := c.vote.accepted, c.vote.value
 	if a == b.Known {
-		v = nil // the proposer has it
+		v = nil // the proposer already has this value
 	}
 	c.save(map[string][]byte{diskB: jot(b.Ballot)}, func() {
 		c.reply(e, protocol.Promise{Round: b.Round, OK: true, Inc: c.vote.inc, Promised: b.Ballot, Accepted: a, Value: v})
 	})
 }
 
-// noteProposer notes when the proposer of the promised ballot was heard.
+// recordProposer records when the proposer of the promised ballot was last heard.
 func (c *Core) recordProposer(e protocol.Env) {
 	c.vote.asked = c.now
 	if e.From.ID != c.o.Me.ID {
@@ -115,7 +118,7 @@
 	c.reg.top = max(c.reg.top, b.Ballot.N, b.Next.N)
 	c.hearOfChosen(b.Chosen, e.From)
 	accepted := protocol.Accepted{Round: b.Round, OK: true, Inc: c.vote.inc, Promised: b.Ballot}
-	if c.vote.accepted == b.Ballot { // it was sent again
+	if c.vote.accepted == b.Ballot { // it is a retransmission
 		c.checkAccept(b.Ballot, b.Value)
 		if c.vote.safeB == b.Ballot {
 			c.reply(e, accepted)
@@ -139,7 +142,7 @@
 	})
 }
 
-// reserve promises the ballot that an accept names for its proposer's next one.
+// promiseReserved promises the ballot that an accept reserves for the next attempt of its proposer.
 func (c *Core) promiseReserved(next protocol.Ballot) {
 	if !c.vote.promised.Less(next) {
 		return
@@ -147,8 +150,8 @@
 	c.vote.promised, c.vote.reserved = next, next
 }
 
-// blank tells whether this node knows of no core at all. A spare has accepted nothing, but knows of one:
-// it must not be counted among nodes that may form another.
+// isBlank reports whether this node knows of no core at all. A spare has accepted nothing but knows of a core,
+// so it must not be counted among the nodes that may form another one.
 func (c *Core) isBlank() bool { return c.vote.safeV == nil && c.latest() == nil }
 
 func (c *Core) onQuery(e protocol.Env) {
@@ -163,7 +166,7 @@
 		quiet := c.now.Sub(c.vote.started) < long
 		switch {
 		case b.Duty == c.vote.duty && e.From.ID == c.vote.owner.ID && b.Duty != c.vote.sure:
-			// The pledge is not on disk yet; the answer that follows it is under way.
+			// The lease grant is not durable yet; the reply is sent once it is.
 		case b.Duty == c.vote.duty && e.From.ID == c.vote.owner.ID:
 			c.vote.until = c.now.Add(long)
 			s.Granted, held = true, true
@@ -184,6 +187,7 @@
 	c.reply(e, s)
 }
 
+// pad extends a span by the allowed clock drift and margin, so that a grantor's wait outlasts the grantee's lease.
 func (c *Core) pad(s clock.Span) clock.Span {
 	return s + clock.Span(float64(s)*c.o.ClockDrift) + c.o.ClockMargin
 }
--- a/internal/controller/proposer.go
+++ b/internal/controller/proposer.go
@@ -9,32 +9,32 @@
 	"tidedeck/internal/voterset"
 )
 
-// phase is how far an attempt to change the register is.
+// phase is the progress of an attempt to change the register.
 type phase string
 
 const (
-	queued    phase = "wait"    // for its turn
-	preparing phase = "prepare" // asks a majority for promises, and for what it has accepted
-	applying  phase = "apply"   // the changes are applied to the value found, beside the core
-	accepting phase = "accept"  // asks a majority to accept what came of it
+	queued    phase = "wait"    // waits for its turn
+	preparing phase = "prepare" // requests promises from a majority, and the values that it has accepted
+	applying  phase = "apply"   // applies the changes to the value found, outside the core's goroutine
+	accepting phase = "accept"  // requests a majority to accept the resulting value
 )
 
-// applied is what became of a change that was applied to a value.
+// applied is the result of applying a change to a value.
 type applied struct {
-	after  protocol.Desired // the value with the change; the same if it does not go through
+	after  protocol.Desired // the changed value; the unchanged one if the change is refused
 	kind   failure.Kind
 	faults fleetplan.Faults
 }
 
-// mutation is a change of the register's value.
+// mutation is a change to the register's value.
 type mutation struct {
 	apply        func(protocol.Desired) (protocol.Desired, failure.Kind, fleetplan.Faults)
-	beside       bool // apply looks at nothing of the core's and may take long: it is computed beside the core
-	needsPrepare bool // apply looks at who has just answered a prepare
+	beside       bool // apply reads no state of the core and may take long, so it runs concurrently with the core
+	needsPrepare bool // apply depends on which voters have just answered a prepare
 	done         func(applied)
 }
 
-// on gives what becomes of a mutation that is applied to a value.
+// applyTo applies a mutation to a value.
 func (m *mutation) applyTo(value protocol.Desired) applied {
 	after, kind, faults := m.apply(value)
 	if kind != failure.None {
@@ -43,7 +43,7 @@
 	return applied{after, kind, faults}
 }
 
-// op is one change or full read in its rounds.
+// op is one change or full read and the state of its attempt.
 type op struct {
 	mutation
 	came      clock.Tick
@@ -58,30 +58,32 @@
 	best      protocol.Ballot
 	value     *protocol.Desired
 	next      protocol.Desired
-	baseValue *protocol.Desired // the newest value that was known to be chosen when the rounds began
+	baseValue *protocol.Desired // the newest value known to be chosen when the attempt began
 	baseAt    protocol.Ballot
 	beganAt   clock.Tick
-	resent    int  // times that the messages of this phase were sent again
-	risky     bool // it may have been taken: an accept was sent whose fate is not settled, or it was forwarded
+	resent    int  // how often the messages of this phase were resent
+	risky     bool // the change may have been chosen: an accept was sent whose outcome is unknown, or the change was forwarded
 	fails     int
-	result    applied // in the rounds under way
-	batched   []*op   // changes that go through in the same rounds, each after the one before
+	result    applied // of the current attempt
+	batched   []*op   // changes proposed in the same attempt, each applied after the one before
 }
 
-// promise is what a majority promised together with its last accept: a proposer may go on from that accept's value, under
-// the ballot that was reserved, with no prepare. It is used once.
+// reservation is a ballot that a majority promised together with this node's last accept. The proposer may
+// continue from the value of that accept under the reserved ballot without another prepare. A reservation is
+// used once.
 type reservation struct {
 	ballot protocol.Ballot
 	value  protocol.Desired
-	at     protocol.Ballot // of the accept
+	at     protocol.Ballot // ballot of the accept
 }
 
+// latest returns the newest value that this node knows to be chosen, or a hint whose voter set is newer.
 func (c *Core) latest() *protocol.Desired {
-	k, h := c.reg.known, c.reg.hint
-	if k != nil && (h == nil || h.Shape <= k.Shape) {
-		return k
+	known, hint := c.reg.known, c.reg.hint
+	if known != nil && (hint == nil || hint.Shape <= known.Shape) {
+		return known
 	}
-	return h
+	return hint
 }
 
 // mostQueued bounds the changes that wait at a node.
@@ -91,7 +93,7 @@
 	return &op{mutation: m, came: c.now, end: c.now.Add(c.changeWait()), phase: queued}
 }
 
-// propose queues a change; done hears of it exactly once.
+// propose queues a change. The callback done runs exactly once.
 func (c *Core) propose(m mutation) { c.enqueue(c.newOp(m)) }
 
 func (c *Core) enqueue(o *op) {
@@ -103,14 +105,15 @@
 	c.startNext()
 }
 
-// proposeFirst puts a change before all that wait: operators' changes may come as fast as they are
-// taken, and must not hold up the voter set's.
+// proposeAtFront puts a change before all waiting ones. Operators may submit changes as fast as they are chosen,
+// and these must not delay changes of the voter set.
 func (c *Core) proposeAtFront(m mutation) {
 	c.reg.queue = append([]*op{c.newOp(m)}, c.reg.queue...)
 	c.startNext()
 }
 
-// read queues a full read: a round that proposes what it finds, and so mends old copies.
+// fullRead queues a full read: an attempt that proposes the value it finds, which also brings outdated replicas
+// up to date.
 func (c *Core) fullRead(done func(failure.Kind)) {
 	c.tally.Reads++
 	c.propose(mutation{
@@ -121,6 +124,7 @@
 	})
 }
 
+// startNext begins an attempt for the first waiting change, unless its back-off or another proposer delays it.
 func (c *Core) startNext() {
 	r := &c.reg
 	if r.op == nil && len(r.queue) > 0 {
@@ -141,7 +145,7 @@
 	c.beginPrepare(o, *set)
 }
 
-// begin starts an attempt with a prepare.
+// beginPrepare starts an attempt with a prepare.
 func (c *Core) beginPrepare(o *op, set protocol.Desired) {
 	r := &c.reg
 	r.top++
@@ -150,14 +154,14 @@
 	c.sendPhase(o)
 }
 
-// beginPromised starts an attempt under a ballot that a majority has promised already.
+// beginReserved starts an attempt under a ballot that a majority has already promised.
 func (c *Core) beginReserved(o *op, p *reservation) {
 	c.beginAttempt(o, p.ballot, p.value)
 	c.tally.RoundsPromised++
 	c.applyAll(o, p.value)
 }
 
-// beginAttempt lays out an attempt under a ballot of this node that was never used.
+// beginAttempt initialises an attempt under a ballot of this node that was never used before.
 func (c *Core) beginAttempt(o *op, ballot protocol.Ballot, set protocol.Desired) {
 	r := &c.reg
 	r.round++
@@ -168,13 +172,13 @@
 	c.tally.Rounds++
 }
 
-// ballotAt gives this node's ballot with a number.
+// ballotAt returns this node's ballot with the given number.
 func (c *Core) ballotAt(number uint64) protocol.Ballot {
 	return protocol.Ballot{N: number, By: c.o.Me.ID, Life: c.o.Inc}
 }
 
-// takePromise gives what a majority has promised, if nobody is known to have gone past it, and forgets it: a ballot stands
-// for one value.
+// takeReservation returns and clears the reservation, or returns nil if another proposer is known to have used a
+// higher ballot. It is cleared because a ballot may stand for one value only.
 func (c *Core) takeReservation() *reservation {
 	r := &c.reg
 	p := r.promised
@@ -185,7 +189,7 @@
 	return p
 }
 
-// sendPhase sends the message of an attempt's phase to everyone who has not answered it.
+// sendPhase sends the message of an attempt's phase to every voter that has not answered it.
 func (c *Core) sendPhase(o *op) {
 	set, body := o.set, any(protocol.Prepare{Round: o.round, Ballot: o.ballot, Known: o.baseAt})
 	if o.phase == accepting {
@@ -199,11 +203,11 @@
 	}
 }
 
-// reserved gives the ballot that voters promise together with an attempt's accept.
+// reservedBallot returns the ballot that voters promise together with an attempt's accept.
 func (c *Core) reservedBallot(o *op) protocol.Ballot { return c.ballotAt(o.ballot.N + 1) }
 
-// mostResent is how often an attempt is sent again as it is, to those who have not answered: they may only be slow, and a
-// new ballot would make what they have done void. After that it begins anew.
+// maxResends is how often an attempt is resent unchanged to the voters that have not answered. They may only be
+// slow, and a new ballot would discard the work they have done. After that, a new attempt begins.
 const maxResends = 2
 
 func (c *Core) resend(o *op) {
@@ -216,7 +220,7 @@
 	c.sendPhase(o)
 }
 
-// again gives an attempt up, for a later one under a new ballot.
+// retryLater abandons an attempt and schedules the next one, under a new ballot.
 func (c *Core) retryLater(o *op) {
 	o.fails++
 	o.phase = queued
@@ -248,19 +252,19 @@
 		return
 	}
 	c.recordMajority(o)
-	now := o.set // with nothing accepted anywhere, only the forming of a core proposes a first value
+	base := o.set // if nothing was accepted anywhere, this is the first value, which only the forming of a core proposes
 	if o.value != nil {
-		now = *o.value
-		if now.Shape >= o.set.Shape && !(voterset.Same(now.Voters, o.set.Voters) && voterset.Same(now.Prior, o.set.Prior)) {
+		base = *o.value
+		if base.Shape >= o.set.Shape && !(voterset.Same(base.Voters, o.set.Voters) && voterset.Same(base.Prior, o.set.Prior)) {
 			c.reg.hint = o.value
-			c.beginPrepare(o, now)
+			c.beginPrepare(o, base)
 			return
 		}
 	}
-	c.applyAll(o, now)
+	c.applyAll(o, base)
 }
 
-// majorityAnswered notes that a majority has answered the messages of an attempt's phase.
+// recordMajority records that a majority has answered the messages of an attempt's phase.
 func (c *Core) recordMajority(o *op) {
 	c.reg.answered = c.now
 	if o.resent == 0 {
@@ -268,11 +272,12 @@
 	}
 }
 
-// mostJoined bounds how many changes go through in the same rounds.
+// maxBatched bounds how many waiting changes join an attempt.
 const maxBatched = 16
 
-// join takes the changes that wait at this node into the rounds of one: they all become part of one value, so that the
-// node's changes do not take a turn each against other proposers'. Those that the core applies itself go first.
+// batchWaiting adds the changes that wait at this node to an attempt. They all become part of one value, so that
+// each of them does not have to compete with other proposers separately. Changes that the core applies itself
+// come first.
 func (c *Core) batchWaiting(o *op) {
 	beside := o.beside
 	for _, x := range o.batched {
@@ -289,8 +294,8 @@
 	}
 }
 
-// applyAll applies a change to the newest value, and behind it those that wait at this node. What may take long is computed
-// beside the core, which goes on meanwhile.
+// applyAll applies a change, and then those that wait at this node, to the newest value. Changes that may take
+// long are computed concurrently while the core goes on.
 func (c *Core) applyAll(o *op, value protocol.Desired) {
 	c.batchWaiting(o)
 	o.phase = applying
@@ -307,7 +312,7 @@
 	round, results := o.round, make([]applied, len(batch))
 	c.compute(func() { applySequentially(batch, value, results) }, func() {
 		if c.reg.op != o || o.phase != applying || o.round != round {
-			return // it was given up meanwhile
+			return // the attempt was abandoned in the meantime
 		}
 		for i, x := range batch {
 			x.result = results[i]
@@ -316,7 +321,7 @@
 	})
 }
 
-// applyInTurn applies changes each to what came of the one before.
+// applySequentially applies each change to the result of the one before.
 func applySequentially(batch []*op, value protocol.Desired, results []applied) {
 	for i, x := range batch {
 		results[i] = x.applyTo(value)
@@ -324,7 +329,7 @@
 	}
 }
 
-// sendAccept asks the voters to accept a value.
+// sendAccept requests the voters to accept a value.
 func (c *Core) sendAccept(o *op, value protocol.Desired) {
 	o.next = value
 	o.phase, o.sent, o.yes, o.resent = accepting, c.now, map[ident.Node]ident.Inc{}, 0
@@ -336,10 +341,11 @@
 	c.sendPhase(o)
 }
 
-// awaitsAnswers tells whether messages of an attempt are on their way.
+// awaitsAnswers reports whether messages of an attempt are outstanding.
 func (o *op) awaitsAnswers() bool { return o.phase == preparing || o.phase == accepting }
 
-// givenUp is what is told of a change whose time is over: it may have been taken once an accept with it was sent.
+// timeoutKind returns the outcome of a change whose time is over. The change may have been chosen if an accept
+// with it was sent.
 func (o *op) timeoutKind() failure.Kind {
 	if o.risky {
 		return failure.Unclear
@@ -347,7 +353,7 @@
 	return failure.NotReady
 }
 
-// settle tells everyone whose change went through the rounds, or did not, in the order in which they were applied.
+// reportResults reports the result to every change of the attempt, in the order in which they were applied.
 func (o *op) reportResults() {
 	o.done(o.result)
 	for _, x := range o.batched {
--- a/internal/controller/reader.go
+++ b/internal/controller/reader.go
@@ -9,26 +9,26 @@
 	"tidedeck/internal/voterset"
 )
 
-// query is one majority read. Several may be under way at once: one that takes longer than the time to the next goes on,
-// so that a core whose nodes are slow to answer still learns what is the newest.
+// query is one majority read. Several may be outstanding: a read that takes longer than the read interval
+// continues, so that a core whose nodes answer slowly still learns the newest value.
 type query struct {
 	round       uint64
 	at          clock.Tick
 	claim       bool
 	num         ident.Duty
-	uncontested bool // no voter of a majority has given the duty to another since this node had it
+	uncontested bool // no answering voter has granted the lease to another node since this node last owned it
 	set         protocol.Desired
 	yes         map[ident.Node]ident.Inc
 	grant       map[ident.Node]ident.Inc
-	vacant      map[ident.Node]ident.Inc // voters that hold the duty for nobody but this node
-	others      map[ident.Node]ident.Inc // voters that hold this node's own term for another
+	vacant      map[ident.Node]ident.Inc // voters that have granted the lease to nobody but this node
+	others      map[ident.Node]ident.Inc // voters that have granted this node's own term to another node
 	acc         map[ident.Node]protocol.Ballot
-	top         protocol.Ballot // highest accepted among the voters heard
-	shape       uint64          // highest number of a voter set that these have accepted
-	asked       bool            // the value at top is being fetched
-	read        bool            // a majority was heard
-	ended       bool            // a value as new as top is known: nothing newer was chosen before the read began
-	won         bool            // a majority grants the term
+	top         protocol.Ballot // highest ballot accepted by the voters that answered
+	shape       uint64          // highest voter set version that these voters have accepted
+	asked       bool            // the value of ballot top is being fetched
+	read        bool            // a majority has answered
+	ended       bool            // a value as new as top is known: no newer value was chosen before the read began
+	won         bool            // a majority has granted the term
 	dutyN       ident.Duty
 	owner       protocol.Sibling
 }
@@ -40,10 +40,10 @@
 	}
 }
 
-// mostQueries bounds the majority reads that are under way at once.
+// maxQueries bounds the outstanding majority reads.
 const maxQueries = 16
 
-// newestQuery gives the majority read that began last, if any did.
+// newestQuery returns the majority read that began last, or nil.
 func (r *register) newestQuery() *query {
 	if len(r.queries) == 0 {
 		return nil
@@ -51,7 +51,8 @@
 	return r.queries[len(r.queries)-1]
 }
 
-// queryOf gives the majority read of a round, if it is still under way, or ended last.
+// queryByRound returns the majority read of a round, or nil if it is neither outstanding nor the last one
+// completed.
 func (r *register) queryByRound(round uint64) *query {
 	for _, q := range r.queries {
 		if q.round == round {
@@ -61,7 +62,7 @@
 	return nil
 }
 
-// beginQuery adds a majority read to those under way.
+// beginQuery adds a new majority read to the outstanding ones.
 func (c *Core) beginQuery() *query {
 	r := &c.reg
 	r.round++
@@ -76,7 +77,8 @@
 	return q
 }
 
-// The regular majority read. With a claim it also takes or renews the duty.
+// beatQuery sends the periodic majority read. With a claim, the read also acquires or renews the leadership
+// lease.
 func (c *Core) beatQuery() {
 	r := &c.reg
 	if c.now < r.next {
@@ -85,25 +87,25 @@
 	r.next = c.now.Add(c.o.Round)
 	c.repairUnsettled()
 	q := c.beginQuery()
-	to := map[ident.Node]protocol.Sibling{}
+	recipients := map[ident.Node]protocol.Sibling{}
 	if set := c.latest(); set != nil {
 		q.set = *set
 		q.claim, q.num = c.shouldClaim(q.set)
 		for _, p := range voterset.Addresses(*set) {
-			to[p.ID] = p
+			recipients[p.ID] = p
 		}
 	}
 	ask := func(p protocol.Sibling) { c.send(p, protocol.Query{Round: q.round, Claim: q.claim, Duty: q.num}) }
 	for _, m := range c.mates.Alive("controller") {
-		to[m.ID] = m.Sibling
+		recipients[m.ID] = m.Sibling
 	}
-	for _, id := range generic.SortedKeys(to) {
-		ask(to[id])
+	for _, id := range generic.SortedKeys(recipients) {
+		ask(recipients[id])
 	}
 	if c.latest() == nil {
 		for _, s := range c.o.Seeds {
 			known := false
-			for _, p := range to {
+			for _, p := range recipients {
 				known = known || p.Addr == s.Addr
 			}
 			if !known {
@@ -113,13 +115,13 @@
 	}
 }
 
-// unclearReads is how many reads in a row show one value that is newer and not known to be chosen before a full round is
-// begun for it.
+// unsettledReads is how many consecutive reads must show the same newer value, not known to be chosen, before a
+// full read begins for it.
 const unsettledReads = 2
 
-// mendUnclear begins a full round if reads in a row showed the same newer value without its being known as chosen: its
-// proposer may be gone, and then only a full round can tell, and mends it. Where each read shows another one, changes
-// go on, and a round more would only hold them up.
+// repairUnsettled begins a full read if consecutive reads showed the same newer value that is not known to be
+// chosen. Its proposer may have failed, and then only a full read can decide the value. If each read shows a
+// different value, changes make progress, and a full read would only delay them.
 func (c *Core) repairUnsettled() {
 	r, q := &c.reg, c.reg.queryByRound(c.reg.lastRead)
 	if q == nil || r.known != nil && !r.at.Less(q.top) {
@@ -135,8 +137,9 @@
 	}
 }
 
-// unclearWait is how long reads show one value that is not known to be chosen before this node begins a full round for it:
-// its accept may still be on its way. While another node owns the leadership lease, it is given the time to mend it.
+// unsettledWait returns for how long reads must show one value that is not known to be chosen before this node
+// begins a full read: the accept may still be on its way. If another node owns the leadership lease, that node
+// is given time to repair it first.
 func (c *Core) unsettledWait() clock.Span {
 	trip := min(c.reg.trips.reads.Timeout(), maxRivalRounds*c.o.Round)
 	if _, other := c.proposerElsewhere(); other {
@@ -149,9 +152,9 @@
 	r, b := &c.reg, e.Body.(protocol.State)
 	r.top = max(r.top, b.Accepted.N)
 	if b.Round <= r.roundBase {
-		return // it answers an earlier life
+		return // answers a query of an earlier incarnation
 	}
-	if b.Round >= r.lives[e.From.ID].state.Round { // else it came after a later answer: what it says may be over
+	if b.Round >= r.lives[e.From.ID].state.Round { // otherwise it arrived after a later answer and may be out of date
 		r.lives[e.From.ID] = stateReport{at: c.now, state: b, sib: e.From}
 		set := c.latest()
 		if !b.Blank && (set == nil || b.Shape > set.Shape) {
@@ -170,7 +173,7 @@
 	c.observeOwner(q)
 }
 
-// tallyAnswer takes a voter's answer into a majority read.
+// recordAnswer adds a voter's answer to a majority read.
 func (c *Core) recordAnswer(q *query, from ident.Node, b protocol.State) {
 	q.yes[from] = b.Inc
 	if b.Granted {
@@ -207,12 +210,14 @@
 	}
 }
 
-// endQueries ends the newest majority read that has nothing newer to tell than what is known, and with it those before.
+// completeQueries completes the newest majority read that shows nothing newer than the known value, and drops
+// the earlier ones.
 //
-// Every value that was chosen before a read began shows among a majority's answers, as itself or as a later one. So the
-// read ends once a chosen value is known that is no older than the newest that it showed, also if that value was chosen,
-// or learned, after the answers came. One that asked an older voter set than the one that is known by then tells nothing:
-// a majority of the newer set may have chosen more, and none of it need show among the older one's answers.
+// Every value that was chosen before a read began shows among a majority's answers, as itself or as a later
+// value. So the read completes once a chosen value is known that is no older than the newest one it showed, even
+// if that value was chosen or learned after the answers arrived. A read of an older voter set than the one now
+// known proves nothing: a majority of the newer set may have chosen further values, none of which need show
+// among the answers of the older set.
 func (c *Core) completeQueries() {
 	r := &c.reg
 	if r.known == nil {
@@ -235,17 +240,17 @@
 	}
 }
 
-// wins tells whether a majority grants a term that this node has not begun.
+// winsTerm reports whether a majority has granted a term that this node has not begun.
 func (q *query) winsTerm(c *Core) bool { return q.won && !c.duty.mine }
 
-// catchUp learns the newest value that a majority read showed, if a majority of the voters have accepted it: it is chosen
-// then, and only needs to be fetched.
+// fetchNewest learns the newest value that a majority read showed, if a majority of the voters have accepted it.
+// The value is then chosen and only needs to be fetched.
 func (c *Core) fetchNewest(q *query) {
 	if !q.read || q.ended || q.top == (protocol.Ballot{}) || !c.reg.at.Less(q.top) && c.reg.known != nil {
 		return
 	}
-	have := q.acceptedTop()
-	if !voterset.Majority(q.set, have) {
+	accepted := q.acceptedTop()
+	if !voterset.Majority(q.set, accepted) {
 		return
 	}
 	if c.vote.value != nil && c.vote.accepted == q.top {
@@ -256,21 +261,21 @@
 		return
 	}
 	q.asked = true
-	c.send(c.reg.lives[generic.SortedKeys(have)[0]].sib, protocol.Fetch{Round: q.round, Ballot: q.top})
+	c.send(c.reg.lives[generic.SortedKeys(accepted)[0]].sib, protocol.Fetch{Round: q.round, Ballot: q.top})
 }
 
-// holders gives the voters that have accepted the newest value that a majority read showed.
+// acceptedTop returns the voters that have accepted the newest value that a majority read showed.
 func (q *query) acceptedTop() map[ident.Node]ident.Inc {
-	have := map[ident.Node]ident.Inc{}
+	accepted := map[ident.Node]ident.Inc{}
 	for id, b := range q.acc {
 		if b == q.top {
-			have[id] = q.yes[id]
+			accepted[id] = q.yes[id]
 		}
 	}
-	return have
+	return accepted
 }
 
-// fresh notes that, when a read began, nothing newer was chosen than what is known.
+// completeQuery records that no value newer than the known one was chosen before a read began.
 func (c *Core) completeQuery(q *query) {
 	q.ended = true
 	c.reg.heard = max(c.reg.heard, q.at)
@@ -281,7 +286,7 @@
 	}
 }
 
-// countQuery counts what became of a majority read that is no longer waited for.
+// countQuery counts the outcome of a majority read that is no longer waited for.
 func (c *Core) countQuery(q *query) {
 	switch {
 	case q.ended:
@@ -293,20 +298,21 @@
 	}
 }
 
-// sweep mends a voter whose copy stays old: a full round brings the copies together.
+// repairStaleVoter begins a full read if a voter's copy stays out of date. A full read brings all copies up to
+// date.
 func (c *Core) repairStaleVoter() {
 	r := &c.reg
 	if r.known == nil || r.op != nil {
 		return
 	}
-	old := false
+	stale := false
 	for _, v := range r.known.Voters {
 		s, ok := r.lives[v.ID]
 		if ok && c.now.Sub(s.at) < 2*c.o.Round && s.state.Inc == v.Inc && s.state.Accepted.Less(r.at) {
-			old = true
+			stale = true
 		}
 	}
-	if !old {
+	if !stale {
 		r.unequal = 0
 		return
 	}
@@ -333,7 +339,7 @@
 	}
 }
 
-// shownChosen tells whether a majority read has shown that a majority accepted a ballot.
+// seenChosen reports whether a majority read has shown that a majority accepted a ballot.
 func (c *Core) seenChosen(b protocol.Ballot) bool {
 	for _, q := range c.reg.queries {
 		if q.asked && q.top == b {
--- a/internal/controller/register.go
+++ b/internal/controller/register.go
@@ -9,55 +9,57 @@
 	"tidedeck/internal/voterset"
 )
 
-// register is the proposer's and reader's part.
+// register is the state of the proposer and the reader.
 type register struct {
 	known           *protocol.Desired // newest value known to be chosen
 	at              protocol.Ballot
-	hint            *protocol.Desired // a voter set to try, from a value perhaps not chosen
-	round           uint64            // of the last question
-	roundBase       uint64            // and before the first of this life
+	hint            *protocol.Desired // a value, perhaps not chosen, whose voter set may be newer
+	round           uint64            // round of the last query or attempt
+	roundBase       uint64            // round before the first one of this incarnation
 	top             uint64            // highest ballot number seen anywhere
 	op              *op
 	queue           []*op
 	reads           []reader
-	queries         []*query        // majority reads from the last that ended on, oldest first
-	lastRead        uint64          // the newest of them that a majority has answered
-	wanted          protocol.Ballot // of the chosen value that was fetched last
+	queries         []*query        // majority reads since the last completed one, oldest first
+	lastRead        uint64          // round of the newest one that a majority has answered
+	wanted          protocol.Ballot // ballot of the chosen value fetched last
 	wantedAt        clock.Tick
 	next            clock.Tick
-	heard           clock.Tick // when the last majority read was asked for that ended: nothing newer than what is known was chosen before
-	completedAt     clock.Tick // when the last of them ended
-	answered        clock.Tick // when a majority last answered, whatever it showed
+	heard           clock.Tick // when the last completed majority read began: no value newer than the known one was chosen before
+	completedAt     clock.Tick // when the last majority read completed
+	answered        clock.Tick // when a majority last answered, whether or not the read completed
 	lives           map[ident.Node]stateReport
-	blankSince      clock.Tick // since when every seed is seen blank
+	blankSince      clock.Tick // since when all seeds are seen blank
 	agentCopy       *protocol.Desired
 	force           bool
-	unequal         clock.Tick                // since when some voter's copy is old
-	lastDuration    clock.Span                // that the last change's rounds took here
-	lastFinishedAt  clock.Tick                // when they ended
-	odd             int                       // rounds in a row in which reads showed one value that is newer and not known to be chosen
-	oddSince        clock.Tick                // when the first of them did
-	oddTop          protocol.Ballot           // its ballot
+	unequal         clock.Tick                // since when a voter's copy is out of date
+	lastDuration    clock.Span                // duration of this node's last attempt
+	lastFinishedAt  clock.Tick                // when that attempt ended
+	odd             int                       // consecutive reads that showed one newer value that is not known to be chosen
+	oddSince        clock.Tick                // when the first of these reads was counted
+	oddTop          protocol.Ballot           // ballot of that value
 	promised        *reservation              // by a majority, together with this node's last accept
-	trips           roundTrips                // round trips that this node measures
-	changingVoters  bool                      // a change of the voter set is under way
-	majorityReached bool                      // a majority was heard lately, as the log was told last
-	readsStalled    bool                      // likewise: a majority answers, and reads do not end
-	waitsFor        string                    // what the core lacks to go on, as the log was told last
+	trips           roundTrips                // measured round trips
+	changingVoters  bool                      // a change of the voter set is in progress
+	majorityReached bool                      // a majority answers, as last logged
+	readsStalled    bool                      // a majority answers but reads do not complete, as last logged
+	waitsFor        string                    // what the core waits for, as last logged
 	absent          map[ident.Node]clock.Tick // voters that do not answer, and since when
 }
 
+// stateReport is the last State message received from a core node.
 type stateReport struct {
 	at    clock.Tick
 	state protocol.State
 	sib   protocol.Sibling
 }
 
-// lifeBits is how many numbers each life of a node has for its questions.
+// roundBits is the width of the round numbers of one incarnation: each has 2^roundBits of them.
 const roundBits = 20
 
-// firstNumber gives the number before a life's first question. Lives have numbers of their own, so that a late
-// answer to a question of the life before is never taken for one to a question of this life.
+// roundBaseOf returns the number before the first round of an incarnation. Incarnations use disjoint round
+// numbers, so that a late answer to a query of the previous incarnation is never taken for an answer to a query
+// of this one.
 func roundBaseOf(life ident.Inc) uint64 { return uint64(life) << roundBits }
 
 func (r *register) init(life ident.Inc) {
@@ -67,7 +69,7 @@
 	r.absent = map[ident.Node]clock.Tick{}
 }
 
-// learn takes in a value that is known to be chosen.
+// learnChosen stores a value that is known to be chosen, unless a newer one is known.
 func (c *Core) learnChosen(b protocol.Ballot, v protocol.Desired) {
 	r := &c.reg
 	if r.known != nil && b.Less(r.at) {
@@ -75,12 +77,12 @@
 	}
 	c.checkChosen(r.known, r.at, b, v)
 	r.at = b
-	old := r.known
+	previous := r.known
 	r.known = &v
 	if r.hint != nil && r.hint.Shape <= v.Shape {
 		r.hint = &v
 	}
-	if old == nil || old.Epoch != v.Epoch || old.Gen != v.Gen || !bytes.Equal(old.Plan, v.Plan) {
+	if previous == nil || previous.Epoch != v.Epoch || previous.Gen != v.Gen || !bytes.Equal(previous.Plan, v.Plan) {
 		c.planned()
 		if c.duty.mine {
 			c.pushAll()
@@ -91,7 +93,7 @@
 	c.tellKnown()
 }
 
-// announceChosen tells the other voters that a value was chosen.
+// announceChosen notifies the other voters that a value was chosen.
 func (c *Core) announceChosen(b protocol.Ballot, v protocol.Desired) {
 	for _, p := range voterset.Addresses(v) {
 		if p.ID != c.o.Me.ID {
@@ -102,8 +104,8 @@
 
 func (c *Core) onTaken(e protocol.Env) { c.hearOfChosen(e.Body.(protocol.Taken).Ballot, e.From) }
 
-// hearOfChosen learns the value of a ballot that another node knows to be chosen: this node's own, if it has accepted that
-// ballot, and else it asks that node for it.
+// hearOfChosen learns the value of a ballot that another node knows to be chosen. If this node has accepted that
+// ballot, it has the value; otherwise it fetches the value from that node.
 func (c *Core) hearOfChosen(b protocol.Ballot, from protocol.Sibling) {
 	r := &c.reg
 	if !r.at.Less(b) {
@@ -114,7 +116,7 @@
 		return
 	}
 	if !r.wanted.Less(b) && c.now.Sub(r.wantedAt) < max(c.o.Round, r.trips.reads.Timeout()) {
-		return // it is on its way
+		return // already requested
 	}
 	r.wanted, r.wantedAt = b, c.now
 	c.send(from, protocol.Fetch{Ballot: b})
@@ -126,9 +128,9 @@
 		switch {
 		case c.now > o.end:
 			r.op = nil
-			k := o.timeoutKind()
-			r.queue = append(o.batched, r.queue...) // each has its own time
-			o.done(applied{kind: k})
+			kind := o.timeoutKind()
+			r.queue = append(o.batched, r.queue...) // each has its own deadline
+			o.done(applied{kind: kind})
 		case o.awaitsAnswers() && c.now.Sub(o.sent) > c.answerWait()<<o.resent:
 			c.resend(o)
 		}
