--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -1,5 +1,6 @@
-// Package controller is a core node: it votes on the desired state, knows its siblings and,
-// while it owns the duty, places models on servers and keeps the routers' callbacks.
+// Package controller implements a core node. Core nodes vote on the desired state and track each other's
+// membership. The owner of the leadership lease, the leader, also places models on servers and serves the
+// routers.
 package controller
 
 import (
@@ -16,53 +17,55 @@
 	"tidedeck/internal/workload"
 )
 
-// Options of a core node.
+// Options configures a core node.
 type Options struct {
 	Me       protocol.Sibling
 	Zone     ident.Zone
-	Inc      ident.Inc // of this life of the process
+	Inc      ident.Inc // incarnation of this process
 	Seeds    []protocol.Sibling
 	Platform string
 	Rand     *rand.Rand
 
-	Hold        clock.Span // a router's hold, from the moment it sent its renewal
-	Duty        clock.Span // the duty's hold, from the moment its owner asked for it
-	ClockMargin clock.Span // a granter waits longer by this and by Drift
+	Hold        clock.Span // a router's lease, counted from when the router sent its renewal
+	Duty        clock.Span // the leadership lease, counted from when its owner requested it
+	ClockMargin clock.Span // a grantor waits longer than a grantee by this and by ClockDrift
 	ClockDrift  float64
-	Round       clock.Span // between two reads of the register
-	Poll        clock.Span // between two reports of a server
-	Wait        clock.Span // for a server's answer
-	Spare       clock.Span // a voter gone for so long is replaced by a spare
-	Form        clock.Span // every seed must be seen blank for so long
-	Most        int        // callbacks kept for one router
-	Pending     int        // changes not yet acknowledged, for one router
-	Rest        clock.Span // a replica is not evicted sooner after it came
-	Lull        clock.Span // a replica without work for so long may be evicted
-	Blind       clock.Span // an owner that reaches too little for so long asks its siblings
-	Shy         clock.Span // and does not take the duty again for so long, if one reaches more
-	Even        clock.Span // unevenness must last so long before a move, and moves are so far apart
-	Gap         float64    // unevenness that is worth a move, as a part of a server's room
-	Recent      clock.Span // a key that had work so lately is worth a move
-	Lead        clock.Span // what a maintenance window closes is drained so long before it
+	Round       clock.Span // interval between two majority reads
+	Poll        clock.Span // interval between two requests for a server's report
+	Wait        clock.Span // timeout for a server's answer
+	Spare       clock.Span // a voter absent for this long is replaced by a spare
+	Form        clock.Span // every seed must be seen blank for this long before a core forms
+	Most        int        // maximum number of callbacks kept for one router
+	Pending     int        // maximum number of unacknowledged changes for one router
+	Rest        clock.Span // minimum time between the arrival of a replica and its eviction
+	Lull        clock.Span // a replica without work for this long may be evicted
+	Blind       clock.Span // a leader that reaches too few servers for this long asks the other core nodes
+	Shy         clock.Span // a leader that yields to a node reaching more does not claim the lease for this long
+	Even        clock.Span // an imbalance must last this long before a move, and moves are at least this far apart
+	Gap         float64    // smallest imbalance that justifies a move, as a fraction of a server's room
+	Recent      clock.Span // only keys that had work within this time are moved
+	Lead        clock.Span // servers are drained this long before a maintenance window closes them
 	Wall        func() time.Time
 
-	Read     func([]byte) (*fleetplan.Plan, fleetplan.Faults)             // of plans; it should remember those read last
-	Merge    func(plan, patch []byte) (merged []byte, f fleetplan.Faults) // of changes into plans
-	Enrolled bool                                                         // servers announce themselves; no platform lists them
-	Silence  clock.Span                                                   // an announced server is dark after so long without a word
-	Unfenced bool                                                         // servers check no fence: they count orders
-	Settle   clock.Span                                                   // an owner of unfenced servers waits so long before it orders
-	Tenure   clock.Span                                                   // two nodes do not order a server by turns within so long
-	Voters   int                                                          // the voter set grows to so many as core nodes are there; it stays as it formed if none is said
-	Warm     bool                                                         // while the store is idle, models that no server has on its own disk are loaded somewhere
-	Rate     clock.Span                                                   // the store's rate is kept in every while of this length
-	Regions  map[ident.Zone]string                                        // of zones, where they are in several
-	HandOver bool                                                         // a stopping node's seat goes to a spare at once; else only once it has been absent for Spare
-	Alone    bool                                                         // changes are proposed where they come, and never handed to the owner of the lease
-	Joined   bool                                                         // this core is there already: an empty disk forms none
+	// Read parses plans; it should cache recent results. Merge applies a patch to a plan.
+	Read  func([]byte) (*fleetplan.Plan, fleetplan.Faults)
+	Merge func(plan, patch []byte) (merged []byte, f fleetplan.Faults)
+
+	Enrolled bool                  // servers announce themselves; there is no platform that lists them
+	Silence  clock.Span            // an announced server counts as unreachable after this long without an announcement
+	Unfenced bool                  // servers check no fencing token; they count orders instead
+	Settle   clock.Span            // a leader of unfenced servers waits this long before it sends orders
+	Tenure   clock.Span            // two nodes do not take turns ordering a server within this time
+	Voters   int                   // target size of the voter set; 0 keeps its initial size
+	Warm     bool                  // preload models that no server has on disk while the store is idle
+	Rate     clock.Span            // the store's rate limit holds in every window of this length
+	Regions  map[ident.Zone]string // region of each zone, if there are several
+	HandOver bool                  // a stopping node's seat goes to a spare at once, not only after Spare
+	Alone    bool                  // changes are never forwarded to the lease owner
+	Joined   bool                  // the core already exists: an empty disk forms none
 }
 
-// Defaults fills what was left out.
+// Defaults returns the options with defaults for unset fields.
 func (o Options) Defaults() Options {
 	generic.SetDefault(&o.Hold, 2000e6)
 	generic.SetDefault(&o.Duty, 1200e6)
@@ -95,8 +98,8 @@
 	return o
 }
 
-// Core is a core node without I/O. Step is its only entrance, and it is not safe for
-// use by two at once.
+// Core is the state machine of a core node, without I/O. Step is its only entry point. A Core is not safe for
+// concurrent use.
 type Core struct {
 	o     Options
 	now   clock.Tick
@@ -115,66 +118,66 @@
 
 	empty       map[ident.Zone]bool
 	servers     map[ident.Server]*server
-	paces       map[ident.Key]pace // by base
-	slowest     float64            // of the paces, as of slowestAt
+	paces       map[ident.Key]pace // by base model
+	slowest     float64            // the slowest of the paces, as of slowestAt
 	slowestAt   clock.Tick
-	diskPart    float64 // of a load's time from the store, that one from a server's own disk takes
+	diskPart    float64 // load time from a server's own disk, as a fraction of that from the store
 	entries     map[ident.Key]*entry
 	pendingAsks map[uint64]func(protocol.Told)
 	token       uint64
-	saves       map[uint64]func() // what follows once the disk, or a computation, is done
+	saves       map[uint64]func() // continuations of outstanding saves and computations
 	forwards    forwards
 	taken       forwardsTaken
 	demand      map[ident.Key]*need
 	listed      clock.Tick
 	listing     bool
-	list        Roll       // the last server list that an owner had
-	seenAt      clock.Tick // when the platform last gave a list
+	list        Roll       // the last server list that a leader had
+	seenAt      clock.Tick // when the platform last sent a list
 	eye         eye
 	swept       clock.Tick
 	windows     []*window
 	shutZ       map[ident.Zone]bool
 	shutS       map[ident.Server]bool
 	shutAt      clock.Tick
-	soonZ       map[ident.Zone]bool // closed before long: what is only there is loaded elsewhere first
+	soonZ       map[ident.Zone]bool // closed soon: models that are only there are loaded elsewhere first
 	soonS       map[ident.Server]bool
 	shifts      map[ident.Key]*shift
-	uneven      clock.Tick                 // since when the servers are burdened unevenly
-	shifted     clock.Tick                 // when a move last began
-	roll        map[ident.Server]*enrolled // every server that announced itself, known at every core node
-	leavings    []byte                     // what the disk has of those that leave
-	relays      []protocol.Beacon          // announcements that other core nodes have not been sent yet
+	uneven      clock.Tick                 // since when the servers' load is imbalanced
+	shifted     clock.Tick                 // when the last move began
+	roll        map[ident.Server]*enrolled // every server that announced itself; replicated on every core node
+	leavings    []byte                     // stored form of the servers that are leaving
+	relays      []protocol.Beacon          // announcements not yet relayed to the other core nodes
 	relayed     clock.Tick
 	summed      clock.Tick
 	seeded      clock.Tick
-	asked       clock.Tick        // when routers first told this owner what they are asked for
-	line        map[ident.Key]int // keys without a replica that the store has no room for yet, by turn
+	asked       clock.Tick        // when routers first reported demand to this leader
+	line        map[ident.Key]int // queue position of keys without a replica that the store's rate limit delays
 	acks        map[uint64]*leaving
 	weighed     clock.Tick
-	weighPause  clock.Span // until the next look at placement
+	weighPause  clock.Span // until the next placement pass
 	fleet       serverIndex
 	disks       diskIndex
 	linkSet     linkSet
 	workload    *workload.Index
-	seats       map[ident.Server]int // tokens that all routers have under way, by server
+	seats       map[ident.Server]int // tokens in progress from all routers, by server
 	mark        uint64
-	rolls       map[ident.Node]ident.Inc // core nodes whose roll this owner has heard
-	recovered   map[ident.Node]ident.Inc // and those whose roll this node has heard since it lost its disk
-	rollWhole   bool                     // this node has heard all leavings that were acknowledged, or never lost any
+	rolls       map[ident.Node]ident.Inc // core nodes whose list of enrolled servers this leader has received
+	recovered   map[ident.Node]ident.Inc // core nodes whose list this node has received since it lost its disk
+	rollWhole   bool                     // this node has heard of all acknowledged departures, or never lost any
 	called      clock.Tick
-	begun       []clock.Tick // when the loads of late began
+	begun       []clock.Tick // when the recent loads began
 	tally       Tally
 	began       bool
-	ackedEpoch  ident.Epoch       // the highest that was told as taken here
-	ending      bool              // a planned stop is under way: the duty is not taken any more
-	rollout     rollout           // of the newest configuration, while this node owns the duty
-	versions    []version         // that came while it owned the duty, oldest first
-	newest      *protocol.Desired // as it goes to routers
-	newestBytes *protocol.Packed  // and its bytes, once for all of them
-	stall       clock.Stall       // of this process
+	ackedEpoch  ident.Epoch       // the highest epoch that this node has acknowledged
+	ending      bool              // a planned stop is in progress; the lease is no longer claimed
+	rollout     rollout           // rollout of the newest configuration, while this node is the leader
+	versions    []version         // versions chosen during this node's term, oldest first
+	newest      *protocol.Desired // as sent to routers
+	newestBytes *protocol.Packed  // the same, encoded once for all routers
+	stall       clock.Stall       // stalls of this process
 }
 
-// Tally counts what a core node did; it is what its metrics show.
+// Tally counts a core node's operations; its fields are published as metrics.
 type Tally struct {
 	Rounds, Conflicts, Changes, Reads, Repairs, Reigns      uint64
 	Grants, Withheld, Breaks, Acks, Lapses, Wants, Sames    uint64
@@ -183,19 +186,21 @@
 	Doubts, Looks, Yields                                   uint64
 	Beacons, Enrolments, Leaves, LeavesUnheard              uint64
 	Orders, OrdersRefused, OrdersUnanswered, Reports        uint64
-	Confirms                                                uint64 // askings whether an order is done
-	Stalls                                                  uint64 // the process stood still
-	Visits                                                  uint64 // servers, replicas and links that were looked at to decide something
-	RoundsPromised                                          uint64 // attempts under a ballot that a majority had promised before
-	Forwards, ForwardsUnanswered                            uint64 // changes handed to the owner of the lease, and those proposed here as no outcome came in time
-	VotersMissing                                           int    // now: voters that a core without a majority waits for
-	ForwardsTaken                                           uint64 // changes that another node handed to this owner
-	QueriesEnded                                            uint64 // majority reads that told what is the newest
-	QueriesOvertaken                                        uint64 // that a majority answered, but showed a newer value that was not learned before the next read began
-	QueriesUnanswered                                       uint64 // that no majority answered before the next one began
+	Confirms                                                uint64 // queries whether an order is done
+	Stalls                                                  uint64 // stalls of the process
+	Visits                                                  uint64 // servers, replicas and links examined by decisions
+
+	RoundsPromised               uint64 // attempts under a reserved ballot
+	Forwards, ForwardsUnanswered uint64 // forwarded changes, and those proposed locally for lack of an outcome
+	VotersMissing                int    // gauge: voters that a core without a majority waits for
+	ForwardsTaken                uint64 // changes that other nodes forwarded to this leader
+
+	QueriesEnded      uint64 // completed majority reads
+	QueriesOvertaken  uint64 // answered, but a later read completed first
+	QueriesUnanswered uint64 // not answered by a majority before a later read completed
 }
 
-// New makes a core node.
+// New returns a core node.
 func New(o Options) *Core {
 	o = o.Defaults()
 	c := &Core{
@@ -217,7 +222,7 @@
 	return c
 }
 
-// Step takes one input and gives what is to be done.
+// Step handles one input and returns the resulting outputs.
 func (c *Core) Step(now clock.Tick, in any) []any {
 	c.now, c.out = now, nil
 	switch v := in.(type) {
@@ -261,6 +266,7 @@
 	return c.out
 }
 
+// dispatch passes a message to the membership protocol or to the handler of its kind.
 func (c *Core) dispatch(e protocol.Env) {
 	if !c.began {
 		return
@@ -277,7 +283,7 @@
 	}
 }
 
-// Which message goes where: the one table.
+// handlers maps each kind of message to its handler.
 var handlers map[string]func(*Core, protocol.Env)
 
 func init() {
@@ -291,13 +297,13 @@
 	}
 }
 
-// stallLeast is a gap between two beats that the log tells of.
+// minStall is the shortest gap between two beats that is logged as a stall.
 const minStall = clock.Span(250e6)
 
 func (c *Core) beat() {
 	if gap := c.stall.Beat(c.now); gap > 0 {
 		c.tally.Stalls++
-		c.note("stood still", field("ms", gap.Milliseconds()), field("owns", c.rules()))
+		c.note("process stalled", field("ms", gap.Milliseconds()), field("owns", c.rules()))
 	}
 	c.emit(c.mates.Beat(c.now)...)
 	c.beatRegister()
@@ -307,7 +313,7 @@
 	c.beatPlace()
 }
 
-// reseed takes other seeds. While a core may still form of those that it began with, it keeps to them.
+// updateSeeds replaces the seeds. While a core may still form from the initial seeds, they are kept.
 func (c *Core) updateSeeds(seeds []protocol.Sibling) {
 	if c.latest() == nil && !c.o.Joined {
 		return
@@ -316,7 +322,7 @@
 	c.mates.Reseed(seeds)
 }
 
-// beatEnding keeps a node that was told to stop among the voters, until a spare has its seat.
+// beatEnding keeps a node that was told to stop among the voters until a spare has its seat.
 func (c *Core) beatEnding() {
 	c.emit(c.mates.Beat(c.now)...)
 	c.beatRegister()
@@ -334,13 +340,14 @@
 
 func (c *Core) reply(e protocol.Env, body any) { c.emit(e.Reply(c.o.Me, body)) }
 
+// save writes entries to disk, and calls then once they are durable.
 func (c *Core) save(puts map[string][]byte, then func()) {
 	c.token++
 	c.saves[c.token] = then
 	c.out = append(c.out, protocol.Save{Token: c.token, Puts: puts})
 }
 
-// compute has something computed beside the core, and goes on with then once it is done.
+// compute requests that run be executed concurrently with the core, and calls then once run is done.
 func (c *Core) compute(run, then func()) {
 	c.token++
 	c.saves[c.token], c.out = then, append(c.out, protocol.Compute{Token: c.token, Run: run})
@@ -350,8 +357,9 @@
 	c.queueAsk("", addr, path, body, wait, then)
 }
 
-// askServer asks one server, or orders it something. It is named, since an address is no identity: another start of a server
-// may have it by now, and must neither carry out what is meant for this one nor answer for it.
+// askServer sends a request or an order to one server. The request names the server, because an address is no
+// identity: another server may have received the address since, and must neither carry out the order nor answer
+// for the intended server.
 func (c *Core) askServer(s *server, path string, order protocol.Order, then func(protocol.Told)) {
 	c.queueAsk(s.ID, s.Addr, path, order, c.o.Wait, then)
 }
@@ -364,40 +372,43 @@
 		a.Kept = o.Op == "" && c.o.Unfenced
 	}
 	if c.duty.mine {
-		a.Until = c.duty.until(c) // an owner that froze must not order when its duty is over
+		a.Until = c.duty.until(c) // a leader that was suspended must not send orders after its lease has expired
 	}
 	c.out = append(c.out, a)
 }
 
+// note logs an event with its fields.
 func (c *Core) note(s string, fields ...protocol.Field) {
 	c.out = append(c.out, protocol.Note{Text: s, Fields: fields})
 }
 
-// field names a value of a log line.
+// field returns a named value of a log line.
 func field(name string, value any) protocol.Field { return protocol.Field{Name: name, Value: value} }
 
+// oops logs an error.
 func (c *Core) oops(s string) { c.out = append(c.out, protocol.Oops{Text: s}) }
 
+// jot encodes a value as JSON.
 func jot(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // only our own plain types come here
+		panic(err) // only types of this program, which always encode, are passed
 	}
 	return b
 }
 
-// visit counts servers, replicas or links that are looked at to decide something: what that costs, whatever machine it runs on.
+// visit counts the servers, replicas or links that a decision examines: its cost, independent of the machine.
 func (c *Core) visit(n int) { c.tally.Visits += uint64(n) }
 
-// Counts gives the tally so far.
+// Counts returns the tally so far.
 func (c *Core) Counts() Tally { return c.tally }
 
-// Owns tells whether this node owns the duty now, and its number.
+// Owns reports whether this node owns the leadership lease now, and returns its term.
 func (c *Core) Owns(now clock.Tick) (ident.Duty, bool) {
 	return c.duty.num, c.duty.mine && now <= c.duty.until(c)
 }
 
-// Epoch tells the newest epoch this node knows to be taken.
+// Epoch returns the newest epoch that this node knows to be chosen, or 0.
 func (c *Core) Epoch() ident.Epoch {
 	if c.reg.known == nil {
 		return 0
@@ -405,12 +416,13 @@
 	return c.reg.known.Epoch
 }
 
-// Ready tells whether this node can serve operators: it knows a voter set and hears a majority.
+// Ready reports whether this node can serve operators: it knows a voter set and hears a majority.
 func (c *Core) Ready() bool {
 	return c.reg.known != nil && c.reg.answered != 0 && c.now.Sub(c.reg.answered) < 3*c.o.Round+c.o.Duty
 }
 
-// hearsMajority tells whether a majority of the core has answered this node within a router's lease.
+// hearsMajority reports whether a majority of the core has answered this node within the length of a router's
+// lease.
 func (c *Core) hearsMajority() bool {
 	return c.reg.known != nil && c.reg.answered != 0 && c.now.Sub(c.reg.answered) < c.o.Hold
 }
--- a/internal/controller/duty.go
+++ b/internal/controller/duty.go
@@ -12,26 +12,28 @@
 	"tidedeck/internal/workload"
 )
 
-// reign is this node's view of the duty.
+// leadership is this node's view of the leadership lease. Its owner is the leader, and each grant by a majority
+// to a new owner begins a term, whose number is an ident.Duty.
 type leadership struct {
 	mine  bool
 	num   ident.Duty
-	again bool       // this node owned it before, and nobody since
-	shape uint64     // of the voter set under which it was renewed last
-	asked clock.Tick // when the last round that renewed it began
+	again bool       // the previous term was this node's own
+	shape uint64     // version of the voter set under which the lease was last renewed
+	asked clock.Tick // when the last read that renewed the lease began
 	began clock.Tick
-	top   ident.Duty       // highest number seen
-	who   protocol.Sibling // who owns it as far as this node knows
-	free  bool             // the last majority read showed no owner
-	shy   clock.Tick       // until when this node does not want it
-	next  ident.Node       // whom the last owner left it to
-	left  clock.Tick       // and when
+	top   ident.Duty       // highest term seen
+	who   protocol.Sibling // the leader as far as this node knows
+	free  bool             // the last majority read showed that no other node owns the lease
+	shy   clock.Tick       // until when this node does not claim the lease
+	next  ident.Node       // successor named by the last leader when it released the lease
+	left  clock.Tick       // when that was
 }
 
+// until returns when the lease expires.
 func (r *leadership) until(c *Core) clock.Tick { return r.asked.Add(c.o.Duty) }
 
-// claims tells whether the next round should ask for the duty: its owner renews it, and
-// with no owner the first live node in the order of the voter set takes it.
+// shouldClaim reports whether the next read should claim the lease, and for which term. The leader renews its
+// lease; without a leader, the first live node in the order of the voter set claims it.
 func (c *Core) shouldClaim(set protocol.Desired) (bool, ident.Duty) {
 	d := &c.duty
 	if d.mine {
@@ -46,8 +48,8 @@
 	if d.next != "" && c.now.Sub(d.left) < 2e9 {
 		return d.next == c.o.Me.ID, d.top + 1
 	}
-	// Who owned it last may have it back at once, after a restart of its own or of the whole core:
-	// the voters know that it holds nothing any more. The others leave it to it for a moment.
+	// The last leader may have the lease back at once, after a restart of its own or of the whole core, since the
+	// voters know that its grant has no other holder. The other nodes leave the lease to it while it is reachable.
 	last, top := ident.Node(""), ident.Duty(0)
 	for _, id := range generic.SortedKeys(c.reg.lives) {
 		if s := c.reg.lives[id]; s.state.Last != "" && s.state.Duty >= top && c.now.Sub(s.at) < 3*c.o.Round {
@@ -57,9 +59,9 @@
 	if s, ok := c.reg.lives[last]; ok && voterset.Names(set.Voters, last, s.state.Inc) && !s.state.Shy && c.now.Sub(s.at) < 3*c.o.Round {
 		return last == c.o.Me.ID, d.top + 1
 	}
-	l := append([]protocol.Voter{}, set.Voters...)
-	sort.Slice(l, func(i, j int) bool { return l[i].ID < l[j].ID })
-	for _, v := range l {
+	voters := append([]protocol.Voter{}, set.Voters...)
+	sort.Slice(voters, func(i, j int) bool { return voters[i].ID < voters[j].ID })
+	for _, v := range voters {
 		if v.ID == c.o.Me.ID {
 			break
 		}
@@ -71,28 +73,28 @@
 	return true, d.top + 1
 }
 
-// saw draws what a round showed of the duty.
+// observeOwner updates the view of the lease from a majority read.
 func (c *Core) observeOwner(q *query) {
 	d := &c.duty
 	d.top = max(d.top, q.dutyN)
 	if d.mine && d.top > d.num {
-		c.lose("a higher duty is known")
+		c.lose("a higher term is known")
 	}
 	if !q.read || q.round < c.reg.lastRead {
-		return // a newer round has shown more
+		return // a newer read has shown more
 	}
 	c.checkOwner(q)
-	// A grant of this node's own that won no majority keeps nobody but others from asking again. While no
-	// majority is open, a claim could not win: it would only renew the refusal of those that granted it, so
-	// that two claimants would keep each other out for good.
+	// A grant to this node that won no majority does not stop this node from claiming again. While no majority is
+	// free to grant the lease, a claim could not win: it would only renew the grants that keep others out, so that
+	// two claimants could block each other forever.
 	d.free = voterset.Majority(q.set, q.vacant)
 	if !d.mine {
 		d.who = q.owner
 	}
 }
 
-// renewed carries a term on that a majority grants again. What the newest value is does not matter to it, but for the
-// voter set: a majority of an older set counts for nothing.
+// renewTerm extends a term that a majority grants again. This does not depend on which value is the newest,
+// except for the voter set: the grant of a majority of an older set does not count.
 func (c *Core) renewTerm(q *query) {
 	d, known := &c.duty, c.reg.known
 	if c.ending || !d.mine || !q.won || q.num != d.num || known == nil || q.set.Shape != known.Shape || q.shape > known.Shape {
@@ -103,7 +105,7 @@
 	}
 }
 
-// won begins a term that a majority grants, once this node knows what is the newest.
+// beginTerm begins a term that a majority has granted, once this node knows the newest value.
 func (c *Core) beginTerm(q *query) {
 	d := &c.duty
 	if c.ending || d.mine {
@@ -119,7 +121,7 @@
 	c.resetTerm()
 }
 
-// shapeOf gives the number of a voter set that is known to be chosen, and zero for any other.
+// chosenShape returns the version of a voter set that is known to be chosen, and zero for any other.
 func (c *Core) chosenShape(set protocol.Desired) uint64 {
 	k := c.reg.known
 	if k == nil || !voterset.Same(k.Voters, set.Voters) || !voterset.Same(k.Prior, set.Prior) {
@@ -128,23 +130,24 @@
 	return k.Shape
 }
 
-// release gives the duty back at a planned stop, so that the next owner need not wait for its
-// hold to run out. By then this node grants and orders nothing any more.
+// beginStop handles a planned stop. It releases the lease, so that the next leader need not wait for it to
+// expire; from then on this node grants and orders nothing.
 func (c *Core) beginStop() {
 	c.ending = true
 	if c.duty.mine {
-		c.giveBack("it stops", "")
+		c.giveBack("the node is stopping", "")
 	}
 }
 
+// giveBack releases the lease, and names a successor if there is one.
 func (c *Core) giveBack(why string, next ident.Node) {
-	num := c.duty.num
-	c.reg.queries = nil // a round under way must not win back what is given back
-	c.note(fmt.Sprintf("duty %d is given back: %s", num, why))
+	term := c.duty.num
+	c.reg.queries = nil // an outstanding read must not win back the lease
+	c.note(fmt.Sprintf("duty %d released: %s", term, why))
 	c.duty.mine, c.duty.who, c.duty.free = false, protocol.Sibling{}, false
 	c.resetTerm()
 	for _, p := range voterset.Addresses(*c.reg.known) {
-		c.send(p, protocol.Release{Duty: num, Next: next})
+		c.send(p, protocol.Release{Duty: term, Next: next})
 	}
 }
 
@@ -159,13 +162,14 @@
 	}
 }
 
+// lose ends this node's term, which it can no longer renew.
 func (c *Core) lose(why string) {
-	c.oops(fmt.Sprintf("duty %d ends: %s", c.duty.num, why))
+	c.oops(fmt.Sprintf("duty %d lost: %s", c.duty.num, why))
 	c.duty.mine, c.duty.who, c.duty.free = false, protocol.Sibling{}, false
 	c.resetTerm()
 }
 
-// clear forgets all that belongs to one reign.
+// resetTerm discards all state that belongs to one term.
 func (c *Core) resetTerm() {
 	c.seats = map[ident.Server]int{}
 	c.links, c.tombs, c.wants = map[protocol.Session]*link{}, map[protocol.Session]clock.Tick{}, nil
@@ -185,20 +189,20 @@
 		}
 		c.callRoll()
 	} else if c.duty.mine {
-		c.onList(c.list.List) // until the platform says otherwise
+		c.onList(c.list.List) // until the platform sends its own list
 	}
 }
 
-// beatDuty ends a reign whose hold ran out long ago. Before, nothing is granted or ordered, but all is
-// kept: if a majority renews the very same duty, nobody else had it in between.
+// beatDuty ends a term whose lease expired long ago. Until then nothing is granted or ordered, but the state is
+// kept: if a majority renews the same term, no other node owned the lease in between.
 func (c *Core) beatDuty() {
 	if c.duty.mine && c.now > c.duty.until(c).Add(lapseSpans*c.o.Duty) {
-		c.lose("its hold ran out")
+		c.lose("the lease expired")
 	}
 }
 
-// lapseSpans is how many holds a reign that ran out may be taken up again for.
+// lapseSpans is for how many lease durations after its expiry a term may still be renewed.
 const lapseSpans = 4
 
-// rules tells whether this node may grant and order right now.
+// rules reports whether this node may grant leases and send orders now.
 func (c *Core) rules() bool { return c.duty.mine && c.now <= c.duty.until(c) }
--- a/internal/controller/fenced.go
+++ b/internal/controller/fenced.go
@@ -11,17 +11,17 @@
 	"tidedeck/internal/protocol"
 )
 
-// Servers that check a fence refuse orders of an older duty. Each is asked one question at a time, an
-// order or only for its report, and an order is right as long as the server has not restarted.
+// Servers that check a fencing token refuse orders of an older term. Each server has one outstanding request,
+// either an order or a request for its report, and the requests are valid until the server restarts.
 
-// forgetAfter is how long a server that is gone is remembered after its last report.
+// goneRetention is how long a server that is gone is remembered after its last report.
 const goneRetention = 10e9
 
-// beatServer carries a server's spots on, and asks it what is due.
+// beatServer advances the replicas on a server and sends the request that is due.
 func (c *Core) beatServer(s *server) {
 	c.visit(len(s.spots))
 	for _, key := range s.leavingKeys() {
-		if p := s.spots[key]; p != nil { // one spot's end may end another
+		if p := s.spots[key]; p != nil { // dropping one replica may drop others
 			c.beatSpot(s, p)
 		}
 	}
@@ -38,21 +38,21 @@
 	}
 }
 
-// dropSpots forgets all that a server held: it is gone, or has restarted.
+// dropSpots forgets all replicas of a server that is gone or has restarted.
 func (c *Core) dropSpots(s *server) {
 	for _, key := range generic.SortedKeys(s.spots) {
 		c.dropSpot(s, key)
 	}
 }
 
-// dropSpot forgets one key that a server holds no longer.
+// dropSpot forgets the replica of a key that a server no longer holds.
 func (c *Core) dropSpot(s *server, key ident.Key) {
 	s.spots[key].fire(SeeNone, c.now)
 	c.removeSpot(s, key)
 	c.touch(key)
 }
 
-// orderFenced keeps one question under way at a time: the order that is due, or only for the report.
+// sendFenced keeps one request outstanding: the order that is due, or a request for the report.
 func (c *Core) sendFenced(s *server) {
 	p := s.due()
 	if s.asking || p == nil && c.now < s.next {
@@ -74,7 +74,7 @@
 	})
 }
 
-// countOrder counts an order that is sent.
+// countOrder counts an order.
 func (c *Core) countOrder(p *spot) {
 	if p.stage == Ordered {
 		c.tally.Loads++
@@ -83,7 +83,7 @@
 	}
 }
 
-// onFencedAnswer takes in the answer to a question asked at a time, or that none came.
+// onFencedAnswer handles the answer to a request sent at the given time, or its failure.
 func (c *Core) onFencedAnswer(s *server, t protocol.Told, at clock.Tick) {
 	s.asking = false
 	s.next = c.now.Add(c.o.Poll)
@@ -93,19 +93,19 @@
 		return
 	}
 	s.fails++
-	// A question cut short at once is asked once more; one that waited in vain is not.
+	// A request that failed early is retried once at once; one that timed out is not.
 	if c.now.Sub(at) < c.o.Wait && s.fails <= 1 {
 		s.next = c.now
 		return
 	}
 	if !s.dark && s.known {
 		s.dark = true
-		c.note(fmt.Sprintf("server %s is dark", s.ID))
+		c.note(fmt.Sprintf("server %s does not answer", s.ID))
 		c.touchOn(s)
 	}
 }
 
-// onReport takes in a report that was asked for at a time.
+// onReport handles a report that was requested at the given time.
 func (c *Core) onReport(s *server, r protocol.Report, at clock.Tick) {
 	if r.Drop == failure.Stale {
 		c.onStale(s, r)
@@ -117,7 +117,7 @@
 	if odd := oddity(r); odd != s.odd {
 		if s.odd = odd; odd != "" {
 			c.tally.Odd++
-			c.oops(fmt.Sprintf("server %s reports what cannot be: %s", s.ID, odd))
+			c.oops(fmt.Sprintf("server %s sent an inconsistent report: %s", s.ID, odd))
 		}
 	}
 	held := map[ident.Key]bool{}
@@ -135,18 +135,18 @@
 	}
 }
 
-// onStale takes in that a server refused an order: of a lower duty, or with a number that it has passed.
+// onStale handles the refusal of an order whose term is too low or whose number the server has passed.
 func (c *Core) onStale(s *server, r protocol.Report) {
 	c.tally.Fences++
 	if r.Duty > c.duty.num {
 		c.duty.top = max(c.duty.top, r.Duty)
-		c.lose("a server obeys a higher duty")
+		c.lose("a server has accepted a higher term")
 		return
 	}
 	s.num = max(s.num, r.Num)
 }
 
-// seeServer takes in a server's incarnation, room and slots, and tells whether any of them changed.
+// updateServer records a server's incarnation, room and slots, and reports whether any of them changed.
 func (c *Core) updateServer(s *server, r protocol.Report) bool {
 	room, slots := min(max(r.Room, 0), mostSize), min(max(r.Slots, 1), mostSize)
 	if r.Inc == s.inc && room == s.room && slots == s.slots {
@@ -159,7 +159,7 @@
 	return true
 }
 
-// seeHeld takes in what a report that answers an order shows of one key.
+// updateHeld records the state of one key from a report that answers a request.
 func (c *Core) updateHeld(s *server, num uint64, h protocol.Held) {
 	h.Size, h.Active, h.AgeMs = min(max(h.Size, c.sizeOf(h.Key)), mostSize), max(h.Active, 0), max(h.AgeMs, 0)
 	p := s.spots[h.Key]
--- a/internal/controller/forming.go
+++ b/internal/controller/forming.go
@@ -11,6 +11,8 @@
 	"tidedeck/internal/protocol"
 )
 
+// beatForm forms a new core once all seeds, or the forced ones, have been seen blank for long enough. The seed with the
+// lowest ID proposes the first value.
 func (c *Core) beatForm() {
 	r := &c.reg
 	if c.latest() != nil || r.op != nil || c.o.Joined && !r.force {
@@ -47,18 +49,18 @@
 		return
 	}
 	r.blankSince = 0
-	// A generation's number is its former's disk life, so that it passes those that are lost.
+	// The generation number is the disk incarnation of the forming node, so that it exceeds those of lost cores.
 	d := protocol.Desired{Gen: uint64(c.vote.inc), Voters: l, Shape: 1}
-	if k := r.agentCopy; k != nil {
-		// All that was confirmed is gone but for what agents hold: the newest of it goes on,
-		// under an epoch that leaps past whatever the lost core may have counted to.
-		d.Gen, d.Plan, d.Empty, d.Windows, d.Epoch = max(d.Gen, k.Gen+1), k.Plan, k.Empty, k.Windows, k.Epoch+1000
-		d.Shape = k.Shape + 1000
-		c.oops("core disks lost: a new generation forms from an agent's copy")
+	if old := r.agentCopy; old != nil {
+		// Everything confirmed is lost except the copies that agents hold. The newest copy is adopted, with an epoch far
+		// past any that the lost core may have reached.
+		d.Gen, d.Plan, d.Empty, d.Windows, d.Epoch = max(d.Gen, old.Gen+1), old.Plan, old.Empty, old.Windows, old.Epoch+1000
+		d.Shape = old.Shape + 1000
+		c.oops("core disks lost: forming a new generation from an agent's copy of the configuration")
 	}
 	r.hint = &d
-	c.fullRead(func(k failure.Kind) {
-		if k != failure.None {
+	c.fullRead(func(kind failure.Kind) {
+		if kind != failure.None {
 			r.hint = nil
 		}
 	})
@@ -74,13 +76,13 @@
 	}
 }
 
-// lift makes the generation pass one that a router still knows: a core that formed after a total
-// loss, on a clock that was set back, would else be taken for an older one for ever.
+// lift raises the generation past one that a router still knows. A core that formed after a total loss, on a
+// clock that was set back, would otherwise be taken for an older one forever.
 func (c *Core) lift(gen uint64) {
 	if c.reg.op != nil || len(c.reg.queue) > 0 {
 		return
 	}
-	c.oops(fmt.Sprintf("a router knows generation %d, past this core's: the core goes past it", gen))
+	c.oops(fmt.Sprintf("a router knows generation %d, newer than this core's: raising this core's generation past it", gen))
 	c.propose(mutation{apply: func(d protocol.Desired) (protocol.Desired, failure.Kind, fleetplan.Faults) {
 		d.Gen = max(d.Gen, gen+1)
 		return d, failure.None, nil
--- a/internal/controller/holders.go
+++ b/internal/controller/holders.go
@@ -8,20 +8,21 @@
 	"tidedeck/internal/ident"
 )
 
-// fleet is the owner's servers in the order of their names, and by what they hold, so that whoever asks for the replicas of a
-// key looks at these alone.
+// serverIndex lists the leader's servers ordered by ID, and by the keys they hold, so that a look-up of a key's
+// replicas reads only these servers.
 type serverIndex struct {
 	ordered []*server
-	byKey   map[ident.Key][]*server // in the order of their names
+	byKey   map[ident.Key][]*server // ordered by ID
 }
 
 func newServerIndex() serverIndex { return serverIndex{byKey: map[ident.Key][]*server{}} }
 
+// findServer returns the position of a server in an ordered list, and whether the list contains it.
 func findServer(l []*server, id ident.Server) (at int, found bool) {
 	return slices.BinarySearchFunc(l, id, func(s *server, id ident.Server) int { return cmp.Compare(s.ID, id) })
 }
 
-// withServer puts a server in its place in an ordered list, if it is not there.
+// insertServer inserts a server into an ordered list, or replaces the entry with its ID.
 func insertServer(l []*server, s *server) []*server {
 	at, found := findServer(l, s.ID)
 	if found {
@@ -31,7 +32,7 @@
 	return slices.Insert(l, at, s)
 }
 
-// withoutServer takes a server out of an ordered list.
+// deleteServer removes a server from an ordered list.
 func deleteServer(l []*server, id ident.Server) []*server {
 	if at, found := findServer(l, id); found {
 		return slices.Delete(l, at, at+1)
@@ -51,7 +52,7 @@
 	}
 }
 
-// addServer takes a server into the owner's view.
+// addServer adds a server to the leader's view.
 func (c *Core) addServer(s *server) {
 	c.servers[s.ID] = s
 	c.fleet.ordered = insertServer(c.fleet.ordered, s)
@@ -60,7 +61,7 @@
 	}
 }
 
-// removeServer takes a server out of the owner's view.
+// removeServer removes a server from the leader's view.
 func (c *Core) removeServer(id ident.Server) {
 	s := c.servers[id]
 	if s == nil {
@@ -73,19 +74,20 @@
 	c.fleet.ordered = deleteServer(c.fleet.ordered, id)
 }
 
-// putSpot has a server hold a key, or be about to.
+// putSpot records that a server holds a key, or is about to.
 func (c *Core) putSpot(s *server, p *spot) {
 	s.spots[p.key] = p
 	c.fleet.addHolder(s, p.key)
 }
 
-// removeSpot has a server hold a key no longer.
+// removeSpot records that a server no longer holds a key.
 func (c *Core) removeSpot(s *server, key ident.Key) {
 	delete(s.spots, key)
 	c.fleet.removeHolder(s, key)
 }
 
-// holding lists the servers that have a key in whatever stage, in the order of their names: for a whole service, all of them.
+// holding returns the servers that have a key in any stage, ordered by ID; for a key that stands for a whole
+// service, all servers.
 func (c *Core) holding(key ident.Key) []*server {
 	if key.Plain() {
 		return c.fleet.ordered
@@ -93,10 +95,11 @@
 	return c.fleet.byKey[key]
 }
 
-// diskIndex knows, for each key, the enrolled servers that have it on their own disk: surely (true) or likely.
+// diskIndex lists, for each key, the enrolled servers that have it on their own disk: certainly (true) or
+// probably (false).
 type diskIndex map[ident.Key]map[ident.Server]bool
 
-// set notes that a server has a key on its own disk.
+// set records that a server has a key on its own disk.
 func (x diskIndex) set(server ident.Server, key ident.Key, sure bool) {
 	if x[key] == nil {
 		x[key] = map[ident.Server]bool{}
@@ -104,7 +107,7 @@
 	x[key][server] = sure
 }
 
-// forget takes out all that a server has.
+// removeServer removes all keys of a server.
 func (x diskIndex) removeServer(server ident.Server, keys map[ident.Key]bool) {
 	for key := range keys {
 		delete(x[key], server)
@@ -114,7 +117,7 @@
 	}
 }
 
-// noteOnDisk notes that an enrolled server has a key on its own disk, surely or likely.
+// noteOnDisk records that an enrolled server has a key on its own disk, certainly or probably.
 func (c *Core) noteOnDisk(e *enrolled, key ident.Key, sure bool) {
 	if was, known := e.had[key]; known && was == sure {
 		return
@@ -123,7 +126,7 @@
 	c.disks.set(e.ID, key, sure)
 }
 
-// enlist takes in a server that announced itself, in place of what was known under its name.
+// enlist adds a server that announced itself, in place of any earlier entry with its ID.
 func (c *Core) enlist(e *enrolled) {
 	c.delist(e.ID)
 	c.roll[e.ID] = e
@@ -132,7 +135,7 @@
 	}
 }
 
-// delist forgets a server that announced itself.
+// delist removes a server that announced itself.
 func (c *Core) delist(id ident.Server) {
 	if e := c.roll[id]; e != nil {
 		c.disks.removeServer(id, e.had)
@@ -140,7 +143,8 @@
 	}
 }
 
-// onDiskOf lists the servers in the owner's view that surely have a key on their own disk, in the order of their names.
+// serversWithOnDisk returns the servers in the leader's view that certainly have a key on their own disk,
+// ordered by ID.
 func (c *Core) serversWithOnDisk(key ident.Key) []*server {
 	var l []*server
 	for _, id := range generic.SortedKeys(c.disks[key]) {
--- a/internal/controller/look.go
+++ b/internal/controller/look.go
@@ -6,27 +6,28 @@
 	"tidedeck/internal/ident"
 )
 
-// look is one look at placement: the families as they are asked for, and the servers as places for one more replica. What is
-// known of a place holds until a replica comes or goes there, or a family that it holds becomes more or fewer.
+// look is the state of one placement pass: the replica counts and demand of the families, and the servers as
+// targets for one more replica. Cached facts about a target hold until a replica is added or removed there, or
+// the replica count of a family that it holds changes.
 type look struct {
 	core      *Core
 	families  families
-	byService map[string][]*place // in the order of the servers' names
+	byService map[string][]*place // ordered by server ID
 	byServer  map[ident.Server]*place
 }
 
-// place is a server that may load one more base.
+// place is a server that may load one more base model.
 type place struct {
 	server         *server
 	stale          bool
 	free           int
 	pending        int
-	load           float64     // servers' worth of work
-	evictable      []candidate // what may leave it, the cheapest for its size first
-	evictableKnown bool        // may is known
+	load           float64     // work, as a fraction of a server's capacity
+	evictable      []candidate // replicas that may be evicted, the cheapest for its size first
+	evictableKnown bool        // evictable is up to date
 }
 
-// newLook begins a look.
+// newLook begins a placement pass.
 func (c *Core) newLook() *look {
 	l := &look{core: c, families: c.families(), byService: map[string][]*place{}, byServer: map[ident.Server]*place{}}
 	for _, s := range c.fleet.ordered {
@@ -40,10 +41,10 @@
 	return l
 }
 
-// loads tells whether a server may be ordered to load anything at all.
+// acceptsLoads reports whether a server may be ordered to load anything.
 func (c *Core) acceptsLoads(s *server) bool { return c.stays(s) && s.odd == "" && !s.plain && !s.alien }
 
-// refresh finds anew what a place has, if that may have changed.
+// refresh recomputes the cached facts about a place if they are out of date.
 func (l *look) refresh(p *place) {
 	if !p.stale {
 		return
@@ -53,7 +54,8 @@
 	p.free, p.pending, p.load = p.server.free(), p.server.pending(), l.families.loadOf(p.server)
 }
 
-// changed notes that a family has become more or fewer at a server: what is known of all that hold it is out of date.
+// changed records that the replica count of a family changed at a server, which makes the cached facts about
+// every holder of the family out of date.
 func (l *look) changed(key ident.Key, at *server) {
 	l.outdate(at)
 	for _, s := range l.core.holding(key) {
@@ -61,14 +63,15 @@
 	}
 }
 
+// outdate marks the cached facts about a server as out of date.
 func (l *look) outdate(s *server) {
 	if p := l.byServer[s.ID]; p != nil {
 		p.stale = true
 	}
 }
 
-// placesFor lists where a family may be loaded: with the store, at any server of its service, and else only from a server's
-// own disk.
+// placesFor returns the places where a family may be loaded: with the store, any server of its service,
+// otherwise only servers that have it on their own disk.
 func (l *look) placesFor(f *family, store bool) []*place {
 	if store {
 		return l.byService[f.model.Key.Service()]
@@ -82,13 +85,15 @@
 	return onDisk
 }
 
-// way is what must leave a place before a replica can be loaded there: the first so many of what may.
+// way is the set of evictions needed before a replica can be loaded at a place: the first so many of the
+// evictable ones.
 type way struct {
 	leaves int
 	cost   float64
 }
 
-// wayFor finds what must leave a place for one more replica of a family, if it can be loaded there at all and is worth it.
+// wayFor returns the evictions that one more replica of a family needs at a place, and whether the replica can
+// be loaded there and is worth these evictions.
 func (l *look) wayFor(p *place, f *family) (way, bool) {
 	if p.server.room < f.model.Size || p.server.spots[f.model.Key] != nil {
 		return way{}, false
@@ -98,30 +103,30 @@
 		return way{}, true
 	}
 	if p.pending > 0 {
-		return way{}, false // what is under way there comes first
+		return way{}, false // pending loads and unloads there come first
 	}
 	if !p.evictableKnown || f.spare {
 		p.evictable, p.evictableKnown = l.core.candidates(p.server, f, l.families), !f.spare
 	}
 	missing, w := f.model.Size-p.free, way{}
-	for _, may := range p.evictable {
+	for _, victim := range p.evictable {
 		if missing <= 0 {
 			break
 		}
 		w.leaves++
-		w.cost += may.cost
-		missing -= may.size
+		w.cost += victim.cost
+		missing -= victim.size
 	}
 	return w, missing <= 0 && w.cost <= f.gain()
 }
 
-// leave begins to take what must leave off a place.
+// leave begins the evictions at a place.
 func (l *look) leave(p *place, w way) {
-	for _, may := range slices.Clone(p.evictable[:w.leaves]) {
-		l.core.evict(p.server, may.spot)
-		if other := l.families[may.spot.key]; other != nil {
+	for _, victim := range slices.Clone(p.evictable[:w.leaves]) {
+		l.core.evict(p.server, victim.spot)
+		if other := l.families[victim.spot.key]; other != nil {
 			other.live--
 		}
-		l.changed(may.spot.key, p.server)
+		l.changed(victim.spot.key, p.server)
 	}
 }
--- a/internal/controller/proposer.go
+++ b/internal/controller/proposer.go
@@ -62,7 +62,7 @@
 	baseAt    protocol.Ballot
 	beganAt   clock.Tick
 	resent    int  // how often the messages of this phase were resent
-	risky     bool // the change may have been chosen: an accept was sent whose outcome is unknown, or the change was forwarded
+	risky     bool // the change may have been chosen: an accept of unknown outcome was sent, or it was forwarded
 	fails     int
 	result    applied // of the current attempt
 	batched   []*op   // changes proposed in the same attempt, each applied after the one before
--- a/internal/controller/register.go
+++ b/internal/controller/register.go
@@ -25,7 +25,7 @@
 	wanted          protocol.Ballot // ballot of the chosen value fetched last
 	wantedAt        clock.Tick
 	next            clock.Tick
-	heard           clock.Tick // when the last completed majority read began: no value newer than the known one was chosen before
+	heard           clock.Tick // when the last completed majority read began: no newer value was chosen before
 	completedAt     clock.Tick // when the last majority read completed
 	answered        clock.Tick // when a majority last answered, whether or not the read completed
 	lives           map[ident.Node]stateReport
--- a/internal/controller/starved_reads_test.go
+++ b/internal/controller/starved_reads_test.go
@@ -331,7 +331,7 @@
 			told := 0
 			for _, o := range c.out {
 				if oops, is := o.(protocol.Oops); is {
-					require.NotContains(t, oops.Text, "majority reads do not end", "delay %v, offset %v", delay, offset)
+					require.NotContains(t, oops.Text, "majority reads do not complete", "delay %v, offset %v", delay, offset)
 					if strings.Contains(oops.Text, "no majority of the core answers") {
 						told++
 					}
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -1,13 +1,15 @@
 package controller
 
-// The store that weights are loaded from bears so many loads at once, and so many in every while.
+// Limits on loads from the weight store: how many may run at once, and how many may begin within Options.Rate.
 
 const (
-	minConcurrentLoads = 2 // loads at once that every store bears
-	newTermLoads       = 3 // loads that a new owner may begin before it knows what the owner before began: the store's rate allows so many more at once
+	minConcurrentLoads = 2 // concurrent loads that any store allows
+	// The new leader does not know which loads its predecessor began. The store's rate limit allows this many more
+	// at once.
+	newTermLoads = 3 // loads that a new leader may begin within its first Options.Rate
 )
 
-// storeRate is how many loads a second the store admits.
+// storeRate returns how many loads per second the store admits.
 func (c *Core) storeRate() float64 {
 	rate := 0.0
 	for _, service := range c.plan.Services {
@@ -16,7 +18,7 @@
 	return rate
 }
 
-// budget tells how many loads the store bears at once, and how many more may begin now.
+// budget returns how many loads the store allows at once, and how many more may begin now.
 func (c *Core) budget() (atOnce, toBegin int) {
 	if !c.o.Unfenced {
 		return c.plan.Loads, c.plan.Loads
@@ -25,7 +27,7 @@
 	return c.concurrentLoads(rate), c.loadsToBegin(rate)
 }
 
-// loadsAtOnce tells how many loads are under way at once where so many begin in a second.
+// concurrentLoads returns how many loads run at once if loads begin at the given rate per second.
 func (c *Core) concurrentLoads(rate float64) int {
 	bases := c.bases()
 	if len(bases.keys) == 0 {
@@ -34,7 +36,7 @@
 	return max(minConcurrentLoads, int(rate*bases.load.Seconds()+0.5))
 }
 
-// loadsToBegin tells how many more loads may begin now: the store admits so many in every while.
+// loadsToBegin returns how many more loads may begin now within the store's rate limit.
 func (c *Core) loadsToBegin(rate float64) int {
 	for len(c.begun) > 0 && c.now.Sub(c.begun[0]) > c.o.Rate {
 		c.begun = c.begun[1:]
--- a/internal/controller/voters.go
+++ b/internal/controller/voters.go
@@ -9,18 +9,18 @@
 	"tidedeck/internal/voterset"
 )
 
-// Changes of the voter set. The owner of the duty makes them, one voter at a time and each in two changes
-// of the register: first the old and the new set rule together (Prior is not empty), then the old set is
-// left. docs/control.md says why that is safe, and in what time it must be done.
+// Changes of the voter set. The leader makes them, one voter at a time, each in two changes of the register:
+// first the old and the new set are both required (Prior is not empty), then the old set is dropped.
+// docs/control.md explains why that is safe and within which time it must be done.
 
 const (
-	spareFreshRounds = 3 // rounds within which a spare node must have answered to be taken into the set
-	voterFresh       = 4 // rounds within which a voter must have answered not to count as absent
+	spareFreshRounds = 3 // read intervals within which a spare must have answered to join the voter set
+	voterFresh       = 4 // read intervals within which a voter must have answered not to count as absent
 )
 
-// watchVoters notes since when each voter is absent. Every core node does, so that an owner that has just
-// taken the duty does not begin to count then. A node that heard no majority lately knows nothing of
-// others' absence: it may be the one that was away.
+// trackAbsences records since when each voter is absent. Every core node does so, so that a new leader need not
+// start counting. A node that has not recently heard a majority knows nothing about the absence of others: it
+// may itself have been cut off.
 func (c *Core) trackAbsences() {
 	r := &c.reg
 	inTouch := r.known != nil && c.now.Sub(r.answered) <= voterFresh*c.o.Round
@@ -40,7 +40,7 @@
 	}
 }
 
-// noteTouch logs when the majority is lost and when it is heard again, once it has been heard at all.
+// logMajority logs when this node stops and resumes hearing a majority, once it has heard one at all.
 func (c *Core) logMajority(inTouch bool) {
 	r := &c.reg
 	if r.known == nil || inTouch == r.majorityReached {
@@ -48,64 +48,66 @@
 	}
 	r.majorityReached = inTouch
 	if inTouch {
-		c.note("a majority of the core answers")
+		c.note("a majority of the core answers again")
 		return
 	}
-	c.oops("no majority of the core answers: orders and reads are refused here until one does")
+	c.oops("no majority of the core answers: this node refuses changes and reads until one does")
 }
 
-// noteReads logs when this node can no longer tell what is the newest although a majority answers it, and when it can again.
+// logReadProgress logs when majority reads stop completing although a majority answers, and when they complete
+// again.
 func (c *Core) logReadProgress(inTouch bool) {
 	r := &c.reg
-	// A node that has just been cut off had its last answers, and the last of its reads end, at about the same moment.
-	starve := inTouch && r.completedAt != 0 && c.now.Sub(r.completedAt) > (voterFresh+1)*c.o.Round+r.trips.reads.Timeout()
-	if starve == r.readsStalled {
+	// A node that has just been cut off received its last answers and completed its last read at about the same
+	// time, so the limit is longer than the one for absence.
+	stalled := inTouch && r.completedAt != 0 && c.now.Sub(r.completedAt) > (voterFresh+1)*c.o.Round+r.trips.reads.Timeout()
+	if stalled == r.readsStalled {
 		return
 	}
-	r.readsStalled = starve
-	if starve {
-		c.oops("majority reads do not end: a majority answers, and each answer shows a newer value than this node has learned")
+	r.readsStalled = stalled
+	if stalled {
+		c.oops("majority reads do not complete: a majority answers, but shows a newer value than this node has learned")
 		return
 	}
-	c.note("majority reads end again", field("in_touch", inTouch))
+	c.note("majority reads complete again", field("in_touch", inTouch))
 }
 
-// answered tells whether a core node has answered within some rounds.
+// answered reports whether a core node has answered within the given number of read intervals.
 func (c *Core) answered(id ident.Node, rounds int) bool {
 	s, ok := c.reg.lives[id]
 	return ok && c.now.Sub(s.at) < clock.Span(rounds)*c.o.Round
 }
 
-// beatVoters takes the next step that the voter set needs, if any.
+// beatVoters makes the next change that the voter set needs, if any.
 func (c *Core) beatVoters() {
 	c.trackAbsences()
 	r := &c.reg
 	if !c.duty.mine || r.known == nil || r.changingVoters {
 		return
 	}
-	k := *r.known
-	if len(k.Prior) > 0 {
-		c.leaveJoint(k)
+	known := *r.known
+	if len(known.Prior) > 0 {
+		c.leaveJoint(known)
 		return
 	}
-	if next := c.nextVoters(k.Voters); next != nil {
-		c.note(voterset.Describe(k.Voters, next))
-		c.reshape(k, next)
+	if next := c.nextVoters(known.Voters); next != nil {
+		c.note(voterset.Describe(known.Voters, next))
+		c.reshape(known, next)
 		return
 	}
 	c.repairStaleVoter()
 }
 
-// leavePrior ends the rule of two sets together, once the duty has been renewed under both. Then no
-// other node's duty can run on that only the old set knows of, and a majority of the new set has this
-// duty's number on disk, so that no later owner can be given it again.
+// leaveJoint drops the old voter set once the lease has been renewed under both sets. Then no other node can
+// hold a lease that only the old set knows of, and a majority of the new set has this term on disk, so that it
+// can never be granted to a later leader.
 func (c *Core) leaveJoint(k protocol.Desired) {
 	if c.duty.shape == k.Shape {
 		c.reshape(k, nil)
 	}
 }
 
-// nextVoters gives the voter set that should follow, or none if the set may stay as it is.
+// nextVoters returns the voter set to change to, or nil if the set may stay as it is.
 func (c *Core) nextVoters(voters []protocol.Voter) []protocol.Voter {
 	if next := c.readmit(voters); next != nil {
 		return next
@@ -118,7 +120,7 @@
 		return voterset.Replace(voters, i, voterset.PickSpare(voters, i, spares, c.regionOf))
 	}
 	if c.anyAbsent(voters) {
-		return nil // a set with an absent voter is mended before it grows
+		return nil // an absent voter is replaced before the set grows
 	}
 	if len(voters) < c.o.Voters {
 		return voterset.Add(voters, voterset.PickSpare(voters, -1, spares, c.regionOf))
@@ -129,21 +131,22 @@
 	return voterset.Spread(voters, spares, voterset.Zone)
 }
 
-// readmit takes in again a voter whose disk began a new life, or whose address changed.
+// readmit returns a voter set that lists a voter with its new incarnation after it lost its disk, or with its
+// new address.
 func (c *Core) readmit(voters []protocol.Voter) []protocol.Voter {
 	for i, v := range voters {
 		s := c.reg.lives[v.ID]
 		if !c.answered(v.ID, voterFresh) || s.state.Inc == v.Inc && s.sib.Addr == v.Addr {
 			continue
 		}
-		n := v
-		n.Inc, n.Sibling = s.state.Inc, s.sib
-		return voterset.Replace(voters, i, n)
+		updated := v
+		updated.Inc, updated.Sibling = s.state.Inc, s.sib
+		return voterset.Replace(voters, i, updated)
 	}
 	return nil
 }
 
-// spares lists the core nodes that answer and are no voters, in the order of their names.
+// spares returns the core nodes that answer and are not voters, ordered by ID.
 func (c *Core) spares(voters []protocol.Voter) (l []protocol.Voter) {
 	for _, m := range c.mates.Alive("controller") {
 		s := c.reg.lives[m.ID]
@@ -154,8 +157,8 @@
 	return l
 }
 
-// replaceable picks the voter that a spare should replace: one that leaves as planned, else the one that
-// has been absent longest, if long enough; -1 if none is.
+// voterToReplace returns the index of the voter that a spare should replace: one that is leaving as planned,
+// otherwise the one absent longest if that is long enough, or -1.
 func (c *Core) voterToReplace(voters []protocol.Voter) int {
 	longest := -1
 	for i, v := range voters {
@@ -182,21 +185,20 @@
 	return false
 }
 
-// regionOf names a voter's region; without a table of regions, all zones are in one.
+// regionOf returns a voter's region. Without a table of regions, all zones belong to one region.
 func (c *Core) regionOf(v protocol.Voter) string { return c.o.Regions[v.Zone] }
 
-// HandingOver tells whether this node, which was told to stop, still has a seat that a spare node can
-// take: until then it should go on answering, since what it and a lost voter know may be known to no
-// other majority.
+// HandingOver reports whether this node, which was told to stop, still holds a seat that a spare can take over.
+// Until then it should keep answering: what it and a lost voter know may be known to no other majority.
 func (c *Core) HandingOver() bool {
 	if !c.ending || !c.o.HandOver || c.reg.known == nil {
 		return false
 	}
-	k := *c.reg.known
-	return voterset.In(k, c.o.Me.ID, c.vote.inc) && len(c.spares(k.Voters)) > 0
+	known := *c.reg.known
+	return voterset.In(known, c.o.Me.ID, c.vote.inc) && len(c.spares(known.Voters)) > 0
 }
 
-// absentAmong gives the voters that are absent.
+// absentVoters returns the voters that are absent.
 func (c *Core) absentVoters(voters []protocol.Voter) map[ident.Node]bool {
 	absent := map[ident.Node]bool{}
 	for _, v := range voters {
@@ -207,9 +209,9 @@
 	return absent
 }
 
-// stillWanted tells, as the rounds that carry a change of the voter set go on, whether its reason still stands: who gains
-// a seat still answers, and who loses one because it was absent has not come back, which it shows by its promise. Rounds
-// may wait long for a majority.
+// stillJustified reports whether the reason for a change of the voter set still holds when the change is
+// applied, since an attempt may wait long for a majority: a voter to be added must still answer, and a voter
+// removed for its absence must not have returned, which it would show by its promise.
 func (c *Core) stillJustified(from, to []protocol.Voter, absent map[ident.Node]bool) bool {
 	for _, v := range to {
 		if v.ID != c.o.Me.ID && !voterset.Names(from, v.ID, v.Inc) && !c.answered(v.ID, spareFreshRounds) {
@@ -224,14 +226,14 @@
 	return true
 }
 
-// reshape moves to a new voter set in two changes: first both sets rule together, then
-// (with no set given) the one before is left.
+// reshape changes the voter set in two changes: the first requires both sets, and the second, with no set given,
+// drops the old one.
 func (c *Core) reshape(from protocol.Desired, to []protocol.Voter) {
-	shape := from.Shape
+	version := from.Shape
 	absent := c.absentVoters(from.Voters)
 	c.reg.changingVoters = true
 	c.proposeAtFront(mutation{needsPrepare: true, apply: func(d protocol.Desired) (protocol.Desired, failure.Kind, fleetplan.Faults) {
-		if d.Shape != shape || (to == nil) != (len(d.Prior) > 0) || to != nil && !c.stillJustified(d.Voters, to, absent) {
+		if d.Shape != version || (to == nil) != (len(d.Prior) > 0) || to != nil && !c.stillJustified(d.Voters, to, absent) {
 			return d, failure.Conflict, nil
 		}
 		if to != nil {
