--- a/internal/controller/acceptor.go
+++ b/internal/controller/acceptor.go
@@ -38,13 +38,13 @@
 	diskR   = "leavings"
 )
 
-// safe is the stored form of the last accepted ballot and value.
+// storedAccept is the stored form of the last accepted ballot and value.
 type safe struct {
 	Ballot protocol.Ballot
 	Value  *protocol.Desired
 }
 
-// pledge is the stored form of the last lease grant.
+// storedGrant is the stored form of the last lease grant.
 type pledge struct {
 	Duty  ident.Duty
 	Owner protocol.Sibling
@@ -160,18 +160,18 @@
 	if c.vote.safeV != nil {
 		s.Epoch, s.Shape = c.vote.safeV.Epoch, c.vote.safeV.Shape
 	}
-	long := c.pad(c.o.Duty)
+	grantSpan := c.pad(c.o.Duty)
 	held := c.now < c.vote.until
 	if b.Claim {
-		quiet := c.now.Sub(c.vote.started) < long
+		recentStart := c.now.Sub(c.vote.started) < grantSpan
 		switch {
 		case b.Duty == c.vote.duty && e.From.ID == c.vote.owner.ID && b.Duty != c.vote.sure:
 			// The lease grant is not durable yet; the reply is sent once it is.
 		case b.Duty == c.vote.duty && e.From.ID == c.vote.owner.ID:
-			c.vote.until = c.now.Add(long)
+			c.vote.until = c.now.Add(grantSpan)
 			s.Granted, held = true, true
-		case b.Duty > c.vote.duty && (c.vote.owner.ID == e.From.ID || !held && !quiet):
-			c.vote.duty, c.vote.owner, c.vote.until = b.Duty, e.From, c.now.Add(long)
+		case b.Duty > c.vote.duty && (c.vote.owner.ID == e.From.ID || !held && !recentStart):
+			c.vote.duty, c.vote.owner, c.vote.until = b.Duty, e.From, c.now.Add(grantSpan)
 			s.Granted, s.Duty, s.Owner = true, b.Duty, e.From
 			c.save(map[string][]byte{diskD: jot(pledge{b.Duty, e.From})}, func() {
 				c.vote.sure = max(c.vote.sure, b.Duty)
@@ -187,7 +187,7 @@
 	c.reply(e, s)
 }
 
-// pad extends a span by the allowed clock drift and margin, so that a grantor's wait outlasts the grantee's lease.
+// withDrift extends a span by the allowed clock drift and margin, so that a grantor's wait outlasts the grantee's lease.
 func (c *Core) pad(s clock.Span) clock.Span {
 	return s + clock.Span(float64(s)*c.o.ClockDrift) + c.o.ClockMargin
 }
--- a/internal/controller/address_test.go
+++ b/internal/controller/address_test.go
@@ -9,22 +9,23 @@
 	"tidedeck/internal/protocol"
 )
 
-// What operators saw: a server was told to unload a model while routers held promises of its replica, in one seed of a sweep; in
-// another, a server without models got an order to load one.
-// Order of events: a server crashes without a word and another start gets its address; the next owner finds the crashed one in
-// the last owner's list, asks its address for a report, which the other gives, and orders by that.
-// Cause: an identity was taken from an address. What the last list says was added without a look at who has the address now, and
-// orders and questions named no server.
-// Evidence: simulator scenes narrow-owner (padana, seed 50) and keys-troubles (corrib, seed 17), traced step by step; they pass now.
+// Guards against orders that reach the wrong server. In simulator scenes narrow-owner (padana, seed 50) and
+// keys-troubles (corrib, seed 17), a server was told to unload a model while routers held promises of its
+// replica, and a server without models was ordered to load one.
+//
+// A server crashes silently and another one starts at its address. The next leader knows the crashed server from
+// its predecessor's list, requests a report from that address, gets the report of the other server and sends
+// orders based on it. The cause was that an address stood for an identity: entries of the last list were added
+// without a check of who has the address now, and requests and orders did not name the server.
 
-// listed has a node know a server from the last owner's list only.
+// setLastList makes a server known to a node only from the previous leader's list.
 func (c *cluster) setLastList(node string, l protocol.Listed) {
 	k := c.nodes[node]
 	k.delist(l.ID)
 	k.list = Roll{Duty: k.duty.top, List: []protocol.Listed{l}}
 }
 
-// takeOver has another node own the duty.
+// takeOver partitions leaders until the given node is the leader.
 func (c *cluster) takeOver(t *testing.T, next string) {
 	for _, id := range []string{"a", "b", "c"} {
 		if id != next && c.owner() == id {
@@ -34,7 +35,7 @@
 	require.True(t, c.until(9e9, func() bool { return c.owner() == next }))
 }
 
-// newListedCluster is one in which node b is to own the duty next.
+// newListedCluster returns a cluster whose leader is not b, so that b can take over.
 func newListedCluster(t *testing.T, keys ...ident.Key) *cluster {
 	c := newTunedCluster(t, floor(modelPlan(12, keys...), 1, keys...), func(*Options) {}, "a", "b", "c")
 	c.run(1e9)
@@ -42,7 +43,7 @@
 	return c
 }
 
-// A server of the last list whose address an enrolled one has is over.
+// A server of the last list whose address now belongs to an enrolled server is dropped.
 func TestCrashedServerFromTheList(t *testing.T) {
 	c := newListedCluster(t, "llm|m")
 	m := c.serve("new", "llm|m")
@@ -57,8 +58,8 @@
 	require.NotNil(t, c.lead().servers["new"])
 }
 
-// A server that nobody has heard of since another got its address is ordered nothing that the other carries out, and is found
-// out by the first answer.
+// If a server from the last list has lost its address to one that is not yet known, that one carries out no
+// order meant for the first, and the first answer reveals the mismatch.
 func TestOrderAtAnAddressOfAnother(t *testing.T) {
 	c := newListedCluster(t, "llm|m", "llm|n")
 	m := c.serve("new", "llm|m")
@@ -68,7 +69,7 @@
 	c.setLastList("b", old)
 	c.takeOver(t, "b")
 	c.run(10e9)
-	require.Zero(t, m.count, "what is meant for one server is carried out by no other")
+	require.Zero(t, m.count, "an order for one server must not be carried out by another")
 	require.Equal(t, "gone", c.lead().servers["old"].State)
 	refused := 0
 	for _, o := range c.ops {
@@ -80,32 +81,33 @@
 	require.LessOrEqual(t, refused, 1)
 }
 
-// A server that only the list names is asked at once whether it is there, and is dark once it has not answered twice.
+// A server known only from the list is probed at once, and counts as unreachable after two missing answers.
 func TestServersFromTheListAreAskedAtOnce(t *testing.T) {
 	c := newListedCluster(t, "llm|m")
 	gone := beacon("old", "live", 1).Listed
 	gone.Service = "llm"
 	c.setLastList("b", gone)
 	c.takeOver(t, "b")
-	require.True(t, c.lead().servers["old"].silent(c.lead()), "an owner's beginning is no word of the server's")
+	require.True(t, c.lead().servers["old"].silent(c.lead()), "the start of a term must not count as an announcement of the server")
 	require.True(t, c.until(3*c.lead().o.Wait+1e9, func() bool { return c.lead().servers["old"].dark }))
 }
 
-// An answer that names another server, or says that the one that was meant is not there, says nothing of the one that was asked.
+// An answer that names another server, or that says that the intended server is not there, proves nothing about
+// the intended server's health.
 func TestAnswerOfAnother(t *testing.T) {
 	for _, x := range []struct {
 		name  string
 		told  protocol.Told
 		state string
 	}{
-		{"its own", protocol.Told{OK: true, Code: 200, Server: "s"}, "live"},
-		{"one that names nobody", protocol.Told{OK: true, Code: 200}, "live"},
-		{"not well, and its own", protocol.Told{OK: true, Code: 503, Server: "s"}, "live"},
-		{"another's", protocol.Told{OK: true, Code: 200, Server: "other"}, "gone"},
-		{"not well, and another's", protocol.Told{OK: true, Code: 503, Server: "other"}, "gone"},
-		{"not the one that is meant", protocol.Told{OK: true, Code: 421}, "gone"},
-		{"the same, by name", protocol.Told{OK: true, Code: 421, Server: "other"}, "gone"},
-		{"odd, but its own", protocol.Told{OK: true, Code: 421, Server: "s"}, "live"},
+		{"of the intended server", protocol.Told{OK: true, Code: 200, Server: "s"}, "live"},
+		{"an answer without a server name", protocol.Told{OK: true, Code: 200}, "live"},
+		{"unhealthy, its own", protocol.Told{OK: true, Code: 503, Server: "s"}, "live"},
+		{"of another server", protocol.Told{OK: true, Code: 200, Server: "other"}, "gone"},
+		{"unhealthy, of another server", protocol.Told{OK: true, Code: 503, Server: "other"}, "gone"},
+		{"misdirected", protocol.Told{OK: true, Code: 421}, "gone"},
+		{"misdirected, with another server's name", protocol.Told{OK: true, Code: 421, Server: "other"}, "gone"},
+		{"misdirected, but with its own name", protocol.Told{OK: true, Code: 421, Server: "s"}, "live"},
 	} {
 		c := newCluster(t, modelPlan(12, "llm|m"), "a")
 		k := c.lead()
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -14,64 +14,65 @@
 	"tidedeck/internal/protocol"
 )
 
-// cluster is a core of some nodes, with the model servers that announce themselves to it and the
-// routers that ask it, all on one clock and without I/O.
+// cluster is a core with the model servers enrolled with it and the routers connected to it, on a common
+// simulated clock and without I/O.
 type cluster struct {
-	seeds         []protocol.Sibling // of nodes that start from now on
+	seeds         []protocol.Sibling // seeds for nodes that start from now on
 	t             testing.TB
 	at            clock.Tick
 	plans         map[string]*fleetplan.Plan
 	nodes         map[string]*Core
 	disks         map[string]map[string][]byte
 	newNode       func(id string) *Core
-	parted        map[string]bool // nodes and routers that reach no node and that none reaches
+	parted        map[string]bool // partitioned nodes and routers
 	models        map[string]*modelServer
 	routers       map[string]*router
-	out           []any // what nodes gave to neither of these
+	out           []any // outputs of nodes that are neither messages nor requests to servers
 	asks          []pendingAsk
-	delay         clock.Span // of what nodes send each other: up to twice as long
+	delay         clock.Span // of messages between nodes, which take half to two and a half times this
 	inFlight      []inFlightMessage
 	rng           *rand.Rand
-	confirmations int // orders that ask whether one is done
+	confirmations int // orders that only query whether an order is done
 	ops           []sentOrder
-	begun         []clock.Tick // when loads from the store began
+	begun         []clock.Tick // start times of loads from the store
 	token         uint64
-	beside        func(run func())        // runs what is computed beside a core
-	loses         func(protocol.Env) bool // messages between nodes that get lost
-	processors    map[string]*processor   // of nodes whose time is bounded
+	beside        func(run func())        // runs the computations that a core offloads
+	loses         func(protocol.Env) bool // selects messages between nodes that are lost
+	processors    map[string]*processor   // processors of nodes whose CPU time is limited
 }
 
 // tickLength is the time between two beats of a cluster.
 const tickLength = clock.Span(20e6)
 
-// letter is an envelope on its way.
+// inFlightMessage is a message that has not arrived yet.
 type inFlightMessage struct {
 	at       clock.Tick
 	from, to string
 	protocol.Env
 }
 
+// pendingAsk is a request to a server that is not answered yet.
 type pendingAsk struct {
 	node string
-	at   clock.Tick // when it is answered
+	at   clock.Tick // time of the answer
 	ask  protocol.Ask
-	told *protocol.Told // unless the server is met when the time has come
+	told *protocol.Told // nil if the server's state at that time is the answer
 }
 
-// sentOrder is an order as it was sent.
+// sentOrder is an order as sent.
 type sentOrder struct {
 	at   clock.Tick
 	node string
 	addr string
 	protocol.Order
-	code int // what the server said; zero if it never got it
+	code int // the server's status code; zero if the order never arrived
 }
 
 func newCluster(t testing.TB, plan *fleetplan.Plan, ids ...string) *cluster {
 	return newTunedCluster(t, plan, func(*Options) {}, ids...)
 }
 
-// newTunedCluster begins core nodes whose options are set by a function.
+// newTunedCluster starts a cluster whose options are adjusted by a function.
 func newTunedCluster(t testing.TB, plan *fleetplan.Plan, tune func(*Options), ids ...string) *cluster {
 	c := &cluster{
 		t: t, at: 1e9, plans: map[string]*fleetplan.Plan{}, nodes: map[string]*Core{}, disks: map[string]map[string][]byte{}, parted: map[string]bool{},
@@ -113,7 +114,7 @@
 	return c
 }
 
-// reboot starts nodes anew, all at the same moment, from what their disks have.
+// reboot restarts nodes at the same moment from their disks.
 func (c *cluster) reboot(ids ...string) {
 	for _, id := range ids {
 		c.nodes[id] = c.newNode(id)
@@ -123,7 +124,7 @@
 	}
 }
 
-// owner names the node that owns the duty.
+// owner returns the ID of the leader, or an empty string.
 func (c *cluster) owner() string {
 	for _, id := range generic.SortedKeys(c.nodes) {
 		if c.nodes[id].rules() && !c.parted[id] {
@@ -133,9 +134,10 @@
 	return ""
 }
 
+// leader returns the leader, or nil.
 func (c *cluster) lead() *Core { return c.nodes[c.owner()] }
 
-// other names a node that does not own the duty.
+// follower returns the ID of a reachable node that is not the leader.
 func (c *cluster) other() string {
 	for _, id := range generic.SortedKeys(c.nodes) {
 		if id != c.owner() && !c.parted[id] {
@@ -153,13 +155,13 @@
 	c.stepNow(id, in)
 }
 
-// stepNow has a node take an input at once, and whoever it writes to what it writes.
+// stepNow delivers an input to a node, and the resulting messages to their recipients.
 func (c *cluster) stepNow(id string, in any) {
-	type item struct {
+	type output struct {
 		id string
 		o  any
 	}
-	var l []item
+	var pending []output
 	put := func(to string, in any) {
 		if p := c.processors[to]; p != nil && to != id {
 			p.queue(in)
@@ -167,13 +169,13 @@
 		}
 		id := to
 		for _, o := range c.nodes[id].Step(c.at, in) {
-			l = append(l, item{id, o})
+			pending = append(pending, output{id, o})
 		}
 	}
 	put(id, in)
-	for len(l) > 0 {
-		x := l[0]
-		l = l[1:]
+	for len(pending) > 0 {
+		x := pending[0]
+		pending = pending[1:]
 		switch v := x.o.(type) {
 		case protocol.Env:
 			to := v.Hop().Addr
@@ -202,13 +204,13 @@
 	}
 }
 
-// send brings an ask to its server, which answers a little later.
+// send delivers a request to its server, which answers a little later.
 func (c *cluster) send(node string, v protocol.Ask) {
 	o := v.Body.(protocol.Order)
 	k := c.nodes[node]
-	require.Equal(c.t, k.duty.until(k), v.Until, "no ask outlives the duty")
+	require.Equal(c.t, k.duty.until(k), v.Until, "no request outlives the lease")
 	require.Greater(c.t, v.Until, c.at)
-	require.NotEmpty(c.t, v.Server, "whoever is asked is named")
+	require.NotEmpty(c.t, v.Server, "every request names its server")
 	m := c.models[v.Addr]
 	a := pendingAsk{node: node, at: c.at.Add(v.Wait), ask: v, told: &protocol.Told{Token: v.Token}}
 	if m != nil && !m.mute && !c.parted[node] {
@@ -234,7 +236,7 @@
 			}
 		}
 		if o.Confirms {
-			require.True(c.t, x.code != 202 || m.whileBusy == 202, "an order that was asked about is taken anew")
+			require.True(c.t, x.code != 202 || m.whileBusy == 202, "a query about an order must not start the order again")
 			c.confirmations++
 		} else {
 			c.ops = append(c.ops, x)
@@ -245,9 +247,9 @@
 
 func (c *cluster) tick() {
 	c.at = c.at.Add(tickLength)
-	mail := c.inFlight
+	messages := c.inFlight
 	c.inFlight = nil
-	for _, e := range mail {
+	for _, e := range messages {
 		switch {
 		case e.at > c.at:
 			c.inFlight = append(c.inFlight, e)
@@ -267,9 +269,9 @@
 	for _, id := range generic.SortedKeys(c.processors) {
 		c.processors[id].run(c)
 	}
-	l := c.asks
+	requests := c.asks
 	c.asks = nil
-	for _, a := range l {
+	for _, a := range requests {
 		if a.at > c.at {
 			c.asks = append(c.asks, a)
 			continue
@@ -285,17 +287,18 @@
 
 func (c *cluster) run(s clock.Span) { c.until(s, func() bool { return false }) }
 
-// until lets time go by until something is so; it tells whether it came to be.
-func (c *cluster) until(s clock.Span, is func() bool) bool {
+// until advances time until a condition holds or the span has passed, and reports whether the condition holds.
+func (c *cluster) until(s clock.Span, condition func() bool) bool {
 	for end := c.at.Add(s); c.at < end; c.tick() {
-		if is() {
+		if condition() {
 			return true
 		}
 	}
-	return is()
+	return condition()
 }
 
-// announce brings a word of a server to a node, and gives whether it was acknowledged at once, if so.
+// announce delivers an announcement of a server to a node. It returns whether the node answered at once and, if
+// so, whether it acknowledged the announcement.
 func (c *cluster) announce(node string, b protocol.Beacon) (ok, answered bool) {
 	c.token++
 	c.step(node, Announce{Token: c.token, Beacon: b})
@@ -330,16 +333,16 @@
 	return protocol.Beacon{Listed: protocol.Listed{ID: ident.Server(id), Addr: "at-" + id, Zone: "z", State: state, Service: "llm", Slots: 8}, Count: count}
 }
 
-// modelServer holds models, takes one order at a time, counts those that it took, and reports what was
-// so some time ago.
+// modelServer is a server that holds models, executes one order at a time, counts the orders accepted, and
+// reports its state with a lag.
 type modelServer struct {
 	c *cluster
 	protocol.Listed
-	silent    bool // it announces nothing
-	mute      bool // it answers nothing
+	silent    bool // sends no announcements
+	mute      bool // answers no requests
 	lag       clock.Span
-	slow      clock.Span // of every order
-	count     uint64     // of orders taken
+	slow      clock.Span // least duration of every order
+	count     uint64     // number of accepted orders
 	beats     uint64
 	next      clock.Tick
 	holds     map[ident.Key]bool
@@ -347,18 +350,19 @@
 	doing     protocol.Order
 	until     clock.Tick
 	past      []pastReport
-	lost      func(protocol.Order) (taken, heard bool) // of an order, its way there and back
-	whileBusy int                                      // what it answers to the order that it is carrying out, if not 409
-	diskPart  float64                                  // of a load's time that it takes from the server's own disk; all of it if 0
-	strict    bool                                     // an order that it refuses must fit, too
+	lost      func(protocol.Order) (taken, heard bool) // whether an order arrives, and whether its answer does
+	whileBusy int                                      // status code for a repeat of the order in progress; 409 if 0
+	diskPart  float64                                  // load time from the server's own disk, as a fraction of that from the store; 1 if 0
+	strict    bool                                     // also check that refused orders would fit
 }
 
+// pastReport is a server's state at a time in the past.
 type pastReport struct {
 	at clock.Tick
 	r  protocol.Report
 }
 
-// serve begins a model server that holds some keys.
+// serve starts a model server that holds some keys.
 func (c *cluster) serve(id string, holds ...ident.Key) *modelServer {
 	m := &modelServer{c: c, Listed: beacon(id, "live", 0).Listed, lag: 300e6, holds: map[ident.Key]bool{}, had: map[ident.Key]bool{}}
 	for _, k := range holds {
@@ -369,7 +373,7 @@
 	return m
 }
 
-// plan is the newest that a node knows.
+// plan returns the newest plan that any node knows.
 func (c *cluster) plan() *fleetplan.Plan {
 	var k *Core
 	for _, id := range generic.SortedKeys(c.nodes) {
@@ -380,6 +384,7 @@
 	return k.plan
 }
 
+// snapshot records the server's current state for later reports.
 func (m *modelServer) snap() {
 	r := protocol.Report{Num: m.count, Busy: m.doing.Op != ""}
 	for _, k := range generic.SortedKeys(m.holds) {
@@ -398,6 +403,7 @@
 	return r
 }
 
+// advance finishes the order in progress if it is due, and sends an announcement if one is due.
 func (m *modelServer) advance() {
 	if m.doing.Op != "" && m.c.at >= m.until {
 		k := m.doing.Key
@@ -419,14 +425,14 @@
 	if !m.silent && m.c.at >= m.next {
 		m.beats++
 		m.next = m.c.at.Add(1000e6)
-		l := generic.SortedKeys(m.c.nodes)
-		if id := l[int(m.beats)%len(l)]; !m.c.parted[id] {
+		ids := generic.SortedKeys(m.c.nodes)
+		if id := ids[int(m.beats)%len(ids)]; !m.c.parted[id] {
 			m.c.announce(id, protocol.Beacon{Listed: m.Listed, Count: m.beats})
 		}
 	}
 }
 
-// limits fails the test if an order brings the server past its room or its places for adapters.
+// checkLimits fails the test if an order exceeds the server's room or adapter slots.
 func (m *modelServer) checkLimits(o protocol.Order) {
 	v, size, adapters := m.c.plan().Services["llm"], m.c.plan().Models[o.Key].Size, 0
 	if o.Key.IsAdapter() {
@@ -452,7 +458,7 @@
 	}
 }
 
-// take is how a model server meets an order.
+// take handles an order and returns the status code.
 func (m *modelServer) take(o protocol.Order) int {
 	if o.Op == "load" && m.strict {
 		m.checkLimits(o)
@@ -496,7 +502,7 @@
 	return 202
 }
 
-// router is a router's link, and what it may send by.
+// router models a router's session and the entries it may send by.
 type router struct {
 	c       *cluster
 	id      string
@@ -509,8 +515,8 @@
 	next    clock.Tick
 	entries map[ident.Key][]protocol.Replica
 	asked   map[ident.Key]clock.Tick
-	burden  map[ident.Key]protocol.Burden // of every renewal
-	holdup  bool                          // it acknowledges nothing
+	burden  map[ident.Key]protocol.Burden // reported with every renewal
+	holdup  bool                          // acknowledges no changes
 	grants  []protocol.Grant
 }
 
@@ -521,6 +527,7 @@
 	return r
 }
 
+// resetSession begins a new session without lease or entries.
 func (r *router) resetSession() {
 	r.ses.N++
 	r.until, r.heard, r.fresh, r.next = 0, 0, true, r.c.at
@@ -532,6 +539,7 @@
 	return protocol.Env{From: protocol.Sibling{ID: ident.Node(r.id), Addr: r.id}, To: protocol.Sibling{ID: ident.Node(to), Addr: to}, Body: body}
 }
 
+// advance renews the lease and requests missing entries as they are due.
 func (r *router) advance() {
 	if r.until != 0 && r.c.at > r.until {
 		r.resetSession()
@@ -592,7 +600,7 @@
 	return nil
 }
 
-// sends tells whether the router may send work for a key to a server.
+// sends reports whether the router may send requests for a key to a server.
 func (r *router) sends(k ident.Key, s ident.Server) bool {
 	if r.c.at >= r.until {
 		return false
@@ -605,14 +613,14 @@
 	return false
 }
 
-// ask has requests wait for one key, and none for any other.
+// ask reports waiting requests for one key, and none for any other.
 func (r *router) ask(k ident.Key) {
 	clear(r.burden)
 	r.burden[k] = protocol.Burden{Wait: 3, Came: 3, Load: 0.1}
 }
 
-// modelPlan is a plan of the service "llm", whose servers hold models of size 4 and adapters of size 1
-// in the given room, and of the plain service "web".
+// modelPlan returns a plan with the service "llm", whose servers hold models of size 4 and adapters of size 1 in
+// the given room, and the plain service "web".
 func modelPlan(room int, models ...ident.Key) *fleetplan.Plan {
 	p := &fleetplan.Plan{Loads: 2, Models: map[ident.Key]fleetplan.Model{}, Services: map[string]fleetplan.Service{
 		"llm": {Keys: map[ident.Key]bool{}, Slots: 8, Tokens: 10_000, Room: room, Places: 3, Loads: 2}, "web": {Plain: true, Slots: 3},
--- a/internal/controller/confirm_test.go
+++ b/internal/controller/confirm_test.go
@@ -11,14 +11,15 @@
 	"tidedeck/internal/protocol"
 )
 
-// A load's end is known from the server itself, however old its reports are; an old report takes nothing back.
+// The end of a load is known from the server itself, however late its reports are, and an outdated report does
+// not revoke it.
 func TestOrderIsConfirmed(t *testing.T) {
 	for _, lag := range []clock.Span{0, 200e6, 450e6} {
-		for _, repeats := range []int{409, 202} { // what a server says of an order that it is carrying out
+		for _, repeats := range []int{409, 202} { // answer to an order that the server is carrying out
 			name := fmt.Sprint(lag, repeats)
 			c := newCluster(t, modelPlan(12, "llm|m", "llm|n"), "a")
 			s := c.serve("s")
-			s.lag, s.whileBusy, s.slow = lag, repeats, 1300e6 // more than a load should take
+			s.lag, s.whileBusy, s.slow = lag, repeats, 1300e6 // longer than a load is expected to take
 			r := c.route("r")
 			c.run(3e9)
 			r.ask("llm|m")
@@ -38,7 +39,7 @@
 	}
 }
 
-// A report that is from before a confirmation does not show what was confirmed, and says nothing of it.
+// A report older than a confirmation does not show what was confirmed, and must not contradict it.
 func TestReportFromBeforeAConfirmation(t *testing.T) {
 	c := newCluster(t, modelPlan(12, "llm|m"), "a")
 	s := c.serve("s")
@@ -47,14 +48,14 @@
 	c.run(3e9)
 	r.ask("llm|m")
 	require.True(t, c.until(9e9, func() bool { return r.sends("llm|m", "s") }))
-	c.lead().servers["s"].next = c.at // its report is asked for now
+	c.lead().servers["s"].next = c.at // its report is requested now
 	for end := c.at.Add(2e9); c.at < end; c.tick() {
 		require.True(t, r.sends("llm|m", "s"))
 	}
 }
 
-// What must make way is known to be gone as soon, so that its successor is ordered at once; a report from before shows
-// it as held still, and brings it back to nobody.
+// The end of an unload is confirmed as early, so that the load that needs its room is ordered at once. An older
+// report still shows the evicted model as held and must not offer it to routers again.
 func TestUnloadIsConfirmed(t *testing.T) {
 	c := newCluster(t, modelPlan(4, "llm|m", "llm|n"), "a")
 	s := c.serve("s", "llm|m")
@@ -70,7 +71,7 @@
 	require.Len(t, c.ops, 2)
 }
 
-// An answer that gets lost, or a load that takes much longer than it should, leaves it to reports.
+// If a confirmation is lost, or a load takes much longer than expected, reports show the result.
 func TestConfirmationsGetLost(t *testing.T) {
 	for _, slow := range []clock.Span{0, 6e9} {
 		c := newCluster(t, modelPlan(12, "llm|m"), "a")
@@ -85,18 +86,20 @@
 	}
 }
 
-// What was seen: an owner that had stood still for seconds told of orders without a lease, three of them, on a day of quick changes
-// (the process's own check, orders_under_lease; none left the machine, as an order bears the end of its lease).
-// Order of events: it asks whether an order is done and stands still; its lease runs out; it wakes, and the answer is the first
-// thing that it takes in, before it looks at the time.
-// Cause: what waited for a confirmed order is sent at once, and only the beat looked at the lease.
+// Guards against orders without a lease: after standing still for seconds during rapid changes, a leader issued
+// three such orders (found by its own check orders_under_lease; none left the machine, as an order carries the
+// end of its lease).
+//
+// The leader asks whether an order is done and stalls; its lease expires; after the stall it handles the answer
+// before it looks at the time. The cause was that an order which waits for a confirmed one is sent at once,
+// while only the beat checked the lease.
 func TestNoOrderOnAConfirmationAfterTheLease(t *testing.T) {
 	c := newCluster(t, modelPlan(4, "llm|m", "llm|n"), "a")
 	c.serve("s", "llm|m")
 	r := c.route("r")
 	c.run(4e9)
 	r.ask("llm|n")
-	confirms := func() *pendingAsk {
+	confirmation := func() *pendingAsk {
 		for i := range c.asks {
 			if o := c.asks[i].ask.Body.(protocol.Order); o.Confirms && c.asks[i].told != nil && c.asks[i].told.Code == holdsAlready {
 				return &c.asks[i]
@@ -104,11 +107,11 @@
 		}
 		return nil
 	}
-	require.True(t, c.until(9e9, func() bool { return confirms() != nil }))
+	require.True(t, c.until(9e9, func() bool { return confirmation() != nil }))
 	k := c.lead()
-	for _, out := range k.Step(c.at.Add(clock.Span(5e9)), *confirms().told) {
+	for _, out := range k.Step(c.at.Add(clock.Span(5e9)), *confirmation().told) {
 		if a, is := out.(protocol.Ask); is {
-			require.Empty(t, a.Body.(protocol.Order).Op, "its lease has run out")
+			require.Empty(t, a.Body.(protocol.Order).Op, "the lease has expired")
 		}
 	}
 }
--- a/internal/controller/contention_test.go
+++ b/internal/controller/contention_test.go
@@ -10,18 +10,18 @@
 	"tidedeck/internal/failure"
 )
 
-// mostOrders is how many orders operators have under way at once.
+// maxOrders is how many orders operators have outstanding.
 const maxOrders = 8
 
-// pendingOrder is an order that operators send again, to any node, until it is taken.
+// pendingOrder is an order that operators resend, to any node, until it is taken.
 type pendingOrder struct {
 	admin       Admin
 	first, last clock.Tick
 	answers     []func() *Receipt
 }
 
-// Eight orders are under way all the time, each at any node and sent again where no answer came within a second:
-// proposers outbid each other, and every order must still be taken in time.
+// Eight orders are outstanding at all times, each sent to any node and resent if no answer arrives within a
+// second. Proposers invalidate each other's attempts, and every order must still be taken in time.
 func TestOrdersUnderContention(t *testing.T) {
 	for _, delay := range []clock.Span{2e6, 20e6} {
 		c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c")
@@ -41,7 +41,7 @@
 				open = append(open, o)
 				send(o)
 			}
-			var left []*pendingOrder
+			var remaining []*pendingOrder
 			for _, o := range open {
 				done := false
 				for _, answer := range o.answers {
@@ -54,15 +54,15 @@
 					longest = max(longest, c.at.Sub(o.first))
 				case c.at.Sub(o.last) > 1e9:
 					send(o)
-					left = append(left, o)
+					remaining = append(remaining, o)
 				default:
-					left = append(left, o)
+					remaining = append(remaining, o)
 				}
 			}
-			open = left
-			c.out = nil // all receipts of this step were looked at
+			open = remaining
+			c.out = nil // all receipts of this step have been read
 		}
-		t.Logf("delay %v: %d orders taken in 60 s, the longest after %v", delay, taken, longest)
+		t.Logf("delay %v: %d orders taken in 60 s, the slowest after %v", delay, taken, longest)
 		require.Less(t, longest, 4*clock.Span(1e9))
 	}
 }
--- a/internal/controller/control_test.go
+++ b/internal/controller/control_test.go
@@ -13,12 +13,13 @@
 	"tidedeck/internal/voterset"
 )
 
-// The control side under losses, replacements and repeats: docs/control.md names what each test shows.
+// Tests of the control plane under losses, replacements and repeated requests. docs/control.md names the
+// property that each test shows.
 
-// catchUp is the time within which a core node that is new, or back, must be a full voter.
+// catchUp is the time within which a new or returning core node must be a full voter.
 const catchUp = 4e9
 
-// hostedTimes are those that a platform's bounds usually come to.
+// hostedTimes sets the timing that usually follows from a platform's bounds.
 func hostedTimes(o *Options) {
 	timing := Timing{Apply: 2000e6, Drain: 2000e6, CatchUp: catchUp, Period: 1200e6, Tenure: 3000e6, Rate: 5e9}
 	o.HandOver = true
@@ -31,14 +32,14 @@
 	c.reboot(id)
 }
 
-// down takes core nodes off the network; their disks stay.
+// partition partitions core nodes; their disks stay.
 func (c *cluster) down(ids ...string) {
 	for _, id := range ids {
 		c.parted[id] = true
 	}
 }
 
-// back starts core nodes again from their disks.
+// restart restarts core nodes from their disks.
 func (c *cluster) back(ids ...string) {
 	for _, id := range ids {
 		delete(c.parted, id)
@@ -46,13 +47,13 @@
 	c.reboot(ids...)
 }
 
-// wipe starts a core node again with an empty disk.
+// restartEmpty restarts a core node with an empty disk.
 func (c *cluster) wipe(id string) {
 	delete(c.parted, id)
 	c.spare(id)
 }
 
-// settledSet tells whether a node knows a voter set of exactly these names, with no other beside it.
+// settledSet reports whether a node knows a voter set of exactly these nodes and no joint set.
 func (c *cluster) settledSet(node string, ids ...string) bool {
 	k := c.nodes[node].reg.known
 	if k == nil || len(k.Prior) > 0 || len(k.Voters) != len(ids) {
@@ -66,26 +67,26 @@
 	return true
 }
 
-// Reports of servers may be heard before the first plan: what they hold has its size once the plan says
-// it, or the owner would order servers past their room.
+// Reports of servers may arrive before the first plan. The models they list get their sizes once the plan
+// arrives; otherwise the leader would order servers to load past their room.
 func TestReportsBeforeThePlan(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c")
 	plan := modelPlan(8, "llm|m", "llm|n", "llm|o")
 	c.plans["1"] = plan
 	s := c.serve("s", "llm|m", "llm|n")
-	// Until the plan is there, a server's service is not known to be one of models.
+	// Without a plan, a server's service is not known to be one of models.
 	c.run(3e9)
 	require.NotEmpty(t, c.lead().servers)
 	require.Equal(t, failure.None, c.told(c.owner(), Admin{Op: "put", Raw: []byte("1"), Number: 1, Change: "x"}).Kind)
 	r := c.route("r")
 	r.asked["llm|o"] = c.at
 	c.run(200e6)
-	require.Equal(t, 8, c.lead().servers[s.ID].used(), "both models that it holds have their size")
+	require.Equal(t, 8, c.lead().servers[s.ID].used(), "both models on the server must have their size")
 }
 
-// A change that was taken is never refused when it is sent again, however many others were taken since:
-// it is acknowledged while it is remembered, and left unclear afterwards. One that lost stays refused as
-// long as it is sure that it was not taken.
+// A repeated change that was taken is never refused, however many changes were taken since: it is acknowledged
+// while it is remembered, and reported as unclear afterwards. A change that lost stays refused as long as it
+// certainly was not taken.
 func TestRepeatAfterManyChanges(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c")
 	c.plans["p"] = modelPlan(8, "llm|m")
@@ -110,9 +111,8 @@
 	require.Len(t, c.nodes["a"].reg.known.Done, maxChanges)
 }
 
-// Of two voters that are away, the spare takes the place of the one that has been away longer, also at an
-// owner that took the duty after both were gone: the other is likely back soon, and the next loss must
-// find four of five.
+// Of two absent voters, the spare replaces the one absent longer, even if the leader was elected after both were
+// gone. The other one is likely to return soon, and the next loss must find four of five voters.
 func TestLongestAbsentIsReplacedFirst(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c", "d", "e")
 	owner := c.owner()
@@ -120,23 +120,23 @@
 	c.down(first)
 	c.run(400e6)
 	c.down(owner)
-	c.run(2500e6) // both are away for longer than a spare would wait, had there been one
+	c.run(2500e6) // both are absent for longer than the delay before a replacement
 	c.spare("f")
 	require.True(t, c.until(catchUp, func() bool {
 		lead := c.lead()
 		return lead != nil && voterset.Seats(lead.reg.known.Voters, "f") && len(lead.reg.known.Prior) == 0
 	}), "the spare is a voter in time")
-	require.False(t, voterset.Seats(c.lead().reg.known.Voters, ident.Node(first)), "%s went first", first)
-	require.True(t, voterset.Seats(c.lead().reg.known.Voters, ident.Node(owner)), "%s went last", owner)
+	require.False(t, voterset.Seats(c.lead().reg.known.Voters, ident.Node(first)), "%s was lost first", first)
+	require.True(t, voterset.Seats(c.lead().reg.known.Voters, ident.Node(owner)), "%s was lost last", owner)
 }
 
-// A node that was away hears of itself as absent nowhere, and blames nobody else when it is back.
+// A node that was cut off is counted as absent by the others, but on its return counts none of them as absent.
 func TestAbsenceIsCountedInTouchOnly(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c")
 	away := c.other()
 	c.down(away)
 	c.run(10e9)
-	require.Empty(t, c.nodes[away].reg.absent, "it hears no majority")
+	require.Empty(t, c.nodes[away].reg.absent, "a node that hears no majority counts nobody as absent")
 	require.Contains(t, c.lead().reg.absent, ident.Node(away))
 	delete(c.parted, away)
 	c.run(2e9)
@@ -145,8 +145,8 @@
 	}
 }
 
-// A replacement, and the loss of the owner in any moment after it: the new node is a voter, and no old set
-// rules beside the new one, within the time that it has.
+// The leader is lost at various moments after a replacement begins. The new node becomes a voter, and the old
+// set is dropped, within catchUp.
 func TestOwnerLostDuringAReplacement(t *testing.T) {
 	for after := clock.Span(0); after < 3000e6; after += 200e6 {
 		ownerLostDuringAReplacement(t, after, 0)
@@ -154,12 +154,12 @@
 	}
 }
 
-// ownerLostDuringAReplacement plays one such loss; messages between core nodes take about the delay that is named.
+// ownerLostDuringAReplacement runs one such loss; messages between core nodes take about the given delay.
 func ownerLostDuringAReplacement(t *testing.T, after, delay clock.Span) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c", "d", "e")
 	c.delay = delay
-	gone := c.other()
-	c.down(gone)
+	lost := c.other()
+	c.down(lost)
 	c.run(500e6)
 	c.spare("f")
 	start := c.at
@@ -171,9 +171,9 @@
 	}), "owner lost %v after the new node's start, messages take %v", after, delay)
 }
 
-// Losses follow each other as closely as two of five may be lost: one voter for good, another for some
-// seconds, one that loses its disk, each as soon as the one before counts as back. A majority is always
-// there, and changes go on being taken.
+// Losses follow each other as closely as the loss of two of five nodes allows: one voter for good, another for
+// some seconds, and one that loses its disk, each as soon as the previous one counts as recovered. A majority
+// always exists, and changes are still taken.
 func TestLossesAsCloseAsTheyMayCome(t *testing.T) {
 	for seed := range 6 {
 		c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c", "d", "e")
@@ -182,7 +182,7 @@
 		next, version := 0, 0
 		pick := func(i int) string { return live[(seed+i)%len(live)] }
 		for round := range 6 {
-			// One for good, and an empty one half a second later; another without power meanwhile.
+			// One voter is lost for good and an empty node starts half a second later; another voter has no power meanwhile.
 			lost, dark := pick(round), pick(round+2)
 			c.down(lost)
 			c.run(500e6)
@@ -194,11 +194,11 @@
 			for i, id := range live {
 				if id == lost {
 					live[i] = fresh
-					c.seeds[i].Addr = fresh // what later nodes are told of the core
+					c.seeds[i].Addr = fresh // seeds of nodes that start later
 				}
 			}
 			c.run(catchUp)
-			// The new one counts as there: a third may lose its disk while the dark one still is away.
+			// The new node counts as recovered: a third one may lose its disk while the dark one is still absent.
 			wiped := pick(round + 3)
 			if wiped == dark {
 				wiped = pick(round + 4)
@@ -218,58 +218,57 @@
 	}
 }
 
-// The old voter set is left only once the duty was renewed under both sets: a majority of the new one then
-// knows the duty's number, so that it cannot be given to anybody else.
+// The old voter set is dropped only after the lease was renewed under both sets: then a majority of the new set
+// knows the term, so that it cannot be granted to another node.
 func TestJointSetIsLeftAfterARenewal(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c")
-	gone := c.other()
-	c.down(gone)
+	lost := c.other()
+	c.down(lost)
 	c.run(500e6)
 	c.spare("d")
 	joint := func() bool { return c.lead() != nil && len(c.lead().reg.known.Prior) > 0 }
 	require.True(t, c.until(catchUp, joint))
 	lead := c.lead()
-	lead.reg.next = c.at.Add(600e6) // no renewal is asked for until then
+	lead.reg.next = c.at.Add(600e6) // no renewal is sent until then
 	c.run(500e6)
-	require.True(t, joint(), "nothing was renewed under both sets")
-	require.True(t, c.until(500e6, func() bool { return !joint() }), "the old set is left as soon as it was")
-	know := 0
+	require.True(t, joint(), "the joint set must stay until a renewal under both sets")
+	require.True(t, c.until(500e6, func() bool { return !joint() }), "the old set must be dropped after the renewal")
+	durable := 0
 	for _, v := range c.lead().reg.known.Voters {
 		if c.nodes[string(v.ID)].vote.sure == c.lead().duty.num {
-			know++
+			durable++
 		}
 	}
-	require.Greater(t, know, 1, "a majority of the new set has the duty's number on disk")
+	require.Greater(t, durable, 1, "a majority of the new set must have the term on disk")
 }
 
-// A voter that is told to stop while a spare is there keeps answering until the spare has its seat, and a
-// stop without a spare waits for nothing.
+// A stopping voter keeps answering until a spare has its seat, and does not wait if there is no spare.
 func TestStopHandsTheSeatOver(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c")
-	stops := c.owner()
-	c.step(stops, protocol.Stop{})
-	require.False(t, c.nodes[stops].HandingOver(), "nobody could take its seat")
+	stopping := c.owner()
+	c.step(stopping, protocol.Stop{})
+	require.False(t, c.nodes[stopping].HandingOver(), "no spare can take its seat")
 	c.run(500e6)
-	c.back(stops)
+	c.back(stopping)
 	c.run(catchUp)
 
 	c.spare("d")
 	c.run(1e9)
 	for _, id := range []string{"a", "b", "c"} {
-		require.True(t, c.settledSet(id, "a", "b", "c"), "a set that lacks nobody takes no spare")
+		require.True(t, c.settledSet(id, "a", "b", "c"), "a complete set must not take a spare")
 	}
-	stops = c.owner()
-	c.step(stops, protocol.Stop{})
-	require.True(t, c.nodes[stops].HandingOver())
-	require.True(t, c.until(2e9, func() bool { return !c.nodes[stops].HandingOver() }))
-	c.down(stops)
+	stopping = c.owner()
+	c.step(stopping, protocol.Stop{})
+	require.True(t, c.nodes[stopping].HandingOver())
+	require.True(t, c.until(2e9, func() bool { return !c.nodes[stopping].HandingOver() }))
+	c.down(stopping)
 	require.True(t, c.until(catchUp, func() bool { return c.owner() != "" }))
-	require.False(t, voterset.Seats(c.lead().reg.known.Voters, ident.Node(stops)))
+	require.False(t, voterset.Seats(c.lead().reg.known.Voters, ident.Node(stopping)))
 	require.True(t, voterset.Seats(c.lead().reg.known.Voters, "d"))
 }
 
-// Spares that know of a core are not blank: a wiped node whose seeds are all such spares forms no second
-// core beside the first.
+// Spares that know of a core are not blank, so a wiped node whose seeds are all such spares does not form a
+// second core.
 func TestSparesFormNoSecondCore(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c")
 	c.spare("d")
@@ -280,8 +279,8 @@
 	}
 }
 
-// A node that lost its disk has forgotten which leavings it acknowledged: its roll counts for none until
-// it has heard a majority's.
+// A node that lost its disk has forgotten which departures it acknowledged. Its list of enrolled servers does
+// not count as complete until it has received those of a majority.
 func TestRollOfAnEmptiedNode(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c")
 	c.plans["1"] = modelPlan(8, "llm|m")
@@ -299,8 +298,8 @@
 	require.NotEmpty(t, c.disks[wiped][diskR])
 }
 
-// A core node that knows no core and did not begin with it acknowledges no server's word: nobody else
-// may hear of it.
+// A core node that knows no core, and was not among those forming it, acknowledges no announcement, since no
+// other node may receive it.
 func TestAnnouncementsAtANodeWithoutACore(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c")
 	away := c.other()
@@ -312,8 +311,8 @@
 	require.False(t, ok)
 }
 
-// A new node may be told of seeds that are gone by then; it finds the core by those that the
-// settings name later. A node that may still form a core keeps to the seeds that it began with.
+// A new node may start with outdated seeds; it finds the core through the seeds of later settings. A node that
+// may still form a core keeps its initial seeds.
 func TestSeedsChange(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c")
 	living := c.seeds
@@ -329,7 +328,7 @@
 	require.Equal(t, living, forming.o.Seeds)
 }
 
-// Seats go where a loss of one zone, or of one region, leaves a majority.
+// Seats are assigned so that the loss of one zone, or of one region, leaves a majority.
 func TestSeatsSpreadOverZonesAndRegions(t *testing.T) {
 	seat := func(id, zone string) protocol.Voter {
 		return protocol.Voter{Sibling: protocol.Sibling{ID: ident.Node(id)}, Zone: ident.Zone(zone)}
@@ -348,10 +347,10 @@
 		spares []protocol.Voter
 		picked string
 	}{
-		{"the same zone, if nothing else tells", seats("a", "c", "d"), 0, []protocol.Voter{seat("x", "b"), seat("y", "a")}, "y"},
+		{"the same zone, all else being equal", seats("a", "c", "d"), 0, []protocol.Voter{seat("x", "b"), seat("y", "a")}, "y"},
 		{"a zone without a seat", seats("a", "a", "c"), 1, []protocol.Voter{seat("x", "a"), seat("y", "d")}, "y"},
 		{"a region without a seat", seats("a", "c", "c"), 2, []protocol.Voter{seat("x", "b"), seat("y", "d")}, "y"},
-		{"another one", seats("a", "c"), -1, []protocol.Voter{seat("x", "a"), seat("y", "b"), seat("z", "d")}, "z"},
+		{"an additional seat", seats("a", "c"), -1, []protocol.Voter{seat("x", "a"), seat("y", "b"), seat("z", "d")}, "z"},
 	} {
 		require.EqualValues(t, x.picked, voterset.PickSpare(x.voters, x.out, x.spares, c.regionOf).ID, x.name)
 	}
@@ -365,11 +364,11 @@
 	require.Equal(t, []string{"a", "b", "d"}, zones(voterset.Spread(seats("a", "a", "b"), []protocol.Voter{seat("w", "d")}, voterset.Zone))[:3])
 	require.NotNil(t, voterset.Spread(seats("a", "b", "c"), []protocol.Voter{seat("x", "d")}, c.regionOf), "two of three in the north")
 	require.Nil(t, voterset.Spread(seats("a", "b", "c"), []protocol.Voter{seat("x", "a")}, c.regionOf))
-	require.Nil(t, voterset.Spread(seats("a", "a", "b", "b", "c"), []protocol.Voter{seat("x", "c")}, voterset.Zone), "any zone may go")
+	require.Nil(t, voterset.Spread(seats("a", "a", "b", "b", "c"), []protocol.Voter{seat("x", "c")}, voterset.Zone), "no spread improves this set")
 }
 
-// Changes that come as fast as they are taken do not keep a voter from being replaced.
-func TestVoterIsReplacedUnderAStormOfChanges(t *testing.T) {
+// A steady stream of changes does not keep a voter from being replaced.
+func TestVoterIsReplacedUnderRapidChanges(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c")
 	c.plans["p"] = modelPlan(8, "llm|m")
 	c.delay = 5e6
@@ -386,9 +385,9 @@
 	}), "after %d changes", n)
 }
 
-// A node that is parted from the core sends a server on to another, and a server whose words nobody else
-// hears is asked by the owner before it is taken for dark.
-func TestWordsToAPartedNode(t *testing.T) {
+// A partitioned core node redirects a server to another node. A server whose announcements reach no other node
+// is queried by the leader before it counts as unreachable.
+func TestAnnouncementsToAPartitionedNode(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c")
 	c.plans["1"] = modelPlan(8, "llm|m")
 	require.Equal(t, failure.None, c.told("a", Admin{Op: "put", Raw: []byte("1"), Number: 1, Change: "x"}).Kind)
@@ -396,12 +395,12 @@
 	c.run(3e9)
 	parted := c.other()
 	c.down(parted)
-	s.silent = true // to all but the parted node
+	s.silent = true // announces nothing by itself; the test announces it to the partitioned node
 	for count := uint64(100); count < 106; count++ {
 		c.run(1e9)
 		ok, answered := c.announce(parted, beacon("s", "live", count))
 		require.True(t, answered)
-		require.Equal(t, count == 100, ok, "word %d: it hears no majority", count-99)
-		require.False(t, c.lead().servers["s"].dark, "it answers the owner's questions")
+		require.Equal(t, count == 100, ok, "announcement %d: the node hears no majority", count-99)
+		require.False(t, c.lead().servers["s"].dark, "the server answers the leader's queries")
 	}
 }
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -60,7 +60,7 @@
 	Warm     bool                  // preload models that no server has on disk while the store is idle
 	Rate     clock.Span            // the store's rate limit holds in every window of this length
 	Regions  map[ident.Zone]string // region of each zone, if there are several
-	HandOver bool                  // a stopping node's seat goes to a spare at once, not only after Spare
+	HandOver bool                  // a stopping node's seat goes to a spare at once, not only after ReplaceAfter
 	Alone    bool                  // changes are never forwarded to the lease owner
 	Joined   bool                  // the core already exists: an empty disk forms none
 }
@@ -377,7 +377,7 @@
 	c.out = append(c.out, a)
 }
 
-// note logs an event with its fields.
+// logEvent logs an event with its fields.
 func (c *Core) note(s string, fields ...protocol.Field) {
 	c.out = append(c.out, protocol.Note{Text: s, Fields: fields})
 }
@@ -385,10 +385,10 @@
 // field returns a named value of a log line.
 func field(name string, value any) protocol.Field { return protocol.Field{Name: name, Value: value} }
 
-// oops logs an error.
+// logError logs an error.
 func (c *Core) oops(s string) { c.out = append(c.out, protocol.Oops{Text: s}) }
 
-// jot encodes a value as JSON.
+// marshal encodes a value as JSON.
 func jot(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -397,7 +397,7 @@
 	return b
 }
 
-// visit counts the servers, replicas or links that a decision examines: its cost, independent of the machine.
+// countVisits counts the servers, replicas or links that a decision examines: its cost, independent of the machine.
 func (c *Core) visit(n int) { c.tally.Visits += uint64(n) }
 
 // Counts returns the tally so far.
--- a/internal/controller/duty.go
+++ b/internal/controller/duty.go
@@ -29,7 +29,7 @@
 	left  clock.Tick       // when that was
 }
 
-// until returns when the lease expires.
+// expiresAt returns when the lease expires.
 func (r *leadership) until(c *Core) clock.Tick { return r.asked.Add(c.o.Duty) }
 
 // shouldClaim reports whether the next read should claim the lease, and for which term. The leader renews its
@@ -139,7 +139,7 @@
 	}
 }
 
-// giveBack releases the lease, and names a successor if there is one.
+// releaseLease releases the lease, and names a successor if there is one.
 func (c *Core) giveBack(why string, next ident.Node) {
 	term := c.duty.num
 	c.reg.queries = nil // an outstanding read must not win back the lease
@@ -162,7 +162,7 @@
 	}
 }
 
-// lose ends this node's term, which it can no longer renew.
+// endTerm ends this node's term, which it can no longer renew.
 func (c *Core) lose(why string) {
 	c.oops(fmt.Sprintf("duty %d lost: %s", c.duty.num, why))
 	c.duty.mine, c.duty.who, c.duty.free = false, protocol.Sibling{}, false
@@ -201,8 +201,8 @@
 	}
 }
 
-// lapseSpans is for how many lease durations after its expiry a term may still be renewed.
+// renewableLeases is for how many lease durations after its expiry a term may still be renewed.
 const lapseSpans = 4
 
-// rules reports whether this node may grant leases and send orders now.
+// holdsLease reports whether this node may grant leases and send orders now.
 func (c *Core) rules() bool { return c.duty.mine && c.now <= c.duty.until(c) }
--- a/internal/controller/fenced.go
+++ b/internal/controller/fenced.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// dropSpot forgets the replica of a key that a server no longer holds.
+// forgetReplica forgets the replica of a key that a server no longer holds.
 func (c *Core) dropSpot(s *server, key ident.Key) {
 	s.spots[key].fire(SeeNone, c.now)
 	c.removeSpot(s, key)
--- a/internal/controller/forming.go
+++ b/internal/controller/forming.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// lift raises the generation past one that a router still knows. A core that formed after a total loss, on a
+// raiseGeneration raises the generation past one that a router still knows. A core that formed after a total loss, on a
 // clock that was set back, would otherwise be taken for an older one forever.
 func (c *Core) lift(gen uint64) {
 	if c.reg.op != nil || len(c.reg.queue) > 0 {
--- a/internal/controller/guards_test.go
+++ b/internal/controller/guards_test.go
@@ -66,7 +66,7 @@
 	{"changes are applied beside the core", "TestNoPlanIsReadInAStep", []overlay.Edit{{File: "changes.go", Old: "mutation{beside: true,", New: "mutation{"}}},
 	{"waits follow the round trips", "TestRegisterGoesOnAtAnySpeed", []overlay.Edit{{File: "proposer_timing.go", Old: "	return min(max(wait, minAnswerRounds*c.o.Round), maxAnswerRounds*c.o.Round)", New: "	_ = wait\n	return 700e6"}, {File: "forward.go", Old: "	return min(wait, mostForwardWait)", New: "	return 250e6"}}},
 	{"a broken entry keeps its other servers", "TestBrokenEntryKeepsItsOtherServers", []overlay.Edit{{File: "links.go", Old: "if c.o.Unfenced && len(e.replicas) > 0 && !l.full {", New: "if false {"}}},
-	{"who owned the lease last has it back at once", "TestDutyBackAfterPower", []overlay.Edit{{File: "acceptor.go", Old: "(c.vote.owner.ID == e.From.ID || !held && !quiet)", New: "!held && !quiet"}}},
+	{"who owned the lease last has it back at once", "TestDutyBackAfterPower", []overlay.Edit{{File: "acceptor.go", Old: "(c.vote.owner.ID == e.From.ID || !held && !recentStart)", New: "!held && !recentStart"}}},
 	{"one proposer at a time", "TestRegisterGoesOnAtAnySpeed", []overlay.Edit{{File: "forward.go", Old: "if c.o.Alone ||", New: "if true ||"}}},
 }
 
--- a/internal/controller/holders.go
+++ b/internal/controller/holders.go
@@ -86,7 +86,7 @@
 	c.fleet.removeHolder(s, key)
 }
 
-// holding returns the servers that have a key in any stage, ordered by ID; for a key that stands for a whole
+// holdersOf returns the servers that have a key in any stage, ordered by ID; for a key that stands for a whole
 // service, all servers.
 func (c *Core) holding(key ident.Key) []*server {
 	if key.Plain() {
@@ -126,7 +126,7 @@
 	c.disks.set(e.ID, key, sure)
 }
 
-// enlist adds a server that announced itself, in place of any earlier entry with its ID.
+// addEnrolled adds a server that announced itself, in place of any earlier entry with its ID.
 func (c *Core) enlist(e *enrolled) {
 	c.delist(e.ID)
 	c.roll[e.ID] = e
@@ -135,7 +135,7 @@
 	}
 }
 
-// delist removes a server that announced itself.
+// removeEnrolled removes a server that announced itself.
 func (c *Core) delist(id ident.Server) {
 	if e := c.roll[id]; e != nil {
 		c.disks.removeServer(id, e.had)
--- a/internal/controller/look.go
+++ b/internal/controller/look.go
@@ -6,7 +6,7 @@
 	"tidedeck/internal/ident"
 )
 
-// look is the state of one placement pass: the replica counts and demand of the families, and the servers as
+// placementPass is the state of one placement pass: the replica counts and demand of the families, and the servers as
 // targets for one more replica. Cached facts about a target hold until a replica is added or removed there, or
 // the replica count of a family that it holds changes.
 type look struct {
@@ -16,7 +16,7 @@
 	byServer  map[ident.Server]*place
 }
 
-// place is a server that may load one more base model.
+// loadTarget is a server that may load one more base model.
 type place struct {
 	server         *server
 	stale          bool
@@ -27,7 +27,7 @@
 	evictableKnown bool        // evictable is up to date
 }
 
-// newLook begins a placement pass.
+// newPlacementPass begins a placement pass.
 func (c *Core) newLook() *look {
 	l := &look{core: c, families: c.families(), byService: map[string][]*place{}, byServer: map[ident.Server]*place{}}
 	for _, s := range c.fleet.ordered {
@@ -54,7 +54,7 @@
 	p.free, p.pending, p.load = p.server.free(), p.server.pending(), l.families.loadOf(p.server)
 }
 
-// changed records that the replica count of a family changed at a server, which makes the cached facts about
+// invalidateHolders records that the replica count of a family changed at a server, which makes the cached facts about
 // every holder of the family out of date.
 func (l *look) changed(key ident.Key, at *server) {
 	l.outdate(at)
@@ -63,14 +63,14 @@
 	}
 }
 
-// outdate marks the cached facts about a server as out of date.
+// invalidate marks the cached facts about a server as out of date.
 func (l *look) outdate(s *server) {
 	if p := l.byServer[s.ID]; p != nil {
 		p.stale = true
 	}
 }
 
-// placesFor returns the places where a family may be loaded: with the store, any server of its service,
+// targetsFor returns the places where a family may be loaded: with the store, any server of its service,
 // otherwise only servers that have it on their own disk.
 func (l *look) placesFor(f *family, store bool) []*place {
 	if store {
@@ -85,14 +85,14 @@
 	return onDisk
 }
 
-// way is the set of evictions needed before a replica can be loaded at a place: the first so many of the
+// evictionPlan is the set of evictions needed before a replica can be loaded at a place: the first so many of the
 // evictable ones.
 type way struct {
 	leaves int
 	cost   float64
 }
 
-// wayFor returns the evictions that one more replica of a family needs at a place, and whether the replica can
+// planEvictions returns the evictions that one more replica of a family needs at a place, and whether the replica can
 // be loaded there and is worth these evictions.
 func (l *look) wayFor(p *place, f *family) (way, bool) {
 	if p.server.room < f.model.Size || p.server.spots[f.model.Key] != nil {
@@ -120,7 +120,7 @@
 	return w, missing <= 0 && w.cost <= f.gain()
 }
 
-// leave begins the evictions at a place.
+// beginEvictions begins the evictions at a place.
 func (l *look) leave(p *place, w way) {
 	for _, victim := range slices.Clone(p.evictable[:w.leaves]) {
 		l.core.evict(p.server, victim.spot)
--- a/internal/controller/number_test.go
+++ b/internal/controller/number_test.go
@@ -13,15 +13,15 @@
 	"tidedeck/internal/protocol"
 )
 
-// told waits for the receipt of a change.
+// submit returns the receipt of a change, and waits until it arrives.
 func (c *cluster) told(node string, a Admin) Receipt {
 	got := c.admin(node, a)
 	require.True(c.t, c.until(9e9, func() bool { return got() != nil }))
 	return *got()
 }
 
-// Changes that operators number, one after the other, each at any node.
-func TestNumbers(t *testing.T) {
+// Operators number their changes one after the other and submit each at any node.
+func TestNumberedChanges(t *testing.T) {
 	c := newCluster(t, nil, "a", "b", "c")
 	for i := range 10 {
 		c.plans[fmt.Sprint("p", i)] = modelPlan(8+i, "llm|m")
@@ -34,26 +34,26 @@
 		name  string
 		a     Admin
 		kind  failure.Kind
-		epoch ident.Epoch // that the receipt names
+		epoch ident.Epoch // named by the receipt
 		plan  string      // in force afterwards
 		now   ident.Epoch
 	}{
 		{"the first", put("p1", 0, 5, "x1"), failure.None, 5, "p1", 5},
 		{"its repeat", put("p1", 0, 5, "x1"), failure.None, 5, "p1", 5},
-		{"another on the same one", put("p2", 0, 6, "x2"), failure.Conflict, 5, "p1", 5},
-		{"an equal number", put("p2", 5, 5, "x3"), failure.Faulty, 5, "p1", 5},
-		{"a lower one", put("p2", 5, 4, "x4"), failure.Faulty, 5, "p1", 5},
-		{"a step", put("p2", 5, 9, "x5"), failure.None, 9, "p2", 9},
-		{"the repeat of one that was built upon", put("p1", 0, 5, "x1"), failure.None, 5, "p2", 9},
-		{"what it went on is no more", put("p3", 5, 10, "x6"), failure.Conflict, 9, "p2", 9},
-		{"on what is not there yet", put("p3", 10, 11, "x7"), failure.Conflict, 9, "p2", 9},
+		{"a second change on the same epoch", put("p2", 0, 6, "x2"), failure.Conflict, 5, "p1", 5},
+		{"an equal epoch number", put("p2", 5, 5, "x3"), failure.Faulty, 5, "p1", 5},
+		{"a lower epoch number", put("p2", 5, 4, "x4"), failure.Faulty, 5, "p1", 5},
+		{"a gap in the numbers", put("p2", 5, 9, "x5"), failure.None, 9, "p2", 9},
+		{"the repeat of a change with a successor", put("p1", 0, 5, "x1"), failure.None, 5, "p2", 9},
+		{"an outdated expected epoch", put("p3", 5, 10, "x6"), failure.Conflict, 9, "p2", 9},
+		{"an expected epoch in the future", put("p3", 10, 11, "x7"), failure.Conflict, 9, "p2", 9},
 		{"a patch", Admin{Op: "patch", Raw: []byte(`{"p":4}`), Expect: 9, Number: 10, Change: "x8"}, failure.None, 10, `{"p":4}`, 10},
 		{"its repeat", Admin{Op: "patch", Raw: []byte(`{"p":4}`), Expect: 9, Number: 10, Change: "x8"}, failure.None, 10, `{"p":4}`, 10},
 		{"a plan with faults", put("nonsense", 10, 11, "x9"), failure.Faulty, 0, `{"p":4}`, 10},
-		{"and it has taken no number", put("p5", 10, 11, "x10"), failure.None, 11, "p5", 11},
+		{"a refused plan takes no number", put("p5", 10, 11, "x10"), failure.None, 11, "p5", 11},
 		{"the same plan under a new number", put("p5", 11, 12, "x11"), failure.None, 12, "p5", 12},
-		{"one refused is not done when it is repeated", put("p3", 5, 10, "x6"), failure.Conflict, 12, "p5", 12},
-		{"no number counts on", put("p6", 12, 0, "x12"), failure.None, 13, "p6", 13},
+		{"the repeat of a refused change", put("p3", 5, 10, "x6"), failure.Conflict, 12, "p5", 12},
+		{"no number takes the next one", put("p6", 12, 0, "x12"), failure.None, 13, "p6", 13},
 	} {
 		node := generic.SortedKeys(c.nodes)[i%3]
 		r := c.told(node, x.a)
@@ -67,34 +67,34 @@
 	}
 }
 
-// Eight changes on top of the same one, at once and at all nodes: one is taken, and each that is sent
-// again is answered as before.
-func TestEightAtOnce(t *testing.T) {
+// Eight changes that expect the same epoch arrive at once at different nodes. Exactly one is taken, and a repeat
+// of any of them gets the same answer.
+func TestConcurrentChangesOnOneEpoch(t *testing.T) {
 	for _, x := range []struct {
-		name  string
-		nodes []string // that they come to in turn
-		down  bool     // a node that is not the owner is parted
-		delay clock.Span
+		name        string
+		nodes       []string // nodes that receive the changes in turn
+		partitioned bool     // a node other than the leader is partitioned
+		delay       clock.Span
 	}{
-		{"at one node", []string{"a"}, false, 0}, {"at one that is not the owner", []string{"c"}, false, 0}, {"at all", []string{"a", "b", "c"}, false, 0},
-		{"at those that are there", []string{"a", "c"}, true, 0}, {"at one node, slowly", []string{"a"}, false, 40e6}, {"at all, slowly", []string{"a", "b", "c"}, false, 40e6},
-		{"at those that are there, slowly", []string{"a", "c"}, true, 40e6},
+		{"at one node", []string{"a"}, false, 0}, {"at one other than the leader", []string{"c"}, false, 0}, {"at all", []string{"a", "b", "c"}, false, 0},
+		{"at the reachable nodes", []string{"a", "c"}, true, 0}, {"at one node, slowly", []string{"a"}, false, 40e6}, {"at all, slowly", []string{"a", "b", "c"}, false, 40e6},
+		{"at the reachable nodes, slowly", []string{"a", "c"}, true, 40e6},
 	} {
 		c := newCluster(t, nil, "a", "b", "c")
-		if x.down {
+		if x.partitioned {
 			c.parted["b"] = true
 		}
 		c.plans["1"] = modelPlan(8, "llm|m")
 		c.told("a", Admin{Op: "put", Raw: []byte("1"), Expect: 0, Number: 1, Change: "first"})
 		c.run(500e6)
 		c.delay = x.delay
-		var l []Admin
+		var changes []Admin
 		var got []func() *Receipt
 		for i := range 8 {
 			raw := fmt.Sprint("q", i)
 			c.plans[raw] = modelPlan(20+i, "llm|m")
-			l = append(l, Admin{Op: "put", Raw: []byte(raw), Expect: 1, Number: ident.Epoch(2 + i), Change: fmt.Sprint("c", i)})
-			got = append(got, c.admin(x.nodes[i%len(x.nodes)], l[i]))
+			changes = append(changes, Admin{Op: "put", Raw: []byte(raw), Expect: 1, Number: ident.Epoch(2 + i), Change: fmt.Sprint("c", i)})
+			got = append(got, c.admin(x.nodes[i%len(x.nodes)], changes[i]))
 		}
 		at := c.at
 		require.True(t, c.until(4e9, func() bool {
@@ -110,24 +110,24 @@
 		for i, g := range got {
 			switch g().Kind {
 			case failure.None:
-				require.Equal(t, -1, won, "%s: two on top of the same one", x.name)
+				require.Equal(t, -1, won, "%s: two changes taken on the same epoch", x.name)
 				won = i
 			default:
 				require.Equal(t, failure.Conflict, g().Kind, x.name)
 			}
 		}
 		require.NotEqual(t, -1, won, x.name)
-		for i, a := range l {
+		for i, a := range changes {
 			r := c.told(x.nodes[(i+1)%len(x.nodes)], a)
 			require.Equal(t, i == won, r.Kind == failure.None, "%s: the repeat of %d", x.name, i)
 			require.EqualValues(t, 2+won, r.Epoch, x.name)
 		}
-		require.Equal(t, string(l[won].Raw), string(c.told("a", Admin{Op: "get"}).Plan), x.name)
+		require.Equal(t, string(changes[won].Raw), string(c.told("a", Admin{Op: "get"}).Plan), x.name)
 	}
 }
 
-// Eight changes one upon the other, each sent as soon as the one before is acknowledged, while every
-// second answer is lost and its change is sent again elsewhere: all are there, once and in order.
+// Eight changes, each based on the previous one, are sent as soon as that one is acknowledged. Every second
+// answer is lost and its change is sent again to another node. All are applied once and in order.
 func TestChangesInOrder(t *testing.T) {
 	c := newCluster(t, nil, "a", "b", "c")
 	ids := generic.SortedKeys(c.nodes)
@@ -150,8 +150,8 @@
 	}
 }
 
-// The newest change that a majority has is in force at the next owner, and at routers, and a change
-// whose proposer was parted is either there or not, as its repeat tells.
+// After a takeover, the newest change that a majority has accepted is in force at the next leader and at the
+// routers. A change whose proposer was partitioned was either taken or not, as its repeat shows.
 func TestChangeOverTakeover(t *testing.T) {
 	for _, after := range []clock.Span{0, 20e6, 40e6, 60e6, 80e6, 100e6, 140e6} {
 		c := newCluster(t, nil, "a", "b", "c")
--- a/internal/controller/processor_test.go
+++ b/internal/controller/processor_test.go
@@ -5,14 +5,14 @@
 	"tidedeck/internal/protocol"
 )
 
-// What an input costs a core node's processor, so that a test's verdict does not hang on the machine that it runs on.
+// Processor cost of an input to a core node. A cost model keeps the tests' results independent of the machine.
 const (
-	visitCost   = clock.Span(90)      // of each server, replica or link that is looked at
-	messageCost = clock.Span(20_000)  // of taking a message off its connection and putting the answer on one
-	renewalCost = clock.Span(120_000) // and of reading a renewal and writing a grant, beside that
+	visitCost   = clock.Span(90)      // of each server, replica or link examined
+	messageCost = clock.Span(20_000)  // of receiving a message and sending its answer
+	renewalCost = clock.Span(120_000) // in addition, of decoding a renewal and encoding a grant
 )
 
-// processor is the share of a core that a node has. What it has no time for yet waits.
+// processor models a node's share of one CPU core. Inputs for which it has no time yet wait in a queue.
 type processor struct {
 	share     float64
 	node      string
@@ -20,7 +20,7 @@
 	queued    []any
 }
 
-// bound gives every node a share of a core.
+// limitProcessors gives every node the same share of a CPU core.
 func (c *cluster) bound(share float64) {
 	c.processors = map[string]*processor{}
 	for id := range c.nodes {
@@ -28,10 +28,10 @@
 	}
 }
 
-// freeze has the processor stand still for a while.
+// freeze stops the processor for a while.
 func (p *processor) freeze(now clock.Tick, span clock.Span) { p.busyUntil = now.Add(span) }
 
-// queue has an input wait for its turn. A timer that goes off while its last beat waits is lost.
+// queue appends an input. As with a real timer, a beat is lost if the previous one is still queued.
 func (p *processor) queue(in any) {
 	if _, beat := in.(protocol.Beat); beat {
 		for _, w := range p.queued {
@@ -43,7 +43,7 @@
 	p.queued = append(p.queued, in)
 }
 
-// run takes in what there is time for until the next tick.
+// run processes as many queued inputs as fit before the next tick.
 func (p *processor) run(c *cluster) {
 	p.busyUntil = max(p.busyUntil, c.at)
 	for len(p.queued) > 0 && p.busyUntil < c.at.Add(tickLength) {
@@ -56,7 +56,7 @@
 	}
 }
 
-// costOf is what an input costs beside what is looked at.
+// costOf returns the cost of an input apart from what it examines.
 func costOf(in any) clock.Span {
 	e, ok := in.(protocol.Env)
 	if !ok {
--- a/internal/controller/proposer.go
+++ b/internal/controller/proposer.go
@@ -19,7 +19,7 @@
 	accepting phase = "accept"  // requests a majority to accept the resulting value
 )
 
-// applied is the result of applying a change to a value.
+// applyResult is the result of applying a change to a value.
 type applied struct {
 	after  protocol.Desired // the changed value; the unchanged one if the change is refused
 	kind   failure.Kind
@@ -43,7 +43,7 @@
 	return applied{after, kind, faults}
 }
 
-// op is one change or full read and the state of its attempt.
+// proposal is one change or full read and the state of its attempt.
 type op struct {
 	mutation
 	came      clock.Tick
@@ -86,7 +86,7 @@
 	return hint
 }
 
-// mostQueued bounds the changes that wait at a node.
+// maxQueued bounds the changes that wait at a node.
 const mostQueued = 64
 
 func (c *Core) newOp(m mutation) *op {
--- a/internal/controller/register.go
+++ b/internal/controller/register.go
@@ -104,7 +104,7 @@
 
 func (c *Core) onTaken(e protocol.Env) { c.hearOfChosen(e.Body.(protocol.Taken).Ballot, e.From) }
 
-// hearOfChosen learns the value of a ballot that another node knows to be chosen. If this node has accepted that
+// noteChosen learns the value of a ballot that another node knows to be chosen. If this node has accepted that
 // ballot, it has the value; otherwise it fetches the value from that node.
 func (c *Core) hearOfChosen(b protocol.Ballot, from protocol.Sibling) {
 	r := &c.reg
--- a/internal/controller/slow_rounds_test.go
+++ b/internal/controller/slow_rounds_test.go
@@ -10,22 +10,22 @@
 	"tidedeck/internal/failure"
 )
 
-// roundsRun is a core under changes at fixed intervals, and what became of it.
+// roundsRun describes a run of a core that receives changes at fixed intervals.
 type roundsRun struct {
 	delay, gap clock.Span
-	spread     bool // changes come at all nodes but the owner by turns, else at one of them
-	down       int  // nodes that answer nobody
+	spread     bool // changes arrive at all nodes but the leader in turn, otherwise at one of them
+	down       int  // number of partitioned nodes
 }
 
-// outcome is what a run showed.
+// outcome is the result of a run.
 type outcome struct {
-	noOwner, noFreshNode, length clock.Span // sums, not longest
+	noOwner, noFreshNode, length clock.Span // totals
 	sent, taken                  int
 	rounds                       uint64
-	longest                      clock.Span // of the changes that were taken
+	longest                      clock.Span // longest time until a change was taken
 }
 
-// slowRoundsLength is how long changes are sent for, and slowRoundsRest how long the last ones may still take.
+// slowRoundsLength is how long changes are sent, and slowRoundsRest how much longer the last ones may take.
 const (
 	slowRoundsLength = clock.Span(12e9)
 	slowRoundsRest   = clock.Span(4e9)
@@ -44,14 +44,15 @@
 	return c.changesAt(others, x.gap)
 }
 
-// changesAt sends a change each so often, to nodes by turns, and follows who owns the lease and who can vouch meanwhile.
+// changesAt sends changes at a fixed interval to the nodes in turn. It records for how long there is no leader
+// and no node that knows the newest value.
 func (c *cluster) changesAt(nodes []string, gap clock.Span) outcome {
-	type order struct {
+	type change struct {
 		at     clock.Tick
 		answer func() *Receipt
-		over   bool
+		done   bool
 	}
-	var orders []*order
+	var changes []*change
 	var o outcome
 	before := c.rounds()
 	next, end := c.at, c.at.Add(slowRoundsLength)
@@ -61,15 +62,15 @@
 			o.sent++
 			plan := fmt.Sprint("plan-", o.sent)
 			c.plans[plan] = c.plans["1"]
-			orders = append(orders, &order{at: c.at, answer: c.admin(nodes[o.sent%len(nodes)], Admin{Op: "put", Raw: []byte(plan), Any: true, Change: plan})})
+			changes = append(changes, &change{at: c.at, answer: c.admin(nodes[o.sent%len(nodes)], Admin{Op: "put", Raw: []byte(plan), Any: true, Change: plan})})
 		}
 		c.tick()
-		for _, x := range orders {
+		for _, x := range changes {
 			r := x.answer()
-			if r == nil || x.over {
+			if r == nil || x.done {
 				continue
 			}
-			x.over = true
+			x.done = true
 			if r.Kind == failure.None {
 				o.taken++
 				o.longest = max(o.longest, c.at.Sub(x.at))
@@ -90,7 +91,7 @@
 	return o
 }
 
-// beatGap is how far apart the harness's steps are.
+// stepLength is the time between two steps of the test cluster.
 const stepLength = clock.Span(20e6)
 
 func (c *cluster) anyoneKnowsNewest() bool {
@@ -102,7 +103,7 @@
 	return false
 }
 
-// rounds counts the attempts that all nodes have begun.
+// rounds returns the number of attempts that all nodes have begun.
 func (c *cluster) rounds() (n uint64) {
 	for _, node := range c.nodes {
 		n += node.tally.Rounds
@@ -110,8 +111,9 @@
 	return n
 }
 
-// However slow the rounds are, with no fault but the nodes that may be lost, the core keeps its owner, somebody can tell
-// what is the newest, and changes are taken. Messages between core nodes take half to two and a half times the delay.
+// However slow the messages between core nodes, the core keeps its leader, some node knows the newest value, and
+// changes are taken, with no fault but the partitioned nodes. Messages take half to two and a half times the
+// delay.
 func TestRegisterGoesOnAtAnySpeed(t *testing.T) {
 	for _, delay := range []clock.Span{60e6, 100e6, 140e6} {
 		for _, gap := range []clock.Span{100e6, 300e6, 1000e6, 3000e6} {
@@ -120,10 +122,10 @@
 					x := roundsRun{delay: delay, gap: gap, spread: spread, down: down}
 					t.Run(fmt.Sprintf("%v/%v/spread=%v/down=%d", delay, gap, spread, down), func(t *testing.T) {
 						o := x.run(t)
-						t.Logf("%d of %d changes taken, the longest after %v, %d attempts; no owner %v, nobody vouches %v of %v",
+						t.Logf("%d of %d changes taken, the slowest after %v, %d attempts; no leader for %v, no node knew the newest value for %v of %v",
 							o.taken, o.sent, o.longest, o.rounds, o.noOwner, o.noFreshNode, o.length)
-						require.Zero(t, o.noOwner, "an owner that a majority keeps does not lose its term over slow rounds")
-						require.LessOrEqual(t, 20*o.noFreshNode, o.length, "nobody could tell what is the newest for %v of %v", o.noFreshNode, o.length)
+						require.Zero(t, o.noOwner, "a leader that a majority renews must not lose its term because of slow messages")
+						require.LessOrEqual(t, 20*o.noFreshNode, o.length, "no node knew the newest value for %v of %v", o.noFreshNode, o.length)
 						require.GreaterOrEqual(t, 4*o.taken, 3*o.sent, "%d of %d changes were taken", o.taken, o.sent)
 					})
 				}
--- a/internal/controller/starved_reads_test.go
+++ b/internal/controller/starved_reads_test.go
@@ -14,21 +14,22 @@
 	"tidedeck/internal/protocol"
 )
 
-// grownTimes are those of a deployment of some sixty routers, whose bounds are a little wider than a small one's.
+// largeFleetTimes sets the timing of a deployment of about sixty routers, whose bounds are wider than those of a
+// small one.
 func grownTimes(o *Options) {
 	timing := Timing{Apply: 2500e6, Drain: 2500e6, CatchUp: catchUp, Period: 1200e6, Tenure: 3000e6, Rate: 5e9}
 	o.HandOver = true
 	o.Duty, o.Round, o.Hold, o.Spare = timing.Duty(), timing.Duty()/4, timing.Hold(), timing.Spare()
 }
 
-// absence follows for how long something is not so.
+// outage measures the longest continuous time for which a condition does not hold.
 type outage struct {
 	since, longest clock.Span
 	step           clock.Span
 }
 
-func (a *outage) observe(there bool) {
-	if there {
+func (a *outage) observe(holds bool) {
+	if holds {
 		a.since = 0
 		return
 	}
@@ -36,16 +37,17 @@
 	a.longest = max(a.longest, a.since)
 }
 
-// vouches tells whether a node can tell a router whether its configuration is the newest.
+// knowsNewest reports whether a node can tell a router whether its configuration is the newest.
 func (c *cluster) knowsNewest(id string) bool {
 	n := c.nodes[id]
 	return n.reg.heard != 0 && c.at.Sub(n.reg.heard) < n.o.Hold
 }
 
-// quickChanges puts a change at one of the nodes each so often, for a while, each on whatever is in force, and tells for
-// how long there was no owner, and for how long no node could vouch.
-func (c *cluster) quickChanges(nodes []string, gap, length clock.Span) (noOwner, noVouch clock.Span, taken int) {
-	owner, vouch := outage{step: 20e6}, outage{step: 20e6}
+// quickChanges submits a change at a fixed interval for a while, to the nodes in turn, each on whatever epoch is
+// in force. It returns the longest times without a leader and without a node that knows the newest value, and
+// the number of changes taken.
+func (c *cluster) quickChanges(nodes []string, gap, length clock.Span) (noOwner, noFreshNode clock.Span, taken int) {
+	leaderless, unknowing := outage{step: 20e6}, outage{step: 20e6}
 	next := c.at
 	sent := 0
 	for end := c.at.Add(length); c.at < end; c.tick() {
@@ -56,22 +58,22 @@
 			c.plans[plan] = c.plans["1"]
 			c.admin(nodes[sent%len(nodes)], Admin{Op: "put", Raw: []byte(plan), Any: true, Change: plan})
 		}
-		owner.observe(c.owner() != "")
-		vouched := false
+		leaderless.observe(c.owner() != "")
+		known := false
 		for id := range c.nodes {
-			vouched = vouched || c.knowsNewest(id)
+			known = known || c.knowsNewest(id)
 		}
-		vouch.observe(vouched)
+		unknowing.observe(known)
 	}
 	for _, o := range c.out {
 		if r, is := o.(Receipt); is && r.Kind == "" {
 			taken++
 		}
 	}
-	return owner.longest, vouch.longest, taken
+	return leaderless.longest, unknowing.longest, taken
 }
 
-// newSlowCluster lays five nodes out whose messages to each other take a while; it names those that do not own the lease.
+// newSlowCluster starts five nodes with slow messages between them, and returns the IDs of all but the leader.
 func newSlowCluster(t *testing.T, delay clock.Span) (c *cluster, others []string) {
 	c = newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c", "d", "e")
 	c.run(2e9)
@@ -87,10 +89,10 @@
 	return c, others
 }
 
-// Under changes in quick succession, with no fault at all, the core keeps its owner and goes on telling routers what is
-// the newest. Messages between core nodes take half to two and a half times the delay that is named, as they do where
-// processes stand still while they read a large configuration.
-func TestQuickChangesDoNotSilenceTheCore(t *testing.T) {
+// Under rapid changes and without any fault, the core keeps its leader and keeps knowing the newest value.
+// Messages between core nodes take half to two and a half times the given delay, as they do where processes are
+// busy reading a large configuration.
+func TestRapidChangesKeepLeaderAndReads(t *testing.T) {
 	for _, x := range []struct{ delay, gap clock.Span }{{20e6, 100e6}, {40e6, 100e6}, {40e6, 150e6}, {40e6, 300e6}, {60e6, 300e6}} {
 		for _, spread := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%v/%v/spread=%v", x.delay, x.gap, spread), func(t *testing.T) {
@@ -98,16 +100,16 @@
 				if !spread {
 					nodes = nodes[:1]
 				}
-				noOwner, noVouch, taken := c.quickChanges(nodes, x.gap, 12e9)
-				t.Logf("no owner for %v, nobody vouches for %v, %d changes taken", noOwner, noVouch, taken)
-				require.Zero(t, noOwner, "an owner that a majority keeps does not lose its term over new values")
-				require.Zero(t, noVouch, "some node can tell what is the newest")
+				noOwner, noFreshNode, taken := c.quickChanges(nodes, x.gap, 12e9)
+				t.Logf("no leader for %v, no node knew the newest value for %v, %d changes taken", noOwner, noFreshNode, taken)
+				require.Zero(t, noOwner, "a leader that a majority renews must not lose its term because of new values")
+				require.Zero(t, noFreshNode, "some node must know the newest value")
 			})
 		}
 	}
 }
 
-// state answers a node's newest majority read in the name of a voter.
+// answerRead answers a node's newest majority read on behalf of a voter.
 func (c *cluster) answerRead(to, voter string, change func(s *protocol.State)) {
 	n := c.nodes[to]
 	q := n.reg.newestQuery()
@@ -119,7 +121,7 @@
 	c.step(to, from(voter, s))
 }
 
-// ask begins a majority read at a node that reaches nobody, so that a test can answer it.
+// beginRead begins a majority read at a partitioned node, so that a test can answer it.
 func (c *cluster) beginRead(node string) *query {
 	n := c.nodes[node]
 	n.now, n.out = c.at, nil
@@ -128,8 +130,9 @@
 	return n.reg.newestQuery()
 }
 
-// A term goes on if a majority grants it again, though all of them show a newer value; leases count from when this node
-// last knew what is the newest all the same. A majority that has accepted another voter set renews nothing.
+// A term continues if a majority renews it, even if all of its voters show a newer value; router leases still
+// count from when this node last knew the newest value. A majority that has accepted another voter set does not
+// renew the term.
 func TestTermAndKnowledgeAreTwoFacts(t *testing.T) {
 	newer := func(n *Core) protocol.Ballot { return protocol.Ballot{N: n.reg.at.N + 10, By: "z", Life: 1} }
 	for _, x := range []struct {
@@ -158,7 +161,7 @@
 				}
 			}
 			require.Equal(t, x.renews, n.duty.asked == q.at, "the term")
-			require.Equal(t, x.knows, n.reg.heard == q.at, "what is the newest")
+			require.Equal(t, x.knows, n.reg.heard == q.at, "knowledge of the newest value")
 			if !x.renews {
 				require.Equal(t, was, n.duty.asked)
 			}
@@ -166,13 +169,14 @@
 				require.Equal(t, heard, n.reg.heard)
 			}
 			require.True(t, n.hearsMajority())
-			require.LessOrEqual(t, n.knownSince(), n.reg.heard, "no lease counts from later")
+			require.LessOrEqual(t, n.knownSince(), n.reg.heard, "no router lease counts from later")
 			require.LessOrEqual(t, n.knownSince(), n.duty.asked)
 		})
 	}
 }
 
-// An owner that holds its term and does not know what is the newest gives no lease past the last time that it did.
+// A leader that keeps its term but does not know the newest value grants no router lease beyond the last time it
+// did.
 func TestNoLeaseBeyondWhatIsKnown(t *testing.T) {
 	n, s := ready(t)
 	n.mail(protocol.Renew{Session: s, Seq: 2, Gen: 1, Epoch: 1, Heard: 1})
@@ -187,10 +191,11 @@
 	n.mail(protocol.Renew{Session: s, Seq: 4, Gen: 1, Epoch: 1, Heard: 1})
 	l = n.granted()
 	require.Len(t, l, 1)
-	require.Zero(t, l[0].Len, "it says that it waits")
+	require.Zero(t, l[0].Len, "the grant has no length, but the answer is sent")
 }
 
-// newPartedNode lays a cluster out of which one node other than the owner reaches nobody, so that a test can answer it.
+// newPartedNode starts a cluster in which one node other than the leader is partitioned, so that a test can
+// answer its reads.
 func newPartedNode(t *testing.T) (c *cluster, node string) {
 	c = newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
 	c.run(2e9)
@@ -200,8 +205,8 @@
 	return c, node
 }
 
-// A read that showed a newer value ends once a chosen value that is no older is known, whatever reads have begun since;
-// it tells nothing about what was chosen after it began.
+// A read that showed a newer value completes once a chosen value that is no older is known, even after later
+// reads have begun. It proves nothing about what was chosen after it began.
 func TestReadsEndByWhatIsLearnedLater(t *testing.T) {
 	c, other := newPartedNode(t)
 	n := c.nodes[other]
@@ -221,15 +226,15 @@
 	value := *n.reg.known
 	value.Epoch++
 	c.step(other, from("z", protocol.Value{Accepted: top, Value: &value}))
-	require.Equal(t, heard, n.reg.heard, "that it was accepted somewhere tells nothing")
+	require.Equal(t, heard, n.reg.heard, "an accepted value is not known to be chosen")
 	c.step(other, from("z", protocol.Value{Accepted: top, Value: &value, Chosen: true}))
 	require.Equal(t, value.Epoch, n.Epoch())
 	require.Equal(t, first.at, n.reg.heard)
 	require.False(t, second.ended)
 }
 
-// A node that has accepted a ballot learns its value as soon as it hears that it was chosen, without asking for it; one
-// that has not fetches it from whoever said so.
+// A node that has accepted a ballot learns its value as soon as it hears that the ballot was chosen, without a
+// fetch. A node that has not accepted it fetches the value from the sender.
 func TestChosenValuesAreLearnedAtOnce(t *testing.T) {
 	c := newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
 	c.run(2e9)
@@ -250,7 +255,7 @@
 	}
 	out := n.Step(c.at, from("z", protocol.Taken{Epoch: value.Epoch, Ballot: ballot}))
 	require.Equal(t, []protocol.Fetch{{Ballot: ballot}}, fetches(out))
-	require.Empty(t, fetches(n.Step(c.at, from("y", protocol.Taken{Epoch: value.Epoch, Ballot: ballot}))), "it is on its way")
+	require.Empty(t, fetches(n.Step(c.at, from("y", protocol.Taken{Epoch: value.Epoch, Ballot: ballot}))), "a fetch is already outstanding")
 	next := protocol.Ballot{N: ballot.N + 1, By: "z", Life: 1}
 	n.Step(c.at, from("z", protocol.Accept{Round: 1, Ballot: next, Value: value}))
 	require.NotEqual(t, value.Epoch, n.Epoch())
@@ -258,8 +263,8 @@
 	require.Equal(t, value.Epoch, n.Epoch())
 }
 
-// A read that asked an older voter set than the one that is known by now tells nothing: what a majority of the newer set
-// has chosen since need not show among the old one's answers.
+// A read of an older voter set than the one now known proves nothing: a value chosen since by a majority of the
+// newer set need not show among the old set's answers.
 func TestReadsOfAnOldVoterSetTellNothing(t *testing.T) {
 	c, other := newPartedNode(t)
 	n := c.nodes[other]
@@ -281,9 +286,10 @@
 	require.False(t, q.ended)
 }
 
-// A value that a minority has accepted, and whose proposer is gone, is settled by a full round also where answers take longer
-// than the time to the next read: it is chosen, or excluded for good, as the majority that answers first has it or not.
-func TestUnclearValuesAreMendedWhereAnswersAreSlow(t *testing.T) {
+// A value that a minority has accepted, and whose proposer has failed, is decided by a full read even if answers
+// take longer than the read interval. It is chosen or excluded for good, depending on whether the majority that
+// answers first has it.
+func TestUnsettledValuesAreDecidedUnderSlowAnswers(t *testing.T) {
 	chosen, excluded := 0, 0
 	for seed := range uint64(12) {
 		c := newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
@@ -294,7 +300,7 @@
 		value := *c.nodes[other].reg.known
 		value.Epoch++
 		c.step(other, from("z", protocol.Accept{Round: 1, Ballot: top, Value: value}))
-		c.delay = 250e6 // and each answer takes twice that and more
+		c.delay = 250e6 // a query and its answer take twice that and more
 		epochs := map[ident.Epoch]bool{}
 		require.True(t, c.until(8e9, func() bool {
 			clear(epochs)
@@ -313,12 +319,13 @@
 			excluded++
 		}
 	}
-	require.NotZero(t, chosen, "a majority that has it finds it")
-	require.NotZero(t, excluded, "a majority that lacks it excludes it")
+	require.NotZero(t, chosen, "some majority had the value")
+	require.NotZero(t, excluded, "some majority lacked the value")
 }
 
-// A node that is being cut off says that no majority answers, and never that a majority answers without its reads ending.
-func TestCutNodeDoesNotSayThatItsReadsStarve(t *testing.T) {
+// A node that is cut off logs that no majority answers, and never that reads do not complete although a majority
+// answers.
+func TestCutOffNodeDoesNotReportStalledReads(t *testing.T) {
 	for _, delay := range []clock.Span{0, 2e6, 20e6, 60e6, 100e6} {
 		for offset := range clock.Span(13) {
 			c := newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
@@ -328,16 +335,16 @@
 			c.out = nil
 			c.parted[node] = true
 			c.run(4e9)
-			told := 0
+			reports := 0
 			for _, o := range c.out {
 				if oops, is := o.(protocol.Oops); is {
 					require.NotContains(t, oops.Text, "majority reads do not complete", "delay %v, offset %v", delay, offset)
 					if strings.Contains(oops.Text, "no majority of the core answers") {
-						told++
+						reports++
 					}
 				}
 			}
-			require.NotZero(t, told)
+			require.NotZero(t, reports)
 		}
 	}
 }
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -1,12 +1,12 @@
 package controller
 
-// Limits on loads from the weight store: how many may run at once, and how many may begin within Options.Rate.
+// Limits on loads from the weight store: how many may run at once, and how many may begin within Options.RateWindow.
 
 const (
 	minConcurrentLoads = 2 // concurrent loads that any store allows
 	// The new leader does not know which loads its predecessor began. The store's rate limit allows this many more
 	// at once.
-	newTermLoads = 3 // loads that a new leader may begin within its first Options.Rate
+	newTermLoads = 3 // loads that a new leader may begin within its first Options.RateWindow
 )
 
 // storeRate returns how many loads per second the store admits.
@@ -18,7 +18,7 @@
 	return rate
 }
 
-// budget returns how many loads the store allows at once, and how many more may begin now.
+// loadBudget returns how many loads the store allows at once, and how many more may begin now.
 func (c *Core) budget() (atOnce, toBegin int) {
 	if !c.o.Unfenced {
 		return c.plan.Loads, c.plan.Loads
--- a/internal/controller/voters.go
+++ b/internal/controller/voters.go
@@ -72,7 +72,7 @@
 	c.note("majority reads complete again", field("in_touch", inTouch))
 }
 
-// answered reports whether a core node has answered within the given number of read intervals.
+// answeredWithin reports whether a core node has answered within the given number of read intervals.
 func (c *Core) answered(id ident.Node, rounds int) bool {
 	s, ok := c.reg.lives[id]
 	return ok && c.now.Sub(s.at) < clock.Span(rounds)*c.o.Round
@@ -226,7 +226,7 @@
 	return true
 }
 
-// reshape changes the voter set in two changes: the first requires both sets, and the second, with no set given,
+// changeVoters changes the voter set in two changes: the first requires both sets, and the second, with no set given,
 // drops the old one.
 func (c *Core) reshape(from protocol.Desired, to []protocol.Voter) {
 	version := from.Shape
--- a/internal/explorer/guards_test.go
+++ b/internal/explorer/guards_test.go
@@ -40,9 +40,9 @@
 	{"leave a joint set", "replace-five", "joint voter set is not left", []edit{{"c.reshape(k, nil)", "_ = k"}}},
 	{"go on the newest accepted", "returner", "without", []edit{{"if value != nil && o.best.Less(b.Accepted) {", "if value != nil && o.value == nil {"}}},
 	{"a restarted voter waits", "duty-restarts", "own the duty at once", []edit{
-		{"quiet := c.now.Sub(c.vote.started) < long", "quiet := false"}}},
+		{"recentStart := c.now.Sub(c.vote.started) < grantSpan", "recentStart := false"}}},
 	{"no new owner beside a held duty", "duty-takeover", "own the duty at once", []edit{
-		{"|| !held && !quiet)", "|| !quiet)"}, {"inc) || !d.free {", "inc) {"}}},
+		{"|| !held && !recentStart)", "|| !recentStart)"}, {"inc) || !d.free {", "inc) {"}}},
 	{"a ballot names its proposer's life", "stalled-proposer", "would go on without|durably holds|is chosen with plan|without change", []edit{
 		{"By: c.o.Me.ID, Life: c.o.Inc}", "By: c.o.Me.ID}"}}},
 	{"a promise outlives a restart", "promised", "would go on without|durably holds|is chosen with plan|without change", []edit{
--- a/internal/simulator/bites_test.go
+++ b/internal/simulator/bites_test.go
@@ -47,7 +47,7 @@
 	{"grant after acknowledgement", "grow", "routes under epoch|held a promise", []edit{{"internal/controller/links.go", "if since, owes := c.owedSince(l); owes {", "if since, owes := c.owedSince(l); owes && false {"}}},
 	{"a majority for the duty", "core", "two own the duty|two controllers", []edit{
 		{"internal/controller/duty.go", " || !d.free {", " {"}, {"internal/controller/reader.go", "q.claim && voterset.Majority(q.set, q.grant)", "q.claim"}}},
-	{"no new owner beside a held duty", "core", "two own the duty|two controllers", []edit{{"internal/controller/acceptor.go", "|| !held && !quiet)", "|| !quiet)"}, {"internal/controller/duty.go", "inc) || !d.free {", "inc) {"}}},
+	{"no new owner beside a held duty", "core", "two own the duty|two controllers", []edit{{"internal/controller/acceptor.go", "|| !held && !recentStart)", "|| !recentStart)"}, {"internal/controller/duty.go", "inc) || !d.free {", "inc) {"}}},
 	{"expect the epoch", "plans", "that expected epoch", []edit{{"internal/controller/changes.go", "if !a.Any && d.Epoch != a.Expect {", "if false {"}}},
 	{"redo no change", "core", "was reached by", []edit{{"internal/controller/changes.go", "if x.ID == a.Change {\n\t\t\t\treturn d, failure.Repeated", "if x.ID == `no` {\n\t\t\t\treturn d, failure.Repeated"}, {"internal/controller/changes.go", "&& c.hasTaken(a.Change) {", "&& false {"}}},
 	{"see servers go", "servers", "after it was leaving or gone", []edit{
