--- a/internal/controller/control_test.go
+++ b/internal/controller/control_test.go
@@ -198,7 +198,7 @@
 				}
 			}
 			c.run(catchUp)
-			// The new node counts as recovered: a third one may lose its disk while the dark one is still absent.
+			// The new node counts as recovered: a third one may lose its disk while the one without power is still absent.
 			wiped := pick(round + 3)
 			if wiped == dark {
 				wiped = pick(round + 4)
--- a/internal/controller/duty.go
+++ b/internal/controller/duty.go
@@ -49,7 +49,7 @@
 		return d.next == c.o.Me.ID, d.top + 1
 	}
 	// The last leader may have the lease back at once, after a restart of its own or of the whole core, since the
-	// voters know that its grant has no other holder. The other nodes leave the lease to it while it is reachable.
+	// voters know that its previous term is over. The other nodes leave the lease to it while it answers.
 	last, top := ident.Node(""), ident.Duty(0)
 	for _, id := range generic.SortedKeys(c.reg.lives) {
 		if s := c.reg.lives[id]; s.state.Last != "" && s.state.Duty >= top && c.now.Sub(s.at) < 3*c.o.Round {
--- a/internal/controller/forming.go
+++ b/internal/controller/forming.go
@@ -11,8 +11,8 @@
 	"tidedeck/internal/protocol"
 )
 
-// beatForm forms a new core once all seeds, or the forced ones, have been seen blank for long enough. The seed with the
-// lowest ID proposes the first value.
+// beatForm forms a new core once all seeds have been seen blank for long enough; if forced, any of them suffice. The
+// blank seed with the lowest ID proposes the first value.
 func (c *Core) beatForm() {
 	r := &c.reg
 	if c.latest() != nil || r.op != nil || c.o.Joined && !r.force {
--- a/internal/controller/look.go
+++ b/internal/controller/look.go
@@ -22,7 +22,7 @@
 	stale          bool
 	free           int
 	pending        int
-	load           float64     // work, as a fraction of a server's capacity
+	load           float64     // work, in units of one server's capacity
 	evictable      []candidate // replicas that may be evicted, the cheapest for its size first
 	evictableKnown bool        // evictable is up to date
 }
--- a/internal/controller/number_test.go
+++ b/internal/controller/number_test.go
@@ -13,7 +13,7 @@
 	"tidedeck/internal/protocol"
 )
 
-// submit returns the receipt of a change, and waits until it arrives.
+// submit submits a change, and waits for its receipt.
 func (c *cluster) told(node string, a Admin) Receipt {
 	got := c.admin(node, a)
 	require.True(c.t, c.until(9e9, func() bool { return got() != nil }))
--- a/internal/controller/voters.go
+++ b/internal/controller/voters.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// logMajority logs when this node stops and resumes hearing a majority, once it has heard one at all.
+// logMajority logs when a majority starts and stops answering, once this node knows a chosen value.
 func (c *Core) logMajority(inTouch bool) {
 	r := &c.reg
 	if r.known == nil || inTouch == r.majorityReached {
@@ -48,7 +48,7 @@
 	}
 	r.majorityReached = inTouch
 	if inTouch {
-		c.note("a majority of the core answers again")
+		c.note("a majority of the core answers")
 		return
 	}
 	c.oops("no majority of the core answers: this node refuses changes and reads until one does")
