--- a/internal/controller/forming.go
+++ b/internal/controller/forming.go
@@ -11,6 +11,8 @@
 	"tidedeck/internal/protocol"
 )
 
+// beatForm forms a new core once all seeds have been seen blank for long enough; if forced, any of them suffice. The
+// blank seed with the lowest ID proposes the first value.
 func (c *Core) beatForm() {
 	r := &c.reg
 	if c.latest() != nil || r.op != nil || c.o.Joined && !r.force {
@@ -20,7 +22,7 @@
 	for _, s := range c.o.Seeds {
 		for _, id := range generic.SortedKeys(r.lives) {
 			v := r.lives[id]
-			if v.sib.Addr == s.Addr && v.state.Blank && c.now.Sub(v.at) < 2*c.o.Round+c.o.Margin {
+			if v.sib.Addr == s.Addr && v.state.Blank && c.now.Sub(v.at) < 2*c.o.Round+c.o.ClockMargin {
 				zone := ident.Zone("")
 				for _, m := range c.mates.All() {
 					if m.ID == id {
@@ -34,31 +36,31 @@
 	sort.Slice(l, func(i, j int) bool { return l[i].ID < l[j].ID })
 	all := len(l) == len(c.o.Seeds) || r.force && len(l) > 0
 	if !all || l[0].ID != c.o.Me.ID {
-		r.blank = 0
+		r.blankSince = 0
 		return
 	}
-	if r.blank == 0 {
-		r.blank, r.kept = c.now, nil
+	if r.blankSince == 0 {
+		r.blankSince, r.agentCopy = c.now, nil
 	}
 	for _, m := range c.mates.Alive("agent") {
-		c.send(m.Sibling, protocol.Keep{Round: uint64(r.blank)})
+		c.send(m.Sibling, protocol.Keep{Round: uint64(r.blankSince)})
 	}
-	if c.now.Sub(r.blank) < c.o.Form {
+	if c.now.Sub(r.blankSince) < c.o.Form {
 		return
 	}
-	r.blank = 0
-	// A generation's number is its former's disk life, so that it passes those that are lost.
+	r.blankSince = 0
+	// The generation number is the disk incarnation of the forming node, so that it exceeds those of lost cores.
 	d := protocol.Desired{Gen: uint64(c.vote.inc), Voters: l, Shape: 1}
-	if k := r.kept; k != nil {
-		// All that was confirmed is gone but for what agents hold: the newest of it goes on,
-		// under an epoch that leaps past whatever the lost core may have counted to.
-		d.Gen, d.Plan, d.Empty, d.Windows, d.Epoch = max(d.Gen, k.Gen+1), k.Plan, k.Empty, k.Windows, k.Epoch+1000
-		d.Shape = k.Shape + 1000
-		c.oops("core disks lost: a new generation forms from an agent's copy")
+	if old := r.agentCopy; old != nil {
+		// Everything confirmed is lost except the copies that agents hold. The newest copy is adopted, with an epoch far
+		// past any that the lost core may have reached.
+		d.Gen, d.Plan, d.Empty, d.Windows, d.Epoch = max(d.Gen, old.Gen+1), old.Plan, old.Empty, old.Windows, old.Epoch+1000
+		d.Shape = old.Shape + 1000
+		c.oops("core disks lost: forming a new generation from an agent's copy of the configuration")
 	}
 	r.hint = &d
-	c.read(func(k failure.Kind) {
-		if k != failure.None {
+	c.fullRead(func(kind failure.Kind) {
+		if kind != failure.None {
 			r.hint = nil
 		}
 	})
@@ -66,21 +68,21 @@
 
 func (c *Core) onKept(e protocol.Env) {
 	b, r := e.Body.(protocol.Kept), &c.reg
-	if b.Value == nil || r.blank == 0 || b.Round != uint64(r.blank) {
+	if b.Value == nil || r.blankSince == 0 || b.Round != uint64(r.blankSince) {
 		return
 	}
-	if b.Value.Newer(r.kept) {
-		r.kept = b.Value
+	if b.Value.Newer(r.agentCopy) {
+		r.agentCopy = b.Value
 	}
 }
 
-// lift makes the generation pass one that a router still knows: a core that formed after a total
-// loss, on a clock that was set back, would else be taken for an older one for ever.
+// raiseGeneration raises the generation past one that a router still knows. A core that formed after a total loss, on a
+// clock that was set back, would otherwise be taken for an older one forever.
 func (c *Core) lift(gen uint64) {
 	if c.reg.op != nil || len(c.reg.queue) > 0 {
 		return
 	}
-	c.oops(fmt.Sprintf("a router knows generation %d, past this core's: the core goes past it", gen))
+	c.oops(fmt.Sprintf("a router knows generation %d, newer than this core's: raising this core's generation past it", gen))
 	c.propose(mutation{apply: func(d protocol.Desired) (protocol.Desired, failure.Kind, fleetplan.Faults) {
 		d.Gen = max(d.Gen, gen+1)
 		return d, failure.None, nil
