--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -10,74 +10,74 @@
 	"tidedeck/internal/ident"
 )
 
-// Admission: a request's route, class and horizon come from the plan, and so does whose request it is, when it arrives, when
-// the plan changes and when it waits again after an attempt. Right before it is sent the plan is asked once more, so that no
-// server runs what an older plan allowed, under a key that is taken away or another tenant's by then.
+// Admission takes a request's route, class, deadline and tenant from the plan: on arrival, when the plan changes, and when the
+// request waits again after an attempt. The plan is checked once more immediately before sending, so that no server runs a
+// request that only an older plan allowed, or whose key has since been revoked or granted to another tenant.
 
-// undecidedWait is how long a request that no known plan decides about waits for one that does.
-const undecidedWait = clock.Span(5 * time.Second)
+// undecidedTimeout is how long a request without a matching plan waits for a plan that admits or rejects it.
+const undecidedTimeout = clock.Span(5 * time.Second)
 
-// allowed tells whether the plan in force still sends a request where it is going.
+// allowed checks that the plan in force still assigns a request the same key and tenant. It returns the reason if not.
 func (c *Core) allowed(r *request) failure.Kind {
 	if c.plan == nil {
-		return failure.None // no plan is known yet: it waits, but is sent nowhere
+		return failure.None // no plan is known yet: the request waits and is not sent
 	}
 	m, why := c.plan.Match(r.Call.Call.Query(r.Route))
 	if why == failure.None && (m.Key != r.key || m.Keyed != r.keyed || m.Tenant != r.tenant) {
-		return failure.Moved // the plan sends it elsewhere now, or has it as somebody else's
+		return failure.Moved // the plan now routes the request elsewhere or assigns it to another tenant
 	}
 	return why
 }
 
-// admit takes a request's class and horizon from the plan. While no plan is known that surely
-// rules, a request may wait a while for one, but is sent nowhere and turned away by none.
+// admit takes a request's class and deadline from the plan. A router that has no plan, or no lease that confirms the plan as
+// the newest, does not reject a request that the plan does not allow; the request waits for a newer plan and is not sent.
 func (c *Core) admit(r *request) failure.Kind {
-	r.class = fleetplan.Class{Value: 1, Wait: undecidedWait}
+	r.class = fleetplan.Class{Value: 1, Wait: undecidedTimeout}
 	r.uncertain = c.plan == nil
 	if c.plan != nil {
 		m, why := c.plan.Match(r.Call.Call.Query(r.Route))
 		switch {
 		case why == failure.None:
 			r.class, r.key, r.route, r.keyed, r.tenant = m.Class, m.Key, m.Route, m.Keyed, m.Tenant
-			r.once = r.mayHaveRun() && (r.once || m.Route != nil && !repeats(m.Route))
+			r.runsOnce = r.mayHaveRun() && (r.runsOnce || m.Route != nil && !allowsRepeats(m.Route))
 		case c.leased():
 			return why
 		default:
-			r.uncertain = true // without a lease the plan may be old: a newer one may allow it
+			r.uncertain = true // without a lease the plan may be outdated, and a newer one may allow the request
 		}
 	}
-	r.due = r.came.Add(r.class.Wait)
-	if w := r.Call.Call.Wait; w > 0 && w < r.class.Wait {
-		r.due = r.came.Add(w)
+	r.queueDeadline = r.came.Add(r.class.Wait)
+	if wait := r.Call.Call.Wait; wait > 0 && wait < r.class.Wait {
+		r.queueDeadline = r.came.Add(wait)
 	}
-	r.end = r.due
-	if q := r.class.Quit; q > 0 && !r.begun() {
-		r.due = min(r.due, r.came.Add(q))
+	r.deadline = r.queueDeadline
+	if quit := r.class.Quit; quit > 0 && !r.hasBegun() {
+		r.queueDeadline = min(r.queueDeadline, r.came.Add(quit))
 	}
 	return failure.None
 }
 
-// restrict keeps a request that may have run from running again if the plan in force has it under a route
-// whose requests run once: routes may be added while it is under way.
-func (c *Core) restrict(r *request) {
+// markRunsOnce prevents a request that may have run from running again if the plan in force matches it to a route whose
+// requests run once. A plan may add such a route while the request is in flight.
+func (c *Core) markRunsOnce(r *request) {
 	if c.plan == nil {
 		return
 	}
-	// Also by a plan that lets it in no more: a later one may let it in again.
-	if m, _ := c.plan.Match(r.Call.Call.Query(r.Route)); m.Route != nil && !repeats(m.Route) {
-		r.once = true
+	// This also applies if the plan does not admit the request, because a later plan may admit it again.
+	if m, _ := c.plan.Match(r.Call.Call.Query(r.Route)); m.Route != nil && !allowsRepeats(m.Route) {
+		r.runsOnce = true
 	}
 }
 
-// resolve looks anew at every request that waits, under the plan now in force.
-func (c *Core) resolve(all bool) {
+// readmitWaiting applies the plan in force to the waiting requests: to all of them, or only to those marked uncertain.
+func (c *Core) readmitWaiting(all bool) {
 	for _, k := range generic.SortedKeys(c.queues) {
 		for _, r := range append([]*request{}, c.queues[k]...) {
 			if !all && !r.uncertain {
 				continue
 			}
 			c.remove(r)
-			why := c.admitAgain(r)
+			why := c.readmit(r)
 			c.insert(r)
 			if why != failure.None {
 				c.finish(r, why, 0)
@@ -86,13 +86,13 @@
 	}
 }
 
-// admitAgain takes a request's class and horizon from the plan anew. Its time may be over by them: a request that is given up on
-// is told so at once.
-func (c *Core) admitAgain(r *request) failure.Kind {
+// readmit takes a request's class and deadline from the plan again. It returns failure.Expired if the new deadline has already
+// passed, so that the request ends immediately.
+func (c *Core) readmit(r *request) failure.Kind {
 	if why := c.admit(r); why != failure.None {
 		return why
 	}
-	if c.now >= r.due {
+	if c.now >= r.queueDeadline {
 		return failure.Expired
 	}
 	return failure.None
@@ -112,20 +112,20 @@
 	}
 	if v.Call.Repeat {
 		c.tally.Repeats++
-		if !c.pay(r.key.Service()) {
+		if !c.spend(r.key.Service()) {
 			c.finish(r, failure.Spent, 0)
 			return
 		}
 	}
-	c.came[r.key]++
+	c.arrivals[r.key]++
 	if c.o.Free {
-		c.loads[r.key] += c.loadOf(r)
+		c.offeredLoad[r.key] += c.serverSeconds(r)
 	}
-	if e := c.entries[r.key]; e != nil && e.held && c.leased() && len(e.Replicas) > 0 && !c.o.Check {
+	if e := c.entries[r.key]; e != nil && e.hasCallback && c.leased() && len(e.Replicas) > 0 && !c.o.Check {
 		c.tally.Hits++
 	}
 	if c.o.Check && c.entries[r.key] != nil {
-		c.entries[r.key].held = false
+		c.entries[r.key].hasCallback = false
 	}
 	if !c.enqueue(r) {
 		return
@@ -144,9 +144,9 @@
 	c.tally.Quit++
 	if r.stage == Waiting {
 		c.remove(r)
-		r.waitsFor("", c.now)
+		r.setWaitCause("", c.now)
 	} else if n := len(r.attempts); n > 0 && r.attempts[n-1].How == Pending {
-		c.release(r, &r.attempts[n-1])
+		c.releaseLoad(r, &r.attempts[n-1])
 		r.attempts[n-1].How, r.attempts[n-1].Cause, r.attempts[n-1].ended = Done, CauseCaller, c.now
 	}
 	c.trace(r, EndedLeft, failure.None)
--- a/internal/router/allowance.go
+++ b/internal/router/allowance.go
@@ -2,81 +2,85 @@
 
 import "tidedeck/internal/clock"
 
-// The allowance bounds retries, so that they stay a small part of what the servers of a service get when many requests fail.
-// Each service has its own: what requests for one earned pays no retry at another, which may have far fewer.
+// The retry budget bounds retries, so that they remain a small fraction of the requests that the servers of a service receive
+// when many requests fail. Each service has its own budget: credit earned by requests for one service must not pay for retries
+// at another, which may receive far fewer requests.
 
-// allowance is what retries at the servers of one service may take.
-type allowance struct {
-	earnings []earning    // what first attempts earned, oldest first
-	loans    []clock.Tick // when what is lent was taken
+// retryBudget is the retry budget of one service.
+type retryBudget struct {
+	credits     []retryCredit // credit earned by first attempts, oldest first
+	marginSpent []clock.Tick  // times at which retries were paid from the margin
 }
 
-// allowance gives that of a service.
-func (c *Core) allowance(service string) *allowance {
-	a := c.allowances[service]
-	if a == nil {
-		a = &allowance{}
-		c.allowances[service] = a
+// retryBudget returns the budget of a service and creates it if necessary.
+func (c *Core) retryBudget(service string) *retryBudget {
+	b := c.retryBudgets[service]
+	if b == nil {
+		b = &retryBudget{}
+		c.retryBudgets[service] = b
 	}
-	return a
+	return b
 }
 
-// pay takes one retry out of a service's allowance, which first attempts fill.
-func (c *Core) pay(service string) bool {
-	a := c.allowance(service)
+// spend pays for one retry from a service's budget and reports whether the budget sufficed. It uses the credit earned by first
+// attempts and, if that is insufficient, the margin.
+func (c *Core) spend(service string) bool {
+	b := c.retryBudget(service)
 	sum, left := 0.0, 1.0
-	c.lapse(a)
-	for _, x := range a.earnings {
-		sum += x.n
+	c.expire(b)
+	for _, credit := range b.credits {
+		sum += credit.amount
 	}
 	if sum < 1 {
-		return c.borrow(service)
+		return c.spendMargin(service)
 	}
-	for i := range a.earnings {
-		n := min(left, a.earnings[i].n)
-		a.earnings[i].n -= n
+	for i := range b.credits {
+		n := min(left, b.credits[i].amount)
+		b.credits[i].amount -= n
 		left -= n
 	}
 	return true
 }
 
-// borrow takes one of the arrivals that the fleet is lent at a service whatever it earned; this router has its share.
-func (c *Core) borrow(service string) bool {
-	a := c.allowance(service)
-	for len(a.loans) > 0 && c.now.Sub(a.loans[0]) > c.o.Window {
-		a.loans = a.loans[1:]
+// spendMargin pays for one retry from this router's share of the margin, which is independent of earned credit. It reports
+// whether the share sufficed.
+func (c *Core) spendMargin(service string) bool {
+	b := c.retryBudget(service)
+	for len(b.marginSpent) > 0 && c.now.Sub(b.marginSpent[0]) > c.o.Window {
+		b.marginSpent = b.marginSpent[1:]
 	}
-	if float64(len(a.loans)+1) > c.lent()/float64(max(1, c.routers)) {
+	if float64(len(b.marginSpent)+1) > c.margin()/float64(max(1, c.routers)) {
 		return false
 	}
-	a.loans = append(a.loans, c.now)
+	b.marginSpent = append(b.marginSpent, c.now)
 	return true
 }
 
-// lent gives what the fleet is lent at a service in a window. How much of it the earlier lives of a router that has started again
-// took is not known any more: for a window such a router is lent from another sum, which grows with the time that it has run. So
-// all of its lives together never take more than both sums in any window, however often it starts again.
-func (c *Core) lent() float64 {
-	age := c.now.Sub(c.began)
+// margin returns the number of retries per service and window that the whole fleet may send without earned credit. A restarted
+// router does not know how much of its share its earlier processes used. During its first window it therefore uses a separate
+// margin that grows with its running time, so that all its processes together never exceed the sum of both margins in any
+// window, however often it restarts.
+func (c *Core) margin() float64 {
+	age := c.now.Sub(c.startedAt)
 	if !c.o.Restarted || age > c.o.Window {
 		return c.o.Lend
 	}
 	return c.o.LendAgain * age.Seconds() / c.o.Window.Seconds()
 }
 
-// earn adds what a first attempt at a service earns, which does not last.
+// earn adds the retry credit of one first attempt at a service.
 func (c *Core) earn(service string) {
-	a := c.allowance(service)
-	if n := len(a.earnings); n == 0 || c.now.Sub(a.earnings[n-1].at) > c.o.Save/20 {
-		a.earnings = append(a.earnings, earning{at: c.now})
+	b := c.retryBudget(service)
+	if n := len(b.credits); n == 0 || c.now.Sub(b.credits[n-1].at) > c.o.Save/20 {
+		b.credits = append(b.credits, retryCredit{at: c.now})
 	}
-	a.earnings[len(a.earnings)-1].n += c.o.Share
-	c.lapse(a)
+	b.credits[len(b.credits)-1].amount += c.o.Share
+	c.expire(b)
 }
 
-// lapse forgets what was earned too long ago.
-func (c *Core) lapse(a *allowance) {
-	for len(a.earnings) > 0 && c.now.Sub(a.earnings[0].at) > c.o.Save {
-		a.earnings = a.earnings[1:]
+// expire removes credit that has reached its maximum age.
+func (c *Core) expire(b *retryBudget) {
+	for len(b.credits) > 0 && c.now.Sub(b.credits[0].at) > c.o.Save {
+		b.credits = b.credits[1:]
 	}
 }
--- a/internal/router/allowance_test.go
+++ b/internal/router/allowance_test.go
@@ -20,7 +20,7 @@
 		span := []clock.Span{3e9, 3e9, 4e9, 25e9}[life%4]
 		for end := at.Add(span); at < end; at = at.Add(100e6) {
 			b.Step(at, protocol.Beat{})
-			for b.borrow("") {
+			for b.spendMargin("") {
 				taken = append(taken, at)
 			}
 		}
@@ -65,7 +65,7 @@
 			core.earn("many")
 		}
 		if i/1000%2 == 1 { // nothing fails for ten seconds, and then everything for ten
-			for core.pay("few") {
+			for core.spend("few") {
 				x.retry++
 			}
 		}
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -10,41 +10,41 @@
 	"tidedeck/internal/protocol"
 )
 
-// The life of an attempt in the core: launch, the last look before it is sent, its first byte and its end.
+// The life cycle of an attempt in the core: launch, final check before sending, first byte of the answer, and end.
 
-// launch begins an attempt at a replica.
+// launch starts an attempt at a replica.
 func (c *Core) launch(r *request, p *protocol.Replica) {
 	c.remove(r)
-	r.waitsFor("", c.now)
+	r.setWaitCause("", c.now)
 	r.fire("launch")
-	b := c.server(p.Server)
-	r.attempts = append(r.attempts, attemptRecord{Server: p.Server, Inc: p.Inc, epoch: c.epoch, at: c.now, weight: c.effort(r), ahead: b.under()})
+	load := c.server(p.Server)
+	r.attempts = append(r.attempts, attemptRecord{Server: p.Server, Inc: p.Inc, epoch: c.epoch, at: c.now, cost: c.weightedCost(r), ahead: load.load()})
 	n := len(r.attempts)
-	b.work++
-	b.tokens += c.effort(r)
-	b.memory += r.memory()
-	c.sent(r)
-	b.keys[r.key]++
-	c.work[r.key]++
-	x := r.Call.Call
+	load.work++
+	load.tokens += c.weightedCost(r)
+	load.reservedTokens += r.maxTokens()
+	c.recordInflow(r)
+	load.inFlightByKey[r.key]++
+	c.inFlight[r.key]++
+	call := r.Call.Call
 	l := Launch{Ref: r.Ref, N: n, Server: p.Server, Addr: p.Addr, Work: protocol.Work{
-		Go: fmt.Sprintf("%s-%d-%d-%d", c.o.Me.ID, c.o.Inc, r.Ref, n), ID: x.ID, Base: x.Base, Extra: x.Extra,
-		Inc: p.Inc, Parts: x.Parts, Prompt: x.Prompt, Max: x.Max, Once: !x.Again, Tenant: r.tenant,
-	}, Keyed: r.keyed, Left: r.end.Sub(c.now), Rank: c.plan.Rank(r.class.Value), Again: r.repeatable(), Resume: r.resumes()}
+		Go: fmt.Sprintf("%s-%d-%d-%d", c.o.Me.ID, c.o.Inc, r.Ref, n), ID: call.ID, Base: call.Base, Extra: call.Extra,
+		Inc: p.Inc, Parts: call.Parts, Prompt: call.Prompt, Max: call.Max, Once: !call.Again, Tenant: r.tenant,
+	}, Keyed: r.keyed, Left: r.deadline.Sub(c.now), Rank: c.plan.Rank(r.class.Value), Again: r.repeatable(), Resume: r.resumable()}
 	c.checkLaunch(r, l)
 	c.out = append(c.out, l)
 }
 
-// MaySend is asked at the very point of sending: the lease must still run, the callback must
-// still be on the entry, and the entry must still name the server.
+// MaySend reports whether an attempt may be sent. It is called immediately before sending and checks that the plan still allows
+// the request, that the entry is still usable, and that the entry still names the server.
 func (c *Core) MaySend(now clock.Tick, ref Ref, n int) bool {
 	c.now = now
 	r := c.requests[ref]
-	if r == nil || r.stage != Going || n != len(r.attempts) {
+	if r == nil || r.stage != Attempting || n != len(r.attempts) {
 		return false
 	}
 	attempt := &r.attempts[n-1]
-	if !c.stands(r, attempt) {
+	if !c.stillAllowed(r, attempt) {
 		c.tally.SendsHeld++
 		return false
 	}
@@ -57,15 +57,15 @@
 	return true
 }
 
-// countSend counts an attempt that is about to be sent: as the first arrival of its request, which earns for
-// the allowance once, or as a retry.
+// countSend counts an attempt that is about to be sent as a retry or as the first arrival of its request. The first arrival
+// earns retry credit once.
 func (c *Core) countSend(r *request) {
 	before := r.attempts[:len(r.attempts)-1]
-	first := !slices.ContainsFunc(before, func(x attemptRecord) bool { return x.How != Kept && x.How != Unsent })
+	first := !slices.ContainsFunc(before, func(attempt attemptRecord) bool { return attempt.How != Kept && attempt.How != Unsent })
 	switch {
-	case first && r.first: // nothing of it has left yet
+	case first && r.firstCounted: // counted before, but no server was reached
 	case first:
-		r.first = true
+		r.firstCounted = true
 		c.tally.Firsts++
 		if !r.Call.Call.Repeat {
 			c.earn(r.key.Service())
@@ -75,15 +75,15 @@
 	}
 }
 
-// stands tells whether an attempt may still be sent: by the entry, the zone and the plan as they are now.
-func (c *Core) stands(r *request, attempt *attemptRecord) bool {
+// stillAllowed reports whether the current entry, zone and plan still allow an attempt to be sent.
+func (c *Core) stillAllowed(r *request, attempt *attemptRecord) bool {
 	e := c.entries[r.key]
 	if !c.usable(e) || c.plan == nil || c.allowed(r) != failure.None {
 		return false
 	}
 	for i := range e.Replicas {
 		p := &e.Replicas[i]
-		if p.Server == attempt.Server && p.Inc == attempt.Inc && !c.closed(p) {
+		if p.Server == attempt.Server && p.Inc == attempt.Inc && !c.excluded(p) {
 			return true
 		}
 	}
@@ -100,29 +100,29 @@
 	if r.firstByte == 0 {
 		r.firstByte = c.now
 	}
-	b := c.server(attempt.Server)
-	b.fails = 0
+	load := c.server(attempt.Server)
+	load.failures = 0
 	if c.o.Free && !r.key.Plain() {
-		c.pace(r, attempt)
-		left := min(attempt.weight, r.Call.Call.Max, mostOut) // the prompt is read
-		b.tokens -= attempt.weight - left
-		attempt.weight = left
+		c.observeTokenTime(r, attempt)
+		left := min(attempt.cost, r.Call.Call.Max, maxOutputTokens) // the prompt has been processed; only the output remains
+		load.tokens -= attempt.cost - left
+		attempt.cost = left
 	}
 }
 
-// release takes an attempt's load off its server.
-func (c *Core) release(r *request, attempt *attemptRecord) *serverLoad {
-	b := c.server(attempt.Server)
-	b.work--
-	b.tokens -= attempt.weight
-	b.memory -= r.memory()
-	if b.keys[r.key]--; b.keys[r.key] <= 0 {
-		delete(b.keys, r.key)
-	}
-	if c.work[r.key]--; c.work[r.key] <= 0 {
-		delete(c.work, r.key)
-	}
-	return b
+// releaseLoad subtracts an attempt from the load of its server.
+func (c *Core) releaseLoad(r *request, attempt *attemptRecord) *serverLoad {
+	load := c.server(attempt.Server)
+	load.work--
+	load.tokens -= attempt.cost
+	load.reservedTokens -= r.maxTokens()
+	if load.inFlightByKey[r.key]--; load.inFlightByKey[r.key] <= 0 {
+		delete(load.inFlightByKey, r.key)
+	}
+	if c.inFlight[r.key]--; c.inFlight[r.key] <= 0 {
+		delete(c.inFlight, r.key)
+	}
+	return load
 }
 
 func (c *Core) onEnded(v Ended) {
@@ -135,65 +135,65 @@
 	if attempt.Begun && v.How == Lost {
 		attempt.How = Split
 	}
-	b := c.release(r, attempt)
-	c.mark(r, attempt, b)
+	load := c.releaseLoad(r, attempt)
+	c.recordOutcome(r, attempt, load)
 	if r.mayHaveRun() {
-		c.restrict(r)
+		c.markRunsOnce(r)
 	}
-	m := r.next(c.o.Goes)
+	step := r.nextStep(c.o.MaxAttempts)
 	switch {
-	case m.again && c.now >= r.due:
+	case step.again && c.now >= r.queueDeadline:
 		c.finish(r, failure.Expired, 0)
-	case m.again && m.pay && !c.pay(r.key.Service()):
+	case step.again && step.pay && !c.spend(r.key.Service()):
 		c.finish(r, failure.Spent, 0)
-	case m.again:
+	case step.again:
 		r.fire("back")
-		if m.owe {
-			r.owes = c.now
+		if step.payLater {
+			r.unpaidSince = c.now
 		}
-		if why := c.admitAgain(r); why != failure.None { // the plan may have changed under way
+		if why := c.readmit(r); why != failure.None { // the plan may have changed since the launch
 			c.insert(r)
 			c.finish(r, why, 0)
 			break
 		}
 		c.enqueue(r)
 	default:
-		c.finish(r, m.kind, 0)
+		c.finish(r, step.kind, 0)
 	}
 	c.serveAll()
 }
 
-// A server at which an attempt failed is avoided for twice as long with each failure in a row: 100 ms at
-// first, which is more than a full server takes to finish something, and 1.6 s at the most.
+// After a failed attempt a server is avoided for 100 ms, which is longer than a full server takes to finish a request. The
+// time doubles with each consecutive failure, up to 1.6 s.
 const (
 	avoidStep      = clock.Span(50 * time.Millisecond)
 	avoidDoublings = 5
 )
 
-// mark draws what an end says about the server and the entry.
-func (c *Core) mark(r *request, attempt *attemptRecord, b *serverLoad) {
-	back := func() {
-		b.fails++
-		b.avoid = c.now.Add(avoidStep << min(b.fails, avoidDoublings))
+// recordOutcome updates the server's load record, the entry and the counters after an attempt has ended.
+func (c *Core) recordOutcome(r *request, attempt *attemptRecord, load *serverLoad) {
+	backOff := func() {
+		load.failures++
+		load.avoidUntil = c.now.Add(avoidStep << min(load.failures, avoidDoublings))
 	}
 	switch attempt.How {
 	case Unsent:
 		c.tally.Unsent++
-		back()
+		backOff()
 	case Dropped:
 		c.tally.Declined++
-		back()
+		backOff()
 		if attempt.Kind != failure.Busy {
 			if e := c.entries[r.key]; e != nil {
-				e.held = false // what it says is in doubt: it is checked before it is used again
+				e.hasCallback = false // the entry may be wrong, so it is revalidated before further use
 			}
 		}
 	case Lost:
 		c.tally.Lost++
-		back()
+		backOff()
 	case Split:
 		c.tally.Cuts++
 	case Done:
-		b.fails = 0
+		load.failures = 0
 	}
 }
--- a/internal/router/caller_test.go
+++ b/internal/router/caller_test.go
@@ -300,14 +300,14 @@
 	for range 3 {
 		require.True(t, b.MaySend(b.at, ref, l.N))
 		out := b.Step(b.at, Ended{Ref: ref, N: l.N, How: Unsent})
-		next, ok := pick[Launch](append(out, b.wait(patience)...))
+		next, ok := pick[Launch](append(out, b.wait(retryFundingTimeout)...))
 		if !ok {
 			break
 		}
 		l = next
 	}
-	require.Len(t, b.allowance("web").earnings, 1)
-	require.InDelta(t, b.o.Share, b.allowance("web").earnings[0].n, 1e-9)
+	require.Len(t, b.retryBudget("web").credits, 1)
+	require.InDelta(t, b.o.Share, b.retryBudget("web").credits[0].amount, 1e-9)
 	require.Equal(t, uint64(1), b.tally.Firsts)
 }
 
@@ -384,7 +384,7 @@
 	r, ok := pick[Receipt](out)
 	require.True(t, ok)
 	require.Equal(t, failure.Expired, r.Kind)
-	require.Empty(t, b.allowance("web").loans)
+	require.Empty(t, b.retryBudget("web").marginSpent)
 }
 
 // The bound on a client that takes nothing does not count the time in which nothing was written to it: not
--- a/internal/router/choice.go
+++ b/internal/router/choice.go
@@ -10,40 +10,41 @@
 	"tidedeck/internal/protocol"
 )
 
-// Which replica a request goes to where servers tell their load and know the requests that they ran.
+// Choice of a replica for servers that report their load and remember the IDs of the requests that they ran.
 
-// server gives what is known of a server's load.
-func (c *Core) server(s ident.Server) *serverLoad {
-	b := c.servers[s]
-	if b == nil {
-		b = &serverLoad{keys: map[ident.Key]int{}}
-		c.servers[s] = b
+// server returns the load record of a server and creates it if necessary.
+func (c *Core) server(id ident.Server) *serverLoad {
+	load := c.servers[id]
+	if load == nil {
+		load = &serverLoad{inFlightByKey: map[ident.Key]int{}}
+		c.servers[id] = load
 	}
-	return b
+	return load
 }
 
-// caps tells how much this router may have under way at a replica: its share of the server,
-// and of a cold replica only a part that grows.
-func (c *Core) caps(e *entry, p *protocol.Replica) (all, cold int) {
+// concurrencyLimits returns how many requests this router may have in flight at a replica: its share of the server's capacity
+// for all keys together, and the limit for the entry's key, which grows over the ramp time while the replica is cold.
+func (c *Core) concurrencyLimits(e *cacheEntry, p *protocol.Replica) (limit, coldLimit int) {
 	n := math.Ceil(2 * float64(p.Slots) / float64(max(1, c.routers)))
-	all = max(1, int(n))
-	age := p.Warm + c.now.Sub(e.got)
+	limit = max(1, int(n))
+	age := p.Warm + c.now.Sub(e.receivedAt)
 	if age >= c.o.Ramp {
-		return all, all
+		return limit, limit
 	}
-	return all, max(1, int(n*float64(age)/float64(c.o.Ramp)))
+	return limit, max(1, int(n*float64(age)/float64(c.o.Ramp)))
 }
 
-// rank orders replicas for a request the same way at every router.
-func rank(r *request, s ident.Server, parts bool, heads int) uint64 {
+// rendezvousHash returns the rendezvous hash of a request and a server, which is the same at every router. With byParts set, it
+// covers the leading shared parts of the prompt, up to maxParts of them if that is not zero; otherwise it covers the request ID.
+func rendezvousHash(r *request, server ident.Server, byParts bool, maxParts int) uint64 {
 	h := fnv.New64a()
-	fmt.Fprint(h, s, "|", r.key.Base())
-	if parts = parts && len(r.Call.Call.Parts) > 0; !parts {
+	fmt.Fprint(h, server, "|", r.key.Base())
+	if byParts = byParts && len(r.Call.Call.Parts) > 0; !byParts {
 		fmt.Fprint(h, "|", r.Call.Call.ID)
 	}
-	for i, p := range r.Call.Call.Parts {
-		if parts && (heads == 0 || i < heads) {
-			fmt.Fprint(h, "|", p)
+	for i, part := range r.Call.Call.Parts {
+		if byParts && (maxParts == 0 || i < maxParts) {
+			fmt.Fprint(h, "|", part)
 		}
 	}
 	x := h.Sum64()
@@ -52,78 +53,78 @@
 	return x ^ x>>33
 }
 
-// bound finds the one replica that a request which may not be repeated goes to, by its id: the same at
-// every router, so that a server that ran it knows it when it is asked for again. Only one that
-// this request could not reach twice is passed over.
-func (c *Core) bound(e *entry, r *request) *protocol.Replica {
-	var top *protocol.Replica
-	high := uint64(0)
+// pinnedReplica returns the replica for a request that may not be repeated. The request ID selects the same replica at every
+// router, so a server that ran the request recognizes a repetition. Apart from excluded replicas, a replica is skipped only
+// after two attempts of this request failed to reach it.
+func (c *Core) pinnedReplica(e *cacheEntry, r *request) *protocol.Replica {
+	var best *protocol.Replica
+	bestHash := uint64(0)
 	for i := range e.Replicas {
 		p := &e.Replicas[i]
-		lost := 0
-		for _, g := range r.attempts {
-			if g.Server == p.Server && g.How == Unsent {
-				lost++
+		unreached := 0
+		for _, attempt := range r.attempts {
+			if attempt.Server == p.Server && attempt.How == Unsent {
+				unreached++
 			}
 		}
-		if c.closed(p) || lost >= 2 {
+		if c.excluded(p) || unreached >= 2 {
 			continue
 		}
-		if n := rank(r, p.Server, false, 0); top == nil || n > high {
-			top, high = p, n
+		if hash := rendezvousHash(r, p.Server, false, 0); best == nil || hash > bestHash {
+			best, bestHash = p, hash
 		}
 	}
-	return top
+	return best
 }
 
-// fairShare is how far above the mean of its peers, one request aside, a replica may be burdened and still get
-// the requests whose shared parts name it.
-const fairShare = 1.25
+// maxLoadFactor is the ratio to the mean load of all candidates up to which a replica, apart from one extra request, still
+// receives the requests whose shared parts hash to it.
+const maxLoadFactor = 1.25
 
-// pick chooses a replica: by rendezvous hash over the prompt's shared parts, as long as the
-// one it names is not burdened beyond its fair share; otherwise the least burdened.
-func (c *Core) pick(e *entry, r *request) *protocol.Replica {
+// chooseReplica selects a replica by rendezvous hash over the prompt's shared parts, among the replicas whose load is within
+// maxLoadFactor of the mean. If there is none, it selects the least loaded replica.
+func (c *Core) chooseReplica(e *cacheEntry, r *request) *protocol.Replica {
 	if c.o.Free {
-		return c.weigh(e, r)
+		return c.leastLoaded(e, r)
 	}
 	var only *protocol.Replica
 	if !r.repeatable() && !c.o.Free {
-		if only = c.bound(e, r); only == nil {
+		if only = c.pinnedReplica(e, r); only == nil {
 			return nil
 		}
 	}
-	open, fair := c.withRoom(e, r, only)
-	if len(open) == 0 {
+	candidates, maxLoad := c.available(e, r, only)
+	if len(candidates) == 0 {
 		return nil
 	}
 	byParts := len(r.Call.Call.Parts) > 0 && !c.o.Plain
-	order := func(p *protocol.Replica) uint64 { return rank(r, p.Server, byParts, c.o.Heads) }
-	fits := func(p *protocol.Replica) bool { return c.burden(p) <= fair+1/float64(max(1, p.Slots)) }
-	sort.SliceStable(open, func(i, j int) bool {
-		p, q := open[i], open[j]
+	hash := func(p *protocol.Replica) uint64 { return rendezvousHash(r, p.Server, byParts, c.o.Heads) }
+	withinBound := func(p *protocol.Replica) bool { return c.relativeLoad(p) <= maxLoad+1/float64(max(1, p.Slots)) }
+	sort.SliceStable(candidates, func(i, j int) bool {
+		p, q := candidates[i], candidates[j]
 		if byParts {
-			if fp, fq := fits(p), fits(q); fp != fq {
-				return fp
-			} else if fp {
-				return order(p) > order(q)
+			if pWithin, qWithin := withinBound(p), withinBound(q); pWithin != qWithin {
+				return pWithin
+			} else if pWithin {
+				return hash(p) > hash(q)
 			}
 		}
-		if bp, bq := c.burden(p), c.burden(q); bp != bq {
-			return bp < bq
+		if pLoad, qLoad := c.relativeLoad(p), c.relativeLoad(q); pLoad != qLoad {
+			return pLoad < qLoad
 		}
-		return order(p) > order(q)
+		return hash(p) > hash(q)
 	})
-	return open[0]
+	return candidates[0]
 }
 
-// burden is what this router has under way at a replica, by what the server can do at once.
-func (c *Core) burden(p *protocol.Replica) float64 {
+// relativeLoad returns this router's requests in flight at a replica, divided by the server's slots.
+func (c *Core) relativeLoad(p *protocol.Replica) float64 {
 	return float64(c.server(p.Server).work) / float64(max(1, p.Slots))
 }
 
-// withRoom gives the replicas, or the only one that is meant, at which this router may have more under way,
-// and the fair share of burden among them.
-func (c *Core) withRoom(e *entry, r *request, only *protocol.Replica) (open []*protocol.Replica, fair float64) {
+// available returns the replicas that may receive another request of this router, limited to the replica only if it is not
+// nil, and the highest relative load at which a candidate keeps its affinity.
+func (c *Core) available(e *cacheEntry, r *request, only *protocol.Replica) (candidates []*protocol.Replica, maxLoad float64) {
 	work, slots := 0, 0
 	for i := range e.Replicas {
 		p := &e.Replicas[i]
@@ -131,16 +132,16 @@
 		if only != nil && only != p {
 			continue
 		}
-		if c.closed(p) || c.now < b.avoid {
+		if c.excluded(p) || c.now < b.avoidUntil {
 			continue
 		}
-		all, cold := c.caps(e, p)
-		if b.work >= all || b.keys[r.key] >= cold {
+		limit, coldLimit := c.concurrencyLimits(e, p)
+		if b.work >= limit || b.inFlightByKey[r.key] >= coldLimit {
 			continue
 		}
 		work += b.work
 		slots += max(1, p.Slots)
-		open = append(open, p)
+		candidates = append(candidates, p)
 	}
-	return open, fairShare * float64(work) / float64(max(1, slots))
+	return candidates, maxLoadFactor * float64(work) / float64(max(1, slots))
 }
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -1,5 +1,5 @@
-// Package router is the router: it takes callers' requests and sends each to a server that
-// a placement entry promises, without asking anyone while the callback on the entry holds.
+// Package router implements the router, which accepts callers' requests and forwards each to a server named by a cached
+// placement entry. While the controller holds a callback on an entry, the router uses the entry without revalidating it.
 package router
 
 import (
@@ -14,44 +14,44 @@
 	"tidedeck/internal/protocol"
 )
 
-// Options of a router.
+// Options configures a router.
 type Options struct {
-	Me    protocol.Sibling
-	Inc   ident.Inc
-	Agent protocol.Sibling
-	Cache int        // placement entries kept
-	Queue int        // requests waiting, in all
-	Line  int        // requests waiting for one key
-	Ramp  clock.Span // a replica is cold for so long
-	Share float64    // of first attempts that retries may come to
-	Save  clock.Span // what first attempts earn for retries is kept so long
-	Goes  int        // attempts of one request at the most
-	Hello clock.Span
-	Batch clock.Span // removals are gathered for so long
-	Plain bool       // no prefix affinity, to measure against
-	Heads int        // leading shared parts that affinity goes by; all, if none is said
-	Check bool       // check every entry on every use, to measure against
-
-	Read   func([]byte) (*fleetplan.Plan, fleetplan.Faults) // of plans
-	Zone   ident.Zone                                       // this router's own
-	Free   bool                                             // servers remember no ids: what may not be repeated goes to any replica
-	Guards bool                                             // servers refuse what they do not hold: without a lease a router goes by what it knew
-	Lend   float64                                          // arrivals beyond the first that the whole fleet is lent in each Window
+	Me              protocol.Sibling
+	Inc             ident.Inc
+	Agent           protocol.Sibling
+	Cache           int        // maximum number of cached placement entries
+	MaxQueued       int        // maximum number of queued requests in total
+	MaxQueuedPerKey int        // maximum number of queued requests per key
+	Ramp            clock.Span // time over which the load limit of a new replica grows to its full value
+	Share           float64    // retries permitted per first attempt
+	Save            clock.Span // time after which unused retry credit from first attempts expires
+	MaxAttempts     int        // maximum number of attempts per request
+	Hello           clock.Span
+	RemovalInterval clock.Span // minimum time between two batches of cache removals
+	Plain           bool       // disables prefix affinity, as a baseline for measurements
+	Heads           int        // number of leading shared prompt parts used for affinity; zero means all
+	Check           bool       // revalidates every entry on every use, as a baseline for measurements
+
+	Read   func([]byte) (*fleetplan.Plan, fleetplan.Faults) // parses plans
+	Zone   ident.Zone                                       // zone of this router
+	Free   bool                                             // servers keep no request IDs; any replica may get a non-repeatable request
+	Guards bool                                             // servers reject misdirected requests, so a router may send without a lease
+	Lend   float64                                          // fleet-wide retries per service and Window that need no earned credit
 	Window clock.Span
 
-	LendAgain float64 // the same for lives that follow another, in the first Window of each
-	Restarted bool    // an earlier life of this router may have been lent its share in the window that runs
+	LendAgain float64 // the same for a restarted router, during its first Window
+	Restarted bool    // an earlier process of this router may have used its share of the margin in the current window
 }
 
-// Defaults fills what was left out.
+// Defaults returns a copy of the options in which unset fields have their default values.
 func (o Options) Defaults() Options {
 	generic.SetDefault(&o.Cache, 512)
-	generic.SetDefault(&o.Queue, 2048)
-	generic.SetDefault(&o.Line, 512)
-	generic.SetDefault(&o.Goes, 4)
+	generic.SetDefault(&o.MaxQueued, 2048)
+	generic.SetDefault(&o.MaxQueuedPerKey, 512)
+	generic.SetDefault(&o.MaxAttempts, 4)
 	generic.SetDefault(&o.Ramp, 4000e6)
 	generic.SetDefault(&o.Hello, 200e6)
-	generic.SetDefault(&o.Batch, 500e6)
+	generic.SetDefault(&o.RemovalInterval, 500e6)
 	generic.SetDefault(&o.Share, 0.16)
 	generic.SetDefault(&o.Save, 5e9)
 	generic.SetDefault(&o.Window, 10e9)
@@ -61,134 +61,134 @@
 	return o
 }
 
-// Ref names a request inside one router.
+// Ref identifies a request within one router process.
 type Ref uint64
 
-// Call is a caller's request coming in.
+// Call is the input for a new request from a caller.
 type Call struct {
 	Ref   Ref
 	Route string
-	Age   clock.Span // how long ago its head came
+	Age   clock.Span // time since the request's head arrived
 	Call  fleetplan.Call
 }
 
-// Begun says that the answer of an attempt began to come.
+// Begun is the input for the first byte of the answer to an attempt.
 type Begun struct {
 	Ref Ref
 	N   int
 }
 
-// Ended says how an attempt ended.
+// Ended is the input for the end of an attempt.
 type Ended struct {
 	Ref  Ref
 	N    int
 	How  End
-	Kind failure.Kind // why a server declined it
+	Kind failure.Kind // reason if a server declined the attempt
 
-	Status int   // of the server's answer; zero if none came
-	Cause  Cause // for the trace
+	Status int   // HTTP status of the server's answer; zero if there was none
+	Cause  Cause // recorded in the trace
 }
 
-// Quit says that the caller left.
+// Quit is the input for a caller that disconnected.
 type Quit struct{ Ref Ref }
 
-// Launch asks for an attempt: check with MaySend, then send the work.
+// Launch is the output that starts an attempt. The receiver calls MaySend immediately before it sends the work.
 type Launch struct {
 	Ref    Ref
-	N      int
+	N      int // number of the attempt, counted from 1
 	Server ident.Server
 	Addr   string
 	Work   protocol.Work
-	Keyed  bool       // what the caller shows as a key goes no further
-	Left   clock.Span // how much longer the caller waits
-	Rank   int        // how urgent it is among what the server runs
-	Again  bool       // it may be sent again, so that its answer may be begun anew elsewhere
-	Resume bool       // its stream may be taken up elsewhere, after the last event passed on
+	Keyed  bool       // the caller's key must not be forwarded to the server
+	Left   clock.Span // time until the request's deadline
+	Rank   int        // priority among the requests at the server; lower is more urgent
+	Again  bool       // the request may be repeated, so another server may restart its answer
+	Resume bool       // another server may resume its stream after the last forwarded event
 }
 
-// Receipt is the final answer to a request that got no answer of a server's.
+// Receipt is the output for a request that the router itself answers, without a server's answer.
 type Receipt struct {
 	Ref  Ref
 	Kind failure.Kind
 	Back clock.Span
 }
 
-type entry struct {
+type cacheEntry struct {
 	protocol.Entry
-	num    uint64 // of its delivery
-	held   bool   // a callback is on it
-	got    clock.Tick
-	used   clock.Tick
-	asked  clock.Tick // when it was last wanted
-	asking bool
+	seq         uint64 // sequence number of the delivery
+	hasCallback bool   // the controller notifies the router before the entry changes
+	receivedAt  clock.Tick
+	lastUsed    clock.Tick
+	requestedAt clock.Tick // time of the last request for the entry
+	requested   bool
 }
 
-// earning is what the first attempts of a while earned for retries.
-type earning struct {
-	at clock.Tick
-	n  float64
+// retryCredit is the retry credit earned by first attempts within a short interval.
+type retryCredit struct {
+	at     clock.Tick
+	amount float64
 }
 
-// serverLoad is what a router knows of a server's load.
+// serverLoad is the router's view of a server's load. Except for otherTokens, it counts this router's own requests.
 type serverLoad struct {
-	work   int
-	tokens int // of what is under way
-	memory int // tokens that what is under way of its own may come to at the server
-	others int // of other routers, when last told
-	told   int // of its own, when last told
-	keys   map[ident.Key]int
-	avoid  clock.Tick
-	fails  int
+	work           int
+	tokens         int // cost of the requests in flight
+	reservedTokens int // maximum number of tokens, prompt and output, of the requests in flight
+	otherTokens    int // tokens in flight from other routers, according to the last report
+	reportedTokens int // own tokens in flight when last reported
+	inFlightByKey  map[ident.Key]int
+	avoidUntil     clock.Tick
+	failures       int
 }
 
-// Core is a router without I/O.
+// Core implements the router's decisions without I/O.
 type Core struct {
-	began clock.Tick // when this life took its first input
-	o     Options
-	now   clock.Tick
-	out   []any
-
-	ses     protocol.Session
-	until   clock.Tick
-	routers int
-	num     uint64
-
-	gen   uint64
-	epoch ident.Epoch
-	plan  *fleetplan.Plan
-	last  *protocol.Desired // what is in force, as it came
-	empty map[ident.Zone]bool
-
-	entries map[ident.Key]*entry
-	drops   []protocol.Drop
-	swept   clock.Tick
-	hello   clock.Tick
-
-	requests   map[Ref]*request
-	queues     map[ident.Key][]*request
-	queued     int
-	came       map[ident.Key]int
-	work       map[ident.Key]int
-	servers    map[ident.Server]*serverLoad
-	allowances map[string]*allowance // for retries, by service
-	loads      map[ident.Key]float64 // seconds of a server's time that what came since the last word takes
-	paces      paces
-	dice       uint64
-	flows      map[ident.Key]*inflow
-	parted     bool                  // its agent hears no core node, though it asked each
-	current    clock.Tick            // until when a core node vouches for the configuration in force
-	leaving    map[ident.Server]bool // as that core node knows
-	ending     bool                  // it stops: nobody waits here any more
-
-	wasLeased bool // as the log was told last
-	wasAlone  bool // likewise: attempts go out without a lease
+	startedAt clock.Tick // time of the first input of this process
+	o         Options
+	now       clock.Tick
+	out       []any
+
+	session    protocol.Session
+	leaseUntil clock.Tick
+	routers    int
+	lastSeq    uint64
+
+	gen        uint64
+	epoch      ident.Epoch
+	plan       *fleetplan.Plan
+	desired    *protocol.Desired // configuration in force, as received
+	emptyZones map[ident.Zone]bool
+
+	entries       map[ident.Key]*cacheEntry
+	drops         []protocol.Drop
+	removalSentAt clock.Tick
+	helloSentAt   clock.Tick
+
+	requests     map[Ref]*request
+	queues       map[ident.Key][]*request
+	queued       int
+	arrivals     map[ident.Key]int
+	inFlight     map[ident.Key]int
+	servers      map[ident.Server]*serverLoad
+	retryBudgets map[string]*retryBudget // by service
+	offeredLoad  map[ident.Key]float64   // server seconds needed by the requests received since the last Hello
+	tokenTimes   tokenTimes
+	randState    uint64
+	inflows      map[ident.Key]*inflow
+	parted       bool                  // the agent has contacted every core node and none answers
+	currentUntil clock.Tick            // time until which a core node confirms the configuration in force as the newest
+	leaving      map[ident.Server]bool // servers that the same core node knows to be leaving
+	ending       bool                  // shutting down: no request may wait any longer
+
+	wasLeased   bool // last logged value of leased
+	wasUnleased bool // last logged value of routesUnleased
 
 	lastBeat clock.Tick
-	pausedAt clock.Tick // when a beat last came late: the process stood still
+	pausedAt clock.Tick // time of the last late beat, which shows that the process was suspended
 	tally    Tally
 }
 
-// Tally counts what a router did.
+// Tally holds the counters of a router.
 type Tally struct {
 	Calls, Receipts, Firsts, Retries, Repeats           uint64
 	Hits, Lookups, Fetches, Sames, Breaks, Removals     uint64
@@ -196,33 +196,33 @@
 	Waited                                              uint64
 	Drops                                               map[failure.Kind]uint64
 	Dropped, Plans, Sessions, StaleNews, OldPlans, Quit uint64
-	SentUnleased                                        uint64 // attempts sent without a lease, by what was known
+	SentUnleased                                        uint64 // attempts sent without a lease, on the last known state
 }
 
-// New makes a router.
+// New returns a router core with the given options.
 func New(o Options) *Core {
 	c := &Core{
-		o: o.Defaults(), entries: map[ident.Key]*entry{}, requests: map[Ref]*request{}, queues: map[ident.Key][]*request{},
-		came: map[ident.Key]int{}, work: map[ident.Key]int{}, servers: map[ident.Server]*serverLoad{}, empty: map[ident.Zone]bool{}, allowances: map[string]*allowance{},
-		routers: 1, loads: map[ident.Key]float64{}, paces: newPaces(), flows: map[ident.Key]*inflow{}, dice: uint64(o.Inc),
+		o: o.Defaults(), entries: map[ident.Key]*cacheEntry{}, requests: map[Ref]*request{}, queues: map[ident.Key][]*request{},
+		arrivals: map[ident.Key]int{}, inFlight: map[ident.Key]int{}, servers: map[ident.Server]*serverLoad{}, emptyZones: map[ident.Zone]bool{}, retryBudgets: map[string]*retryBudget{},
+		routers: 1, offeredLoad: map[ident.Key]float64{}, tokenTimes: newTokenTimes(), inflows: map[ident.Key]*inflow{}, randState: uint64(o.Inc),
 	}
 	c.tally.Drops = map[failure.Kind]uint64{}
 	return c
 }
 
-// Step takes one input and gives what is to be done.
+// Step processes one input and returns the resulting outputs.
 func (c *Core) Step(now clock.Tick, in any) []any {
 	c.now, c.out = now, nil
-	if c.began == 0 {
-		c.began = now
+	if c.startedAt == 0 {
+		c.startedAt = now
 	}
 	switch v := in.(type) {
 	case protocol.Env:
-		switch b := v.Body.(type) {
+		switch body := v.Body.(type) {
 		case protocol.Hold:
-			c.onHold(b)
+			c.onHold(body)
 		case protocol.News:
-			c.onNews(b)
+			c.onNews(body)
 		}
 	case Call:
 		c.onCall(v)
@@ -234,15 +234,16 @@
 		c.onQuit(v)
 	case protocol.Stop:
 		c.ending = true
-		c.turnAway()
+		c.rejectWaiting()
 	case protocol.Beat:
-		c.beat()
+		c.onBeat()
 	}
 	return c.out
 }
 
-// turnAway tells everyone who waits to come back, elsewhere: this router stops, and what waits has not run.
-func (c *Core) turnAway() {
+// rejectWaiting ends every waiting request with an answer that sends the caller to another router. The router is shutting
+// down, and waiting requests have not run.
+func (c *Core) rejectWaiting() {
 	for _, k := range generic.SortedKeys(c.queues) {
 		for _, r := range append([]*request{}, c.queues[k]...) {
 			c.finish(r, failure.Moved, 0)
@@ -254,16 +255,16 @@
 	c.out = append(c.out, protocol.Note{Text: text, Fields: fields})
 }
 
-// watchLease logs when the lease is lost and when there is one again.
-func (c *Core) watchLease() {
+// logLeaseChanges logs when the lease is lost or regained and when sending without a lease starts or ends.
+func (c *Core) logLeaseChanges() {
 	if held := c.leased(); held != c.wasLeased {
 		c.wasLeased = held
 		c.note("lease", protocol.Field{Name: "held", Value: held}, protocol.Field{Name: "parted", Value: c.parted}, protocol.Field{Name: "epoch", Value: c.epoch})
 	}
-	if alone := c.alone(); alone != c.wasAlone {
-		c.wasAlone = alone
-		c.note("attempts go out without a lease", protocol.Field{Name: "begins", Value: alone}, protocol.Field{Name: "epoch", Value: c.epoch},
-			protocol.Field{Name: "session", Value: c.ses.N}, protocol.Field{Name: "since_lease_ms", Value: c.now.Sub(c.until).Milliseconds()})
+	if unleased := c.alone(); unleased != c.wasUnleased {
+		c.wasUnleased = unleased
+		c.note("sending of attempts without a lease started or ended", protocol.Field{Name: "begins", Value: unleased}, protocol.Field{Name: "epoch", Value: c.epoch},
+			protocol.Field{Name: "session", Value: c.session.N}, protocol.Field{Name: "since_lease_ms", Value: c.now.Sub(c.leaseUntil).Milliseconds()})
 	}
 }
 
@@ -271,103 +272,105 @@
 	c.out = append(c.out, protocol.Env{From: c.o.Me, To: c.o.Agent, Body: body})
 }
 
-func (c *Core) onHold(b protocol.Hold) {
-	if b.Session.Router != c.o.Inc {
-		c.hello = 0
+func (c *Core) onHold(hold protocol.Hold) {
+	if hold.Session.Router != c.o.Inc {
+		c.helloSentAt = 0
 		return
 	}
-	if b.Session != c.ses {
-		if b.Session.Agent < c.ses.Agent || b.Session.Agent == c.ses.Agent && b.Session.N < c.ses.N {
+	if hold.Session != c.session {
+		if hold.Session.Agent < c.session.Agent || hold.Session.Agent == c.session.Agent && hold.Session.N < c.session.N {
 			return
 		}
-		if b.Session.Agent != c.ses.Agent && c.last != nil {
-			c.send(protocol.Kept{Value: c.last}) // an agent in a new life has forgotten what it kept
+		if hold.Session.Agent != c.session.Agent && c.desired != nil {
+			c.send(protocol.Kept{Value: c.desired}) // a restarted agent has lost its copy of the configuration
 		}
-		c.ses, c.until, c.num, c.drops = b.Session, 0, 0, nil
+		c.session, c.leaseUntil, c.lastSeq, c.drops = hold.Session, 0, 0, nil
 		c.tally.Sessions++
-		c.paces.tellAll() // the owner may be a new one
+		c.tokenTimes.observeKnown() // a new owner may not have the token times yet
 		for _, e := range c.entries {
-			if e.held {
+			if e.hasCallback {
 				c.tally.Suspects++
 			}
-			e.held, e.asking = false, false
+			e.hasCallback, e.requested = false, false
 		}
 	}
-	c.parted, c.current = b.Parted, b.Current
+	c.parted, c.currentUntil = hold.Parted, hold.Current
 	c.leaving = map[ident.Server]bool{}
-	for _, s := range b.Leaving {
-		c.leaving[s] = true
+	for _, server := range hold.Leaving {
+		c.leaving[server] = true
 	}
 	if c.alone() {
 		defer c.serveAll()
 	}
-	c.paces.hear(b.Paces)
-	if b.Seats != nil {
-		c.heardSeats(b.Seats)
+	c.tokenTimes.update(hold.Paces)
+	if hold.Seats != nil {
+		c.onFleetLoad(hold.Seats)
 	}
-	if b.Until > c.until {
-		was := c.leased()
-		c.until = b.Until
-		if b.Routers > 0 {
-			c.routers = b.Routers
+	if hold.Until > c.leaseUntil {
+		wasLeased := c.leased()
+		c.leaseUntil = hold.Until
+		if hold.Routers > 0 {
+			c.routers = hold.Routers
 		}
-		if !was {
-			c.resolve(false)
+		if !wasLeased {
+			c.readmitWaiting(false)
 			c.serveAll()
 		}
 	}
 }
 
-func (c *Core) leased() bool { return c.now < c.until }
+func (c *Core) leased() bool { return c.now < c.leaseUntil }
 
-// alone tells whether the router has no lease and may go by what it knew all the same, since servers refuse by
-// themselves what they do not hold or are not meant by: a core node vouches that its configuration is the newest, or
-// it is cut off from the core. One that is only late may not: it has to take in what it was sent.
+// alone reports whether the router may send by its last known state although it has no lease. Servers must reject by
+// themselves requests for models they do not hold and requests addressed to another server. In addition, a core node must
+// confirm that the router's configuration is the newest, or the router must be partitioned from the core. A router that is
+// merely behind must first apply the changes sent to it.
 func (c *Core) alone() bool {
-	return c.o.Guards && c.plan != nil && !c.leased() && (c.parted || c.now < c.current)
+	return c.o.Guards && c.plan != nil && !c.leased() && (c.parted || c.now < c.currentUntil)
 }
 
-// closed tells whether nothing may be sent to a replica: its zone is emptied, or its server leaves, and there is no lease
-// under which its entry would say so.
-func (c *Core) closed(p *protocol.Replica) bool {
-	return c.empty[p.Zone] || !c.leased() && c.leaving[p.Server]
+// excluded reports whether nothing may be sent to a replica. This is the case if its zone is being emptied, or if its server
+// is leaving and the router has no lease. Under a lease the placement entry already reflects a leaving server.
+func (c *Core) excluded(p *protocol.Replica) bool {
+	return c.emptyZones[p.Zone] || !c.leased() && c.leaving[p.Server]
 }
 
-// usable tells whether work may be sent by an entry as it stands.
-func (c *Core) usable(e *entry) bool {
-	return e != nil && (e.held && c.leased() || c.alone() && len(e.Replicas) > 0)
+// usable reports whether requests may be sent by an entry without revalidation.
+func (c *Core) usable(e *cacheEntry) bool {
+	return e != nil && (e.hasCallback && c.leased() || c.alone() && len(e.Replicas) > 0)
 }
 
-func (c *Core) onNews(b protocol.News) {
-	if b.Session != c.ses {
+func (c *Core) onNews(news protocol.News) {
+	if news.Session != c.session {
 		c.tally.StaleNews++
-		c.takeLate(b)
+		c.applyLateConfig(news)
 		return
 	}
-	for _, i := range b.Items {
-		if i.Num != c.num+1 {
+	for _, item := range news.Items {
+		if item.Num != c.lastSeq+1 {
 			continue
 		}
-		c.num = i.Num
+		c.lastSeq = item.Num
 		switch {
-		case i.Desired != nil:
-			c.onDesired(i.Desired)
-		case i.Entry != nil:
-			c.onEntry(i.Num, *i.Entry)
-		case i.Break != "":
-			c.onBreak(i.Break)
+		case item.Desired != nil:
+			c.onDesired(item.Desired)
+		case item.Entry != nil:
+			c.onEntry(item.Num, *item.Entry)
+		case item.Break != "":
+			c.onBreak(item.Break)
 		}
 	}
-	c.send(protocol.Heard{Session: c.ses, Num: c.num})
+	c.send(protocol.Heard{Session: c.session, Num: c.lastSeq})
 	c.serveAll()
 }
 
-// takeLate takes in a configuration that came too late for its session: it was chosen all the same.
-func (c *Core) takeLate(b protocol.News) {
-	for _, i := range b.Items {
-		if i.Desired != nil {
-			c.onDesired(i.Desired)
-			c.hello = 0 // the agent is told at once
+// applyLateConfig applies a configuration from an earlier session. The session is over, but the core nodes have chosen the
+// configuration.
+func (c *Core) applyLateConfig(news protocol.News) {
+	for _, item := range news.Items {
+		if item.Desired != nil {
+			c.onDesired(item.Desired)
+			c.helloSentAt = 0 // report the new epoch to the agent with the next beat
 		}
 	}
 	c.serveAll()
@@ -378,62 +381,61 @@
 		c.tally.OldPlans++
 		return
 	}
-	var p *fleetplan.Plan
+	var plan *fleetplan.Plan
 	if len(d.Plan) > 0 {
-		var f fleetplan.Faults
-		if p, f = c.o.Read(d.Plan); f != nil {
-			return // cannot be: the core takes no faulty plan
+		var faults fleetplan.Faults
+		if plan, faults = c.o.Read(d.Plan); faults != nil {
+			return // unreachable: the core nodes accept no faulty plan
 		}
 	}
 	c.checkEpoch(c.gen, c.epoch, d)
-	c.last = d
-	c.gen, c.epoch, c.plan, c.empty = d.Gen, d.Epoch, p, map[ident.Zone]bool{}
-	for _, z := range d.Empty {
-		c.empty[z] = true
+	c.desired = d
+	c.gen, c.epoch, c.plan, c.emptyZones = d.Gen, d.Epoch, plan, map[ident.Zone]bool{}
+	for _, zone := range d.Empty {
+		c.emptyZones[zone] = true
 	}
 	c.tally.Plans++
 	c.note("configuration in force", protocol.Field{Name: "generation", Value: d.Gen}, protocol.Field{Name: "epoch", Value: d.Epoch},
 		protocol.Field{Name: "version", Value: c.PlanName()})
-	// Whoever waits for what the new plan no longer allows is told so, at once if it surely rules.
-	c.resolve(true)
+	// Waiting requests that the new plan does not allow are rejected, immediately if the router has a lease.
+	c.readmitWaiting(true)
 }
 
 func (c *Core) onEntry(num uint64, n protocol.Entry) {
 	e := c.entries[n.Key]
 	if e == nil {
-		e = &entry{used: c.now}
+		e = &cacheEntry{lastUsed: c.now}
 		c.entries[n.Key] = e
 	}
 	if n.Same {
 		c.tally.Sames++
 		if e.Mark != n.Mark {
-			e.asking, e.held, e.Mark = false, false, 0
+			e.requested, e.hasCallback, e.Mark = false, false, 0
 			return
 		}
 	} else {
 		c.tally.Fetches++
-		e.Entry, e.got = n, c.now
+		e.Entry, e.receivedAt = n, c.now
 	}
-	e.num, e.held, e.asking = num, true, false
-	c.trim()
+	e.seq, e.hasCallback, e.requested = num, true, false
+	c.evict()
 }
 
-// trim keeps the cache within its bound: the least recently used entries go, and the owner
-// hears of them in batches.
-func (c *Core) trim() {
+// evict removes the least recently used entries until the cache is within its limit. Their callbacks are released in batches.
+func (c *Core) evict() {
 	for len(c.entries) > c.o.Cache {
-		var old *entry
+		var oldest *cacheEntry
 		for _, e := range c.entries {
-			if len(c.queues[e.Key]) == 0 && (old == nil || e.used < old.used || e.used == old.used && e.Key < old.Key) {
-				old = e
+			if len(c.queues[e.Key]) == 0 && (oldest == nil || e.lastUsed < oldest.lastUsed || e.lastUsed == oldest.lastUsed && e.Key < oldest.Key) {
+				oldest = e
 			}
 		}
-		if old == nil {
+		if oldest == nil {
 			return
 		}
-		delete(c.entries, old.Key)
-		if old.held {
-			c.drops = append(c.drops, protocol.Drop{Key: old.Key, Num: old.num})
+		delete(c.entries, oldest.Key)
+		if oldest.hasCallback {
+			c.drops = append(c.drops, protocol.Drop{Key: oldest.Key, Num: oldest.seq})
 		}
 	}
 }
@@ -443,61 +445,61 @@
 	delete(c.entries, k)
 }
 
-func (c *Core) beat() {
-	c.watchLease()
-	c.checkOpen()
-	if c.now.Sub(c.hello) >= c.o.Hello || c.hello == 0 {
-		c.hello = c.now
-		b := map[ident.Key]protocol.Burden{}
+func (c *Core) onBeat() {
+	c.logLeaseChanges()
+	c.checkOverdue()
+	if c.now.Sub(c.helloSentAt) >= c.o.Hello || c.helloSentAt == 0 {
+		c.helloSentAt = c.now
+		burdens := map[ident.Key]protocol.Burden{}
 		for _, k := range generic.SortedKeys(c.queues) {
-			u := protocol.Burden{Wait: len(c.queues[k]), Work: c.work[k], Came: c.came[k]}
+			burden := protocol.Burden{Wait: len(c.queues[k]), Work: c.inFlight[k], Came: c.arrivals[k]}
 			for _, r := range c.queues[k] {
-				u.Top = max(u.Top, r.class.Value)
+				burden.Top = max(burden.Top, r.class.Value)
 			}
-			b[k] = u
+			burdens[k] = burden
 		}
-		for k, n := range c.work {
-			if _, ok := b[k]; !ok && (n > 0 || c.came[k] > 0) {
-				b[k] = protocol.Burden{Work: n, Came: c.came[k]}
+		for k, n := range c.inFlight {
+			if _, ok := burdens[k]; !ok && (n > 0 || c.arrivals[k] > 0) {
+				burdens[k] = protocol.Burden{Work: n, Came: c.arrivals[k]}
 			}
 		}
-		for k, n := range c.came {
-			if _, ok := b[k]; !ok && n > 0 {
-				b[k] = protocol.Burden{Came: n}
+		for k, n := range c.arrivals {
+			if _, ok := burdens[k]; !ok && n > 0 {
+				burdens[k] = protocol.Burden{Came: n}
 			}
 		}
-		for k, n := range c.loads {
-			u := b[k]
-			u.Load = n
-			b[k] = u
+		for k, seconds := range c.offeredLoad {
+			burden := burdens[k]
+			burden.Load = seconds
+			burdens[k] = burden
 		}
-		c.came, c.loads = map[ident.Key]int{}, map[ident.Key]float64{}
-		h := protocol.Hello{Router: c.o.Inc, Session: c.ses, Gen: c.gen, Epoch: c.epoch, Burden: b}
+		c.arrivals, c.offeredLoad = map[ident.Key]int{}, map[ident.Key]float64{}
+		hello := protocol.Hello{Router: c.o.Inc, Session: c.session, Gen: c.gen, Epoch: c.epoch, Burden: burdens}
 		if c.o.Free {
-			h.Seats, h.Paces = c.seats(), c.paces.tell()
+			hello.Seats, hello.Paces = c.reportLoad(), c.tokenTimes.takeObserved()
 		}
-		c.send(h)
+		c.send(hello)
 	}
-	if len(c.drops) > 0 && (c.now.Sub(c.swept) >= c.o.Batch || len(c.drops) >= 64) {
-		c.swept = c.now
+	if len(c.drops) > 0 && (c.now.Sub(c.removalSentAt) >= c.o.RemovalInterval || len(c.drops) >= 64) {
+		c.removalSentAt = c.now
 		c.tally.Removals++
-		c.send(protocol.Removal{Session: c.ses, Drops: c.drops})
+		c.send(protocol.Removal{Session: c.session, Drops: c.drops})
 		c.drops = nil
 	}
 	for _, k := range generic.SortedKeys(c.queues) {
 		for _, r := range append([]*request{}, c.queues[k]...) {
-			if c.now >= r.due {
+			if c.now >= r.queueDeadline {
 				c.finish(r, failure.Expired, 0)
 			}
 		}
 	}
 	c.serveAll()
 	if c.ending {
-		c.turnAway()
+		c.rejectWaiting()
 	}
 }
 
-// Counts gives the tally so far.
+// Counts returns a copy of the counters.
 func (c *Core) Counts() Tally {
 	t := c.tally
 	t.Drops = map[failure.Kind]uint64{}
@@ -507,25 +509,25 @@
 	return t
 }
 
-// Rules tells the generation and epoch in force, and whether the router holds its link.
+// Rules returns the generation and epoch of the configuration in force, and whether the router has a lease.
 func (c *Core) Rules(now clock.Tick) (uint64, ident.Epoch, bool) {
-	return c.gen, c.epoch, now < c.until
+	return c.gen, c.epoch, now < c.leaseUntil
 }
 
-// Routes tells whether the router would send anything now: under its lease, or without one by what it knew.
+// Routes reports whether the router may send requests now, under its lease or without one by its last known state.
 func (c *Core) Routes(now clock.Tick) bool {
 	c.now = now
 	return c.leased() || c.alone()
 }
 
-// Size tells how many entries are cached and how many requests wait.
+// Size returns the number of cached entries and the number of waiting requests.
 func (c *Core) Size() (entries, waiting int) { return len(c.entries), c.queued }
 
-// Promises tells whether this router would now send work for a key to a server without
-// asking; checkers hold it against what servers are ordered.
+// Promises reports whether this router would now send requests for a key to a server without revalidation. Checkers compare
+// it with the orders that servers receive.
 func (c *Core) Promises(now clock.Tick, k ident.Key, s ident.Server, inc ident.Inc) bool {
 	e := c.entries[k]
-	if e == nil || !e.held || now >= c.until {
+	if e == nil || !e.hasCallback || now >= c.leaseUntil {
 		return false
 	}
 	for _, p := range e.Replicas {
@@ -536,7 +538,7 @@
 	return false
 }
 
-// Places lists where a router's entry for a key says that it is, for checkers.
+// Places lists the replicas in the router's entry for a key, for checkers.
 func (c *Core) Places(k ident.Key) (l []string) {
 	if e := c.entries[k]; e != nil {
 		for _, p := range e.Replicas {
@@ -547,7 +549,7 @@
 	return l
 }
 
-// PlanName tells the name of the plan in force.
+// PlanName returns the name of the plan in force, or an empty string if there is none.
 func (c *Core) PlanName() string {
 	if c.plan == nil {
 		return ""
--- a/internal/router/guards_test.go
+++ b/internal/router/guards_test.go
@@ -16,11 +16,11 @@
 
 // removableGuard is an edit of the sources that takes one guard away, and the test that must fail then.
 type removableGuard struct {
-	guard, file, old, now, test string
+	guard, file, old, new, test string
 }
 
 var guards = []removableGuard{
-	{"a router that is late is not cut off", "core.go", "(c.parted || c.now < c.current)", "true", "TestGuards"},
+	{"a router that is late is not cut off", "core.go", "(c.parted || c.now < c.currentUntil)", "true", "TestGuards"},
 	{"without a lease nothing is sent to a server that leaves", "core.go", "|| !c.leased() && c.leaving[p.Server]", "", "TestGuards"},
 	{"an answer counts under the request's own id", "relay_attempt.go", `if said.ID == x.facts.ID && said.ID != "" {`, `if said.ID != "" {`, "TestSurplus"},
 	{"the same, seen by the fuzz target", "relay_attempt.go", `if said.ID == x.facts.ID && said.ID != "" {`, `if said.ID != "" {`, "FuzzServerAnswer"},
@@ -32,7 +32,7 @@
 	{"only what no byte left of is not sent", "relay_attempt.go", "if sent == 0 && ctx.Err() == nil {", "if _ = sent; ctx.Err() == nil {", "TestKeptDies"},
 	{"a send is asked for at the last moment", "relay_attempt.go", "if !r.core.MaySend(v.Ref, v.N) {", "if r == nil {", "TestRelayNotSent"},
 	{"what may have run is not sent again", "ledger.go", "Lost:    {{kind: failure.Unclear}, ", "Lost:    {{again: true}, ", "TestLedger|TestTries"},
-	{"nor under a route that was added", "attempts.go", "\t\tc.restrict(r)", "\t\t_ = r", "TestRepeatOnlyUnderBothRoutes"},
+	{"nor under a route that was added", "attempts.go", "\t\tc.markRunsOnce(r)", "\t\t_ = r", "TestRepeatOnlyUnderBothRoutes"},
 	{"no refusal of what may have run", "queue.go", "if failure.Receipts[k].Dropped && r.mayHaveRun() {", "if false {", "TestNoDropAfterLost"},
 	{"a server's status is no decline without its mark", "relay_answer.go", "case !good && promisesNotRun(a.StatusCode):", "case false:", "TestRelayEnds"},
 	{"a success has a seal", "relay_answer.go", "case good && !said.Sealed:", "case false:", "TestRelayEnds"},
@@ -50,20 +50,20 @@
 	{"an answer is over at its time", "relay_attempt.go", "due.Add(r.o.Slack)", "due.Add(time.Hour)", "TestEndsAtItsTime"},
 	{"a dial is over at its time", "conns.go", "if !deadline.IsZero() {", "if false {", "TestEndsAtItsTime"},
 	{"the horizon counts from arrival", "admission.go", "came: c.now.Add(-v.Age)", "came: c.now", "TestHorizonFromArrival"},
-	{"each service has its own allowance", "allowance.go", "\ta := c.allowances[service]\n", "\tservice = \"\"\n\ta := c.allowances[service]\n", "TestRetriesStayWithinEachServicesBudget"},
+	{"each service has its own allowance", "allowance.go", "\tb := c.retryBudgets[service]\n", "\tservice = \"\"\n\tb := c.retryBudgets[service]\n", "TestRetriesStayWithinEachServicesBudget"},
 	{"what is saved counts within the fraction", "host.go", "Save: savedFor(h.Window),", "", "TestRetriesStayWithinEachServicesBudget"},
-	{"a time that is over by a newer plan is over at once", "admission.go", "if c.now >= r.due {\n\t\treturn failure.Expired", "if false {\n\t\treturn failure.Expired", "TestTimeThatIsOverByANewerPlan"},
+	{"a time that is over by a newer plan is over at once", "admission.go", "if c.now >= r.queueDeadline {\n\t\treturn failure.Expired", "if false {\n\t\treturn failure.Expired", "TestTimeThatIsOverByANewerPlan"},
 	{"whose a request is, is asked at the last moment", "admission.go", " || m.Keyed != r.keyed || m.Tenant != r.tenant)", ")", "TestKeysThatChangeUnderWay"},
 	{"the same, under drawn changes", "admission.go", " || m.Keyed != r.keyed || m.Tenant != r.tenant)", ")", "TestKeysUnderDrawnChanges"},
 	{"only who is sure says that a key is unknown", "admission.go", "\t\tcase c.leased():\n", "\t\tcase true:\n", "TestKeysThatChangeUnderWay"},
 	{"the same, seen under drawn changes", "admission.go", "\t\tcase c.leased():\n", "\t\tcase true:\n", "TestKeysUnderDrawnChanges"},
 	{"a plan that lets a request in no more still says that it runs once", "admission.go", "m, _ := c.plan.Match(r.Call.Call.Query(r.Route)); m.Route", "m, why := c.plan.Match(r.Call.Call.Query(r.Route)); why == failure.None && m.Route", "TestRunsOnceAcrossAPlanWithoutItsKey"},
 	{"a try goes to so many servers", "ledger.go", "if m.again && r.sent() >= most {", "if m.again && r.sent() >= 1000 {", "TestTries"},
-	{"and to each once", "weigh.go", " || r.met(p) {", " {", "TestNotTwiceToOneServer"},
-	{"a request earns once", "attempts.go", "case first && r.first:", "case false:", "TestEarnsOnce"},
+	{"and to each once", "load_balancing.go", " || r.alreadyTried(p) {", " {", "TestNotTwiceToOneServer"},
+	{"a request earns once", "attempts.go", "case first && r.firstCounted:", "case false:", "TestEarnsOnce"},
 	{"a body ends in one way", "relay_serve.go", "if h.chunks && (h.length || !q.ProtoAtLeast(1, 1)) {", "if false {", "TestRelaySmuggling"},
 	{"the margin outlives restarts", "allowance.go", "if !c.o.Restarted || age > c.o.Window {", "if true {", "TestMarginOutlivesRestarts"},
-	{"a stop tells who waits", "core.go", "\t\tc.ending = true\n\t\tc.turnAway()", "\t\tc.ending = true", "TestStopTurnsAway"},
+	{"a stop tells who waits", "core.go", "\t\tc.ending = true\n\t\tc.rejectWaiting()", "\t\tc.ending = true", "TestStopTurnsAway"},
 	{"what comes late in a stop is told so", "relay_exchange.go", "if r.late.Load() {", "if false {", "TestLateRequestAtAStop"},
 	{"bodies have a budget", "body_budget.go", "if b.used.Add(n) <= b.most || b.most == 0 {", "if b.used.Add(n); true {", "TestBodyBudget"},
 	{"clients may rest by the plan", "relay_serve.go", "t = time.Now().Add(g.limits().idle)", "_ = g", "TestRestedClient"},
@@ -81,7 +81,7 @@
 	for _, b := range guards {
 		t.Run(strings.ReplaceAll(b.guard, " ", "-"), func(t *testing.T) {
 			t.Parallel()
-			name, err := overlay.Write(root, t.TempDir(), []overlay.Edit{{File: "internal/router/" + b.file, Old: b.old, New: b.now}})
+			name, err := overlay.Write(root, t.TempDir(), []overlay.Edit{{File: "internal/router/" + b.file, Old: b.old, New: b.new}})
 			require.NoError(t, err)
 			run := exec.Command("go", "test", "-vet=off", "-short", "-count=1", "-overlay", name, "-run", fmt.Sprintf("^(%s)$", b.test), ".")
 			run.Env = append(os.Environ(), strict.Variable+"="+strict.Off)
--- a/internal/router/free_test.go
+++ b/internal/router/hosted_test.go
@@ -53,11 +53,11 @@
 		}
 		return plans[0], nil
 	}
-	return lay(t, o)
+	return newTestRouter(t, o)
 }
 
 func (b *bed) replan(n byte) []any {
-	return b.news(protocol.Item{Desired: &protocol.Desired{Gen: 1, Epoch: ident.Epoch(n) + 1, Plan: []byte{n}}})
+	return b.deliverItem(protocol.Item{Desired: &protocol.Desired{Gen: 1, Epoch: ident.Epoch(n) + 1, Plan: []byte{n}}})
 }
 
 // go1 sends a request by its path and gives where it went, if anywhere.
@@ -106,16 +106,16 @@
 	require.Equal(t, failure.NoRoute, r.Kind)
 }
 
-// moved sends the root's requests to the new service.
-func moved(p *fleetplan.Plan) { p.Hosts["h"]["/"].Service = "new" }
+// moveRootToNewService sends the root's requests to the new service.
+func moveRootToNewService(p *fleetplan.Plan) { p.Hosts["h"]["/"].Service = "new" }
 
 // A plan that comes moves what waits to its new service, and ends what it no longer allows.
 func TestPlanMovesWaiting(t *testing.T) {
-	b := free(t, Options{}, hostPlan(nil), hostPlan(moved))
+	b := free(t, Options{}, hostPlan(nil), hostPlan(moveRootToNewService))
 	ref, l, _ := b.go1("/x", fleetplan.Call{})
 	require.Empty(t, l.Server, "no server is known yet")
 	out := b.replan(1)
-	w, ok := mailed[protocol.Want](out)
+	w, ok := findMessage[protocol.Want](out)
 	require.True(t, ok)
 	require.Equal(t, ident.Key("new|"), w.Key)
 	_, ok = pick[Launch](b.entry("web|", "w"))
@@ -145,8 +145,8 @@
 		kind   failure.Kind
 	}{
 		{"the same route", func(*fleetplan.Plan) {}, true, "", ""},
-		{"another service", moved, false, "n", ""},
-		{"another service and a single try", func(p *fleetplan.Plan) { moved(p); p.Hosts["h"]["/"].Tries = 1 }, false, "n", ""},
+		{"another service", moveRootToNewService, false, "n", ""},
+		{"another service and a single try", func(p *fleetplan.Plan) { moveRootToNewService(p); p.Hosts["h"]["/"].Tries = 1 }, false, "n", ""},
 		{"a longer prefix", func(p *fleetplan.Plan) {
 			p.Hosts["h"]["/x/"] = &fleetplan.Route{Name: "x", Service: "new", Mode: fleetplan.Once, Tries: 1, Class: fleetplan.Class{Value: 1, Wait: 5e9}}
 		}, false, "n", ""},
@@ -260,7 +260,7 @@
 		require.True(t, two.Resume, c.name)
 		require.True(t, b.MaySend(b.at, ref, 2), c.name)
 		require.EqualValues(t, 1, b.Counts().Retries, c.name)
-		require.Len(t, b.allowance("llm").loans, 1, c.name)
+		require.Len(t, b.retryBudget("llm").marginSpent, 1, c.name)
 		b.Step(b.at, Begun{Ref: ref, N: 2})
 		r, ended := pick[Receipt](b.Step(b.at, Ended{Ref: ref, N: 2, How: Split}))
 		require.True(t, ended, "what was lent is spent: %s", c.name)
@@ -282,53 +282,53 @@
 		{"the hold ran out, and guarded, but an owner is heard", true, func(b *bed) { b.at = b.at.Add(61e9) }, false},
 		{"the hold ran out, guarded and parted", true, func(b *bed) {
 			b.at = b.at.Add(61e9)
-			b.mail(protocol.Hold{Session: ses, Parted: true})
+			b.deliver(protocol.Hold{Session: ses, Parted: true})
 		}, true},
 		{"the hold ran out, parted, but not guarded", false, func(b *bed) {
 			b.at = b.at.Add(61e9)
-			b.mail(protocol.Hold{Session: ses, Parted: true})
+			b.deliver(protocol.Hold{Session: ses, Parted: true})
 		}, false},
 		{"a new session without a hold", false, func(b *bed) {
-			b.mail(protocol.Hold{Session: protocol.Session{Node: "agent", Agent: 1, Router: 7, N: 2}})
+			b.deliver(protocol.Hold{Session: protocol.Session{Node: "agent", Agent: 1, Router: 7, N: 2}})
 		}, false},
 		{"a new session without a hold, guarded, but an owner is heard", true, func(b *bed) {
-			b.mail(protocol.Hold{Session: protocol.Session{Node: "agent", Agent: 1, Router: 7, N: 2}})
+			b.deliver(protocol.Hold{Session: protocol.Session{Node: "agent", Agent: 1, Router: 7, N: 2}})
 		}, false},
 		{"a new session without a hold, guarded and parted", true, func(b *bed) {
-			b.mail(protocol.Hold{Session: protocol.Session{Node: "agent", Agent: 1, Router: 7, N: 2}, Parted: true})
+			b.deliver(protocol.Hold{Session: protocol.Session{Node: "agent", Agent: 1, Router: 7, N: 2}, Parted: true})
 		}, true},
 		{"a new session with a hold checks first", true, func(b *bed) {
-			b.mail(protocol.Hold{Session: protocol.Session{Node: "agent", Agent: 1, Router: 7, N: 2}, Until: b.at.Add(60e9)})
+			b.deliver(protocol.Hold{Session: protocol.Session{Node: "agent", Agent: 1, Router: 7, N: 2}, Until: b.at.Add(60e9)})
 		}, false},
 		{"the hold ran out, and a core node vouches", true, func(b *bed) {
 			b.at = b.at.Add(61e9)
-			b.mail(protocol.Hold{Session: ses, Current: b.at.Add(1e9)})
+			b.deliver(protocol.Hold{Session: ses, Current: b.at.Add(1e9)})
 		}, true},
 		{"the hold ran out, a core node vouches, but not guarded", false, func(b *bed) {
 			b.at = b.at.Add(61e9)
-			b.mail(protocol.Hold{Session: ses, Current: b.at.Add(1e9)})
+			b.deliver(protocol.Hold{Session: ses, Current: b.at.Add(1e9)})
 		}, false},
 		{"the hold ran out, and a core node vouched for a while that is over", true, func(b *bed) {
 			b.at = b.at.Add(61e9)
-			b.mail(protocol.Hold{Session: ses, Current: b.at.Add(1e9)})
+			b.deliver(protocol.Hold{Session: ses, Current: b.at.Add(1e9)})
 			b.at = b.at.Add(1e9)
 		}, false},
 		{"the hold ran out, and the core node that vouches knows that the server leaves", true, func(b *bed) {
 			b.at = b.at.Add(61e9)
-			b.mail(protocol.Hold{Session: ses, Current: b.at.Add(1e9), Leaving: []ident.Server{"w"}})
+			b.deliver(protocol.Hold{Session: ses, Current: b.at.Add(1e9), Leaving: []ident.Server{"w"}})
 		}, false},
 		{"a node knew that the server leaves, but an owner says that it is there", true, func(b *bed) {
-			b.mail(protocol.Hold{Session: ses, Until: b.at.Add(60e9), Leaving: []ident.Server{"w"}})
+			b.deliver(protocol.Hold{Session: ses, Until: b.at.Add(60e9), Leaving: []ident.Server{"w"}})
 		}, true},
 		{"the promise was broken, then the hold ran out", true, func(b *bed) {
-			b.news(protocol.Item{Break: "web|"})
+			b.deliverItem(protocol.Item{Break: "web|"})
 			b.at = b.at.Add(61e9)
-			b.mail(protocol.Hold{Session: ses, Parted: true})
+			b.deliver(protocol.Hold{Session: ses, Parted: true})
 		}, false},
 		{"its zone was emptied, then the hold ran out", true, func(b *bed) {
-			b.news(protocol.Item{Desired: &protocol.Desired{Gen: 1, Epoch: 2, Plan: []byte{0}, Empty: []ident.Zone{"z"}}})
+			b.deliverItem(protocol.Item{Desired: &protocol.Desired{Gen: 1, Epoch: 2, Plan: []byte{0}, Empty: []ident.Zone{"z"}}})
 			b.at = b.at.Add(61e9)
-			b.mail(protocol.Hold{Session: ses, Parted: true})
+			b.deliver(protocol.Hold{Session: ses, Parted: true})
 		}, false},
 	} {
 		for _, when := range []string{"before it is launched", "before it is sent"} {
@@ -361,7 +361,7 @@
 		var fleet []*bed
 		for range c.routers {
 			b := free(t, Options{Lend: c.lend, Window: window, Share: 1e-12})
-			b.mail(protocol.Hold{Session: ses, Until: b.at.Add(600e9), Routers: c.routers})
+			b.deliver(protocol.Hold{Session: ses, Until: b.at.Add(600e9), Routers: c.routers})
 			b.entry("web|", "s1", "s2", "s3", "s4")
 			fleet = append(fleet, b)
 		}
@@ -402,16 +402,16 @@
 	}
 }
 
-// seated has a router of a fleet, with replicas of m at s1, s2 and s3 that take the given numbers of
+// newLoadedRouter has a router of a fleet, with replicas of m at s1, s2 and s3 that take the given numbers of
 // requests, and others' tokens under way there.
-func seated(t *testing.T, slots int, others map[ident.Server]int) *bed {
+func newLoadedRouter(t *testing.T, slots int, others map[ident.Server]int) *bed {
 	b := free(t, Options{Zone: "z"})
 	e := &protocol.Entry{Key: "llm|m", Mark: 1}
 	for _, s := range []ident.Server{"s1", "s2", "s3"} {
 		e.Replicas = append(e.Replicas, protocol.Replica{Server: s, Addr: string(s), Zone: "z", Slots: slots})
 	}
-	b.news(protocol.Item{Entry: e})
-	b.mail(protocol.Hold{Session: ses, Until: b.at.Add(61e9), Seats: others})
+	b.deliverItem(protocol.Item{Entry: e})
+	b.deliver(protocol.Hold{Session: ses, Until: b.at.Add(61e9), Seats: others})
 	return b
 }
 
@@ -437,8 +437,8 @@
 	} {
 		got := map[ident.Server]bool{}
 		for i := range 60 {
-			b := seated(t, c.slots, c.others)
-			b.dice = uint64(i)
+			b := newLoadedRouter(t, c.slots, c.others)
+			b.randState = uint64(i)
 			_, l, _ := b.go1("/llm/x", fleetplan.Call{Base: "m", Tokens: c.tokens})
 			if l.Server != "" {
 				got[l.Server] = true
@@ -463,7 +463,7 @@
 func TestWithinPlaces(t *testing.T) {
 	for seed := range uint64(12) {
 		dice := rand.New(rand.NewPCG(seed, 1))
-		b := seated(t, 4, map[ident.Server]int{"s1": dice.IntN(4000)})
+		b := newLoadedRouter(t, 4, map[ident.Server]int{"s1": dice.IntN(4000)})
 		type run struct {
 			l     Launch
 			size  int
@@ -479,7 +479,7 @@
 				x := b.servers[l.Server]
 				require.LessOrEqual(t, x.work, 4, "seed %d", seed)
 				own := sizes[l.Ref]
-				require.True(t, x.memory <= 10_000 || x.memory == own, "seed %d: %d under way, %d of it its own", seed, x.memory, own)
+				require.True(t, x.reservedTokens <= 10_000 || x.reservedTokens == own, "seed %d: %d under way, %d of it its own", seed, x.reservedTokens, own)
 				require.True(t, b.MaySend(b.at, l.Ref, l.N))
 				runs[l.Ref] = &run{l: l, size: own}
 			}
@@ -530,7 +530,7 @@
 			require.Zero(t, x.tokens, "seed %d: %s", seed, s)
 		}
 		require.Empty(t, b.requests, "seed %d", seed)
-		require.Empty(t, b.work, "seed %d", seed)
+		require.Empty(t, b.inFlight, "seed %d", seed)
 	}
 }
 
@@ -549,8 +549,8 @@
 	for i := range 60 {
 		part, first := fmt.Sprint("part", i), ident.Server("")
 		for router := range 4 {
-			b := seated(t, 9, nil)
-			b.dice = uint64(router * 1000)
+			b := newLoadedRouter(t, 9, nil)
+			b.randState = uint64(router * 1000)
 			for n := range 3 {
 				ref, l, _ := b.go1("/llm/x", of(part))
 				if first == "" {
@@ -566,16 +566,16 @@
 	for s, n := range homes {
 		require.InDelta(t, 20, n, 12, "%s", s)
 	}
-	b := seated(t, 9, nil)
+	b := newLoadedRouter(t, 9, nil)
 	_, l, _ := b.go1("/llm/x", of("part"))
-	b = seated(t, 9, map[ident.Server]int{l.Server: 5000})
+	b = newLoadedRouter(t, 9, map[ident.Server]int{l.Server: 5000})
 	_, two, _ := b.go1("/llm/x", of("part"))
 	require.NotEqual(t, l.Server, two.Server, "its home is burdened by more than the parts are worth")
-	b = seated(t, 9, map[ident.Server]int{l.Server: 1000})
+	b = newLoadedRouter(t, 9, map[ident.Server]int{l.Server: 1000})
 	_, two, _ = b.go1("/llm/x", of("part"))
 	require.Equal(t, l.Server, two.Server, "and here by less")
 	spread := map[ident.Server]int{}
-	b = seated(t, 1000, nil)
+	b = newLoadedRouter(t, 1000, nil)
 	for range 300 {
 		ref, l, _ := b.go1("/llm/x", fleetplan.Call{Base: "m", Tokens: 10})
 		spread[l.Server]++
@@ -588,37 +588,37 @@
 
 // What other routers have under way is the fleet's less this one's own as it was told.
 func TestSeats(t *testing.T) {
-	b := seated(t, 9, map[ident.Server]int{"s1": 50, "s2": 9000, "s3": 9000})
+	b := newLoadedRouter(t, 9, map[ident.Server]int{"s1": 50, "s2": 9000, "s3": 9000})
 	ref, l, _ := b.go1("/llm/x", fleetplan.Call{Base: "m", Tokens: 700, Max: 300})
 	require.Equal(t, ident.Server("s1"), l.Server)
-	h, ok := mailed[protocol.Hello](b.wait(300e6))
+	h, ok := findMessage[protocol.Hello](b.wait(300e6))
 	require.True(t, ok)
-	require.Equal(t, map[ident.Server]int{"s1": 700 + mostOut}, h.Seats)
+	require.Equal(t, map[ident.Server]int{"s1": 700 + maxOutputTokens}, h.Seats)
 	for _, c := range []struct {
 		fleet map[ident.Server]int
 		under int
 	}{
-		{map[ident.Server]int{"s1": 1500}, 1500}, {map[ident.Server]int{"s1": 1000}, 1000}, {map[ident.Server]int{"s1": 600}, 700 + mostOut}, {map[ident.Server]int{"s2": 5}, 700 + mostOut},
+		{map[ident.Server]int{"s1": 1500}, 1500}, {map[ident.Server]int{"s1": 1000}, 1000}, {map[ident.Server]int{"s1": 600}, 700 + maxOutputTokens}, {map[ident.Server]int{"s2": 5}, 700 + maxOutputTokens},
 	} {
-		b.mail(protocol.Hold{Session: ses, Until: b.at.Add(60e9), Seats: c.fleet})
-		require.Equal(t, c.under, b.servers["s1"].under(), "%v", c.fleet)
+		b.deliver(protocol.Hold{Session: ses, Until: b.at.Add(60e9), Seats: c.fleet})
+		require.Equal(t, c.under, b.servers["s1"].load(), "%v", c.fleet)
 	}
 	b.Step(b.at, Begun{Ref: ref, N: 1})
-	require.Equal(t, mostOut, b.servers["s1"].tokens, "the prompt is read")
-	require.Equal(t, 1000, b.servers["s1"].memory, "but its memory is taken")
+	require.Equal(t, maxOutputTokens, b.servers["s1"].tokens, "the prompt is read")
+	require.Equal(t, 1000, b.servers["s1"].reservedTokens, "but its memory is taken")
 }
 
 // A configuration that comes too late for its session rules all the same, and the agent is told of it at once.
 func TestLateConfiguration(t *testing.T) {
 	b := free(t, Options{Guards: true}, hostPlan(nil), hostPlan(nil))
-	out := b.mail(protocol.News{Items: []protocol.Item{{Desired: &protocol.Desired{Gen: 1, Epoch: 9, Plan: []byte{1}}}}})
-	_, heard := mailed[protocol.Heard](out)
+	out := b.deliver(protocol.News{Items: []protocol.Item{{Desired: &protocol.Desired{Gen: 1, Epoch: 9, Plan: []byte{1}}}}})
+	_, heard := findMessage[protocol.Heard](out)
 	require.False(t, heard, "it acknowledges nothing of a session")
 	b.at = b.at.Add(20e6)
-	hello, told := mailed[protocol.Hello](b.Step(b.at, protocol.Beat{}))
+	hello, told := findMessage[protocol.Hello](b.Step(b.at, protocol.Beat{}))
 	require.True(t, told)
 	require.Equal(t, ident.Epoch(9), hello.Epoch)
-	b.mail(protocol.News{Items: []protocol.Item{{Desired: &protocol.Desired{Gen: 1, Epoch: 8, Plan: []byte{0}}}}})
+	b.deliver(protocol.News{Items: []protocol.Item{{Desired: &protocol.Desired{Gen: 1, Epoch: 8, Plan: []byte{0}}}}})
 	_, epoch, _ := b.Rules(b.at)
 	require.Equal(t, ident.Epoch(9), epoch, "an older one changes nothing")
 }
--- a/internal/router/invariants.go
+++ b/internal/router/invariants.go
@@ -10,11 +10,11 @@
 	"tidedeck/internal/protocol"
 )
 
-// The router's promises as checks that run in the code. Each looks at what is about to happen, not at the
-// condition that was to prevent it.
+// Runtime checks of the router's invariants. Each check examines the action that is about to happen, not the condition that
+// should prevent a violation.
 
-// checkLaunch looks at an attempt that was just begun: its request runs once unless it may be repeated, on no
-// more servers than its route allows, and with no more time than its caller gave it.
+// checkLaunch checks a new attempt: a request that may not be repeated runs at most once, reaches no more servers than its route
+// allows, and gets no more time than its caller specified.
 func (c *Core) checkLaunch(r *request, l Launch) {
 	before := r.attempts[:len(r.attempts)-1]
 	ran, reached := false, 0
@@ -24,93 +24,93 @@
 			reached++
 		}
 	}
-	invariant.Check(!ran || r.repeatable() || r.resumes(), invariant.RunsOnce, func() string {
-		return fmt.Sprintf("request %s is sent to %s after an attempt that may have run: %s", r.Call.Call.ID, l.Server, attemptsText(r))
+	invariant.Check(!ran || r.repeatable() || r.resumable(), invariant.RunsOnce, func() string {
+		return fmt.Sprintf("request %s launched to %s after an attempt that may have run: %s", r.Call.Call.ID, l.Server, formatAttempts(r))
 	})
-	most := c.o.Goes
+	most := c.o.MaxAttempts
 	if r.route != nil {
 		most = r.route.Tries
 	}
 	invariant.Check(reached < most || reached == 0, invariant.TriesBounded, func() string {
-		return fmt.Sprintf("request %s goes to one more server than %d: %s", r.Call.Call.ID, most, attemptsText(r))
+		return fmt.Sprintf("request %s launched to more than %d servers: %s", r.Call.Call.ID, most, formatAttempts(r))
 	})
-	over := c.now.Add(l.Left)
+	deadline := c.now.Add(l.Left)
 	wait := r.Call.Call.Wait
-	invariant.Check(wait <= 0 || over <= r.came.Add(wait), invariant.TimeLeftShrinks, func() string {
-		return fmt.Sprintf("request %s came with %v, and %v later is given %v", r.Call.Call.ID, wait, c.now.Sub(r.came), l.Left)
+	invariant.Check(wait <= 0 || deadline <= r.came.Add(wait), invariant.TimeLeftShrinks, func() string {
+		return fmt.Sprintf("request %s arrived with %v left and was launched %v later with %v left", r.Call.Call.ID, wait, c.now.Sub(r.came), l.Left)
 	})
 }
 
-// checkTenant looks at a request that is about to be sent: its tenant holds its key by the configuration in force.
+// checkTenant checks that the tenant of a request about to be sent holds the request's key in the configuration in force.
 func (c *Core) checkTenant(r *request) {
 	holder := c.plan.Holder(r.Call.Call.Credential)
 	invariant.Check(r.keyed == c.plan.Keyed() && r.tenant == holder, invariant.TenantHoldsKey, func() string {
-		return fmt.Sprintf("request %s is sent as one of tenant %q, keyed=%v; its key is %q's, keyed=%v", r.Call.Call.ID, r.tenant, r.keyed, holder, c.plan.Keyed())
+		return fmt.Sprintf("request %s sent for tenant %q (keyed=%v), but its key belongs to tenant %q (keyed=%v)", r.Call.Call.ID, r.tenant, r.keyed, holder, c.plan.Keyed())
 	})
 }
 
-// checkRefusal looks at a final answer that says that the request never ran.
+// checkRefusal checks that a request whose final answer states that it never ran did not run.
 func (c *Core) checkRefusal(r *request, kind failure.Kind) {
 	if !failure.Receipts[kind].Dropped {
 		return
 	}
 	for _, a := range r.attempts {
 		invariant.Check(a.How != Lost && a.How != Split && a.How != Done && a.How != Pending, invariant.RefusedNeverRan, func() string {
-			return fmt.Sprintf("request %s is told %s: %s", r.Call.Call.ID, kind, attemptsText(r))
+			return fmt.Sprintf("request %s refused with %s although it may have run: %s", r.Call.Call.ID, kind, formatAttempts(r))
 		})
 	}
 }
 
 const (
-	// overdueSlack is how long after its time a request may be open: its answer is still written then.
-	overdueSlack = clock.Span(1e9)
-	// pausedBeat is a time between two beats after which a process counts as having stood still.
-	pausedBeat = clock.Span(300e6)
+	// overdueTolerance is how long a request may stay open after its deadline, because its answer must still be written.
+	overdueTolerance = clock.Span(1e9)
+	// pauseThreshold is the time between two beats above which the process counts as having been suspended.
+	pauseThreshold = clock.Span(300e6)
 )
 
-// checkOpen looks for requests that wait beyond their time, unless the process stood still of late.
-func (c *Core) checkOpen() {
-	if c.now.Sub(c.lastBeat) > pausedBeat {
+// checkOverdue checks that no request waits past its deadline, unless the process was suspended recently.
+func (c *Core) checkOverdue() {
+	if c.now.Sub(c.lastBeat) > pauseThreshold {
 		c.pausedAt = c.now
 	}
 	c.lastBeat = c.now
-	if c.now.Sub(c.pausedAt) < overdueSlack {
+	if c.now.Sub(c.pausedAt) < overdueTolerance {
 		return
 	}
 	for _, queue := range c.queues {
 		for _, r := range queue {
-			invariant.Check(c.now <= r.due.Add(overdueSlack), invariant.EndsInTime, func() string {
-				return fmt.Sprintf("request %s waits %v past its time", r.Call.Call.ID, c.now.Sub(r.due))
+			invariant.Check(c.now <= r.queueDeadline.Add(overdueTolerance), invariant.EndsInTime, func() string {
+				return fmt.Sprintf("request %s waits %v past its deadline", r.Call.Call.ID, c.now.Sub(r.queueDeadline))
 			})
 		}
 	}
 }
 
-// checkEpoch looks at a configuration that takes the place of another.
+// checkEpoch checks that a configuration is newer than the one that it replaces.
 func (c *Core) checkEpoch(oldGen uint64, oldEpoch ident.Epoch, d *protocol.Desired) {
 	invariant.Check(d.Gen > oldGen || d.Gen == oldGen && d.Epoch > oldEpoch, invariant.EpochRises, func() string {
-		return fmt.Sprintf("configuration %d/%d follows %d/%d", d.Gen, d.Epoch, oldGen, oldEpoch)
+		return fmt.Sprintf("configuration with generation %d and epoch %d replaces generation %d and epoch %d", d.Gen, d.Epoch, oldGen, oldEpoch)
 	})
 }
 
-func attemptsText(r *request) (s string) {
+func formatAttempts(r *request) (s string) {
 	for _, a := range r.attempts {
 		s += fmt.Sprintf("[%s %s %s begun=%v]", a.Server, a.How, a.Kind, a.Begun)
 	}
 	return s
 }
 
-// checkAnswer looks at the head of a server's answer that is about to be passed on.
+// checkAnswer checks the head of a server's answer that is about to be forwarded.
 func (x *exchange) checkAnswer(status int, head map[string][]string) {
 	said := x.r.o.Dialect.Answer(status, head)
 	invariant.Check(said.ID == x.facts.ID && (said.Sealed || status >= 300), invariant.AnswerIsServers, func() string {
-		return fmt.Sprintf("request %s gets an answer %d to %q, sealed=%v", x.facts.ID, status, said.ID, said.Sealed)
+		return fmt.Sprintf("request %s receives an answer with status %d to request %q, sealed=%v", x.facts.ID, status, said.ID, said.Sealed)
 	})
 }
 
-// checkOwnAnswer looks at the head of an answer of the router's own.
+// checkOwnAnswer checks that an answer of the router itself carries no server's seal.
 func (x *exchange) checkOwnAnswer(status int) {
 	invariant.Check(!x.r.o.Dialect.Answer(status, x.w.Header()).Sealed, invariant.RefusalIsOurs, func() string {
-		return fmt.Sprintf("request %s is told %d under a server's seal", x.facts.ID, status)
+		return fmt.Sprintf("request %s receives the router's own status %d with a server's seal", x.facts.ID, status)
 	})
 }
--- a/internal/router/invariants_test.go
+++ b/internal/router/invariants_test.go
@@ -13,15 +13,15 @@
 )
 
 // Each invariant, with the guard that it stands behind taken out for one build, and a test that then meets it.
-var invariantBites = []struct {
+var invariantEdits = []struct {
 	name                 invariant.Name
 	file, old, now, test string
 }{
 	{invariant.RunsOnce, "ledger.go", "Lost:    {{kind: failure.Unclear}, ", "Lost:    {{again: true}, ", "TestTries"},
 	{invariant.RefusedNeverRan, "queue.go", "if failure.Receipts[k].Dropped && r.mayHaveRun() {", "if false {", "TestNoDropAfterLost"},
 	{invariant.TriesBounded, "ledger.go", "if m.again && r.sent() >= most {", "if m.again && r.sent() >= 1000 {", "TestTries"},
-	{invariant.TimeLeftShrinks, "admission.go", "\t\tr.due = r.came.Add(w)", "\t\tr.due = c.now.Add(w)", "TestTimeLeftOnARepeat"},
-	{invariant.EndsInTime, "core.go", "\t\t\tif c.now >= r.due {\n\t\t\t\tc.finish", "\t\t\tif false {\n\t\t\t\tc.finish", "TestWaitsNoLongerThanItsTime"},
+	{invariant.TimeLeftShrinks, "admission.go", "\t\tr.queueDeadline = r.came.Add(wait)", "\t\tr.queueDeadline = c.now.Add(wait)", "TestTimeLeftOnARepeat"},
+	{invariant.EndsInTime, "core.go", "\t\t\tif c.now >= r.queueDeadline {\n\t\t\t\tc.finish", "\t\t\tif false {\n\t\t\t\tc.finish", "TestWaitsNoLongerThanItsTime"},
 	{invariant.AnswerIsServers, "relay_attempt.go", `if said.ID == x.facts.ID && said.ID != "" {`, `if said.ID != "" {`, "TestSurplus"},
 	{invariant.RefusalIsOurs, "relay_reply.go", "\th := x.w.Header()\n\tb, _ := json", "\th := x.w.Header()\n\th[\"X-Seal\"] = []string{\"s\"}\n\tb, _ := json", "TestOwnAnswersBearNoSeal"},
 	{invariant.ConnectionMatches, "conns.go", "\tl := p.idle[to]\n", "\tl := p.idle[to]\n\tfor to, l = range p.idle {\n\t\tbreak\n\t}\n", "TestKeptForOneServer"},
@@ -36,7 +36,7 @@
 	}
 	root, err := filepath.Abs("../..")
 	require.NoError(t, err)
-	for _, b := range invariantBites {
+	for _, b := range invariantEdits {
 		t.Run(string(b.name), func(t *testing.T) {
 			t.Parallel()
 			name, err := overlay.Write(root, t.TempDir(), []overlay.Edit{{File: "internal/router/" + b.file, Old: b.old, New: b.now}})
--- a/internal/router/keys_test.go
+++ b/internal/router/keys_test.go
@@ -14,11 +14,11 @@
 	"tidedeck/internal/protocol"
 )
 
-// holders says whose each key is.
-type holders map[string]string
+// keyHolders says whose each key is.
+type keyHolders map[string]string
 
 // keyedPlan has the routes of hostPlan, and tenants where holders are given; a tenant may be there without a key.
-func keyedPlan(keys holders, change func(*fleetplan.Plan)) *fleetplan.Plan {
+func keyedPlan(keys keyHolders, change func(*fleetplan.Plan)) *fleetplan.Plan {
 	p := hostPlan(change)
 	if keys == nil {
 		return p
@@ -39,19 +39,19 @@
 	return c
 }
 
-// lease takes the lease away, or gives it back.
-func (b *bed) lease(on bool) []any {
+// setLease takes the lease away, or gives it back.
+func (b *bed) setLease(on bool) []any {
 	if !on {
-		b.until = 0
+		b.leaseUntil = 0
 		return nil
 	}
-	return b.mail(protocol.Hold{Session: ses, Until: b.at.Add(60e9), Routers: 1})
+	return b.deliver(protocol.Hold{Session: ses, Until: b.at.Add(60e9), Routers: 1})
 }
 
 // Whose a request is, and whether it may go, follows the configuration for as long as the request has not been sent: while it
 // waits, between its launch and its sending, before it is tried again, and before its stream is taken up elsewhere.
 func TestKeysThatChangeUnderWay(t *testing.T) {
-	mine, moved, taken := holders{"k": "one"}, holders{"k": "two"}, holders{}
+	mine, moved, taken := keyHolders{"k": "one"}, keyHolders{"k": "two"}, keyHolders{}
 	idempotent, resumable := "/again/x", "/llm/resume/x"
 	waiting := func(b *bed, path string) Ref {
 		ref, l, _ := b.go1(path, withKey(fleetplan.Call{Base: "m", Max: 8}, "k"))
@@ -94,64 +94,64 @@
 	}
 	for _, c := range []struct {
 		name  string
-		first holders
-		then  []holders
+		first keyHolders
+		then  []keyHolders
 		play  func(b *bed)
 	}{
-		{"taken away while it waits", mine, []holders{taken}, func(b *bed) {
+		{"taken away while it waits", mine, []keyHolders{taken}, func(b *bed) {
 			waiting(b, idempotent)
 			refusedAs(b, b.replan(1), failure.NoKey)
 		}},
-		{"given to another while it waits", mine, []holders{moved}, func(b *bed) {
+		{"given to another while it waits", mine, []keyHolders{moved}, func(b *bed) {
 			waiting(b, idempotent)
 			b.replan(1)
 			goesAs(b, servers(b), "two")
 		}},
-		{"taken away and given back while it waits without a lease", mine, []holders{taken, mine}, func(b *bed) {
+		{"taken away and given back while it waits without a lease", mine, []keyHolders{taken, mine}, func(b *bed) {
 			waiting(b, idempotent)
-			b.lease(false)
+			b.setLease(false)
 			_, refused := pick[Receipt](b.replan(1))
 			require.False(b.t, refused, "it cannot be sure that this is the newest")
 			b.replan(2)
-			b.lease(true)
+			b.setLease(true)
 			goesAs(b, servers(b), "one")
 		}},
-		{"unknown without a lease, and known by a newer configuration", taken, []holders{mine}, func(b *bed) {
+		{"unknown without a lease, and known by a newer configuration", taken, []keyHolders{mine}, func(b *bed) {
 			servers(b)
-			b.lease(false)
+			b.setLease(false)
 			_, l, out := b.go1(idempotent, withKey(fleetplan.Call{}, "k"))
 			_, refused := pick[Receipt](out)
 			require.False(b.t, refused)
 			require.Empty(b.t, l.Server)
 			b.replan(1)
-			l, _ = pick[Launch](append(b.lease(true), b.entry("web|", "p", "q")...))
+			l, _ = pick[Launch](append(b.setLease(true), b.entry("web|", "p", "q")...))
 			goesAs(b, l, "one")
 		}},
 		{"unknown without a lease, and then sure", taken, nil, func(b *bed) {
-			b.lease(false)
+			b.setLease(false)
 			b.go1(idempotent, withKey(fleetplan.Call{}, "k"))
-			refusedAs(b, b.lease(true), failure.NoKey)
+			refusedAs(b, b.setLease(true), failure.NoKey)
 		}},
-		{"taken away between launch and sending", mine, []holders{taken}, func(b *bed) {
+		{"taken away between launch and sending", mine, []keyHolders{taken}, func(b *bed) {
 			l := launched(b, idempotent)
 			b.replan(1)
 			require.False(b.t, b.MaySend(b.at, l.Ref, l.N))
 			refusedAs(b, ended(b, l, Kept, ""), failure.NoKey)
 		}},
-		{"given to another between launch and sending", mine, []holders{moved}, func(b *bed) {
+		{"given to another between launch and sending", mine, []keyHolders{moved}, func(b *bed) {
 			l := launched(b, idempotent)
 			b.replan(1)
 			require.False(b.t, b.MaySend(b.at, l.Ref, l.N))
 			l, _ = pick[Launch](ended(b, l, Kept, ""))
 			goesAs(b, l, "two")
 		}},
-		{"moved, and back, between launch and sending", mine, []holders{moved, mine}, func(b *bed) {
+		{"moved, and back, between launch and sending", mine, []keyHolders{moved, mine}, func(b *bed) {
 			l := launched(b, idempotent)
 			b.replan(1)
 			b.replan(2)
 			goesAs(b, l, "one")
 		}},
-		{"tenants come between launch and sending", nil, []holders{mine}, func(b *bed) {
+		{"tenants come between launch and sending", nil, []keyHolders{mine}, func(b *bed) {
 			l := launched(b, idempotent)
 			require.False(b.t, l.Keyed)
 			b.replan(1)
@@ -159,30 +159,30 @@
 			l, _ = pick[Launch](ended(b, l, Kept, ""))
 			goesAs(b, l, "one")
 		}},
-		{"given to another before the next try", mine, []holders{moved}, func(b *bed) {
+		{"given to another before the next try", mine, []keyHolders{moved}, func(b *bed) {
 			l := sent(b, idempotent)
 			b.replan(1)
 			l, _ = pick[Launch](append(ended(b, l, Dropped, failure.Busy), b.wait(1e9)...))
 			goesAs(b, l, "two")
 		}},
-		{"taken away before the next try", mine, []holders{taken}, func(b *bed) {
+		{"taken away before the next try", mine, []keyHolders{taken}, func(b *bed) {
 			l := sent(b, idempotent)
 			b.replan(1)
 			refusedAs(b, ended(b, l, Dropped, failure.Busy), failure.NoKey)
 		}},
-		{"taken away after it may have run", mine, []holders{taken}, func(b *bed) {
+		{"taken away after it may have run", mine, []keyHolders{taken}, func(b *bed) {
 			l := sent(b, idempotent)
 			b.replan(1)
 			refusedAs(b, ended(b, l, Lost, ""), failure.Unclear)
 		}},
-		{"given to another before its stream is taken up", mine, []holders{moved}, func(b *bed) {
+		{"given to another before its stream is taken up", mine, []keyHolders{moved}, func(b *bed) {
 			l := sent(b, resumable)
 			b.Step(b.at, Begun{Ref: l.Ref, N: l.N})
 			b.replan(1)
 			l, _ = pick[Launch](append(ended(b, l, Split, ""), b.wait(1e9)...))
 			goesAs(b, l, "two")
 		}},
-		{"taken away before its stream is taken up", mine, []holders{taken}, func(b *bed) {
+		{"taken away before its stream is taken up", mine, []keyHolders{taken}, func(b *bed) {
 			l := sent(b, resumable)
 			b.Step(b.at, Begun{Ref: l.Ref, N: l.N})
 			b.replan(1)
@@ -212,12 +212,12 @@
 		p.Hosts["h"]["/again/"].Class.Wait = clock.Span(2e9)
 	}
 	for _, known := range []bool{false, true} {
-		first := holders{}
+		first := keyHolders{}
 		if known {
-			first = holders{"k": "one"}
+			first = keyHolders{"k": "one"}
 		}
-		b := free(t, Options{}, keyedPlan(first, above), keyedPlan(holders{"k": "one"}, short))
-		b.lease(false)
+		b := free(t, Options{}, keyedPlan(first, above), keyedPlan(keyHolders{"k": "one"}, short))
+		b.setLease(false)
 		ref, _, _ := b.go1("/again/x", withKey(fleetplan.Call{}, "k"))
 		b.wait(clock.Span(4e9))
 		b.go1("/x", withKey(fleetplan.Call{}, "k")) // which comes first
@@ -230,7 +230,7 @@
 // A route that stops to want a key, and wants one again.
 func TestRouteThatWantsNoKeyForAWhile(t *testing.T) {
 	open := func(p *fleetplan.Plan) { p.Hosts["h"]["/again/"].Unkeyed = true }
-	b := free(t, Options{}, keyedPlan(holders{"k": "one"}, nil), keyedPlan(holders{"k": "one"}, open), keyedPlan(holders{"k": "one"}, nil))
+	b := free(t, Options{}, keyedPlan(keyHolders{"k": "one"}, nil), keyedPlan(keyHolders{"k": "one"}, open), keyedPlan(keyHolders{"k": "one"}, nil))
 	b.entry("web|", "p", "q")
 	kindOf := func(out []any) failure.Kind {
 		r, _ := pick[Receipt](out)
@@ -255,16 +255,16 @@
 // What may have run is not run again once a route was seen that lets it run once, also by a configuration that knew its key no more.
 func TestRunsOnceAcrossAPlanWithoutItsKey(t *testing.T) {
 	once := func(p *fleetplan.Plan) { p.Hosts["h"]["/again/"].Mode = fleetplan.Once }
-	b := free(t, Options{}, keyedPlan(holders{"k": "one"}, nil), keyedPlan(holders{}, once), keyedPlan(holders{"k": "one"}, nil))
+	b := free(t, Options{}, keyedPlan(keyHolders{"k": "one"}, nil), keyedPlan(keyHolders{}, once), keyedPlan(keyHolders{"k": "one"}, nil))
 	b.entry("web|", "p", "q")
 	_, l, _ := b.go1("/again/x", withKey(fleetplan.Call{}, "k"))
 	require.True(t, b.MaySend(b.at, l.Ref, l.N))
 	b.fund(5)
 	b.replan(1)
-	b.lease(false)
+	b.setLease(false)
 	b.Step(b.at, Ended{Ref: l.Ref, N: l.N, How: Lost})
 	b.replan(2)
-	_, again := pick[Launch](append(b.lease(true), append(b.entry("web|", "p", "q"), b.wait(1e9)...)...))
+	_, again := pick[Launch](append(b.setLease(true), append(b.entry("web|", "p", "q"), b.wait(1e9)...)...))
 	require.False(t, again)
 }
 
@@ -280,7 +280,7 @@
 		tenants.Grant(name, name)
 	}
 	p.SetTenants(tenants)
-	b := free(t, Options{Line: 3}, p)
+	b := free(t, Options{MaxQueuedPerKey: 3}, p)
 	ask := func(path, key string) (Ref, []any) {
 		ref, _, out := b.go1(path, withKey(fleetplan.Call{}, key))
 		return ref, out
@@ -311,11 +311,11 @@
 	require.IsIncreasing(t, ranks)
 }
 
-// keyedRun is a router under changes of keys, drawn from a seed, beside what a plain reading of the configurations says.
-type keyedRun struct {
+// keyChangeRun is a router under changes of keys, drawn from a seed, beside what a plain reading of the configurations says.
+type keyChangeRun struct {
 	*bed
 	random  *rand.Rand
-	plans   []holders
+	plans   []keyHolders
 	paths   map[Ref]string
 	keys    map[Ref]string
 	open    []Launch
@@ -323,12 +323,12 @@
 	sends   int
 }
 
-var drawnKeys = []string{"k0", "k1", "k2", ""}
+var randomKeys = []string{"k0", "k1", "k2", ""}
 
-func (k *keyedRun) force() holders { return k.plans[k.epoch-1] }
+func (k *keyChangeRun) holdersInForce() keyHolders { return k.plans[k.epoch-1] }
 
-// look takes in what the router did.
-func (k *keyedRun) look(out []any) {
+// checkOutputs takes in what the router did.
+func (k *keyChangeRun) checkOutputs(out []any) {
 	for _, o := range out {
 		switch v := o.(type) {
 		case Launch:
@@ -339,21 +339,21 @@
 			}
 			k.refused++
 			require.True(k.t, k.leased(), "only a router that is sure of the newest configuration says that a key is unknown")
-			_, known := k.force()[k.keys[v.Ref]]
+			_, known := k.holdersInForce()[k.keys[v.Ref]]
 			require.False(k.t, known)
 		}
 	}
 }
 
-func (k *keyedRun) send(l Launch) {
+func (k *keyChangeRun) send(l Launch) {
 	if !k.MaySend(k.at, l.Ref, l.N) {
-		k.look(k.Step(k.at, Ended{Ref: l.Ref, N: l.N, How: Kept}))
+		k.checkOutputs(k.Step(k.at, Ended{Ref: l.Ref, N: l.N, How: Kept}))
 		return
 	}
 	k.sends++
-	require.Equal(k.t, k.force() != nil, l.Keyed)
-	require.Equal(k.t, k.force()[k.keys[l.Ref]], l.Work.Tenant)
-	if k.force() != nil && l.Work.Tenant == "" {
+	require.Equal(k.t, k.holdersInForce() != nil, l.Keyed)
+	require.Equal(k.t, k.holdersInForce()[k.keys[l.Ref]], l.Work.Tenant)
+	if k.holdersInForce() != nil && l.Work.Tenant == "" {
 		k.t.Fatalf("a request with the key %q is sent for nobody", k.keys[l.Ref])
 	}
 	how := []End{Done, Done, Dropped, Lost, Split}[k.random.IntN(5)]
@@ -367,13 +367,13 @@
 	if k.random.IntN(3) == 0 {
 		k.change()
 	}
-	k.look(k.Step(k.at, Ended{Ref: l.Ref, N: l.N, How: how, Kind: kind}))
+	k.checkOutputs(k.Step(k.at, Ended{Ref: l.Ref, N: l.N, How: how, Kind: kind}))
 }
 
 // change puts the next configuration in force, if there is one.
-func (k *keyedRun) change() {
+func (k *keyChangeRun) change() {
 	if int(k.epoch) < len(k.plans) {
-		k.look(k.replan(byte(k.epoch)))
+		k.checkOutputs(k.replan(byte(k.epoch)))
 	}
 }
 
@@ -383,11 +383,11 @@
 	sends, refused := 0, 0
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 40))
-		k := &keyedRun{random: random, paths: map[Ref]string{}, keys: map[Ref]string{}}
+		k := &keyChangeRun{random: random, paths: map[Ref]string{}, keys: map[Ref]string{}}
 		var plans []*fleetplan.Plan
 		for range 40 {
-			h := holders{}
-			for _, key := range drawnKeys[:3] {
+			h := keyHolders{}
+			for _, key := range randomKeys[:3] {
 				if name := []string{"one", "two", ""}[random.IntN(3)]; name != "" {
 					h[key] = name
 				}
@@ -405,17 +405,17 @@
 			case 0:
 				k.change()
 			case 1:
-				k.look(k.lease(random.IntN(2) == 0))
+				k.checkOutputs(k.setLease(random.IntN(2) == 0))
 			case 2:
-				k.look(k.entry([]ident.Key{"web|", "llm|m"}[random.IntN(2)], []string{"p", "q", "s"}[:random.IntN(4)]...))
+				k.checkOutputs(k.entry([]ident.Key{"web|", "llm|m"}[random.IntN(2)], []string{"p", "q", "s"}[:random.IntN(4)]...))
 			case 3:
-				k.look(k.wait(clock.Span(random.IntN(300)) * 1e6))
+				k.checkOutputs(k.wait(clock.Span(random.IntN(300)) * 1e6))
 			case 4, 5:
 				path := []string{"/again/x", "/x", "/llm/x", "/llm/stream/x", "/llm/resume/x"}[random.IntN(5)]
-				key := drawnKeys[random.IntN(4)]
+				key := randomKeys[random.IntN(4)]
 				k.keys[k.ref+1], k.paths[k.ref+1] = key, path
 				_, _, out := k.go1(path, withKey(fleetplan.Call{ID: fmt.Sprint(seed, k.ref), Base: "m", Max: 8}, key))
-				k.look(out)
+				k.checkOutputs(out)
 			default:
 				if len(k.open) > 0 {
 					i := random.IntN(len(k.open))
--- a/internal/router/ledger.go
+++ b/internal/router/ledger.go
@@ -13,21 +13,21 @@
 	"tidedeck/internal/ident"
 )
 
-// The ledger of a request: its attempts, how each ended, and the table that derives from them what comes
-// next. What may have run is never sent again unless the request may be repeated.
+// The ledger of a request records its attempts and how each one ended. A table derives the next step from it. A request that
+// may have run is never sent again unless it may be repeated.
 
-// End is how an attempt ended.
+// End is the outcome of an attempt.
 type End string
 
-// The ways an attempt ends.
+// The outcomes of an attempt.
 const (
-	Pending End = ""        // it has not
-	Kept    End = "kept"    // the lease or the entry was gone when it was to be sent
+	Pending End = ""        // the attempt has not ended
+	Kept    End = "kept"    // not sent: the final check before sending failed
 	Unsent  End = "unsent"  // the server was not reached
-	Dropped End = "dropped" // the server declined it: it did not run and never will
-	Lost    End = "lost"    // it may have run
-	Split   End = "split"   // its stream broke off
-	Done    End = "done"
+	Dropped End = "dropped" // the server declined the request, which did not run and never will
+	Lost    End = "lost"    // the request may have run
+	Split   End = "split"   // the answer was interrupted after it had begun
+	Done    End = "done"    // the answer is complete
 )
 
 // attemptRecord is one attempt in a request's ledger.
@@ -38,59 +38,59 @@
 	Kind   failure.Kind
 	Begun  bool
 
-	Status int         // of the server's answer; zero if none came
-	epoch  ident.Epoch // of the configuration by which it was launched, or sent
-	Cause  Cause       // for the trace
-	at     clock.Tick  // when it was launched
-	ended  clock.Tick  // and when it ended; zero while it is under way
-	weight int         // tokens that it still counts for at its server
-	ahead  int         // and those that were under way there before it
+	Status int         // HTTP status of the server's answer; zero if there was none
+	epoch  ident.Epoch // epoch of the configuration under which the attempt was launched or, later, sent
+	Cause  Cause       // recorded in the trace
+	at     clock.Tick  // time of the launch
+	ended  clock.Tick  // time of the end; zero while the attempt is in flight
+	cost   int         // tokens that the attempt still contributes to its server's load
+	ahead  int         // tokens in flight at the server before the launch
 }
 
-// Stages of a request.
+// The stages of a request.
 const (
-	Waiting = "waiting"
-	Going   = "going"
-	Flowing = "flowing"
-	Closed  = "closed"
+	Waiting    = "waiting"
+	Attempting = "going"
+	Streaming  = "flowing"
+	Closed     = "closed"
 )
 
-// request is a caller's request from its arrival to its last word.
+// request is the state of a caller's request from its arrival to the end of its answer.
 type request struct {
 	Call
-	key       ident.Key
-	class     fleetplan.Class
-	came      clock.Tick
-	due       clock.Tick // it waits here until then
-	end       clock.Tick // and its answer is over by then
-	attempts  []attemptRecord
-	stage     string
-	owes      clock.Tick // since when its next attempt is a retry that is not paid for yet
-	uncertain bool       // the plan in force allows it not, but that plan may be old
-	first     bool       // its first arrival was counted
-	once      bool       // a route that it went under, or is under by now, lets it run once only
-	route     *fleetplan.Route
-	keyed     bool   // the plan that let it in has tenants: its caller's key is for the routers only
-	tenant    string // whose it is by that plan; empty for nobody's
-
-	waiting      WaitCause // what it waits for, since when, and what it waited for before
+	key           ident.Key
+	class         fleetplan.Class
+	came          clock.Tick
+	queueDeadline clock.Tick // latest time at which the request may still wait for an attempt
+	deadline      clock.Tick // latest time at which its answer may end
+	attempts      []attemptRecord
+	stage         string
+	unpaidSince   clock.Tick // time since which a retry waits for the retry budget; zero if none does
+	uncertain     bool       // the plan in force does not allow the request, but may be outdated
+	firstCounted  bool       // the first arrival has been counted
+	runsOnce      bool       // a past or present route of the request permits only one run
+	route         *fleetplan.Route
+	keyed         bool   // the admitting plan has tenants, so the caller's key must not reach servers
+	tenant        string // tenant according to that plan; empty if none
+
+	waitCause    WaitCause // current cause of waiting; waitTimes holds the time spent on earlier causes
 	waitingSince clock.Tick
-	waits        map[WaitCause]clock.Span
-	firstByte    clock.Tick // when its answer began to come; zero until then
+	waitTimes    map[WaitCause]clock.Span
+	firstByte    clock.Tick // time of the first byte of an answer; zero before that
 }
 
-// repeatable tells whether the request may run a second time.
+// repeatable reports whether the request may run more than once.
 func (r *request) repeatable() bool {
-	return r.Call.Call.Again || !r.once && r.route != nil && repeats(r.route)
+	return r.Call.Call.Again || !r.runsOnce && r.route != nil && allowsRepeats(r.route)
 }
 
-// repeats tells whether the requests of a route may run more than once.
-func repeats(route *fleetplan.Route) bool {
+// allowsRepeats reports whether the requests of a route may run more than once.
+func allowsRepeats(route *fleetplan.Route) bool {
 	return route.Mode == fleetplan.Idempotent || route.Resume
 }
 
-// begun tells whether anything of its answer has come.
-func (r *request) begun() bool {
+// hasBegun reports whether any part of an answer has arrived.
+func (r *request) hasBegun() bool {
 	for _, attempt := range r.attempts {
 		if attempt.Begun {
 			return true
@@ -99,10 +99,10 @@
 	return false
 }
 
-// resumes tells whether its stream may be taken up at another server.
-func (r *request) resumes() bool { return r.route != nil && r.route.Resume && !r.once }
+// resumable reports whether another server may resume the stream of the request.
+func (r *request) resumable() bool { return r.route != nil && r.route.Resume && !r.runsOnce }
 
-// mayHaveRun tells whether any attempt so far may have run.
+// mayHaveRun reports whether the request may have run in any attempt so far.
 func (r *request) mayHaveRun() bool {
 	for _, attempt := range r.attempts {
 		if attempt.How == Lost || attempt.How == Split {
@@ -112,68 +112,71 @@
 	return false
 }
 
-// requestKey is the key of a context under which the state machine finds its request.
-type requestKey struct{}
-
-// The life of a request.
-var stages = func() *stateless.StateMachine {
-	s := stateless.NewStateMachineWithExternalStorage(
-		func(c context.Context) (stateless.State, error) { return c.Value(requestKey{}).(*request).stage, nil },
-		func(c context.Context, s stateless.State) error {
-			c.Value(requestKey{}).(*request).stage = s.(string)
+// requestContextKey is the context key under which the state machine finds its request.
+type requestContextKey struct{}
+
+// requestStates is the state machine for the stages of a request.
+var requestStates = func() *stateless.StateMachine {
+	machine := stateless.NewStateMachineWithExternalStorage(
+		func(ctx context.Context) (stateless.State, error) {
+			return ctx.Value(requestContextKey{}).(*request).stage, nil
+		},
+		func(ctx context.Context, state stateless.State) error {
+			ctx.Value(requestContextKey{}).(*request).stage = state.(string)
 			return nil
 		}, stateless.FiringImmediate)
-	s.Configure(Waiting).Permit("launch", Going).Permit("close", Closed)
-	s.Configure(Going).Permit("begin", Flowing).Permit("back", Waiting).Permit("close", Closed)
-	s.Configure(Flowing).Permit("back", Waiting).Permit("close", Closed)
-	s.Configure(Closed).Ignore("close")
-	s.OnUnhandledTrigger(func(context.Context, stateless.State, stateless.Trigger, []string) error { return nil })
-	return s
+	machine.Configure(Waiting).Permit("launch", Attempting).Permit("close", Closed)
+	machine.Configure(Attempting).Permit("begin", Streaming).Permit("back", Waiting).Permit("close", Closed)
+	machine.Configure(Streaming).Permit("back", Waiting).Permit("close", Closed)
+	machine.Configure(Closed).Ignore("close")
+	machine.OnUnhandledTrigger(func(context.Context, stateless.State, stateless.Trigger, []string) error { return nil })
+	return machine
 }()
 
-func (r *request) fire(what string) bool {
-	was := r.stage
-	_ = stages.FireCtx(context.WithValue(context.Background(), requestKey{}, r), what)
-	return r.stage != was
+// fire applies a trigger to the request's stage and reports whether the stage changed.
+func (r *request) fire(trigger string) bool {
+	before := r.stage
+	_ = requestStates.FireCtx(context.WithValue(context.Background(), requestContextKey{}, r), trigger)
+	return r.stage != before
 }
 
-// transition is what comes next for a request.
+// transition is the next step for a request.
 type transition struct {
-	again bool         // wait for another attempt
-	pay   bool         // which comes out of the allowance, or there is none
-	owe   bool         // which waits until the allowance bears it
-	kind  failure.Kind // the answer, when there is no other attempt
+	again    bool         // the request waits for another attempt
+	pay      bool         // the attempt requires retry budget and is not made without it
+	payLater bool         // the attempt waits until the retry budget suffices
+	kind     failure.Kind // answer to the caller if there is no further attempt
 }
 
-// patience is how long an attempt after a failed dial waits for the allowance: at night there may be
-// none, and no server has been bothered yet.
-const patience = clock.Span(time.Second)
+// retryFundingTimeout is how long an attempt after a failed dial waits for the retry budget. After that the attempt is made
+// without payment: when traffic is low there may be no credit, and the failed dial caused no load at a server.
+const retryFundingTimeout = clock.Span(time.Second)
 
-// What follows each end of an attempt, for requests that may not and that may be repeated.
+// transitions maps the outcome of an attempt to the next step, first for non-repeatable and then for repeatable requests.
 var transitions = map[End][2]transition{
 	Pending: {{again: true}, {again: true}},
 	Kept:    {{again: true}, {again: true}},
-	Unsent:  {{again: true, owe: true}, {again: true, owe: true}},
+	Unsent:  {{again: true, payLater: true}, {again: true, payLater: true}},
 	Dropped: {{again: true, pay: true}, {again: true, pay: true}},
 	Lost:    {{kind: failure.Unclear}, {again: true, pay: true}},
 	Split:   {{kind: failure.Cut}, {kind: failure.Cut}},
 	Done:    {{}, {}},
 }
 
-// next derives the next transition from the ledger alone.
-func (r *request) next(most int) transition {
+// nextStep derives the next step from the ledger alone.
+func (r *request) nextStep(most int) transition {
 	if len(r.attempts) == 0 {
 		return transition{again: true}
 	}
 	attempt := r.attempts[len(r.attempts)-1]
 	m := transitions[attempt.How][generic.One(r.repeatable())]
 	if attempt.How == Dropped && attempt.Kind == failure.Repeated {
-		return transition{kind: failure.Repeated} // another server would run it a second time
+		return transition{kind: failure.Repeated} // another server would run the request a second time
 	}
 	if attempt.Begun && attempt.How == Lost {
 		m = transitions[Split][0]
 	}
-	if attempt.How == Split && r.resumes() {
+	if attempt.How == Split && r.resumable() {
 		m = transition{again: true, pay: true}
 	}
 	if r.route != nil {
@@ -181,14 +184,14 @@
 	}
 	if m.again && r.sent() >= most {
 		if attempt.How == Dropped && attempt.Kind == failure.Mismatch {
-			return transition{kind: failure.Moved} // what was known of the server was old: it is asked anew at once
+			return transition{kind: failure.Moved} // the entry was outdated; the caller may repeat the request immediately
 		}
 		return transition{kind: failure.NotReady}
 	}
 	return m
 }
 
-// sent counts the attempts that reached a server, or may have.
+// sent returns the number of attempts that reached a server or may have.
 func (r *request) sent() (n int) {
 	for _, attempt := range r.attempts {
 		if attempt.How != Kept && attempt.How != Unsent {
--- a/internal/router/nameless_test.go
+++ b/internal/router/model_optional_test.go
@@ -12,8 +12,8 @@
 	"tidedeck/internal/protocol"
 )
 
-// withAny adds a route to the service with models whose requests may name none.
-func withAny(p *fleetplan.Plan) {
+// addModelOptionalRoute adds a route to the service with models whose requests may name none.
+func addModelOptionalRoute(p *fleetplan.Plan) {
 	p.Hosts["h"]["/any/"] = &fleetplan.Route{Name: "any", Service: "llm", Host: "h", Prefix: "/any/", Mode: fleetplan.Once, Tries: 2,
 		Class: fleetplan.Class{Value: 5, Wait: clock.Span(5e9)}, ModelOptional: true}
 }
@@ -21,10 +21,10 @@
 // A request that names no model goes to a server of its service under the service's own entry, and only by a route that
 // lets it; what a model's requests weigh at the servers does not keep it out.
 func TestRequestWithoutModel(t *testing.T) {
-	b := free(t, Options{}, hostPlan(withAny))
+	b := free(t, Options{}, hostPlan(addModelOptionalRoute))
 	_, l, out := b.go1("/any/x", fleetplan.Call{})
 	require.Empty(t, l.Server, "no server is known yet")
-	w, ok := mailed[protocol.Want](out)
+	w, ok := findMessage[protocol.Want](out)
 	require.True(t, ok)
 	require.Equal(t, ident.Key("llm|"), w.Key)
 	l, ok = pick[Launch](b.entry("llm|", "p", "q"))
@@ -51,7 +51,7 @@
 
 // Servers of a service with models are asked for no more than they have places for, by requests without a model too.
 func TestRequestsWithoutModelWaitForPlaces(t *testing.T) {
-	b := free(t, Options{}, hostPlan(withAny))
+	b := free(t, Options{}, hostPlan(addModelOptionalRoute))
 	b.entry("llm|", "p")
 	sent := 0
 	for range 6 {
--- a/internal/router/queue.go
+++ b/internal/router/queue.go
@@ -11,19 +11,20 @@
 	"tidedeck/internal/protocol"
 )
 
-// Requests that wait, in one queue for each key: the most valuable first, then the most urgent.
+// Waiting requests are kept in one queue per key, ordered by descending value and then by deadline.
 
 const (
-	neverBack = clock.Span(5 * time.Second)        // a caller comes back after that to a key that no server could hold
-	askAgain  = clock.Span(400 * time.Millisecond) // an entry is asked for again after that; two renewals at the least
+	neverRetryAfter    = clock.Span(5 * time.Second)        // Retry-After for a key that no server can hold
+	entryRetryInterval = clock.Span(400 * time.Millisecond) // time after which an entry is requested again; at least two lease renewals
 )
 
-// enqueue puts a request in its queue. A full queue gives up what is worth least.
+// enqueue adds a request to its queue. If the queue is full, the least valuable request is rejected. It reports whether the
+// given request was queued.
 func (c *Core) enqueue(r *request) bool {
-	for len(c.queues[r.key]) >= c.o.Line || c.queued >= c.o.Queue {
-		least := c.leastWorth(r)
-		c.finish(least, failure.Full, 0)
-		if least == r {
+	for len(c.queues[r.key]) >= c.o.MaxQueuedPerKey || c.queued >= c.o.MaxQueued {
+		evicted := c.evictionCandidate(r)
+		c.finish(evicted, failure.Full, 0)
+		if evicted == r {
 			return false
 		}
 	}
@@ -31,12 +32,12 @@
 	return true
 }
 
-// leastWorth finds what makes way for a request: among its own queue if that is full, else among all. The
-// newest of those with the lowest value goes, or the request itself.
-func (c *Core) leastWorth(r *request) *request {
+// evictionCandidate returns the request to reject in favor of a new one. It searches the new request's queue if that queue is
+// full, otherwise all queues, and returns the newest request with the lowest value, or the new request itself.
+func (c *Core) evictionCandidate(r *request) *request {
 	least := r
 	for _, k := range generic.SortedKeys(c.queues) {
-		if len(c.queues[r.key]) >= c.o.Line && k != r.key {
+		if len(c.queues[r.key]) >= c.o.MaxQueuedPerKey && k != r.key {
 			continue
 		}
 		for _, x := range c.queues[k] {
@@ -48,41 +49,42 @@
 	return least
 }
 
-// insert puts a request at its place in its queue: the most valuable first, then the most urgent.
+// insert adds a request to its queue, ordered by descending value and then by deadline.
 func (c *Core) insert(r *request) {
-	l := c.queues[r.key]
-	i := sort.Search(len(l), func(i int) bool {
-		return l[i].class.Value < r.class.Value || l[i].class.Value == r.class.Value && l[i].due > r.due
+	queue := c.queues[r.key]
+	i := sort.Search(len(queue), func(i int) bool {
+		return queue[i].class.Value < r.class.Value || queue[i].class.Value == r.class.Value && queue[i].queueDeadline > r.queueDeadline
 	})
-	l = append(l, nil)
-	copy(l[i+1:], l[i:])
-	l[i] = r
-	c.queues[r.key] = l
+	queue = append(queue, nil)
+	copy(queue[i+1:], queue[i:])
+	queue[i] = r
+	c.queues[r.key] = queue
 	c.queued++
 }
 
-// remove takes a request out of its queue.
+// remove removes a request from its queue.
 func (c *Core) remove(r *request) {
-	l := c.queues[r.key]
-	for i, x := range l {
+	queue := c.queues[r.key]
+	for i, x := range queue {
 		if x == r {
 			c.queued--
-			l = append(l[:i:i], l[i+1:]...)
+			queue = append(queue[:i:i], queue[i+1:]...)
 			break
 		}
 	}
-	if len(l) == 0 {
+	if len(queue) == 0 {
 		delete(c.queues, r.key)
 		return
 	}
-	c.queues[r.key] = l
+	c.queues[r.key] = queue
 }
 
-// finish closes a request with its final answer.
-func (c *Core) finish(r *request, k failure.Kind, back clock.Span) {
+// finish ends a request and, unless a server answered it, emits its final answer. If retryAfter is zero, the value for the
+// failure kind is used.
+func (c *Core) finish(r *request, k failure.Kind, retryAfter clock.Span) {
 	if r.stage == Waiting {
 		c.remove(r)
-		r.waitsFor("", c.now)
+		r.setWaitCause("", c.now)
 	}
 	r.fire("close")
 	delete(c.requests, r.Ref)
@@ -92,97 +94,97 @@
 		return
 	}
 	if failure.Receipts[k].Dropped && r.mayHaveRun() {
-		k = failure.Unclear // its status would say that it never ran
+		k = failure.Unclear // the status of k would state that the request never ran
 	}
 	c.checkRefusal(r, k)
-	a := failure.Receipts[k]
-	if back == 0 {
-		back = a.Back
+	answer := failure.Receipts[k]
+	if retryAfter == 0 {
+		retryAfter = answer.Back
 	}
 	c.tally.Drops[k]++
-	if a.Dropped {
+	if answer.Dropped {
 		c.tally.Dropped++
 	}
 	c.trace(r, EndedRefused, k)
-	c.out = append(c.out, Receipt{Ref: r.Ref, Kind: k, Back: back})
+	c.out = append(c.out, Receipt{Ref: r.Ref, Kind: k, Back: retryAfter})
 }
 
-// serveAll serves every queue, the most valuable first.
+// serveAll serves every queue, in descending order of the value of the first request.
 func (c *Core) serveAll() {
-	l := generic.SortedKeys(c.queues)
-	sort.SliceStable(l, func(i, j int) bool { return c.queues[l[i]][0].class.Value > c.queues[l[j]][0].class.Value })
-	for _, k := range l {
+	keys := generic.SortedKeys(c.queues)
+	sort.SliceStable(keys, func(i, j int) bool { return c.queues[keys[i]][0].class.Value > c.queues[keys[j]][0].class.Value })
+	for _, k := range keys {
 		c.serve(k)
 	}
 }
 
-// serve launches what waits for a key while the callback on its entry holds and servers have room.
+// serve launches the requests that wait for a key while the entry is usable and its servers have capacity.
 func (c *Core) serve(k ident.Key) {
 	for i := 0; i < len(c.queues[k]); {
 		r, e := c.queues[k][i], c.entries[k]
 		if r.uncertain {
-			c.allWaitFor(WaitPlan, c.queues[k][i:])
+			c.setWaitCauses(WaitPlan, c.queues[k][i:])
 			return
 		}
-		if c.now >= r.due {
+		if c.now >= r.queueDeadline {
 			c.finish(r, failure.Expired, 0)
 			continue
 		}
-		if e == nil || !e.held {
+		if e == nil || !e.hasCallback {
 			c.lookUp(k)
 		}
 		if !c.usable(e) {
-			c.allWaitFor(c.whyUnusable(), c.queues[k][i:])
+			c.setWaitCauses(c.unusableCause(), c.queues[k][i:])
 			return
 		}
-		e.used = c.now
-		if back, hopeless := c.comesLate(e, r); hopeless {
-			c.finish(r, failure.NotReady, back)
+		e.lastUsed = c.now
+		if retryAfter, tooLate := c.readyTooLate(e, r); tooLate {
+			c.finish(r, failure.NotReady, retryAfter)
 			continue
 		}
-		p := c.pick(e, r)
+		p := c.chooseReplica(e, r)
 		switch {
 		case p == nil && !r.repeatable():
-			r.waitsFor(whyNoReplica(e), c.now)
-			i++ // it waits for one server; others behind it may go to another
+			r.setWaitCause(noReplicaCause(e), c.now)
+			i++ // the request waits for one particular server; later requests may use others
 		case p == nil:
-			c.allWaitFor(whyNoReplica(e), c.queues[k][i:])
+			c.setWaitCauses(noReplicaCause(e), c.queues[k][i:])
 			return
-		case r.owes != 0 && c.now.Sub(r.owes) < patience && !c.pay(r.key.Service()):
-			r.waitsFor(WaitRetry, c.now)
+		case r.unpaidSince != 0 && c.now.Sub(r.unpaidSince) < retryFundingTimeout && !c.spend(r.key.Service()):
+			r.setWaitCause(WaitRetry, c.now)
 			i++
 		default:
-			r.owes = 0
+			r.unpaidSince = 0
 			c.launch(r, p)
 		}
 	}
 }
 
-// comesLate tells that an entry cannot have a replica before a request's time is over, and when it may; the
-// request is told so at once.
-func (c *Core) comesLate(e *entry, r *request) (back clock.Span, late bool) {
+// readyTooLate reports whether no replica can be ready before a request's deadline, and the time until one may be ready. Such
+// a request is rejected immediately.
+func (c *Core) readyTooLate(e *cacheEntry, r *request) (retryAfter clock.Span, late bool) {
 	if e.Never {
-		return neverBack, true
+		return neverRetryAfter, true
 	}
-	back = e.got.Add(e.Soon).Sub(c.now)
-	return back, e.Soon > 0 && len(e.Replicas) == 0 && c.now.Add(back) > r.due
+	retryAfter = e.receivedAt.Add(e.Soon).Sub(c.now)
+	return retryAfter, e.Soon > 0 && len(e.Replicas) == 0 && c.now.Add(retryAfter) > r.queueDeadline
 }
 
-// lookUp asks for an entry, with the mark of the copy that is suspect, if there is one.
+// lookUp requests an entry from the controller. If a copy without a callback is cached, the request carries its mark.
 func (c *Core) lookUp(k ident.Key) {
 	e := c.entries[k]
 	if e == nil {
-		e = &entry{Entry: protocol.Entry{Key: k}, used: c.now}
+		e = &cacheEntry{Entry: protocol.Entry{Key: k}, lastUsed: c.now}
 		c.entries[k] = e
 	}
-	if e.asking && c.now.Sub(e.asked) < askAgain || c.ses.N == 0 || c.alone() {
+	if e.requested && c.now.Sub(e.requestedAt) < entryRetryInterval || c.session.N == 0 || c.alone() {
 		return
 	}
-	e.asking, e.asked = true, c.now
+	e.requested, e.requestedAt = true, c.now
 	c.tally.Lookups++
-	w := protocol.Want{Session: c.ses, Key: k, Waiting: len(c.queues[k]), Value: c.queues[k][0].class.Value}
+	want := protocol.Want{Session: c.session, Key: k, Waiting: len(c.queues[k]), Value: c.queues[k][0].class.Value}
 	if len(e.Replicas) > 0 {
-		w.Mark = e.Mark
+		want.Mark = e.Mark
 	}
-	c.send(w)
+	c.send(want)
 }
--- a/internal/router/mends_test.go
+++ b/internal/router/regressions_test.go
@@ -31,14 +31,14 @@
 
 // What waited behind others is no measure of a key's pace.
 func TestPaceOfFreeServersOnly(t *testing.T) {
-	b := seated(t, 9, map[ident.Server]int{"s1": 9000, "s2": 9000, "s3": 9000})
+	b := newLoadedRouter(t, 9, map[ident.Server]int{"s1": 9000, "s2": 9000, "s3": 9000})
 	ref, l, _ := b.go1("/llm/x", fleetplan.Call{Base: "m", Tokens: 850})
 	b.at = b.at.Add(900e6)
 	b.Step(b.at, Begun{Ref: ref, N: l.N})
-	require.Empty(t, b.paces.seen)
-	b = seated(t, 9, nil)
+	require.Empty(t, b.tokenTimes.observed)
+	b = newLoadedRouter(t, 9, nil)
 	ref, l, _ = b.go1("/llm/x", fleetplan.Call{Base: "m", Tokens: 850})
 	b.at = b.at.Add(100e6)
 	b.Step(b.at, Begun{Ref: ref, N: l.N})
-	require.InDelta(t, 100e6/(850+paceBase), b.paces.seen["llm|m"], 1)
+	require.InDelta(t, 100e6/(850+answerStartTokens), b.tokenTimes.observed["llm|m"], 1)
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -26,28 +26,28 @@
 	ref Ref
 }
 
-// lay makes a router that holds its link and rules by the plan.
-func lay(t *testing.T, o Options) *bed {
+// newTestRouter makes a router that holds its link and rules by the plan.
+func newTestRouter(t *testing.T, o Options) *bed {
 	o.Inc = 7
 	b := &bed{Core: New(o), t: t, at: 1e9}
-	b.mail(protocol.Hold{Session: ses, Until: b.at.Add(60e9), Routers: 1})
-	b.news(protocol.Item{Desired: &protocol.Desired{Gen: 1, Epoch: 1, Plan: []byte(plan)}})
+	b.deliver(protocol.Hold{Session: ses, Until: b.at.Add(60e9), Routers: 1})
+	b.deliverItem(protocol.Item{Desired: &protocol.Desired{Gen: 1, Epoch: 1, Plan: []byte(plan)}})
 	return b
 }
 
 // fund sets what first attempts have earned for retries, at each service.
 func (b *bed) fund(n float64) {
 	for _, service := range []string{"", "web", "new", "llm"} {
-		b.allowance(service).earnings = []earning{{b.at, n}}
+		b.retryBudget(service).credits = []retryCredit{{b.at, n}}
 	}
 }
 
-func (b *bed) mail(body any) []any { return b.Step(b.at, protocol.Env{Body: body}) }
+func (b *bed) deliver(body any) []any { return b.Step(b.at, protocol.Env{Body: body}) }
 
-func (b *bed) news(i protocol.Item) []any {
+func (b *bed) deliverItem(i protocol.Item) []any {
 	b.num++
 	i.Num = b.num
-	return b.mail(protocol.News{Session: ses, Items: []protocol.Item{i}})
+	return b.deliver(protocol.News{Session: ses, Items: []protocol.Item{i}})
 }
 
 func (b *bed) entry(k ident.Key, servers ...string) []any {
@@ -55,7 +55,7 @@
 	for _, s := range servers {
 		e.Replicas = append(e.Replicas, protocol.Replica{Server: ident.Server(s), Addr: s, Zone: "z", Inc: 1, Slots: 4, Warm: 1e12})
 	}
-	return b.news(protocol.Item{Entry: e})
+	return b.deliverItem(protocol.Item{Entry: e})
 }
 
 func (b *bed) call(c fleetplan.Call) (Ref, []any) {
@@ -81,7 +81,7 @@
 	return x, false
 }
 
-func mailed[T any](l []any) (x T, ok bool) {
+func findMessage[T any](l []any) (x T, ok bool) {
 	for _, o := range l {
 		if e, is := o.(protocol.Env); is {
 			if v, is := e.Body.(T); is {
@@ -92,8 +92,8 @@
 	return x, false
 }
 
-// waits stands for a request that is neither answered nor sent again at once.
-const waits = failure.Kind("waits")
+// stillWaiting stands for a request that is neither answered nor sent again at once.
+const stillWaiting = failure.Kind("waits")
 
 // What follows each end of a go, for requests that may and that may not be repeated.
 func TestLedger(t *testing.T) {
@@ -106,12 +106,12 @@
 		answer failure.Kind // None: another go
 	}{
 		{Kept, "", false, false, 0, failure.None},
-		{Unsent, "", false, false, 1, waits},
+		{Unsent, "", false, false, 1, stillWaiting},
 		{Unsent, "", true, false, 1, failure.None},
-		{Unsent, "", true, false, 0, waits},
-		{Dropped, failure.Busy, false, false, 1, waits},
+		{Unsent, "", true, false, 0, stillWaiting},
+		{Dropped, failure.Busy, false, false, 1, stillWaiting},
 		{Dropped, failure.Busy, true, false, 1, failure.None},
-		{Dropped, failure.Late, true, false, 1, waits}, // the entry is asked for again first
+		{Dropped, failure.Late, true, false, 1, stillWaiting}, // the entry is asked for again first
 		{Dropped, failure.Repeated, false, false, 1, failure.Repeated},
 		{Dropped, failure.Repeated, true, false, 1, failure.Repeated},
 		{Dropped, failure.Busy, true, false, 0, failure.Spent},
@@ -121,7 +121,7 @@
 		{Lost, "", true, true, 1, failure.Cut},
 		{Split, "", true, true, 1, failure.Cut},
 	} {
-		b := lay(t, Options{})
+		b := newTestRouter(t, Options{})
 		b.entry("m", "s1", "s2")
 		ref, out := b.call(fleetplan.Call{Again: c.again})
 		l, ok := pick[Launch](out)
@@ -133,7 +133,7 @@
 		}
 		out = b.Step(b.at, Ended{Ref: ref, N: 1, How: c.how, Kind: c.kind})
 		r, dropped := pick[Receipt](out)
-		if c.answer == waits {
+		if c.answer == stillWaiting {
 			_, again := pick[Launch](out)
 			require.False(t, dropped || again, "%+v", c)
 			continue
@@ -155,7 +155,7 @@
 
 // Once a go may have run, no later end is told as a drop.
 func TestNoDropAfterLost(t *testing.T) {
-	b := lay(t, Options{})
+	b := newTestRouter(t, Options{})
 	b.entry("m", "s1")
 	ref, _ := b.call(fleetplan.Call{Again: true, Wait: 80e6})
 	require.True(t, b.MaySend(b.at, ref, 1))
@@ -178,23 +178,23 @@
 	}{
 		{"nothing changed", func(b *bed) {}, true},
 		{"the hold ran out", func(b *bed) { b.at = b.at.Add(61e9) }, false},
-		{"the promise was broken", func(b *bed) { b.news(protocol.Item{Break: "m"}) }, false},
+		{"the promise was broken", func(b *bed) { b.deliverItem(protocol.Item{Break: "m"}) }, false},
 		{"a new session began", func(b *bed) {
-			b.mail(protocol.Hold{Session: protocol.Session{Node: "agent", Agent: 1, Router: 7, N: 2}, Until: b.at.Add(60e9)})
+			b.deliver(protocol.Hold{Session: protocol.Session{Node: "agent", Agent: 1, Router: 7, N: 2}, Until: b.at.Add(60e9)})
 		}, false},
 		{"the zone was emptied", func(b *bed) {
-			b.news(protocol.Item{Desired: &protocol.Desired{Gen: 1, Epoch: 2, Plan: []byte(plan), Empty: []ident.Zone{"z"}}})
+			b.deliverItem(protocol.Item{Desired: &protocol.Desired{Gen: 1, Epoch: 2, Plan: []byte(plan), Empty: []ident.Zone{"z"}}})
 		}, false},
 		{"the plan no longer allows it", func(b *bed) {
-			b.news(protocol.Item{Desired: &protocol.Desired{Gen: 1, Epoch: 2, Plan: []byte(`{"name":"q","models":{"n":{"size":3}},"kinds":{"k":{"value":3}},"services":{"s":{"models":["n"]}},"routes":{"/r":{"service":"s","kinds":["k"]}}}`)}})
+			b.deliverItem(protocol.Item{Desired: &protocol.Desired{Gen: 1, Epoch: 2, Plan: []byte(`{"name":"q","models":{"n":{"size":3}},"kinds":{"k":{"value":3}},"services":{"s":{"models":["n"]}},"routes":{"/r":{"service":"s","kinds":["k"]}}}`)}})
 		}, false},
 		{"the server restarted", func(b *bed) {
-			b.news(protocol.Item{Break: "m"})
-			b.news(protocol.Item{Entry: &protocol.Entry{Key: "m", Mark: 9, Replicas: []protocol.Replica{{Server: "s1", Addr: "s1", Zone: "z", Inc: 2, Slots: 4}}}})
+			b.deliverItem(protocol.Item{Break: "m"})
+			b.deliverItem(protocol.Item{Entry: &protocol.Entry{Key: "m", Mark: 9, Replicas: []protocol.Replica{{Server: "s1", Addr: "s1", Zone: "z", Inc: 2, Slots: 4}}}})
 		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := lay(t, Options{})
+			b := newTestRouter(t, Options{})
 			b.entry("m", "s1")
 			ref, out := b.call(fleetplan.Call{})
 			_, ok := pick[Launch](out)
@@ -207,7 +207,7 @@
 
 // Numbered changes are taken in order, once, and acknowledged up to the last one taken.
 func TestNews(t *testing.T) {
-	b := lay(t, Options{})
+	b := newTestRouter(t, Options{})
 	item := func(n uint64, k ident.Key) protocol.Item {
 		return protocol.Item{Num: n, Entry: &protocol.Entry{Key: k, Mark: 1}}
 	}
@@ -221,25 +221,25 @@
 		{"the next ones", ses, []protocol.Item{item(2, "m"), item(3, "n")}, 3},
 		{"a repeat changes nothing", ses, []protocol.Item{{Num: 2, Break: "m"}}, 3},
 	} {
-		h, ok := mailed[protocol.Heard](b.mail(protocol.News{Session: c.ses, Items: c.items}))
+		h, ok := findMessage[protocol.Heard](b.deliver(protocol.News{Session: c.ses, Items: c.items}))
 		require.True(t, ok, c.name)
 		require.Equal(t, c.heard, h.Num, c.name)
 	}
-	require.True(t, b.entries["m"].held)
+	require.True(t, b.entries["m"].hasCallback)
 	old := ses
 	old.N = 0
-	_, ok := mailed[protocol.Heard](b.mail(protocol.News{Session: old, Items: []protocol.Item{item(4, "m")}}))
+	_, ok := findMessage[protocol.Heard](b.deliver(protocol.News{Session: old, Items: []protocol.Item{item(4, "m")}}))
 	require.False(t, ok, "another session's news are nobody's")
 }
 
 // No plan is taken that is older than the one in force; a new generation is always newer.
 func TestEpochsOnlyRise(t *testing.T) {
-	b := lay(t, Options{})
+	b := newTestRouter(t, Options{})
 	for _, c := range []struct {
 		gen, epoch uint64
 		want       [2]uint64
 	}{{1, 5, [2]uint64{1, 5}}, {1, 4, [2]uint64{1, 5}}, {1, 5, [2]uint64{1, 5}}, {2, 1, [2]uint64{2, 1}}, {1, 9, [2]uint64{2, 1}}, {2, 2, [2]uint64{2, 2}}} {
-		b.news(protocol.Item{Desired: &protocol.Desired{Gen: c.gen, Epoch: ident.Epoch(c.epoch), Plan: []byte(plan)}})
+		b.deliverItem(protocol.Item{Desired: &protocol.Desired{Gen: c.gen, Epoch: ident.Epoch(c.epoch), Plan: []byte(plan)}})
 		g, e, _ := b.Rules(b.at)
 		require.Equal(t, c.want, [2]uint64{g, uint64(e)})
 	}
@@ -247,9 +247,9 @@
 
 // Under a held callback routing asks nobody; without one it checks first, and says what it has.
 func TestCallbacks(t *testing.T) {
-	b := lay(t, Options{})
+	b := newTestRouter(t, Options{})
 	_, out := b.call(fleetplan.Call{})
-	w, ok := mailed[protocol.Want](out)
+	w, ok := findMessage[protocol.Want](out)
 	require.True(t, ok)
 	require.Zero(t, w.Mark)
 	out = b.entry("m", "s1", "s2")
@@ -257,7 +257,7 @@
 	require.True(t, ok, "what waited is sent when the entry comes")
 	for range 3 {
 		_, out = b.call(fleetplan.Call{})
-		_, asked := mailed[protocol.Want](out)
+		_, asked := findMessage[protocol.Want](out)
 		require.False(t, asked)
 		_, ok = pick[Launch](out)
 		require.True(t, ok)
@@ -266,21 +266,21 @@
 	// After a reconnect the entry is suspect: it is checked on first use, by its mark.
 	two := ses
 	two.N = 2
-	b.mail(protocol.Hold{Session: two, Until: b.at.Add(60e9)})
+	b.deliver(protocol.Hold{Session: two, Until: b.at.Add(60e9)})
 	_, out = b.call(fleetplan.Call{})
-	w, ok = mailed[protocol.Want](out)
+	w, ok = findMessage[protocol.Want](out)
 	require.True(t, ok)
 	require.EqualValues(t, 3, w.Mark)
 	_, ok = pick[Launch](out)
 	require.False(t, ok)
-	out = b.mail(protocol.News{Session: two, Items: []protocol.Item{{Num: 1, Entry: &protocol.Entry{Key: "m", Mark: 3, Same: true}}}})
+	out = b.deliver(protocol.News{Session: two, Items: []protocol.Item{{Num: 1, Entry: &protocol.Entry{Key: "m", Mark: 3, Same: true}}}})
 	_, ok = pick[Launch](out)
 	require.True(t, ok)
 }
 
 // A full line lets go of what is worth least, at once and with when to come back.
 func TestFullLine(t *testing.T) {
-	b := lay(t, Options{Line: 2})
+	b := newTestRouter(t, Options{MaxQueuedPerKey: 2})
 	b.call(fleetplan.Call{Kind: "low"})
 	b.call(fleetplan.Call{Kind: "k"})
 	_, out := b.call(fleetplan.Call{Kind: "k"})
@@ -297,7 +297,7 @@
 
 // A horizon that passes ends the wait at once; one that had passed already is no proper request.
 func TestHorizon(t *testing.T) {
-	b := lay(t, Options{})
+	b := newTestRouter(t, Options{})
 	_, out := b.call(fleetplan.Call{Wait: -1})
 	r, _ := pick[Receipt](out)
 	require.Equal(t, failure.PastDue, r.Kind)
@@ -313,7 +313,7 @@
 
 // Callers' own repeats come out of the same allowance as retries do.
 func TestAllowance(t *testing.T) {
-	b := lay(t, Options{})
+	b := newTestRouter(t, Options{})
 	b.entry("m", "s1")
 	_, out := b.call(fleetplan.Call{Repeat: true})
 	r, ok := pick[Receipt](out)
@@ -335,14 +335,14 @@
 // Without a hold the plan in force may be old: nobody is turned away by it. Found by the
 // simulator (grow, seed 1) as proper requests told no_route by a router that was cut off.
 func TestDoubt(t *testing.T) {
-	b := lay(t, Options{})
+	b := newTestRouter(t, Options{})
 	b.at = b.at.Add(61e9)
 	_, out := b.call(fleetplan.Call{Base: "new"})
 	_, ok := pick[Receipt](out)
 	require.False(t, ok)
-	_, asked := mailed[protocol.Want](out)
+	_, asked := findMessage[protocol.Want](out)
 	require.False(t, asked, "nor does a name that may not exist leave the router")
-	out = b.mail(protocol.Hold{Session: ses, Until: b.at.Add(60e9)})
+	out = b.deliver(protocol.Hold{Session: ses, Until: b.at.Add(60e9)})
 	r, ok := pick[Receipt](out)
 	require.True(t, ok)
 	require.Equal(t, failure.NoModel, r.Kind)
@@ -350,14 +350,14 @@
 
 // The cache keeps to its bound, and lets the owner know in batches what it let go.
 func TestCacheBound(t *testing.T) {
-	b := lay(t, Options{Cache: 4})
+	b := newTestRouter(t, Options{Cache: 4})
 	for i := range 10 {
 		b.at = b.at.Add(1e6)
 		b.entry(ident.Key(fmt.Sprint("x", i)), "s1")
 	}
 	require.Len(t, b.entries, 4)
 	b.at = b.at.Add(1e9)
-	r, ok := mailed[protocol.Removal](b.Step(b.at, protocol.Beat{}))
+	r, ok := findMessage[protocol.Removal](b.Step(b.at, protocol.Beat{}))
 	require.True(t, ok)
 	require.Len(t, r.Drops, 6)
 	require.Equal(t, protocol.Drop{Key: "x0", Num: 2}, r.Drops[0])
@@ -365,8 +365,8 @@
 
 // A cold replica gets a few requests, then more as it warms.
 func TestRamp(t *testing.T) {
-	b := lay(t, Options{Ramp: 4e9})
-	b.news(protocol.Item{Entry: &protocol.Entry{Key: "m", Mark: 1, Replicas: []protocol.Replica{{Server: "s", Addr: "s", Zone: "z", Inc: 1, Slots: 8}}}})
+	b := newTestRouter(t, Options{Ramp: 4e9})
+	b.deliverItem(protocol.Item{Entry: &protocol.Entry{Key: "m", Mark: 1, Replicas: []protocol.Replica{{Server: "s", Addr: "s", Zone: "z", Inc: 1, Slots: 8}}}})
 	n := 0
 	for range 40 {
 		_, out := b.call(fleetplan.Call{})
@@ -387,7 +387,7 @@
 
 // Requests with the same shared parts go to the same replica, until it is burdened too much.
 func TestAffinity(t *testing.T) {
-	b := lay(t, Options{})
+	b := newTestRouter(t, Options{})
 	b.entry("m", "s1", "s2", "s3")
 	seen := map[ident.Server]int{}
 	for range 9 {
@@ -416,7 +416,7 @@
 		l, _ := pick[Launch](out)
 		return l
 	}
-	b, c := lay(t, Options{}), lay(t, Options{})
+	b, c := newTestRouter(t, Options{}), newTestRouter(t, Options{})
 	b.entry("m", "s1", "s2", "s3")
 	c.entry("m", "s3", "s2", "s1")
 	s := one(b).Server
@@ -429,7 +429,7 @@
 	l, ok := pick[Launch](out)
 	require.True(t, ok, "those behind it do not wait for it")
 	require.NotEqual(t, s, l.Server)
-	d := lay(t, Options{})
+	d := newTestRouter(t, Options{})
 	d.entry("m", "s1", "s2", "s3")
 	for n, same := range []bool{true, true, false} {
 		if n == 0 {
@@ -447,16 +447,16 @@
 
 // What first goes earn for retries does not last.
 func TestAllowanceLapses(t *testing.T) {
-	b := lay(t, Options{})
+	b := newTestRouter(t, Options{})
 	for range 12 {
 		b.Core.now = b.at
 		b.earn("")
 		b.at = b.at.Add(100e6)
 	}
 	b.Core.now = b.at
-	require.True(t, b.pay(""), "12 first goes earn two retries")
+	require.True(t, b.spend(""), "12 first goes earn two retries")
 	b.Core.now = b.at.Add(10e9)
-	require.False(t, b.pay(""))
+	require.False(t, b.spend(""))
 }
 
 // An event follows only if it is the next one of this very go.
@@ -475,9 +475,9 @@
 
 // What no server could ever hold is given up on at once, not held to its horizon.
 func TestNever(t *testing.T) {
-	b := lay(t, Options{})
+	b := newTestRouter(t, Options{})
 	ref, _ := b.call(fleetplan.Call{})
-	out := b.news(protocol.Item{Entry: &protocol.Entry{Key: "m", Mark: 5, Never: true}})
+	out := b.deliverItem(protocol.Item{Entry: &protocol.Entry{Key: "m", Mark: 5, Never: true}})
 	r, ok := pick[Receipt](out)
 	require.True(t, ok)
 	require.Equal(t, Receipt{ref, failure.NotReady, 5e9}, r)
--- a/internal/router/pace_test.go
+++ b/internal/router/token_times_test.go
@@ -22,7 +22,7 @@
 		{"it is a hundred times as fast", &protocol.Paces{Slowest: 50e3, Bases: map[ident.Key]float64{"llm|m": 0.5e3}}, "p"},
 	} {
 		b := free(t, Options{})
-		b.mail(protocol.Hold{Session: ses, Until: b.at.Add(60e9), Routers: 1, Paces: c.paces, Seats: map[ident.Server]int{"q": 2000}})
+		b.deliver(protocol.Hold{Session: ses, Until: b.at.Add(60e9), Routers: 1, Paces: c.paces, Seats: map[ident.Server]int{"q": 2000}})
 		b.entry("llm|m", "p", "q")
 		_, first, _ := b.go1("/llm/x", fleetplan.Call{Base: "m", Tokens: 4000, Max: 10})
 		require.Equal(t, ident.Server("p"), first.Server, c.name)
@@ -33,16 +33,16 @@
 
 // What was seen is told once, at its shortest; to a new session also what is known.
 func TestPacesAreTold(t *testing.T) {
-	p := newPaces()
-	p.see("m", 9)
-	p.see("m", 7)
-	p.see("m", 8)
-	require.Equal(t, map[ident.Key]float64{"m": 7}, p.tell())
-	require.Empty(t, p.tell())
-	p.hear(&protocol.Paces{Slowest: 10, Bases: map[ident.Key]float64{"m": 6, "n": 10}})
+	p := newTokenTimes()
+	p.observe("m", 9)
+	p.observe("m", 7)
+	p.observe("m", 8)
+	require.Equal(t, map[ident.Key]float64{"m": 7}, p.takeObserved())
+	require.Empty(t, p.takeObserved())
+	p.update(&protocol.Paces{Slowest: 10, Bases: map[ident.Key]float64{"m": 6, "n": 10}})
 	require.InDelta(t, 0.6, p.relative("m"), 1e-9)
 	require.InDelta(t, 8, p.of("unknown"), 1e-9)
-	p.hear(nil)
-	p.tellAll()
-	require.Equal(t, map[ident.Key]float64{"m": 6, "n": 10}, p.tell())
+	p.update(nil)
+	p.observeKnown()
+	require.Equal(t, map[ident.Key]float64{"m": 6, "n": 10}, p.takeObserved())
 }
--- a/internal/router/waits.go
+++ b/internal/router/waits.go
@@ -2,65 +2,66 @@
 
 import "tidedeck/internal/clock"
 
-// What a request waits for at its router, for the trace. It decides nothing.
+// The causes of waiting are recorded for traces and have no influence on decisions.
 
-// WaitCause says what a request waits for.
+// WaitCause is the reason why a request waits at its router.
 type WaitCause string
 
-// The causes that a request waits for.
+// The causes of waiting.
 const (
-	WaitPlan  WaitCause = "plan"  // a configuration that surely rules
-	WaitLease WaitCause = "lease" // this router has no lease
-	WaitEntry WaitCause = "entry" // its entry is being asked for
-	WaitReady WaitCause = "ready" // no server has what it asks for ready
-	WaitRoom  WaitCause = "room"  // each server that has it is full, or is avoided
-	WaitRetry WaitCause = "retry" // the allowance does not bear another attempt yet
+	WaitPlan  WaitCause = "plan"  // no plan is known, or the plan may be outdated
+	WaitLease WaitCause = "lease" // the router has no lease
+	WaitEntry WaitCause = "entry" // the entry has been requested but has not arrived
+	WaitReady WaitCause = "ready" // no replica is ready
+	WaitRoom  WaitCause = "room"  // every replica is full or avoided
+	WaitRetry WaitCause = "retry" // the retry budget does not permit another attempt yet
 )
 
-// waitsFor notes what a request waits for from now on.
-func (r *request) waitsFor(cause WaitCause, now clock.Tick) {
-	if r.waiting != "" {
-		if r.waits == nil {
-			r.waits = map[WaitCause]clock.Span{}
+// setWaitCause records the cause of waiting from now on and adds the time spent on the previous one. An empty cause means that
+// the request no longer waits.
+func (r *request) setWaitCause(cause WaitCause, now clock.Tick) {
+	if r.waitCause != "" {
+		if r.waitTimes == nil {
+			r.waitTimes = map[WaitCause]clock.Span{}
 		}
-		r.waits[r.waiting] += now.Sub(r.waitingSince)
+		r.waitTimes[r.waitCause] += now.Sub(r.waitingSince)
 	}
-	r.waiting, r.waitingSince = cause, now
+	r.waitCause, r.waitingSince = cause, now
 }
 
-// allWaitFor notes what the requests of a queue wait for, from one of them on.
-func (c *Core) allWaitFor(cause WaitCause, queue []*request) {
+// setWaitCauses records the cause of waiting for several requests.
+func (c *Core) setWaitCauses(cause WaitCause, queue []*request) {
 	for _, r := range queue {
-		r.waitsFor(cause, c.now)
+		r.setWaitCause(cause, c.now)
 	}
 }
 
-// whyUnusable tells what keeps an entry from being used.
-func (c *Core) whyUnusable() WaitCause {
+// unusableCause returns the reason why an entry cannot be used.
+func (c *Core) unusableCause() WaitCause {
 	if !c.leased() && !c.alone() {
 		return WaitLease
 	}
 	return WaitEntry
 }
 
-// whyNoReplica tells why none of an entry's replicas was chosen.
-func whyNoReplica(e *entry) WaitCause {
+// noReplicaCause returns the reason why none of an entry's replicas was chosen.
+func noReplicaCause(e *cacheEntry) WaitCause {
 	if len(e.Replicas) == 0 {
 		return WaitReady
 	}
 	return WaitRoom
 }
 
-// waitsMs gives the waits of a request in milliseconds.
+// waitsMs returns the request's waiting times by cause in milliseconds.
 func (r *request) waitsMs() map[WaitCause]int64 {
-	if len(r.waits) == 0 {
+	if len(r.waitTimes) == 0 {
 		return nil
 	}
-	l := map[WaitCause]int64{}
-	for cause, span := range r.waits {
+	waits := map[WaitCause]int64{}
+	for cause, span := range r.waitTimes {
 		if ms := span.Milliseconds(); ms > 0 {
-			l[cause] = ms
+			waits[cause] = ms
 		}
 	}
-	return l
+	return waits
 }
--- a/internal/simulator/bites_test.go
+++ b/internal/simulator/bites_test.go
@@ -30,16 +30,16 @@
 	{"wait out the owner before", "medley", "held a promise", []edit{{"internal/controller/evict.go", "quiet := c.now > c.duty.began.Add(c.pad(c.o.Hold))", "quiet := true"}}},
 	{"drop on a break", "moves", "held a promise", []edit{{"internal/router/core.go", "c.tally.Breaks++\n\tdelete(c.entries, k)", "c.tally.Breaks++"}}},
 	{"drain before an unload", "unplan", "while work was under way", []edit{{"internal/controller/evict.go", "s.ok > p.since && p.work == 0 && !c.adapted(s, p)", "true"}}},
-	{"check at the point of sending", "unplan", "after it was unloaded|which no plan allows", []edit{{"internal/router/attempts.go", "if !c.stands(r, attempt) {", "if attempt == nil {"}}},
+	{"check at the point of sending", "unplan", "after it was unloaded|which no plan allows", []edit{{"internal/router/attempts.go", "if !c.stillAllowed(r, attempt) {", "if attempt == nil {"}}},
 	{"route under a hold only", "moves-cut", "routes under epoch|after it was unloaded|after it was leaving", []edit{
-		{"internal/router/core.go", "return c.now < c.until }", "return true }"},
-		{"internal/router/queue.go", "if e == nil || !e.held {\n\t\t\tc.lookUp", "if e == nil {\n\t\t\tc.lookUp"},
-		{"internal/router/core.go", "return e != nil && (e.held && c.leased() ||", "return e != nil && (c.leased() ||"}}},
+		{"internal/router/core.go", "return c.now < c.leaseUntil }", "return true }"},
+		{"internal/router/queue.go", "if e == nil || !e.hasCallback {\n\t\t\tc.lookUp", "if e == nil {\n\t\t\tc.lookUp"},
+		{"internal/router/core.go", "return e != nil && (e.hasCallback && c.leased() ||", "return e != nil && (c.leased() ||"}}},
 	{"keep within room", "moves", "past its room", []edit{
 		{"internal/controller/place.go", "if s.free() < m.Size {", "if false {"}, {"internal/controller/server.go", "over := s.room > 0 && s.used() > s.room", "over := false"}}},
 	{"keep within the store's budget", "blackout", "outran the store", []edit{
 		{"internal/controller/place.go", "if budget <= 0 {", "if false {"}, {"internal/controller/place.go", "s.loading() > 0 {", "false {"}}},
-	{"cap cold servers", "crowd", "flooded while cold", []edit{{"internal/router/choice.go", "if b.work >= all || b.keys[r.key] >= cold {", "if all+cold < 0 {"}}},
+	{"cap cold servers", "crowd", "flooded while cold", []edit{{"internal/router/choice.go", "if b.work >= limit || b.inFlightByKey[r.key] >= coldLimit {", "if limit+coldLimit < 0 {"}}},
 	{"an emptied disk does not vote", "amnesia", "read gave epoch|told twice|slipped back|bytes that were not sent", []edit{{"internal/controller/acceptor.go", "c.vote.inc = c.o.Inc", "c.vote.inc = 1"}}},
 	{"sync before an answer", "power", "routes under epoch 1|read gave epoch|bytes that were not sent|slipped back", []edit{
 		{"internal/controller/core.go", "c.saves[c.token] = then", "then()\n\tc.saves[c.token] = func() {}"}}},
@@ -55,12 +55,12 @@
 		{"internal/controller/server.go", `return s.State == "live" && !c.empty`, "return !c.empty"}}},
 	{"leave emptied zones", "zones", "in emptied zone", []edit{
 		{"internal/controller/server.go", `"live" && !c.empty[s.Zone] && !c.closed`, `"live" && !c.closed`},
-		{"internal/router/core.go", "return c.empty[p.Zone] || !c.leased()", "return !c.leased()"}}},
+		{"internal/router/core.go", "return c.emptyZones[p.Zone] || !c.leased()", "return !c.leased()"}}},
 	{"repeat only what may be", "storm", "may not be repeated", []edit{
 		{"internal/router/ledger.go", "Lost:    {{kind: failure.Unclear}, {again: true, pay: true}}", "Lost:    {{again: true}, {again: true}}"},
 		{"internal/router/allowance.go", "if sum < 1 {", "if sum < 0 {"}}},
 	{"keep to the allowance", "flap", "to [0-9]* first goes", []edit{
-		{"internal/router/allowance.go", "if sum < 1 {", "if sum < 0 {"}, {"internal/router/core.go", "generic.SetDefault(&o.Goes, 4)", "generic.SetDefault(&o.Goes, 1000)"}}},
+		{"internal/router/allowance.go", "if sum < 1 {", "if sum < 0 {"}, {"internal/router/core.go", "generic.SetDefault(&o.MaxAttempts, 4)", "generic.SetDefault(&o.MaxAttempts, 1000)"}}},
 	{"one server's events", "storm", "came as number|two goes in one answer|after its end", []edit{
 		{"internal/router/ledger.go", "Split:   {{kind: failure.Cut}, {kind: failure.Cut}}", "Split:   {{again: true}, {again: true}}"}}},
 	{"route only what is allowed", "plans", "which no plan allows", []edit{
@@ -69,7 +69,7 @@
 	{"turn away under a hold only", "grow", "was turned away", []edit{{"internal/router/admission.go", "case c.leased():\n\t\t\treturn why", "case true:\n\t\t\treturn why"}}},
 	{"refuse what was sent late", "lag", "after it was leaving or gone|in emptied zone|which no plan allows", []edit{{"internal/standin/server.go", "s.now.Sub(v.Since) > s.o.Whole", "s.now.Sub(v.Since) > 1e15"}}},
 	{"one server for what runs once", "again", "may not be repeated", []edit{{"internal/router/choice.go", "if !r.repeatable() && !c.o.Free {\n\t\tif only", "if r == nil {\n\t\tif only"}}},
-	{"routers give agents back the plan", "ruin-clocks", "the routers' plan did not come back", []edit{{"internal/router/core.go", "if b.Session.Agent != c.ses.Agent && c.last != nil {", "if false {"}}},
+	{"routers give agents back the plan", "ruin-clocks", "the routers' plan did not come back", []edit{{"internal/router/core.go", "if hold.Session.Agent != c.session.Agent && c.desired != nil {", "if false {"}}},
 	{"agents' lives by the steady clock", "clocks", "proper requests were answered", []edit{{"internal/agent/core.go", "Agent: c.o.Life, Router", "Agent: c.o.Inc, Router"}}},
 	{"know the last list", "platform", "service came back|proper requests were answered", []edit{{"internal/controller/duty.go", "c.onList(c.list.List) //", "//"}}},
 	{"doubt a list without most servers", "platform", "proper requests were answered", []edit{{"internal/controller/list.go", "if 2*len(lost) <= there {", "if true {"}}},
