--- a/internal/router/caller_test.go
+++ b/internal/router/caller_test.go
@@ -21,12 +21,12 @@
 	"tidedeck/internal/fleetplan"
 )
 
-// A client that ends its sending side while its request is under way is given up, and what it reads
-// then is no whole answer: neither an empty one of ours nor the first part of the server's.
+// A client that shuts down its sending side during a request counts as disconnected. It must not read a complete answer then,
+// neither an empty answer of the router nor the first part of the server's answer.
 func TestHalfClosedClient(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
-		read         string // what the client has before it ends its sending side
+		read         string // what the client reads before it shuts down its sending side
 	}{
 		{"before the answer", "", ""},
 		{"in a stream", fmt.Sprintf(streamHead, "s") + chunk(event(1)), event(1)},
@@ -38,7 +38,7 @@
 				s.next(br)
 				_, _ = io.WriteString(conn, c.answer)
 				close(reached)
-				_, _ = br.ReadByte() // until the relay closes it
+				_, _ = br.ReadByte() // until the relay closes the connection
 			})
 			b := relayFor(t, &script{to: []string{srv.addr()}, again: true}, RelayOptions{})
 			cl := b.dial(t)
@@ -59,16 +59,16 @@
 				return
 			}
 			_, err = io.ReadAll(a.Body)
-			require.Error(t, err, "the answer ended early and looks whole")
+			require.Error(t, err, "the truncated answer looks complete")
 		})
 	}
 }
 
-// So is one whose request still waits for a server.
+// The same holds for a client whose request still waits for a server.
 func TestHalfClosedClientWaits(t *testing.T) {
-	quiet := &mute{script: &script{}}
-	b := relayFor(t, quiet.script, RelayOptions{})
-	quiet.relay.Use(quiet)
+	silent := &mute{script: &script{}}
+	b := relayFor(t, silent.script, RelayOptions{})
+	silent.relay.Use(silent)
 	cl := b.dial(t)
 	cl.send(get("1"))
 	require.Eventually(t, func() bool { return b.relay.Open() == 1 }, soon, time.Millisecond)
@@ -78,18 +78,18 @@
 	b.settled(t)
 }
 
-// Answers that say in two ways whose they are, or not for sure where they end, are none.
+// Answers that do not clearly belong to the request, or whose end is ambiguous, are not forwarded.
 func TestDoubtfulAnswers(t *testing.T) {
 	inner := plain("1", "hidden")
 	for _, c := range []struct {
 		name, method, answer string
 	}{
-		{"another's body where HEAD has none", "HEAD", plain("2", inner)},
-		{"a status below those of HTTP", "GET", "HTTP/1.1 042 What\r\nContent-Length: 0\r\n\r\n" + plain("1", "good")},
-		{"a status past those of HTTP", "GET", "HTTP/1.1 799 What\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 4\r\n\r\ngood"},
-		{"another version", "GET", "HTTP/2.0 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 4\r\n\r\ngood"},
-		{"nothing but the close ends it", "GET", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\n\r\nhalf"},
-		{"old, in chunks", "GET", "HTTP/1.0 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"},
+		{"another answer in place of the absent body of HEAD", "HEAD", plain("2", inner)},
+		{"status below the range of HTTP", "GET", "HTTP/1.1 042 What\r\nContent-Length: 0\r\n\r\n" + plain("1", "good")},
+		{"status above the range of HTTP", "GET", "HTTP/1.1 799 What\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 4\r\n\r\ngood"},
+		{"other major version", "GET", "HTTP/2.0 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 4\r\n\r\ngood"},
+		{"end marked only by the close of the connection", "GET", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\n\r\nhalf"},
+		{"chunked with HTTP/1.0", "GET", "HTTP/1.0 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"},
 	} {
 		for _, again := range []bool{false, true} {
 			t.Run(fmt.Sprint(c.name, " ", again), func(t *testing.T) {
@@ -125,7 +125,7 @@
 	}
 }
 
-// An answer that has no body by its status says no length of one.
+// An answer whose status permits no body carries no Content-Length.
 func TestNoContentHasNoLength(t *testing.T) {
 	srv := says(t, "HTTP/1.1 204 No Content\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 4\r\n\r\n", false)
 	b := relayFor(t, &script{to: []string{srv.addr()}}, RelayOptions{})
@@ -137,7 +137,7 @@
 	require.NotContains(t, a.Header, "Content-Length")
 }
 
-// A kept connection is one to a start of a server, and no other server at its address gets it.
+// A kept-alive connection belongs to one server process and is not used for another server at the same address.
 func TestKeptForOneServer(t *testing.T) {
 	srv := newStandIn(t, func(s *standIn, _ int, c net.Conn, br *bufio.Reader) {
 		for s.next(br) != nil {
@@ -147,7 +147,7 @@
 	b := relayFor(t, &script{to: []string{srv.addr()}}, RelayOptions{})
 	for _, c := range []struct {
 		name string
-		want int // connections in all
+		want int // total number of connections
 	}{{"old", 1}, {"old", 1}, {"new", 2}, {"new", 2}, {"old", 2}} {
 		b.mu.Lock()
 		b.names = []string{c.name}
@@ -162,7 +162,7 @@
 	}
 }
 
-// A connection that was taken and not used is kept no longer than its server said.
+// A connection that was taken from the pool but not used keeps the idle timeout announced by its server.
 func TestUnusedKeepsItsTime(t *testing.T) {
 	srv := newStandIn(t, func(s *standIn, _ int, c net.Conn, br *bufio.Reader) {
 		for s.next(br) != nil {
@@ -183,7 +183,7 @@
 	require.Equal(t, until, c.until)
 }
 
-// Nothing of an attempt goes on past its time: not its dial, and not an answer that began in time.
+// No part of an attempt continues past its deadline: neither the dial nor an answer that began in time.
 func TestEndsAtItsTime(t *testing.T) {
 	t.Run("dial", func(t *testing.T) {
 		var until time.Time
@@ -201,7 +201,7 @@
 		require.True(t, bounded)
 		require.Less(t, time.Until(until), 2*time.Hour)
 	})
-	// The server is slower than the time and the slack by far; whoever still waits gets it all.
+	// The server answers long after the deadline and the slack. A relay that still waits would receive the whole answer.
 	const left, slack, late = 50 * time.Millisecond, 10 * time.Millisecond, 1500 * time.Millisecond
 	for _, c := range []struct{ name, head, rest string }{
 		{"body", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 4\r\n\r\n", "late"},
@@ -227,17 +227,17 @@
 	}
 }
 
-// What was passed on without a number cannot be told from what another run sends again, so a stream
-// is taken up only right behind a numbered event.
+// Events without a number that were already forwarded cannot be distinguished from those repeated by another run. A stream is
+// therefore resumed only directly after a numbered event.
 func TestNoSpliceBehindUnnumbered(t *testing.T) {
 	for _, c := range []struct {
 		name, first, second, body string
 		whole                     bool
 	}{
-		{"nothing but unnumbered", chunk("data: a\n\n"), chunk("data: a\n\n" + event(1)), "data: a\n\n", false},
-		{"unnumbered behind a number", chunk(event(1) + "data: a\n\n"), chunk("data: a\n\n" + event(2)), event(1) + "data: a\n\n", false},
-		{"a comment behind a number", chunk(event(1) + ": still here\n\n"), chunk(event(2)), event(1) + ": still here\n\n" + event(2), true},
-		{"numbered last", chunk("data: a\n\n" + event(1)), chunk(event(2)), "data: a\n\n" + event(1) + event(2), true},
+		{"only unnumbered events", chunk("data: a\n\n"), chunk("data: a\n\n" + event(1)), "data: a\n\n", false},
+		{"unnumbered event after a numbered one", chunk(event(1) + "data: a\n\n"), chunk("data: a\n\n" + event(2)), event(1) + "data: a\n\n", false},
+		{"comment after a numbered event", chunk(event(1) + ": still here\n\n"), chunk(event(2)), event(1) + ": still here\n\n" + event(2), true},
+		{"numbered event last", chunk("data: a\n\n" + event(1)), chunk(event(2)), "data: a\n\n" + event(1) + event(2), true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			first := says(t, fmt.Sprintf(streamHead, "s")+c.first, true)
@@ -253,7 +253,8 @@
 	}
 }
 
-// A broken stream to a client of HTTP/1.0, which knows an end only by the close, ends with a reset.
+// An interrupted stream to an HTTP/1.0 client ends with a connection reset, because the client would take a close as the end of
+// the answer.
 func TestOldClientSeesTheBreak(t *testing.T) {
 	step := make(chan struct{})
 	srv := newStandIn(t, func(s *standIn, _ int, c net.Conn, br *bufio.Reader) {
@@ -273,13 +274,13 @@
 	require.Error(t, err)
 }
 
-// A request's horizon counts from the arrival of its head, not from that of its body's end.
+// A request's time limit counts from the arrival of its head, not from the end of its body.
 func TestHorizonFromArrival(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		age  time.Duration
 		left time.Duration
-	}{{"just come", 0, 5 * time.Second}, {"with a slow body", 2 * time.Second, 3 * time.Second}} {
+	}{{"just arrived", 0, 5 * time.Second}, {"with a slow body", 2 * time.Second, 3 * time.Second}} {
 		t.Run(c.name, func(t *testing.T) {
 			b := free(t, Options{})
 			b.entry("web|", "s1")
@@ -292,7 +293,7 @@
 	}
 }
 
-// A request earns once, however often it is launched before anything of it is sent.
+// A request earns retry credit once, however many attempts are launched before one reaches a server.
 func TestEarnsOnce(t *testing.T) {
 	b := free(t, Options{})
 	b.entry("web|", "s1", "s2", "s3")
@@ -311,16 +312,16 @@
 	require.Equal(t, uint64(1), b.tally.Firsts)
 }
 
-// The time for which a client's connection may rest follows the plan, and is never below the default.
+// The idle timeout of client connections follows the plan and is never below the default.
 func TestClientsIdle(t *testing.T) {
-	for _, c := range []struct{ told, want time.Duration }{
+	for _, c := range []struct{ planned, want time.Duration }{
 		{0, 30 * time.Second}, {15 * time.Second, 30 * time.Second}, {time.Minute, 75 * time.Second}, {24 * time.Hour, 30 * time.Hour},
 	} {
-		require.Equal(t, c.want, idleFor(30*time.Second, c.told))
+		require.Equal(t, c.want, idleFor(30*time.Second, c.planned))
 	}
 }
 
-// A client's connection that has rested for as long as the plan in force allows is still served.
+// A client connection that has been idle for a time permitted by the plan in force is still served.
 func TestRestedClient(t *testing.T) {
 	srv := says(t, plain("1", "good"), false)
 	s := &script{to: []string{srv.addr()}}
@@ -331,7 +332,7 @@
 		a, _, err := cl.answer("GET")
 		require.NoError(t, err)
 		require.Equal(t, 200, a.StatusCode)
-		time.Sleep(200 * time.Millisecond) // ten times what it would rest by the default
+		time.Sleep(200 * time.Millisecond) // ten times the default idle timeout
 	}
 	_ = cl.Close()
 	close(stop)
@@ -339,8 +340,8 @@
 	s.settled(t)
 }
 
-// What was sent under a route that lets it run once, or is under one by now, is not sent again when it may
-// have run: routes may be added while it is under way.
+// A request that may have run is not sent again if its route at the time of sending, or its route now, permits only one run. A
+// plan may add routes while the request is in flight.
 func TestRepeatOnlyUnderBothRoutes(t *testing.T) {
 	once := func(p *fleetplan.Plan) {
 		p.Hosts["h"]["/again/x/"] = &fleetplan.Route{Name: "new", Host: "h", Prefix: "/again/x/", Service: "web", Mode: fleetplan.Once,
@@ -351,9 +352,9 @@
 		before, after func(*fleetplan.Plan)
 		repeated      bool
 	}{
-		{"may be repeated under both", nil, nil, true},
-		{"sent as one that may not", once, nil, false},
-		{"may not by now", nil, once, false},
+		{"repeatable under both plans", nil, nil, true},
+		{"not repeatable when sent", once, nil, false},
+		{"not repeatable now", nil, once, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := free(t, Options{Lend: 100}, hostPlan(c.before), hostPlan(c.after))
@@ -373,8 +374,8 @@
 	}
 }
 
-// A retry that would come too late takes nothing out of the allowance.
-func TestNoPayPastTheHorizon(t *testing.T) {
+// A retry that would be past the request's deadline uses no retry budget.
+func TestNoRetryBudgetPastDeadline(t *testing.T) {
 	b := free(t, Options{Lend: 100})
 	b.entry("web|", "s1", "s2")
 	ref, l, _ := b.go1("/again/x", fleetplan.Call{})
@@ -387,11 +388,11 @@
 	require.Empty(t, b.retryBudget("web").marginSpent)
 }
 
-// The bound on a client that takes nothing does not count the time in which nothing was written to it: not
-// while its connection rested, and not before the end of a stream that pauses.
+// The write timeout covers only time spent writing. It excludes the idle time of the client's connection and the time before
+// the end of a stream that pauses.
 func TestWriteBoundCountsWritesOnly(t *testing.T) {
 	const bound, pause = 400 * time.Millisecond, 700 * time.Millisecond
-	t.Run("rested", func(t *testing.T) {
+	t.Run("idle connection", func(t *testing.T) {
 		srv := says(t, plain("1", "good"), false)
 		b := relayFor(t, &script{to: []string{srv.addr()}}, RelayOptions{WriteWait: bound})
 		cl := b.dial(t)
@@ -425,7 +426,7 @@
 	})
 }
 
-// A request does not go to a server again that had it, however long ago that was.
+// A request is not sent to a server again after a failed attempt there, however long ago that was.
 func TestNotTwiceToOneServer(t *testing.T) {
 	for _, how := range []End{Dropped, Lost, Unsent} {
 		b := free(t, Options{Lend: 100})
@@ -440,14 +441,14 @@
 	}
 }
 
-// A request that comes when a stop is far on, on a connection from before it, is told to go elsewhere at once: a
-// server might still be at work on it when what is left is cut off.
+// A request that arrives late in a shutdown, on a connection opened before it, is refused immediately. Otherwise a server might
+// still process it when the remaining connections are cut.
 func TestLateRequestAtAStop(t *testing.T) {
-	free := make(chan struct{})
-	release := sync.OnceFunc(func() { close(free) })
+	hold := make(chan struct{})
+	release := sync.OnceFunc(func() { close(hold) })
 	srv := newStandIn(t, func(s *standIn, _ int, c net.Conn, br *bufio.Reader) {
 		for q := s.next(br); q != nil; q = s.next(br) {
-			<-free
+			<-hold
 			_, _ = io.WriteString(c, plain(q.Header.Get("X-Try"), "good"))
 		}
 	})
@@ -458,7 +459,7 @@
 	early.send(get("1"))
 	require.Eventually(t, func() bool { return len(srv.requests()) == 1 }, soon, time.Millisecond)
 	close(stop)
-	require.Eventually(t, func() bool { // the door is closed
+	require.Eventually(t, func() bool { // the listener is closed
 		c, err := net.Dial("tcp", b.addr)
 		if err == nil {
 			_ = c.Close()
@@ -467,7 +468,7 @@
 	}, soon, time.Millisecond)
 	late.send(get("2"))
 	a, _, err := late.answer("GET")
-	require.NoError(t, err, "it is closed without a word")
+	require.NoError(t, err, "the connection was closed without an answer")
 	require.Equal(t, 503, a.StatusCode)
 	require.NotEmpty(t, a.Header.Get("Retry-After"))
 	require.True(t, a.Close)
@@ -480,7 +481,7 @@
 	s.settled(t)
 }
 
-// Bodies that are held take from one budget, whatever way their length is told, and give it back.
+// Buffered bodies share one budget, with and without a Content-Length, and return their share.
 func TestBodyBudget(t *testing.T) {
 	hold := make(chan struct{})
 	release := sync.OnceFunc(func() { close(hold) })
--- a/internal/router/guards_test.go
+++ b/internal/router/guards_test.go
@@ -14,7 +14,7 @@
 	"tidedeck/internal/overlay"
 )
 
-// removableGuard is an edit of the sources that takes one guard away, and the test that must fail then.
+// removableGuard is an edit of the sources that removes one guard, and the test that must fail on the edited sources.
 type removableGuard struct {
 	guard, file, old, new, test string
 }
@@ -70,8 +70,8 @@
 	{"the end of a stream has its own bound", "relay_exchange.go", "x.armDeadline() //", "_ = x //", "TestWriteBoundCountsWritesOnly"},
 }
 
-// Each guard is taken away from outside, by an edit for one build, and its test must see that. An edit that
-// matches no longer fails.
+// Each guard is removed by an overlay for one build, and the named test must fail on that build. An edit whose old text no
+// longer matches the source is an error.
 func TestGuardsOfTheRouter(t *testing.T) {
 	if testing.Short() {
 		t.Skip("builds the tests once for each guard")
--- a/internal/router/hosted_test.go
+++ b/internal/router/hosted_test.go
@@ -15,7 +15,7 @@
 	"tidedeck/internal/protocol"
 )
 
-// hostPlan has one host whose routes go by prefix and mode, over a plain service and one with models.
+// hostPlan returns a plan with one host, whose routes differ in prefix and mode, for plain services and a service with models.
 func hostPlan(change func(*fleetplan.Plan)) *fleetplan.Plan {
 	p := &fleetplan.Plan{
 		Models: map[ident.Key]fleetplan.Model{}, Routes: map[string]fleetplan.Route{}, Hosts: map[string]map[string]*fleetplan.Route{"h": {}},
@@ -40,8 +40,8 @@
 	return p
 }
 
-// free makes a router as a hosting platform has it, that rules by the first of the plans. The number
-// of a plan is what stands for its bytes.
+// free returns a router with the options used on a hosting platform. The first plan is in force. The encoding of a plan is its
+// index as a single byte.
 func free(t *testing.T, o Options, plans ...*fleetplan.Plan) *bed {
 	if len(plans) == 0 {
 		plans = append(plans, hostPlan(nil))
@@ -56,11 +56,12 @@
 	return newTestRouter(t, o)
 }
 
+// replan puts the plan with the given index in force.
 func (b *bed) replan(n byte) []any {
 	return b.deliverItem(protocol.Item{Desired: &protocol.Desired{Gen: 1, Epoch: ident.Epoch(n) + 1, Plan: []byte{n}}})
 }
 
-// go1 sends a request by its path and gives where it went, if anywhere.
+// go1 passes a request with the given path to the router and returns its launch, if there was one.
 func (b *bed) go1(path string, c fleetplan.Call) (Ref, Launch, []any) {
 	b.ref++
 	if c.ID == "" {
@@ -72,17 +73,17 @@
 	return b.ref, l, out
 }
 
-// wait lets time go by in beats and gathers what comes of it.
-func (b *bed) wait(s clock.Span) (out []any) {
-	for end := b.at.Add(s); b.at < end; {
+// wait advances the time in beats and returns the resulting outputs.
+func (b *bed) wait(span clock.Span) (out []any) {
+	for end := b.at.Add(span); b.at < end; {
 		b.at = b.at.Add(20e6)
 		out = append(out, b.Step(b.at, protocol.Beat{})...)
 	}
 	return out
 }
 
-// A request goes to the service of its host's route with the longest prefix.
-func TestGoesByHost(t *testing.T) {
+// A request goes to the service of the route of its host with the longest matching prefix.
+func TestRouteByHost(t *testing.T) {
 	for _, c := range []struct {
 		path, base, extra string
 		server            ident.Server
@@ -106,10 +107,10 @@
 	require.Equal(t, failure.NoRoute, r.Kind)
 }
 
-// moveRootToNewService sends the root's requests to the new service.
+// moveRootToNewService assigns the route with prefix / to the service new.
 func moveRootToNewService(p *fleetplan.Plan) { p.Hosts["h"]["/"].Service = "new" }
 
-// A plan that comes moves what waits to its new service, and ends what it no longer allows.
+// A new plan moves waiting requests to their new service and rejects those that it does not allow.
 func TestPlanMovesWaiting(t *testing.T) {
 	b := free(t, Options{}, hostPlan(nil), hostPlan(moveRootToNewService))
 	ref, l, _ := b.go1("/x", fleetplan.Call{})
@@ -119,7 +120,7 @@
 	require.True(t, ok)
 	require.Equal(t, ident.Key("new|"), w.Key)
 	_, ok = pick[Launch](b.entry("web|", "w"))
-	require.False(t, ok, "it is the old service's no more")
+	require.False(t, ok, "the request no longer belongs to the old service")
 	l, ok = pick[Launch](b.entry("new|", "n"))
 	require.True(t, ok)
 	require.Equal(t, Launch{Ref: ref, Server: "n"}, Launch{Ref: l.Ref, Server: l.Server})
@@ -134,9 +135,9 @@
 	require.Equal(t, Receipt{Ref: ref, Kind: failure.NoRoute}, r)
 }
 
-// What is about to be sent by the plan before is held back, and goes to its new service unless the
-// new plan has no place for it; neither counts as a try.
-func TestPlanHoldsBack(t *testing.T) {
+// An attempt launched under the previous plan is not sent. The request goes to its new service, or is rejected if the new plan
+// does not allow it. The attempt that was not sent counts neither as a try nor as a retry.
+func TestPlanChangeBeforeSending(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*fleetplan.Plan)
@@ -175,13 +176,13 @@
 	}
 }
 
-// A request is sent to no more servers than its route says, and to none of them twice. Goes that were
-// not sent do not count.
+// A request is sent to no more servers than its route permits, and to none of them twice. Attempts that were not sent do not
+// count.
 func TestTries(t *testing.T) {
 	for _, c := range []struct {
 		path  string
 		how   []End
-		kind  failure.Kind // of each drop
+		kind  failure.Kind // reason of each Dropped outcome
 		tries int
 		sent  int
 		end   failure.Kind
@@ -221,7 +222,7 @@
 	}
 }
 
-// A stream that broke off goes on at another server where its route allows it, and that is paid for.
+// An interrupted stream is resumed at another server if its route permits that, and the resumption uses the retry budget.
 func TestResumes(t *testing.T) {
 	for _, c := range []struct {
 		name, path string
@@ -231,12 +232,12 @@
 		again      bool
 		end        failure.Kind
 	}{
-		{"broke off", "/llm/resume/x", Split, 1, 3, true, ""},
-		{"silent in the middle", "/llm/resume/x", Lost, 1, 3, true, ""},
-		{"nothing to pay with", "/llm/resume/x", Split, 0, 3, false, failure.Unclear},
+		{"interrupted", "/llm/resume/x", Split, 1, 3, true, ""},
+		{"no more data after the beginning", "/llm/resume/x", Lost, 1, 3, true, ""},
+		{"no retry budget", "/llm/resume/x", Split, 0, 3, false, failure.Unclear},
 		{"no try left", "/llm/resume/x", Split, 1, 1, false, failure.Unclear},
-		{"may not be resumed", "/llm/stream/x", Split, 1, 3, false, failure.Cut},
-		{"nor if it is silent", "/llm/stream/x", Lost, 1, 3, false, failure.Cut},
+		{"not resumable", "/llm/stream/x", Split, 1, 3, false, failure.Cut},
+		{"not resumable, no more data", "/llm/stream/x", Lost, 1, 3, false, failure.Cut},
 	} {
 		b := free(t, Options{Lend: c.lend, Share: 1e-9}, hostPlan(func(p *fleetplan.Plan) {
 			for _, r := range p.Hosts["h"] {
@@ -249,26 +250,27 @@
 		require.True(t, b.MaySend(b.at, ref, 1))
 		b.Step(b.at, Begun{Ref: ref, N: 1})
 		out := b.Step(b.at, Ended{Ref: ref, N: 1, How: c.how})
-		two, again := pick[Launch](out)
+		second, again := pick[Launch](out)
 		require.Equal(t, c.again, again, c.name)
 		r, _ := pick[Receipt](out)
 		require.Equal(t, c.end, r.Kind, c.name)
 		if !again {
 			continue
 		}
-		require.NotEqual(t, l.Server, two.Server, c.name)
-		require.True(t, two.Resume, c.name)
+		require.NotEqual(t, l.Server, second.Server, c.name)
+		require.True(t, second.Resume, c.name)
 		require.True(t, b.MaySend(b.at, ref, 2), c.name)
 		require.EqualValues(t, 1, b.Counts().Retries, c.name)
 		require.Len(t, b.retryBudget("llm").marginSpent, 1, c.name)
 		b.Step(b.at, Begun{Ref: ref, N: 2})
 		r, ended := pick[Receipt](b.Step(b.at, Ended{Ref: ref, N: 2, How: Split}))
-		require.True(t, ended, "what was lent is spent: %s", c.name)
+		require.True(t, ended, "the margin is spent: %s", c.name)
 		require.Equal(t, failure.Unclear, r.Kind, c.name)
 	}
 }
 
-// Without a hold a router goes on by what it knew where servers guard themselves, and only there.
+// A router without a lease continues to send by its last known state only if servers reject misdirected requests, and only
+// while the router is partitioned or a core node confirms its configuration.
 func TestGuards(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -276,65 +278,65 @@
 		do     func(b *bed)
 		sends  bool
 	}{
-		{"held", false, func(*bed) {}, true},
-		{"held, and guarded", true, func(*bed) {}, true},
-		{"the hold ran out", false, func(b *bed) { b.at = b.at.Add(61e9) }, false},
-		{"the hold ran out, and guarded, but an owner is heard", true, func(b *bed) { b.at = b.at.Add(61e9) }, false},
-		{"the hold ran out, guarded and parted", true, func(b *bed) {
+		{"lease", false, func(*bed) {}, true},
+		{"lease, enforcing servers", true, func(*bed) {}, true},
+		{"lease expired", false, func(b *bed) { b.at = b.at.Add(61e9) }, false},
+		{"lease expired, enforcing servers, owner reachable", true, func(b *bed) { b.at = b.at.Add(61e9) }, false},
+		{"lease expired, enforcing servers, partitioned", true, func(b *bed) {
 			b.at = b.at.Add(61e9)
 			b.deliver(protocol.Hold{Session: ses, Parted: true})
 		}, true},
-		{"the hold ran out, parted, but not guarded", false, func(b *bed) {
+		{"lease expired, partitioned, no enforcing servers", false, func(b *bed) {
 			b.at = b.at.Add(61e9)
 			b.deliver(protocol.Hold{Session: ses, Parted: true})
 		}, false},
-		{"a new session without a hold", false, func(b *bed) {
+		{"new session without a lease", false, func(b *bed) {
 			b.deliver(protocol.Hold{Session: protocol.Session{Node: "agent", Agent: 1, Router: 7, N: 2}})
 		}, false},
-		{"a new session without a hold, guarded, but an owner is heard", true, func(b *bed) {
+		{"new session without a lease, enforcing servers, owner reachable", true, func(b *bed) {
 			b.deliver(protocol.Hold{Session: protocol.Session{Node: "agent", Agent: 1, Router: 7, N: 2}})
 		}, false},
-		{"a new session without a hold, guarded and parted", true, func(b *bed) {
+		{"new session without a lease, enforcing servers, partitioned", true, func(b *bed) {
 			b.deliver(protocol.Hold{Session: protocol.Session{Node: "agent", Agent: 1, Router: 7, N: 2}, Parted: true})
 		}, true},
-		{"a new session with a hold checks first", true, func(b *bed) {
+		{"new session with a lease, entry not yet revalidated", true, func(b *bed) {
 			b.deliver(protocol.Hold{Session: protocol.Session{Node: "agent", Agent: 1, Router: 7, N: 2}, Until: b.at.Add(60e9)})
 		}, false},
-		{"the hold ran out, and a core node vouches", true, func(b *bed) {
+		{"lease expired, configuration confirmed by a core node", true, func(b *bed) {
 			b.at = b.at.Add(61e9)
 			b.deliver(protocol.Hold{Session: ses, Current: b.at.Add(1e9)})
 		}, true},
-		{"the hold ran out, a core node vouches, but not guarded", false, func(b *bed) {
+		{"lease expired, configuration confirmed, no enforcing servers", false, func(b *bed) {
 			b.at = b.at.Add(61e9)
 			b.deliver(protocol.Hold{Session: ses, Current: b.at.Add(1e9)})
 		}, false},
-		{"the hold ran out, and a core node vouched for a while that is over", true, func(b *bed) {
+		{"lease expired, confirmation by a core node expired", true, func(b *bed) {
 			b.at = b.at.Add(61e9)
 			b.deliver(protocol.Hold{Session: ses, Current: b.at.Add(1e9)})
 			b.at = b.at.Add(1e9)
 		}, false},
-		{"the hold ran out, and the core node that vouches knows that the server leaves", true, func(b *bed) {
+		{"lease expired, configuration confirmed, server known to leave", true, func(b *bed) {
 			b.at = b.at.Add(61e9)
 			b.deliver(protocol.Hold{Session: ses, Current: b.at.Add(1e9), Leaving: []ident.Server{"w"}})
 		}, false},
-		{"a node knew that the server leaves, but an owner says that it is there", true, func(b *bed) {
+		{"lease, server leaving according to a core node but present in the entry", true, func(b *bed) {
 			b.deliver(protocol.Hold{Session: ses, Until: b.at.Add(60e9), Leaving: []ident.Server{"w"}})
 		}, true},
-		{"the promise was broken, then the hold ran out", true, func(b *bed) {
+		{"callback broken, then lease expired", true, func(b *bed) {
 			b.deliverItem(protocol.Item{Break: "web|"})
 			b.at = b.at.Add(61e9)
 			b.deliver(protocol.Hold{Session: ses, Parted: true})
 		}, false},
-		{"its zone was emptied, then the hold ran out", true, func(b *bed) {
+		{"zone emptied, then lease expired", true, func(b *bed) {
 			b.deliverItem(protocol.Item{Desired: &protocol.Desired{Gen: 1, Epoch: 2, Plan: []byte{0}, Empty: []ident.Zone{"z"}}})
 			b.at = b.at.Add(61e9)
 			b.deliver(protocol.Hold{Session: ses, Parted: true})
 		}, false},
 	} {
-		for _, when := range []string{"before it is launched", "before it is sent"} {
+		for _, when := range []string{"before the launch", "before sending"} {
 			b := free(t, Options{Guards: c.guards})
 			b.entry("web|", "w")
-			if when == "before it is launched" {
+			if when == "before the launch" {
 				c.do(b)
 				ref, l, _ := b.go1("/x", fleetplan.Call{})
 				require.Equal(t, c.sends, l.Server != "", "%s, %s", c.name, when)
@@ -349,9 +351,9 @@
 	}
 }
 
-// What the routers of a fleet are lent together stays within the loan in any window, however much
-// each of them wants.
-func TestLoan(t *testing.T) {
+// The retries that the routers of a fleet together pay for from the margin stay within it in any window, whatever the demand
+// at each router.
+func TestRetryMargin(t *testing.T) {
 	const window = clock.Span(10e9)
 	for _, c := range []struct {
 		routers int
@@ -397,13 +399,13 @@
 		}
 		require.LessOrEqual(t, float64(most), c.lend, "%+v", c)
 		if c.lend >= float64(c.routers) {
-			require.Greater(t, most, c.routers*int(c.lend/float64(c.routers))/2, "most of it is used: %+v", c)
+			require.Greater(t, most, c.routers*int(c.lend/float64(c.routers))/2, "most of the margin is used: %+v", c)
 		}
 	}
 }
 
-// newLoadedRouter has a router of a fleet, with replicas of m at s1, s2 and s3 that take the given numbers of
-// requests, and others' tokens under way there.
+// newLoadedRouter returns a router with replicas of model m at s1, s2 and s3, each with the given number of slots, and with the
+// given tokens of other routers in flight at them.
 func newLoadedRouter(t *testing.T, slots int, others map[ident.Server]int) *bed {
 	b := free(t, Options{Zone: "z"})
 	e := &protocol.Entry{Key: "llm|m", Mark: 1}
@@ -415,25 +417,24 @@
 	return b
 }
 
-// The replica with the least under way, over all routers, is chosen; one without the memory or a
-// place for the request never is.
-func TestWeigh(t *testing.T) {
+// The replica with the least load from all routers is chosen, and never one without enough token memory or a free slot.
+func TestLeastLoaded(t *testing.T) {
 	type seats = map[ident.Server]int
 	for _, c := range []struct {
 		name   string
 		slots  int
 		others seats
 		tokens int
-		may    string // servers that it may go to
+		may    string // servers that may be chosen
 	}{
-		{"all are free", 9, seats{}, 100, "s1 s2 s3"},
-		{"one is free", 9, seats{"s1": 3000, "s2": 3000}, 100, "s3"},
-		{"one is burdened", 9, seats{"s2": 3000}, 100, "s1 s3"},
-		{"one is burdened less", 9, seats{"s1": 4000, "s2": 2000, "s3": 4000}, 100, "s2"},
+		{"all idle", 9, seats{}, 100, "s1 s2 s3"},
+		{"one idle", 9, seats{"s1": 3000, "s2": 3000}, 100, "s3"},
+		{"one loaded", 9, seats{"s2": 3000}, 100, "s1 s3"},
+		{"one with less load", 9, seats{"s1": 4000, "s2": 2000, "s3": 4000}, 100, "s2"},
 		{"no memory at two", 9, seats{"s1": 9950, "s2": 9950, "s3": 9800}, 100, "s3"},
 		{"no memory at all", 9, seats{"s1": 9950, "s2": 9950, "s3": 9950}, 100, ""},
-		{"a large one goes where nothing runs", 9, seats{"s1": 1, "s2": 1}, 20_000, "s3"},
-		{"and waits while there is no such place", 9, seats{"s1": 1, "s2": 1, "s3": 1}, 20_000, ""},
+		{"a request larger than the memory goes to an idle server", 9, seats{"s1": 1, "s2": 1}, 20_000, "s3"},
+		{"a request larger than the memory waits without an idle server", 9, seats{"s1": 1, "s2": 1, "s3": 1}, 20_000, ""},
 	} {
 		got := map[ident.Server]bool{}
 		for i := range 60 {
@@ -458,9 +459,9 @@
 	return s
 }
 
-// Whatever comes, begins and ends, a server's places and its memory are never passed, and nothing is
-// left of what has ended.
-func TestWithinPlaces(t *testing.T) {
+// Under random arrivals, beginnings and ends, neither the slots nor the token memory of a server is exceeded, and no load
+// remains after all requests have ended.
+func TestWithinSlotsAndMemory(t *testing.T) {
 	for seed := range uint64(12) {
 		dice := rand.New(rand.NewPCG(seed, 1))
 		b := newLoadedRouter(t, 4, map[ident.Server]int{"s1": dice.IntN(4000)})
@@ -479,7 +480,7 @@
 				x := b.servers[l.Server]
 				require.LessOrEqual(t, x.work, 4, "seed %d", seed)
 				own := sizes[l.Ref]
-				require.True(t, x.reservedTokens <= 10_000 || x.reservedTokens == own, "seed %d: %d under way, %d of it its own", seed, x.reservedTokens, own)
+				require.True(t, x.reservedTokens <= 10_000 || x.reservedTokens == own, "seed %d: %d tokens reserved, %d by this request", seed, x.reservedTokens, own)
 				require.True(t, b.MaySend(b.at, l.Ref, l.N))
 				runs[l.Ref] = &run{l: l, size: own}
 			}
@@ -516,7 +517,7 @@
 				take(b.Step(b.at, Quit{Ref: x.l.Ref}))
 			}
 		}
-		for range 60 { // what waits is sent or expires
+		for range 60 { // waiting requests are sent or expire
 			for len(runs) > 0 {
 				ref := generic.SortedKeys(runs)[0]
 				x := runs[ref]
@@ -534,10 +535,10 @@
 	}
 }
 
-// Requests that share parts meet at one server, the same at every router, until it is burdened by
-// more than the parts are worth; without parts they spread.
-func TestHome(t *testing.T) {
-	of := func(parts ...string) fleetplan.Call {
+// Requests with the same shared parts go to one server, the same at every router, until its extra load exceeds the saving from
+// its cached prefix. Requests without shared parts are spread over the servers.
+func TestPrefixAffinity(t *testing.T) {
+	callWith := func(parts ...string) fleetplan.Call {
 		c := fleetplan.Call{Base: "m", Tokens: 4100, Max: 10, Parts: append(parts, "own"), Sizes: []int{}}
 		for range parts {
 			c.Sizes = append(c.Sizes, 4000/len(parts))
@@ -552,7 +553,7 @@
 			b := newLoadedRouter(t, 9, nil)
 			b.randState = uint64(router * 1000)
 			for n := range 3 {
-				ref, l, _ := b.go1("/llm/x", of(part))
+				ref, l, _ := b.go1("/llm/x", callWith(part))
 				if first == "" {
 					first = l.Server
 				}
@@ -567,13 +568,13 @@
 		require.InDelta(t, 20, n, 12, "%s", s)
 	}
 	b := newLoadedRouter(t, 9, nil)
-	_, l, _ := b.go1("/llm/x", of("part"))
+	_, l, _ := b.go1("/llm/x", callWith("part"))
 	b = newLoadedRouter(t, 9, map[ident.Server]int{l.Server: 5000})
-	_, two, _ := b.go1("/llm/x", of("part"))
-	require.NotEqual(t, l.Server, two.Server, "its home is burdened by more than the parts are worth")
+	_, second, _ := b.go1("/llm/x", callWith("part"))
+	require.NotEqual(t, l.Server, second.Server, "the extra load exceeds the saving from the cached prefix")
 	b = newLoadedRouter(t, 9, map[ident.Server]int{l.Server: 1000})
-	_, two, _ = b.go1("/llm/x", of("part"))
-	require.Equal(t, l.Server, two.Server, "and here by less")
+	_, second, _ = b.go1("/llm/x", callWith("part"))
+	require.Equal(t, l.Server, second.Server, "the extra load is below the saving from the cached prefix")
 	spread := map[ident.Server]int{}
 	b = newLoadedRouter(t, 1000, nil)
 	for range 300 {
@@ -586,8 +587,8 @@
 	}
 }
 
-// What other routers have under way is the fleet's less this one's own as it was told.
-func TestSeats(t *testing.T) {
+// The load of other routers is the fleet's total minus this router's own load as last reported.
+func TestFleetLoad(t *testing.T) {
 	b := newLoadedRouter(t, 9, map[ident.Server]int{"s1": 50, "s2": 9000, "s3": 9000})
 	ref, l, _ := b.go1("/llm/x", fleetplan.Call{Base: "m", Tokens: 700, Max: 300})
 	require.Equal(t, ident.Server("s1"), l.Server)
@@ -604,21 +605,21 @@
 		require.Equal(t, c.under, b.servers["s1"].load(), "%v", c.fleet)
 	}
 	b.Step(b.at, Begun{Ref: ref, N: 1})
-	require.Equal(t, maxOutputTokens, b.servers["s1"].tokens, "the prompt is read")
-	require.Equal(t, 1000, b.servers["s1"].reservedTokens, "but its memory is taken")
+	require.Equal(t, maxOutputTokens, b.servers["s1"].tokens, "the prompt has been processed")
+	require.Equal(t, 1000, b.servers["s1"].reservedTokens, "the memory remains reserved")
 }
 
-// A configuration that comes too late for its session rules all the same, and the agent is told of it at once.
+// A configuration from an earlier session is put in force, and its epoch is reported to the agent with the next beat.
 func TestLateConfiguration(t *testing.T) {
 	b := free(t, Options{Guards: true}, hostPlan(nil), hostPlan(nil))
 	out := b.deliver(protocol.News{Items: []protocol.Item{{Desired: &protocol.Desired{Gen: 1, Epoch: 9, Plan: []byte{1}}}}})
-	_, heard := findMessage[protocol.Heard](out)
-	require.False(t, heard, "it acknowledges nothing of a session")
+	_, acknowledged := findMessage[protocol.Heard](out)
+	require.False(t, acknowledged, "changes of an earlier session are not acknowledged")
 	b.at = b.at.Add(20e6)
-	hello, told := findMessage[protocol.Hello](b.Step(b.at, protocol.Beat{}))
-	require.True(t, told)
+	hello, reported := findMessage[protocol.Hello](b.Step(b.at, protocol.Beat{}))
+	require.True(t, reported)
 	require.Equal(t, ident.Epoch(9), hello.Epoch)
 	b.deliver(protocol.News{Items: []protocol.Item{{Desired: &protocol.Desired{Gen: 1, Epoch: 8, Plan: []byte{0}}}}})
 	_, epoch, _ := b.Rules(b.at)
-	require.Equal(t, ident.Epoch(9), epoch, "an older one changes nothing")
+	require.Equal(t, ident.Epoch(9), epoch, "an older configuration changes nothing")
 }
--- a/internal/router/keys_test.go
+++ b/internal/router/keys_test.go
@@ -14,23 +14,24 @@
 	"tidedeck/internal/protocol"
 )
 
-// keyHolders says whose each key is.
+// keyHolders maps each key to the tenant that holds it.
 type keyHolders map[string]string
 
-// keyedPlan has the routes of hostPlan, and tenants where holders are given; a tenant may be there without a key.
+// keyedPlan returns a plan with the routes of hostPlan and, unless keys is nil, the tenants one and two with their keys. A
+// tenant need not have a key.
 func keyedPlan(keys keyHolders, change func(*fleetplan.Plan)) *fleetplan.Plan {
 	p := hostPlan(change)
 	if keys == nil {
 		return p
 	}
-	t := fleetplan.NewTenants()
+	tenants := fleetplan.NewTenants()
 	for _, name := range []string{"one", "two"} {
-		t.Add(fleetplan.Tenant{Name: name})
+		tenants.Add(fleetplan.Tenant{Name: name})
 	}
 	for key, name := range keys {
-		t.Grant(name, key)
+		tenants.Grant(name, key)
 	}
-	p.SetTenants(t)
+	p.SetTenants(tenants)
 	return p
 }
 
@@ -39,7 +40,7 @@
 	return c
 }
 
-// setLease takes the lease away, or gives it back.
+// setLease ends or renews the lease.
 func (b *bed) setLease(on bool) []any {
 	if !on {
 		b.leaseUntil = 0
@@ -48,22 +49,22 @@
 	return b.deliver(protocol.Hold{Session: ses, Until: b.at.Add(60e9), Routers: 1})
 }
 
-// Whose a request is, and whether it may go, follows the configuration for as long as the request has not been sent: while it
-// waits, between its launch and its sending, before it is tried again, and before its stream is taken up elsewhere.
+// The tenant of a request and its admission follow the configuration in force until the request is sent: while it waits,
+// between launch and sending, before a retry, and before its stream is resumed at another server.
 func TestKeysThatChangeUnderWay(t *testing.T) {
-	mine, moved, taken := keyHolders{"k": "one"}, keyHolders{"k": "two"}, keyHolders{}
+	original, moved, revoked := keyHolders{"k": "one"}, keyHolders{"k": "two"}, keyHolders{}
 	idempotent, resumable := "/again/x", "/llm/resume/x"
 	waiting := func(b *bed, path string) Ref {
 		ref, l, _ := b.go1(path, withKey(fleetplan.Call{Base: "m", Max: 8}, "k"))
 		require.Empty(b.t, l.Server, "no server is known yet")
 		return ref
 	}
-	servers := func(b *bed) Launch {
+	addServers := func(b *bed) Launch {
 		l, _ := pick[Launch](append(b.entry("web|", "p", "q"), b.entry("llm|m", "p", "q")...))
 		return l
 	}
 	launched := func(b *bed, path string) Launch {
-		servers(b)
+		addServers(b)
 		_, l, _ := b.go1(path, withKey(fleetplan.Call{Base: "m", Max: 8}, "k"))
 		require.NotEmpty(b.t, l.Server)
 		return l
@@ -77,14 +78,14 @@
 	ended := func(b *bed, l Launch, how End, kind failure.Kind) []any {
 		return b.Step(b.at, Ended{Ref: l.Ref, N: l.N, How: how, Kind: kind})
 	}
-	goesAs := func(b *bed, l Launch, tenant string) {
+	requireSentAs := func(b *bed, l Launch, tenant string) {
 		b.t.Helper()
 		require.NotEmpty(b.t, l.Server)
 		require.Equal(b.t, tenant, l.Work.Tenant)
 		require.True(b.t, l.Keyed)
 		require.True(b.t, b.MaySend(b.at, l.Ref, l.N))
 	}
-	refusedAs := func(b *bed, out []any, kind failure.Kind) {
+	requireRefused := func(b *bed, out []any, kind failure.Kind) {
 		b.t.Helper()
 		r, ok := pick[Receipt](out)
 		require.True(b.t, ok)
@@ -96,28 +97,28 @@
 		name  string
 		first keyHolders
 		then  []keyHolders
-		play  func(b *bed)
+		run   func(b *bed)
 	}{
-		{"taken away while it waits", mine, []keyHolders{taken}, func(b *bed) {
+		{"revoked while waiting", original, []keyHolders{revoked}, func(b *bed) {
 			waiting(b, idempotent)
-			refusedAs(b, b.replan(1), failure.NoKey)
+			requireRefused(b, b.replan(1), failure.NoKey)
 		}},
-		{"given to another while it waits", mine, []keyHolders{moved}, func(b *bed) {
+		{"granted to another tenant while waiting", original, []keyHolders{moved}, func(b *bed) {
 			waiting(b, idempotent)
 			b.replan(1)
-			goesAs(b, servers(b), "two")
+			requireSentAs(b, addServers(b), "two")
 		}},
-		{"taken away and given back while it waits without a lease", mine, []keyHolders{taken, mine}, func(b *bed) {
+		{"revoked and granted again while waiting without a lease", original, []keyHolders{revoked, original}, func(b *bed) {
 			waiting(b, idempotent)
 			b.setLease(false)
 			_, refused := pick[Receipt](b.replan(1))
-			require.False(b.t, refused, "it cannot be sure that this is the newest")
+			require.False(b.t, refused, "without a lease the configuration may be outdated")
 			b.replan(2)
 			b.setLease(true)
-			goesAs(b, servers(b), "one")
+			requireSentAs(b, addServers(b), "one")
 		}},
-		{"unknown without a lease, and known by a newer configuration", taken, []keyHolders{mine}, func(b *bed) {
-			servers(b)
+		{"unknown without a lease, known in a newer configuration", revoked, []keyHolders{original}, func(b *bed) {
+			addServers(b)
 			b.setLease(false)
 			_, l, out := b.go1(idempotent, withKey(fleetplan.Call{}, "k"))
 			_, refused := pick[Receipt](out)
@@ -125,68 +126,68 @@
 			require.Empty(b.t, l.Server)
 			b.replan(1)
 			l, _ = pick[Launch](append(b.setLease(true), b.entry("web|", "p", "q")...))
-			goesAs(b, l, "one")
+			requireSentAs(b, l, "one")
 		}},
-		{"unknown without a lease, and then sure", taken, nil, func(b *bed) {
+		{"unknown without a lease, then confirmed by a lease", revoked, nil, func(b *bed) {
 			b.setLease(false)
 			b.go1(idempotent, withKey(fleetplan.Call{}, "k"))
-			refusedAs(b, b.setLease(true), failure.NoKey)
+			requireRefused(b, b.setLease(true), failure.NoKey)
 		}},
-		{"taken away between launch and sending", mine, []keyHolders{taken}, func(b *bed) {
+		{"revoked between launch and sending", original, []keyHolders{revoked}, func(b *bed) {
 			l := launched(b, idempotent)
 			b.replan(1)
 			require.False(b.t, b.MaySend(b.at, l.Ref, l.N))
-			refusedAs(b, ended(b, l, Kept, ""), failure.NoKey)
+			requireRefused(b, ended(b, l, Kept, ""), failure.NoKey)
 		}},
-		{"given to another between launch and sending", mine, []keyHolders{moved}, func(b *bed) {
+		{"granted to another tenant between launch and sending", original, []keyHolders{moved}, func(b *bed) {
 			l := launched(b, idempotent)
 			b.replan(1)
 			require.False(b.t, b.MaySend(b.at, l.Ref, l.N))
 			l, _ = pick[Launch](ended(b, l, Kept, ""))
-			goesAs(b, l, "two")
+			requireSentAs(b, l, "two")
 		}},
-		{"moved, and back, between launch and sending", mine, []keyHolders{moved, mine}, func(b *bed) {
+		{"moved and restored between launch and sending", original, []keyHolders{moved, original}, func(b *bed) {
 			l := launched(b, idempotent)
 			b.replan(1)
 			b.replan(2)
-			goesAs(b, l, "one")
+			requireSentAs(b, l, "one")
 		}},
-		{"tenants come between launch and sending", nil, []keyHolders{mine}, func(b *bed) {
+		{"tenants added between launch and sending", nil, []keyHolders{original}, func(b *bed) {
 			l := launched(b, idempotent)
 			require.False(b.t, l.Keyed)
 			b.replan(1)
-			require.False(b.t, b.MaySend(b.at, l.Ref, l.N), "the caller's key would be shown to the server")
+			require.False(b.t, b.MaySend(b.at, l.Ref, l.N), "the caller's key would be sent to the server")
 			l, _ = pick[Launch](ended(b, l, Kept, ""))
-			goesAs(b, l, "one")
+			requireSentAs(b, l, "one")
 		}},
-		{"given to another before the next try", mine, []keyHolders{moved}, func(b *bed) {
+		{"granted to another tenant before a retry", original, []keyHolders{moved}, func(b *bed) {
 			l := sent(b, idempotent)
 			b.replan(1)
 			l, _ = pick[Launch](append(ended(b, l, Dropped, failure.Busy), b.wait(1e9)...))
-			goesAs(b, l, "two")
+			requireSentAs(b, l, "two")
 		}},
-		{"taken away before the next try", mine, []keyHolders{taken}, func(b *bed) {
+		{"revoked before a retry", original, []keyHolders{revoked}, func(b *bed) {
 			l := sent(b, idempotent)
 			b.replan(1)
-			refusedAs(b, ended(b, l, Dropped, failure.Busy), failure.NoKey)
+			requireRefused(b, ended(b, l, Dropped, failure.Busy), failure.NoKey)
 		}},
-		{"taken away after it may have run", mine, []keyHolders{taken}, func(b *bed) {
+		{"revoked after the request may have run", original, []keyHolders{revoked}, func(b *bed) {
 			l := sent(b, idempotent)
 			b.replan(1)
-			refusedAs(b, ended(b, l, Lost, ""), failure.Unclear)
+			requireRefused(b, ended(b, l, Lost, ""), failure.Unclear)
 		}},
-		{"given to another before its stream is taken up", mine, []keyHolders{moved}, func(b *bed) {
+		{"granted to another tenant before the stream is resumed", original, []keyHolders{moved}, func(b *bed) {
 			l := sent(b, resumable)
 			b.Step(b.at, Begun{Ref: l.Ref, N: l.N})
 			b.replan(1)
 			l, _ = pick[Launch](append(ended(b, l, Split, ""), b.wait(1e9)...))
-			goesAs(b, l, "two")
+			requireSentAs(b, l, "two")
 		}},
-		{"taken away before its stream is taken up", mine, []keyHolders{taken}, func(b *bed) {
+		{"revoked before the stream is resumed", original, []keyHolders{revoked}, func(b *bed) {
 			l := sent(b, resumable)
 			b.Step(b.at, Begun{Ref: l.Ref, N: l.N})
 			b.replan(1)
-			refusedAs(b, ended(b, l, Split, ""), failure.Unclear)
+			requireRefused(b, ended(b, l, Split, ""), failure.Unclear)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -194,21 +195,20 @@
 			for _, keys := range c.then {
 				plans = append(plans, keyedPlan(keys, nil))
 			}
-			c.play(free(t, Options{}, plans...))
+			c.run(free(t, Options{}, plans...))
 		})
 	}
 }
 
-// What was seen: a router's own check, request_ends_in_time, told of requests that waited up to 2.8 s past their time (simulator,
-// scene keys-slow-core, corrib, seeds 1 and 5 of the first six).
-// Order of events: a request's key is unknown at a router without a lease, which waits for a newer configuration; that one knows
-// the key, and gives the route less time than the request has waited already.
-// Cause: the time is worked out anew under each configuration, and whether it is over was looked at by the next beat only, behind
-// everything else that waits.
+// Guards against requests that wait past a deadline shortened by a new configuration. The simulator (scene keys-slow-core, fleet
+// corrib, seeds 1 and 5 of the first six) found violations of request_ends_in_time by up to 2.8 s. A request with an unknown key
+// waits at a router without a lease; a newer configuration knows the key, but allows the route less time than the request has
+// already waited. The deadline is recomputed under each configuration, and only the next beat compared it with the clock, after
+// all other waiting requests.
 func TestTimeThatIsOverByANewerPlan(t *testing.T) {
-	above := func(p *fleetplan.Plan) { p.Hosts["h"]["/"].Class.Value = 9 }
-	short := func(p *fleetplan.Plan) {
-		above(p)
+	valuable := func(p *fleetplan.Plan) { p.Hosts["h"]["/"].Class.Value = 9 }
+	shorter := func(p *fleetplan.Plan) {
+		valuable(p)
 		p.Hosts["h"]["/again/"].Class.Wait = clock.Span(2e9)
 	}
 	for _, known := range []bool{false, true} {
@@ -216,19 +216,19 @@
 		if known {
 			first = keyHolders{"k": "one"}
 		}
-		b := free(t, Options{}, keyedPlan(first, above), keyedPlan(keyHolders{"k": "one"}, short))
+		b := free(t, Options{}, keyedPlan(first, valuable), keyedPlan(keyHolders{"k": "one"}, shorter))
 		b.setLease(false)
 		ref, _, _ := b.go1("/again/x", withKey(fleetplan.Call{}, "k"))
 		b.wait(clock.Span(4e9))
-		b.go1("/x", withKey(fleetplan.Call{}, "k")) // which comes first
+		b.go1("/x", withKey(fleetplan.Call{}, "k")) // has the higher value and comes first
 		r, refused := pick[Receipt](b.replan(1))
-		require.True(t, refused, "at once")
+		require.True(t, refused, "the request ends immediately")
 		require.Equal(t, Receipt{Ref: ref, Kind: failure.Expired, Back: failure.Receipts[failure.Expired].Back}, r)
 	}
 }
 
-// A route that stops to want a key, and wants one again.
-func TestRouteThatWantsNoKeyForAWhile(t *testing.T) {
+// A route requires a key, then does not, then requires one again.
+func TestRouteThatTemporarilyNeedsNoKey(t *testing.T) {
 	open := func(p *fleetplan.Plan) { p.Hosts["h"]["/again/"].Unkeyed = true }
 	b := free(t, Options{}, keyedPlan(keyHolders{"k": "one"}, nil), keyedPlan(keyHolders{"k": "one"}, open), keyedPlan(keyHolders{"k": "one"}, nil))
 	b.entry("web|", "p", "q")
@@ -243,7 +243,7 @@
 		_, l, _ := b.go1("/again/x", withKey(fleetplan.Call{}, key))
 		require.NotEmpty(t, l.Server)
 		require.Equal(t, tenant, l.Work.Tenant)
-		require.True(t, l.Keyed, "an unknown key, too, is shown to no server")
+		require.True(t, l.Keyed, "an unknown key is not sent to a server either")
 		require.True(t, b.MaySend(b.at, l.Ref, l.N))
 		b.Step(b.at, Ended{Ref: l.Ref, N: l.N, How: Done})
 	}
@@ -252,7 +252,8 @@
 	require.Equal(t, failure.NoKey, kindOf(out))
 }
 
-// What may have run is not run again once a route was seen that lets it run once, also by a configuration that knew its key no more.
+// A request that may have run is not run again if any configuration since had a route that permits only one run, even one that
+// did not contain the request's key.
 func TestRunsOnceAcrossAPlanWithoutItsKey(t *testing.T) {
 	once := func(p *fleetplan.Plan) { p.Hosts["h"]["/again/"].Mode = fleetplan.Once }
 	b := free(t, Options{}, keyedPlan(keyHolders{"k": "one"}, nil), keyedPlan(keyHolders{}, once), keyedPlan(keyHolders{"k": "one"}, nil))
@@ -268,8 +269,9 @@
 	require.False(t, again)
 }
 
-// What waits is given up by its tenant's precedence first, then by its route's, and servers are told the same order.
-func TestTenantsPrecedence(t *testing.T) {
+// Waiting requests are rejected by the precedence of their tenant first and by that of their route second. Servers receive ranks
+// in the same order.
+func TestTenantPrecedence(t *testing.T) {
 	p := hostPlan(func(p *fleetplan.Plan) {
 		p.Hosts["h"]["/again/"].Class.Value = 9
 		p.Hosts["h"]["/"].Unkeyed = true
@@ -290,10 +292,10 @@
 	ask("/x", "first")
 	_, out := ask("/x", "second")
 	r, _ := pick[Receipt](out)
-	require.Equal(t, nobody, r.Ref, "nobody's requests make way before any tenant's")
+	require.Equal(t, nobody, r.Ref, "requests without a tenant are rejected before those of any tenant")
 	_, out = ask("/x", "second")
 	r, _ = pick[Receipt](out)
-	require.Equal(t, third, r.Ref, "a higher route of a lower tenant makes way")
+	require.Equal(t, third, r.Ref, "the tenant's precedence outweighs the route's")
 	last, out := ask("/again/x", "third")
 	r, _ = pick[Receipt](out)
 	require.Equal(t, last, r.Ref)
@@ -311,7 +313,7 @@
 	require.IsIncreasing(t, ranks)
 }
 
-// keyChangeRun is a router under changes of keys, drawn from a seed, beside what a plain reading of the configurations says.
+// keyChangeRun is a router under random changes of keys. Its decisions are compared with the configurations.
 type keyChangeRun struct {
 	*bed
 	random  *rand.Rand
@@ -327,7 +329,7 @@
 
 func (k *keyChangeRun) holdersInForce() keyHolders { return k.plans[k.epoch-1] }
 
-// checkOutputs takes in what the router did.
+// checkOutputs checks the outputs of the router and records its launches.
 func (k *keyChangeRun) checkOutputs(out []any) {
 	for _, o := range out {
 		switch v := o.(type) {
@@ -338,7 +340,7 @@
 				continue
 			}
 			k.refused++
-			require.True(k.t, k.leased(), "only a router that is sure of the newest configuration says that a key is unknown")
+			require.True(k.t, k.leased(), "only a router with a lease may reject a request because of an unknown key")
 			_, known := k.holdersInForce()[k.keys[v.Ref]]
 			require.False(k.t, known)
 		}
@@ -354,7 +356,7 @@
 	require.Equal(k.t, k.holdersInForce() != nil, l.Keyed)
 	require.Equal(k.t, k.holdersInForce()[k.keys[l.Ref]], l.Work.Tenant)
 	if k.holdersInForce() != nil && l.Work.Tenant == "" {
-		k.t.Fatalf("a request with the key %q is sent for nobody", k.keys[l.Ref])
+		k.t.Fatalf("a request with the key %q is sent without a tenant", k.keys[l.Ref])
 	}
 	how := []End{Done, Done, Dropped, Lost, Split}[k.random.IntN(5)]
 	kind := failure.None
@@ -370,15 +372,15 @@
 	k.checkOutputs(k.Step(k.at, Ended{Ref: l.Ref, N: l.N, How: how, Kind: kind}))
 }
 
-// change puts the next configuration in force, if there is one.
+// change puts the next configuration, if any, in force.
 func (k *keyChangeRun) change() {
 	if int(k.epoch) < len(k.plans) {
 		k.checkOutputs(k.replan(byte(k.epoch)))
 	}
 }
 
-// Requests whose keys are taken away, moved and given back while they wait, are launched, tried again or taken up are sent as
-// the configuration in force says, or not at all.
+// Under random changes of keys, every request that is sent has the tenant of the configuration in force, whether the key changed
+// while the request waited, between launch and sending, before a retry, or before its stream was resumed.
 func TestKeysUnderDrawnChanges(t *testing.T) {
 	sends, refused := 0, 0
 	for seed := range uint64(300) {
--- a/internal/router/regressions_test.go
+++ b/internal/router/regressions_test.go
@@ -11,12 +11,13 @@
 	"tidedeck/internal/protocol"
 )
 
-// A router that stops tells everyone who waits, and everyone who comes to wait, that it has not run.
+// A router that shuts down rejects every waiting request, and every later request that would have to wait, with an answer which
+// states that the request has not run.
 func TestStopTurnsAway(t *testing.T) {
 	b := free(t, Options{})
 	ref, l, _ := b.go1("/llm/x", fleetplan.Call{Base: "m"})
 	require.Empty(t, l.Server, "there is no entry yet")
-	told := func(out []any, ref Ref) (kinds []failure.Kind) {
+	refusals := func(out []any, ref Ref) (kinds []failure.Kind) {
 		for _, o := range out {
 			if r, ok := o.(Receipt); ok && r.Ref == ref {
 				kinds = append(kinds, r.Kind)
@@ -24,13 +25,13 @@
 		}
 		return kinds
 	}
-	require.Equal(t, []failure.Kind{failure.Moved}, told(b.Step(b.at, protocol.Stop{}), ref))
+	require.Equal(t, []failure.Kind{failure.Moved}, refusals(b.Step(b.at, protocol.Stop{}), ref))
 	ref, _, out := b.go1("/llm/x", fleetplan.Call{Base: "m"})
-	require.Equal(t, []failure.Kind{failure.Moved}, told(append(out, b.wait(40e6)...), ref))
+	require.Equal(t, []failure.Kind{failure.Moved}, refusals(append(out, b.wait(40e6)...), ref))
 }
 
-// What waited behind others is no measure of a key's pace.
-func TestPaceOfFreeServersOnly(t *testing.T) {
+// The time per token is not observed on attempts that were queued behind other work at their server.
+func TestTokenTimeOfIdleServersOnly(t *testing.T) {
 	b := newLoadedRouter(t, 9, map[ident.Server]int{"s1": 9000, "s2": 9000, "s3": 9000})
 	ref, l, _ := b.go1("/llm/x", fleetplan.Call{Base: "m", Tokens: 850})
 	b.at = b.at.Add(900e6)
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -18,6 +18,7 @@
 
 var ses = protocol.Session{Node: "agent", Agent: 1, Router: 7, N: 1}
 
+// bed is a router core under test with its clock and the counters of the messages sent to it.
 type bed struct {
 	*Core
 	t   *testing.T
@@ -26,7 +27,7 @@
 	ref Ref
 }
 
-// newTestRouter makes a router that holds its link and rules by the plan.
+// newTestRouter returns a router that has a lease and the plan in force.
 func newTestRouter(t *testing.T, o Options) *bed {
 	o.Inc = 7
 	b := &bed{Core: New(o), t: t, at: 1e9}
@@ -35,10 +36,10 @@
 	return b
 }
 
-// fund sets what first attempts have earned for retries, at each service.
-func (b *bed) fund(n float64) {
+// fund sets the retry credit of every service.
+func (b *bed) fund(amount float64) {
 	for _, service := range []string{"", "web", "new", "llm"} {
-		b.retryBudget(service).credits = []retryCredit{{b.at, n}}
+		b.retryBudget(service).credits = []retryCredit{{b.at, amount}}
 	}
 }
 
@@ -92,18 +93,18 @@
 	return x, false
 }
 
-// stillWaiting stands for a request that is neither answered nor sent again at once.
+// stillWaiting stands for a request that is neither answered nor retried immediately.
 const stillWaiting = failure.Kind("waits")
 
-// What follows each end of a go, for requests that may and that may not be repeated.
+// The next step after each outcome of an attempt, for repeatable and non-repeatable requests.
 func TestLedger(t *testing.T) {
 	for _, c := range []struct {
-		how    End
-		kind   failure.Kind
-		again  bool
-		begun  bool
-		bank   float64
-		answer failure.Kind // None: another go
+		how        End
+		kind       failure.Kind
+		repeatable bool
+		begun      bool
+		credit     float64
+		answer     failure.Kind // None: another attempt
 	}{
 		{Kept, "", false, false, 0, failure.None},
 		{Unsent, "", false, false, 1, stillWaiting},
@@ -111,7 +112,7 @@
 		{Unsent, "", true, false, 0, stillWaiting},
 		{Dropped, failure.Busy, false, false, 1, stillWaiting},
 		{Dropped, failure.Busy, true, false, 1, failure.None},
-		{Dropped, failure.Late, true, false, 1, stillWaiting}, // the entry is asked for again first
+		{Dropped, failure.Late, true, false, 1, stillWaiting}, // the entry is requested again first
 		{Dropped, failure.Repeated, false, false, 1, failure.Repeated},
 		{Dropped, failure.Repeated, true, false, 1, failure.Repeated},
 		{Dropped, failure.Busy, true, false, 0, failure.Spent},
@@ -123,19 +124,19 @@
 	} {
 		b := newTestRouter(t, Options{})
 		b.entry("m", "s1", "s2")
-		ref, out := b.call(fleetplan.Call{Again: c.again})
+		ref, out := b.call(fleetplan.Call{Again: c.repeatable})
 		l, ok := pick[Launch](out)
 		require.True(t, ok)
 		require.True(t, b.MaySend(b.at, ref, 1))
-		b.fund(c.bank)
+		b.fund(c.credit)
 		if c.begun {
 			b.Step(b.at, Begun{ref, 1})
 		}
 		out = b.Step(b.at, Ended{Ref: ref, N: 1, How: c.how, Kind: c.kind})
 		r, dropped := pick[Receipt](out)
 		if c.answer == stillWaiting {
-			_, again := pick[Launch](out)
-			require.False(t, dropped || again, "%+v", c)
+			_, retried := pick[Launch](out)
+			require.False(t, dropped || retried, "%+v", c)
 			continue
 		}
 		if c.answer != failure.None {
@@ -153,14 +154,14 @@
 	}
 }
 
-// Once a go may have run, no later end is told as a drop.
+// Once an attempt may have run, the final answer never states that the request did not run.
 func TestNoDropAfterLost(t *testing.T) {
 	b := newTestRouter(t, Options{})
 	b.entry("m", "s1")
 	ref, _ := b.call(fleetplan.Call{Again: true, Wait: 80e6})
 	require.True(t, b.MaySend(b.at, ref, 1))
 	b.fund(1)
-	out := b.Step(b.at, Ended{Ref: ref, N: 1, How: Lost}) // the only server is avoided for a while: it waits
+	out := b.Step(b.at, Ended{Ref: ref, N: 1, How: Lost}) // the only server is avoided for a while, so the request waits
 	_, dropped := pick[Receipt](out)
 	require.False(t, dropped)
 	b.at = b.at.Add(90e6)
@@ -169,7 +170,7 @@
 	require.Equal(t, failure.Unclear, r.Kind)
 }
 
-// At the very point of sending, every part of the promise is looked at once more.
+// MaySend checks every condition for sending once more.
 func TestMaySend(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -177,8 +178,8 @@
 		may  bool
 	}{
 		{"nothing changed", func(b *bed) {}, true},
-		{"the hold ran out", func(b *bed) { b.at = b.at.Add(61e9) }, false},
-		{"the promise was broken", func(b *bed) { b.deliverItem(protocol.Item{Break: "m"}) }, false},
+		{"the lease expired", func(b *bed) { b.at = b.at.Add(61e9) }, false},
+		{"the callback was broken", func(b *bed) { b.deliverItem(protocol.Item{Break: "m"}) }, false},
 		{"a new session began", func(b *bed) {
 			b.deliver(protocol.Hold{Session: protocol.Session{Node: "agent", Agent: 1, Router: 7, N: 2}, Until: b.at.Add(60e9)})
 		}, false},
@@ -205,23 +206,23 @@
 	}
 }
 
-// Numbered changes are taken in order, once, and acknowledged up to the last one taken.
+// Numbered changes are applied once and in order, and the acknowledgement carries the number of the last one applied.
 func TestNews(t *testing.T) {
 	b := newTestRouter(t, Options{})
 	item := func(n uint64, k ident.Key) protocol.Item {
 		return protocol.Item{Num: n, Entry: &protocol.Entry{Key: k, Mark: 1}}
 	}
 	for _, c := range []struct {
-		name  string
-		ses   protocol.Session
-		items []protocol.Item
-		heard uint64
+		name    string
+		session protocol.Session
+		items   []protocol.Item
+		heard   uint64
 	}{
-		{"a gap is waited for", ses, []protocol.Item{item(3, "n")}, 1},
-		{"the next ones", ses, []protocol.Item{item(2, "m"), item(3, "n")}, 3},
-		{"a repeat changes nothing", ses, []protocol.Item{{Num: 2, Break: "m"}}, 3},
+		{"nothing is applied after a gap", ses, []protocol.Item{item(3, "n")}, 1},
+		{"consecutive numbers", ses, []protocol.Item{item(2, "m"), item(3, "n")}, 3},
+		{"a duplicate changes nothing", ses, []protocol.Item{{Num: 2, Break: "m"}}, 3},
 	} {
-		h, ok := findMessage[protocol.Heard](b.deliver(protocol.News{Session: c.ses, Items: c.items}))
+		h, ok := findMessage[protocol.Heard](b.deliver(protocol.News{Session: c.session, Items: c.items}))
 		require.True(t, ok, c.name)
 		require.Equal(t, c.heard, h.Num, c.name)
 	}
@@ -229,10 +230,10 @@
 	old := ses
 	old.N = 0
 	_, ok := findMessage[protocol.Heard](b.deliver(protocol.News{Session: old, Items: []protocol.Item{item(4, "m")}}))
-	require.False(t, ok, "another session's news are nobody's")
+	require.False(t, ok, "changes of another session are not acknowledged")
 }
 
-// No plan is taken that is older than the one in force; a new generation is always newer.
+// A configuration older than the one in force is ignored. A higher generation is always newer.
 func TestEpochsOnlyRise(t *testing.T) {
 	b := newTestRouter(t, Options{})
 	for _, c := range []struct {
@@ -245,7 +246,8 @@
 	}
 }
 
-// Under a held callback routing asks nobody; without one it checks first, and says what it has.
+// An entry with a callback is used without a request to the controller. Without a callback it is revalidated first, and the
+// request for it carries the mark of the cached copy.
 func TestCallbacks(t *testing.T) {
 	b := newTestRouter(t, Options{})
 	_, out := b.call(fleetplan.Call{})
@@ -254,7 +256,7 @@
 	require.Zero(t, w.Mark)
 	out = b.entry("m", "s1", "s2")
 	_, ok = pick[Launch](out)
-	require.True(t, ok, "what waited is sent when the entry comes")
+	require.True(t, ok, "the waiting request is sent when the entry arrives")
 	for range 3 {
 		_, out = b.call(fleetplan.Call{})
 		_, asked := findMessage[protocol.Want](out)
@@ -263,23 +265,23 @@
 		require.True(t, ok)
 	}
 	require.EqualValues(t, 3, b.tally.Hits)
-	// After a reconnect the entry is suspect: it is checked on first use, by its mark.
-	two := ses
-	two.N = 2
-	b.deliver(protocol.Hold{Session: two, Until: b.at.Add(60e9)})
+	// After a reconnect the entry is revalidated on first use, by its mark.
+	second := ses
+	second.N = 2
+	b.deliver(protocol.Hold{Session: second, Until: b.at.Add(60e9)})
 	_, out = b.call(fleetplan.Call{})
 	w, ok = findMessage[protocol.Want](out)
 	require.True(t, ok)
 	require.EqualValues(t, 3, w.Mark)
 	_, ok = pick[Launch](out)
 	require.False(t, ok)
-	out = b.deliver(protocol.News{Session: two, Items: []protocol.Item{{Num: 1, Entry: &protocol.Entry{Key: "m", Mark: 3, Same: true}}}})
+	out = b.deliver(protocol.News{Session: second, Items: []protocol.Item{{Num: 1, Entry: &protocol.Entry{Key: "m", Mark: 3, Same: true}}}})
 	_, ok = pick[Launch](out)
 	require.True(t, ok)
 }
 
-// A full line lets go of what is worth least, at once and with when to come back.
-func TestFullLine(t *testing.T) {
+// A full queue rejects the least valuable request immediately, with a Retry-After time.
+func TestFullQueue(t *testing.T) {
 	b := newTestRouter(t, Options{MaxQueuedPerKey: 2})
 	b.call(fleetplan.Call{Kind: "low"})
 	b.call(fleetplan.Call{Kind: "k"})
@@ -292,11 +294,11 @@
 	_, out = b.call(fleetplan.Call{Kind: "low"})
 	r, ok = pick[Receipt](out)
 	require.True(t, ok)
-	require.Equal(t, Ref(4), r.Ref, "the newcomer is worth less than all who wait")
+	require.Equal(t, Ref(4), r.Ref, "the new request is less valuable than all waiting requests")
 }
 
-// A horizon that passes ends the wait at once; one that had passed already is no proper request.
-func TestHorizon(t *testing.T) {
+// A request whose deadline passes while it waits ends at the next beat. A request that arrives after its deadline is invalid.
+func TestDeadline(t *testing.T) {
 	b := newTestRouter(t, Options{})
 	_, out := b.call(fleetplan.Call{Wait: -1})
 	r, _ := pick[Receipt](out)
@@ -311,8 +313,8 @@
 	require.Equal(t, Receipt{ref, failure.Expired, failure.Receipts[failure.Expired].Back}, r)
 }
 
-// Callers' own repeats come out of the same allowance as retries do.
-func TestAllowance(t *testing.T) {
+// Repetitions by callers use the same budget as retries.
+func TestCallersRepetitionsUseRetryBudget(t *testing.T) {
 	b := newTestRouter(t, Options{})
 	b.entry("m", "s1")
 	_, out := b.call(fleetplan.Call{Repeat: true})
@@ -326,29 +328,29 @@
 	}
 	_, out = b.call(fleetplan.Call{Repeat: true})
 	_, ok = pick[Launch](out)
-	require.True(t, ok, "seven first goes have paid for one")
+	require.True(t, ok, "seven first attempts earn credit for one retry")
 	_, out = b.call(fleetplan.Call{Repeat: true})
 	_, ok = pick[Receipt](out)
 	require.True(t, ok)
 }
 
-// Without a hold the plan in force may be old: nobody is turned away by it. Found by the
-// simulator (grow, seed 1) as proper requests told no_route by a router that was cut off.
-func TestDoubt(t *testing.T) {
+// Without a lease the plan in force may be outdated, so it must not cause a rejection. The simulator (scene grow, seed 1) found
+// a partitioned router that answered valid requests with no_route.
+func TestNoRejectionWithoutLease(t *testing.T) {
 	b := newTestRouter(t, Options{})
 	b.at = b.at.Add(61e9)
 	_, out := b.call(fleetplan.Call{Base: "new"})
 	_, ok := pick[Receipt](out)
 	require.False(t, ok)
 	_, asked := findMessage[protocol.Want](out)
-	require.False(t, asked, "nor does a name that may not exist leave the router")
+	require.False(t, asked, "a model name that may not exist is not sent to the controller")
 	out = b.deliver(protocol.Hold{Session: ses, Until: b.at.Add(60e9)})
 	r, ok := pick[Receipt](out)
 	require.True(t, ok)
 	require.Equal(t, failure.NoModel, r.Kind)
 }
 
-// The cache keeps to its bound, and lets the owner know in batches what it let go.
+// The cache stays within its limit and reports evicted entries to the owner in batches.
 func TestCacheBound(t *testing.T) {
 	b := newTestRouter(t, Options{Cache: 4})
 	for i := range 10 {
@@ -363,7 +365,7 @@
 	require.Equal(t, protocol.Drop{Key: "x0", Num: 2}, r.Drops[0])
 }
 
-// A cold replica gets a few requests, then more as it warms.
+// The number of requests in flight at a cold replica grows over the ramp time.
 func TestRamp(t *testing.T) {
 	b := newTestRouter(t, Options{Ramp: 4e9})
 	b.deliverItem(protocol.Item{Entry: &protocol.Entry{Key: "m", Mark: 1, Replicas: []protocol.Replica{{Server: "s", Addr: "s", Zone: "z", Inc: 1, Slots: 8}}}})
@@ -385,7 +387,7 @@
 	}
 }
 
-// Requests with the same shared parts go to the same replica, until it is burdened too much.
+// Requests with the same shared parts go to the same replica until its load exceeds the bound.
 func TestAffinity(t *testing.T) {
 	b := newTestRouter(t, Options{})
 	b.entry("m", "s1", "s2", "s3")
@@ -404,13 +406,13 @@
 	}
 	require.Greater(t, len(seen), 1)
 	for s, n := range seen {
-		require.LessOrEqual(t, n, 9+6, "%s is burdened beyond its fair share", s)
+		require.LessOrEqual(t, n, 9+6, "load of %s exceeds the bound", s)
 	}
 }
 
-// What may not be repeated goes to one server, at whichever router it is asked for and however
-// burdened that server is; only one that it could not reach twice is passed over.
-func TestBound(t *testing.T) {
+// A non-repeatable request goes to the same server at every router, whatever the load of that server. The server is skipped
+// only after two attempts failed to reach it.
+func TestPinnedReplica(t *testing.T) {
 	one := func(b *bed) Launch {
 		_, out := b.call(fleetplan.Call{ID: "it", Parts: []string{fmt.Sprint(b.ref)}})
 		l, _ := pick[Launch](out)
@@ -424,10 +426,10 @@
 		require.Equal(t, s, one(b).Server)
 		require.Equal(t, s, one(c).Server)
 	}
-	require.Empty(t, one(b).Server, "its server is full: it waits")
+	require.Empty(t, one(b).Server, "the server is full, so the request waits")
 	_, out := b.call(fleetplan.Call{Again: true, Parts: []string{"p"}})
 	l, ok := pick[Launch](out)
-	require.True(t, ok, "those behind it do not wait for it")
+	require.True(t, ok, "requests behind it are not blocked")
 	require.NotEqual(t, s, l.Server)
 	d := newTestRouter(t, Options{})
 	d.entry("m", "s1", "s2", "s3")
@@ -445,8 +447,8 @@
 	}
 }
 
-// What first goes earn for retries does not last.
-func TestAllowanceLapses(t *testing.T) {
+// Retry credit expires.
+func TestRetryCreditExpires(t *testing.T) {
 	b := newTestRouter(t, Options{})
 	for range 12 {
 		b.Core.now = b.at
@@ -454,12 +456,12 @@
 		b.at = b.at.Add(100e6)
 	}
 	b.Core.now = b.at
-	require.True(t, b.spend(""), "12 first goes earn two retries")
+	require.True(t, b.spend(""), "12 first attempts earn credit for a retry")
 	b.Core.now = b.at.Add(10e9)
 	require.False(t, b.spend(""))
 }
 
-// An event follows only if it is the next one of this very go.
+// An event continues a stream only if it carries the next number of the same attempt.
 func TestFollows(t *testing.T) {
 	v := Launch{Server: "s", Work: protocol.Work{Go: "g"}}
 	for _, c := range []struct {
@@ -473,8 +475,8 @@
 	}
 }
 
-// What no server could ever hold is given up on at once, not held to its horizon.
-func TestNever(t *testing.T) {
+// A request for a key that no server can ever hold is rejected immediately instead of at its deadline.
+func TestKeyThatNoServerCanHold(t *testing.T) {
 	b := newTestRouter(t, Options{})
 	ref, _ := b.call(fleetplan.Call{})
 	out := b.deliverItem(protocol.Item{Entry: &protocol.Entry{Key: "m", Mark: 5, Never: true}})
--- a/internal/router/token_times_test.go
+++ b/internal/router/token_times_test.go
@@ -10,16 +10,16 @@
 	"tidedeck/internal/protocol"
 )
 
-// A base whose tokens take a tenth of the time counts for a tenth at its server, once the owner has told so.
-func TestTokensCountByPace(t *testing.T) {
+// The cost of a request is scaled by the time per token of its base relative to the slowest base, as reported by the owner.
+func TestCostScalesWithTokenTime(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		paces *protocol.Paces
 		after ident.Server // where the second request goes
 	}{
-		{"nothing is known", nil, "q"},
-		{"it is the slowest", &protocol.Paces{Slowest: 50e3, Bases: map[ident.Key]float64{"llm|m": 50e3}}, "q"},
-		{"it is a hundred times as fast", &protocol.Paces{Slowest: 50e3, Bases: map[ident.Key]float64{"llm|m": 0.5e3}}, "p"},
+		{"no time is known", nil, "q"},
+		{"the slowest base", &protocol.Paces{Slowest: 50e3, Bases: map[ident.Key]float64{"llm|m": 50e3}}, "q"},
+		{"a hundred times as fast as the slowest base", &protocol.Paces{Slowest: 50e3, Bases: map[ident.Key]float64{"llm|m": 0.5e3}}, "p"},
 	} {
 		b := free(t, Options{})
 		b.deliver(protocol.Hold{Session: ses, Until: b.at.Add(60e9), Routers: 1, Paces: c.paces, Seats: map[ident.Server]int{"q": 2000}})
@@ -31,18 +31,18 @@
 	}
 }
 
-// What was seen is told once, at its shortest; to a new session also what is known.
-func TestPacesAreTold(t *testing.T) {
-	p := newTokenTimes()
-	p.observe("m", 9)
-	p.observe("m", 7)
-	p.observe("m", 8)
-	require.Equal(t, map[ident.Key]float64{"m": 7}, p.takeObserved())
-	require.Empty(t, p.takeObserved())
-	p.update(&protocol.Paces{Slowest: 10, Bases: map[ident.Key]float64{"m": 6, "n": 10}})
-	require.InDelta(t, 0.6, p.relative("m"), 1e-9)
-	require.InDelta(t, 8, p.of("unknown"), 1e-9)
-	p.update(nil)
-	p.observeKnown()
-	require.Equal(t, map[ident.Key]float64{"m": 6, "n": 10}, p.takeObserved())
+// The shortest observed time is reported once. After observeKnown the next report includes all known times.
+func TestTokenTimesAreReported(t *testing.T) {
+	times := newTokenTimes()
+	times.observe("m", 9)
+	times.observe("m", 7)
+	times.observe("m", 8)
+	require.Equal(t, map[ident.Key]float64{"m": 7}, times.takeObserved())
+	require.Empty(t, times.takeObserved())
+	times.update(&protocol.Paces{Slowest: 10, Bases: map[ident.Key]float64{"m": 6, "n": 10}})
+	require.InDelta(t, 0.6, times.relative("m"), 1e-9)
+	require.InDelta(t, 8, times.of("unknown"), 1e-9)
+	times.update(nil)
+	times.observeKnown()
+	require.Equal(t, map[ident.Key]float64{"m": 6, "n": 10}, times.takeObserved())
 }
