--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -10,9 +10,10 @@
 	"tidedeck/internal/ident"
 )
 
-// Admission takes a request's route, class, deadline and tenant from the plan: on arrival, when the plan changes, and when the
-// request waits again after an attempt. The plan is checked once more immediately before sending, so that no server runs a
-// request that only an older plan allowed, or whose key has since been revoked or granted to another tenant.
+// Admission takes a request's route, class, deadline and tenant from the plan: on arrival, when the plan changes, and
+// when the request waits again after an attempt. The plan is checked once more immediately before sending, so that no
+// server runs a request that only an older plan allowed, or whose key has since been revoked or granted to another
+// tenant.
 
 // undecidedTimeout is how long a request without a matching plan waits for a plan that admits or rejects it.
 const undecidedTimeout = clock.Span(5 * time.Second)
@@ -29,8 +30,9 @@
 	return why
 }
 
-// admit takes a request's class and deadline from the plan. A router that has no plan, or no lease that confirms the plan as
-// the newest, does not reject a request that the plan does not allow; the request waits for a newer plan and is not sent.
+// admit takes a request's class and deadline from the plan. A router that has no plan, or no lease that confirms the
+// plan as the newest, does not reject a request that the plan does not allow; the request waits for a newer plan and
+// is not sent.
 func (c *Core) admit(r *request) failure.Kind {
 	r.class = fleetplan.Class{Value: 1, Wait: undecidedTimeout}
 	r.uncertain = c.plan == nil
@@ -86,8 +88,8 @@
 	}
 }
 
-// readmit takes a request's class and deadline from the plan again. It returns failure.Expired if the new deadline has already
-// passed, so that the request ends immediately.
+// readmit takes a request's class and deadline from the plan again. It returns failure.Expired if the new deadline has
+// already passed, so that the request ends immediately.
 func (c *Core) readmit(r *request) failure.Kind {
 	if why := c.admit(r); why != failure.None {
 		return why
--- a/internal/router/allowance.go
+++ b/internal/router/allowance.go
@@ -2,9 +2,9 @@
 
 import "tidedeck/internal/clock"
 
-// The retry budget bounds retries, so that they remain a small fraction of the requests that the servers of a service receive
-// when many requests fail. Each service has its own budget: credit earned by requests for one service must not pay for retries
-// at another, which may receive far fewer requests.
+// The retry budget bounds retries, so that they remain a small fraction of the requests that the servers of a service
+// receive when many requests fail. Each service has its own budget: credit earned by requests for one service must not
+// pay for retries at another, which may receive far fewer requests.
 
 // retryBudget is the retry budget of one service.
 type retryBudget struct {
@@ -22,8 +22,8 @@
 	return b
 }
 
-// spend pays for one retry from a service's budget and reports whether the budget sufficed. It uses the credit earned by first
-// attempts and, if that is insufficient, the margin.
+// spend pays for one retry from a service's budget and reports whether the budget sufficed. It uses the credit earned
+// by first attempts and, if that is insufficient, the margin.
 func (c *Core) spend(service string) bool {
 	b := c.retryBudget(service)
 	sum, left := 0.0, 1.0
@@ -42,8 +42,8 @@
 	return true
 }
 
-// spendMargin pays for one retry from this router's share of the margin, which is independent of earned credit. It reports
-// whether the share sufficed.
+// spendMargin pays for one retry from this router's share of the margin, which is independent of earned credit. It
+// reports whether the share sufficed.
 func (c *Core) spendMargin(service string) bool {
 	b := c.retryBudget(service)
 	for len(b.marginSpent) > 0 && c.now.Sub(b.marginSpent[0]) > c.o.Window {
@@ -56,10 +56,10 @@
 	return true
 }
 
-// margin returns the number of retries per service and window that the whole fleet may send without earned credit. A restarted
-// router does not know how much of its share its earlier processes used. During its first window it therefore uses a separate
-// margin that grows with its running time, so that all its processes together never exceed the sum of both margins in any
-// window, however often it restarts.
+// margin returns the number of retries per service and window that the whole fleet may send without earned credit. A
+// restarted router does not know how much of its share its earlier processes used. During its first window it
+// therefore uses a separate margin that grows with its running time, so that all its processes together never exceed
+// the sum of both margins in any window, however often it restarts.
 func (c *Core) margin() float64 {
 	age := c.now.Sub(c.startedAt)
 	if !c.o.Restarted || age > c.o.Window {
--- a/internal/router/allowance_test.go
+++ b/internal/router/allowance_test.go
@@ -9,8 +9,8 @@
 	"tidedeck/internal/protocol"
 )
 
-// The retries that a router pays for from the margin stay within the fleet's margin in every window, however often the router
-// restarts. A restarted router does not know what its earlier processes spent.
+// The retries that a router pays for from the margin stay within the fleet's margin in every window, however often the
+// router restarts. A restarted router does not know what its earlier processes spent.
 func TestMarginOutlivesRestarts(t *testing.T) {
 	const window = clock.Span(10e9)
 	const lend, again = 6, 4
@@ -40,11 +40,12 @@
 	require.Greater(t, len(spent), 2*lend, "the margin is available again after each window")
 }
 
-// Guards against exceeding the retry budget of one service (soak rule BUDGET): on a day of high load, a service received 821
-// retries within 10 s, while its 2,830 requests permitted 732. Its few servers were full and declined requests, and the routers
-// retried each request with credit that mostly came from another service with ten times as many requests. There were two
-// causes: one budget for all services, and credit that remains valid for 5 s, which adds half of the credit earned in a 10 s
-// window to the spending in that window. The test fails if either cause is reintroduced.
+// Guards against exceeding the retry budget of one service (soak rule BUDGET): on a day of high load, a service
+// received 821 retries within 10 s, while its 2,830 requests permitted 732. Its few servers were full and declined
+// requests, and the routers retried each request with credit that mostly came from another service with ten times as
+// many requests. There were two causes: one budget for all services, and credit that remains valid for 5 s, which adds
+// half of the credit earned in a 10 s window to the spending in that window. The test fails if either cause is
+// reintroduced. The incident page has the figures of that day.
 func TestRetriesStayWithinEachServicesBudget(t *testing.T) {
 	const fraction, window, step = 0.2, clock.Span(10e9), clock.Span(10e6)
 	core, _ := HostOptions{Fraction: fraction, Window: window, First: true}.cores()
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -35,8 +35,8 @@
 	c.out = append(c.out, l)
 }
 
-// MaySend reports whether an attempt may be sent. It is called immediately before sending and checks that the plan still allows
-// the request, that the entry is still usable, and that the entry still names the server.
+// MaySend reports whether an attempt may be sent. It is called immediately before sending and checks that the plan
+// still allows the request, that the entry is still usable, and that the entry still names the server.
 func (c *Core) MaySend(now clock.Tick, ref Ref, n int) bool {
 	c.now = now
 	r := c.requests[ref]
@@ -57,8 +57,8 @@
 	return true
 }
 
-// countSend counts an attempt that is about to be sent as a retry or as the first arrival of its request. The first arrival
-// earns retry credit once.
+// countSend counts an attempt that is about to be sent as a retry or as the first arrival of its request. The first
+// arrival earns retry credit once.
 func (c *Core) countSend(r *request) {
 	before := r.attempts[:len(r.attempts)-1]
 	first := !slices.ContainsFunc(before, func(attempt attemptRecord) bool { return attempt.How != Kept && attempt.How != Unsent })
@@ -163,8 +163,8 @@
 	c.serveAll()
 }
 
-// After a failed attempt a server is avoided for 100 ms, which is longer than a full server takes to finish a request. The
-// time doubles with each consecutive failure, up to 1.6 s.
+// After a failed attempt a server is avoided for 100 ms, which is longer than a full server takes to finish a request.
+// The time doubles with each consecutive failure, up to 1.6 s.
 const (
 	avoidStep      = clock.Span(50 * time.Millisecond)
 	avoidDoublings = 5
--- a/internal/router/caller_test.go
+++ b/internal/router/caller_test.go
@@ -21,8 +21,8 @@
 	"tidedeck/internal/fleetplan"
 )
 
-// A client that shuts down its sending side during a request counts as disconnected. It must not read a complete answer then,
-// neither an empty answer of the router nor the first part of the server's answer.
+// A client that shuts down its sending side during a request counts as disconnected. It must not read a complete
+// answer then, neither an empty answer of the router nor the first part of the server's answer.
 func TestHalfClosedClient(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
@@ -227,8 +227,8 @@
 	}
 }
 
-// Events without a number that were already forwarded cannot be distinguished from those repeated by another run. A stream is
-// therefore resumed only directly after a numbered event.
+// Events without a number that were already forwarded cannot be distinguished from those repeated by another run. A
+// stream is therefore resumed only directly after a numbered event.
 func TestNoSpliceBehindUnnumbered(t *testing.T) {
 	for _, c := range []struct {
 		name, first, second, body string
@@ -253,8 +253,8 @@
 	}
 }
 
-// An interrupted stream to an HTTP/1.0 client ends with a connection reset, because the client would take a close as the end of
-// the answer.
+// An interrupted stream to an HTTP/1.0 client ends with a connection reset, because the client would take a close as
+// the end of the answer.
 func TestOldClientSeesTheBreak(t *testing.T) {
 	step := make(chan struct{})
 	srv := newStandIn(t, func(s *standIn, _ int, c net.Conn, br *bufio.Reader) {
@@ -340,8 +340,8 @@
 	s.settled(t)
 }
 
-// A request that may have run is not sent again if its route at the time of sending, or its route now, permits only one run. A
-// plan may add routes while the request is in flight.
+// A request that may have run is not sent again if its route at the time of sending, or its route now, permits only
+// one run. A plan may add routes while the request is in flight.
 func TestRepeatOnlyUnderBothRoutes(t *testing.T) {
 	once := func(p *fleetplan.Plan) {
 		p.Hosts["h"]["/again/x/"] = &fleetplan.Route{Name: "new", Host: "h", Prefix: "/again/x/", Service: "web", Mode: fleetplan.Once,
@@ -388,8 +388,8 @@
 	require.Empty(t, b.retryBudget("web").marginSpent)
 }
 
-// The write timeout covers only time spent writing. It excludes the idle time of the client's connection and the time before
-// the end of a stream that pauses.
+// The write timeout covers only time spent writing. It excludes the idle time of the client's connection and the time
+// before the end of a stream that pauses.
 func TestWriteBoundCountsWritesOnly(t *testing.T) {
 	const bound, pause = 400 * time.Millisecond, 700 * time.Millisecond
 	t.Run("idle connection", func(t *testing.T) {
@@ -441,8 +441,8 @@
 	}
 }
 
-// A request that arrives late in a shutdown, on a connection opened before it, is refused immediately. Otherwise a server might
-// still process it when the remaining connections are cut.
+// A request that arrives late in a shutdown, on a connection opened before it, is refused immediately. Otherwise a
+// server might still process it when the remaining connections are cut.
 func TestLateRequestAtAStop(t *testing.T) {
 	hold := make(chan struct{})
 	release := sync.OnceFunc(func() { close(hold) })
--- a/internal/router/choice.go
+++ b/internal/router/choice.go
@@ -22,8 +22,9 @@
 	return load
 }
 
-// concurrencyLimits returns how many requests this router may have in flight at a replica: its share of the server's capacity
-// for all keys together, and the limit for the entry's key, which grows over the ramp time while the replica is cold.
+// concurrencyLimits returns how many requests this router may have in flight at a replica: its share of the server's
+// capacity for all keys together, and the limit for the entry's key, which grows over the ramp time while the replica
+// is cold.
 func (c *Core) concurrencyLimits(e *cacheEntry, p *protocol.Replica) (limit, coldLimit int) {
 	n := math.Ceil(2 * float64(p.Slots) / float64(max(1, c.routers)))
 	limit = max(1, int(n))
@@ -34,8 +35,9 @@
 	return limit, max(1, int(n*float64(age)/float64(c.o.Ramp)))
 }
 
-// rendezvousHash returns the rendezvous hash of a request and a server, which is the same at every router. With byParts set, it
-// covers the leading shared parts of the prompt, up to maxParts of them if that is not zero; otherwise it covers the request ID.
+// rendezvousHash returns the rendezvous hash of a request and a server, which is the same at every router. With
+// byParts set, it covers the leading shared parts of the prompt, up to maxParts of them if that is not zero; otherwise
+// it covers the request ID.
 func rendezvousHash(r *request, server ident.Server, byParts bool, maxParts int) uint64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, server, "|", r.key.Base())
@@ -53,9 +55,9 @@
 	return x ^ x>>33
 }
 
-// pinnedReplica returns the replica for a request that may not be repeated. The request ID selects the same replica at every
-// router, so a server that ran the request recognizes a repetition. Apart from excluded replicas, a replica is skipped only
-// after two attempts of this request failed to reach it.
+// pinnedReplica returns the replica for a request that may not be repeated. The request ID selects the same replica at
+// every router, so a server that ran the request recognizes a repetition. Apart from excluded replicas, a replica is
+// skipped only after two attempts of this request failed to reach it.
 func (c *Core) pinnedReplica(e *cacheEntry, r *request) *protocol.Replica {
 	var best *protocol.Replica
 	bestHash := uint64(0)
@@ -77,12 +79,12 @@
 	return best
 }
 
-// maxLoadFactor is the ratio to the mean load of all candidates up to which a replica, apart from one extra request, still
-// receives the requests whose shared parts hash to it.
+// maxLoadFactor is the ratio to the mean load of all candidates up to which a replica, apart from one extra request,
+// still receives the requests whose shared parts hash to it.
 const maxLoadFactor = 1.25
 
-// chooseReplica selects a replica by rendezvous hash over the prompt's shared parts, among the replicas whose load is within
-// maxLoadFactor of the mean. If there is none, it selects the least loaded replica.
+// chooseReplica selects a replica by rendezvous hash over the prompt's shared parts, among the replicas whose load is
+// within maxLoadFactor of the mean. If there is none, it selects the least loaded replica.
 func (c *Core) chooseReplica(e *cacheEntry, r *request) *protocol.Replica {
 	if c.o.Free {
 		return c.leastLoaded(e, r)
@@ -122,8 +124,8 @@
 	return float64(c.server(p.Server).work) / float64(max(1, p.Slots))
 }
 
-// available returns the replicas that may receive another request of this router, limited to the replica only if it is not
-// nil, and the highest relative load at which a candidate keeps its affinity.
+// available returns the replicas that may receive another request of this router, limited to the replica only if it is
+// not nil, and the highest relative load at which a candidate keeps its affinity.
 func (c *Core) available(e *cacheEntry, r *request, only *protocol.Replica) (candidates []*protocol.Replica, maxLoad float64) {
 	work, slots := 0, 0
 	for i := range e.Replicas {
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -1,5 +1,6 @@
-// Package router implements the router, which accepts callers' requests and forwards each to a server named by a cached
-// placement entry. While the controller holds a callback on an entry, the router uses the entry without revalidating it.
+// Package router implements the router, which accepts callers' requests and forwards each to a server named by a
+// cached placement entry. While the controller holds a callback on an entry, the router uses the entry without
+// revalidating it.
 package router
 
 import (
@@ -241,8 +242,8 @@
 	return c.out
 }
 
-// rejectWaiting ends every waiting request with an answer that sends the caller to another router. The router is shutting
-// down, and waiting requests have not run.
+// rejectWaiting ends every waiting request with an answer that sends the caller to another router. The router is
+// shutting down, and waiting requests have not run.
 func (c *Core) rejectWaiting() {
 	for _, k := range generic.SortedKeys(c.queues) {
 		for _, r := range append([]*request{}, c.queues[k]...) {
@@ -322,15 +323,15 @@
 func (c *Core) leased() bool { return c.now < c.leaseUntil }
 
 // alone reports whether the router may send by its last known state although it has no lease. Servers must reject by
-// themselves requests for models they do not hold and requests addressed to another server. In addition, a core node must
-// confirm that the router's configuration is the newest, or the router must be partitioned from the core. A router that is
-// merely behind must first apply the changes sent to it.
+// themselves requests for models they do not hold and requests addressed to another server. In addition, a core node
+// must confirm that the router's configuration is the newest, or the router must be partitioned from the core. A
+// router that is merely behind must first apply the changes sent to it.
 func (c *Core) alone() bool {
 	return c.o.Guards && c.plan != nil && !c.leased() && (c.parted || c.now < c.currentUntil)
 }
 
-// excluded reports whether nothing may be sent to a replica. This is the case if its zone is being emptied, or if its server
-// is leaving and the router has no lease. Under a lease the placement entry already reflects a leaving server.
+// excluded reports whether nothing may be sent to a replica. This is the case if its zone is being emptied, or if its
+// server is leaving and the router has no lease. Under a lease the placement entry already reflects a leaving server.
 func (c *Core) excluded(p *protocol.Replica) bool {
 	return c.emptyZones[p.Zone] || !c.leased() && c.leaving[p.Server]
 }
@@ -364,8 +365,8 @@
 	c.serveAll()
 }
 
-// applyLateConfig applies a configuration from an earlier session. The session is over, but the core nodes have chosen the
-// configuration.
+// applyLateConfig applies a configuration that arrives too late for its session. The core nodes have chosen the
+// configuration regardless of the session.
 func (c *Core) applyLateConfig(news protocol.News) {
 	for _, item := range news.Items {
 		if item.Desired != nil {
@@ -421,7 +422,8 @@
 	c.evict()
 }
 
-// evict removes the least recently used entries until the cache is within its limit. Their callbacks are released in batches.
+// evict removes the least recently used entries until the cache is within its limit. Their callbacks are released in
+// batches.
 func (c *Core) evict() {
 	for len(c.entries) > c.o.Cache {
 		var oldest *cacheEntry
@@ -523,8 +525,8 @@
 // Size returns the number of cached entries and the number of waiting requests.
 func (c *Core) Size() (entries, waiting int) { return len(c.entries), c.queued }
 
-// Promises reports whether this router would now send requests for a key to a server without revalidation. Checkers compare
-// it with the orders that servers receive.
+// Promises reports whether this router would now send requests for a key to a server without revalidation. Checkers
+// compare it with the orders that servers receive.
 func (c *Core) Promises(now clock.Tick, k ident.Key, s ident.Server, inc ident.Inc) bool {
 	e := c.entries[k]
 	if e == nil || !e.hasCallback || now >= c.leaseUntil {
--- a/internal/router/guards_test.go
+++ b/internal/router/guards_test.go
@@ -70,8 +70,8 @@
 	{"the end of a stream has its own bound", "relay_exchange.go", "x.armDeadline() //", "_ = x //", "TestWriteBoundCountsWritesOnly"},
 }
 
-// Each guard is removed by an overlay for one build, and the named test must fail on that build. An edit whose old text no
-// longer matches the source is an error.
+// Each guard is removed by an overlay for one build, and the named test must fail on that build. An edit whose old
+// text no longer matches the source is an error.
 func TestGuardsOfTheRouter(t *testing.T) {
 	if testing.Short() {
 		t.Skip("builds the tests once for each guard")
--- a/internal/router/hosted_test.go
+++ b/internal/router/hosted_test.go
@@ -15,7 +15,8 @@
 	"tidedeck/internal/protocol"
 )
 
-// hostPlan returns a plan with one host, whose routes differ in prefix and mode, for plain services and a service with models.
+// hostPlan returns a plan with one host, whose routes differ in prefix and mode, for plain services and a service with
+// models.
 func hostPlan(change func(*fleetplan.Plan)) *fleetplan.Plan {
 	p := &fleetplan.Plan{
 		Models: map[ident.Key]fleetplan.Model{}, Routes: map[string]fleetplan.Route{}, Hosts: map[string]map[string]*fleetplan.Route{"h": {}},
@@ -40,8 +41,8 @@
 	return p
 }
 
-// free returns a router with the options used on a hosting platform. The first plan is in force. The encoding of a plan is its
-// index as a single byte.
+// free returns a router with the options used on a hosting platform. The first plan is in force. The encoding of a
+// plan is its index as a single byte.
 func free(t *testing.T, o Options, plans ...*fleetplan.Plan) *bed {
 	if len(plans) == 0 {
 		plans = append(plans, hostPlan(nil))
@@ -135,8 +136,8 @@
 	require.Equal(t, Receipt{Ref: ref, Kind: failure.NoRoute}, r)
 }
 
-// An attempt launched under the previous plan is not sent. The request goes to its new service, or is rejected if the new plan
-// does not allow it. The attempt that was not sent counts neither as a try nor as a retry.
+// An attempt launched under the previous plan is not sent. The request goes to its new service, or is rejected if the
+// new plan does not allow it. The attempt that was not sent counts neither as a try nor as a retry.
 func TestPlanChangeBeforeSending(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -176,8 +177,8 @@
 	}
 }
 
-// A request is sent to no more servers than its route permits, and to none of them twice. Attempts that were not sent do not
-// count.
+// A request is sent to no more servers than its route permits, and to none of them twice. Attempts that were not sent
+// do not count.
 func TestTries(t *testing.T) {
 	for _, c := range []struct {
 		path  string
@@ -222,7 +223,8 @@
 	}
 }
 
-// An interrupted stream is resumed at another server if its route permits that, and the resumption uses the retry budget.
+// An interrupted stream is resumed at another server if its route permits that, and the resumption uses the retry
+// budget.
 func TestResumes(t *testing.T) {
 	for _, c := range []struct {
 		name, path string
@@ -269,8 +271,8 @@
 	}
 }
 
-// A router without a lease continues to send by its last known state only if servers reject misdirected requests, and only
-// while the router is partitioned or a core node confirms its configuration.
+// A router without a lease continues to send by its last known state only if servers reject misdirected requests, and
+// only while the router is partitioned or a core node confirms its configuration.
 func TestGuards(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -351,8 +353,8 @@
 	}
 }
 
-// The retries that the routers of a fleet together pay for from the margin stay within it in any window, whatever the demand
-// at each router.
+// The retries that the routers of a fleet together pay for from the margin stay within it in any window, whatever the
+// demand at each router.
 func TestRetryMargin(t *testing.T) {
 	const window = clock.Span(10e9)
 	for _, c := range []struct {
@@ -367,11 +369,11 @@
 			b.entry("web|", "s1", "s2", "s3", "s4")
 			fleet = append(fleet, b)
 		}
-		dice := rand.New(rand.NewPCG(uint64(c.routers), 1))
+		random := rand.New(rand.NewPCG(uint64(c.routers), 1))
 		for end := fleet[0].at.Add(45e9); fleet[0].at < end; {
 			for _, b := range fleet {
 				b.at = b.at.Add(50e6)
-				if dice.IntN(3) == 0 {
+				if random.IntN(3) == 0 {
 					continue
 				}
 				ref, l, out := b.go1("/again/x", fleetplan.Call{})
@@ -404,8 +406,8 @@
 	}
 }
 
-// newLoadedRouter returns a router with replicas of model m at s1, s2 and s3, each with the given number of slots, and with the
-// given tokens of other routers in flight at them.
+// newLoadedRouter returns a router with replicas of model m at s1, s2 and s3, each with the given number of slots, and
+// with the given tokens of other routers in flight at them.
 func newLoadedRouter(t *testing.T, slots int, others map[ident.Server]int) *bed {
 	b := free(t, Options{Zone: "z"})
 	e := &protocol.Entry{Key: "llm|m", Mark: 1}
@@ -459,12 +461,12 @@
 	return s
 }
 
-// Under random arrivals, beginnings and ends, neither the slots nor the token memory of a server is exceeded, and no load
-// remains after all requests have ended.
+// Under random arrivals, beginnings and ends, neither the slots nor the token memory of a server is exceeded, and no
+// load remains after all requests have ended.
 func TestWithinSlotsAndMemory(t *testing.T) {
 	for seed := range uint64(12) {
-		dice := rand.New(rand.NewPCG(seed, 1))
-		b := newLoadedRouter(t, 4, map[ident.Server]int{"s1": dice.IntN(4000)})
+		random := rand.New(rand.NewPCG(seed, 1))
+		b := newLoadedRouter(t, 4, map[ident.Server]int{"s1": random.IntN(4000)})
 		type run struct {
 			l     Launch
 			size  int
@@ -486,33 +488,33 @@
 			}
 		}
 		for range 600 {
-			b.at = b.at.Add(clock.Span(dice.IntN(30)) * 1e6)
+			b.at = b.at.Add(clock.Span(random.IntN(30)) * 1e6)
 			l := generic.SortedKeys(runs)
-			switch n := dice.IntN(10); {
+			switch n := random.IntN(10); {
 			case n < 5 || len(l) == 0:
-				c := fleetplan.Call{Base: "m", Tokens: 1 + dice.IntN(4000), Max: 1 + dice.IntN(500)}
-				if dice.IntN(40) == 0 {
+				c := fleetplan.Call{Base: "m", Tokens: 1 + random.IntN(4000), Max: 1 + random.IntN(500)}
+				if random.IntN(40) == 0 {
 					c.Tokens = 30_000
 				}
 				sizes[b.ref+1] = c.Tokens + c.Max
 				_, _, out := b.go1("/llm/x", c)
 				take(out)
 			case n < 7:
-				x := runs[l[dice.IntN(len(l))]]
+				x := runs[l[random.IntN(len(l))]]
 				if !x.begun {
 					x.begun = true
 					take(b.Step(b.at, Begun{Ref: x.l.Ref, N: x.l.N}))
 				}
 			case n < 9:
-				x := runs[l[dice.IntN(len(l))]]
+				x := runs[l[random.IntN(len(l))]]
 				delete(runs, x.l.Ref)
-				how := []End{Done, Lost, Split, Dropped, Unsent}[dice.IntN(5)]
+				how := []End{Done, Lost, Split, Dropped, Unsent}[random.IntN(5)]
 				if x.begun && how != Done {
 					how = Split
 				}
 				take(b.Step(b.at, Ended{Ref: x.l.Ref, N: x.l.N, How: how, Kind: failure.Busy}))
 			default:
-				x := runs[l[dice.IntN(len(l))]]
+				x := runs[l[random.IntN(len(l))]]
 				delete(runs, x.l.Ref)
 				take(b.Step(b.at, Quit{Ref: x.l.Ref}))
 			}
@@ -535,8 +537,8 @@
 	}
 }
 
-// Requests with the same shared parts go to one server, the same at every router, until its extra load exceeds the saving from
-// its cached prefix. Requests without shared parts are spread over the servers.
+// Requests with the same shared parts go to one server, the same at every router, until its extra load exceeds the
+// saving from its cached prefix. Requests without shared parts are spread over the servers.
 func TestPrefixAffinity(t *testing.T) {
 	callWith := func(parts ...string) fleetplan.Call {
 		c := fleetplan.Call{Base: "m", Tokens: 4100, Max: 10, Parts: append(parts, "own"), Sizes: []int{}}
@@ -609,7 +611,8 @@
 	require.Equal(t, 1000, b.servers["s1"].reservedTokens, "the memory remains reserved")
 }
 
-// A configuration from an earlier session is put in force, and its epoch is reported to the agent with the next beat.
+// A configuration that arrives too late for its session is put in force, and its epoch is reported to the agent with
+// the next beat.
 func TestLateConfiguration(t *testing.T) {
 	b := free(t, Options{Guards: true}, hostPlan(nil), hostPlan(nil))
 	out := b.deliver(protocol.News{Items: []protocol.Item{{Desired: &protocol.Desired{Gen: 1, Epoch: 9, Plan: []byte{1}}}}})
--- a/internal/router/invariants.go
+++ b/internal/router/invariants.go
@@ -10,11 +10,11 @@
 	"tidedeck/internal/protocol"
 )
 
-// Runtime checks of the router's invariants. Each check examines the action that is about to happen, not the condition that
-// should prevent a violation.
+// Runtime checks of the router's invariants. Each check examines the action that is about to happen, not the condition
+// that should prevent a violation.
 
-// checkLaunch checks a new attempt: a request that may not be repeated runs at most once, reaches no more servers than its route
-// allows, and gets no more time than its caller specified.
+// checkLaunch checks a new attempt: a request that may not be repeated runs at most once, reaches no more servers than
+// its route allows, and gets no more time than its caller specified.
 func (c *Core) checkLaunch(r *request, l Launch) {
 	before := r.attempts[:len(r.attempts)-1]
 	ran, reached := false, 0
@@ -41,7 +41,8 @@
 	})
 }
 
-// checkTenant checks that the tenant of a request about to be sent holds the request's key in the configuration in force.
+// checkTenant checks that the tenant of a request about to be sent holds the request's key in the configuration in
+// force.
 func (c *Core) checkTenant(r *request) {
 	holder := c.plan.Holder(r.Call.Call.Credential)
 	invariant.Check(r.keyed == c.plan.Keyed() && r.tenant == holder, invariant.TenantHoldsKey, func() string {
--- a/internal/router/invariants_test.go
+++ b/internal/router/invariants_test.go
@@ -12,7 +12,8 @@
 	"tidedeck/internal/overlay"
 )
 
-// invariantEdits lists for each invariant an edit that removes the guard before it, and a test that then violates the invariant.
+// invariantEdits lists for each invariant an edit that removes the guard before it, and a test that then violates the
+// invariant.
 var invariantEdits = []struct {
 	name                 invariant.Name
 	file, old, now, test string
@@ -29,7 +30,8 @@
 	{invariant.EpochRises, "core.go", "if d.Gen < c.gen || d.Gen == c.gen && d.Epoch <= c.epoch {", "if false {", "TestEpochsOnlyRise|TestOtherGeneration"},
 }
 
-// Every invariant check must report a violation when the guard before it is removed; otherwise the check is ineffective.
+// Every invariant check must report a violation when the guard before it is removed; otherwise the check is
+// ineffective.
 func TestInvariantsBite(t *testing.T) {
 	if testing.Short() {
 		t.Skip("builds the tests once for each invariant")
--- a/internal/router/keys_test.go
+++ b/internal/router/keys_test.go
@@ -17,8 +17,8 @@
 // keyHolders maps each key to the tenant that holds it.
 type keyHolders map[string]string
 
-// keyedPlan returns a plan with the routes of hostPlan and, unless keys is nil, the tenants one and two with their keys. A
-// tenant need not have a key.
+// keyedPlan returns a plan with the routes of hostPlan and, unless keys is nil, the tenants one and two with their
+// keys. A tenant need not have a key.
 func keyedPlan(keys keyHolders, change func(*fleetplan.Plan)) *fleetplan.Plan {
 	p := hostPlan(change)
 	if keys == nil {
@@ -49,8 +49,8 @@
 	return b.deliver(protocol.Hold{Session: ses, Until: b.at.Add(60e9), Routers: 1})
 }
 
-// The tenant of a request and its admission follow the configuration in force until the request is sent: while it waits,
-// between launch and sending, before a retry, and before its stream is resumed at another server.
+// The tenant of a request and its admission follow the configuration in force until the request is sent: while it
+// waits, between launch and sending, before a retry, and before its stream is resumed at another server.
 func TestKeysThatChangeUnderWay(t *testing.T) {
 	original, moved, revoked := keyHolders{"k": "one"}, keyHolders{"k": "two"}, keyHolders{}
 	idempotent, resumable := "/again/x", "/llm/resume/x"
@@ -200,11 +200,11 @@
 	}
 }
 
-// Guards against requests that wait past a deadline shortened by a new configuration. The simulator (scene keys-slow-core, fleet
-// corrib, seeds 1 and 5 of the first six) found violations of request_ends_in_time by up to 2.8 s. A request with an unknown key
-// waits at a router without a lease; a newer configuration knows the key, but allows the route less time than the request has
-// already waited. The deadline is recomputed under each configuration, and only the next beat compared it with the clock, after
-// all other waiting requests.
+// Guards against requests that wait past a deadline shortened by a new configuration. The simulator (scene
+// keys-slow-core, fleet corrib, seeds 1 and 5 of the first six) found violations of request_ends_in_time by up to 2.8
+// s. A request with an unknown key waits at a router without a lease; a newer configuration knows the key, but allows
+// the route less time than the request has already waited. The deadline is recomputed under each configuration, and
+// only the next beat compared it with the clock, after all other waiting requests.
 func TestTimeThatIsOverByANewerPlan(t *testing.T) {
 	valuable := func(p *fleetplan.Plan) { p.Hosts["h"]["/"].Class.Value = 9 }
 	shorter := func(p *fleetplan.Plan) {
@@ -252,8 +252,8 @@
 	require.Equal(t, failure.NoKey, kindOf(out))
 }
 
-// A request that may have run is not run again if any configuration since had a route that permits only one run, even one that
-// did not contain the request's key.
+// A request that may have run is not run again if any configuration since had a route that permits only one run, even
+// one that did not contain the request's key.
 func TestRunsOnceAcrossAPlanWithoutItsKey(t *testing.T) {
 	once := func(p *fleetplan.Plan) { p.Hosts["h"]["/again/"].Mode = fleetplan.Once }
 	b := free(t, Options{}, keyedPlan(keyHolders{"k": "one"}, nil), keyedPlan(keyHolders{}, once), keyedPlan(keyHolders{"k": "one"}, nil))
@@ -269,8 +269,8 @@
 	require.False(t, again)
 }
 
-// Waiting requests are rejected by the precedence of their tenant first and by that of their route second. Servers receive ranks
-// in the same order.
+// Waiting requests are rejected by the precedence of their tenant first and by that of their route second. Servers
+// receive ranks in the same order.
 func TestTenantPrecedence(t *testing.T) {
 	p := hostPlan(func(p *fleetplan.Plan) {
 		p.Hosts["h"]["/again/"].Class.Value = 9
@@ -379,8 +379,8 @@
 	}
 }
 
-// Under random changes of keys, every request that is sent has the tenant of the configuration in force, whether the key changed
-// while the request waited, between launch and sending, before a retry, or before its stream was resumed.
+// Under random changes of keys, every request that is sent has the tenant of the configuration in force, whether the
+// key changed while the request waited, between launch and sending, before a retry, or before its stream was resumed.
 func TestKeysUnderDrawnChanges(t *testing.T) {
 	sends, refused := 0, 0
 	for seed := range uint64(300) {
--- a/internal/router/ledger.go
+++ b/internal/router/ledger.go
@@ -13,8 +13,8 @@
 	"tidedeck/internal/ident"
 )
 
-// The ledger of a request records its attempts and how each one ended. A table derives the next step from it. A request that
-// may have run is never sent again unless it may be repeated.
+// The ledger of a request records its attempts and how each one ended. A table derives the next step from it. A
+// request that may have run is never sent again unless it may be repeated.
 
 // End is the outcome of an attempt.
 type End string
@@ -148,11 +148,12 @@
 	kind     failure.Kind // answer to the caller if there is no further attempt
 }
 
-// retryFundingTimeout is how long an attempt after a failed dial waits for the retry budget. After that the attempt is made
-// without payment: when traffic is low there may be no credit, and the failed dial caused no load at a server.
+// retryFundingTimeout is how long an attempt after a failed dial waits for the retry budget. After that the attempt is
+// made without payment: when traffic is low there may be no credit, and the failed dial caused no load at a server.
 const retryFundingTimeout = clock.Span(time.Second)
 
-// transitions maps the outcome of an attempt to the next step, first for non-repeatable and then for repeatable requests.
+// transitions maps the outcome of an attempt to the next step, first for non-repeatable and then for repeatable
+// requests.
 var transitions = map[End][2]transition{
 	Pending: {{again: true}, {again: true}},
 	Kept:    {{again: true}, {again: true}},
--- a/internal/router/load_balancing.go
+++ b/internal/router/load_balancing.go
@@ -9,8 +9,8 @@
 	"tidedeck/internal/protocol"
 )
 
-// Choice of a replica for servers that do not report their load with their answers. The router estimates the load of a server
-// from its own requests in flight, the recent total of all routers, and the observed times per token.
+// Choice of a replica for servers that do not report their load with their answers. The router estimates the load of a
+// server from its own requests in flight, the recent total of all routers, and the observed times per token.
 
 const (
 	prefixReuseFraction = 0.6               // fraction of shared tokens that a server with a likely cached prefix need not process
@@ -18,7 +18,7 @@
 	minJitterTokens     = 600               // minimum jitter of the load comparison, in tokens
 	loadReportAge       = clock.Span(200e6) // typical age of the reports on other routers' load
 	inflowSeconds       = 2.0               // time constant of the inflow average, in seconds
-	maxOutputTokens     = 64                // upper limit of the output tokens that count, because a server generates them for many requests at a time
+	maxOutputTokens     = 64                // limit of counted output tokens; servers generate them for many requests at a time
 	flatCost            = 1                 // cost of a request without token counts
 )
 
@@ -51,8 +51,8 @@
 	return x ^ x>>33
 }
 
-// homeHash returns the rendezvous hash of a prompt's shared parts and a server. The server with the highest value is likely to
-// have the parts in its cache. The value is the same at every router.
+// homeHash returns the rendezvous hash of a prompt's shared parts and a server. The server with the highest value is
+// likely to have the parts in its cache. The value is the same at every router.
 func homeHash(r *request, server ident.Server) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(server))
@@ -112,15 +112,15 @@
 	return best
 }
 
-// isPlain reports whether a request is for a service whose servers hold no models. A request without a model may also be for a
-// service with models; its cost is then counted in tokens like that of the other requests there.
+// isPlain reports whether a request is for a service whose servers hold no models. A request without a model may also
+// be for a service with models; its cost is then counted in tokens like that of the other requests there.
 func (c *Core) isPlain(r *request) bool {
 	return r.key.Plain() && c.plan.Services[r.key.Service()].Plain
 }
 
-// jitter returns the range of the random amount that is added to the cost of each replica, so that routers with the same data
-// do not all choose the same replica. It is the number of tokens that all other routers may have sent to one replica since
-// their last reports.
+// jitter returns the range of the random amount that is added to the cost of each replica, so that routers with the
+// same data do not all choose the same replica. It is the number of tokens that all other routers may have sent to one
+// replica since their last reports.
 func (c *Core) jitter(r *request, replicas int) float64 {
 	if c.isPlain(r) {
 		return 0.3
@@ -153,7 +153,8 @@
 	flow.at = c.now
 }
 
-// alreadyTried reports whether an earlier attempt of a request was sent, or tried to connect, to the server of a replica.
+// alreadyTried reports whether an earlier attempt of a request was sent, or tried to connect, to the server of a
+// replica.
 func (r *request) alreadyTried(p *protocol.Replica) bool {
 	for _, attempt := range r.attempts {
 		if attempt.Server == p.Server && attempt.How != Kept {
@@ -163,8 +164,8 @@
 	return false
 }
 
-// hasRoom reports whether a server has a free slot and enough token memory for a request. A request larger than the memory is
-// permitted at an idle server.
+// hasRoom reports whether a server has a free slot and enough token memory for a request. A request larger than the
+// memory is permitted at an idle server.
 func (c *Core) hasRoom(r *request, p *protocol.Replica, load *serverLoad) bool {
 	service := c.plan.Services[r.key.Service()]
 	if service.Plain {
--- a/internal/router/model_optional_test.go
+++ b/internal/router/model_optional_test.go
@@ -18,8 +18,8 @@
 		Class: fleetplan.Class{Value: 5, Wait: clock.Span(5e9)}, ModelOptional: true}
 }
 
-// A request without a model is routed by the entry of the service itself, and only if its route permits that. The token load
-// of requests with a model does not prevent it from being sent.
+// A request without a model is routed by the entry of the service itself, and only if its route permits that. The
+// token load of requests with a model does not prevent it from being sent.
 func TestRequestWithoutModel(t *testing.T) {
 	b := free(t, Options{}, hostPlan(addModelOptionalRoute))
 	_, l, out := b.go1("/any/x", fleetplan.Call{})
--- a/internal/router/queue.go
+++ b/internal/router/queue.go
@@ -15,11 +15,11 @@
 
 const (
 	neverRetryAfter    = clock.Span(5 * time.Second)        // Retry-After for a key that no server can hold
-	entryRetryInterval = clock.Span(400 * time.Millisecond) // time after which an entry is requested again; at least two lease renewals
+	entryRetryInterval = clock.Span(400 * time.Millisecond) // time between requests for an entry; at least two renewals
 )
 
-// enqueue adds a request to its queue. If the queue is full, the least valuable request is rejected. It reports whether the
-// given request was queued.
+// enqueue adds a request to its queue. If the queue is full, the least valuable request is rejected. It reports
+// whether the given request was queued.
 func (c *Core) enqueue(r *request) bool {
 	for len(c.queues[r.key]) >= c.o.MaxQueuedPerKey || c.queued >= c.o.MaxQueued {
 		evicted := c.evictionCandidate(r)
@@ -32,8 +32,9 @@
 	return true
 }
 
-// evictionCandidate returns the request to reject in favor of a new one. It searches the new request's queue if that queue is
-// full, otherwise all queues, and returns the newest request with the lowest value, or the new request itself.
+// evictionCandidate returns the request to reject in favor of a new one. It searches the new request's queue if that
+// queue is full, otherwise all queues, and returns the newest request with the lowest value, or the new request
+// itself.
 func (c *Core) evictionCandidate(r *request) *request {
 	least := r
 	for _, k := range generic.SortedKeys(c.queues) {
@@ -79,8 +80,8 @@
 	c.queues[r.key] = queue
 }
 
-// finish ends a request and, unless a server answered it, emits its final answer. If retryAfter is zero, the value for the
-// failure kind is used.
+// finish ends a request and, unless a server answered it, emits its final answer. If retryAfter is zero, the value for
+// the failure kind is used.
 func (c *Core) finish(r *request, k failure.Kind, retryAfter clock.Span) {
 	if r.stage == Waiting {
 		c.remove(r)
@@ -160,8 +161,8 @@
 	}
 }
 
-// readyTooLate reports whether no replica can be ready before a request's deadline, and the time until one may be ready. Such
-// a request is rejected immediately.
+// readyTooLate reports whether no replica can be ready before a request's deadline, and the time until one may be
+// ready. Such a request is rejected immediately.
 func (c *Core) readyTooLate(e *cacheEntry, r *request) (retryAfter clock.Span, late bool) {
 	if e.Never {
 		return neverRetryAfter, true
--- a/internal/router/regressions_test.go
+++ b/internal/router/regressions_test.go
@@ -11,8 +11,8 @@
 	"tidedeck/internal/protocol"
 )
 
-// A router that shuts down rejects every waiting request, and every later request that would have to wait, with an answer which
-// states that the request has not run.
+// A router that shuts down rejects every waiting request, and every later request that would have to wait, with an
+// answer which states that the request has not run.
 func TestStopTurnsAway(t *testing.T) {
 	b := free(t, Options{})
 	ref, l, _ := b.go1("/llm/x", fleetplan.Call{Base: "m"})
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -246,8 +246,8 @@
 	}
 }
 
-// An entry with a callback is used without a request to the controller. Without a callback it is revalidated first, and the
-// request for it carries the mark of the cached copy.
+// An entry with a callback is used without a request to the controller. Without a callback it is revalidated first,
+// and the request for it carries the mark of the cached copy.
 func TestCallbacks(t *testing.T) {
 	b := newTestRouter(t, Options{})
 	_, out := b.call(fleetplan.Call{})
@@ -297,7 +297,8 @@
 	require.Equal(t, Ref(4), r.Ref, "the new request is less valuable than all waiting requests")
 }
 
-// A request whose deadline passes while it waits ends at the next beat. A request that arrives after its deadline is invalid.
+// A request whose deadline passes while it waits ends at the next beat. A request that arrives after its deadline is
+// invalid.
 func TestDeadline(t *testing.T) {
 	b := newTestRouter(t, Options{})
 	_, out := b.call(fleetplan.Call{Wait: -1})
@@ -334,8 +335,8 @@
 	require.True(t, ok)
 }
 
-// Without a lease the plan in force may be outdated, so it must not cause a rejection. The simulator (scene grow, seed 1) found
-// a partitioned router that answered valid requests with no_route.
+// Without a lease the plan in force may be outdated, so it must not cause a rejection. The simulator (scene grow, seed
+// 1) found a partitioned router that answered valid requests with no_route.
 func TestNoRejectionWithoutLease(t *testing.T) {
 	b := newTestRouter(t, Options{})
 	b.at = b.at.Add(61e9)
@@ -410,8 +411,8 @@
 	}
 }
 
-// A non-repeatable request goes to the same server at every router, whatever the load of that server. The server is skipped
-// only after two attempts failed to reach it.
+// A non-repeatable request goes to the same server at every router, whatever the load of that server. The server is
+// skipped only after two attempts failed to reach it.
 func TestPinnedReplica(t *testing.T) {
 	one := func(b *bed) Launch {
 		_, out := b.call(fleetplan.Call{ID: "it", Parts: []string{fmt.Sprint(b.ref)}})
--- a/internal/router/token_times.go
+++ b/internal/router/token_times.go
@@ -5,9 +5,9 @@
 	"tidedeck/internal/protocol"
 )
 
-// Time per token by base model. A router reports the shortest time that it has observed, and the owner returns the times
-// observed by all routers together. Times differ between bases by a large factor, so the load of a server is counted in tokens
-// of the slowest base.
+// Time per token by base model. A router reports the shortest time that it has observed, and the owner returns the
+// times observed by all routers together. Times differ between bases by a large factor, so the load of a server is
+// counted in tokens of the slowest base.
 
 const (
 	defaultTokenTime  = 0.04e6 // ns per token before any time is known
--- a/internal/router/token_times_test.go
+++ b/internal/router/token_times_test.go
@@ -10,7 +10,8 @@
 	"tidedeck/internal/protocol"
 )
 
-// The cost of a request is scaled by the time per token of its base relative to the slowest base, as reported by the owner.
+// The cost of a request is scaled by the time per token of its base relative to the slowest base, as reported by the
+// owner.
 func TestCostScalesWithTokenTime(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/internal/router/waits.go
+++ b/internal/router/waits.go
@@ -17,8 +17,8 @@
 	WaitRetry WaitCause = "retry" // the retry budget does not permit another attempt yet
 )
 
-// setWaitCause records the cause of waiting from now on and adds the time spent on the previous one. An empty cause means that
-// the request no longer waits.
+// setWaitCause records the cause of waiting from now on and adds the time spent on the previous one. An empty cause
+// means that the request no longer waits.
 func (r *request) setWaitCause(cause WaitCause, now clock.Tick) {
 	if r.waitCause != "" {
 		if r.waitTimes == nil {
