--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -37,10 +37,10 @@
 	Zone   ident.Zone                                       // zone of this router
 	Free   bool                                             // servers keep no request IDs; any replica may get a non-repeatable request
 	Guards bool                                             // servers reject misdirected requests, so a router may send without a lease
-	Lend   float64                                          // fleet-wide retries per service and Window that need no earned credit
+	Lend   float64                                          // fleet-wide retries per service and retry window that need no earned credit
 	Window clock.Span
 
-	LendAgain float64 // the same for a restarted router, during its first Window
+	LendAgain float64 // the same for a restarted router, during its first retry window
 	Restarted bool    // an earlier process of this router may have used its share of the margin in the current window
 }
 
