--- a/internal/router/invariants_test.go
+++ b/internal/router/invariants_test.go
@@ -12,16 +12,17 @@
 	"tidedeck/internal/overlay"
 )
 
-// Each invariant, with the guard that it stands behind taken out for one build, and a test that then meets it.
-var invariantBites = []struct {
+// invariantEdits lists for each invariant an edit that removes the guard before it, and a test that then violates the
+// invariant.
+var invariantEdits = []struct {
 	name                 invariant.Name
 	file, old, now, test string
 }{
 	{invariant.RunsOnce, "ledger.go", "Lost:    {{kind: failure.Unclear}, ", "Lost:    {{again: true}, ", "TestTries"},
 	{invariant.RefusedNeverRan, "queue.go", "if failure.Receipts[k].Dropped && r.mayHaveRun() {", "if false {", "TestNoDropAfterLost"},
 	{invariant.TriesBounded, "ledger.go", "if m.again && r.sent() >= most {", "if m.again && r.sent() >= 1000 {", "TestTries"},
-	{invariant.TimeLeftShrinks, "admission.go", "\t\tr.due = r.came.Add(w)", "\t\tr.due = c.now.Add(w)", "TestTimeLeftOnARepeat"},
-	{invariant.EndsInTime, "core.go", "\t\t\tif c.now >= r.due {\n\t\t\t\tc.finish", "\t\t\tif false {\n\t\t\t\tc.finish", "TestWaitsNoLongerThanItsTime"},
+	{invariant.TimeLeftShrinks, "admission.go", "\t\tr.queueDeadline = r.came.Add(wait)", "\t\tr.queueDeadline = c.now.Add(wait)", "TestTimeLeftOnARepeat"},
+	{invariant.EndsInTime, "core.go", "\t\t\tif c.now >= r.queueDeadline {\n\t\t\t\tc.finish", "\t\t\tif false {\n\t\t\t\tc.finish", "TestWaitsNoLongerThanItsTime"},
 	{invariant.AnswerIsServers, "relay_attempt.go", `if info.ID == x.facts.ID && info.ID != "" {`, `if info.ID != "" {`, "TestSurplusResponses"},
 	{invariant.RefusalIsOurs, "relay_reply.go", "\th := x.w.Header()\n\tbody, _ := json", "\th := x.w.Header()\n\th[\"X-Seal\"] = []string{\"s\"}\n\tbody, _ := json", "TestGeneratedResponsesHaveNoSeal"},
 	{invariant.ConnectionMatches, "conn_pool.go", "\tidle := p.idle[to]\n", "\tidle := p.idle[to]\n\tfor to, idle = range p.idle {\n\t\tbreak\n\t}\n", "TestKeptForOneServer"},
@@ -29,14 +30,15 @@
 	{invariant.EpochRises, "core.go", "if d.Gen < c.gen || d.Gen == c.gen && d.Epoch <= c.epoch {", "if false {", "TestEpochsOnlyRise|TestOtherGeneration"},
 }
 
-// An invariant that no broken guard violates would be a check of nothing.
+// Every invariant check must report a violation when the guard before it is removed; otherwise the check is
+// ineffective.
 func TestInvariantsBite(t *testing.T) {
 	if testing.Short() {
 		t.Skip("builds the tests once for each invariant")
 	}
 	root, err := filepath.Abs("../..")
 	require.NoError(t, err)
-	for _, b := range invariantBites {
+	for _, b := range invariantEdits {
 		t.Run(string(b.name), func(t *testing.T) {
 			t.Parallel()
 			name, err := overlay.Write(root, t.TempDir(), []overlay.Edit{{File: "internal/router/" + b.file, Old: b.old, New: b.now}})
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -18,6 +18,7 @@
 
 var ses = protocol.Session{Node: "agent", Agent: 1, Router: 7, N: 1}
 
+// bed is a router core under test with its clock and the counters of the messages sent to it.
 type bed struct {
 	*Core
 	t   *testing.T
@@ -26,28 +27,28 @@
 	ref Ref
 }
 
-// lay makes a router that holds its link and rules by the plan.
-func lay(t *testing.T, o Options) *bed {
+// newTestRouter returns a router that has a lease and the plan in force.
+func newTestRouter(t *testing.T, o Options) *bed {
 	o.Inc = 7
 	b := &bed{Core: New(o), t: t, at: 1e9}
-	b.mail(protocol.Hold{Session: ses, Until: b.at.Add(60e9), Routers: 1})
-	b.news(protocol.Item{Desired: &protocol.Desired{Gen: 1, Epoch: 1, Plan: []byte(plan)}})
+	b.deliver(protocol.Hold{Session: ses, Until: b.at.Add(60e9), Routers: 1})
+	b.deliverItem(protocol.Item{Desired: &protocol.Desired{Gen: 1, Epoch: 1, Plan: []byte(plan)}})
 	return b
 }
 
-// fund sets what first attempts have earned for retries, at each service.
-func (b *bed) fund(n float64) {
+// fund sets the retry credit of every service.
+func (b *bed) fund(amount float64) {
 	for _, service := range []string{"", "web", "new", "llm"} {
-		b.allowance(service).earnings = []earning{{b.at, n}}
+		b.retryBudget(service).credits = []retryCredit{{b.at, amount}}
 	}
 }
 
-func (b *bed) mail(body any) []any { return b.Step(b.at, protocol.Env{Body: body}) }
+func (b *bed) deliver(body any) []any { return b.Step(b.at, protocol.Env{Body: body}) }
 
-func (b *bed) news(i protocol.Item) []any {
+func (b *bed) deliverItem(i protocol.Item) []any {
 	b.num++
 	i.Num = b.num
-	return b.mail(protocol.News{Session: ses, Items: []protocol.Item{i}})
+	return b.deliver(protocol.News{Session: ses, Items: []protocol.Item{i}})
 }
 
 func (b *bed) entry(k ident.Key, servers ...string) []any {
@@ -55,7 +56,7 @@
 	for _, s := range servers {
 		e.Replicas = append(e.Replicas, protocol.Replica{Server: ident.Server(s), Addr: s, Zone: "z", Inc: 1, Slots: 4, Warm: 1e12})
 	}
-	return b.news(protocol.Item{Entry: e})
+	return b.deliverItem(protocol.Item{Entry: e})
 }
 
 func (b *bed) call(c fleetplan.Call) (Ref, []any) {
@@ -81,7 +82,7 @@
 	return x, false
 }
 
-func mailed[T any](l []any) (x T, ok bool) {
+func findMessage[T any](l []any) (x T, ok bool) {
 	for _, o := range l {
 		if e, is := o.(protocol.Env); is {
 			if v, is := e.Body.(T); is {
@@ -92,26 +93,26 @@
 	return x, false
 }
 
-// waits stands for a request that is neither answered nor sent again at once.
-const waits = failure.Kind("waits")
+// stillWaiting stands for a request that is neither answered nor retried immediately.
+const stillWaiting = failure.Kind("waits")
 
-// What follows each end of a go, for requests that may and that may not be repeated.
+// The next step after each outcome of an attempt, for repeatable and non-repeatable requests.
 func TestLedger(t *testing.T) {
 	for _, c := range []struct {
-		how    End
-		kind   failure.Kind
-		again  bool
-		begun  bool
-		bank   float64
-		answer failure.Kind // None: another go
+		how        End
+		kind       failure.Kind
+		repeatable bool
+		begun      bool
+		credit     float64
+		answer     failure.Kind // None: another attempt
 	}{
 		{Kept, "", false, false, 0, failure.None},
-		{Unsent, "", false, false, 1, waits},
+		{Unsent, "", false, false, 1, stillWaiting},
 		{Unsent, "", true, false, 1, failure.None},
-		{Unsent, "", true, false, 0, waits},
-		{Dropped, failure.Busy, false, false, 1, waits},
+		{Unsent, "", true, false, 0, stillWaiting},
+		{Dropped, failure.Busy, false, false, 1, stillWaiting},
 		{Dropped, failure.Busy, true, false, 1, failure.None},
-		{Dropped, failure.Late, true, false, 1, waits}, // the entry is asked for again first
+		{Dropped, failure.Late, true, false, 1, stillWaiting}, // the entry is requested again first
 		{Dropped, failure.Repeated, false, false, 1, failure.Repeated},
 		{Dropped, failure.Repeated, true, false, 1, failure.Repeated},
 		{Dropped, failure.Busy, true, false, 0, failure.Spent},
@@ -121,21 +122,21 @@
 		{Lost, "", true, true, 1, failure.Cut},
 		{Split, "", true, true, 1, failure.Cut},
 	} {
-		b := lay(t, Options{})
+		b := newTestRouter(t, Options{})
 		b.entry("m", "s1", "s2")
-		ref, out := b.call(fleetplan.Call{Again: c.again})
+		ref, out := b.call(fleetplan.Call{Again: c.repeatable})
 		l, ok := pick[Launch](out)
 		require.True(t, ok)
 		require.True(t, b.MaySend(b.at, ref, 1))
-		b.fund(c.bank)
+		b.fund(c.credit)
 		if c.begun {
 			b.Step(b.at, Begun{ref, 1})
 		}
 		out = b.Step(b.at, Ended{Ref: ref, N: 1, How: c.how, Kind: c.kind})
 		r, dropped := pick[Receipt](out)
-		if c.answer == waits {
-			_, again := pick[Launch](out)
-			require.False(t, dropped || again, "%+v", c)
+		if c.answer == stillWaiting {
+			_, retried := pick[Launch](out)
+			require.False(t, dropped || retried, "%+v", c)
 			continue
 		}
 		if c.answer != failure.None {
@@ -153,14 +154,14 @@
 	}
 }
 
-// Once a go may have run, no later end is told as a drop.
+// Once an attempt may have run, the final answer never states that the request did not run.
 func TestNoDropAfterLost(t *testing.T) {
-	b := lay(t, Options{})
+	b := newTestRouter(t, Options{})
 	b.entry("m", "s1")
 	ref, _ := b.call(fleetplan.Call{Again: true, Wait: 80e6})
 	require.True(t, b.MaySend(b.at, ref, 1))
 	b.fund(1)
-	out := b.Step(b.at, Ended{Ref: ref, N: 1, How: Lost}) // the only server is avoided for a while: it waits
+	out := b.Step(b.at, Ended{Ref: ref, N: 1, How: Lost}) // the only server is avoided for a while, so the request waits
 	_, dropped := pick[Receipt](out)
 	require.False(t, dropped)
 	b.at = b.at.Add(90e6)
@@ -169,7 +170,7 @@
 	require.Equal(t, failure.Unclear, r.Kind)
 }
 
-// At the very point of sending, every part of the promise is looked at once more.
+// MaySend checks every condition for sending once more.
 func TestMaySend(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -177,24 +178,24 @@
 		may  bool
 	}{
 		{"nothing changed", func(b *bed) {}, true},
-		{"the hold ran out", func(b *bed) { b.at = b.at.Add(61e9) }, false},
-		{"the promise was broken", func(b *bed) { b.news(protocol.Item{Break: "m"}) }, false},
+		{"the lease expired", func(b *bed) { b.at = b.at.Add(61e9) }, false},
+		{"the callback was broken", func(b *bed) { b.deliverItem(protocol.Item{Break: "m"}) }, false},
 		{"a new session began", func(b *bed) {
-			b.mail(protocol.Hold{Session: protocol.Session{Node: "agent", Agent: 1, Router: 7, N: 2}, Until: b.at.Add(60e9)})
+			b.deliver(protocol.Hold{Session: protocol.Session{Node: "agent", Agent: 1, Router: 7, N: 2}, Until: b.at.Add(60e9)})
 		}, false},
 		{"the zone was emptied", func(b *bed) {
-			b.news(protocol.Item{Desired: &protocol.Desired{Gen: 1, Epoch: 2, Plan: []byte(plan), Empty: []ident.Zone{"z"}}})
+			b.deliverItem(protocol.Item{Desired: &protocol.Desired{Gen: 1, Epoch: 2, Plan: []byte(plan), Empty: []ident.Zone{"z"}}})
 		}, false},
 		{"the plan no longer allows it", func(b *bed) {
-			b.news(protocol.Item{Desired: &protocol.Desired{Gen: 1, Epoch: 2, Plan: []byte(`{"name":"q","models":{"n":{"size":3}},"kinds":{"k":{"value":3}},"services":{"s":{"models":["n"]}},"routes":{"/r":{"service":"s","kinds":["k"]}}}`)}})
+			b.deliverItem(protocol.Item{Desired: &protocol.Desired{Gen: 1, Epoch: 2, Plan: []byte(`{"name":"q","models":{"n":{"size":3}},"kinds":{"k":{"value":3}},"services":{"s":{"models":["n"]}},"routes":{"/r":{"service":"s","kinds":["k"]}}}`)}})
 		}, false},
 		{"the server restarted", func(b *bed) {
-			b.news(protocol.Item{Break: "m"})
-			b.news(protocol.Item{Entry: &protocol.Entry{Key: "m", Mark: 9, Replicas: []protocol.Replica{{Server: "s1", Addr: "s1", Zone: "z", Inc: 2, Slots: 4}}}})
+			b.deliverItem(protocol.Item{Break: "m"})
+			b.deliverItem(protocol.Item{Entry: &protocol.Entry{Key: "m", Mark: 9, Replicas: []protocol.Replica{{Server: "s1", Addr: "s1", Zone: "z", Inc: 2, Slots: 4}}}})
 		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := lay(t, Options{})
+			b := newTestRouter(t, Options{})
 			b.entry("m", "s1")
 			ref, out := b.call(fleetplan.Call{})
 			_, ok := pick[Launch](out)
@@ -205,82 +206,83 @@
 	}
 }
 
-// Numbered changes are taken in order, once, and acknowledged up to the last one taken.
+// Numbered changes are applied once and in order, and the acknowledgement carries the number of the last one applied.
 func TestNews(t *testing.T) {
-	b := lay(t, Options{})
+	b := newTestRouter(t, Options{})
 	item := func(n uint64, k ident.Key) protocol.Item {
 		return protocol.Item{Num: n, Entry: &protocol.Entry{Key: k, Mark: 1}}
 	}
 	for _, c := range []struct {
-		name  string
-		ses   protocol.Session
-		items []protocol.Item
-		heard uint64
+		name    string
+		session protocol.Session
+		items   []protocol.Item
+		heard   uint64
 	}{
-		{"a gap is waited for", ses, []protocol.Item{item(3, "n")}, 1},
-		{"the next ones", ses, []protocol.Item{item(2, "m"), item(3, "n")}, 3},
-		{"a repeat changes nothing", ses, []protocol.Item{{Num: 2, Break: "m"}}, 3},
+		{"nothing is applied after a gap", ses, []protocol.Item{item(3, "n")}, 1},
+		{"consecutive numbers", ses, []protocol.Item{item(2, "m"), item(3, "n")}, 3},
+		{"a duplicate changes nothing", ses, []protocol.Item{{Num: 2, Break: "m"}}, 3},
 	} {
-		h, ok := mailed[protocol.Heard](b.mail(protocol.News{Session: c.ses, Items: c.items}))
+		h, ok := findMessage[protocol.Heard](b.deliver(protocol.News{Session: c.session, Items: c.items}))
 		require.True(t, ok, c.name)
 		require.Equal(t, c.heard, h.Num, c.name)
 	}
-	require.True(t, b.entries["m"].held)
+	require.True(t, b.entries["m"].hasCallback)
 	old := ses
 	old.N = 0
-	_, ok := mailed[protocol.Heard](b.mail(protocol.News{Session: old, Items: []protocol.Item{item(4, "m")}}))
-	require.False(t, ok, "another session's news are nobody's")
+	_, ok := findMessage[protocol.Heard](b.deliver(protocol.News{Session: old, Items: []protocol.Item{item(4, "m")}}))
+	require.False(t, ok, "changes of another session are not acknowledged")
 }
 
-// No plan is taken that is older than the one in force; a new generation is always newer.
+// A configuration older than the one in force is ignored. A higher generation is always newer.
 func TestEpochsOnlyRise(t *testing.T) {
-	b := lay(t, Options{})
+	b := newTestRouter(t, Options{})
 	for _, c := range []struct {
 		gen, epoch uint64
 		want       [2]uint64
 	}{{1, 5, [2]uint64{1, 5}}, {1, 4, [2]uint64{1, 5}}, {1, 5, [2]uint64{1, 5}}, {2, 1, [2]uint64{2, 1}}, {1, 9, [2]uint64{2, 1}}, {2, 2, [2]uint64{2, 2}}} {
-		b.news(protocol.Item{Desired: &protocol.Desired{Gen: c.gen, Epoch: ident.Epoch(c.epoch), Plan: []byte(plan)}})
+		b.deliverItem(protocol.Item{Desired: &protocol.Desired{Gen: c.gen, Epoch: ident.Epoch(c.epoch), Plan: []byte(plan)}})
 		g, e, _ := b.Rules(b.at)
 		require.Equal(t, c.want, [2]uint64{g, uint64(e)})
 	}
 }
 
-// Under a held callback routing asks nobody; without one it checks first, and says what it has.
+// An entry with a callback is used without a request to the controller. Without a callback it is revalidated first,
+// and the request for it carries the mark of the cached copy.
 func TestCallbacks(t *testing.T) {
-	b := lay(t, Options{})
+	b := newTestRouter(t, Options{})
 	_, out := b.call(fleetplan.Call{})
-	w, ok := mailed[protocol.Want](out)
+	w, ok := findMessage[protocol.Want](out)
 	require.True(t, ok)
 	require.Zero(t, w.Mark)
 	out = b.entry("m", "s1", "s2")
 	_, ok = pick[Launch](out)
-	require.True(t, ok, "what waited is sent when the entry comes")
+	require.True(t, ok, "the waiting request is sent when the entry arrives")
 	for range 3 {
 		_, out = b.call(fleetplan.Call{})
-		_, asked := mailed[protocol.Want](out)
+		_, asked := findMessage[protocol.Want](out)
 		require.False(t, asked)
 		_, ok = pick[Launch](out)
 		require.True(t, ok)
 	}
 	require.EqualValues(t, 3, b.tally.Hits)
-	// After a reconnect the entry is suspect: it is checked on first use, by its mark.
-	two := ses
-	two.N = 2
-	b.mail(protocol.Hold{Session: two, Until: b.at.Add(60e9)})
+	// After a reconnect the entry is revalidated on first use, by its mark.
+	second := ses
+	second.N = 2
+	b.deliver(protocol.Hold{Session: second, Until: b.at.Add(60e9)})
 	_, out = b.call(fleetplan.Call{})
-	w, ok = mailed[protocol.Want](out)
+	w, ok = findMessage[protocol.Want](out)
 	require.True(t, ok)
 	require.EqualValues(t, 3, w.Mark)
 	_, ok = pick[Launch](out)
 	require.False(t, ok)
-	out = b.mail(protocol.News{Session: two, Items: []protocol.Item{{Num: 1, Entry: &protocol.Entry{Key: "m", Mark: 3, Same: true}}}})
+	out = b.deliver(protocol.News{Session: second, Items: []protocol.Item{{Num: 1, Entry: &protocol.Entry{Key: "m", Mark: 3, Same: true}}}})
 	_, ok = pick[Launch](out)
 	require.True(t, ok)
 }
 
-// A full line lets go of what is worth least, at once and with when to come back.
-func TestFullLine(t *testing.T) {
-	b := lay(t, Options{Line: 2})
+// A full queue rejects the least valuable request immediately, with a Retry-After time.
+func TestFullQueue(t *testing.T) {
+	b := newTestRouter(t, Options{MaxQueuedPerKey: 2})
 	b.call(fleetplan.Call{Kind: "low"})
 	b.call(fleetplan.Call{Kind: "k"})
 	_, out := b.call(fleetplan.Call{Kind: "k"})
@@ -292,12 +294,13 @@
 	_, out = b.call(fleetplan.Call{Kind: "low"})
 	r, ok = pick[Receipt](out)
 	require.True(t, ok)
-	require.Equal(t, Ref(4), r.Ref, "the newcomer is worth less than all who wait")
+	require.Equal(t, Ref(4), r.Ref, "the new request is less valuable than all waiting requests")
 }
 
-// A horizon that passes ends the wait at once; one that had passed already is no proper request.
-func TestHorizon(t *testing.T) {
-	b := lay(t, Options{})
+// A request whose deadline passes while it waits ends at the next beat. A request that arrives after its deadline is
+// invalid.
+func TestDeadline(t *testing.T) {
+	b := newTestRouter(t, Options{})
 	_, out := b.call(fleetplan.Call{Wait: -1})
 	r, _ := pick[Receipt](out)
 	require.Equal(t, failure.PastDue, r.Kind)
@@ -311,9 +314,9 @@
 	require.Equal(t, Receipt{ref, failure.Expired, failure.Receipts[failure.Expired].Back}, r)
 }
 
-// Callers' own repeats come out of the same allowance as retries do.
-func TestAllowance(t *testing.T) {
-	b := lay(t, Options{})
+// Repetitions by callers use the same budget as retries.
+func TestCallersRepetitionsUseRetryBudget(t *testing.T) {
+	b := newTestRouter(t, Options{})
 	b.entry("m", "s1")
 	_, out := b.call(fleetplan.Call{Repeat: true})
 	r, ok := pick[Receipt](out)
@@ -326,47 +329,47 @@
 	}
 	_, out = b.call(fleetplan.Call{Repeat: true})
 	_, ok = pick[Launch](out)
-	require.True(t, ok, "seven first goes have paid for one")
+	require.True(t, ok, "seven first attempts earn credit for one retry")
 	_, out = b.call(fleetplan.Call{Repeat: true})
 	_, ok = pick[Receipt](out)
 	require.True(t, ok)
 }
 
-// Without a hold the plan in force may be old: nobody is turned away by it. Found by the
-// simulator (grow, seed 1) as proper requests told no_route by a router that was cut off.
-func TestDoubt(t *testing.T) {
-	b := lay(t, Options{})
+// Without a lease the plan in force may be outdated, so it must not cause a rejection. The simulator (scene grow, seed
+// 1) found a partitioned router that answered valid requests with no_route.
+func TestNoRejectionWithoutLease(t *testing.T) {
+	b := newTestRouter(t, Options{})
 	b.at = b.at.Add(61e9)
 	_, out := b.call(fleetplan.Call{Base: "new"})
 	_, ok := pick[Receipt](out)
 	require.False(t, ok)
-	_, asked := mailed[protocol.Want](out)
-	require.False(t, asked, "nor does a name that may not exist leave the router")
-	out = b.mail(protocol.Hold{Session: ses, Until: b.at.Add(60e9)})
+	_, asked := findMessage[protocol.Want](out)
+	require.False(t, asked, "a model name that may not exist is not sent to the controller")
+	out = b.deliver(protocol.Hold{Session: ses, Until: b.at.Add(60e9)})
 	r, ok := pick[Receipt](out)
 	require.True(t, ok)
 	require.Equal(t, failure.NoModel, r.Kind)
 }
 
-// The cache keeps to its bound, and lets the owner know in batches what it let go.
+// The cache stays within its limit and reports evicted entries to the owner in batches.
 func TestCacheBound(t *testing.T) {
-	b := lay(t, Options{Cache: 4})
+	b := newTestRouter(t, Options{Cache: 4})
 	for i := range 10 {
 		b.at = b.at.Add(1e6)
 		b.entry(ident.Key(fmt.Sprint("x", i)), "s1")
 	}
 	require.Len(t, b.entries, 4)
 	b.at = b.at.Add(1e9)
-	r, ok := mailed[protocol.Removal](b.Step(b.at, protocol.Beat{}))
+	r, ok := findMessage[protocol.Removal](b.Step(b.at, protocol.Beat{}))
 	require.True(t, ok)
 	require.Len(t, r.Drops, 6)
 	require.Equal(t, protocol.Drop{Key: "x0", Num: 2}, r.Drops[0])
 }
 
-// A cold replica gets a few requests, then more as it warms.
+// The number of requests in flight at a cold replica grows over the ramp time.
 func TestRamp(t *testing.T) {
-	b := lay(t, Options{Ramp: 4e9})
-	b.news(protocol.Item{Entry: &protocol.Entry{Key: "m", Mark: 1, Replicas: []protocol.Replica{{Server: "s", Addr: "s", Zone: "z", Inc: 1, Slots: 8}}}})
+	b := newTestRouter(t, Options{Ramp: 4e9})
+	b.deliverItem(protocol.Item{Entry: &protocol.Entry{Key: "m", Mark: 1, Replicas: []protocol.Replica{{Server: "s", Addr: "s", Zone: "z", Inc: 1, Slots: 8}}}})
 	n := 0
 	for range 40 {
 		_, out := b.call(fleetplan.Call{})
@@ -385,9 +388,9 @@
 	}
 }
 
-// Requests with the same shared parts go to the same replica, until it is burdened too much.
+// Requests with the same shared parts go to the same replica until its load exceeds the bound.
 func TestAffinity(t *testing.T) {
-	b := lay(t, Options{})
+	b := newTestRouter(t, Options{})
 	b.entry("m", "s1", "s2", "s3")
 	seen := map[ident.Server]int{}
 	for range 9 {
@@ -404,19 +407,19 @@
 	}
 	require.Greater(t, len(seen), 1)
 	for s, n := range seen {
-		require.LessOrEqual(t, n, 9+6, "%s is burdened beyond its fair share", s)
+		require.LessOrEqual(t, n, 9+6, "load of %s exceeds the bound", s)
 	}
 }
 
-// What may not be repeated goes to one server, at whichever router it is asked for and however
-// burdened that server is; only one that it could not reach twice is passed over.
-func TestBound(t *testing.T) {
+// A non-repeatable request goes to the same server at every router, whatever the load of that server. The server is
+// skipped only after two attempts failed to reach it.
+func TestPinnedReplica(t *testing.T) {
 	one := func(b *bed) Launch {
 		_, out := b.call(fleetplan.Call{ID: "it", Parts: []string{fmt.Sprint(b.ref)}})
 		l, _ := pick[Launch](out)
 		return l
 	}
-	b, c := lay(t, Options{}), lay(t, Options{})
+	b, c := newTestRouter(t, Options{}), newTestRouter(t, Options{})
 	b.entry("m", "s1", "s2", "s3")
 	c.entry("m", "s3", "s2", "s1")
 	s := one(b).Server
@@ -424,12 +427,12 @@
 		require.Equal(t, s, one(b).Server)
 		require.Equal(t, s, one(c).Server)
 	}
-	require.Empty(t, one(b).Server, "its server is full: it waits")
+	require.Empty(t, one(b).Server, "the server is full, so the request waits")
 	_, out := b.call(fleetplan.Call{Again: true, Parts: []string{"p"}})
 	l, ok := pick[Launch](out)
-	require.True(t, ok, "those behind it do not wait for it")
+	require.True(t, ok, "requests behind it are not blocked")
 	require.NotEqual(t, s, l.Server)
-	d := lay(t, Options{})
+	d := newTestRouter(t, Options{})
 	d.entry("m", "s1", "s2", "s3")
 	for n, same := range []bool{true, true, false} {
 		if n == 0 {
@@ -445,21 +448,21 @@
 	}
 }
 
-// What first goes earn for retries does not last.
-func TestAllowanceLapses(t *testing.T) {
-	b := lay(t, Options{})
+// Retry credit expires.
+func TestRetryCreditExpires(t *testing.T) {
+	b := newTestRouter(t, Options{})
 	for range 12 {
 		b.Core.now = b.at
 		b.earn("")
 		b.at = b.at.Add(100e6)
 	}
 	b.Core.now = b.at
-	require.True(t, b.pay(""), "12 first goes earn two retries")
+	require.True(t, b.spend(""), "12 first attempts earn credit for a retry")
 	b.Core.now = b.at.Add(10e9)
-	require.False(t, b.pay(""))
+	require.False(t, b.spend(""))
 }
 
-// An event follows only if it is the next one of this very go.
+// An event continues a stream only if it carries the next number of the same attempt.
 func TestFollows(t *testing.T) {
 	v := Launch{Server: "s", Work: protocol.Work{Go: "g"}}
 	for _, c := range []struct {
@@ -473,11 +476,11 @@
 	}
 }
 
-// What no server could ever hold is given up on at once, not held to its horizon.
-func TestNever(t *testing.T) {
-	b := lay(t, Options{})
+// A request for a key that no server can ever hold is rejected immediately instead of at its deadline.
+func TestKeyThatNoServerCanHold(t *testing.T) {
+	b := newTestRouter(t, Options{})
 	ref, _ := b.call(fleetplan.Call{})
-	out := b.news(protocol.Item{Entry: &protocol.Entry{Key: "m", Mark: 5, Never: true}})
+	out := b.deliverItem(protocol.Item{Entry: &protocol.Entry{Key: "m", Mark: 5, Never: true}})
 	r, ok := pick[Receipt](out)
 	require.True(t, ok)
 	require.Equal(t, Receipt{ref, failure.NotReady, 5e9}, r)
