--- a/internal/controller/clear_room.go
+++ b/internal/controller/clear_room.go
@@ -7,54 +7,54 @@
 	"tidedeck/internal/ident"
 )
 
-// Where servers check a fence, a key without any replica may take the room of others: of those that are
-// idle, have more replicas than they should, or are worth less.
+// On servers that check a fencing token, a key without any replica may take the room of other keys: of idle
+// replicas, of surplus replicas, or of keys with a lower value.
 
-// clearRoom evicts what is least missed on the server where that suffices with least.
-func (c *Core) clearRoom(w wish) {
-	if !w.bare {
-		return // a further replica is not worth another key's only one
+// makeRoom evicts replicas for a request on the server where the fewest evictions free enough room.
+func (c *Core) makeRoom(req placementRequest) {
+	if !req.noReplica {
+		return // a further replica does not justify evicting the only replica of another key
 	}
-	var best []*spot
-	var on *server
+	var victims []*spot
+	var target *server
 	for _, id := range generic.SortedKeys(c.servers) {
 		s := c.servers[id]
-		if !c.mayHold(s, w.model.Key) {
+		if !c.mayHold(s, req.model.Key) {
 			continue
 		}
 		free := s.free() + s.leaving()
-		if free >= w.model.Size {
-			return // room is on its way here already
+		if free >= req.model.Size {
+			return // evictions under way already free enough room here
 		}
-		idle := c.evictable(s, w)
+		idle := c.evictableFor(s, req)
 		n := 0
-		for n < len(idle) && free < w.model.Size {
+		for n < len(idle) && free < req.model.Size {
 			free += idle[n].size
 			n++
 		}
-		if free >= w.model.Size && (on == nil || n < len(best)) {
-			best, on = idle[:n], s
+		if free >= req.model.Size && (target == nil || n < len(victims)) {
+			victims, target = idle[:n], s
 		}
 	}
-	for _, p := range best {
-		c.evict(on, p)
+	for _, p := range victims {
+		c.evict(target, p)
 	}
 }
 
-// evictable lists what may be evicted from a server for a wish, least missed first: adapters before bases,
-// and no base under an adapter that stays.
-func (c *Core) evictable(s *server, w wish) []*spot {
+// evictableFor lists the replicas on a server that may be evicted for a request, least recently used first.
+// Adapters come before bases, and a base is listed only if all of its adapters may be evicted.
+func (c *Core) evictableFor(s *server, req placementRequest) []*spot {
 	keys := generic.SortedKeys(s.spots)
 	free := map[ident.Key]bool{}
 	var l []*spot
 	for _, key := range keys {
-		if p := s.spots[key]; key.IsAdapter() && c.mayEvict(p, w) {
+		if p := s.spots[key]; key.IsAdapter() && c.mayEvict(p, req) {
 			free[key] = true
 			l = append(l, p)
 		}
 	}
 	for _, key := range keys {
-		if p := s.spots[key]; !key.IsAdapter() && c.mayEvict(p, w) && allFree(s, key, free) {
+		if p := s.spots[key]; !key.IsAdapter() && c.mayEvict(p, req) && allEvictable(s, key, free) {
 			l = append(l, p)
 		}
 	}
@@ -68,8 +68,8 @@
 	return l
 }
 
-// allFree tells whether every adapter on a base may be evicted.
-func allFree(s *server, base ident.Key, free map[ident.Key]bool) bool {
+// allEvictable reports whether every adapter on a base may be evicted.
+func allEvictable(s *server, base ident.Key, free map[ident.Key]bool) bool {
 	for key := range s.spots {
 		if key.IsAdapter() && key.Base() == base && !free[key] {
 			return false
@@ -78,14 +78,15 @@
 	return true
 }
 
-// idle tells whether a spot has been ready for a while, and without work of late.
+// idle reports whether a replica has been ready for at least Rest and has had no work for at least Lull.
 func (c *Core) idle(p *spot) bool {
 	return p.stage == Ready && c.now.Sub(p.ready) >= c.o.Rest && p.work == 0 && c.now.Sub(p.busy) >= c.o.Lull
 }
 
-// mayEvict tells whether a spot may make way for a wish: it is idle and can be spared, or is worth less.
-func (c *Core) mayEvict(p *spot, w wish) bool {
-	if p.key == w.model.Key.Base() || !c.idle(p) {
+// mayEvict reports whether a replica may be evicted for a request: it is idle, and its key either has more
+// replicas than required or has a lower value.
+func (c *Core) mayEvict(p *spot, req placementRequest) bool {
+	if p.key == req.model.Key.Base() || !c.idle(p) {
 		return false
 	}
 	m := c.plan.Models[p.key]
@@ -93,6 +94,6 @@
 	if r.live > r.wanted {
 		return true
 	}
-	// Even a key that is asked for gives way to one that is worth more and has no replica.
-	return r.live > m.Floor && r.value < w.value
+	// A requested key, too, loses a replica above its floor to a key that has a higher value and no replica.
+	return r.live > m.Floor && r.value < req.value
 }
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -9,40 +9,40 @@
 	"tidedeck/internal/workload"
 )
 
-// Demand is what routers report of the keys that they are asked for: requests that wait, rates, and the
-// work that they come to, each over several spans.
+// Demand is what routers report about each key: requests that wait, request rates and the resulting work,
+// averaged over several time spans.
 
 const (
-	demandSpan  = 60e9  // a key's demand is kept for so long after it was last asked for
-	renewalSpan = 400e6 // within which a router's renewal shows what its lookup told: two of its intervals
-
-	sumEvery  = 250e6 // rates are summed so often: a router reports as often
-	sumMost   = 2.0   // seconds that one sum stands for at most, after a pause
-	nowSpan   = 1.2   // seconds that the work of just now looks back
-	lateSpan  = 4.0   // and that of late
-	slowSpan  = 20.0  // and the longer ones
-	riseTrust = 0.5   // of a rise that is taken to go on
-	longAge   = 3.0   // seconds of waiting from which on it counts for no more
+	demandRetention = 60e9  // entries that no router has reported for this long are deleted
+	lookupGrace     = 400e6 // two renewal intervals: by then a renewal includes the request that caused a lookup
+
+	rateInterval        = 250e6 // interval between rate updates; equals the report interval of routers
+	maxRateInterval     = 2.0   // upper bound in seconds for the interval of one update, which matters after a pause
+	currentTimeConstant = 1.2   // seconds, for the current load
+	recentTimeConstant  = 4.0   // seconds, for the recent rate and load
+	longTimeConstant    = 20.0  // seconds, for the long-term rate
+	trendWeight         = 0.5   // share of a rise in load that is expected to continue
+	maxWaitAge          = 3.0   // seconds of waiting beyond which the age no longer counts
 )
 
-// need is what is asked of a key.
+// keyDemand is the demand for one key.
 type need struct {
-	at     clock.Tick // when a router asked for it last
-	lookup clock.Tick // when a lookup told last of requests that no renewal had shown
-	since  clock.Tick // since when somebody waits
-	wait   int        // requests that wait, at all routers
-	value  int        // the highest value among them
-
-	came float64 // requests since the last sum
-	took float64 // seconds of a server's time that they take
-	rate float64 // requests a second, of late
-	slow float64 // and over a longer while
-	load float64 // servers' worth of work, of late
-	now  float64 // and just now
+	at           clock.Tick // time of the last report from any router
+	lookupAt     clock.Tick // time of the last lookup that reported more waiting requests than all renewals did
+	waitingSince clock.Tick // since when at least one request waits; zero if none does
+	wait         int        // waiting requests at all routers
+	value        int        // highest value among the waiting requests
+
+	arrivals    float64 // requests since the last rate update
+	workSeconds float64 // seconds of server time that these requests take
+	rate        float64 // requests per second, recent average
+	slow        float64 // requests per second, long-term average
+	load        float64 // servers' worth of work, recent average
+	now         float64 // servers' worth of work, current average
 }
 
-// wanted takes in how many requests wait for a key at one router, and the highest value among them.
-func (c *Core) wanted(k ident.Key, wait, value int) {
+// reportWaiting records how many requests wait for a key at one router, and the highest value among them.
+func (c *Core) reportWaiting(k ident.Key, wait, value int) {
 	if c.plan == nil {
 		return
 	}
@@ -55,7 +55,7 @@
 		c.demand[k] = n
 	}
 	if wait == 0 && n.wait == 0 {
-		n.at = c.now // nobody waits, as before
+		n.at = c.now // still no request waits
 		return
 	}
 	c.visit(1)
@@ -63,77 +63,78 @@
 	n.report(c.now, wait, value, c.workload.Waiting(k))
 }
 
-// report takes in one router's report beside what the renewals of all come to. A lookup tells of a request
-// before its router's next renewal does, so that until then no other router's renewal takes it back.
+// report combines the report of one router with the sum over the renewals of all routers. A lookup reports a
+// request before the next renewal of its router includes it. For lookupGrace, renewals of other routers
+// therefore don't reset the count.
 func (n *need) report(now clock.Tick, wait, value int, renewed workload.Waiting) {
 	stale := now.Sub(n.at) > freshSpan
 	switch {
 	case wait > renewed.Requests:
-		n.lookup, n.wait, n.value = now, wait, max(value, renewed.Value)
-	case renewed.Requests > 0 || now.Sub(n.lookup) > renewalSpan:
+		n.lookupAt, n.wait, n.value = now, wait, max(value, renewed.Value)
+	case renewed.Requests > 0 || now.Sub(n.lookupAt) > lookupGrace:
 		n.wait, n.value = renewed.Requests, renewed.Value
 	}
 	if n.wait == 0 || stale {
-		n.since = 0
+		n.waitingSince = 0
 	}
-	if n.wait > 0 && n.since == 0 {
-		n.since = now
+	if n.wait > 0 && n.waitingSince == 0 {
+		n.waitingSince = now
 	}
 	n.at = now
 }
 
-// age is how many seconds somebody has waited for a key, as far as they count.
+// waitAge returns how many seconds requests have waited for a key, at most maxWaitAge.
 func (n *need) age(now clock.Tick) float64 {
-	if n.since == 0 {
+	if n.waitingSince == 0 {
 		return 0
 	}
-	return math.Min(now.Sub(n.since).Seconds(), longAge)
+	return math.Min(now.Sub(n.waitingSince).Seconds(), maxWaitAge)
 }
 
-// forgetDemand forgets the keys that nobody has asked for in a while.
-func (c *Core) forgetDemand() {
+// expireDemand deletes keys that no router has reported for demandRetention.
+func (c *Core) expireDemand() {
 	for key, n := range c.demand {
-		if c.now.Sub(n.at) > demandSpan {
+		if c.now.Sub(n.at) > demandRetention {
 			delete(c.demand, key)
 		}
 	}
 }
 
-// came takes in what a router was asked for since its last renewal.
-func (c *Core) came(k ident.Key, u protocol.Burden) {
-	if c.asked == 0 && u.Came > 0 {
+// recordArrivals adds the requests that a router received since its last renewal.
+func (c *Core) recordArrivals(k ident.Key, burden protocol.Burden) {
+	if c.asked == 0 && burden.Came > 0 {
 		c.asked = c.now
 	}
 	if n := c.demand[k]; n != nil {
-		n.came += float64(u.Came)
-		n.took += u.Load
+		n.arrivals += float64(burden.Came)
+		n.workSeconds += burden.Load
 	}
 }
 
-// sumDemand turns what came into rates.
-func (c *Core) sumDemand() {
+// updateRates converts the recorded arrivals into averaged rates.
+func (c *Core) updateRates() {
 	d := c.now.Sub(c.summed)
-	if d < sumEvery {
+	if d < rateInterval {
 		return
 	}
 	c.summed = c.now
-	t := math.Min(d.Seconds(), sumMost)
-	late, slow := 1-math.Exp(-t/lateSpan), 1-math.Exp(-t/slowSpan)
+	t := math.Min(d.Seconds(), maxRateInterval)
+	late, slow := 1-math.Exp(-t/recentTimeConstant), 1-math.Exp(-t/longTimeConstant)
 	for _, n := range c.demand {
-		n.rate += (n.came/t - n.rate) * late
-		n.slow += (n.came/t - n.slow) * slow
-		n.load += (n.took/t - n.load) * late
-		n.now += (n.took/t - n.now) * (1 - math.Exp(-t/nowSpan))
-		n.came, n.took = 0, 0
+		n.rate += (n.arrivals/t - n.rate) * late
+		n.slow += (n.arrivals/t - n.slow) * slow
+		n.load += (n.workSeconds/t - n.load) * late
+		n.now += (n.workSeconds/t - n.now) * (1 - math.Exp(-t/currentTimeConstant))
+		n.arrivals, n.workSeconds = 0, 0
 	}
 }
 
-// coming forecasts a key's work by when a load that begins now is done: what rises goes on rising for
-// a while, what falls is trusted to fall more slowly.
-func (n *need) coming() float64 { return math.Max(n.load, n.now+(n.now-n.load)*riseTrust) }
+// forecastLoad predicts the load of a key at the time when a load that starts now completes. A rising load is
+// extrapolated by trendWeight; a falling load follows the slower average.
+func (n *need) forecastLoad() float64 { return math.Max(n.load, n.now+(n.now-n.load)*trendWeight) }
 
-// count takes in what a link's router has under way at servers, in place of what it had.
-func (c *Core) count(l *link, seats map[ident.Server]int) {
+// updateSeats replaces what a router reported as running at each server.
+func (c *Core) updateSeats(l *link, seats map[ident.Server]int) {
 	for s, n := range l.seats {
 		if c.seats[s] -= n; c.seats[s] <= 0 {
 			delete(c.seats, s)
@@ -145,8 +146,8 @@
 	l.seats = seats
 }
 
-// seatsOf tells what all routers have under way at the servers that a link's entries name.
-func (c *Core) seatsOf(l *link) map[ident.Server]int {
+// seatsFor returns, for the servers in a router's entries, the tokens that all routers have in progress.
+func (c *Core) seatsFor(l *link) map[ident.Server]int {
 	if !c.o.Unfenced {
 		return nil
 	}
@@ -155,8 +156,8 @@
 		c.visit(1)
 		if e := c.entries[k]; e != nil {
 			for _, r := range e.replicas {
-				if n := c.seats[r.rep.Server]; n > 0 {
-					m[r.rep.Server] = n
+				if n := c.seats[r.wire.Server]; n > 0 {
+					m[r.wire.Server] = n
 				}
 			}
 		}
@@ -164,5 +165,5 @@
 	return m
 }
 
-// worked tells whether routers have requests under way for a base or an adapter on it.
-func (c *Core) worked(k ident.Key) bool { return c.workload.OfBase(k.Base()).Running > 0 }
+// hasRunningRequests reports whether routers have requests in progress for a base or any of its adapters.
+func (c *Core) hasRunningRequests(k ident.Key) bool { return c.workload.OfBase(k.Base()).Running > 0 }
--- a/internal/controller/demand_test.go
+++ b/internal/controller/demand_test.go
@@ -66,8 +66,8 @@
 		require.Equal(t, test.waiting, n.wait, "%s: requests that wait", test.name)
 		require.Equal(t, test.value, n.value, "%s: the highest value among them", test.name)
 		age := clock.Span(0)
-		if n.since != 0 {
-			age = c.now.Sub(n.since)
+		if n.waitingSince != 0 {
+			age = c.now.Sub(n.waitingSince)
 		}
 		require.Equal(t, test.age, age, "%s: for how long somebody has waited", test.name)
 	}
--- a/internal/controller/entries.go
+++ b/internal/controller/entries.go
@@ -9,35 +9,36 @@
 	"tidedeck/internal/protocol"
 )
 
-// Entries are what routers are told of a key: the replicas that may be sent to. A router that was told
-// holds a callback; when the entry changes, callbacks are broken before anything else follows from it.
+// An entry is the list of replicas of a key to which routers may send requests. A router that received an
+// entry holds a callback for it. When an entry changes, its callbacks are broken before any other action that
+// depends on the change.
 
-// entry is what the routers are told of a key.
+// entry is the routing information of a key.
 type entry struct {
-	mark     ident.Mark
-	never    bool // no server could hold it, even if it held nothing else
-	replicas []replica
+	mark        ident.Mark
+	unplaceable bool // no server could hold the key even if it were empty
+	replicas    []entryReplica
 }
 
-// replica is one server in an entry, as routers are told it, and its spot.
-type replica struct {
-	rep  protocol.Replica
-	spot *spot
+// entryReplica is one server in an entry: its form in messages, and the state of the replica on it.
+type entryReplica struct {
+	wire  protocol.Replica
+	state *spot
 }
 
-// entryOf gives a key's entry, which is kept from the first time on.
+// entryOf returns the entry of a key and creates it on first use.
 func (c *Core) entryOf(k ident.Key) *entry {
 	if e := c.entries[k]; e != nil {
 		return e
 	}
 	e := &entry{}
 	c.entries[k] = e
-	c.fill(k, e)
+	c.buildEntry(k, e)
 	return e
 }
 
-// fill makes an entry of what the servers hold: the same replicas make the same mark.
-func (c *Core) fill(k ident.Key, e *entry) {
+// buildEntry computes an entry from what the servers hold. Equal replica lists give equal marks.
+func (c *Core) buildEntry(k ident.Key, e *entry) {
 	e.replicas = nil
 	h := fnv.New64a()
 	for _, s := range c.holding(k) {
@@ -47,21 +48,21 @@
 			continue
 		}
 		r := protocol.Replica{Server: s.ID, Addr: s.Addr, Zone: s.Zone, Inc: s.inc, Slots: s.slots}
-		e.replicas = append(e.replicas, replica{r, p})
+		e.replicas = append(e.replicas, entryReplica{r, p})
 		fmt.Fprintf(h, "%s|%s|%d|%d;", r.Server, r.Addr, r.Inc, r.Slots)
 	}
-	e.never = len(e.replicas) == 0 && c.plan != nil && c.settled() && !c.fits(k)
-	if e.never {
+	e.unplaceable = len(e.replicas) == 0 && c.plan != nil && c.settled() && !c.fitsSomewhere(k)
+	if e.unplaceable {
 		fmt.Fprint(h, "never")
 	}
 	e.mark = ident.Mark(h.Sum64())
 }
 
-// fits tells whether some server that is offered has the room for a key at all.
-func (c *Core) fits(k ident.Key) bool {
+// fitsSomewhere reports whether the total room of any available server suffices for a key.
+func (c *Core) fitsSomewhere(k ident.Key) bool {
 	if k.Plain() {
 		_, planned := c.plan.Services[k.Service()]
-		return planned // its servers may come at any moment
+		return planned // servers of a planned service may appear at any time
 	}
 	m, ok := c.plan.Models[k]
 	if !ok {
@@ -72,7 +73,7 @@
 		size += c.plan.Models[k.Base()].Size
 	}
 	for _, s := range c.servers {
-		// One that is dark, or has not reported yet, may be back at once.
+		// A server that does not answer or has not reported yet may return at any time.
 		if c.meant(s) && (s.room >= size || !s.known) {
 			return true
 		}
@@ -80,49 +81,50 @@
 	return false
 }
 
-// touch makes a key's entry anew and, if it changed, breaks every callback on it at once.
+// refreshEntry recomputes the entry of a key. If the entry changed, every callback on it is broken or, where
+// the change only adds replicas, extended at once.
 func (c *Core) touch(k ident.Key) {
 	e := c.entries[k]
 	if e == nil {
 		return
 	}
 	was, old := e.mark, e.replicas
-	c.fill(k, e)
+	c.buildEntry(k, e)
 	switch {
 	case e.mark == was:
-	case c.o.Unfenced && !e.never && covers(e.replicas, old):
-		c.extendAll(k, e)
+	case c.o.Unfenced && !e.unplaceable && containsAll(e.replicas, old):
+		c.extendCallbacks(k, e)
 	default:
-		c.breakAll(k, e)
+		c.breakCallbacks(k, e)
 	}
 }
 
-// covers tells whether one list of replicas has all that another has: then the other is not wrong, only
-// short.
-func covers(l, old []replica) bool {
-	if len(l) == 0 {
+// containsAll reports whether a list of replicas contains all replicas of another list. The other list is then
+// incomplete but contains no wrong replica.
+func containsAll(list, old []entryReplica) bool {
+	if len(list) == 0 {
 		return false
 	}
 	has := map[ident.Server]protocol.Replica{}
-	for _, r := range l {
-		has[r.rep.Server] = r.rep
+	for _, r := range list {
+		has[r.wire.Server] = r.wire
 	}
 	for _, r := range old {
-		if has[r.rep.Server] != r.rep {
+		if has[r.wire.Server] != r.wire {
 			return false
 		}
 	}
 	return true
 }
 
-// touchAll makes every entry anew.
+// refreshAllEntries recomputes every entry.
 func (c *Core) touchAll() {
 	for _, k := range generic.SortedKeys(c.entries) {
 		c.touch(k)
 	}
 }
 
-// touchOn makes the entries of all that a server holds anew, and the one that it is in by itself.
+// refreshEntriesOf recomputes the entries of all keys that a server holds, and of its service.
 func (c *Core) touchOn(s *server) {
 	if s.whole != nil {
 		c.touch(s.whole.key)
--- a/internal/controller/evict.go
+++ b/internal/controller/evict.go
@@ -4,14 +4,15 @@
 	"tidedeck/internal/generic"
 )
 
-// Taking a key off a server: every router drops its promise, work under way ends, the unload is sent.
+// Eviction removes a key from a server in three steps: routers give up their callbacks, running requests end,
+// and the server receives the unload order.
 
-// evict begins to take a key off a server: first every router drops its promise.
+// evict starts the eviction of a replica by breaking the callbacks of routers.
 func (c *Core) evict(s *server, p *spot) {
 	if c.o.Unfenced && !p.key.IsAdapter() {
 		for _, k := range generic.SortedKeys(s.spots) {
 			if k != p.key && k.Base() == p.key {
-				c.evict(s, s.spots[k]) // they go with their base
+				c.evict(s, s.spots[k]) // adapters are evicted together with their base
 			}
 		}
 	}
@@ -19,18 +20,20 @@
 		return
 	}
 	c.touch(p.key)
-	p.waits = c.promised(p.key)
+	p.waits = c.pendingBreaks(p.key)
 }
 
-// drainSpan is how long what was sent to a server may begin there before a model is unloaded.
-const drainSpan = 800e6
+// drainDelay is how long a request that was already sent to a server may take to start there. A model is not
+// unloaded earlier.
+const drainDelay = 800e6
 
-// beatSpot carries on what leaves a server.
+// advanceEviction moves a replica that is being evicted to its next stage when the conditions are met.
 func (c *Core) beatSpot(s *server, p *spot) {
 	quiet := c.now > c.duty.began.Add(c.pad(c.o.Hold))
 	switch p.stage {
 	case Breaking:
-		// Promises that the owner before gave are unknown here: they must have run out first.
+		// Callbacks granted by the previous leader are unknown to this node, so their leases must have expired
+		// first.
 		if quiet && c.dropped(p.waits) {
 			p.fire(Dropped, c.now)
 		}
@@ -43,17 +46,17 @@
 	}
 }
 
-// drained tells whether a server's work on a spot has ended. Where it checks a fence, only a report that was
-// asked for after the last promise was gone shows that.
+// drained reports whether all requests for a replica have ended. With servers that check a fencing token, only
+// a report that was requested after the last callback was given up proves this.
 func (c *Core) drained(s *server, p *spot) bool {
 	if c.o.Unfenced {
-		return c.free(s, p) && !c.undone(s, p) && (c.now.Sub(p.since) > drainSpan || !c.worked(p.key))
+		return c.unloadsSeparately(s, p) && !c.adaptersRemain(s, p) && (c.now.Sub(p.since) > drainDelay || !c.hasRunningRequests(p.key))
 	}
-	return s.ok > p.since && p.work == 0 && !c.adapted(s, p)
+	return s.ok > p.since && p.work == 0 && !c.hasAdapters(s, p)
 }
 
-// adapted tells whether a base still carries adapters that must go first.
-func (c *Core) adapted(s *server, p *spot) bool {
+// hasAdapters reports whether a base still carries adapters, which must be removed first.
+func (c *Core) hasAdapters(s *server, p *spot) bool {
 	for k := range s.spots {
 		if k != p.key && k.Base() == p.key {
 			return true
@@ -62,14 +65,14 @@
 	return false
 }
 
-// undone tells whether adapters on a base may still be promised to routers.
-func (c *Core) undone(s *server, p *spot) bool {
+// adaptersRemain reports whether routers may still hold callbacks for adapters on a base.
+func (c *Core) adaptersRemain(s *server, p *spot) bool {
 	for k, a := range s.spots {
 		if k == p.key || k.Base() != p.key || a.stage == Draining || a.stage == Unloading {
 			continue
 		}
 		if a.stage == Ordered && a.num == 0 {
-			c.removeSpot(s, k) // it was never ordered, and is not any more
+			c.removeSpot(s, k) // its load was never ordered and is no longer needed
 			continue
 		}
 		return true
@@ -77,8 +80,9 @@
 	return false
 }
 
-// free tells whether a spot's own unload is due: an adapter whose base goes too leaves with it.
-func (c *Core) free(s *server, p *spot) bool {
+// unloadsSeparately reports whether a replica needs its own unload order. An adapter whose base is evicted too
+// is removed with the base.
+func (c *Core) unloadsSeparately(s *server, p *spot) bool {
 	if !p.key.IsAdapter() {
 		return true
 	}
--- a/internal/controller/family.go
+++ b/internal/controller/family.go
@@ -9,50 +9,50 @@
 	"tidedeck/internal/ident"
 )
 
-// A family is a base with all of its adapters: they share the base's replicas, so that replicas of the base
-// are what the work of all of them asks for.
+// A family is a base model with all of its adapters. Adapters are served by the replicas of their base, so the
+// number of base replicas follows from the work of the whole family.
 
 const (
-	goodLoad = 0.4  // of a server's time that one key's replica should take
-	fullLoad = 0.6  // past which another replica is worth a rarer key's only one
-	batch    = 0.15 // of a server's slots that one key's requests should take
+	goodLoad          = 0.4  // target share of a server's time for one replica
+	overloadThreshold = 0.6  // load above which another replica may displace the only replica of a less used key
+	targetSlotShare   = 0.15 // target share of a server's slots for the requests of one family
 
-	// An owner whose routers have told it so shortly what they are asked for does not know all of it yet.
-	firstSpan = 4e9
+	// For this time after the first reports of routers, a new leader does not know the full demand yet.
+	demandWarmup = 4e9
 
-	rankWeight = 2.0  // of a waiting request of the highest value; of the next ones a half, a third, and so on
-	rateWeight = 2.0  // of a request a second, as one more replica is weighed
-	spareGain  = 0.5  // what a replica is worth that nobody asks for yet
-	leastLoad  = 1e-9 // stands for no work at all
+	priorityWeight = 2.0  // of a waiting request of the highest value; of rank r: divided by 1+r
+	rateWeight     = 2.0  // weight of one request per second in the gain of another replica
+	prefetchGain   = 0.5  // gain of a replica that is loaded ahead of demand
+	minLoad        = 1e-9 // avoids a division by zero
 )
 
-// family is a base with all of its adapters, as placement sees it.
+// family is a base model with all of its adapters, as used by placement.
 type family struct {
-	model    fleetplan.Model
-	live     int     // replicas that are ready or ordered
-	wanted   int     // replicas that it should have
-	load     float64 // servers' worth of work, as forecast
-	rate     float64 // requests a second, of late
-	slow     float64 // and over a longer while
-	waiting  int     // requests that wait, at all routers
-	underWay int     // requests that wait or run, at all routers
-	age      float64 // seconds that somebody has waited
-	value    int     // the highest among those that wait
-	rank     int     // of the value among those of the plan: 0 comes first
-	spare    bool    // nobody asks for it: it takes no room from what somebody may ask for
+	model        fleetplan.Model
+	live         int     // replicas that are ready or ordered
+	wanted       int     // replicas that the family should have
+	load         float64 // forecast work, in servers
+	rate         float64 // requests per second, recent average
+	longTermRate float64 // requests per second, long-term average
+	waiting      int     // waiting requests at all routers
+	underWay     int     // waiting and running requests at all routers
+	age          float64 // seconds for which requests have waited
+	value        int     // highest value among the waiting requests
+	rank         int     // position of the value among those of the plan; 0 is the highest
+	spare        bool    // loaded ahead of demand; may not displace models that are in use
 }
 
-// families are all bases of the plan, with their adapters.
+// families maps each base of the plan to its family.
 type families map[ident.Key]*family
 
-// planBases lists the bases of a plan in order. It is made once for each plan.
+// planBases lists the bases of a plan in order. The list is computed once per plan.
 type planBases struct {
 	plan *fleetplan.Plan
 	keys []ident.Key
-	load clock.Span // the mean time of a load from the store
+	load clock.Span // mean load time from the store
 }
 
-// bases lists the bases of the plan in force.
+// bases returns the bases of the current plan.
 func (c *Core) bases() *planBases {
 	if c.planBases.plan == c.plan {
 		return &c.planBases
@@ -73,7 +73,7 @@
 	return &c.planBases
 }
 
-// families sums demand and replicas by base.
+// families sums up demand and replicas by base.
 func (c *Core) families() families {
 	keys := c.bases().keys
 	all, l := make([]family, len(keys)), make(families, len(keys))
@@ -96,15 +96,15 @@
 		requests := c.workload.OfBase(base)
 		f.underWay = requests.Waiting + requests.Running
 		f.waiting, f.rank = max(f.waiting, requests.Waiting), c.plan.Rank(f.value)
-		c.assess(f)
+		c.setWanted(f)
 	}
 	return l
 }
 
-// addDemand adds what is asked of one key to its family.
+// addDemand adds the demand for one key to its family.
 func (f *family) addDemand(n *need, now clock.Tick) {
-	f.load += n.coming()
-	f.slow += n.slow
+	f.load += n.forecastLoad()
+	f.longTermRate += n.slow
 	f.rate += n.rate
 	if now.Sub(n.at) < freshSpan && n.wait > 0 {
 		f.waiting = max(f.waiting, n.wait)
@@ -113,7 +113,7 @@
 	}
 }
 
-// addReplicas counts the bases that a server holds, or is to hold.
+// addReplicas counts the bases that a server holds or is ordered to load.
 func (l families) addReplicas(s *server) {
 	for key, p := range s.spots {
 		if f := l[key]; f != nil && p.placed() {
@@ -122,41 +122,41 @@
 	}
 }
 
-// assess tells how many replicas a family should have.
-func (c *Core) assess(f *family) {
-	young := c.asked == 0 || c.now.Sub(c.asked) < firstSpan
-	if young && f.live > 1 {
-		// What is asked for is not known yet: how many replicas there are tells what was meant to be busy.
+// setWanted computes how many replicas a family should have.
+func (c *Core) setWanted(f *family) {
+	warmingUp := c.asked == 0 || c.now.Sub(c.asked) < demandWarmup
+	if warmingUp && f.live > 1 {
+		// The demand is not fully known yet. The existing replicas indicate which families were busy.
 		f.load = math.Max(f.load, goodLoad*float64(f.live))
 	}
 	slots := float64(max(1, c.plan.Services[f.model.Key.Service()].Slots))
 	byLoad := int(math.Ceil(f.load / goodLoad))
-	byCrowd := int(float64(f.underWay)/(slots*batch) + 0.5)
-	f.wanted = min(max(f.model.Floor, byLoad, byCrowd), f.model.Most)
+	byRequests := int(float64(f.underWay)/(slots*targetSlotShare) + 0.5)
+	f.wanted = min(max(f.model.Floor, byLoad, byRequests), f.model.Most)
 	if f.waiting > 0 {
 		f.wanted = max(f.wanted, 1)
 	}
 }
 
-// gain is what one more replica is worth: the requests that wait for it, and those that come while it
-// is being loaded, as far as they could not be served well without.
+// gain is the benefit of one more replica: the requests that wait for it, and those that arrive while it
+// loads, as far as the existing replicas cannot serve them well.
 func (f *family) gain() float64 {
 	if f.spare {
-		return spareGain
+		return prefetchGain
 	}
 	if f.live == 0 {
-		weight := rankWeight / float64(1+f.rank)
+		weight := priorityWeight / float64(1+f.rank)
 		return (float64(f.waiting)+f.age)*weight + rateWeight*f.rate
 	}
-	return f.rate * (f.unserved(goodLoad) + f.unserved(fullLoad))
+	return f.rate * (f.unserved(goodLoad) + f.unserved(overloadThreshold))
 }
 
-// unserved is the part of a family's work that its replicas leave when each takes so much.
+// unserved returns the share of the load that remains when each replica takes the given load.
 func (f *family) unserved(each float64) float64 {
-	return math.Max(0, 1-float64(f.live)*each/math.Max(f.load, leastLoad))
+	return math.Max(0, 1-float64(f.live)*each/math.Max(f.load, minLoad))
 }
 
-// loadOf sums the work of what a server holds, as its replicas share it.
+// loadOf sums the load on a server, where a family's load is divided evenly among its replicas.
 func (l families) loadOf(s *server) float64 {
 	sum := 0.0
 	for key, p := range s.spots {
--- a/internal/controller/forecast.go
+++ b/internal/controller/forecast.go
@@ -6,14 +6,14 @@
 	"tidedeck/internal/ident"
 )
 
-// When a key that has no replica will have one, as routers are told.
+// Estimates of when a key without a replica will have one, for the answers to routers.
 
-// orderLag is the time from an order's end until routers know of it.
-const orderLag = 400e6
+// notifyDelay is the time from the completion of an order until routers know the result.
+const notifyDelay = 400e6
 
-// soon estimates when a key without a replica will have one: the load under way, or its turn in the
-// line for the store. It is zero where that is not known.
-func (c *Core) soon(key ident.Key) clock.Span {
+// estimateReady estimates the time until a key without a replica has one, from the load in progress or from
+// the key's position in the queue for the store. It returns zero if this is unknown.
+func (c *Core) estimateReady(key ident.Key) clock.Span {
 	if !c.o.Unfenced || c.plan == nil || key.Plain() {
 		return 0
 	}
@@ -21,25 +21,25 @@
 	if !ok {
 		return 0
 	}
-	if left, ok := c.underWayTo(m); ok {
+	if left, ok := c.remainingLoadTime(m); ok {
 		return left
 	}
-	return m.Load + 2*orderLag + c.turnOf(m)
+	return m.Load + 2*notifyDelay + c.storeQueueWait(m)
 }
 
-// underWayTo tells how long the nearest replica of a base will take, if one is ordered or ready.
-func (c *Core) underWayTo(m fleetplan.Model) (least clock.Span, ok bool) {
+// remainingLoadTime returns the time until the first replica of a base is usable, if one is ordered or ready.
+func (c *Core) remainingLoadTime(m fleetplan.Model) (least clock.Span, ok bool) {
 	for _, s := range c.holding(m.Key) {
 		c.visit(1)
 		p := s.spots[m.Key]
 		if p == nil || !p.placed() || !c.stays(s) {
 			continue
 		}
-		left := clock.Span(orderLag)
+		left := clock.Span(notifyDelay)
 		if p.stage == Ordered {
 			left += max(0, c.loadSpan(s, m)-c.now.Sub(p.since))
 			if p.num == 0 {
-				left += orderLag
+				left += notifyDelay
 			}
 		}
 		if !ok || left < least {
@@ -49,11 +49,11 @@
 	return least, ok
 }
 
-// turnOf tells how long the store takes for what is before a base in its line.
-func (c *Core) turnOf(m fleetplan.Model) clock.Span {
-	rate, turn := c.storeRate(), c.line[m.Key]
-	if turn == 0 || rate <= 0 {
+// storeQueueWait returns how long the store takes for the loads queued before that of a base.
+func (c *Core) storeQueueWait(m fleetplan.Model) clock.Span {
+	rate, position := c.storeRate(), c.line[m.Key]
+	if position == 0 || rate <= 0 {
 		return 0
 	}
-	return clock.Span(float64(turn-1) / rate * 1e9)
+	return clock.Span(float64(position-1) / rate * 1e9)
 }
--- a/internal/controller/guards_test.go
+++ b/internal/controller/guards_test.go
@@ -43,7 +43,7 @@
 	{"an answer names the disk that knows", "TestLeavingHeardByALostDisk", []overlay.Edit{{File: "enrol.go", Old: "	if b.Inc != 0 {\n", New: "	if b.Inc = c.reg.lives[e.From.ID].state.Inc; b.Inc != 0 {\n"}}},
 	{"a registry answers this life's question", "TestRollOfAnEarlierQuestion", []overlay.Edit{{File: "enrol.go", Old: "if b.Partial || b.Life != c.o.Inc {", New: "if b.Partial {"}}},
 	{"a lease ends with what is lacked", "TestLeaseEndsWithWhatIsLacked", []overlay.Edit{{File: "links.go", Old: "if since, owes := c.owedSince(l); owes {", New: "if since, owes := c.owedSince(l); owes && false {"}}},
-	{"one configuration at a time", "TestOneConfigurationAtATime", []overlay.Edit{{File: "rollout.go", Old: "!l.lacks(known) || l.owesDesired() {", New: "!l.lacks(known) {"}}},
+	{"one configuration at a time", "TestOneConfigurationAtATime", []overlay.Edit{{File: "rollout.go", Old: "!l.lacks(known) || l.desiredPending() {", New: "!l.lacks(known) {"}}},
 	{"no lease by what was there before the term", "TestNoLeaseBeforeTheTermsFirstVersion", []overlay.Edit{{File: "rollout.go", Old: "return 0, true //", New: "return c.now, true //"}, {File: "rollout.go", Old: "c.versions = append(c.versions, version{gen: known.Gen, epoch: known.Epoch})", New: "_ = known"}}},
 	{"a vouch is as old as the read", "TestVouch", []overlay.Edit{{File: "links.go", Old: "max(0, c.o.Hold-c.now.Sub(c.reg.heard))", New: "c.o.Hold"}}},
 	{"a term is renewed under the newest voter set", "TestTermAndKnowledgeAreTwoFacts", []overlay.Edit{{File: "duty.go", Old: "|| q.shape > known.Shape {", New: "{"}}},
@@ -65,7 +65,7 @@
 	{"an outcome is told once it is known", "TestOutcomeIsToldOnceItIsKnown", []overlay.Edit{{File: "forward.go", Old: "|| p.outcome.Kind == failure.None && c.Epoch() < p.outcome.Epoch {", New: "{"}}},
 	{"changes are applied beside the core", "TestNoPlanIsReadInAStep", []overlay.Edit{{File: "changes.go", Old: "mutation{beside: true,", New: "mutation{"}}},
 	{"waits follow the round trips", "TestRegisterGoesOnAtAnySpeed", []overlay.Edit{{File: "proposer_timing.go", Old: "	return min(max(wait, leastAnswerReads*c.o.Round), mostAnswerReads*c.o.Round)", New: "	_ = wait\n	return 700e6"}, {File: "forward.go", Old: "	return min(wait, mostForwardWait)", New: "	return 250e6"}}},
-	{"a broken entry keeps its other servers", "TestBrokenEntryKeepsItsOtherServers", []overlay.Edit{{File: "links.go", Old: "if c.o.Unfenced && len(e.replicas) > 0 && !l.full {", New: "if false {"}}},
+	{"a broken entry keeps its other servers", "TestBrokenEntryKeepsItsOtherServers", []overlay.Edit{{File: "links.go", Old: "if c.o.Unfenced && len(e.replicas) > 0 && !l.overflowed {", New: "if false {"}}},
 	{"who owned the lease last has it back at once", "TestDutyBackAfterPower", []overlay.Edit{{File: "acceptor.go", Old: "(c.vote.owner.ID == e.From.ID || !held && !quiet)", New: "!held && !quiet"}}},
 	{"one proposer at a time", "TestRegisterGoesOnAtAnySpeed", []overlay.Edit{{File: "forward.go", Old: "if c.o.Alone ||", New: "if true ||"}}},
 }
--- a/internal/controller/link_set.go
+++ b/internal/controller/link_set.go
@@ -7,8 +7,8 @@
 	"tidedeck/internal/protocol"
 )
 
-// linkSet is the router links of a term: in the order of their sessions, and those that have something to send by themselves,
-// so that an input costs what it changes and not what there is.
+// linkSet holds the router links of a term in session order. Links with unsent changes are tracked separately,
+// so that the cost of an input depends on what it changes and not on the number of links.
 type linkSet struct {
 	ordered []*link
 	unsent  map[*link]bool
@@ -16,18 +16,18 @@
 
 func newLinkSet() linkSet { return linkSet{unsent: map[*link]bool{}} }
 
-// compareSessions orders links by node, then by the lives of its agent and its router, then by number.
+// compareSessions orders sessions by node, then by the incarnations of agent and router, then by number.
 func compareSessions(a, b protocol.Session) int {
 	return cmp.Or(cmp.Compare(a.Node, b.Node), cmp.Compare(a.Agent, b.Agent), cmp.Compare(a.N, b.N))
 }
 
-// add takes a new link in.
+// add inserts a new link.
 func (s *linkSet) add(l *link) {
 	at, _ := s.find(l)
 	s.ordered = slices.Insert(s.ordered, at, l)
 }
 
-// remove takes a link out.
+// remove deletes a link.
 func (s *linkSet) remove(l *link) {
 	delete(s.unsent, l)
 	for at, found := s.find(l); found && at < len(s.ordered); at++ {
@@ -42,7 +42,7 @@
 	return slices.BinarySearchFunc(s.ordered, l, func(a, b *link) int { return compareSessions(a.ses, b.ses) })
 }
 
-// takeUnsent gives the links that have something to send, in order, and begins their list anew.
+// takeUnsent returns the links with unsent changes in session order, and clears the set.
 func (s *linkSet) takeUnsent() []*link {
 	if len(s.unsent) == 0 {
 		return nil
--- a/internal/controller/links_test.go
+++ b/internal/controller/links_test.go
@@ -22,7 +22,7 @@
 }
 
 // put has the next epoch taken.
-func (n *node) put(on ident.Epoch) {
+func (n *node) putPlan(on ident.Epoch) {
 	n.step(Admin{Op: "put", Raw: []byte(onePlan), Expect: on})
 	require.Equal(n.t, on+1, n.Epoch())
 }
@@ -32,7 +32,7 @@
 func TestLeaseEndsWithWhatIsLacked(t *testing.T) {
 	n, s := ready(t)
 	n.mail(protocol.Renew{Session: s, Seq: 2, Gen: 1, Epoch: 1, Heard: 1})
-	n.put(1)
+	n.putPlan(1)
 	end := n.at.Add(n.o.Hold)
 	seq := uint64(2)
 	renew := func(epoch ident.Epoch) protocol.Grant {
@@ -64,7 +64,7 @@
 	n, s := ready(t)
 	n.items(s)
 	for on := range ident.Epoch(5) {
-		n.put(on + 1)
+		n.putPlan(on + 1)
 	}
 	first := n.items(s)
 	require.Len(t, first, 1)
@@ -73,7 +73,7 @@
 	second := n.items(s)
 	require.Len(t, second, 1)
 	require.Equal(t, ident.Epoch(6), second[0].Desired.Epoch)
-	n.pass(2 * n.links[s].patience())
+	n.pass(2 * n.links[s].resendDelay())
 	again := n.items(s)
 	require.NotEmpty(t, again, "what is not acknowledged goes out again")
 	require.Equal(t, second[0].Num, again[0].Num)
@@ -87,7 +87,7 @@
 	l := n.granted()
 	require.Len(t, l, 1)
 	require.Zero(t, l[0].Len)
-	n.put(1)
+	n.putPlan(1)
 	n.mail(protocol.Renew{Session: s, Seq: 2, Gen: 1, Epoch: 0})
 	l = n.granted()
 	require.Zero(t, l[len(l)-1].Len, "a newer version makes no difference")
--- a/internal/controller/make_way.go
+++ b/internal/controller/make_way.go
@@ -5,36 +5,36 @@
 	"slices"
 )
 
-// What makes way at a server: the replicas that are cheapest to let go, by the requests that will miss
-// them until they could be back.
+// Selection of the replicas to evict from a server: those whose loss costs least, measured by the requests
+// that suffer until the replica could be loaded again.
 
 const (
-	lastCost     = 0.2  // of letting the only replica go, whatever comes
-	lastLateRate = 2.0  // of a request a second of late, for each second until the only replica is back
-	lastSlowRate = 4.0  // and over a longer while: what has been asked for steadily will be again
-	spareRate    = 0.05 // requests a second up to which a model from a server's own disk may make way for a spare one
+	lastReplicaCost           = 0.2  // fixed cost of evicting the only replica
+	lastReplicaRecentWeight   = 2.0  // per recent request per second, for each second until the replica could be back
+	lastReplicaLongTermWeight = 4.0  // per long-term request per second; steady demand is likely to return
+	maxRateForPrefetch        = 0.05 // requests per second; a prefetch may evict bases up to this rate if the server has them on disk
 )
 
-// A further replica costs by the work that is left for each of the others.
+// The cost of evicting one of several replicas depends on the load that remains for each of the others.
 var (
-	missedFully  = missCost{1, 2}      // they are full
-	missedPartly = missCost{0.3, 0.5}  // they take more than they should
-	missedHardly = missCost{0.05, 0.1} // they do well
+	overloadedCost  = removalCost{1, 2}      // above overloadThreshold
+	aboveTargetCost = removalCost{0.3, 0.5}  // above targetLoad
+	belowTargetCost = removalCost{0.05, 0.1} // at most targetLoad
 )
 
-// missCost is what a replica less costs: a part whatever comes, and one for each request a second.
-type missCost struct{ fixed, byRate float64 }
+// removalCost is the cost of one replica less: a fixed part, and a part for each request per second.
+type removalCost struct{ fixed, perRate float64 }
 
-func (m missCost) at(rate float64) float64 { return m.fixed + m.byRate*rate }
+func (m removalCost) forRate(rate float64) float64 { return m.fixed + m.perRate*rate }
 
-// eviction is what must leave a server, and what that costs.
+// eviction is a set of replicas to evict from a server, and its cost.
 type eviction struct {
 	spots []*spot
 	cost  float64
 }
 
-// makeWay finds what is cheapest to let go of a server for a family, until so much room is free. It finds
-// nothing where that does not suffice.
+// planEviction finds the cheapest evictions that free the given room on a server for a family. It returns
+// false if all candidates together don't free enough.
 func (c *Core) makeWay(s *server, f *family, l families, size int) (eviction, bool) {
 	var out eviction
 	for _, candidate := range c.candidates(s, f, l) {
@@ -48,26 +48,28 @@
 	return out, size <= 0
 }
 
-// candidate is a replica that may leave, what that costs, and how much room it leaves with its adapters.
+// evictionCandidate is a replica that may be evicted, the cost of doing so, and the room that it frees
+// together with its adapters.
 type candidate struct {
 	spot *spot
 	cost float64
 	size int
 }
 
-// candidates lists the bases that may leave a server for a family, the cheapest for their size first.
+// evictionCandidates lists the bases that may be evicted from a server for a family, lowest cost per size
+// first.
 func (c *Core) candidates(s *server, f *family, l families) []candidate {
 	c.visit(len(s.spots))
 	var all []candidate
 	for key, p := range s.spots {
-		if key.IsAdapter() || key == f.model.Key.Base() || !c.mayLeave(p) {
+		if key.IsAdapter() || key == f.model.Key.Base() || !c.mayRemove(p) {
 			continue
 		}
 		switch other := l[key]; {
 		case other == nil:
-			all = append(all, candidate{p, 0, s.sizeWithAdapters(p)}) // the plan does not name it
+			all = append(all, candidate{p, 0, s.sizeWithAdapters(p)}) // not in the plan
 		case c.canSpare(s, other, f):
-			all = append(all, candidate{p, other.miss(), s.sizeWithAdapters(p)})
+			all = append(all, candidate{p, other.costOfRemoval(), s.sizeWithAdapters(p)})
 		}
 	}
 	slices.SortFunc(all, func(a, b candidate) int {
@@ -76,38 +78,38 @@
 	return all
 }
 
-// mayLeave tells whether a replica has been ready for a while and is not being moved.
-func (c *Core) mayLeave(p *spot) bool {
+// mayRemove reports whether a replica has been ready for at least freshness and is not part of a move.
+func (c *Core) mayRemove(p *spot) bool {
 	return p.stage == Ready && c.now.Sub(p.ready) >= freshSpan && c.shifts[p.key] == nil
 }
 
-// canSpare tells whether a family can do with a replica less, at a server, for another family.
-func (c *Core) canSpare(s *server, g, other *family) bool {
-	if g.live <= g.model.Floor || g.waiting > 0 && g.live <= g.wanted {
+// canSpare reports whether a family can lose a replica on a server in favour of another family.
+func (c *Core) canSpare(s *server, f, requester *family) bool {
+	if f.live <= f.model.Floor || f.waiting > 0 && f.live <= f.wanted {
 		return false
 	}
-	if other.spare { // it takes no room but from what is hardly asked for, and comes back from the disk
-		return g.live <= 1 && g.slow <= spareRate && c.has(s, g.model.Key)
+	if requester.spare { // a prefetch may evict only rarely requested models that the server has on its own disk
+		return f.live <= 1 && f.longTermRate <= maxRateForPrefetch && c.has(s, f.model.Key)
 	}
 	return true
 }
 
-// miss is what one replica less of a family costs: the requests that suffer before it could be back.
-func (f *family) miss() float64 {
+// costOfRemoval is the cost of one replica less: the requests that suffer until it could be loaded again.
+func (f *family) costOfRemoval() float64 {
 	if f.live <= 1 {
-		return lastCost + (lastLateRate*f.rate+lastSlowRate*f.slow)*f.model.Load.Seconds()
+		return lastReplicaCost + (lastReplicaRecentWeight*f.rate+lastReplicaLongTermWeight*f.longTermRate)*f.model.Load.Seconds()
 	}
 	switch left := f.load / float64(f.live-1); {
-	case left > fullLoad:
-		return missedFully.at(f.rate)
+	case left > overloadThreshold:
+		return overloadedCost.forRate(f.rate)
 	case left > goodLoad:
-		return missedPartly.at(f.rate)
+		return aboveTargetCost.forRate(f.rate)
 	default:
-		return missedHardly.at(f.rate)
+		return belowTargetCost.forRate(f.rate)
 	}
 }
 
-// sizeWithAdapters tells how much room a base takes with the adapters that leave with it.
+// sizeWithAdapters returns the room taken by a base and the adapters that are evicted with it.
 func (s *server) sizeWithAdapters(base *spot) int {
 	sum := base.size
 	for key, p := range s.spots {
@@ -118,12 +120,12 @@
 	return sum
 }
 
-// evictAll begins to take replicas off a server, and counts them out of their families.
+// evictAll starts the eviction of replicas from a server and updates the replica counts of their families.
 func (l *look) evictAll(s *server, out []*spot) {
 	for _, p := range out {
 		l.core.evict(s, p)
-		if g := l.families[p.key]; g != nil {
-			g.live--
+		if f := l.families[p.key]; f != nil {
+			f.live--
 		}
 		l.changed(p.key, s)
 	}
--- a/internal/controller/moves.go
+++ b/internal/controller/moves.go
@@ -7,15 +7,15 @@
 	"tidedeck/internal/ident"
 )
 
-// Moves keep servers evenly filled and spread floors over zones. A key is loaded at one server before it
-// leaves the other.
+// Moves balance the room used on servers and spread keys with a floor over zones. A key is loaded on the new
+// server before it is evicted from the old one.
 
-// shift is a move under way: the key is loaded at one server before it leaves the other.
+// replicaMove is a move in progress: the key is loaded on one server before it is evicted from the other.
 type shift struct{ from, to ident.Server }
 
-// parting tells whether a key that had work lately is only held where it cannot stay: it is
-// loaded elsewhere before it is asked for again.
-func (c *Core) parting(k ident.Key) bool {
+// losingReplicas reports whether a recently used key is held only by servers that will not stay available.
+// Such a key is loaded elsewhere before the next request.
+func (c *Core) losingReplicas(k ident.Key) bool {
 	for _, s := range c.holding(k) {
 		if p := s.spots[k]; p != nil && s.known && !c.stays(s) && p.busy != 0 && c.now.Sub(p.busy) < c.o.Recent {
 			return true
@@ -24,42 +24,42 @@
 	return false
 }
 
-// beatShifts carries moves on: once the new replica is ready the old one's promises are broken,
-// and a move whose target or source is gone is over.
-func (c *Core) beatShifts() {
+// advanceMoves completes moves. When the new replica has been ready for the time Rest, the old one is evicted.
+// A move ends without an eviction if its source or target is no longer available.
+func (c *Core) advanceMoves() {
 	for _, k := range generic.SortedKeys(c.shifts) {
 		m := c.shifts[k]
-		var a, b *spot
+		var source, target *spot
 		s, t := c.servers[m.from], c.servers[m.to]
 		if s != nil {
-			a = s.spots[k]
+			source = s.spots[k]
 		}
 		if t != nil {
-			b = t.spots[k]
+			target = t.spots[k]
 		}
 		switch {
-		case a == nil || b == nil || a.stage != Ready || !c.stays(t):
+		case source == nil || target == nil || source.stage != Ready || !c.stays(t):
 			delete(c.shifts, k)
-		case b.stage == Ready && c.now.Sub(b.ready) > c.o.Rest:
-			delete(c.shifts, k) // the new one is warm
+		case target.stage == Ready && c.now.Sub(target.ready) > c.o.Rest:
+			delete(c.shifts, k) // the new replica has been ready long enough
 			c.tally.Evened++
-			c.evict(s, a)
+			c.evict(s, source)
 		}
 	}
 }
 
-// even begins at most one move, when the servers have been unevenly filled for a while or a key
-// with a floor has all its replicas in one zone. On a steady day neither comes about.
-func (c *Core) even() {
+// rebalance starts at most one move: if the servers have been unevenly filled for some time, or if all
+// replicas of a key with a floor are in one zone. With steady load, neither occurs.
+func (c *Core) rebalance() {
 	if len(c.shifts) > 0 || c.now.Sub(c.shifted) < c.o.Even {
 		return
 	}
-	if k, from, to := c.spread(); from != nil {
-		c.shift(k, from, to)
+	if k, from, to := c.findZoneMove(); from != nil {
+		c.startMove(k, from, to)
 		return
 	}
-	full, free := c.ends()
-	if full == nil || fill(full)-fill(free) <= c.o.Gap {
+	full, free := c.fullestAndEmptiest()
+	if full == nil || fillRatio(full)-fillRatio(free) <= c.o.Gap {
 		c.uneven = 0
 		return
 	}
@@ -69,11 +69,12 @@
 	if c.now.Sub(c.uneven) < c.o.Even {
 		return
 	}
-	// What the other end can take, most worked at first, and not so large that it tips the scales.
+	// Choose the busiest replica that fits on the other server and is not so large that the move reverses the
+	// imbalance.
 	var best *spot
 	for _, k := range generic.SortedKeys(full.spots) {
 		p := full.spots[k]
-		if !c.movable(full, p, free) || float64(p.size)/float64(full.room)+float64(p.size)/float64(free.room) > fill(full)-fill(free) {
+		if !c.movable(full, p, free) || float64(p.size)/float64(full.room)+float64(p.size)/float64(free.room) > fillRatio(full)-fillRatio(free) {
 			continue
 		}
 		if best == nil || p.work > best.work || p.work == best.work && p.size > best.size {
@@ -81,31 +82,31 @@
 		}
 	}
 	if best != nil {
-		c.shift(best.key, full, free)
+		c.startMove(best.key, full, free)
 	}
 }
 
-func (c *Core) shift(k ident.Key, from, to *server) {
+func (c *Core) startMove(k ident.Key, from, to *server) {
 	c.shifts[k], c.shifted, c.uneven = &shift{from.ID, to.ID}, c.now, 0
 	c.putSpot(to, &spot{key: k, size: c.sizeOf(k), stage: Ordered, since: c.now})
 	c.tally.Moves++
 	c.note(fmt.Sprintf("%s moves from %s to %s", k, from.ID, to.ID))
 }
 
-// fill tells how much of a server's room is taken.
-func fill(s *server) float64 { return float64(s.used()) / float64(max(1, s.room)) }
+// fillRatio returns the share of a server's room that is used.
+func fillRatio(s *server) float64 { return float64(s.used()) / float64(max(1, s.room)) }
 
-// ends finds the fullest and the emptiest of the servers that stay.
-func (c *Core) ends() (full, free *server) {
+// fullestAndEmptiest returns the fullest and the emptiest of the servers that stay available.
+func (c *Core) fullestAndEmptiest() (full, free *server) {
 	for _, id := range generic.SortedKeys(c.servers) {
 		s := c.servers[id]
 		if !c.stays(s) || s.odd != "" || s.room <= 0 {
 			continue
 		}
-		if full == nil || fill(s) > fill(full) {
+		if full == nil || fillRatio(s) > fillRatio(full) {
 			full = s
 		}
-		if free == nil || fill(s) < fill(free) {
+		if free == nil || fillRatio(s) < fillRatio(free) {
 			free = s
 		}
 	}
@@ -115,23 +116,23 @@
 	return full, free
 }
 
-// movable tells whether a spot may go from one server to another: nothing else rests on it, the
-// other has the room, and no zone loses the key that needs it.
+// movable reports whether a replica may move between two servers: it carries no adapters, the target has room,
+// and the key stays in at least as many zones as before.
 func (c *Core) movable(s *server, p *spot, to *server) bool {
 	m, ok := c.plan.Models[p.key]
-	if !ok || p.stage != Ready || c.adapted(s, p) || c.now.Sub(p.ready) < 2*c.o.Rest || !c.mayHold(to, p.key) || to.loading() > 0 || to.room-to.used() < m.Size {
+	if !ok || p.stage != Ready || c.hasAdapters(s, p) || c.now.Sub(p.ready) < 2*c.o.Rest || !c.mayHold(to, p.key) || to.loading() > 0 || to.room-to.used() < m.Size {
 		return false
 	}
 	has := c.replicasOf(p.key)
 	if has.count >= m.Most {
-		return false // for a while there would be one too many
+		return false // the key would have more replicas than allowed during the move
 	}
 	return len(has.zones) == 1 || s.Zone == to.Zone || !has.zones[to.Zone]
 }
 
-// spread finds a key with a floor of two or more that one zone's loss would leave without any
-// replica, and a server of another zone that has the room for it.
-func (c *Core) spread() (ident.Key, *server, *server) {
+// findZoneMove finds a key with a floor of at least two whose replicas are all in one zone, and a server in
+// another zone with room for it.
+func (c *Core) findZoneMove() (ident.Key, *server, *server) {
 	for _, k := range generic.SortedKeys(c.plan.Models) {
 		m := c.plan.Models[k]
 		has := c.replicasOf(k)
--- a/internal/controller/moves_test.go
+++ b/internal/controller/moves_test.go
@@ -11,7 +11,7 @@
 )
 
 // yard is an owner's core over servers of 10, one in each of two zones and two in a third.
-func yard(t *testing.T, holds map[ident.Server][]ident.Key) *Core {
+func newMoveCore(t *testing.T, holds map[ident.Server][]ident.Key) *Core {
 	c := New(Options{})
 	c.plan = &fleetplan.Plan{Loads: 2, Models: map[ident.Key]fleetplan.Model{}}
 	for _, k := range []ident.Key{"a", "b", "c", "d", "a+x"} {
@@ -54,13 +54,13 @@
 		{"a floor in one zone spreads", keys{"s1": {"a"}, "s2": {"b"}, "s3": {"f"}, "s4": {"f"}}, nil, "f", "s1"},
 		{"a floor in two zones stays", keys{"s1": {"f"}, "s2": {"b"}, "s3": {"f"}, "s4": {"d"}}, nil, "", ""},
 	} {
-		c := yard(t, x.holds)
+		c := newMoveCore(t, x.holds)
 		c.uneven = c.now - 6e9
 		if x.more != nil {
 			x.more(c)
 		}
 		was := len(c.shifts)
-		c.even()
+		c.rebalance()
 		if x.moves == "" {
 			require.Len(t, c.shifts, was, x.name)
 			continue
@@ -90,11 +90,11 @@
 		{"the source is gone", func(c *Core, _, _ *spot) { c.removeServer("s1") }, 0, ""},
 		{"the source unloads it already", func(_ *Core, from, _ *spot) { from.stage = Draining }, 0, Draining},
 	} {
-		c := yard(t, keys{"s1": {"a"}, "s2": {"a"}})
+		c := newMoveCore(t, keys{"s1": {"a"}, "s2": {"a"}})
 		c.shifts["a"] = &shift{"s1", "s2"}
 		from := c.servers["s1"].spots["a"]
 		x.do(c, from, c.servers["s2"].spots["a"])
-		c.beatShifts()
+		c.advanceMoves()
 		require.Len(t, c.shifts, x.left, x.name)
 		if x.from != "" {
 			require.Equal(t, x.from, from.stage, x.name)
@@ -121,7 +121,7 @@
 			c.putSpot(c.servers["s2"], &spot{key: "a", stage: Ready})
 		}, 0},
 	} {
-		c := yard(t, keys{"s1": {"a"}})
+		c := newMoveCore(t, keys{"s1": {"a"}})
 		c.servers["s1"].spots["a"].busy = c.now - 5e9
 		x.do(c)
 		require.Equal(t, x.need, c.requirementOf(c.plan.Models["a"]).wanted, x.name)
@@ -150,7 +150,7 @@
 		{"no such stage", protocol.Report{Room: 10, Slots: 4, Held: []protocol.Held{with(func(h *protocol.Held) { h.Stage = "gone" })}}, true},
 	} {
 		require.Equal(t, x.odd, oddity(x.r) != "", x.name)
-		c := yard(t, nil)
+		c := newMoveCore(t, nil)
 		s := c.servers["s1"]
 		c.onReport(s, x.r, c.now)
 		used := s.used()
@@ -162,7 +162,7 @@
 
 // What of a plan the servers cannot give is told with its path.
 func TestLacks(t *testing.T) {
-	c := yard(t, keys{"s1": {"f"}, "s2": {"f"}})
+	c := newMoveCore(t, keys{"s1": {"f"}, "s2": {"f"}})
 	c.duty.mine, c.duty.asked, c.listed = true, c.now, 1
 	require.Empty(t, c.lacks())
 	for _, x := range []struct {
@@ -175,7 +175,7 @@
 		{"a+x", fleetplan.Model{Size: 2, Floor: 1, Most: 9}, "$.adapters.x.floor"},
 		{"d", fleetplan.Model{Size: 10, Floor: 4, Most: 9}, "$"},
 	} {
-		c := yard(t, keys{"s1": {"f"}, "s2": {"f"}})
+		c := newMoveCore(t, keys{"s1": {"f"}, "s2": {"f"}})
 		c.duty.mine, c.duty.asked, c.listed = true, c.now, 1
 		x.m.Key = x.key
 		c.plan.Models[x.key] = x.m
@@ -183,7 +183,7 @@
 		require.NotEmpty(t, l)
 		require.Equal(t, x.path, l[len(l)-1].Path)
 	}
-	c = yard(t, keys{"s3": {"f"}, "s4": {"f"}})
+	c = newMoveCore(t, keys{"s3": {"f"}, "s4": {"f"}})
 	c.duty.mine, c.duty.asked, c.listed = true, c.now, 1
 	require.Equal(t, fleetplan.Faults{{Path: "$.models.f.floor", Why: "every replica is in one zone"}}, fleetplan.Faults(c.lacks()))
 }
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -9,31 +9,31 @@
 	"tidedeck/internal/protocol"
 )
 
-// Servers that check no fence count the orders that they have taken. An order names the count that
-// it goes on, so that it is taken once or not at all, however often it is sent; and what a report
-// shows is known to be from before or after an order by the count that it carries.
+// Servers that check no fencing token count the orders that they have accepted. Each order carries the count
+// that it expects, so that it is executed at most once, however often it is sent. The count in a report shows
+// whether the report is from before or after an order.
 
 const (
-	pollBusy    = 100e6 // between two reports while an order is under way
-	pollIdle    = 10e9  // otherwise: announcements tell that the server lives
-	pollDark    = 4     // times as long as o.Poll, between two questions to a server that does not answer
-	reportLag   = 500e6 // a report is at most so old
-	tenureSlack = 100e6 // by which two waits are longer than the tenure that they are to outlast
+	busyPollInterval = 100e6 // interval between two reports while an order is in progress
+	pollIdle         = 10e9  // interval otherwise; announcements show that the server is alive
+	darkPollFactor   = 4     // multiple of o.Poll between two requests to a server that does not answer
+	reportLag        = 500e6 // maximum age of a report
+	tenureMargin     = 100e6 // margin by which two settle delays exceed the tenure
 )
 
-// ordersPath is where servers take orders and give reports.
+// ordersPath is the path at which servers accept orders and return reports.
 const ordersPath = "/orders"
 
-// Answers of a server to an order.
+// Status codes of the answers to an order.
 const (
 	holdsAlready = 200
 	taken        = 202
-	underWay     = 409 // another order, or the count differs
+	underWay     = 409 // another order is in progress, or the count differs
 	higherDuty   = 412
-	notThisOne   = 421 // another server has the address
+	notThisOne   = 421 // another server uses the address
 )
 
-// steer keeps one question under way at a time at a server that checks no fence.
+// driveServer keeps at most one request at a time in progress to an unfenced server.
 func (c *Core) steer(s *server) {
 	if s.plain || s.asking || s.State == "gone" {
 		return
@@ -49,39 +49,40 @@
 	}
 	p := s.due()
 	if p != nil && s.unsure == nil && !s.busy && c.mayOrder() {
-		if s.ok < c.duty.began.Add(c.settle()) {
-			c.survey(s) // what the owner before ordered last shows only now
+		if s.ok < c.duty.began.Add(c.settleDelay()) {
+			c.survey(s) // the last order of the previous leader shows only in a report from now on
 			return
 		}
-		c.order(s, p)
+		c.sendOrder(s, p)
 		return
 	}
-	if c.now >= s.next || !s.known && c.now.Sub(s.asked) > pollBusy {
+	if c.now >= s.next || !s.known && c.now.Sub(s.asked) > busyPollInterval {
 		c.survey(s)
 	}
 }
 
-// mayOrder tells whether the lease still runs, and orders of the owner before can no longer be on their way. Answers may be the
-// first thing that a process takes in after it stood still, before any beat has looked at the lease.
-func (c *Core) mayOrder() bool { return c.rules() && c.now.Sub(c.duty.began) > c.settle() }
+// mayOrder reports whether the lease is valid and orders of the previous leader can no longer arrive. After a
+// stall of the process, an answer may be processed before the next tick checks the lease, so this is checked
+// for each answer.
+func (c *Core) mayOrder() bool { return c.rules() && c.now.Sub(c.duty.began) > c.settleDelay() }
 
-// settle is how long an owner waits before it orders. Where another node owned the duty before, two such
-// waits are longer than the time within which they must not order by turns.
-func (c *Core) settle() clock.Span {
+// settleDelay is how long a new leader waits before it sends orders. After a change of leader, two such delays
+// exceed Tenure, the time within which two leaders must not order a server alternately.
+func (c *Core) settleDelay() clock.Span {
 	if c.duty.again {
 		return c.o.Settle
 	}
-	return max(c.o.Settle, c.o.Tenure/2+tenureSlack)
+	return max(c.o.Settle, c.o.Tenure/2+tenureMargin)
 }
 
-// order sends the order that a spot's stage asks for.
-func (c *Core) order(s *server, p *spot) {
+// sendOrder sends the order for the stage of a replica.
+func (c *Core) sendOrder(s *server, p *spot) {
 	order := c.orderFor(s, p)
 	s.asking, s.asked, s.ordered = true, c.now, c.now
 	p.num, p.ordered = s.num+1, c.now
 	c.tally.Orders++
 	c.countOrder(p)
-	c.countLoad(s, p)
+	c.recordStoreLoad(s, p)
 	c.checkOrder(s, p)
 	duty := c.duty.num
 	c.askServer(s, ordersPath, order, func(t protocol.Told) {
@@ -91,13 +92,13 @@
 	})
 }
 
-// orderFor writes the order that a spot's stage asks for, on the count that the server has.
+// orderFor builds the order for the stage of a replica, with the current count of the server.
 func (c *Core) orderFor(s *server, p *spot) protocol.Order {
 	return protocol.Order{Duty: c.duty.num, Num: s.num, Op: verbs[p.stage], Key: p.key, Size: p.size, Owner: c.o.Me.ID, Expected: s.num - 1}
 }
 
-// countLoad counts a load that begins at the store.
-func (c *Core) countLoad(s *server, p *spot) {
+// recordStoreLoad records a load that comes from the store.
+func (c *Core) recordStoreLoad(s *server, p *spot) {
 	if p.stage != Ordered {
 		return
 	}
@@ -107,16 +108,16 @@
 	}
 }
 
-// onOrderAnswer takes in what a server answered to an order, or that it did not.
+// onOrderAnswer processes a server's answer to an order, or the lack of one.
 func (c *Core) onOrderAnswer(s *server, p *spot, order protocol.Order, t protocol.Told) {
-	s.asking, s.next = false, c.now.Add(pollBusy)
+	s.asking, s.next = false, c.now.Add(busyPollInterval)
 	c.note("order answered", field("server", s.ID), field("op", order.Op), field("key", order.Key), field("term", order.Duty),
 		field("count", order.Expected), field("answered", t.OK), field("status", t.Code), field("took_ms", c.now.Sub(s.ordered).Milliseconds()))
 	switch {
 	case t.OK && c.elsewhere(s, t):
 		c.tally.OrdersRefused++
 		p.num = 0
-	case !t.OK: // it may have been taken: the count will tell
+	case !t.OK: // the server may have accepted the order; the count in its next report shows it
 		c.tally.OrdersUnanswered++
 		s.unsure, s.next = p, c.now
 	case t.Code == taken:
@@ -127,26 +128,26 @@
 		c.orderDone(s, p)
 	case t.Code == higherDuty:
 		c.tally.OrdersRefused++
-		c.lose("a server obeys a higher duty")
+		c.lose("a server accepted orders of a higher term")
 	default:
 		c.tally.OrdersRefused++
 		p.num = 0
-		s.busy = true // until its report shows why
+		s.busy = true // until a report shows the reason
 		if t.Code == notThisOne {
 			s.known = false
 		}
 	}
 }
 
-// elsewhere tells whether another server answered from the address of the one that was asked, and takes that one for gone: until
-// it goes on speaking while the other is silent, or for good.
+// answeredByOther reports whether another server answered at the address of the requested server. If so, the
+// requested server counts as gone until it announces itself again while the other one is silent.
 func (c *Core) elsewhere(s *server, t protocol.Told) bool {
 	if t.Server == s.ID || t.Server == "" && t.Code != notThisOne {
 		return false
 	}
-	c.note("another server answers at a server's address", field("server", s.ID), field("address", s.Addr), field("answers", t.Server), field("status", t.Code))
+	c.note("another server answered at the address of the requested server", field("server", s.ID), field("address", s.Addr), field("answers", t.Server), field("status", t.Code))
 	s.known, s.dark = false, true
-	s.next = c.now.Add(pollDark * c.o.Poll)
+	s.next = c.now.Add(darkPollFactor * c.o.Poll)
 	c.touchOn(s)
 	if e := c.roll[s.ID]; e != nil {
 		c.retire(e)
@@ -154,7 +155,7 @@
 	return true
 }
 
-// survey asks a server for its report.
+// requestReport requests a report from a server.
 func (c *Core) survey(s *server) {
 	s.asking, s.asked = true, c.now
 	c.tally.Reports++
@@ -169,15 +170,16 @@
 		}
 		var r protocol.Report
 		if t.OK && t.Code == 200 && json.Unmarshal(t.Body, &r) == nil {
-			c.onSurvey(s, r, at)
+			c.onReportAnswer(s, r, at)
 		} else {
-			c.onNoSurvey(s)
+			c.onReportFailed(s)
 		}
 	})
 }
 
-// onNoSurvey takes in that a server gave no report: the second time in a row it is dark.
-func (c *Core) onNoSurvey(s *server) {
+// onReportFailed records that a server returned no report. After the second failure in a row the server counts
+// as dark.
+func (c *Core) onReportFailed(s *server) {
 	s.next = c.now.Add(c.o.Poll)
 	if s.fails++; s.fails > 1 && !s.dark {
 		s.dark = true
@@ -185,24 +187,24 @@
 		c.touchOn(s)
 	}
 	if s.dark {
-		s.next = c.now.Add(pollDark * c.o.Poll)
+		s.next = c.now.Add(darkPollFactor * c.o.Poll)
 	}
 }
 
-// onSurvey holds a server's report against what it was ordered.
-func (c *Core) onSurvey(s *server, r protocol.Report, at clock.Tick) {
+// onReportAnswer compares a server's report with the orders that the server was sent.
+func (c *Core) onReportAnswer(s *server, r protocol.Report, at clock.Tick) {
 	c.spoke(s)
 	if s.confirmed != 0 && s.known && !s.dark && at.Sub(s.confirmed) < reportLag {
-		s.next = s.confirmed.Add(reportLag) // it may be from before what the server confirmed
+		s.next = s.confirmed.Add(reportLag) // the report may be older than the server's last confirmation
 		s.fails = 0
 		return
 	}
-	s.next = c.now.Add(pollBusy)
-	r.Num++ // zero stands for what was never ordered
+	s.next = c.now.Add(busyPollInterval)
+	r.Num++ // zero stands for an order that was never sent
 	if r.Num < s.num {
-		return // it is from before an order that was taken
+		return // the report is older than an accepted order
 	}
-	if !c.resolved(s, r.Num, at) {
+	if !c.resolveUnsure(s, r.Num, at) {
 		return
 	}
 	changed := s.dark || !s.known
@@ -217,10 +219,10 @@
 	held := map[ident.Key]bool{}
 	for _, h := range r.Held {
 		held[h.Key] = true
-		c.seeReady(s, r, h.Key)
+		c.observeHeld(s, r, h.Key)
 	}
-	c.seeMissing(s, r, held)
-	waits, ours := s.ordersLeft()
+	c.removeMissing(s, r, held)
+	waits, ours := s.pendingOrders()
 	s.alien = r.Busy && !ours
 	if !waits && !r.Busy {
 		s.next = c.now.Add(pollIdle)
@@ -230,24 +232,24 @@
 	}
 }
 
-// resolved tells whether it is known what became of every order, by a report with a count that was asked
-// for at a time.
-func (c *Core) resolved(s *server, num uint64, at clock.Tick) bool {
+// resolveUnsure reports whether the outcome of every order is known, given a report with an order count and
+// the time at which the report was requested.
+func (c *Core) resolveUnsure(s *server, num uint64, at clock.Tick) bool {
 	p := s.unsure
 	switch {
 	case p == nil:
 	case num >= p.num:
-		s.unsure = nil // it was taken
+		s.unsure = nil // the order was accepted
 	case at.Sub(s.ordered) > c.o.Wait+reportLag:
-		s.unsure, p.num = nil, 0 // it was not; sent again it names the same count
+		s.unsure, p.num = nil, 0 // the order was not accepted; the repeat carries the same count
 	default:
 		return false
 	}
 	return true
 }
 
-// seeReady takes in that a report shows a key as held.
-func (c *Core) seeReady(s *server, r protocol.Report, key ident.Key) {
+// observeHeld records that a report lists a key as held.
+func (c *Core) observeHeld(s *server, r protocol.Report, key ident.Key) {
 	if e := c.roll[s.ID]; e != nil {
 		c.noteOnDisk(e, key, true)
 	}
@@ -257,7 +259,7 @@
 		c.putSpot(s, p)
 	}
 	if p.num == 0 && p.stage == Ordered && !r.Busy {
-		p.num = r.Num // it holds so already
+		p.num = r.Num // already held without an order
 	}
 	if p.unsent(r.Num) || p.stage == Unloading && r.Busy {
 		return
@@ -265,7 +267,7 @@
 	c.becameReady(s, p)
 }
 
-// becameReady takes in that a replica is ready.
+// markReady records that a replica is ready.
 func (c *Core) becameReady(s *server, p *spot) {
 	if p.stage == Ready {
 		return
@@ -275,24 +277,24 @@
 		return
 	}
 	if wasOrdered {
-		c.noteReady(s, p, placed)
+		c.logReady(s, p, placed)
 	}
 	c.touch(p.key)
 }
 
-// noteReady logs how long it took until a load that was decided on at a moment is known to have ended.
-func (c *Core) noteReady(s *server, p *spot, placed clock.Tick) {
+// logReady logs how long a load took from its placement until this node learned of its completion.
+func (c *Core) logReady(s *server, p *spot, placed clock.Tick) {
 	waited := clock.Span(0)
-	if n := c.demand[p.key]; n != nil && n.since != 0 {
-		waited = c.now.Sub(n.since)
+	if n := c.demand[p.key]; n != nil && n.waitingSince != 0 {
+		waited = c.now.Sub(n.waitingSince)
 	}
 	c.note("replica ready", field("server", s.ID), field("key", p.key), field("from_store", p.cold),
 		field("placed_ms", c.now.Sub(placed).Milliseconds()), field("ordered_ms", c.now.Sub(p.ordered).Milliseconds()),
 		field("waited_ms", waited.Milliseconds()))
 }
 
-// seeMissing forgets what a report does not show, unless it may be loading still.
-func (c *Core) seeMissing(s *server, r protocol.Report, held map[ident.Key]bool) {
+// removeMissing deletes the replicas that a report does not list, except those that may still be loading.
+func (c *Core) removeMissing(s *server, r protocol.Report, held map[ident.Key]bool) {
 	for _, key := range generic.SortedKeys(s.spots) {
 		if p := s.spots[key]; !held[key] && !p.unsent(r.Num) && !(p.stage == Ordered && r.Busy) {
 			c.dropSpot(s, key)
@@ -300,8 +302,8 @@
 	}
 }
 
-// ordersLeft tells whether a server has orders to carry out or to be sent, and whether any was sent.
-func (s *server) ordersLeft() (waits, sent bool) {
+// pendingOrders reports whether a server has orders to execute or to be sent, and whether any was sent.
+func (s *server) pendingOrders() (waits, sent bool) {
 	for _, p := range s.spots {
 		waits = waits || verbs[p.stage] != ""
 		sent = sent || verbs[p.stage] != "" && p.num != 0
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -174,7 +174,7 @@
 		k.putSpot(s, &spot{key: "llm|m", size: 4, stage: Ordered, num: 6})
 		k.addServer(s)
 		k.now = c.at
-		k.onSurvey(s, x.r, c.at)
+		k.onReportAnswer(s, x.r, c.at)
 		got := ""
 		if p := s.spots["llm|m"]; p != nil {
 			got = p.stage
--- a/internal/controller/pace.go
+++ b/internal/controller/pace.go
@@ -8,25 +8,28 @@
 	"tidedeck/internal/protocol"
 )
 
-// How long servers take for a token of a prompt, by base. Each router sees few requests of a base, and most of what it
-// sees has waited behind others; the shortest time that any router has seen is what a token takes by itself.
+// The pace of a base is the time that a server takes for one token of a prompt. Each router sees few requests
+// for a base, and most of them waited behind others. The shortest time that any router saw is therefore the
+// best estimate.
 
 const (
-	paceRise   = 0.01 // a second, by which a pace that is not met again is forgotten
-	paceChange = 0.05 // by which a pace must differ before routers are told anew
+	paceDecayPerSecond  = 0.01 // growth per second of a pace that is not observed again
+	paceChangeThreshold = 0.05 // relative change of a pace from which routers are updated
 )
 
-// pace is a base's, as last seen at its best.
+// pace is the shortest observed time per token of a base.
 type pace struct {
-	ns float64
-	at clock.Tick
+	ns     float64
+	seenAt clock.Tick
 }
 
-// now is the pace with what is forgotten of it by now.
-func (p pace) now(now clock.Tick) float64 { return p.ns * (1 + paceRise*now.Sub(p.at).Seconds()) }
+// decayed returns the pace, increased by its age.
+func (p pace) decayed(now clock.Tick) float64 {
+	return p.ns * (1 + paceDecayPerSecond*now.Sub(p.seenAt).Seconds())
+}
 
-// heardPaces takes in the shortest times that a router has seen.
-func (c *Core) heardPaces(seen map[ident.Key]float64) {
+// recordPaces records the shortest times that a router observed.
+func (c *Core) recordPaces(seen map[ident.Key]float64) {
 	for base, ns := range seen {
 		if !(ns > 0) || math.IsInf(ns, 1) || c.plan == nil {
 			continue
@@ -34,53 +37,57 @@
 		if _, planned := c.plan.Models[base]; !planned {
 			continue
 		}
-		if was, ok := c.paces[base]; !ok || ns < was.now(c.now) {
+		if was, ok := c.paces[base]; !ok || ns < was.decayed(c.now) {
 			c.paces[base] = pace{ns, c.now}
 		}
 	}
 }
 
-// pacesFor gives what a router is to be told of the bases that it uses, as far as that has changed; nothing if it has not.
-func (c *Core) pacesFor(l *link) *protocol.Paces {
-	var told *protocol.Paces
-	if slowest := c.slowestPace(); differs(l.slowest, slowest) {
+// pacesUpdate returns the paces of the bases that a router uses, as far as they changed since the last update.
+// It returns nil if none changed.
+func (c *Core) pacesUpdate(l *link) *protocol.Paces {
+	var update *protocol.Paces
+	if slowest := c.slowestPace(); differsEnough(l.slowest, slowest) {
 		l.slowest = slowest
-		told = &protocol.Paces{}
+		update = &protocol.Paces{}
 	}
-	for key := range l.holds { // in any order: each base is told by itself
+	for key := range l.holds { // the order is irrelevant: each base is handled separately
 		base := key.Base()
 		p, ok := c.paces[base]
-		if !ok || !differs(l.paces[base], p.now(c.now)) {
+		if !ok || !differsEnough(l.paces[base], p.decayed(c.now)) {
 			continue
 		}
-		if told == nil {
-			told = &protocol.Paces{}
+		if update == nil {
+			update = &protocol.Paces{}
 		}
-		if told.Bases == nil {
-			told.Bases = map[ident.Key]float64{}
+		if update.Bases == nil {
+			update.Bases = map[ident.Key]float64{}
 		}
 		if l.paces == nil {
 			l.paces = map[ident.Key]float64{}
 		}
-		l.paces[base] = p.now(c.now)
-		told.Bases[base] = l.paces[base]
+		l.paces[base] = p.decayed(c.now)
+		update.Bases[base] = l.paces[base]
 	}
-	if told != nil {
-		told.Slowest = l.slowest
+	if update != nil {
+		update.Slowest = l.slowest
 	}
-	return told
+	return update
 }
 
-// slowestPace is the longest time that a token takes of any base, found anew with the sums of demand.
+// slowestPace returns the longest time per token among all bases. It is recomputed with each update of the
+// demand rates.
 func (c *Core) slowestPace() float64 {
 	if c.slowestAt != c.summed || c.slowest == 0 {
 		c.slowestAt, c.slowest = c.summed, 0
 		for _, p := range c.paces {
-			c.slowest = max(c.slowest, p.now(c.now))
+			c.slowest = max(c.slowest, p.decayed(c.now))
 		}
 	}
 	return c.slowest
 }
 
-// differs tells whether a pace is worth telling to who knows another one.
-func differs(known, is float64) bool { return math.Abs(is-known) > paceChange*known }
+// differsEnough reports whether a pace differs enough from the known one to be sent.
+func differsEnough(known, current float64) bool {
+	return math.Abs(current-known) > paceChangeThreshold*known
+}
--- a/internal/controller/pace_test.go
+++ b/internal/controller/pace_test.go
@@ -14,24 +14,24 @@
 func TestPaces(t *testing.T) {
 	c := New(Options{})
 	c.plan, c.now = modelPlan(8, "llm|m", "llm|n"), clock.Tick(1e9)
-	c.heardPaces(map[ident.Key]float64{"llm|m": 50e3, "llm|n": 20e3, "llm|none": 1})
-	c.heardPaces(map[ident.Key]float64{"llm|m": 80e3})
-	c.heardPaces(map[ident.Key]float64{"llm|m": 40e3, "llm|n": math.Inf(1)})
-	c.heardPaces(map[ident.Key]float64{"llm|m": 0, "llm|n": -3})
-	c.heardPaces(map[ident.Key]float64{"llm|m": math.NaN()})
+	c.recordPaces(map[ident.Key]float64{"llm|m": 50e3, "llm|n": 20e3, "llm|none": 1})
+	c.recordPaces(map[ident.Key]float64{"llm|m": 80e3})
+	c.recordPaces(map[ident.Key]float64{"llm|m": 40e3, "llm|n": math.Inf(1)})
+	c.recordPaces(map[ident.Key]float64{"llm|m": 0, "llm|n": -3})
+	c.recordPaces(map[ident.Key]float64{"llm|m": math.NaN()})
 	require.Len(t, c.paces, 2)
 
 	l := &link{holds: map[ident.Key]uint64{"llm|m": 1}}
-	told := c.pacesFor(l)
+	told := c.pacesUpdate(l)
 	require.Equal(t, map[ident.Key]float64{"llm|m": 40e3}, told.Bases, "only what the router uses")
 	require.InDelta(t, 40e3, told.Slowest, 1)
-	require.Nil(t, c.pacesFor(l), "it has not changed")
+	require.Nil(t, c.pacesUpdate(l), "it has not changed")
 	l.holds["llm|n+a"] = 2
-	require.Equal(t, map[ident.Key]float64{"llm|n": 20e3}, c.pacesFor(l).Bases, "an adapter has its base's")
+	require.Equal(t, map[ident.Key]float64{"llm|n": 20e3}, c.pacesUpdate(l).Bases, "an adapter has its base's")
 
 	c.now = c.now.Add(clock.Span(10e9))
-	c.heardPaces(map[ident.Key]float64{"llm|m": 43e3})
-	require.InDelta(t, 43e3, c.paces["llm|m"].now(c.now), 1, "what was not met for ten seconds is a tenth slower")
+	c.recordPaces(map[ident.Key]float64{"llm|m": 43e3})
+	require.InDelta(t, 43e3, c.paces["llm|m"].decayed(c.now), 1, "what was not met for ten seconds is a tenth slower")
 }
 
 // How long loads from a server's own disk take is learned, whether they take less than those from the store or more.
--- a/internal/controller/place.go
+++ b/internal/controller/place.go
@@ -9,19 +9,19 @@
 	"tidedeck/internal/ident"
 )
 
-// Placement by need, where servers check a fence: each key has its floor, and one replica while it is
-// asked for; what has been idle for longest makes way.
+// Placement on servers that check a fencing token: each key gets its floor, and at least one replica while it
+// is requested. Replicas without recent work are evicted to make room.
 
 const (
-	sweepEvery  = 500e6 // entries are made anew so often, whatever changed
-	askedSpan   = 3e9   // a key that was asked for so lately has a replica
-	darkLoading = 60e9  // a dark server may be loading for so long
-	firstReport = 10e9  // a server that has not reported for so long since it came is loading nothing
-	newZone     = 1_000_000
-	fillScale   = 1000 // a server's free room counts in so many parts, less than a new zone does
+	entryRefreshInterval = 500e6 // interval of the periodic recomputation of all entries
+	recentRequestSpan    = 3e9   // a key that was requested within this time gets at least one replica
+	maxDarkLoadTime      = 60e9  // a server that stopped answering may still be loading for this long
+	firstReportTimeout   = 10e9  // a new server without a report is assumed to load nothing after this time
+	newZoneScore         = 1_000_000
+	freeRoomScale        = 1000 // resolution of a server's share of free room in the score; less than newZoneScore
 )
 
-// beatPlace carries placement on at the owner of the duty.
+// tickPlacement runs the periodic work of placement on the leader.
 func (c *Core) beatPlace() {
 	if !c.rules() {
 		return
@@ -33,32 +33,33 @@
 		c.beatServer(s)
 	}
 	if c.plan != nil && c.settled() {
-		c.placeAll()
+		c.updatePlacement()
 	}
-	if c.now.Sub(c.swept) > sweepEvery {
+	if c.now.Sub(c.swept) > entryRefreshInterval {
 		c.swept = c.now
 		c.touchAll()
 	}
-	c.sumDemand()
-	c.forgetDemand()
+	c.updateRates()
+	c.expireDemand()
 }
 
-// placeAll brings what the servers hold nearer to what the plan and the demand ask for.
-func (c *Core) placeAll() {
+// updatePlacement adjusts what the servers hold to the plan and the demand.
+func (c *Core) updatePlacement() {
 	if c.o.Unfenced {
-		c.weighAll()
+		c.placeByCost()
 		return
 	}
 	atOnce, now := c.budget()
-	c.withdrawFromDark()
-	atOnce -= c.mayBeLoading()
+	c.cancelDarkLoads()
+	atOnce -= c.countPossibleLoads()
 	c.evictUnplanned()
-	c.beatShifts()
-	c.placeWishes(min(atOnce, now))
+	c.advanceMoves()
+	c.placeRequests(min(atOnce, now))
 }
 
-// withdrawFromDark gives up loads that cannot be sent to their server now: another one may take them.
-func (c *Core) withdrawFromDark() {
+// cancelDarkLoads cancels loads whose order cannot be sent because the server does not answer, so that another
+// server may load the key.
+func (c *Core) cancelDarkLoads() {
 	for _, s := range c.servers {
 		for key, p := range s.spots {
 			if s.dark && p.stage == Ordered && p.num == 0 {
@@ -68,29 +69,30 @@
 	}
 }
 
-// mayBeLoading counts the loads that may be under way.
-func (c *Core) mayBeLoading() int {
+// countPossibleLoads counts the loads that may be in progress.
+func (c *Core) countPossibleLoads() int {
 	n := 0
 	for _, s := range c.servers {
 		c.visit(len(s.spots))
 		for _, p := range s.spots {
-			if p.stage == Ordered && c.mayLoad(s, p) {
+			if p.stage == Ordered && c.loadMayBeRunning(s, p) {
 				n++
 			}
 		}
-		if !s.known && !s.dark && s.State == "live" && c.now.Sub(s.first) < firstReport {
-			n++ // what it may be loading is not known yet
+		if !s.known && !s.dark && s.State == "live" && c.now.Sub(s.first) < firstReportTimeout {
+			n++ // whether this server is loading is not known yet
 		}
 	}
 	return n
 }
 
-// mayLoad tells whether a load that was ordered may still be under way: at a dark server for a while.
-func (c *Core) mayLoad(s *server, p *spot) bool {
-	return !s.dark || c.now.Sub(p.since) < darkLoading
+// loadMayBeRunning reports whether an ordered load may still be in progress; on a dark server it may be for
+// maxDarkLoadTime.
+func (c *Core) loadMayBeRunning(s *server, p *spot) bool {
+	return !s.dark || c.now.Sub(p.since) < maxDarkLoadTime
 }
 
-// evictUnplanned takes off all servers what the plan does not name.
+// evictUnplanned evicts everything that the plan does not contain.
 func (c *Core) evictUnplanned() {
 	for _, s := range c.fleet.ordered {
 		if !s.known || s.dark {
@@ -105,7 +107,7 @@
 	}
 }
 
-// unplannedOn lists what a server holds that the plan does not name.
+// unplannedOn lists the keys on a server that the plan does not contain.
 func (c *Core) unplannedOn(s *server) (unplanned []ident.Key) {
 	for key := range s.spots {
 		if _, planned := c.plan.Models[key]; !planned {
@@ -116,14 +118,14 @@
 	return unplanned
 }
 
-// replicaSet is what a key has of replicas that can be counted on.
+// replicaSet summarizes the usable replicas of a key.
 type replicaSet struct {
 	count int
-	slots int // of all their servers
+	slots int // sum over the servers
 	zones map[ident.Zone]bool
 }
 
-// replicasOf counts a key's replicas that are ready or ordered, on servers that stay.
+// replicasOf summarizes the replicas of a key that are ready or ordered, on servers that stay available.
 func (c *Core) replicasOf(key ident.Key) replicaSet {
 	set := replicaSet{zones: map[ident.Zone]bool{}}
 	for _, s := range c.holding(key) {
@@ -137,57 +139,57 @@
 	return set
 }
 
-// requirement is how many replicas a key should have, and how many it has.
+// requirement is how many replicas a key should have and how many it has.
 type requirement struct {
 	wanted int
 	live   int
-	value  int // of the requests that ask for it
+	value  int // highest value among the requests for the key
 }
 
-// requirementOf tells how many replicas a key should have.
+// requirementOf computes how many replicas a key should have.
 func (c *Core) requirementOf(m fleetplan.Model) requirement {
 	has := c.replicasOf(m.Key)
 	r := requirement{wanted: m.Floor, live: has.count}
-	if n := c.demand[m.Key]; n != nil && c.now.Sub(n.at) < askedSpan {
+	if n := c.demand[m.Key]; n != nil && c.now.Sub(n.at) < recentRequestSpan {
 		r.value = n.value
 		r.wanted = max(r.wanted, 1)
-		// Past three quarters of its slots it gets one more.
+		// With more than three quarters of its slots in use, the key gets one more replica.
 		if r.live > 0 && 4*c.underWay(m.Key) > 3*has.slots {
 			r.wanted = max(r.wanted, r.live+1)
 		}
 	}
 	if c.shifts[m.Key] != nil {
-		r.wanted = max(r.wanted, r.live) // both are kept until the new one can do without the old
-	} else if r.wanted == 0 && r.live == 0 && c.parting(m.Key) {
+		r.wanted = max(r.wanted, r.live) // during a move both replicas count, until the new one can replace the old one
+	} else if r.wanted == 0 && r.live == 0 && c.losingReplicas(m.Key) {
 		r.wanted = 1
 	}
 	r.wanted = min(r.wanted, m.Most)
 	return r
 }
 
-// underWay counts the requests for a key that wait or run, at all routers.
+// underWay counts the waiting and running requests for a key at all routers.
 func (c *Core) underWay(key ident.Key) int { return c.workload.UnderWay(key) }
 
-// wish is a key that wants one more replica.
-type wish struct {
-	model fleetplan.Model
-	bare  bool // it has none
-	value int
+// placementRequest is a key that needs one more replica.
+type placementRequest struct {
+	model     fleetplan.Model
+	noReplica bool // the key has no replica
+	value     int
 }
 
-// wishes lists the keys that want one more replica, the most urgent first.
-func (c *Core) wishes() []wish {
-	var l []wish
+// placementRequests lists the keys that need one more replica, most urgent first.
+func (c *Core) placementRequests() []placementRequest {
+	var l []placementRequest
 	for _, key := range generic.SortedKeys(c.plan.Models) {
 		m := c.plan.Models[key]
 		if r := c.requirementOf(m); r.live < r.wanted {
-			l = append(l, wish{model: m, bare: r.live == 0, value: r.value})
+			l = append(l, placementRequest{model: m, noReplica: r.live == 0, value: r.value})
 		}
 	}
 	sort.SliceStable(l, func(i, j int) bool {
 		a, b := l[i], l[j]
-		if a.bare != b.bare {
-			return a.bare
+		if a.noReplica != b.noReplica {
+			return a.noReplica
 		}
 		if a.value != b.value {
 			return a.value > b.value
@@ -197,47 +199,48 @@
 	return l
 }
 
-// placeWishes places what is wished for within the store's budget; while nothing is, moves may begin.
-func (c *Core) placeWishes(budget int) {
-	wishes := c.wishes()
-	for _, w := range wishes {
+// placeRequests orders loads within the budget of the store. If no key needs a replica, a move may start
+// instead.
+func (c *Core) placeRequests(budget int) {
+	requests := c.placementRequests()
+	for _, req := range requests {
 		if budget <= 0 {
 			return
 		}
-		if c.place(w) {
+		if c.placeOne(req) {
 			budget--
 		}
 	}
-	if len(wishes) == 0 && budget > 0 {
-		c.even()
+	if len(requests) == 0 && budget > 0 {
+		c.rebalance()
 	} else {
 		c.uneven = 0
 	}
 }
 
-// place orders one load for a wish, or makes room for it; it tells whether a load was ordered.
-func (c *Core) place(w wish) bool {
-	key := w.model.Key
+// placeOne orders one load for a request, or makes room for it. It reports whether a load was ordered.
+func (c *Core) placeOne(req placementRequest) bool {
+	key := req.model.Key
 	if key.IsAdapter() && c.replicasOf(key.Base()).count == 0 {
-		return c.place(wish{model: c.plan.Models[key.Base()], bare: true, value: w.value})
+		return c.placeOne(placementRequest{model: c.plan.Models[key.Base()], noReplica: true, value: req.value})
 	}
-	s := c.emptiest(w.model)
+	s := c.chooseServer(req.model)
 	if s == nil {
-		c.clearRoom(w)
+		c.makeRoom(req)
 		return false
 	}
-	c.startLoad(s, w.model)
+	c.startLoad(s, req.model)
 	return true
 }
 
-// startLoad has a server load a model: the order follows once it is due.
+// startLoad marks a model as ordered on a server; the order itself is sent when due.
 func (c *Core) startLoad(s *server, m fleetplan.Model) {
 	c.putSpot(s, &spot{key: m.Key, size: m.Size, stage: Ordered, since: c.now})
 }
 
-// emptiest finds the server for one more replica of a model: in a zone that has none, and the emptiest for
-// its size.
-func (c *Core) emptiest(m fleetplan.Model) (best *server) {
+// chooseServer returns the server for one more replica of a model. It prefers zones without a replica, then
+// the largest share of free room.
+func (c *Core) chooseServer(m fleetplan.Model) (best *server) {
 	zones := c.replicasOf(m.Key).zones
 	most := 0
 	for _, id := range generic.SortedKeys(c.servers) {
@@ -248,9 +251,9 @@
 		if s.free() < m.Size {
 			continue
 		}
-		score := fillScale * (s.free() + 1) / (s.room + 1)
+		score := freeRoomScale * (s.free() + 1) / (s.room + 1)
 		if !zones[s.Zone] {
-			score += newZone
+			score += newZoneScore
 		}
 		if best == nil || score > most {
 			best, most = s, score
@@ -259,7 +262,7 @@
 	return best
 }
 
-// mayHold tells whether a server may be ordered to load a key, if it has the room.
+// mayHold reports whether a server may be ordered to load a key, regardless of its free room.
 func (c *Core) mayHold(s *server, key ident.Key) bool {
 	if !c.stays(s) || s.spots[key] != nil || s.odd != "" {
 		return false
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -8,18 +8,18 @@
 	"tidedeck/internal/protocol"
 )
 
-// version is a configuration that the owner learned of, and since when it has been in force at the latest.
+// version is a configuration that the leader learned of, and the latest time at which it was chosen.
 type version struct {
 	gen   uint64
 	epoch ident.Epoch
 	since clock.Tick
 }
 
-// versionsKept bounds how many versions the owner remembers: those that came within some leases.
-const versionsKept = 256
+// maxVersions limits how many recent versions the leader remembers.
+const maxVersions = 256
 
-// beginVersions begins the list anew with a term. Nobody here knows since when the newest version has been there: a router
-// that lacks it gets no lease.
+// resetVersions restarts the version list at the beginning of a term. When the newest version was chosen is
+// unknown to a new leader, so a router that lacks it gets no lease.
 func (c *Core) beginVersions() {
 	c.versions, c.rollout = nil, rollout{}
 	if known := c.reg.known; known != nil {
@@ -27,25 +27,26 @@
 	}
 }
 
-// pushAll has the newest desired state go down every link.
+// broadcastDesired sends the newest desired state to every router.
 //
-// A router may go by the version before until its lease ends, and no lease outlives the moment at which a newer version
-// was chosen by more than the hold. The owner may learn of a version some time after it was chosen, but not before the
-// last majority read that did not show it.
+// A router may use the previous version until its lease ends, and no lease may end later than Hold after a
+// newer version was chosen. The leader may learn of a version some time after it was chosen. The version was
+// not chosen before the last majority read that did not show it, so the time of that read is a safe bound.
 func (c *Core) pushAll() {
-	d := c.shareNewest()
+	d := c.sharedDesired()
 	c.versions = append(c.versions, version{gen: d.Gen, epoch: d.Epoch, since: min(c.now, c.reg.heard)})
-	if n := len(c.versions) - versionsKept; n > 0 {
+	if n := len(c.versions) - maxVersions; n > 0 {
 		c.versions = c.versions[n:]
 	}
-	c.beginRollout(d.Epoch)
+	c.startRollout(d.Epoch)
 	for _, l := range c.sorted() {
-		c.offer(l)
+		c.offerDesired(l)
 	}
 }
 
-// shareNewest gives the newest desired state as it goes to all routers, so that it is packed once for them.
-func (c *Core) shareNewest() *protocol.Desired {
+// sharedDesired returns the newest desired state in a form shared by all links, so that it is encoded only
+// once.
+func (c *Core) sharedDesired() *protocol.Desired {
 	known := c.reg.known
 	if c.newest == nil || c.newest.Gen != known.Gen || c.newest.Epoch != known.Epoch {
 		d := *known
@@ -54,31 +55,32 @@
 	return c.newest
 }
 
-// offer sends a router the newest desired state if it lacks it. While one that was sent is on its way, or being read,
-// a newer one waits: a router that is slow takes in the newest each time, and not each one.
-func (c *Core) offer(l *link) {
+// offerDesired sends the newest desired state to a router that lacks it. While an earlier one is
+// unacknowledged, the newer one waits. A slow router thus receives only the latest version, not every version.
+func (c *Core) offerDesired(l *link) {
 	known := c.reg.known
-	if known == nil || !l.lacks(known) || l.owesDesired() {
+	if known == nil || !l.lacks(known) || l.desiredPending() {
 		return
 	}
-	c.add(l, protocol.Item{Desired: c.shareNewest(), Packed: c.newestBytes})
+	c.queueItem(l, protocol.Item{Desired: c.sharedDesired(), Packed: c.newestBytes})
 }
 
-// renew puts the newest desired state in the place of an older one that goes out again.
-func (c *Core) renew(l *link) {
+// replaceStaleDesired replaces an outdated desired state that is about to be sent again by the newest one.
+func (c *Core) replaceStaleDesired(l *link) {
 	stale := false
 	for i := range l.items {
 		if d := l.items[i].Desired; d != nil && c.reg.known.Newer(d) {
-			l.items[i].Desired, stale = nil, true // its number alone goes out
+			l.items[i].Desired, stale = nil, true // only the number is sent
 		}
 	}
 	if stale {
-		c.offer(l)
+		c.offerDesired(l)
 	}
 }
 
-// has notes which desired state a router has. What was sent no longer has to come if it is no newer.
-func (l *link) has(gen uint64, epoch ident.Epoch) {
+// markKnown records which desired state a router has. Queued states that are not newer need not be sent any
+// more.
+func (l *link) markKnown(gen uint64, epoch ident.Epoch) {
 	if gen < l.gen || gen == l.gen && epoch < l.epoch {
 		return
 	}
@@ -90,13 +92,13 @@
 	}
 }
 
-// lacks tells whether a router has an older desired state than one that is known, or none.
+// lacks reports whether a router has no desired state or an older one than the given one.
 func (l *link) lacks(known *protocol.Desired) bool {
 	return l.gen < known.Gen || l.gen == known.Gen && l.epoch < known.Epoch
 }
 
-// lackedSince tells since when a router lacks a version that was chosen after the one that it has.
-func (c *Core) lackedSince(l *link) (since clock.Tick, lacks bool) {
+// missingSince returns the time at which the oldest version that a router lacks was chosen.
+func (c *Core) missingSince(l *link) (since clock.Tick, lacks bool) {
 	known := c.reg.known
 	if known == nil || !l.lacks(known) {
 		return 0, false
@@ -106,50 +108,50 @@
 			return v.since, true
 		}
 	}
-	return 0, true // it was chosen before this node's term began, nobody here knows when
+	return 0, true // it was chosen at an unknown time before the term of this node began
 }
 
-// rollout follows one configuration on its way to the routers, for the log: how many had to take it in, how many leases
-// ran out over it, and how long it took until it was in force everywhere.
+// rollout tracks the newest configuration on its way to the routers, for the log: how many routers had to
+// receive it, how many leases expired meanwhile, and how long it took until it was in force everywhere.
 type rollout struct {
 	epoch  ident.Epoch
 	began  clock.Tick
 	links  int
 	lapsed int
-	open   bool
+	active bool
 }
 
-// beginRollout notes that a configuration goes out to every link.
-func (c *Core) beginRollout(epoch ident.Epoch) {
-	if c.rollout.open {
-		c.noteRollout("a newer configuration overtakes one that routers have not all taken in")
+// startRollout records that a configuration is sent to every router.
+func (c *Core) startRollout(epoch ident.Epoch) {
+	if c.rollout.active {
+		c.logRollout("configuration superseded before every router acknowledged it")
 	}
-	c.rollout = rollout{epoch: epoch, began: c.now, links: len(c.links), open: true}
+	c.rollout = rollout{epoch: epoch, began: c.now, links: len(c.links), active: true}
 }
 
-// watchRollout tells once no link is left that may still go by an older configuration.
-func (c *Core) watchRollout() {
-	if c.rollout.open && c.behind() == 0 {
-		c.rollout.open = false
-		c.noteRollout("the configuration is in force at every router, or the router's lease ran out")
+// checkRollout logs the end of a rollout, when no router may use an older configuration any more.
+func (c *Core) checkRollout() {
+	if c.rollout.active && c.countBehind() == 0 {
+		c.rollout.active = false
+		c.logRollout("configuration in force: every router acknowledged it or its lease expired")
 	}
 }
 
-// behind counts the links that have not acknowledged the newest configuration that they were sent.
-func (c *Core) behind() (n int) {
+// countBehind counts the links that have not acknowledged a configuration that they were sent.
+func (c *Core) countBehind() (n int) {
 	for _, l := range c.links {
-		if l.owesDesired() {
+		if l.desiredPending() {
 			n++
 		}
 	}
 	return n
 }
 
-func (l *link) owesDesired() bool {
+func (l *link) desiredPending() bool {
 	return slices.ContainsFunc(l.items, func(i change) bool { return i.Desired != nil })
 }
 
-func (c *Core) noteRollout(text string) {
+func (c *Core) logRollout(text string) {
 	c.note(text, field("epoch", c.rollout.epoch), field("took_ms", c.now.Sub(c.rollout.began).Milliseconds()), field("routers", c.rollout.links),
-		field("lapsed", c.rollout.lapsed), field("behind", c.behind()), field("term", c.duty.num))
+		field("lapsed", c.rollout.lapsed), field("behind", c.countBehind()), field("term", c.duty.num))
 }
--- a/internal/controller/spot.go
+++ b/internal/controller/spot.go
@@ -10,20 +10,20 @@
 	"tidedeck/internal/protocol"
 )
 
-// A spot is one key at one server, from the order to load it until a report shows that it is gone.
-// What a report shows of it counts only once the report answers the last order for it.
+// A modelReplica is one key on one server, from the decision to load it until a report shows that the key is
+// gone. A report is considered only if it is from after the last order for the replica.
 
-// Stages of a spot.
+// Stages of a replica.
 const (
-	Ordered   = "ordered"   // a load was sent or is about to be
-	Ready     = "ready"     // loaded, and offered to routers
-	Breaking  = "breaking"  // promises on it are being broken
-	Draining  = "draining"  // every promise is gone; work under way ends
-	Unloading = "unloading" // an unload was sent
+	Ordered   = "ordered"   // a load was ordered or is about to be
+	Ready     = "ready"     // loaded, and listed in the entry for routers
+	Breaking  = "breaking"  // its callbacks are being broken
+	Draining  = "draining"  // no router holds a callback; running requests end
+	Unloading = "unloading" // an unload was ordered
 	Gone      = "gone"
 )
 
-// What moves a spot.
+// Triggers of stage changes.
 const (
 	SeeLoading = "see loading"
 	SeeReady   = "see ready"
@@ -33,26 +33,26 @@
 	Idle       = "idle"
 )
 
-// spot is one key at one server.
+// modelReplica is one key on one server.
 type spot struct {
 	key   ident.Key
 	size  int
 	stage string
-	num   uint64                      // of the order last sent for it; zero if none was
-	ready clock.Tick                  // since when it is ready
-	busy  clock.Tick                  // when it last had work
-	work  int                         // requests under way, as last reported
-	since clock.Tick                  // when it came to its stage
-	waits map[protocol.Session]uint64 // the change that each router must acknowledge before the spot drains
-	cold  bool                        // its load comes from the store
+	num   uint64                      // count of the last order sent for the replica; zero if none was sent
+	ready clock.Tick                  // since when the replica is ready
+	busy  clock.Tick                  // when the replica last had work
+	work  int                         // requests in progress, as last reported
+	since clock.Tick                  // since when the replica is in its stage
+	waits map[protocol.Session]uint64 // the change that each router must acknowledge before draining starts
+	cold  bool                        // the load comes from the store
 
-	ordered clock.Tick // when the order that brings its stage about was sent
+	ordered clock.Tick // when the order for the current stage was sent
 }
 
-// tag is the key under which a context carries the spot that the state machine works on.
+// replicaContextKey is the context key of the replica that the state machine works on.
 type tag struct{}
 
-// spots is the life of a spot: one machine for all of them.
+// replicaMachine is the state machine of replicas, shared by all of them.
 var spots = func() *stateless.StateMachine {
 	s := stateless.NewStateMachineWithExternalStorage(
 		func(c context.Context) (stateless.State, error) { return c.Value(tag{}).(*spot).stage, nil },
@@ -69,7 +69,7 @@
 	return s
 }()
 
-// fire moves a spot on by a trigger, and tells whether its stage changed.
+// fire applies a trigger to a replica and reports whether the stage changed.
 func (s *spot) fire(what string, now clock.Tick) bool {
 	was := s.stage
 	_ = spots.FireCtx(context.WithValue(context.Background(), tag{}, s), what)
@@ -82,16 +82,17 @@
 	return s.stage != was
 }
 
-// verbs names the order that brings a spot's stage about.
+// orderOps maps the stages that require an order to its operation.
 var verbs = map[string]string{Ordered: "load", Unloading: "unload"}
 
-// placed tells that a spot is a replica, or is to be one.
+// placed reports whether a replica is ready or ordered.
 func (p *spot) placed() bool { return p.stage == Ordered || p.stage == Ready }
 
-// leaves tells that a spot is on its way out.
+// leaving reports whether a replica is being evicted.
 func (p *spot) leaves() bool {
 	return p.stage == Breaking || p.stage == Draining || p.stage == Unloading
 }
 
-// unsent tells that a report can say nothing of a spot's order yet.
+// orderUnreported reports whether a report with the given order count cannot reflect the replica's last order
+// yet.
 func (p *spot) unsent(num uint64) bool { return p.num > num || p.num == 0 && verbs[p.stage] != "" }
--- a/internal/controller/weigh.go
+++ b/internal/controller/weigh.go
@@ -8,94 +8,96 @@
 	"tidedeck/internal/ident"
 )
 
-// Placement by weight: what a key is worth at a server is what it would cost to be without it. Busy
-// bases get as many replicas as their work asks for; all other room keeps as many different keys as it
-// holds, and what is let go is what will be missed least for the time that it takes to be back.
+// Placement by cost, for unfenced servers: the value of a key on a server is the cost of being without it
+// there. Busy bases get as many replicas as their load requires. The remaining room holds as many different
+// keys as fit, and evictions choose the keys that are missed least until they could be loaded again.
 
 const (
-	weighEvery = clock.Span(20e6) // loads take seconds, so that looking more often brings nothing
-	// restOfVisit is how long placement rests for each server or replica that it looked at: whatever there is to look at, most
-	// of the owner's time is left to leases, acknowledgements and leavings.
-	restOfVisit = clock.Span(2e3)
-	seedEvery   = 300e6 // a model is loaded ahead so often
-	seedLoads   = 2     // loads that the store must bear for one of them to be ahead of need
-	keptPart    = 3     // one in so many of the loads that the store bears at once is kept for bases without a replica
-
-	freshSpan = 1500e6 // what is as young as this is not judged yet, and what is older is out of date
+	placementInterval = clock.Span(20e6) // loads take seconds, so shorter intervals bring no benefit
+	// pausePerVisit is the pause of placement for each server or replica that the last run examined. It leaves
+	// most of the leader's time to leases, acknowledgements and departing servers, whatever the size of the
+	// fleet.
+	pausePerVisit     = clock.Span(2e3)
+	prefetchInterval  = 300e6 // interval between two loads ahead of demand
+	prefetchMinBudget = 2     // loads that the store must have free before one of them is used ahead of demand
+	reservedDivisor   = 3     // one in so many of the store's concurrent loads is reserved for bases without a replica
+
+	freshSpan = 1500e6 // replicas younger than this are not evicted, and demand older than this is outdated
 )
 
-// What a server costs as the place of one more replica, in seconds of waiting that it stands for.
+// Costs of a server as the place of one more replica, in equivalent seconds of waiting.
 const (
-	orderCost    = 1.5 // for each order that it has to carry out first
-	workCost     = 4.0 // for each server's worth of work that it has
-	sameZoneCost = 0.2 // if the zone has a replica already
-	evictCost    = 0.5 // if something must make way, beside what that costs
+	pendingOrderCost = 1.5 // for each order that the server has to execute first
+	serverLoadCost   = 4.0 // for each server's worth of load on it
+	sameZoneCost     = 0.2 // if the zone already has a replica
+	evictCost        = 0.5 // if replicas must be evicted, in addition to their own cost
 )
 
-// weighAll places what is asked for, where the store may begin so many loads.
-func (c *Core) weighAll() {
+// placeByCost runs placement if its pause is over.
+func (c *Core) placeByCost() {
 	if c.now.Sub(c.weighed) < c.weighPause {
 		return
 	}
 	before := c.tally.Visits
 	c.weighed = c.now
-	c.withdrawFromDark()
+	c.cancelDarkLoads()
 	c.evictUnplanned()
-	c.weigh(c.budget())
-	c.weighPause = max(weighEvery, clock.Span(c.tally.Visits-before)*restOfVisit)
+	c.runPlacement(c.budget())
+	c.weighPause = max(placementInterval, clock.Span(c.tally.Visits-before)*pausePerVisit)
 }
 
-// weigh looks at placement once, where the store bears so many loads at once, and so many may begin now.
-func (c *Core) weigh(atOnce, toBegin int) {
+// runPlacement performs one run of placement. The store supports atOnce concurrent loads, of which toBegin may
+// start now.
+func (c *Core) runPlacement(atOnce, toBegin int) {
 	l := c.newLook()
-	left := c.storeLeft(atOnce, toBegin)
+	left := c.remainingStoreLoads(atOnce, toBegin)
 	for _, s := range c.fleet.ordered {
-		c.undo(s)
+		c.cancelExcessLoads(s)
 	}
-	short := l.families.short(c.bases().keys)
+	short := l.families.lackingReplicas(c.bases().keys)
 	c.line = map[ident.Key]int{}
 	for _, f := range short {
-		if c.placeAt(f, l, left > keptFree(f, atOnce)) {
+		if c.placeReplica(f, l, left > reservedLoads(f, atOnce)) {
 			left--
 		}
 		if f.live == 0 {
 			c.line[f.model.Key] = len(c.line) + 1
 		}
 	}
-	if c.o.Warm && len(short) == 0 && left >= seedLoads {
-		c.seed(l)
+	if c.o.Warm && len(short) == 0 && left >= prefetchMinBudget {
+		c.prefetch(l)
 	}
 	c.weighAdapters(l)
 }
 
-// keptFree tells how many of the loads that the store bears at once a family leaves to others: further replicas leave a
-// part to bases without any, for which somebody waits.
-func keptFree(f *family, atOnce int) int {
+// reservedLoads returns how many of the store's concurrent loads a family must leave to others. Bases without
+// a replica for which requests wait may use all of them; other loads leave a share to those bases.
+func reservedLoads(f *family, atOnce int) int {
 	if f.live == 0 && f.waiting > 0 {
 		return 0
 	}
-	return atOnce / keptPart
+	return atOnce / reservedDivisor
 }
 
-// storeLeft tells how many more loads the store bears beside those that are ordered.
-func (c *Core) storeLeft(atOnce, toBegin int) int {
+// remainingStoreLoads returns how many more loads the store supports in addition to those already ordered.
+func (c *Core) remainingStoreLoads(atOnce, toBegin int) int {
 	for _, s := range c.servers {
 		c.visit(len(s.spots))
 		for key, p := range s.spots {
-			if p.stage != Ordered || key.IsAdapter() || c.sure(s, key) || !c.mayLoad(s, p) {
+			if p.stage != Ordered || key.IsAdapter() || c.sure(s, key) || !c.loadMayBeRunning(s, p) {
 				continue
 			}
 			atOnce--
 			if p.num == 0 {
-				toBegin-- // it begins before long
+				toBegin-- // its order will be sent soon
 			}
 		}
 	}
 	return min(atOnce, toBegin)
 }
 
-// short lists the families that have too few replicas, the most worthwhile first.
-func (l families) short(bases []ident.Key) []*family {
+// lackingReplicas lists the families that have too few replicas, highest gain first.
+func (l families) lackingReplicas(bases []ident.Key) []*family {
 	var short []*family
 	for _, key := range bases {
 		if f := l[key]; f.live < f.wanted {
@@ -112,8 +114,9 @@
 	return short
 }
 
-// undo gives up placements for which a server turns out to have no room, and nothing is on its way out.
-func (c *Core) undo(s *server) {
+// cancelExcessLoads cancels loads that were not ordered yet on a server that has no room for them while no
+// eviction is in progress.
+func (c *Core) cancelExcessLoads(s *server) {
 	crowd := s.places > 0 && s.adapters() > s.places
 	if s.plain || s.free() >= 0 && !crowd || !s.known {
 		return
@@ -130,10 +133,10 @@
 	}
 }
 
-// seed loads, while the store has nothing better to do, a model that no server has on its own disk:
-// from there it comes in a part of the time, and asks nothing of the store.
-func (c *Core) seed(l *look) {
-	if c.now.Sub(c.seeded) < seedEvery {
+// prefetch loads a model that no server has on its own disk while the store is idle. From a server's disk,
+// later loads take less time and do not use the store.
+func (c *Core) prefetch(l *look) {
+	if c.now.Sub(c.seeded) < prefetchInterval {
 		return
 	}
 	c.seeded = c.now
@@ -141,13 +144,13 @@
 		f := l.families[key]
 		if f.live == 0 && !c.onSomeDisk(key) {
 			f.spare = true
-			c.placeAt(f, l, true)
+			c.placeReplica(f, l, true)
 			return
 		}
 	}
 }
 
-// onSomeDisk tells whether some server likely has a model on its own disk.
+// onSomeDisk reports whether some server probably has a model on its own disk.
 func (c *Core) onSomeDisk(key ident.Key) bool {
 	for id := range c.disks[key] {
 		if c.servers[id] != nil {
@@ -157,43 +160,42 @@
 	return false
 }
 
-// placeAt finds the server where one more replica of a family costs least, and begins it there; what
-// must make way is broken first. It tells whether the load comes from the store, which is only asked if
-// it bears another one.
-func (c *Core) placeAt(f *family, l *look, store bool) bool {
+// placeReplica starts a load of a family on the server where it costs least, and evicts what must leave first.
+// The store is used only if allowStore is set. It reports whether the load comes from the store.
+func (c *Core) placeReplica(f *family, l *look, allowStore bool) bool {
 	var best *place
-	var out way
+	var evictions way
 	least := math.Inf(1)
 	zones := c.replicasOf(f.model.Key).zones
-	for _, p := range l.placesFor(f, store) {
+	for _, p := range l.placesFor(f, allowStore) {
 		c.visit(1)
-		w, ok := l.wayFor(p, f)
+		candidate, ok := l.wayFor(p, f)
 		if !ok {
 			continue
 		}
-		cost := c.costAt(p, f, zones[p.server.Zone])
-		if w.leaves > 0 {
-			cost += w.cost + evictCost
+		cost := c.placementCost(p, f, zones[p.server.Zone])
+		if candidate.leaves > 0 {
+			cost += candidate.cost + evictCost
 		}
 		if cost < least {
-			best, out, least = p, w, cost
+			best, evictions, least = p, candidate, cost
 		}
 	}
 	if best == nil {
 		return false
 	}
-	l.leave(best, out)
+	l.leave(best, evictions)
 	c.startLoad(best.server, f.model)
 	f.live++
 	l.changed(f.model.Key, best.server)
 	return !c.sure(best.server, f.model.Key)
 }
 
-// costAt tells what a place costs for one more replica.
-func (c *Core) costAt(p *place, f *family, sameZone bool) float64 {
+// placementCost returns the cost of a server as the place of one more replica.
+func (c *Core) placementCost(p *place, f *family, sameZone bool) float64 {
 	cost := c.loadSpan(p.server, f.model).Seconds()
-	cost += float64(p.pending) * orderCost
-	cost += workCost * p.load
+	cost += float64(p.pending) * pendingOrderCost
+	cost += serverLoadCost * p.load
 	if sameZone {
 		cost += sameZoneCost
 	}
--- a/internal/controller/weigh_test.go
+++ b/internal/controller/weigh_test.go
@@ -37,7 +37,7 @@
 // weighNow looks at placement where the store may begin so many loads now.
 func weighNow(c *Core, toBegin int) {
 	atOnce, _ := c.budget()
-	c.weigh(atOnce, toBegin)
+	c.runPlacement(atOnce, toBegin)
 }
 
 // changes lists what is ordered (+) and what is being taken away (-).
@@ -148,30 +148,30 @@
 // Rates follow what came: of late, over a longer while, and what rises is seen ahead.
 func TestDemandRates(t *testing.T) {
 	c := weighed(modelPlan(8, "llm|m"), keys{"s1": {"llm|m"}})
-	c.wanted("llm|m", 0, 0)
+	c.reportWaiting("llm|m", 0, 0)
 	n := c.demand["llm|m"]
 	step := func(s clock.Span, rate float64) {
 		for end := c.now.Add(s); c.now < end; {
 			c.now = c.now.Add(250e6)
-			c.came("llm|m", protocol.Burden{Came: int(rate / 4), Load: rate / 4 / 20})
-			c.sumDemand()
+			c.recordArrivals("llm|m", protocol.Burden{Came: int(rate / 4), Load: rate / 4 / 20})
+			c.updateRates()
 		}
 	}
 	step(120e9, 8)
 	require.InDelta(t, 8, n.rate, 0.1)
 	require.InDelta(t, 8, n.slow, 0.1)
 	require.InDelta(t, 0.4, n.load, 0.01)
-	require.InDelta(t, 0.4, n.coming(), 0.01, "what is steady is forecast as it is")
+	require.InDelta(t, 0.4, n.forecastLoad(), 0.01, "what is steady is forecast as it is")
 	step(2e9, 80)
-	require.Greater(t, n.coming(), n.now)
+	require.Greater(t, n.forecastLoad(), n.now)
 	require.Greater(t, n.now, n.load)
 	require.Greater(t, n.load, 0.4)
 	require.Less(t, n.slow, n.rate)
 	step(120e9, 80)
-	require.InDelta(t, 4, n.coming(), 0.1)
+	require.InDelta(t, 4, n.forecastLoad(), 0.1)
 	step(2e9, 0)
 	require.Less(t, n.now, n.load)
-	require.InDelta(t, n.load, n.coming(), 1e-9, "what falls is trusted to fall slowly")
+	require.InDelta(t, n.load, n.forecastLoad(), 1e-9, "what falls is trusted to fall slowly")
 	step(200e9, 0)
 	require.InDelta(t, 0, n.rate+n.slow+n.load+n.now, 0.1)
 }
--- a/internal/controller/work_bench_test.go
+++ b/internal/controller/work_bench_test.go
@@ -16,8 +16,8 @@
 		size := largeFleet.part(tenths, 10)
 		b.Run(fmt.Sprintf("routers=%d", size.routers), func(b *testing.B) {
 			c, models := newLargeFleet(b, size)
-			askAll(c, models[:size.models*2/3], size, 1)
-			servedOver(c, size, 3e9)
+			setRequests(c, models[:size.models*2/3], size, 1)
+			meanServed(c, size, 3e9)
 			visits := c.lead().tally.Visits
 			measure(b, c, size)
 			b.ReportMetric(float64(c.lead().tally.Visits-visits)/float64(b.N), "visits/op")
@@ -58,15 +58,15 @@
 func BenchmarkOwnerLook(b *testing.B) {
 	benchmarkFleets(b, func(b *testing.B, c *cluster, size fleetSize) {
 		_, models := largePlan(size)
-		askAll(c, models[size.models/3:], size, 2)
+		setRequests(c, models[size.models/3:], size, 2)
 		c.run(800e6)
 		owner := c.lead()
 		short := 0
 		for b.Loop() {
 			b.StopTimer()
-			short = len(owner.families().short(owner.bases().keys))
+			short = len(owner.families().lackingReplicas(owner.bases().keys))
 			b.StartTimer()
-			owner.weigh(0, 0)
+			owner.runPlacement(0, 0)
 		}
 		b.ReportMetric(float64(short), "short")
 	})
--- a/internal/simulator/bites_test.go
+++ b/internal/simulator/bites_test.go
@@ -29,7 +29,7 @@
 	{"wait for acknowledgements", "moves-cut", "held a promise", []edit{{"internal/controller/evict.go", "if quiet && c.dropped(p.waits) {", "if quiet || true {"}}},
 	{"wait out the owner before", "medley", "held a promise", []edit{{"internal/controller/evict.go", "quiet := c.now > c.duty.began.Add(c.pad(c.o.Hold))", "quiet := true"}}},
 	{"drop on a break", "moves", "held a promise", []edit{{"internal/router/core.go", "c.tally.Breaks++\n\tdelete(c.entries, k)", "c.tally.Breaks++"}}},
-	{"drain before an unload", "unplan", "while work was under way", []edit{{"internal/controller/evict.go", "s.ok > p.since && p.work == 0 && !c.adapted(s, p)", "true"}}},
+	{"drain before an unload", "unplan", "while work was under way", []edit{{"internal/controller/evict.go", "s.ok > p.since && p.work == 0 && !c.hasAdapters(s, p)", "true"}}},
 	{"check at the point of sending", "unplan", "after it was unloaded|which no plan allows", []edit{{"internal/router/attempts.go", "if !c.stands(r, attempt) {", "if attempt == nil {"}}},
 	{"route under a hold only", "moves-cut", "routes under epoch|after it was unloaded|after it was leaving", []edit{
 		{"internal/router/core.go", "return c.now < c.until }", "return true }"},
@@ -78,7 +78,7 @@
 	{"believe no report that contradicts itself", "odd", "past its room", []edit{
 		{"internal/controller/fenced.go", "min(max(h.Size, c.sizeOf(h.Key)), mostSize), max(h.Active", "h.Size, max(h.Active"},
 		{"internal/controller/fenced.go", "oddity(r); odd != s.odd", "``; odd != s.odd && oddity(r) != ``"}}},
-	{"spread over zones", "return", "ready in 1 zones", []edit{{"internal/controller/moves.go", "if m.Floor < 2 || has.count < 2", "if m.Floor >= 0 || has.count < 2"}, {"internal/controller/place.go", "score += newZone", "score += 0"}}},
+	{"spread over zones", "return", "ready in 1 zones", []edit{{"internal/controller/moves.go", "if m.Floor < 2 || has.count < 2", "if m.Floor >= 0 || has.count < 2"}, {"internal/controller/place.go", "score += newZoneScore", "score += 0"}}},
 	{"even out", "return", "unevenly filled", []edit{{"internal/controller/moves.go", "if c.now.Sub(c.uneven) < c.o.Even {", "if c.uneven != 1 {"}}},
 	{"sweep what reads do not mend", "sweep", "still has epoch", []edit{{"internal/controller/reader.go", "if c.now.Sub(r.unequal) > c.answerWait() {", "if false {"}}},
 	{"a seat outlives a restart", "spare", "a seat was given away", []edit{{"internal/controller/voters.go", "if since == 0 || c.now.Sub(since) <= c.o.Spare {", "if since == 0 {"}}},
