--- a/internal/controller/demand_test.go
+++ b/internal/controller/demand_test.go
@@ -10,16 +10,16 @@
 	"tidedeck/internal/protocol"
 )
 
-// What the routers report of one key adds up to one demand: a router that has requests for the key
-// but none that wait says nothing of those that wait at another one.
+// The demand for a key is the sum over all routers. A router whose requests for the key don't wait must not
+// hide the waiting requests of another router.
 func TestWaitingAtSeveralRouters(t *testing.T) {
 	const key = "llm|n"
 	type report struct {
 		router  uint64
 		waiting int
 		value   int
-		ask     bool // a lookup, in place of a renewal
-		silent  bool // no word of any router: time passes
+		ask     bool // a lookup instead of a renewal
+		silent  bool // no message from any router while time passes
 	}
 	const interval = 200e6 // between two reports
 	for _, test := range []struct {
@@ -30,15 +30,15 @@
 		age     clock.Span
 	}{
 		{"one router", []report{{router: 1, waiting: 2, value: 5}, {router: 1, waiting: 3, value: 5}}, 3, 5, interval},
-		{"one that waits no more", []report{{router: 1, waiting: 2, value: 5}, {router: 1}}, 0, 0, 0},
-		{"and then again", []report{{router: 1, waiting: 2, value: 5}, {router: 1}, {router: 1, waiting: 1, value: 4}, {router: 1, waiting: 1, value: 4}}, 1, 4, interval},
-		{"another that does not wait", []report{{router: 1, waiting: 2, value: 5}, {router: 2}, {router: 1, waiting: 2, value: 5}, {router: 2}}, 2, 5, 3 * interval},
-		{"two that wait", []report{{router: 1, waiting: 2, value: 5}, {router: 2, waiting: 1, value: 3}}, 3, 5, interval},
-		{"the first of two is served", []report{{router: 1, waiting: 2, value: 5}, {router: 2, waiting: 1, value: 3}, {router: 1}}, 1, 3, 2 * interval},
-		{"both are served", []report{{router: 1, waiting: 2, value: 5}, {router: 2, waiting: 1, value: 3}, {router: 1}, {router: 2}}, 0, 0, 0},
-		{"a lookup before the renewal that shows it", []report{{router: 1, waiting: 1, value: 5, ask: true}, {router: 2}}, 1, 5, interval},
+		{"its requests no longer wait", []report{{router: 1, waiting: 2, value: 5}, {router: 1}}, 0, 0, 0},
+		{"its requests wait again later", []report{{router: 1, waiting: 2, value: 5}, {router: 1}, {router: 1, waiting: 1, value: 4}, {router: 1, waiting: 1, value: 4}}, 1, 4, interval},
+		{"another router without waiting requests", []report{{router: 1, waiting: 2, value: 5}, {router: 2}, {router: 1, waiting: 2, value: 5}, {router: 2}}, 2, 5, 3 * interval},
+		{"two routers with waiting requests", []report{{router: 1, waiting: 2, value: 5}, {router: 2, waiting: 1, value: 3}}, 3, 5, interval},
+		{"the first of two routers is served", []report{{router: 1, waiting: 2, value: 5}, {router: 2, waiting: 1, value: 3}, {router: 1}}, 1, 3, 2 * interval},
+		{"both routers are served", []report{{router: 1, waiting: 2, value: 5}, {router: 2, waiting: 1, value: 3}, {router: 1}, {router: 2}}, 0, 0, 0},
+		{"a lookup before the renewal that includes it", []report{{router: 1, waiting: 1, value: 5, ask: true}, {router: 2}}, 1, 5, interval},
 		{"a lookup that no renewal follows", []report{{router: 1, waiting: 1, value: 5, ask: true}, {router: 2}, {router: 2}, {router: 2}}, 0, 0, 0},
-		{"a router that is silent for long", []report{{router: 1, waiting: 1, value: 5}, {silent: true}, {router: 2}}, 0, 0, 0},
+		{"a router without messages for a long time", []report{{router: 1, waiting: 1, value: 5}, {silent: true}, {router: 2}}, 0, 0, 0},
 	} {
 		c := weighed(modelPlan(8, key), keys{"s1": {}})
 		for _, n := range []uint64{1, 2} {
@@ -53,7 +53,7 @@
 			switch {
 			case r.silent:
 				c.now = c.now.Add(2 * freshSpan)
-				c.duty.asked = c.now // it has the duty still
+				c.duty.asked = c.now // the node still holds the term
 			case r.ask:
 				c.onWant(protocol.Env{Body: protocol.Want{Session: session, Key: key, Waiting: r.waiting, Value: r.value}})
 			default:
@@ -63,12 +63,12 @@
 		}
 		n := c.demand[key]
 		require.NotNil(t, n, test.name)
-		require.Equal(t, test.waiting, n.wait, "%s: requests that wait", test.name)
-		require.Equal(t, test.value, n.value, "%s: the highest value among them", test.name)
+		require.Equal(t, test.waiting, n.wait, "%s: waiting requests", test.name)
+		require.Equal(t, test.value, n.value, "%s: highest value among the waiting requests", test.name)
 		age := clock.Span(0)
 		if n.waitingSince != 0 {
 			age = c.now.Sub(n.waitingSince)
 		}
-		require.Equal(t, test.age, age, "%s: for how long somebody has waited", test.name)
+		require.Equal(t, test.age, age, "%s: time for which requests have waited", test.name)
 	}
 }
--- a/internal/controller/links_test.go
+++ b/internal/controller/links_test.go
@@ -10,7 +10,7 @@
 	"tidedeck/internal/protocol"
 )
 
-// granted gives the answers to renewals since the last look, oldest first.
+// takeGrants returns the grants sent since the last call, oldest first.
 func (n *node) granted() (l []protocol.Grant) {
 	for _, e := range n.sent {
 		if g, ok := e.Body.(protocol.Grant); ok {
@@ -21,14 +21,15 @@
 	return l
 }
 
-// put has the next epoch taken.
+// putPlan replaces the plan, which creates the next epoch.
 func (n *node) putPlan(on ident.Epoch) {
 	n.step(Admin{Op: "put", Raw: []byte(onePlan), Expect: on})
 	require.Equal(n.t, on+1, n.Epoch())
 }
 
-// A router that lacks a version gets leases that end as if they had been granted before it was chosen, and none after
-// that: an owner that waits for it says so. Once it has the version, in whatever way, it gets a whole lease.
+// A router that lacks a version gets leases that end as if they had been granted before the version was
+// chosen. After that time it gets grants of length zero. Once the router has the version, however it received
+// it, it gets a full lease.
 func TestLeaseEndsWithWhatIsLacked(t *testing.T) {
 	n, s := ready(t)
 	n.mail(protocol.Renew{Session: s, Seq: 2, Gen: 1, Epoch: 1, Heard: 1})
@@ -52,14 +53,15 @@
 		some = some || g.Len > 0
 		n.pass(200e6, has("m", "ready"))
 	}
-	require.True(t, some, "it is not starved at once")
+	require.True(t, some, "the router gets leases before they end")
 	g := renew(1)
-	require.Zero(t, g.Len, "the owner waits, and says so")
+	require.Zero(t, g.Len, "the leader grants no lease but answers")
 	g = renew(2)
-	require.Greater(t, g.Len, n.o.Hold/2, "it has the version, though it acknowledged none")
+	require.Greater(t, g.Len, n.o.Hold/2, "the router has the version, although it acknowledged none")
 }
 
-// Versions that come while a router takes one in are not sent one by one: the newest follows once the first is taken in.
+// While a router processes a configuration, newer versions are not sent one by one. The newest one follows
+// after the acknowledgement of the first.
 func TestOneConfigurationAtATime(t *testing.T) {
 	n, s := ready(t)
 	n.items(s)
@@ -75,11 +77,12 @@
 	require.Equal(t, ident.Epoch(6), second[0].Desired.Epoch)
 	n.pass(2 * n.links[s].resendDelay())
 	again := n.items(s)
-	require.NotEmpty(t, again, "what is not acknowledged goes out again")
+	require.NotEmpty(t, again, "unacknowledged changes are sent again")
 	require.Equal(t, second[0].Num, again[0].Num)
 }
 
-// A new owner does not know since when the version that it found has been there: a router that lacks it gets no lease.
+// A new leader does not know when the version that it found was chosen, so a router that lacks it gets no
+// lease.
 func TestNoLeaseBeforeTheTermsFirstVersion(t *testing.T) {
 	n := owner(t, onePlan)
 	s := protocol.Session{Node: "r", Agent: 1, Router: 1, N: 1}
@@ -90,13 +93,14 @@
 	n.putPlan(1)
 	n.mail(protocol.Renew{Session: s, Seq: 2, Gen: 1, Epoch: 0})
 	l = n.granted()
-	require.Zero(t, l[len(l)-1].Len, "a newer version makes no difference")
+	require.Zero(t, l[len(l)-1].Len, "a newer version does not change this")
 	n.mail(protocol.Renew{Session: s, Seq: 3, Gen: 1, Epoch: 1})
 	l = n.granted()
 	require.Positive(t, l[len(l)-1].Len)
 }
 
-// A node that does not own the duty vouches for the newest configuration for as long as its last majority read allows.
+// A node that is not the leader confirms the newest configuration for as long as its last majority read
+// allows.
 func TestVouch(t *testing.T) {
 	n := owner(t, onePlan)
 	s := protocol.Session{Node: "r", Agent: 1, Router: 1, N: 1}
@@ -113,13 +117,13 @@
 	a := ask(protocol.Renew{Session: s, Seq: 7})
 	require.Equal(t, protocol.NotOwner{Session: s, Seq: 7, Gen: 1, Epoch: 1, Fresh: n.o.Hold - 300e6, Majority: true, Leaving: []ident.Server{"leaves"}, Cores: a.Cores}, a)
 	a = ask(protocol.Heard{Session: s})
-	require.Zero(t, a.Fresh, "it asked for nothing, so that nothing counts from when it asked")
+	require.Zero(t, a.Fresh, "only a renewal is answered with a confirmation")
 	n.at = n.reg.heard.Add(n.o.Hold + clock.Span(1))
 	a = ask(protocol.Renew{Session: s, Seq: 8})
-	require.Zero(t, a.Fresh, "it heard no majority of late")
+	require.Zero(t, a.Fresh, "the last majority read is too old")
 	require.False(t, a.Majority)
 	n.reg.answered = n.at
 	a = ask(protocol.Renew{Session: s, Seq: 9})
-	require.Zero(t, a.Fresh, "a majority answers, and no read ended")
+	require.Zero(t, a.Fresh, "a majority answers, but no read has completed")
 	require.True(t, a.Majority)
 }
--- a/internal/controller/moves_test.go
+++ b/internal/controller/moves_test.go
@@ -10,7 +10,8 @@
 	"tidedeck/internal/protocol"
 )
 
-// yard is an owner's core over servers of 10, one in each of two zones and two in a third.
+// newMoveCore returns the core of a leader with four servers of room 10: one in each of two zones and two in a
+// third.
 func newMoveCore(t *testing.T, holds map[ident.Server][]ident.Key) *Core {
 	c := New(Options{})
 	c.plan = &fleetplan.Plan{Loads: 2, Models: map[ident.Key]fleetplan.Model{}}
@@ -31,7 +32,7 @@
 
 type keys = map[ident.Server][]ident.Key
 
-// When a move begins, and of what. A steady fleet makes none.
+// Conditions under which a move starts, and of which key. A balanced fleet starts none.
 func TestEven(t *testing.T) {
 	for _, x := range []struct {
 		name  string
@@ -40,18 +41,18 @@
 		moves ident.Key
 		to    ident.Server
 	}{
-		{"even", keys{"s1": {"a"}, "s2": {"b"}, "s3": {"c"}, "s4": {"d"}}, nil, "", ""},
-		{"a little uneven", keys{"s1": {"a"}, "s2": {"b"}, "s3": {"c"}}, nil, "", ""},
-		{"uneven", keys{"s1": {"a", "b", "c"}, "s2": {"d"}, "s3": {"d"}, "s4": {}}, nil, "a", "s4"},
-		{"the most worked at goes", keys{"s1": {"a", "b", "c"}, "s2": {"d"}, "s3": {"d"}}, func(c *Core) { c.servers["s1"].spots["b"].work = 3 }, "b", "s4"},
+		{"balanced", keys{"s1": {"a"}, "s2": {"b"}, "s3": {"c"}, "s4": {"d"}}, nil, "", ""},
+		{"slightly unbalanced", keys{"s1": {"a"}, "s2": {"b"}, "s3": {"c"}}, nil, "", ""},
+		{"unbalanced", keys{"s1": {"a", "b", "c"}, "s2": {"d"}, "s3": {"d"}, "s4": {}}, nil, "a", "s4"},
+		{"the busiest key moves", keys{"s1": {"a", "b", "c"}, "s2": {"d"}, "s3": {"d"}}, func(c *Core) { c.servers["s1"].spots["b"].work = 3 }, "b", "s4"},
 		{"one move at a time", keys{"s1": {"a", "b", "c"}}, func(c *Core) { c.shifts["d"] = &shift{} }, "", ""},
-		{"not right after another", keys{"s1": {"a", "b", "c"}}, func(c *Core) { c.shifted = c.now }, "", ""},
-		{"not for a moment's unevenness", keys{"s1": {"a", "b", "c"}}, func(c *Core) { c.uneven = c.now }, "", ""},
-		{"not to one that leaves", keys{"s1": {"a", "b", "c"}, "s2": {"d"}, "s3": {"d"}}, func(c *Core) { c.servers["s4"].State = "leaving" }, "", ""},
-		{"not to one that is closed before long", keys{"s1": {"a", "b", "c"}, "s2": {"d"}, "s3": {"d"}}, func(c *Core) { c.soonS = map[ident.Server]bool{"s4": true} }, "", ""},
-		{"not to one whose report is odd", keys{"s1": {"a", "b", "c"}, "s2": {"d"}, "s3": {"d"}}, func(c *Core) { c.servers["s4"].odd = "?" }, "", ""},
-		{"no base under its adapters", keys{"s1": {"a", "a+x", "b"}, "s2": {"d"}, "s3": {"d"}}, nil, "b", "s4"},
-		{"a floor in one zone spreads", keys{"s1": {"a"}, "s2": {"b"}, "s3": {"f"}, "s4": {"f"}}, nil, "f", "s1"},
+		{"not right after another move", keys{"s1": {"a", "b", "c"}}, func(c *Core) { c.shifted = c.now }, "", ""},
+		{"not for a short imbalance", keys{"s1": {"a", "b", "c"}}, func(c *Core) { c.uneven = c.now }, "", ""},
+		{"not to a leaving server", keys{"s1": {"a", "b", "c"}, "s2": {"d"}, "s3": {"d"}}, func(c *Core) { c.servers["s4"].State = "leaving" }, "", ""},
+		{"not to a server with a maintenance window ahead", keys{"s1": {"a", "b", "c"}, "s2": {"d"}, "s3": {"d"}}, func(c *Core) { c.soonS = map[ident.Server]bool{"s4": true} }, "", ""},
+		{"not to a server with a contradictory report", keys{"s1": {"a", "b", "c"}, "s2": {"d"}, "s3": {"d"}}, func(c *Core) { c.servers["s4"].odd = "?" }, "", ""},
+		{"not a base with adapters", keys{"s1": {"a", "a+x", "b"}, "s2": {"d"}, "s3": {"d"}}, nil, "b", "s4"},
+		{"a floor in one zone is spread", keys{"s1": {"a"}, "s2": {"b"}, "s3": {"f"}, "s4": {"f"}}, nil, "f", "s1"},
 		{"a floor in two zones stays", keys{"s1": {"f"}, "s2": {"b"}, "s3": {"f"}, "s4": {"d"}}, nil, "", ""},
 	} {
 		c := newMoveCore(t, x.holds)
@@ -68,11 +69,11 @@
 		require.NotNil(t, c.shifts[x.moves], "%s: %v", x.name, c.shifts)
 		require.Equal(t, x.to, c.shifts[x.moves].to, x.name)
 		require.Equal(t, Ordered, c.servers[x.to].spots[x.moves].stage, x.name)
-		require.Equal(t, Ready, c.servers[c.shifts[x.moves].from].spots[x.moves].stage, "the old one stays: "+x.name)
+		require.Equal(t, Ready, c.servers[c.shifts[x.moves].from].spots[x.moves].stage, "the old replica stays: "+x.name)
 	}
 }
 
-// Each step of a move, and what becomes of it. The old replica goes only when the new one is ready.
+// Each state of a move and its outcome. The old replica is evicted only when the new one is ready.
 func TestShifts(t *testing.T) {
 	for _, x := range []struct {
 		name string
@@ -80,15 +81,15 @@
 		left int
 		from string
 	}{
-		{"it loads", func(_ *Core, _, to *spot) { to.stage = Ordered }, 1, Ready},
-		{"it is ready, and cold", func(c *Core, _, to *spot) { to.ready = c.now }, 1, Ready},
-		{"it is warm", func(*Core, *spot, *spot) {}, 0, Breaking},
+		{"loading", func(_ *Core, _, to *spot) { to.stage = Ordered }, 1, Ready},
+		{"ready for a short time", func(c *Core, _, to *spot) { to.ready = c.now }, 1, Ready},
+		{"ready long enough", func(*Core, *spot, *spot) {}, 0, Breaking},
 		{"the target restarted empty", func(c *Core, _, _ *spot) { c.removeSpot(c.servers["s2"], "a") }, 0, Ready},
 		{"the target is gone", func(c *Core, _, _ *spot) { c.removeServer("s2") }, 0, Ready},
 		{"the target leaves", func(c *Core, _, _ *spot) { c.servers["s2"].State = "leaving" }, 0, Ready},
 		{"the source restarted empty", func(c *Core, _, _ *spot) { c.removeSpot(c.servers["s1"], "a") }, 0, ""},
 		{"the source is gone", func(c *Core, _, _ *spot) { c.removeServer("s1") }, 0, ""},
-		{"the source unloads it already", func(_ *Core, from, _ *spot) { from.stage = Draining }, 0, Draining},
+		{"the source is already evicting it", func(_ *Core, from, _ *spot) { from.stage = Draining }, 0, Draining},
 	} {
 		c := newMoveCore(t, keys{"s1": {"a"}, "s2": {"a"}})
 		c.shifts["a"] = &shift{"s1", "s2"}
@@ -102,20 +103,20 @@
 	}
 }
 
-// A key that had work lately and is only held where it cannot stay is wished for elsewhere; what
-// has another replica, or no work, is not.
+// A recently used key gets a replica elsewhere if its only servers will not stay available. A key with another
+// replica, or without recent work, does not.
 func TestParting(t *testing.T) {
 	for _, x := range []struct {
 		name string
 		do   func(c *Core)
 		need int
 	}{
-		{"all stays", func(*Core) {}, 0},
+		{"its server stays", func(*Core) {}, 0},
 		{"its server leaves", func(c *Core) { c.servers["s1"].State = "leaving" }, 1},
 		{"its zone is emptied", func(c *Core) { c.empty["za"] = true }, 1},
-		{"its server is closed before long", func(c *Core) { c.soonS = map[ident.Server]bool{"s1": true} }, 1},
-		{"its zone is, too", func(c *Core) { c.soonZ = map[ident.Zone]bool{"za": true} }, 1},
-		{"no work for long", func(c *Core) { c.servers["s1"].State, c.servers["s1"].spots["a"].busy = "leaving", 1 }, 0},
+		{"its server has a maintenance window ahead", func(c *Core) { c.soonS = map[ident.Server]bool{"s1": true} }, 1},
+		{"its zone has a maintenance window ahead", func(c *Core) { c.soonZ = map[ident.Zone]bool{"za": true} }, 1},
+		{"no recent work", func(c *Core) { c.servers["s1"].State, c.servers["s1"].spots["a"].busy = "leaving", 1 }, 0},
 		{"another replica stays", func(c *Core) {
 			c.servers["s1"].State = "leaving"
 			c.putSpot(c.servers["s2"], &spot{key: "a", stage: Ready})
@@ -128,7 +129,7 @@
 	}
 }
 
-// A report that contradicts itself is told, and its numbers free no room.
+// A report that contradicts itself is recorded as such, and its numbers free no room.
 func TestOddity(t *testing.T) {
 	ok := protocol.Held{Key: "a", Size: 2, Stage: "ready"}
 	with := func(f func(h *protocol.Held)) protocol.Held { h := ok; f(&h); return h }
@@ -137,17 +138,17 @@
 		r    protocol.Report
 		odd  bool
 	}{
-		{"sound", protocol.Report{Room: 10, Slots: 4, Held: []protocol.Held{ok}}, false},
-		{"more than its room", protocol.Report{Room: 1, Slots: 4, Held: []protocol.Held{ok}}, true},
-		{"room below zero", protocol.Report{Room: -1, Slots: 4}, true},
+		{"consistent", protocol.Report{Room: 10, Slots: 4, Held: []protocol.Held{ok}}, false},
+		{"more held than its room", protocol.Report{Room: 1, Slots: 4, Held: []protocol.Held{ok}}, true},
+		{"negative room", protocol.Report{Room: -1, Slots: 4}, true},
 		{"no slots", protocol.Report{Room: 10}, true},
-		{"room past counting", protocol.Report{Room: 1 << 62, Slots: 4}, true},
-		{"a key twice", protocol.Report{Room: 10, Slots: 4, Held: []protocol.Held{ok, ok}}, true},
-		{"a size below zero", protocol.Report{Room: 10, Slots: 4, Held: []protocol.Held{with(func(h *protocol.Held) { h.Size = -9 })}}, true},
-		{"sizes that overflow", protocol.Report{Room: 10, Slots: 4, Held: []protocol.Held{with(func(h *protocol.Held) { h.Size = 1 << 62 }), with(func(h *protocol.Held) { h.Key, h.Size = "b", 1<<62 })}}, true},
-		{"work below zero", protocol.Report{Room: 10, Slots: 4, Held: []protocol.Held{with(func(h *protocol.Held) { h.Active = -1 })}}, true},
-		{"no name", protocol.Report{Room: 10, Slots: 4, Held: []protocol.Held{with(func(h *protocol.Held) { h.Key = "" })}}, true},
-		{"no such stage", protocol.Report{Room: 10, Slots: 4, Held: []protocol.Held{with(func(h *protocol.Held) { h.Stage = "gone" })}}, true},
+		{"excessive room", protocol.Report{Room: 1 << 62, Slots: 4}, true},
+		{"duplicate key", protocol.Report{Room: 10, Slots: 4, Held: []protocol.Held{ok, ok}}, true},
+		{"negative size", protocol.Report{Room: 10, Slots: 4, Held: []protocol.Held{with(func(h *protocol.Held) { h.Size = -9 })}}, true},
+		{"overflowing sizes", protocol.Report{Room: 10, Slots: 4, Held: []protocol.Held{with(func(h *protocol.Held) { h.Size = 1 << 62 }), with(func(h *protocol.Held) { h.Key, h.Size = "b", 1<<62 })}}, true},
+		{"negative work", protocol.Report{Room: 10, Slots: 4, Held: []protocol.Held{with(func(h *protocol.Held) { h.Active = -1 })}}, true},
+		{"empty key", protocol.Report{Room: 10, Slots: 4, Held: []protocol.Held{with(func(h *protocol.Held) { h.Key = "" })}}, true},
+		{"unknown stage", protocol.Report{Room: 10, Slots: 4, Held: []protocol.Held{with(func(h *protocol.Held) { h.Stage = "gone" })}}, true},
 	} {
 		require.Equal(t, x.odd, oddity(x.r) != "", x.name)
 		c := newMoveCore(t, nil)
@@ -160,7 +161,7 @@
 	}
 }
 
-// What of a plan the servers cannot give is told with its path.
+// Requirements of a plan that the servers cannot meet are reported with their path.
 func TestLacks(t *testing.T) {
 	c := newMoveCore(t, keys{"s1": {"f"}, "s2": {"f"}})
 	c.duty.mine, c.duty.asked, c.listed = true, c.now, 1
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -11,7 +11,7 @@
 	"tidedeck/internal/protocol"
 )
 
-// floor has the plan keep so many replicas of keys.
+// withFloor sets the floor of the given keys in a plan.
 func floor(p *fleetplan.Plan, n int, keys ...ident.Key) *fleetplan.Plan {
 	for _, k := range keys {
 		m := p.Models[k]
@@ -21,7 +21,8 @@
 	return p
 }
 
-// An order goes on the count that the server last showed, and once the owner before is surely silent.
+// An order carries the count that the server last reported, and is sent only after the settle delay, when
+// orders of a previous leader can no longer arrive.
 func TestOrdersCount(t *testing.T) {
 	c := newCluster(t, floor(modelPlan(12, "llm|m", "llm|n", "llm|o"), 1, "llm|m", "llm|n", "llm|o"), "a")
 	began := c.lead().duty.began
@@ -41,21 +42,21 @@
 	require.EqualValues(t, 10, m.count)
 }
 
-// What follows each answer to an order, and none: it is taken once in the end, and a model that a
-// server holds is offered. Reports are from a while ago.
+// For each answer to an order, and for a lost answer, the order is executed exactly once in the end, and the
+// model is listed for routers. Reports are some time old.
 func TestOrderAnswers(t *testing.T) {
 	for _, x := range []struct {
 		name string
 		do   func(m *modelServer)
-		ops  []uint64 // the counts that the orders go on
+		ops  []uint64 // the counts that the orders carry
 		code []int
 	}{
-		{"taken", func(*modelServer) {}, []uint64{0}, []int{202}},
-		{"taken, with old reports", func(m *modelServer) { m.lag = 450e6 }, []uint64{0}, []int{202}},
-		{"taken, and slow", func(m *modelServer) { m.slow = 8e9 }, []uint64{0}, []int{202}},
-		{"taken, its answer lost", func(m *modelServer) { m.lost = first(true, false) }, []uint64{0}, []int{202}},
-		{"taken, its answer lost, and slow", func(m *modelServer) { m.slow, m.lost = 8e9, first(true, false) }, []uint64{0}, []int{202}},
-		{"another's order came between", func(m *modelServer) {
+		{"accepted", func(*modelServer) {}, []uint64{0}, []int{202}},
+		{"accepted, with old reports", func(m *modelServer) { m.lag = 450e6 }, []uint64{0}, []int{202}},
+		{"accepted, and slow", func(m *modelServer) { m.slow = 8e9 }, []uint64{0}, []int{202}},
+		{"accepted, its answer lost", func(m *modelServer) { m.lost = first(true, false) }, []uint64{0}, []int{202}},
+		{"accepted, its answer lost, and slow", func(m *modelServer) { m.slow, m.lost = 8e9, first(true, false) }, []uint64{0}, []int{202}},
+		{"an order of another sender in between", func(m *modelServer) {
 			once := true
 			m.lag = 0
 			m.lost = func(protocol.Order) (bool, bool) {
@@ -66,7 +67,7 @@
 				return true, true
 			}
 		}, []uint64{0, 1}, []int{409, 202}},
-		{"held already", func(m *modelServer) {
+		{"already held", func(m *modelServer) {
 			m.lag = 0
 			m.lost = func(protocol.Order) (bool, bool) {
 				m.holds["llm|m"] = true
@@ -91,7 +92,7 @@
 	}
 }
 
-// first loses the first order, or only its answer.
+// loseFirstOrder drops the first order, or only its answer.
 func first(taken, heard bool) func(protocol.Order) (bool, bool) {
 	n := 0
 	return func(protocol.Order) (bool, bool) {
@@ -100,7 +101,7 @@
 	}
 }
 
-// An order that comes late, after its sender gave up on it, is still taken at most once.
+// An order that arrives after its sender gave up on it is still executed at most once.
 func TestLateOrder(t *testing.T) {
 	for _, late := range []clock.Span{700e6, 1000e6, 1500e6, 2500e6} {
 		c := newCluster(t, floor(modelPlan(8, "llm|m", "llm|n"), 1, "llm|m", "llm|n"), "a")
@@ -125,8 +126,8 @@
 	}
 }
 
-// What refuses an order for good: a higher fence ends the reign, another server at the address is not
-// ordered anything until it has reported.
+// Answers that reject an order: a higher term ends the leadership, and another server at the address gets no
+// order before it has reported.
 func TestOrderRefused(t *testing.T) {
 	for _, x := range []struct {
 		code  int
@@ -151,22 +152,23 @@
 			require.Equal(t, Ordered, k.servers["s"].spots["llm|m"].stage, x.code)
 		}
 		c.run(60e6)
-		require.Len(t, c.ops, 1, "%d: a report comes first", x.code)
+		require.Len(t, c.ops, 1, "%d: a report must come first", x.code)
 	}
 }
 
-// A report from before an order says nothing of it, whichever way the order went.
+// A report from before an order must not change the state of the ordered replica, whatever the outcome of the
+// order.
 func TestOldReports(t *testing.T) {
 	for _, x := range []struct {
 		name  string
 		r     protocol.Report
 		stage string
 	}{
-		{"from before it", protocol.Report{Num: 4}, Ordered},
-		{"from before it, with what it held then", protocol.Report{Num: 4, Held: []protocol.Held{{Key: "llm|n"}}}, Ordered},
-		{"under way", protocol.Report{Num: 5, Busy: true}, Ordered},
-		{"done", protocol.Report{Num: 5, Held: []protocol.Held{{Key: "llm|m"}}}, Ready},
-		{"it came to nothing", protocol.Report{Num: 5}, ""},
+		{"before the order", protocol.Report{Num: 4}, Ordered},
+		{"before the order, with a key held then", protocol.Report{Num: 4, Held: []protocol.Held{{Key: "llm|n"}}}, Ordered},
+		{"in progress", protocol.Report{Num: 5, Busy: true}, Ordered},
+		{"completed", protocol.Report{Num: 5, Held: []protocol.Held{{Key: "llm|m"}}}, Ready},
+		{"failed", protocol.Report{Num: 5}, ""},
 	} {
 		c := newCluster(t, modelPlan(12, "llm|m", "llm|n"), "a")
 		k := c.lead()
@@ -187,8 +189,8 @@
 	}
 }
 
-// Whatever is asked for and however often it changes, no order takes a server past its room or its
-// places, no model leaves while a router may send to it, and loads from the store keep to their rate.
+// With randomly changing demand, no order exceeds the room or adapter places of a server, no model is unloaded
+// while a router may send requests to it, and loads from the store keep to their rate.
 func TestLimits(t *testing.T) {
 	for seed := range uint64(6) {
 		keys := []ident.Key{"llm|a", "llm|b", "llm|c", "llm|d", "llm|e", "llm|f", "llm|g", "llm|h", "llm|a+1", "llm|a+2", "llm|b+1", "llm|b+2", "llm|c+1", "llm|d+1"}
@@ -232,8 +234,8 @@
 	}
 }
 
-// A new owner finds an order of the old one under way, which its own reports do not show yet: it
-// orders nothing that would not fit beside it.
+// A new leader takes over while an order of the previous one is in progress that reports don't show yet. It
+// must not order anything that does not fit beside that order.
 func TestTakeoverWithOrderUnderWay(t *testing.T) {
 	for _, slow := range []clock.Span{1e9, 4e9, 12e9} {
 		for _, lag := range []clock.Span{100e6, 300e6, 500e6} {
@@ -251,25 +253,25 @@
 			for end := c.at.Add(3*slow + 10e9); c.at < end && !m.holds["llm|o"]; {
 				c.tick()
 				if k := c.lead(); k != nil && m.doing.Key == "llm|n" && k.servers["s"] != nil && k.servers["s"].known && k.servers["s"].busy {
-					require.True(t, k.servers["s"].alien, "it is not this reign's")
+					require.True(t, k.servers["s"].alien, "the order in progress is not from this term")
 				}
 			}
-			require.True(t, m.holds["llm|o"], "%v, %v: it comes in the end", slow, lag)
+			require.True(t, m.holds["llm|o"], "%v, %v: the key is loaded in the end", slow, lag)
 		}
 	}
 }
 
-// A base goes with its adapters, in one order, once every promise on any of them is gone.
+// A base and its adapters are unloaded by one order, after every callback on any of them is gone.
 func TestBaseGoesWithAdapters(t *testing.T) {
 	for _, x := range []struct {
 		name  string
-		key   ident.Key // that a router holds up its promise on
+		key   ident.Key // the key whose callback the router keeps
 		holds []ident.Key
 	}{
-		{"the base is promised", "llm|m", []ident.Key{"llm|m"}},
-		{"an adapter is promised", "llm|m+1", []ident.Key{"llm|m", "llm|m+1"}},
-		{"one of two is", "llm|m+2", []ident.Key{"llm|m", "llm|m+1", "llm|m+2"}},
-		{"the base is, beside its adapters", "llm|m", []ident.Key{"llm|m", "llm|m+1", "llm|m+2"}},
+		{"callback on the base", "llm|m", []ident.Key{"llm|m"}},
+		{"callback on an adapter", "llm|m+1", []ident.Key{"llm|m", "llm|m+1"}},
+		{"callback on one of two adapters", "llm|m+2", []ident.Key{"llm|m", "llm|m+1", "llm|m+2"}},
+		{"callback on a base with adapters", "llm|m", []ident.Key{"llm|m", "llm|m+1", "llm|m+2"}},
 	} {
 		c := newCluster(t, modelPlan(10, "llm|m", "llm|m+1", "llm|m+2", "llm|n"), "a")
 		m := c.serve("s", x.holds...)
@@ -285,9 +287,9 @@
 			require.Equal(t, Breaking, k.servers["s"].spots[h].stage, "%s: %s", x.name, h)
 		}
 		at := c.at
-		// That the promise is gone by then is looked at where the server takes the order.
+		// The model server of the cluster checks, when it takes the order, that no callback is left.
 		require.True(t, c.until(9e9, func() bool { return len(c.orders("unload")) > 0 }), x.name)
-		require.Greater(t, c.at.Sub(at), 1000e6+clock.Span(0), "%s: it waits for the hold to run out", x.name)
+		require.Greater(t, c.at.Sub(at), 1000e6+clock.Span(0), "%s: the unload waits until the lease expires", x.name)
 		require.False(t, r.sends(x.key, "s"), x.name)
 		c.run(3e9)
 		require.Len(t, c.orders("unload"), 1, x.name)
@@ -296,8 +298,8 @@
 	}
 }
 
-// A new owner does not know who holds promises of the old one: it unloads nothing before they have run
-// out, and a router that reached nobody meanwhile is not surprised.
+// A new leader does not know the callbacks granted by the previous one. It must not unload anything before
+// they have expired, so that an isolated router never sends to an unloaded model.
 func TestPromisesOfTheOwnerBefore(t *testing.T) {
 	for _, hold := range []clock.Span{2e9, 5e9, 9e9} {
 		c := newCluster(t, modelPlan(4, "llm|m", "llm|n"), "a", "b", "c")
@@ -322,7 +324,7 @@
 	}
 }
 
-// A load waits until what makes way for it is gone, by a report.
+// A load is sent only after a report shows that the evicted model is gone.
 func TestLoadWaitsForRoom(t *testing.T) {
 	c := newCluster(t, modelPlan(4, "llm|m", "llm|n"), "a")
 	m := c.serve("s", "llm|m")
@@ -339,7 +341,7 @@
 	require.GreaterOrEqual(t, c.ops[1].at.Sub(c.ops[0].at), clock.Span(2e9))
 }
 
-// Many models that are wanted at once come from the store no faster than it bears, and about as fast.
+// When many models are needed at once, loads from the store neither exceed its rate nor fall far below it.
 func TestStoreRate(t *testing.T) {
 	var keys []ident.Key
 	for i := range 40 {
@@ -374,7 +376,7 @@
 			most = max(most, n)
 		}
 		bound := x.rate * window.Seconds()
-		t.Logf("%+v: %d began, at most %d in %v, where %.1f are borne", x, len(c.begun), most, window, bound)
+		t.Logf("%+v: %d loads started, at most %d in %v; the store supports %.1f", x, len(c.begun), most, window, bound)
 		require.LessOrEqual(t, float64(most), bound*1.1+3, "%+v", x)
 		require.GreaterOrEqual(t, float64(len(c.begun)), min(40, x.rate*30*0.4), "%+v", x)
 	}
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -13,28 +13,28 @@
 	"tidedeck/internal/protocol"
 )
 
-// fleetSize is how large a fleet of a test is.
+// fleetSize holds the sizes of a test fleet.
 type fleetSize struct {
 	routers, servers, models, requestedPerRouter, heldPerServer int
 }
 
-// largeFleet is a fleet of hundreds of routers before hundreds of servers that are full.
+// largeFleet has hundreds of routers and hundreds of full servers.
 var largeFleet = fleetSize{routers: 295, servers: 240, models: 449, requestedPerRouter: 20, heldPerServer: 3}
 
-// parts gives the fleet of a part of the size.
+// part returns the fleet scaled by n/of.
 func (s fleetSize) part(n, of int) fleetSize {
 	return fleetSize{routers: s.routers * n / of, servers: s.servers * n / of, models: s.models * n / of, requestedPerRouter: s.requestedPerRouter, heldPerServer: s.heldPerServer}
 }
 
 const (
 	modelSize            = 4
-	storeLoadsPerSecond  = 71.0 // a second
+	storeLoadsPerSecond  = 71.0
 	storeConcurrentLoads = 109
-	requestLoad          = 0.002 // seconds of a server's time
-	requestsPerRenewal   = 1     // that a router is asked for of a model between two renewals
+	requestLoad          = 0.002 // seconds of server time per request
+	requestsPerRenewal   = 1     // requests for each model at each router between two renewals
 )
 
-// largePlan is a plan of so many models, of which a server has room for some.
+// largePlan returns a plan in which each server has room for size.heldPerServer of the models.
 func largePlan(size fleetSize) (*fleetplan.Plan, []ident.Key) {
 	var models []ident.Key
 	for i := range size.models {
@@ -48,7 +48,7 @@
 	return p, models
 }
 
-// newLargeFleet begins three core nodes, full servers and routers that are asked for models that some server has.
+// newLargeFleet starts three core nodes, full servers and routers. Each model of the plan is on some server.
 func newLargeFleet(t testing.TB, size fleetSize) (*cluster, []ident.Key) {
 	plan, models := largePlan(size)
 	c := newTunedCluster(t, plan, func(*Options) {}, "a", "b", "c")
@@ -66,7 +66,8 @@
 	return c, models
 }
 
-// askAll has every router be asked for some of the models between two places of the list, those before more often.
+// setRequests chooses the models that each router requests, at random from a list; earlier models are chosen
+// more often.
 func setRequests(c *cluster, models []ident.Key, size fleetSize, seed uint64) {
 	dice := rand.New(rand.NewPCG(seed, 1))
 	for i := range size.routers {
@@ -79,7 +80,8 @@
 	}
 }
 
-// serveRequests has routers report what waits and what is under way, and gives the part of what they are asked for that they may send.
+// reportRequests sets the waiting and running requests that the routers report. It returns the share of the
+// requested models to which the routers may send.
 func reportRequests(c *cluster, size fleetSize) float64 {
 	sent, all := 0, 0
 	for i := range size.routers {
@@ -99,7 +101,7 @@
 	return float64(sent) / float64(all)
 }
 
-// servedOver lets time go by and gives the mean part of the requests that routers may send.
+// meanServed runs the fleet for a time span and returns the mean share of requests that routers may send.
 func meanServed(c *cluster, size fleetSize, span clock.Span) float64 {
 	const look = clock.Span(100e6)
 	sum, looks := 0.0, 0
@@ -111,18 +113,18 @@
 	return sum / float64(looks)
 }
 
-// skipWhenShort leaves fleets of hundreds to the run of the check that has no race detector.
+// skipWhenShort skips tests with hundreds of routers in short runs; CI runs them without the race detector.
 func skipWhenShort(t *testing.T) {
 	if testing.Short() {
-		t.Skip("runs a fleet of hundreds of routers")
+		t.Skip("runs a fleet with hundreds of routers")
 	}
 }
 
-// ownerShare is the part of a core that a core node of a large deployment has.
+// ownerCPUShare is the share of a CPU core available to a core node of a large deployment.
 const ownerCPUShare = 0.512
 
-// newServingFleet begins a large fleet with bounded core nodes that serves what it is asked for, and gives what has that shift and
-// the part that was served before.
+// newServingFleet starts a large fleet whose core nodes have limited CPU time and which serves its requests.
+// It returns a function that shifts the requests to other models, and the share served before the shift.
 func newServingFleet(t *testing.T, seed uint64) (c *cluster, shift func(), before float64) {
 	size := largeFleet
 	c, models := newLargeFleet(t, size)
@@ -130,11 +132,12 @@
 	meanServed(c, size, 8e9)
 	c.bound(ownerCPUShare)
 	before = meanServed(c, size, 2e9)
-	require.Greater(t, before, 0.95, "the fleet serves what it is asked for")
+	require.Greater(t, before, 0.95, "the fleet serves its requests")
 	return c, func() { setRequests(c, models[size.models/3:], size, seed+100) }, before
 }
 
-// A shift of what is asked for, while servers are full, must be over once the models have been loaded.
+// Guards against a leader that stays overloaded after the requested models change while servers are full: once
+// the new models are loaded, the fleet must serve as before.
 func TestModelShiftDoesNotLeaveTheOwnerOverloaded(t *testing.T) {
 	skipWhenShort(t)
 	for _, seed := range []uint64{1, 2, 3} {
@@ -144,17 +147,18 @@
 			shift()
 			meanServed(c, largeFleet, 8e9)
 			after := meanServed(c, largeFleet, 2e9)
-			require.GreaterOrEqual(t, after, 0.95*before, "what is served after the shift is what was served before it")
-			require.Equal(t, owner, c.owner(), "the owner keeps its term")
-			require.Zero(t, c.lead().tally.Lapses, "no router's lease runs out")
+			require.GreaterOrEqual(t, after, 0.95*before, "the fleet serves as much after the shift as before")
+			require.Equal(t, owner, c.owner(), "the leader keeps its term")
+			require.Zero(t, c.lead().tally.Lapses, "no router lease expires")
 		})
 	}
 }
 
-// recoverySpan is within what the fleet serves again after an owner was lost: the users' bound.
+// recoveryBound is the users' bound for the fleet to serve again after the loss of the leader.
 const recoveryBound = clock.Span(15e9)
 
-// An owner that stands still just as what is asked for shifts: its successor serves every router that lost its lease.
+// The leader stalls while the requested models change. Its successor must serve every router that lost its
+// lease.
 func TestFleetServesAgainAfterTheOwnerFrozeDuringAModelShift(t *testing.T) {
 	skipWhenShort(t)
 	for _, seed := range []uint64{1, 2, 3} {
@@ -168,7 +172,7 @@
 	}
 }
 
-// visitsOf tells how much the owner looks at for an input.
+// countVisits returns how many objects the leader examines for one input.
 func countVisits(c *cluster, in any) int {
 	owner := c.lead()
 	before := owner.tally.Visits
@@ -176,7 +180,7 @@
 	return int(owner.tally.Visits - before)
 }
 
-// What a message costs the owner goes by what it says, not by how large the fleet is.
+// The cost of a message depends on its content and not on the size of the fleet.
 func TestOwnersWorkForAMessageDoesNotGrowWithTheFleet(t *testing.T) {
 	skipWhenShort(t)
 	type work struct{ renewal, beacon int }
@@ -198,6 +202,6 @@
 		}
 	}
 	small, large := measure(largeFleet.part(1, 10)), measure(largeFleet)
-	require.LessOrEqual(t, large.renewal, small.renewal+largeFleet.requestedPerRouter, "a renewal: %v, %v", small, large)
-	require.LessOrEqual(t, large.beacon, small.beacon, "an announcement: %v, %v", small, large)
+	require.LessOrEqual(t, large.renewal, small.renewal+largeFleet.requestedPerRouter, "renewal: %v, %v", small, large)
+	require.LessOrEqual(t, large.beacon, small.beacon, "announcement: %v, %v", small, large)
 }
--- a/internal/controller/pace_test.go
+++ b/internal/controller/pace_test.go
@@ -10,7 +10,8 @@
 	"tidedeck/internal/ident"
 )
 
-// The shortest time that any router saw is a base's pace; it is forgotten slowly, and told when it has changed.
+// The pace of a base is the shortest time that any router observed. It grows slowly without new observations
+// and is sent when it has changed.
 func TestPaces(t *testing.T) {
 	c := New(Options{})
 	c.plan, c.now = modelPlan(8, "llm|m", "llm|n"), clock.Tick(1e9)
@@ -23,25 +24,26 @@
 
 	l := &link{holds: map[ident.Key]uint64{"llm|m": 1}}
 	told := c.pacesUpdate(l)
-	require.Equal(t, map[ident.Key]float64{"llm|m": 40e3}, told.Bases, "only what the router uses")
+	require.Equal(t, map[ident.Key]float64{"llm|m": 40e3}, told.Bases, "only the bases that the router uses")
 	require.InDelta(t, 40e3, told.Slowest, 1)
-	require.Nil(t, c.pacesUpdate(l), "it has not changed")
+	require.Nil(t, c.pacesUpdate(l), "no pace has changed")
 	l.holds["llm|n+a"] = 2
-	require.Equal(t, map[ident.Key]float64{"llm|n": 20e3}, c.pacesUpdate(l).Bases, "an adapter has its base's")
+	require.Equal(t, map[ident.Key]float64{"llm|n": 20e3}, c.pacesUpdate(l).Bases, "an adapter uses the pace of its base")
 
 	c.now = c.now.Add(clock.Span(10e9))
 	c.recordPaces(map[ident.Key]float64{"llm|m": 43e3})
-	require.InDelta(t, 43e3, c.paces["llm|m"].decayed(c.now), 1, "what was not met for ten seconds is a tenth slower")
+	require.InDelta(t, 43e3, c.paces["llm|m"].decayed(c.now), 1, "a pace grows by a tenth in ten seconds without a new observation")
 }
 
-// How long loads from a server's own disk take is learned, whether they take less than those from the store or more.
+// The duration of loads from a server's own disk is learned, whether they take less or more time than loads
+// from the store.
 func TestDiskLoadsAreLearned(t *testing.T) {
 	for _, part := range []float64{0.1, 0.25, 0.6, 1.6} {
 		c := newCluster(t, modelPlan(4, "llm|m", "llm|n"), "a")
 		s := c.serve("s", "llm|m")
 		s.diskPart = part
 		r := c.route("r")
-		for i := range 16 { // by turns one and the other is asked for, and there is room for one
+		for i := range 16 { // the two keys are requested alternately, and the server has room for one of them
 			key := ident.Key("llm|n")
 			if i%2 == 1 {
 				key = "llm|m"
--- a/internal/controller/weigh_test.go
+++ b/internal/controller/weigh_test.go
@@ -15,7 +15,7 @@
 	"tidedeck/internal/protocol"
 )
 
-// weighed is an owner's core over servers that hold keys, each from long ago.
+// newPlacementCore returns the core of a leader with servers that have held the given keys for a long time.
 func weighed(p *fleetplan.Plan, holds keys) *Core {
 	c := New(Options{Enrolled: true, Unfenced: true})
 	c.plan, c.now, c.listed = p, 100e9, 1
@@ -34,13 +34,13 @@
 	return c
 }
 
-// weighNow looks at placement where the store may begin so many loads now.
+// runPlacementNow runs placement once, with the given number of loads that may start now.
 func weighNow(c *Core, toBegin int) {
 	atOnce, _ := c.budget()
 	c.runPlacement(atOnce, toBegin)
 }
 
-// changes lists what is ordered (+) and what is being taken away (-).
+// placementChanges lists the replicas that are ordered (+) and those being evicted (-).
 func (c *Core) changes() string {
 	var l []string
 	for _, id := range generic.SortedKeys(c.servers) {
@@ -57,7 +57,7 @@
 	return strings.Join(l, " ")
 }
 
-// What is placed first, where, and what makes way for it.
+// Which replica is placed first, on which server, and what is evicted for it.
 func TestWeighing(t *testing.T) {
 	const m, n, o, x, y, z = "llm|m", "llm|n", "llm|o", "llm|x", "llm|y", "llm|z"
 	type demand = map[ident.Key]need
@@ -72,58 +72,58 @@
 		do     func(c *Core)
 		is     string
 	}{
-		{"nothing is asked for", 8, 9, keys{"s1": {m}, "s2": {}}, nil, nil, ""},
-		{"a waiting key without a replica", 8, 9, keys{"s1": {m}, "s2": {m, x}}, demand{n: waits(1)}, nil, "+n@s1"},
-		{"on the server with less work", 8, 9, keys{"s1": {x}, "s2": {y}}, demand{n: waits(1), x: {load: 0.25, now: 0.25}}, nil, "+n@s2"},
-		{"on the one that held it before", 8, 9, keys{"s1": {x}, "s2": {y}}, demand{n: waits(1)}, func(c *Core) { c.noteOnDisk(c.roll["s2"], n, true) }, "+n@s2"},
-		{"not on one that carries out another's order", 8, 9, keys{"s1": {x}, "s2": {y}}, demand{n: waits(1)}, func(c *Core) { c.servers["s1"].alien = true }, "+n@s2"},
-		{"not on a dark one", 8, 9, keys{"s1": {x}, "s2": {y}}, demand{n: waits(1)}, func(c *Core) { c.servers["s1"].dark = true }, "+n@s2"},
-		{"not on one that leaves", 8, 9, keys{"s1": {x}, "s2": {y}}, demand{n: waits(1)}, func(c *Core) { c.servers["s1"].State = "leaving" }, "+n@s2"},
-		{"not on one that has not reported", 8, 9, keys{"s1": {x}, "s2": {y}}, demand{n: waits(1)}, func(c *Core) { c.servers["s1"].known = false }, "+n@s2"},
-		{"not on one of another service", 8, 9, keys{"s1": {x}, "s2": {y}}, demand{n: waits(1)}, func(c *Core) { c.servers["s1"].Service = "more" }, "+n@s2"},
-		{"there is no room for it anywhere", 3, 9, keys{"s1": {}, "s2": {}}, demand{n: waits(1)}, nil, ""},
-		{"nothing may begin now", 8, 0, keys{"s1": {}}, demand{n: waits(1)}, nil, ""},
+		{"no demand", 8, 9, keys{"s1": {m}, "s2": {}}, nil, nil, ""},
+		{"a requested key without a replica", 8, 9, keys{"s1": {m}, "s2": {m, x}}, demand{n: waits(1)}, nil, "+n@s1"},
+		{"on the server with less load", 8, 9, keys{"s1": {x}, "s2": {y}}, demand{n: waits(1), x: {load: 0.25, now: 0.25}}, nil, "+n@s2"},
+		{"on the server that held it before", 8, 9, keys{"s1": {x}, "s2": {y}}, demand{n: waits(1)}, func(c *Core) { c.noteOnDisk(c.roll["s2"], n, true) }, "+n@s2"},
+		{"not on a server that executes an order of another leader", 8, 9, keys{"s1": {x}, "s2": {y}}, demand{n: waits(1)}, func(c *Core) { c.servers["s1"].alien = true }, "+n@s2"},
+		{"not on a dark server", 8, 9, keys{"s1": {x}, "s2": {y}}, demand{n: waits(1)}, func(c *Core) { c.servers["s1"].dark = true }, "+n@s2"},
+		{"not on a leaving server", 8, 9, keys{"s1": {x}, "s2": {y}}, demand{n: waits(1)}, func(c *Core) { c.servers["s1"].State = "leaving" }, "+n@s2"},
+		{"not on a server without a report", 8, 9, keys{"s1": {x}, "s2": {y}}, demand{n: waits(1)}, func(c *Core) { c.servers["s1"].known = false }, "+n@s2"},
+		{"not on a server of another service", 8, 9, keys{"s1": {x}, "s2": {y}}, demand{n: waits(1)}, func(c *Core) { c.servers["s1"].Service = "more" }, "+n@s2"},
+		{"no server has the room", 3, 9, keys{"s1": {}, "s2": {}}, demand{n: waits(1)}, nil, ""},
+		{"no load may start now", 8, 0, keys{"s1": {}}, demand{n: waits(1)}, nil, ""},
 
-		{"a rising key before a rarer one", 8, 1, keys{"s1": {m, x}, "s2": {y}}, demand{m: rises, n: waits(3)}, nil, "+m@s2"},
-		{"and then the rarer one", 8, 2, keys{"s1": {m, x}, "s2": {y}, "s3": {z}}, demand{m: rises, n: waits(3)}, nil, "+m@s2 +n@s3"},
-		{"one that only could do with more comes after it", 8, 1, keys{"s1": {m, x}, "s2": {y}}, demand{m: {load: 0.4, now: 0.4}, n: waits(3)}, nil, "+n@s2"},
-		{"what rises is met before its work is there", 8, 9, keys{"s1": {m, x}, "s2": {y}}, demand{m: {load: 0.2, now: 0.5}}, nil, "+m@s2"},
-		{"what falls is not", 8, 9, keys{"s1": {m, x}, "s2": {y}}, demand{m: {load: 0.29, now: 0.1}}, nil, ""},
-		{"the most valuable of those that wait", 8, 1, keys{"s1": {m, x}, "s2": {y}}, demand{n: {wait: 2, value: 1}, o: {wait: 2, value: 2}}, nil, "+o@s2"},
-		{"but many before one that is worth more", 8, 1, keys{"s1": {m, x}, "s2": {y}}, demand{n: {wait: 9, value: 1}, o: {wait: 1, value: 2}}, nil, "+n@s2"},
-		{"a crowd asks for more replicas", 8, 9, keys{"s1": {m, x}, "s2": {y}}, demand{m: {load: 0.1, now: 0.1}}, func(c *Core) {
+		{"a key with rising load before a less requested one", 8, 1, keys{"s1": {m, x}, "s2": {y}}, demand{m: rises, n: waits(3)}, nil, "+m@s2"},
+		{"then the less requested key", 8, 2, keys{"s1": {m, x}, "s2": {y}, "s3": {z}}, demand{m: rises, n: waits(3)}, nil, "+m@s2 +n@s3"},
+		{"a key that only benefits from another replica comes later", 8, 1, keys{"s1": {m, x}, "s2": {y}}, demand{m: {load: 0.4, now: 0.4}, n: waits(3)}, nil, "+n@s2"},
+		{"a rising load gets a replica in advance", 8, 9, keys{"s1": {m, x}, "s2": {y}}, demand{m: {load: 0.2, now: 0.5}}, nil, "+m@s2"},
+		{"a falling load does not", 8, 9, keys{"s1": {m, x}, "s2": {y}}, demand{m: {load: 0.29, now: 0.1}}, nil, ""},
+		{"the most valuable waiting key", 8, 1, keys{"s1": {m, x}, "s2": {y}}, demand{n: {wait: 2, value: 1}, o: {wait: 2, value: 2}}, nil, "+o@s2"},
+		{"many waiting requests before one of higher value", 8, 1, keys{"s1": {m, x}, "s2": {y}}, demand{n: {wait: 9, value: 1}, o: {wait: 1, value: 2}}, nil, "+n@s2"},
+		{"many running requests need more replicas", 8, 9, keys{"s1": {m, x}, "s2": {y}}, demand{m: {load: 0.1, now: 0.1}}, func(c *Core) {
 			c.workload.Report(protocol.Session{N: 1}, map[ident.Key]protocol.Burden{m: {Work: 2}}, c.now)
 		}, "+m@s2"},
 
-		{"what is least missed makes way", 8, 9, keys{"s1": {x, y}}, demand{n: waits(1), x: {slow: 0.3}, y: {slow: 0.02}}, nil, "+n@s1 -y@s1"},
-		{"on any server", 8, 9, keys{"s1": {x, m}, "s2": {y, z}}, demand{n: waits(1), m: {slow: 1}, x: {slow: 0.8}, y: {slow: 0.7}, z: {slow: 0.1}}, nil, "+n@s2 -z@s2"},
-		{"a spare one before an only one", 8, 9, keys{"s1": {x, y}, "s2": {x, z}}, demand{n: waits(1), x: {slow: 0.3}, y: {slow: 0.3}, z: {slow: 0.3}}, nil, "+n@s1 -x@s1"},
-		{"what is not in the plan before all", 8, 9, keys{"s1": {x, "llm|lost"}}, demand{n: waits(1)}, func(c *Core) { c.servers["s1"].spots["llm|lost"].size = 4 }, "+n@s1 -lost@s1"},
-		{"two for a large one", 8, 9, keys{"s1": {x, y}}, demand{"llm|big": waits(1)}, nil, "+big@s1 -x@s1 -y@s1"},
-		{"with a base go its adapters", 8, 9, keys{"s1": {m, "llm|m+1", "llm|m+2"}}, demand{"llm|big": waits(1)}, nil, "+big@s1 -m+1@s1 -m+2@s1 -m@s1"},
-		{"not what is waited for", 8, 9, keys{"s1": {x, y}}, demand{n: waits(1), x: {wait: 1}, y: {slow: 0.1}}, nil, "+n@s1 -y@s1"},
-		{"nor what is asked for far more often", 8, 9, keys{"s1": {x, y}}, demand{n: waits(1), x: {wait: 1}, y: {slow: 3}}, nil, ""},
-		{"not what has only come", 8, 9, keys{"s1": {x, y}}, demand{n: waits(1), y: {slow: 0.1}}, func(c *Core) { c.servers["s1"].spots[x].ready = c.now - 1e9 }, "+n@s1 -y@s1"},
-		{"no only one for a replica that is not needed badly", 8, 9, keys{"s1": {m, x}, "s2": {y, z}}, demand{m: {load: 0.4, now: 0.4}}, nil, ""},
-		{"but for one that is", 8, 9, keys{"s1": {m, x}, "s2": {y, z}}, demand{m: {load: 0.7, now: 0.7, rate: 5}, x: {slow: 1}, y: {slow: 1}}, nil, "+m@s2 -z@s2"},
+		{"the least used key is evicted", 8, 9, keys{"s1": {x, y}}, demand{n: waits(1), x: {slow: 0.3}, y: {slow: 0.02}}, nil, "+n@s1 -y@s1"},
+		{"the least used key of all servers is evicted", 8, 9, keys{"s1": {x, m}, "s2": {y, z}}, demand{n: waits(1), m: {slow: 1}, x: {slow: 0.8}, y: {slow: 0.7}, z: {slow: 0.1}}, nil, "+n@s2 -z@s2"},
+		{"a surplus replica is evicted before an only one", 8, 9, keys{"s1": {x, y}, "s2": {x, z}}, demand{n: waits(1), x: {slow: 0.3}, y: {slow: 0.3}, z: {slow: 0.3}}, nil, "+n@s1 -x@s1"},
+		{"a key outside the plan is evicted first", 8, 9, keys{"s1": {x, "llm|lost"}}, demand{n: waits(1)}, func(c *Core) { c.servers["s1"].spots["llm|lost"].size = 4 }, "+n@s1 -lost@s1"},
+		{"two keys are evicted for a large one", 8, 9, keys{"s1": {x, y}}, demand{"llm|big": waits(1)}, nil, "+big@s1 -x@s1 -y@s1"},
+		{"a base is evicted with its adapters", 8, 9, keys{"s1": {m, "llm|m+1", "llm|m+2"}}, demand{"llm|big": waits(1)}, nil, "+big@s1 -m+1@s1 -m+2@s1 -m@s1"},
+		{"a key with waiting requests is not evicted", 8, 9, keys{"s1": {x, y}}, demand{n: waits(1), x: {wait: 1}, y: {slow: 0.1}}, nil, "+n@s1 -y@s1"},
+		{"nor a key that is requested far more often", 8, 9, keys{"s1": {x, y}}, demand{n: waits(1), x: {wait: 1}, y: {slow: 3}}, nil, ""},
+		{"nor a key that was loaded recently", 8, 9, keys{"s1": {x, y}}, demand{n: waits(1), y: {slow: 0.1}}, func(c *Core) { c.servers["s1"].spots[x].ready = c.now - 1e9 }, "+n@s1 -y@s1"},
+		{"no only replica is evicted for a moderately loaded key", 8, 9, keys{"s1": {m, x}, "s2": {y, z}}, demand{m: {load: 0.4, now: 0.4}}, nil, ""},
+		{"an only replica is evicted for an overloaded key", 8, 9, keys{"s1": {m, x}, "s2": {y, z}}, demand{m: {load: 0.7, now: 0.7, rate: 5}, x: {slow: 1}, y: {slow: 1}}, nil, "+m@s2 -z@s2"},
 
 		{"a floor", 8, 9, keys{"s1": {"llm|f"}, "s2": {x}}, nil, nil, "+f@s2"},
-		{"a floor that is kept", 8, 9, keys{"s1": {"llm|f"}, "s2": {"llm|f"}, "s3": {}}, nil, nil, ""},
-		{"not past the most", 8, 9, keys{"s1": {"llm|f"}, "s2": {"llm|f"}, "s3": {"llm|f"}, "s4": {}}, demand{"llm|f": {load: 4, now: 4, slow: 9}}, nil, ""},
+		{"a floor that is met", 8, 9, keys{"s1": {"llm|f"}, "s2": {"llm|f"}, "s3": {}}, nil, nil, ""},
+		{"not more than the most replicas allowed", 8, 9, keys{"s1": {"llm|f"}, "s2": {"llm|f"}, "s3": {"llm|f"}, "s4": {}}, demand{"llm|f": {load: 4, now: 4, slow: 9}}, nil, ""},
 
-		{"an adapter to its base", 10, 9, keys{"s1": {m}, "s2": {n}}, demand{"llm|n+1": waits(1)}, nil, "+n+1@s2"},
-		{"its base first", 10, 9, keys{"s1": {m}}, demand{"llm|n+1": waits(1)}, nil, "+n@s1"},
-		{"where there is a place", 20, 9, keys{"s1": {m, "llm|m+1", "llm|m+2", "llm|m+3"}, "s2": {m, x, y}}, demand{"llm|m+4": waits(1), x: {load: 0.1, now: 0.1}, y: {load: 0.1, now: 0.1}}, nil, "+m+4@s2"},
-		{"or room", 8, 9, keys{"s1": {m, x}, "s2": {m}}, demand{"llm|m+4": waits(1), m: {load: 0.5, now: 0.5}}, nil, "+m+4@s2"},
-		{"with no place the adapter that is least missed goes first", 20, 9, keys{"s1": {m, "llm|m+1", "llm|m+2", "llm|m+3"}}, demand{"llm|m+4": waits(1), "llm|m+1": {slow: 1}, "llm|m+2": {slow: 0.5}, "llm|m+3": {slow: 2}}, nil, "+m+4@s1 -m+2@s1"},
-		{"none that is waited for", 20, 9, keys{"s1": {m, "llm|m+1", "llm|m+2", "llm|m+3"}}, demand{"llm|m+4": waits(1), "llm|m+1": waits(1), "llm|m+2": waits(1), "llm|m+3": waits(1)}, nil, ""},
-		{"with no room and no adapter there a base that is least missed goes", 8, 9, keys{"s1": {m, x}, "s2": {y, z}}, demand{"llm|m+1": waits(1), x: {slow: 0.1}}, nil, "+m+1@s1 -x@s1"},
-		{"where that costs least", 8, 9, keys{"s1": {m, x}, "s2": {m, y}}, demand{"llm|m+1": waits(1), m: {load: 0.5, now: 0.5}, x: {slow: 0.1}, y: {slow: 0.02}}, nil, "+m+1@s2 -y@s2"},
+		{"an adapter on a server with its base", 10, 9, keys{"s1": {m}, "s2": {n}}, demand{"llm|n+1": waits(1)}, nil, "+n+1@s2"},
+		{"the base before the adapter", 10, 9, keys{"s1": {m}}, demand{"llm|n+1": waits(1)}, nil, "+n@s1"},
+		{"an adapter where a place is free", 20, 9, keys{"s1": {m, "llm|m+1", "llm|m+2", "llm|m+3"}, "s2": {m, x, y}}, demand{"llm|m+4": waits(1), x: {load: 0.1, now: 0.1}, y: {load: 0.1, now: 0.1}}, nil, "+m+4@s2"},
+		{"an adapter where room is free", 8, 9, keys{"s1": {m, x}, "s2": {m}}, demand{"llm|m+4": waits(1), m: {load: 0.5, now: 0.5}}, nil, "+m+4@s2"},
+		{"without a free place the least used adapter is evicted", 20, 9, keys{"s1": {m, "llm|m+1", "llm|m+2", "llm|m+3"}}, demand{"llm|m+4": waits(1), "llm|m+1": {slow: 1}, "llm|m+2": {slow: 0.5}, "llm|m+3": {slow: 2}}, nil, "+m+4@s1 -m+2@s1"},
+		{"no adapter with waiting requests is evicted", 20, 9, keys{"s1": {m, "llm|m+1", "llm|m+2", "llm|m+3"}}, demand{"llm|m+4": waits(1), "llm|m+1": waits(1), "llm|m+2": waits(1), "llm|m+3": waits(1)}, nil, ""},
+		{"without room and other adapters the least used base is evicted", 8, 9, keys{"s1": {m, x}, "s2": {y, z}}, demand{"llm|m+1": waits(1), x: {slow: 0.1}}, nil, "+m+1@s1 -x@s1"},
+		{"on the server where the eviction costs least", 8, 9, keys{"s1": {m, x}, "s2": {m, y}}, demand{"llm|m+1": waits(1), m: {load: 0.5, now: 0.5}, x: {slow: 0.1}, y: {slow: 0.02}}, nil, "+m+1@s2 -y@s2"},
 		{"an idle adapter before a base", 9, 9, keys{"s1": {m, "llm|m+2", x}}, demand{"llm|m+1": waits(1), x: {slow: 0.1}}, nil, "+m+1@s1 -m+2@s1"},
-		{"no base that is missed more than the adapter", 8, 9, keys{"s1": {m, x}}, demand{"llm|m+1": waits(1), x: {slow: 3, rate: 3}}, nil, ""},
-		{"no base for an adapter that is there already", 8, 9, keys{"s1": {m, x}, "s2": {m, "llm|m+1"}}, demand{"llm|m+1": {wait: 1, load: 0.7, now: 0.7}, x: {slow: 0.1}}, nil, ""},
-		{"nor the adapter's own", 8, 9, keys{"s1": {m, x}, "s2": {m, y}}, demand{"llm|m+1": waits(1), x: {wait: 1}, y: {wait: 1}}, nil, ""},
-		{"one that is there", 20, 9, keys{"s1": {m, "llm|m+1"}, "s2": {m}}, demand{"llm|m+1": {load: 0.2, now: 0.2}}, nil, ""},
+		{"no base that is used more than the adapter", 8, 9, keys{"s1": {m, x}}, demand{"llm|m+1": waits(1), x: {slow: 3, rate: 3}}, nil, ""},
+		{"no base for an adapter that has a replica already", 8, 9, keys{"s1": {m, x}, "s2": {m, "llm|m+1"}}, demand{"llm|m+1": {wait: 1, load: 0.7, now: 0.7}, x: {slow: 0.1}}, nil, ""},
+		{"nor the base of the adapter", 8, 9, keys{"s1": {m, x}, "s2": {m, y}}, demand{"llm|m+1": waits(1), x: {wait: 1}, y: {wait: 1}}, nil, ""},
+		{"an adapter with a replica and little load", 20, 9, keys{"s1": {m, "llm|m+1"}, "s2": {m}}, demand{"llm|m+1": {load: 0.2, now: 0.2}}, nil, ""},
 	} {
 		p := modelPlan(c.room, m, n, o, x, y, z, "llm|f", "llm|n+1", "llm|m+1", "llm|m+2", "llm|m+3", "llm|m+4")
 		p.Models["llm|f"] = fleetplan.Model{Key: "llm|f", Size: 4, Floor: 2, Most: 3, Load: 1e9}
@@ -145,7 +145,7 @@
 	}
 }
 
-// Rates follow what came: of late, over a longer while, and what rises is seen ahead.
+// The averages follow the arrivals over their time spans, and the forecast extrapolates a rise.
 func TestDemandRates(t *testing.T) {
 	c := weighed(modelPlan(8, "llm|m"), keys{"s1": {"llm|m"}})
 	c.reportWaiting("llm|m", 0, 0)
@@ -161,7 +161,7 @@
 	require.InDelta(t, 8, n.rate, 0.1)
 	require.InDelta(t, 8, n.slow, 0.1)
 	require.InDelta(t, 0.4, n.load, 0.01)
-	require.InDelta(t, 0.4, n.forecastLoad(), 0.01, "what is steady is forecast as it is")
+	require.InDelta(t, 0.4, n.forecastLoad(), 0.01, "the forecast of a steady load is the load")
 	step(2e9, 80)
 	require.Greater(t, n.forecastLoad(), n.now)
 	require.Greater(t, n.now, n.load)
@@ -171,23 +171,23 @@
 	require.InDelta(t, 4, n.forecastLoad(), 0.1)
 	step(2e9, 0)
 	require.Less(t, n.now, n.load)
-	require.InDelta(t, n.load, n.forecastLoad(), 1e-9, "what falls is trusted to fall slowly")
+	require.InDelta(t, n.load, n.forecastLoad(), 1e-9, "the forecast of a falling load follows the slower average")
 	step(200e9, 0)
 	require.InDelta(t, 0, n.rate+n.slow+n.load+n.now, 0.1)
 }
 
-// With demand that is steady and calm, orders end: whatever it is made of.
+// With steady demand, placement sends no more orders after some time, whatever the mix of keys.
 func TestCalm(t *testing.T) {
 	for _, x := range []struct {
 		name    string
 		servers int
 		room    int
-		burden  map[ident.Key]protocol.Burden // of each renewal of either router
+		burden  map[ident.Key]protocol.Burden // in each renewal of either router
 	}{
-		{"a few that fit", 3, 8, map[ident.Key]protocol.Burden{"llm|m0": {Came: 4, Work: 1, Load: 0.05}, "llm|m1": {Came: 1, Load: 0.01}}},
-		{"a busy one and all that fit beside it", 4, 8, map[ident.Key]protocol.Burden{"llm|m0": {Came: 20, Work: 2, Load: 0.2}, "llm|m1": {Came: 4, Load: 0.03}, "llm|m2": {Came: 1, Load: 0.01}, "llm|m3": {Came: 1, Load: 0.01}}},
-		{"two busy ones", 6, 8, map[ident.Key]protocol.Burden{"llm|m0": {Came: 20, Work: 2, Load: 0.2}, "llm|m1": {Came: 20, Work: 2, Load: 0.15}, "llm|m2": {Came: 1, Load: 0.01}}},
-		{"more than the servers bear", 2, 8, map[ident.Key]protocol.Burden{"llm|m0": {Came: 40, Work: 9, Load: 0.6}, "llm|m1": {Came: 40, Work: 9, Load: 0.6}}},
+		{"few keys that fit", 3, 8, map[ident.Key]protocol.Burden{"llm|m0": {Came: 4, Work: 1, Load: 0.05}, "llm|m1": {Came: 1, Load: 0.01}}},
+		{"a busy key and others that fit beside it", 4, 8, map[ident.Key]protocol.Burden{"llm|m0": {Came: 20, Work: 2, Load: 0.2}, "llm|m1": {Came: 4, Load: 0.03}, "llm|m2": {Came: 1, Load: 0.01}, "llm|m3": {Came: 1, Load: 0.01}}},
+		{"two busy keys", 6, 8, map[ident.Key]protocol.Burden{"llm|m0": {Came: 20, Work: 2, Load: 0.2}, "llm|m1": {Came: 20, Work: 2, Load: 0.15}, "llm|m2": {Came: 1, Load: 0.01}}},
+		{"more load than the servers can serve", 2, 8, map[ident.Key]protocol.Burden{"llm|m0": {Came: 40, Work: 9, Load: 0.6}, "llm|m1": {Came: 40, Work: 9, Load: 0.6}}},
 		{"adapters", 2, 10, map[ident.Key]protocol.Burden{"llm|m0+a": {Came: 4, Load: 0.02}, "llm|m0+b": {Came: 4, Load: 0.02}, "llm|m1": {Came: 4, Load: 0.02}}},
 	} {
 		var all []ident.Key
@@ -203,7 +203,7 @@
 		c.run(40e9)
 		was := len(c.ops)
 		c.run(60e9)
-		t.Logf("%s: %d orders in the first 40 s, %d in the 60 s after", x.name, was, len(c.ops)-was)
+		t.Logf("%s: %d orders in the first 40 s, %d in the next 60 s", x.name, was, len(c.ops)-was)
 		require.Empty(t, c.ops[was:], x.name)
 		for k := range x.burden {
 			n := 0
@@ -217,7 +217,7 @@
 	}
 }
 
-// A key whose work rises gets its replicas, and loses what it no longer needs only to others that do.
+// A key with rising load gets more replicas, and keeps them afterwards until other keys need the room.
 func TestRise(t *testing.T) {
 	c := newCluster(t, modelPlan(8, "llm|m", "llm|n", "llm|o", "llm|p", "llm|q"), "a")
 	c.serve("s1", "llm|m", "llm|n")
@@ -228,15 +228,15 @@
 	c.run(20e9)
 	require.Empty(t, c.ops)
 	r.burden["llm|m"] = protocol.Burden{Came: 40, Work: 3, Load: 0.4}
-	require.True(t, c.until(9e9, func() bool { return c.models["at-s3"].holds["llm|m"] }), "one that has room")
-	require.True(t, c.until(20e9, func() bool { return c.models["at-s2"].holds["llm|m"] }), "and one where something makes way")
+	require.True(t, c.until(9e9, func() bool { return c.models["at-s3"].holds["llm|m"] }), "a server with free room")
+	require.True(t, c.until(20e9, func() bool { return c.models["at-s2"].holds["llm|m"] }), "a server with an eviction")
 	for _, o := range c.orders("unload") {
-		require.Contains(t, []ident.Key{"llm|o", "llm|p"}, o.Key, "nobody asked for these")
+		require.Contains(t, []ident.Key{"llm|o", "llm|p"}, o.Key, "keys without requests")
 	}
 	r.burden["llm|m"] = protocol.Burden{Came: 1, Load: 0.01}
 	was := len(c.ops)
 	c.run(60e9)
-	require.Empty(t, c.ops[was:], "nothing goes where nothing else is wanted")
+	require.Empty(t, c.ops[was:], "no eviction while no other key needs the room")
 	r.burden["llm|o"], r.burden["llm|p"] = protocol.Burden{Came: 1, Wait: 1, Load: 0.01}, protocol.Burden{Came: 1, Wait: 1, Load: 0.01}
 	c.run(20e9)
 	n := 0
--- a/internal/controller/work_bench_test.go
+++ b/internal/controller/work_bench_test.go
@@ -7,10 +7,10 @@
 	"tidedeck/internal/protocol"
 )
 
-// benchmarkSizes are parts of the large fleet, in tenths of it.
+// benchmarkSizes are the fleet sizes in tenths of the large fleet.
 var benchmarkSizes = []int{1, 3, 10, 30}
 
-// benchmarkFleets has something measured at an owner of fleets that grow in all their parts.
+// benchmarkFleets runs a benchmark of the leader with fleets of growing size.
 func benchmarkFleets(b *testing.B, measure func(b *testing.B, c *cluster, size fleetSize)) {
 	for _, tenths := range benchmarkSizes {
 		size := largeFleet.part(tenths, 10)
@@ -54,7 +54,7 @@
 	})
 }
 
-// BenchmarkOwnerLook is a look at placement just after what is asked for has shifted.
+// BenchmarkOwnerLook measures one placement run just after the requested models have changed.
 func BenchmarkOwnerLook(b *testing.B) {
 	benchmarkFleets(b, func(b *testing.B, c *cluster, size fleetSize) {
 		_, models := largePlan(size)
