--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -139,8 +139,8 @@
 	}
 }
 
-// answeredByOther reports whether another server answered at the address of the requested server. If so, the
-// requested server counts as gone until it announces itself again while the other one is silent.
+// answeredByOther reports whether another server answered at the address of the requested server. The requested
+// server then counts as gone, unless it continues to announce itself while the other one is silent.
 func (c *Core) elsewhere(s *server, t protocol.Told) bool {
 	if t.Server == s.ID || t.Server == "" && t.Code != notThisOne {
 		return false
--- a/internal/controller/pace.go
+++ b/internal/controller/pace.go
@@ -17,7 +17,7 @@
 	paceChangeThreshold = 0.05 // relative change of a pace from which routers are updated
 )
 
-// pace is the shortest observed time per token of a base.
+// tokenPace is the shortest observed time per token of a base.
 type pace struct {
 	ns     float64
 	seenAt clock.Tick
