--- a/internal/controller/links.go
+++ b/internal/controller/links.go
@@ -68,9 +68,9 @@
 	if answer.Hint.ID == c.o.Me.ID {
 		answer.Hint = protocol.Sibling{}
 	}
-	asked, renews := e.Body.(protocol.Renew)
+	renewal, renews := e.Body.(protocol.Renew)
 	if known := c.reg.known; renews && known != nil && c.reg.heard != 0 {
-		answer.Seq, answer.Gen, answer.Epoch = asked.Seq, known.Gen, known.Epoch
+		answer.Seq, answer.Gen, answer.Epoch = renewal.Seq, known.Gen, known.Epoch
 		answer.Fresh = max(0, c.o.Hold-c.now.Sub(c.reg.heard))
 		answer.Leaving = c.knownToLeave()
 	}
--- a/internal/controller/links_test.go
+++ b/internal/controller/links_test.go
@@ -45,15 +45,15 @@
 		require.Equal(t, seq, l[0].Seq)
 		return l[0]
 	}
-	some := false
+	granted := false
 	for n.at < end.Add(-100e6) {
 		g := renew(1)
 		require.LessOrEqual(t, n.at.Add(g.Len), end)
 		require.LessOrEqual(t, n.links[s].until, end.Add(n.pad(n.o.Hold)-n.o.Hold))
-		some = some || g.Len > 0
+		granted = granted || g.Len > 0
 		n.pass(200e6, has("m", "ready"))
 	}
-	require.True(t, some, "the router gets leases before they end")
+	require.True(t, granted, "the router gets leases before they end")
 	g := renew(1)
 	require.Zero(t, g.Len, "the leader grants no lease but answers")
 	g = renew(2)
--- a/internal/controller/moves_test.go
+++ b/internal/controller/moves_test.go
@@ -37,8 +37,8 @@
 	for _, x := range []struct {
 		name  string
 		holds keys
-		more  func(c *Core)
-		moves ident.Key
+		setup func(c *Core)
+		key   ident.Key
 		to    ident.Server
 	}{
 		{"balanced", keys{"s1": {"a"}, "s2": {"b"}, "s3": {"c"}, "s4": {"d"}}, nil, "", ""},
@@ -57,29 +57,29 @@
 	} {
 		c := newMoveCore(t, x.holds)
 		c.uneven = c.now - 6e9
-		if x.more != nil {
-			x.more(c)
+		if x.setup != nil {
+			x.setup(c)
 		}
 		was := len(c.shifts)
 		c.rebalance()
-		if x.moves == "" {
+		if x.key == "" {
 			require.Len(t, c.shifts, was, x.name)
 			continue
 		}
-		require.NotNil(t, c.shifts[x.moves], "%s: %v", x.name, c.shifts)
-		require.Equal(t, x.to, c.shifts[x.moves].to, x.name)
-		require.Equal(t, Ordered, c.servers[x.to].spots[x.moves].stage, x.name)
-		require.Equal(t, Ready, c.servers[c.shifts[x.moves].from].spots[x.moves].stage, "the old replica stays: "+x.name)
+		require.NotNil(t, c.shifts[x.key], "%s: %v", x.name, c.shifts)
+		require.Equal(t, x.to, c.shifts[x.key].to, x.name)
+		require.Equal(t, Ordered, c.servers[x.to].spots[x.key].stage, x.name)
+		require.Equal(t, Ready, c.servers[c.shifts[x.key].from].spots[x.key].stage, "the old replica stays: "+x.name)
 	}
 }
 
 // Each state of a move and its outcome. The old replica is evicted only when the new one is ready.
 func TestShifts(t *testing.T) {
 	for _, x := range []struct {
-		name string
-		do   func(c *Core, from, to *spot)
-		left int
-		from string
+		name   string
+		change func(c *Core, from, to *spot)
+		moves  int
+		stage  string
 	}{
 		{"loading", func(_ *Core, _, to *spot) { to.stage = Ordered }, 1, Ready},
 		{"ready for a short time", func(c *Core, _, to *spot) { to.ready = c.now }, 1, Ready},
@@ -94,11 +94,11 @@
 		c := newMoveCore(t, keys{"s1": {"a"}, "s2": {"a"}})
 		c.shifts["a"] = &shift{"s1", "s2"}
 		from := c.servers["s1"].spots["a"]
-		x.do(c, from, c.servers["s2"].spots["a"])
+		x.change(c, from, c.servers["s2"].spots["a"])
 		c.advanceMoves()
-		require.Len(t, c.shifts, x.left, x.name)
-		if x.from != "" {
-			require.Equal(t, x.from, from.stage, x.name)
+		require.Len(t, c.shifts, x.moves, x.name)
+		if x.stage != "" {
+			require.Equal(t, x.stage, from.stage, x.name)
 		}
 	}
 }
@@ -107,9 +107,9 @@
 // replica, or without recent work, does not.
 func TestParting(t *testing.T) {
 	for _, x := range []struct {
-		name string
-		do   func(c *Core)
-		need int
+		name   string
+		change func(c *Core)
+		wanted int
 	}{
 		{"its server stays", func(*Core) {}, 0},
 		{"its server leaves", func(c *Core) { c.servers["s1"].State = "leaving" }, 1},
@@ -124,8 +124,8 @@
 	} {
 		c := newMoveCore(t, keys{"s1": {"a"}})
 		c.servers["s1"].spots["a"].busy = c.now - 5e9
-		x.do(c)
-		require.Equal(t, x.need, c.requirementOf(c.plan.Models["a"]).wanted, x.name)
+		x.change(c)
+		require.Equal(t, x.wanted, c.requirementOf(c.plan.Models["a"]).wanted, x.name)
 	}
 }
 
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -46,10 +46,10 @@
 // model is listed for routers. Reports are some time old.
 func TestOrderAnswers(t *testing.T) {
 	for _, x := range []struct {
-		name string
-		do   func(m *modelServer)
-		ops  []uint64 // the counts that the orders carry
-		code []int
+		name   string
+		setup  func(m *modelServer)
+		counts []uint64 // the counts that the orders carry
+		codes  []int
 	}{
 		{"accepted", func(*modelServer) {}, []uint64{0}, []int{202}},
 		{"accepted, with old reports", func(m *modelServer) { m.lag = 450e6 }, []uint64{0}, []int{202}},
@@ -77,18 +77,18 @@
 	} {
 		c := newCluster(t, floor(modelPlan(12, "llm|m"), 1, "llm|m"), "a")
 		m := c.serve("s")
-		x.do(m)
+		x.setup(m)
 		r := c.route("r")
 		r.burden["llm|m"] = protocol.Burden{Came: 1}
 		require.True(t, c.until(15e9, func() bool { return r.sends("llm|m", "s") }), x.name)
 		c.run(5e9)
-		var ops []uint64
-		var code []int
+		var counts []uint64
+		var codes []int
 		for _, o := range c.ops {
-			ops, code = append(ops, o.Expected), append(code, o.code)
+			counts, codes = append(counts, o.Expected), append(codes, o.code)
 		}
-		require.Equal(t, x.ops, ops, x.name)
-		require.Equal(t, x.code, code, x.name)
+		require.Equal(t, x.counts, counts, x.name)
+		require.Equal(t, x.codes, codes, x.name)
 	}
 }
 
@@ -106,21 +106,21 @@
 	for _, late := range []clock.Span{700e6, 1000e6, 1500e6, 2500e6} {
 		c := newCluster(t, floor(modelPlan(8, "llm|m", "llm|n"), 1, "llm|m", "llm|n"), "a")
 		m := c.serve("s")
-		var held *protocol.Order
-		var at clock.Tick
+		var delayed *protocol.Order
+		var lostAt clock.Tick
 		m.lost = func(o protocol.Order) (bool, bool) {
-			if at == 0 {
-				held, at = &o, c.at
+			if lostAt == 0 {
+				delayed, lostAt = &o, c.at
 				return false, false
 			}
 			return true, true
 		}
 		require.True(t, c.until(20e9, func() bool {
-			if held != nil && c.at.Sub(at) > late {
-				m.take(*held)
-				held = nil
+			if delayed != nil && c.at.Sub(lostAt) > late {
+				m.take(*delayed)
+				delayed = nil
 			}
-			return len(m.holds) == 2 && held == nil
+			return len(m.holds) == 2 && delayed == nil
 		}))
 		require.EqualValues(t, 2, m.count, "%v", late)
 	}
@@ -130,9 +130,9 @@
 // order before it has reported.
 func TestOrderRefused(t *testing.T) {
 	for _, x := range []struct {
-		code  int
-		reign bool
-		known bool
+		code      int
+		keepsTerm bool
+		known     bool
 	}{{412, false, false}, {421, true, false}, {400, true, true}, {409, true, true}, {503, true, true}} {
 		c := newCluster(t, floor(modelPlan(12, "llm|m"), 1, "llm|m"), "a")
 		c.serve("s")
@@ -146,8 +146,8 @@
 				break
 			}
 		}
-		require.Equal(t, x.reign, k.duty.mine && k.duty.num == num, x.code)
-		if x.reign {
+		require.Equal(t, x.keepsTerm, k.duty.mine && k.duty.num == num, x.code)
+		if x.keepsTerm {
 			require.Equal(t, x.known, k.servers["s"].known, x.code)
 			require.Equal(t, Ordered, k.servers["s"].spots["llm|m"].stage, x.code)
 		}
@@ -196,21 +196,21 @@
 		keys := []ident.Key{"llm|a", "llm|b", "llm|c", "llm|d", "llm|e", "llm|f", "llm|g", "llm|h", "llm|a+1", "llm|a+2", "llm|b+1", "llm|b+2", "llm|c+1", "llm|d+1"}
 		p := modelPlan(10, keys...)
 		c := newCluster(t, p, "a", "b", "c")
-		dice := c.nodes["a"].o.Rand
+		rng := c.nodes["a"].o.Rand
 		for i, id := range []string{"s1", "s2", "s3", "s4"} {
 			m := c.serve(id, keys[i])
-			m.lost = func(protocol.Order) (bool, bool) { return dice.IntN(12) > 0, dice.IntN(12) > 0 }
+			m.lost = func(protocol.Order) (bool, bool) { return rng.IntN(12) > 0, rng.IntN(12) > 0 }
 			m.lag = clock.Span(200+50*i) * 1e6
 		}
 		r := c.route("r")
 		for round := range 12 {
 			r.burden = map[ident.Key]protocol.Burden{}
 			for range 3 {
-				k := keys[dice.IntN(len(keys))]
-				n := 1 + dice.IntN(9)
+				k := keys[rng.IntN(len(keys))]
+				n := 1 + rng.IntN(9)
 				r.burden[k] = protocol.Burden{Wait: n, Came: n, Load: float64(n) / 20}
 			}
-			r.holdup = dice.IntN(4) == 0
+			r.holdup = rng.IntN(4) == 0
 			if round%5 == 4 {
 				c.parted[c.owner()] = true
 				require.True(t, c.until(6e9, func() bool { return c.owner() != "" }))
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -69,12 +69,12 @@
 // setRequests chooses the models that each router requests, at random from a list; earlier models are chosen
 // more often.
 func setRequests(c *cluster, models []ident.Key, size fleetSize, seed uint64) {
-	dice := rand.New(rand.NewPCG(seed, 1))
+	rng := rand.New(rand.NewPCG(seed, 1))
 	for i := range size.routers {
 		r := c.routers[fmt.Sprintf("r%04d", i)]
 		clear(r.burden)
 		for len(r.burden) < size.requestedPerRouter {
-			key := models[int(dice.Float64()*dice.Float64()*float64(len(models)))]
+			key := models[int(rng.Float64()*rng.Float64()*float64(len(models)))]
 			r.burden[key] = protocol.Burden{}
 		}
 	}
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -8,7 +8,7 @@
 	"tidedeck/internal/protocol"
 )
 
-// version is a configuration that the leader learned of, and the latest time at which it was chosen.
+// version is a configuration that the leader learned of, and a time before which it was not chosen.
 type version struct {
 	gen   uint64
 	epoch ident.Epoch
@@ -97,7 +97,7 @@
 	return l.gen < known.Gen || l.gen == known.Gen && l.epoch < known.Epoch
 }
 
-// missingSince returns the time at which the oldest version that a router lacks was chosen.
+// missingSince returns the recorded time of the oldest version that a router lacks.
 func (c *Core) missingSince(l *link) (since clock.Tick, lacks bool) {
 	known := c.reg.known
 	if known == nil || !l.lacks(known) {
--- a/internal/controller/weigh_test.go
+++ b/internal/controller/weigh_test.go
@@ -69,8 +69,8 @@
 		budget int
 		holds  keys
 		demand demand
-		do     func(c *Core)
-		is     string
+		setup  func(c *Core)
+		want   string
 	}{
 		{"no demand", 8, 9, keys{"s1": {m}, "s2": {}}, nil, nil, ""},
 		{"a requested key without a replica", 8, 9, keys{"s1": {m}, "s2": {m, x}}, demand{n: waits(1)}, nil, "+n@s1"},
@@ -137,11 +137,11 @@
 			d.at = k.now
 			k.demand[key] = &d
 		}
-		if c.do != nil {
-			c.do(k)
+		if c.setup != nil {
+			c.setup(k)
 		}
 		weighNow(k, c.budget)
-		require.Equal(t, c.is, k.changes(), c.name)
+		require.Equal(t, c.want, k.changes(), c.name)
 	}
 }
 
