--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -11,7 +11,7 @@
 	"tidedeck/internal/protocol"
 )
 
-// floor has the plan keep so many replicas of keys.
+// withFloor sets the floor of the given keys in a plan.
 func floor(p *fleetplan.Plan, n int, keys ...ident.Key) *fleetplan.Plan {
 	for _, k := range keys {
 		m := p.Models[k]
@@ -21,7 +21,8 @@
 	return p
 }
 
-// An order goes on the count that the server last showed, and once the owner before is surely silent.
+// An order carries the count that the server last reported, and is sent only after the settle delay, when
+// orders of a previous leader can no longer arrive.
 func TestOrdersCount(t *testing.T) {
 	c := newCluster(t, floor(modelPlan(12, "llm|m", "llm|n", "llm|o"), 1, "llm|m", "llm|n", "llm|o"), "a")
 	began := c.lead().duty.began
@@ -41,21 +42,21 @@
 	require.EqualValues(t, 10, m.count)
 }
 
-// What follows each answer to an order, and none: it is taken once in the end, and a model that a
-// server holds is offered. Reports are from a while ago.
+// For each answer to an order, and for a lost answer, the order is executed exactly once in the end, and the
+// model is listed for routers. Reports are some time old.
 func TestOrderAnswers(t *testing.T) {
 	for _, x := range []struct {
-		name string
-		do   func(m *modelServer)
-		ops  []uint64 // the counts that the orders go on
-		code []int
+		name   string
+		setup  func(m *modelServer)
+		counts []uint64 // the counts that the orders carry
+		codes  []int
 	}{
-		{"taken", func(*modelServer) {}, []uint64{0}, []int{202}},
-		{"taken, with old reports", func(m *modelServer) { m.lag = 450e6 }, []uint64{0}, []int{202}},
-		{"taken, and slow", func(m *modelServer) { m.slow = 8e9 }, []uint64{0}, []int{202}},
-		{"taken, its answer lost", func(m *modelServer) { m.lost = first(true, false) }, []uint64{0}, []int{202}},
-		{"taken, its answer lost, and slow", func(m *modelServer) { m.slow, m.lost = 8e9, first(true, false) }, []uint64{0}, []int{202}},
-		{"another's order came between", func(m *modelServer) {
+		{"accepted", func(*modelServer) {}, []uint64{0}, []int{202}},
+		{"accepted, with old reports", func(m *modelServer) { m.lag = 450e6 }, []uint64{0}, []int{202}},
+		{"accepted, and slow", func(m *modelServer) { m.slow = 8e9 }, []uint64{0}, []int{202}},
+		{"accepted, its answer lost", func(m *modelServer) { m.lost = first(true, false) }, []uint64{0}, []int{202}},
+		{"accepted, its answer lost, and slow", func(m *modelServer) { m.slow, m.lost = 8e9, first(true, false) }, []uint64{0}, []int{202}},
+		{"an order of another sender in between", func(m *modelServer) {
 			once := true
 			m.lag = 0
 			m.lost = func(protocol.Order) (bool, bool) {
@@ -66,7 +67,7 @@
 				return true, true
 			}
 		}, []uint64{0, 1}, []int{409, 202}},
-		{"held already", func(m *modelServer) {
+		{"already held", func(m *modelServer) {
 			m.lag = 0
 			m.lost = func(protocol.Order) (bool, bool) {
 				m.holds["llm|m"] = true
@@ -76,22 +77,22 @@
 	} {
 		c := newCluster(t, floor(modelPlan(12, "llm|m"), 1, "llm|m"), "a")
 		m := c.serve("s")
-		x.do(m)
+		x.setup(m)
 		r := c.route("r")
 		r.burden["llm|m"] = protocol.Burden{Came: 1}
 		require.True(t, c.until(15e9, func() bool { return r.sends("llm|m", "s") }), x.name)
 		c.run(5e9)
-		var ops []uint64
-		var code []int
+		var counts []uint64
+		var codes []int
 		for _, o := range c.ops {
-			ops, code = append(ops, o.Expected), append(code, o.code)
+			counts, codes = append(counts, o.Expected), append(codes, o.code)
 		}
-		require.Equal(t, x.ops, ops, x.name)
-		require.Equal(t, x.code, code, x.name)
+		require.Equal(t, x.counts, counts, x.name)
+		require.Equal(t, x.codes, codes, x.name)
 	}
 }
 
-// first loses the first order, or only its answer.
+// loseFirstOrder drops the first order, or only its answer.
 func first(taken, heard bool) func(protocol.Order) (bool, bool) {
 	n := 0
 	return func(protocol.Order) (bool, bool) {
@@ -100,38 +101,38 @@
 	}
 }
 
-// An order that comes late, after its sender gave up on it, is still taken at most once.
+// An order that arrives after its sender gave up on it is still executed at most once.
 func TestLateOrder(t *testing.T) {
 	for _, late := range []clock.Span{700e6, 1000e6, 1500e6, 2500e6} {
 		c := newCluster(t, floor(modelPlan(8, "llm|m", "llm|n"), 1, "llm|m", "llm|n"), "a")
 		m := c.serve("s")
-		var held *protocol.Order
-		var at clock.Tick
+		var delayed *protocol.Order
+		var lostAt clock.Tick
 		m.lost = func(o protocol.Order) (bool, bool) {
-			if at == 0 {
-				held, at = &o, c.at
+			if lostAt == 0 {
+				delayed, lostAt = &o, c.at
 				return false, false
 			}
 			return true, true
 		}
 		require.True(t, c.until(20e9, func() bool {
-			if held != nil && c.at.Sub(at) > late {
-				m.take(*held)
-				held = nil
+			if delayed != nil && c.at.Sub(lostAt) > late {
+				m.take(*delayed)
+				delayed = nil
 			}
-			return len(m.holds) == 2 && held == nil
+			return len(m.holds) == 2 && delayed == nil
 		}))
 		require.EqualValues(t, 2, m.count, "%v", late)
 	}
 }
 
-// What refuses an order for good: a higher fence ends the reign, another server at the address is not
-// ordered anything until it has reported.
+// Answers that reject an order: a higher term ends the leadership, and another server at the address gets no
+// order before it has reported.
 func TestOrderRefused(t *testing.T) {
 	for _, x := range []struct {
-		code  int
-		reign bool
-		known bool
+		code      int
+		keepsTerm bool
+		known     bool
 	}{{412, false, false}, {421, true, false}, {400, true, true}, {409, true, true}, {503, true, true}} {
 		c := newCluster(t, floor(modelPlan(12, "llm|m"), 1, "llm|m"), "a")
 		c.serve("s")
@@ -145,28 +146,29 @@
 				break
 			}
 		}
-		require.Equal(t, x.reign, k.duty.mine && k.duty.num == num, x.code)
-		if x.reign {
+		require.Equal(t, x.keepsTerm, k.duty.mine && k.duty.num == num, x.code)
+		if x.keepsTerm {
 			require.Equal(t, x.known, k.servers["s"].known, x.code)
 			require.Equal(t, Ordered, k.servers["s"].spots["llm|m"].stage, x.code)
 		}
 		c.run(60e6)
-		require.Len(t, c.ops, 1, "%d: a report comes first", x.code)
+		require.Len(t, c.ops, 1, "%d: a report must come first", x.code)
 	}
 }
 
-// A report from before an order says nothing of it, whichever way the order went.
+// A report from before an order must not change the state of the ordered replica, whatever the outcome of the
+// order.
 func TestOldReports(t *testing.T) {
 	for _, x := range []struct {
 		name  string
 		r     protocol.Report
 		stage string
 	}{
-		{"from before it", protocol.Report{Num: 4}, Ordered},
-		{"from before it, with what it held then", protocol.Report{Num: 4, Held: []protocol.Held{{Key: "llm|n"}}}, Ordered},
-		{"under way", protocol.Report{Num: 5, Busy: true}, Ordered},
-		{"done", protocol.Report{Num: 5, Held: []protocol.Held{{Key: "llm|m"}}}, Ready},
-		{"it came to nothing", protocol.Report{Num: 5}, ""},
+		{"before the order", protocol.Report{Num: 4}, Ordered},
+		{"before the order, with a key held then", protocol.Report{Num: 4, Held: []protocol.Held{{Key: "llm|n"}}}, Ordered},
+		{"in progress", protocol.Report{Num: 5, Busy: true}, Ordered},
+		{"completed", protocol.Report{Num: 5, Held: []protocol.Held{{Key: "llm|m"}}}, Ready},
+		{"failed", protocol.Report{Num: 5}, ""},
 	} {
 		c := newCluster(t, modelPlan(12, "llm|m", "llm|n"), "a")
 		k := c.lead()
@@ -174,7 +176,7 @@
 		k.putSpot(s, &spot{key: "llm|m", size: 4, stage: Ordered, num: 6})
 		k.addServer(s)
 		k.now = c.at
-		k.onSurvey(s, x.r, c.at)
+		k.onReportAnswer(s, x.r, c.at)
 		got := ""
 		if p := s.spots["llm|m"]; p != nil {
 			got = p.stage
@@ -187,28 +189,28 @@
 	}
 }
 
-// Whatever is asked for and however often it changes, no order takes a server past its room or its
-// places, no model leaves while a router may send to it, and loads from the store keep to their rate.
+// With randomly changing demand, no order exceeds the room or adapter places of a server, no model is unloaded
+// while a router may send requests to it, and loads from the store keep to their rate.
 func TestLimits(t *testing.T) {
 	for seed := range uint64(6) {
 		keys := []ident.Key{"llm|a", "llm|b", "llm|c", "llm|d", "llm|e", "llm|f", "llm|g", "llm|h", "llm|a+1", "llm|a+2", "llm|b+1", "llm|b+2", "llm|c+1", "llm|d+1"}
 		p := modelPlan(10, keys...)
 		c := newCluster(t, p, "a", "b", "c")
-		dice := c.nodes["a"].o.Rand
+		rng := c.nodes["a"].o.Rand
 		for i, id := range []string{"s1", "s2", "s3", "s4"} {
 			m := c.serve(id, keys[i])
-			m.lost = func(protocol.Order) (bool, bool) { return dice.IntN(12) > 0, dice.IntN(12) > 0 }
+			m.lost = func(protocol.Order) (bool, bool) { return rng.IntN(12) > 0, rng.IntN(12) > 0 }
 			m.lag = clock.Span(200+50*i) * 1e6
 		}
 		r := c.route("r")
 		for round := range 12 {
 			r.burden = map[ident.Key]protocol.Burden{}
 			for range 3 {
-				k := keys[dice.IntN(len(keys))]
-				n := 1 + dice.IntN(9)
+				k := keys[rng.IntN(len(keys))]
+				n := 1 + rng.IntN(9)
 				r.burden[k] = protocol.Burden{Wait: n, Came: n, Load: float64(n) / 20}
 			}
-			r.holdup = dice.IntN(4) == 0
+			r.holdup = rng.IntN(4) == 0
 			if round%5 == 4 {
 				c.parted[c.owner()] = true
 				require.True(t, c.until(6e9, func() bool { return c.owner() != "" }))
@@ -232,8 +234,8 @@
 	}
 }
 
-// A new owner finds an order of the old one under way, which its own reports do not show yet: it
-// orders nothing that would not fit beside it.
+// A new leader takes over while an order of the previous one is in progress that reports don't show yet. It
+// must not order anything that does not fit beside that order.
 func TestTakeoverWithOrderUnderWay(t *testing.T) {
 	for _, slow := range []clock.Span{1e9, 4e9, 12e9} {
 		for _, lag := range []clock.Span{100e6, 300e6, 500e6} {
@@ -251,25 +253,25 @@
 			for end := c.at.Add(3*slow + 10e9); c.at < end && !m.holds["llm|o"]; {
 				c.tick()
 				if k := c.lead(); k != nil && m.doing.Key == "llm|n" && k.servers["s"] != nil && k.servers["s"].known && k.servers["s"].busy {
-					require.True(t, k.servers["s"].alien, "it is not this reign's")
+					require.True(t, k.servers["s"].alien, "the order in progress is not from this term")
 				}
 			}
-			require.True(t, m.holds["llm|o"], "%v, %v: it comes in the end", slow, lag)
+			require.True(t, m.holds["llm|o"], "%v, %v: the key is loaded in the end", slow, lag)
 		}
 	}
 }
 
-// A base goes with its adapters, in one order, once every promise on any of them is gone.
+// A base and its adapters are unloaded by one order, after every callback on any of them is gone.
 func TestBaseGoesWithAdapters(t *testing.T) {
 	for _, x := range []struct {
 		name  string
-		key   ident.Key // that a router holds up its promise on
+		key   ident.Key // the key whose callback the router keeps
 		holds []ident.Key
 	}{
-		{"the base is promised", "llm|m", []ident.Key{"llm|m"}},
-		{"an adapter is promised", "llm|m+1", []ident.Key{"llm|m", "llm|m+1"}},
-		{"one of two is", "llm|m+2", []ident.Key{"llm|m", "llm|m+1", "llm|m+2"}},
-		{"the base is, beside its adapters", "llm|m", []ident.Key{"llm|m", "llm|m+1", "llm|m+2"}},
+		{"callback on the base", "llm|m", []ident.Key{"llm|m"}},
+		{"callback on an adapter", "llm|m+1", []ident.Key{"llm|m", "llm|m+1"}},
+		{"callback on one of two adapters", "llm|m+2", []ident.Key{"llm|m", "llm|m+1", "llm|m+2"}},
+		{"callback on a base with adapters", "llm|m", []ident.Key{"llm|m", "llm|m+1", "llm|m+2"}},
 	} {
 		c := newCluster(t, modelPlan(10, "llm|m", "llm|m+1", "llm|m+2", "llm|n"), "a")
 		m := c.serve("s", x.holds...)
@@ -285,9 +287,9 @@
 			require.Equal(t, Breaking, k.servers["s"].spots[h].stage, "%s: %s", x.name, h)
 		}
 		at := c.at
-		// That the promise is gone by then is looked at where the server takes the order.
+		// The model server of the cluster checks, when it takes the order, that no callback is left.
 		require.True(t, c.until(9e9, func() bool { return len(c.orders("unload")) > 0 }), x.name)
-		require.Greater(t, c.at.Sub(at), 1000e6+clock.Span(0), "%s: it waits for the hold to run out", x.name)
+		require.Greater(t, c.at.Sub(at), 1000e6+clock.Span(0), "%s: the unload waits until the lease expires", x.name)
 		require.False(t, r.sends(x.key, "s"), x.name)
 		c.run(3e9)
 		require.Len(t, c.orders("unload"), 1, x.name)
@@ -296,8 +298,8 @@
 	}
 }
 
-// A new owner does not know who holds promises of the old one: it unloads nothing before they have run
-// out, and a router that reached nobody meanwhile is not surprised.
+// A new leader does not know the callbacks granted by the previous one. It must not unload anything before
+// they have expired, so that an isolated router never sends to an unloaded model.
 func TestPromisesOfTheOwnerBefore(t *testing.T) {
 	for _, hold := range []clock.Span{2e9, 5e9, 9e9} {
 		c := newCluster(t, modelPlan(4, "llm|m", "llm|n"), "a", "b", "c")
@@ -322,7 +324,7 @@
 	}
 }
 
-// A load waits until what makes way for it is gone, by a report.
+// A load is sent only after a report shows that the evicted model is gone.
 func TestLoadWaitsForRoom(t *testing.T) {
 	c := newCluster(t, modelPlan(4, "llm|m", "llm|n"), "a")
 	m := c.serve("s", "llm|m")
@@ -339,7 +341,7 @@
 	require.GreaterOrEqual(t, c.ops[1].at.Sub(c.ops[0].at), clock.Span(2e9))
 }
 
-// Many models that are wanted at once come from the store no faster than it bears, and about as fast.
+// When many models are needed at once, loads from the store neither exceed its rate nor fall far below it.
 func TestStoreRate(t *testing.T) {
 	var keys []ident.Key
 	for i := range 40 {
@@ -374,7 +376,7 @@
 			most = max(most, n)
 		}
 		bound := x.rate * window.Seconds()
-		t.Logf("%+v: %d began, at most %d in %v, where %.1f are borne", x, len(c.begun), most, window, bound)
+		t.Logf("%+v: %d loads started, at most %d in %v; the store supports %.1f", x, len(c.begun), most, window, bound)
 		require.LessOrEqual(t, float64(most), bound*1.1+3, "%+v", x)
 		require.GreaterOrEqual(t, float64(len(c.begun)), min(40, x.rate*30*0.4), "%+v", x)
 	}
