--- a/internal/controller/adapters.go
+++ b/internal/controller/adapters.go
@@ -8,38 +8,39 @@
 	"tidedeck/internal/ident"
 )
 
-// Adapters are loaded on replicas of their bases: in no time, but a server has few places for them.
+// Placement of adapters. An adapter loads quickly on a replica of its base model, but a server has few places for
+// adapters.
 
 const (
-	crowded = 6000 // tokens under way at a server from which on others are better
+	crowdedTokens = 6000 // active tokens at a server above which other servers are preferred
 
-	// What a server costs as the place of an adapter, where a crowded one costs 1.
-	adapterOrderCost = 0.3 // for each order that it has to carry out first
-	adapterEvictCost = 0.3 // if another adapter must make way, beside the rate at which it is asked for
-	crowdedRelief    = 0.5 // of the crowd that a further place must spare, or it is not worth it
+	// Costs of a server as the place for an adapter, relative to crowdedTokens active tokens as 1.
+	adapterOrderCost  = 0.3 // for each order that the server has to complete first
+	adapterEvictCost  = 0.3 // for evicting another adapter, in addition to the rate of requests for that one
+	maxReliefFraction = 0.5 // highest cost of a further replica, as a fraction of the cost of the present one
 )
 
-// weighAdapters brings adapters that are asked for to replicas of their bases.
+// placeAdapters loads requested adapters on replicas of their base models.
 func (c *Core) weighAdapters(l *look) {
-	for _, key := range c.adaptersAskedFor() {
+	for _, key := range c.requestedAdapters() {
 		n, m := c.demand[key], c.plan.Models[key]
 		f := &family{model: m, live: c.replicasOf(key).count, load: n.load, rate: n.rate, waiting: n.wait, age: n.age(c.now), value: n.value, rank: c.plan.Rank(n.value)}
 		f.wanted = max(1, min(int(math.Ceil(f.load/goodLoad)), m.Most))
 		most := math.Inf(1)
 		if f.live >= f.wanted {
-			// Where its servers are crowded and another replica of its base is not, it goes there too.
-			least := c.leastSeats(key)
-			if least < crowded || f.live >= m.Most {
+			// If its servers are crowded and another replica of its base model isn't, the adapter is loaded there too.
+			least := c.leastTokens(key)
+			if least < crowdedTokens || f.live >= m.Most {
 				continue
 			}
-			most = float64(least) / crowded * crowdedRelief
+			most = float64(least) / crowdedTokens * maxReliefFraction
 		}
-		c.settleAdapter(f, l, most)
+		c.placeAdapter(f, l, most)
 	}
 }
 
-// adaptersAskedFor lists the adapters of the plan that somebody has asked for of late.
-func (c *Core) adaptersAskedFor() (l []ident.Key) {
+// requestedAdapters lists the adapters of the plan with recent requests.
+func (c *Core) requestedAdapters() (l []ident.Key) {
 	for key, n := range c.demand {
 		if c.now.Sub(n.at) > freshSpan || !key.IsAdapter() {
 			continue
@@ -52,8 +53,8 @@
 	return l
 }
 
-// leastSeats tells the tokens under way at the least crowded server that holds an adapter.
-func (c *Core) leastSeats(key ident.Key) int {
+// leastTokens returns the number of active tokens at the least crowded server that holds an adapter.
+func (c *Core) leastTokens(key ident.Key) int {
 	least := math.MaxInt
 	for _, s := range c.holding(key) {
 		c.visit(1)
@@ -64,8 +65,8 @@
 	return least
 }
 
-// settleAdapter loads an adapter at the replica of its base where that costs least, and less than most.
-func (c *Core) settleAdapter(f *family, l *look, most float64) {
+// placeAdapter loads an adapter on the replica of its base model with the lowest cost, if that is below most.
+func (c *Core) placeAdapter(f *family, l *look, most float64) {
 	var best *server
 	var out eviction
 	least := most
@@ -78,7 +79,7 @@
 		if !ok {
 			continue
 		}
-		cost := float64(c.seats[s.ID])/crowded + adapterOrderCost*float64(s.pending()) + leaves.cost
+		cost := float64(c.seats[s.ID])/crowdedTokens + adapterOrderCost*float64(s.pending()) + leaves.cost
 		if cost < least {
 			best, out, least = s, leaves, cost
 		}
@@ -86,24 +87,24 @@
 	if best == nil {
 		return
 	}
-	l.evictAll(best, out.spots) // their room and places are free before long
+	l.evictAll(best, out.spots) // their room and places become free soon
 	c.startLoad(best, f.model)
 	l.outdate(best)
 }
 
-// roomForAdapter finds what must leave a server before it can load an adapter: another adapter, or, where
-// room alone is short and the adapter is nowhere else, replicas of bases.
+// roomForAdapter finds what to evict from a server before it can load an adapter: another adapter or, if only room is
+// short and the adapter has no replica elsewhere, replicas of base models.
 func (c *Core) roomForAdapter(s *server, f *family, l families) (eviction, bool) {
 	noPlace := s.places > 0 && s.adapters() >= s.places
 	missing := f.model.Size - s.free()
 	if !noPlace && missing <= 0 {
 		return eviction{}, true
 	}
-	if p, rate := c.leastAskedAdapter(s); p != nil {
+	if p, rate := c.leastRequestedAdapter(s); p != nil {
 		return eviction{[]*spot{p}, adapterEvictCost + rate}, true
 	}
 	if noPlace || f.live > 0 || s.pending() > 0 {
-		return eviction{}, false // what is under way there comes first
+		return eviction{}, false // orders in progress at the server come first
 	}
 	out, ok := c.makeWay(s, f, l, missing)
 	ok = ok && out.cost <= f.gain()
@@ -111,9 +112,9 @@
 	return out, ok
 }
 
-// leastAskedAdapter finds the adapter that a server can do without best, and the rate at which it is asked
-// for: one that is ready for a while, and for which nobody waits.
-func (c *Core) leastAskedAdapter(s *server) (least *spot, rate float64) {
+// leastRequestedAdapter finds the adapter of a server with the lowest request rate, and that rate. It considers adapters
+// that have been ready for a while and for which no request waits.
+func (c *Core) leastRequestedAdapter(s *server) (least *spot, rate float64) {
 	rate = math.Inf(1)
 	for _, key := range generic.SortedKeys(s.spots) {
 		p := s.spots[key]
--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -20,18 +20,18 @@
 	Token  uint64
 	Op     string
 	Raw    []byte      // a plan, a merge patch, or a calendar
-	Expect ident.Epoch // the epoch that the change goes on
-	Any    bool        // no epoch is expected
-	Number ident.Epoch // that the operator gives the change; zero counts on
-	Change string      // id of the change; a repeat of it is answered, not redone
+	Expect ident.Epoch // the epoch that the change is based on
+	Any    bool        // the change applies to any epoch
+	Number ident.Epoch // epoch that the operator assigns to the change; 0 for the next one
+	Change string      // id of the change; a repeat is answered but not applied again
 	Zone   ident.Zone
 	Old    ident.Node
 	New    ident.Node
 
-	reply func(Receipt) // where the receipt goes, if another node handed the request over
+	reply func(Receipt) // receives the receipt if another node forwarded the request
 }
 
-// Receipt answers an Admin.
+// Receipt is the answer to an Admin.
 type Receipt struct {
 	Token  uint64            `json:"-"`
 	Kind   failure.Kind      `json:"kind,omitempty"`
@@ -44,16 +44,17 @@
 	View   map[string]any    `json:"view,omitempty"`
 }
 
-// Which operator's request goes where.
-var admins = map[string]func(*Core, Admin){
+// adminHandlers maps operations to their handlers.
+var adminHandlers = map[string]func(*Core, Admin){
 	"put": (*Core).putPlan, "patch": (*Core).patchPlan, "get": (*Core).getPlan,
 	"empty": (*Core).emptyZone, "refill": (*Core).refillZone, "windows": (*Core).putWindows,
 	"replace": (*Core).replaceVoter, "form": (*Core).forceForm,
 	"nodes": (*Core).viewNodes, "servers": (*Core).viewServers, "holds": (*Core).viewHolds, "status": (*Core).viewStatus,
 }
 
+// admin dispatches an operator's request.
 func (c *Core) admin(a Admin) {
-	if f := admins[a.Op]; f != nil {
+	if f := adminHandlers[a.Op]; f != nil {
 		f(c, a)
 		return
 	}
@@ -62,7 +63,7 @@
 
 func (c *Core) receipt(a Receipt) { c.out = append(c.out, a) }
 
-// answer gives a request its receipt, here or at the node that handed it over.
+// answer sends the receipt of a request, to the operator or to the node that forwarded it.
 func (c *Core) answer(a Admin, r Receipt) {
 	if a.reply != nil {
 		a.reply(r)
@@ -72,25 +73,25 @@
 	c.receipt(r)
 }
 
-// maxChanges bounds how many taken changes are remembered by their ids: at 12 changes a second a repeat is
-// known for 40 s, and they add some 12 KB to what a voter writes.
+// maxChanges bounds the history of committed change ids. At 12 changes per second, a repeat is recognized for 40 s. The
+// history adds about 12 KB to each write of a voter.
 const maxChanges = 512
 
-// forgotten tells whether a change goes on a version from before the oldest change that is remembered: it
-// may have been taken long ago, so that its repeat must not be told as refused.
-func forgotten(d protocol.Desired, a Admin) bool {
+// predatesHistory reports whether a change is based on a version older than the oldest change in the history. Such a
+// change may already have been committed, so its repeat must not be reported as refused.
+func predatesHistory(d protocol.Desired, a Admin) bool {
 	return a.Change != "" && len(d.Done) == maxChanges && a.Expect < d.Done[0].Epoch
 }
 
-// hasTaken tells whether the newest value known to be chosen has a change.
+// hasTaken reports whether the newest value known to be chosen includes a change.
 func (c *Core) hasTaken(change string) bool {
 	k := c.reg.known
 	return change != "" && k != nil && slices.ContainsFunc(k.Done, func(x protocol.Change) bool { return x.ID == change })
 }
 
 func (c *Core) putPlan(a Admin) {
-	if _, f := c.o.Read(a.Raw); f != nil {
-		c.answer(a, Receipt{Kind: failure.Faulty, Faults: f})
+	if _, faults := c.o.Read(a.Raw); faults != nil {
+		c.answer(a, Receipt{Kind: failure.Faulty, Faults: faults})
 		return
 	}
 	c.change(a, func(d *protocol.Desired) (failure.Kind, fleetplan.Faults) {
@@ -106,27 +107,27 @@
 	}
 	c.change(a, func(d *protocol.Desired) (failure.Kind, fleetplan.Faults) {
 		if len(d.Plan) == 0 {
-			return failure.Unknown, fleetplan.Faults{{Path: "$", Why: "there is no plan to change yet"}}
+			return failure.Unknown, fleetplan.Faults{{Path: "$", Why: "there is no plan to patch yet"}}
 		}
-		n, f := c.o.Merge(d.Plan, a.Raw)
+		merged, f := c.o.Merge(d.Plan, a.Raw)
 		if f != nil {
 			return failure.Malformed, f
 		}
-		if _, f := c.o.Read(n); f != nil {
+		if _, f := c.o.Read(merged); f != nil {
 			return failure.Faulty, f
 		}
-		d.Plan = n
+		d.Plan = merged
 		return failure.None, nil
 	})
 }
 
-// mergePatch is RFC 7396's.
+// mergePatch applies a JSON merge patch (RFC 7396).
 func mergePatch(plan, patch []byte) ([]byte, fleetplan.Faults) {
-	n, err := jsonpatch.MergePatch(plan, patch)
+	merged, err := jsonpatch.MergePatch(plan, patch)
 	if err != nil {
 		return nil, fleetplan.Faults{{Path: "$", Why: err.Error()}}
 	}
-	return n, nil
+	return merged, nil
 }
 
 func (c *Core) getPlan(a Admin) {
@@ -134,38 +135,38 @@
 		c.receipt(Receipt{Token: a.Token, Kind: failure.NotReady, Why: "this node knows no core yet"})
 		return
 	}
-	// A majority read that begins now will tell whether what is known is the newest.
+	// A majority read that begins now shows whether the known value is the newest.
 	c.reg.reads = append(c.reg.reads, reader{a.Token, c.now})
 	c.reg.next = c.now
 	c.beatQuery()
 }
 
-// reader is an operator who waits for a majority read.
+// pendingRead is an operator's read that waits for a majority read.
 type reader struct {
 	token uint64
 	at    clock.Tick
 }
 
-// serveReads answers those who came before a majority read that showed nothing newer.
+// serveReads answers the reads that arrived before the start of a majority read that showed nothing newer.
 func (c *Core) serveReads(at clock.Tick) {
-	l := c.reg.reads
+	reads := c.reg.reads
 	c.reg.reads = nil
-	for _, r := range l {
+	for _, r := range reads {
 		if r.at > at {
 			c.reg.reads = append(c.reg.reads, r)
 			continue
 		}
-		v := c.reg.known
-		c.checkRead(v.Epoch)
-		c.receipt(Receipt{Token: r.token, Epoch: v.Epoch, Empty: v.Empty, Plan: v.Plan})
+		value := c.reg.known
+		c.checkRead(value.Epoch)
+		c.receipt(Receipt{Token: r.token, Epoch: value.Epoch, Empty: value.Empty, Plan: value.Plan})
 	}
 }
 
-// dropReads gives up, after a while, on reads that found no majority.
+// expireReads fails reads that have waited for a majority for too long.
 func (c *Core) dropReads() {
-	l := c.reg.reads
+	reads := c.reg.reads
 	c.reg.reads = nil
-	for _, r := range l {
+	for _, r := range reads {
 		if c.now.Sub(r.at) > 4e9 {
 			c.receipt(Receipt{Token: r.token, Kind: failure.NotReady, Why: "no majority of the core answers"})
 			continue
@@ -189,33 +190,33 @@
 
 func (c *Core) refillZone(a Admin) {
 	c.change(a, func(d *protocol.Desired) (failure.Kind, fleetplan.Faults) {
-		var l []ident.Zone
+		var remaining []ident.Zone
 		for _, z := range d.Empty {
 			if z != a.Zone {
-				l = append(l, z)
+				remaining = append(remaining, z)
 			}
 		}
-		d.Empty = l
+		d.Empty = remaining
 		return failure.None, nil
 	})
 }
 
-// replaceVoter is an operator's own replacement of a core node.
+// replaceVoter handles an operator's request to replace a voter.
 func (c *Core) replaceVoter(a Admin) {
-	s, ok := c.reg.lives[a.New]
-	k := c.reg.known
-	if k == nil || !ok || len(k.Prior) > 0 {
-		c.receipt(Receipt{Token: a.Token, Kind: failure.NotReady, Why: "the new node is not seen, or a change is under way"})
+	candidate, ok := c.reg.lives[a.New]
+	value := c.reg.known
+	if value == nil || !ok || len(value.Prior) > 0 {
+		c.receipt(Receipt{Token: a.Token, Kind: failure.NotReady, Why: "the new node is not known, or a change of the voters is in progress"})
 		return
 	}
-	for i, v := range k.Voters {
-		if v.ID == a.Old && !voterset.Seats(k.Voters, a.New) {
-			c.reshape(*k, voterset.Replace(k.Voters, i, protocol.Voter{Sibling: s.sib, Zone: v.Zone, Inc: s.state.Inc}))
+	for i, v := range value.Voters {
+		if v.ID == a.Old && !voterset.Seats(value.Voters, a.New) {
+			c.reshape(*value, voterset.Replace(value.Voters, i, protocol.Voter{Sibling: candidate.sib, Zone: v.Zone, Inc: candidate.state.Inc}))
 			c.receipt(Receipt{Token: a.Token})
 			return
 		}
 	}
-	c.receipt(Receipt{Token: a.Token, Kind: failure.Unknown, Why: "the old node is no voter, or the new one is one already"})
+	c.receipt(Receipt{Token: a.Token, Kind: failure.Unknown, Why: "the old node is not a voter, or the new one already is"})
 }
 
 func (c *Core) forceForm(a Admin) {
@@ -228,69 +229,69 @@
 }
 
 func (c *Core) viewNodes(a Admin) {
-	v := map[string]any{"members": c.mates.All()}
-	if k := c.latest(); k != nil {
-		v["voters"], v["prior"], v["gen"] = k.Voters, k.Prior, k.Gen
+	view := map[string]any{"members": c.mates.All()}
+	if value := c.latest(); value != nil {
+		view["voters"], view["prior"], view["gen"] = value.Voters, value.Prior, value.Gen
 	}
 	if c.duty.who.ID != "" {
-		v["owner"] = c.duty.who
+		view["owner"] = c.duty.who
 	}
-	c.receipt(Receipt{Token: a.Token, View: v})
+	c.receipt(Receipt{Token: a.Token, View: view})
 }
 
-// owned answers for what only the duty's owner knows; others name it.
-func (c *Core) owned(a Admin, view func() map[string]any) {
+// answerAsOwner answers a request for data that only the duty's owner has. Other nodes name the owner instead.
+func (c *Core) answerAsOwner(a Admin, view func() map[string]any) {
 	if !c.rules() {
-		r := Receipt{Token: a.Token, Kind: failure.NotReady, Why: "this node does not own the duty"}
-		if o := c.duty.who; o.ID != "" && o.ID != c.o.Me.ID {
-			r.Owner = &o
+		receipt := Receipt{Token: a.Token, Kind: failure.NotReady, Why: "this node does not own the duty"}
+		if owner := c.duty.who; owner.ID != "" && owner.ID != c.o.Me.ID {
+			receipt.Owner = &owner
 		}
-		c.receipt(r)
+		c.receipt(receipt)
 		return
 	}
 	c.receipt(Receipt{Token: a.Token, View: view()})
 }
 
 func (c *Core) viewServers(a Admin) {
-	if c.rules() && !c.rolled() {
-		c.receipt(Receipt{Token: a.Token, Kind: failure.NotReady, Why: "the owner has not heard yet what a majority of the core knows of servers"})
+	if c.rules() && !c.registryComplete() {
+		c.receipt(Receipt{Token: a.Token, Kind: failure.NotReady, Why: "the owner has not yet received the server registries of a majority of the core"})
 		return
 	}
-	c.owned(a, func() map[string]any {
-		var l []map[string]any
+	c.answerAsOwner(a, func() map[string]any {
+		var servers []map[string]any
 		for _, id := range generic.SortedKeys(c.servers) {
 			s := c.servers[id]
-			var p []map[string]any
+			var spots []map[string]any
 			for _, k := range generic.SortedKeys(s.spots) {
-				x := s.spots[k]
-				p = append(p, map[string]any{"key": k, "stage": x.stage, "size": x.size, "active": x.work})
+				spot := s.spots[k]
+				spots = append(spots, map[string]any{"key": k, "stage": spot.stage, "size": spot.size, "active": spot.work})
 			}
-			l = append(l, map[string]any{"id": id, "zone": s.Zone, "state": s.State, "dark": s.dark, "known": s.known,
-				"odd": s.odd, "room": s.room, "used": s.used(), "slots": s.slots, "holds": p, "offered": c.open(s)})
+			servers = append(servers, map[string]any{"id": id, "zone": s.Zone, "state": s.State, "dark": s.dark, "known": s.known,
+				"odd": s.odd, "room": s.room, "used": s.used(), "slots": s.slots, "holds": spots, "offered": c.open(s)})
 		}
-		return map[string]any{"servers": l, "duty": c.duty.num, "lacks": c.lacks(), "moves": len(c.shifts)}
+		return map[string]any{"servers": servers, "duty": c.duty.num, "lacks": c.lacks(), "moves": len(c.shifts)}
 	})
 }
 
 func (c *Core) viewHolds(a Admin) {
-	c.owned(a, func() map[string]any {
-		var l []map[string]any
-		for _, x := range c.sorted() {
-			l = append(l, map[string]any{"router": x.ses.Node, "session": x.ses, "callbacks": len(x.holds), "unacknowledged": len(x.items),
-				"left_ms": x.until.Sub(c.now).Milliseconds()})
+	c.answerAsOwner(a, func() map[string]any {
+		var links []map[string]any
+		for _, link := range c.sorted() {
+			links = append(links, map[string]any{"router": link.ses.Node, "session": link.ses, "callbacks": len(link.holds), "unacknowledged": len(link.items),
+				"left_ms": link.until.Sub(c.now).Milliseconds()})
 		}
-		return map[string]any{"links": l, "duty": c.duty.num}
+		return map[string]any{"links": links, "duty": c.duty.num}
 	})
 }
 
 func (c *Core) viewStatus(a Admin) {
-	v := map[string]any{"node": c.o.Me, "zone": c.o.Zone, "ready": c.Ready(), "epoch": c.Epoch(), "duty": c.duty.num, "owns": c.rules(),
+	view := map[string]any{"node": c.o.Me, "zone": c.o.Zone, "ready": c.Ready(), "epoch": c.Epoch(), "duty": c.duty.num, "owns": c.rules(),
 		"owner": c.duty.who, "tally": c.tally, "blank": c.vote.safeV == nil, "disk": c.vote.inc}
-	if k := c.reg.known; k != nil {
-		v["gen"], v["empty"] = k.Gen, k.Empty
+	if value := c.reg.known; value != nil {
+		view["gen"], view["empty"] = value.Gen, value.Empty
 	}
-	if m, lacks := c.lacksVoters(); lacks {
-		v["waits_for"] = m.String()
+	if missing, lacks := c.missingMajority(); lacks {
+		view["waits_for"] = missing.String()
 	}
-	c.receipt(Receipt{Token: a.Token, View: v})
+	c.receipt(Receipt{Token: a.Token, View: view})
 }
--- a/internal/controller/confirm.go
+++ b/internal/controller/confirm.go
@@ -7,28 +7,29 @@
 	"tidedeck/internal/protocol"
 )
 
-// A server's reports are old when they come. Whether an order is done is known sooner by sending it once more, on the
-// count that it led to: the server says that it holds so already, or that an order is under way. It is not taken twice
-// unless it came to nothing; then the count differs from there on, and the next report tells.
+// A server's report is already outdated when it arrives. To learn sooner whether an order is complete, the owner sends
+// the order again with the count that the order led to. The server answers that it already holds that state, or that an
+// order is in progress. It executes the repeat only if the first order had no effect; the count differs from then on,
+// and the next report shows that.
 
 const (
-	unloadSpan   = clock.Span(20e6) // an unload without runs to wait for, or an adapter, takes about so long
-	confirmLag   = clock.Span(5e6)  // by which an order's end is asked for later than it is expected
-	confirmFirst = clock.Span(25e6) // from one asking to the next one, which waits twice as long
-	confirmMost  = clock.Span(200e6)
-	confirmTries = 10 // before a report is asked for
+	unloadEstimate       = clock.Span(20e6) // duration of loading an adapter, or of an unload without active requests
+	confirmDelay         = clock.Span(5e6)  // added to the expected end of an order before the first confirmation request
+	firstConfirmInterval = clock.Span(25e6) // between the first two confirmation requests; doubles after each request
+	maxConfirmInterval   = clock.Span(200e6)
+	maxConfirms          = 10 // confirmation requests before the owner polls for a report instead
 
-	diskPartBegin = 0.25 // of the time from the store, before any load from a server's own disk was seen
-	diskPartEase  = 0.9  // by which the part shrinks when such a load had ended before it was asked for
-	diskPartBlend = 0.5  // of what was seen last, in the part
+	diskPartBegin  = 0.25 // load time from a server's own disk as a fraction of that from the store, before any was measured
+	diskLoadDecay  = 0.9  // factor on the fraction if a load had already ended by the first confirmation request
+	diskLoadWeight = 0.5  // weight of the latest measurement in the moving average
 )
 
-// mayConfirm tells whether a server carries out an order that it can be asked about.
+// canConfirm reports whether a server executes an order that the owner may send again to confirm it.
 func (s *server) mayConfirm() bool {
-	return s.doing != nil && s.unsure == nil && s.known && s.confirms < confirmTries && verbs[s.doing.stage] != ""
+	return s.doing != nil && s.unsure == nil && s.known && s.confirms < maxConfirms && verbs[s.doing.stage] != ""
 }
 
-// confirm asks whether the order under way at a server is done.
+// confirm asks a server whether the order in progress is complete.
 func (c *Core) confirm(s *server) {
 	p := s.doing
 	order := c.orderFor(s, p)
@@ -44,30 +45,30 @@
 	})
 }
 
-// onConfirmed takes in what a server says of an order that it has taken.
+// onConfirmed handles a server's answer to a confirmation request.
 func (c *Core) onConfirmed(s *server, p *spot, t protocol.Told) {
 	s.asking = false
 	if s.doing != p {
-		return // a report was sooner
+		return // a report arrived first
 	}
 	switch {
 	case t.OK && c.elsewhere(s, t):
 		s.doing = nil
 	case t.OK && t.Code == holdsAlready:
 		c.orderDone(s, p)
-	case t.OK && (t.Code == underWay || t.Code == taken): // a server may also answer that it is being done
-		s.next = c.now.Add(min(confirmMost, confirmFirst<<(s.confirms-1)))
+	case t.OK && (t.Code == underWay || t.Code == taken): // a server may answer either code for an order in progress
+		s.next = c.now.Add(min(maxConfirmInterval, firstConfirmInterval<<(s.confirms-1)))
 	case t.OK && t.Code == higherDuty:
 		c.tally.OrdersRefused++
-		c.lose("a server obeys a higher duty")
-	default: // its report will tell
+		c.lose("a server follows an owner with a higher duty number")
+	default: // the next report shows the outcome
 		s.doing, s.next = nil, c.now
 	}
 }
 
-// orderDone takes in that a server has carried an order out. Reports from before are older than that.
+// completeOrder records that a server has completed an order. Reports requested before this point are older than that.
 func (c *Core) orderDone(s *server, p *spot) {
-	c.learnSpan(s, p)
+	c.learnDiskLoad(s, p)
 	s.doing, s.busy, s.alien = nil, false, false
 	s.confirmed, s.fails, s.next = c.now, 0, c.now.Add(pollIdle)
 	c.spoke(s)
@@ -83,19 +84,20 @@
 			}
 		}
 	}
-	c.steer(s) // what waited for it is sent at once
+	c.steer(s) // sends orders that waited for this one
 }
 
-// expected is how long an order will take until it is first asked about.
+// expectedDuration returns the delay from sending an order to the first confirmation request.
 func (c *Core) expected(s *server, p *spot) clock.Span {
-	n := unloadSpan
+	span := unloadEstimate
 	if p.stage == Ordered && !p.key.IsAdapter() {
-		n = c.loadSpan(s, c.plan.Models[p.key])
+		span = c.loadSpan(s, c.plan.Models[p.key])
 	}
-	return n + confirmLag
+	return span + confirmDelay
 }
 
-// loadSpan is how long a server takes to load a base: from its own disk a part of the time, which is learned.
+// loadDuration returns how long a server takes to load a base model. A load from the server's own disk takes a learned
+// fraction of the time from the store.
 func (c *Core) loadSpan(s *server, m fleetplan.Model) clock.Span {
 	if c.has(s, m.Key) {
 		return clock.Span(float64(m.Load) * c.diskPart)
@@ -103,16 +105,16 @@
 	return m.Load
 }
 
-// learnSpan learns from a load that has ended how long loads from servers' own disks take.
-func (c *Core) learnSpan(s *server, p *spot) {
+// learnDiskLoad updates the estimate of load times from servers' own disks after a load has ended.
+func (c *Core) learnDiskLoad(s *server, p *spot) {
 	full := c.plan.Models[p.key].Load
 	if p.stage != Ordered || p.key.IsAdapter() || p.cold || full <= 0 || s.doing != p {
 		return
 	}
 	if s.confirms <= 1 {
-		c.diskPart *= diskPartEase // it may have ended sooner
+		c.diskPart *= diskLoadDecay // the load had ended by the first request, so the measured time is only an upper bound
 		return
 	}
 	seen := c.now.Sub(p.ordered).Seconds() / full.Seconds()
-	c.diskPart += (seen - c.diskPart) * diskPartBlend
+	c.diskPart += (seen - c.diskPart) * diskLoadWeight
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -18,11 +18,13 @@
 	"tidedeck/internal/voterset"
 )
 
+// voter returns a voter whose address is its id.
 func voter(id string, inc ident.Inc) protocol.Voter {
 	return protocol.Voter{Sibling: protocol.Sibling{ID: ident.Node(id), Addr: id}, Inc: inc}
 }
 
-func yes(l ...protocol.Voter) map[ident.Node]ident.Inc {
+// incarnations maps voters to the incarnations of their disks.
+func incarnations(l ...protocol.Voter) map[ident.Node]ident.Inc {
 	m := map[ident.Node]ident.Inc{}
 	for _, v := range l {
 		m[v.ID] = v.Inc
@@ -30,8 +32,8 @@
 	return m
 }
 
-// A majority counts only voters in the life that the set names, and while one set follows
-// another, a majority of each is needed.
+// A majority counts only voters with the incarnation that the set names. While two sets are in force, it needs a
+// majority of each.
 func TestQuorum(t *testing.T) {
 	a, b, c, d := voter("a", 1), voter("b", 1), voter("c", 1), voter("d", 1)
 	reborn := voter("b", 2)
@@ -43,21 +45,21 @@
 		yes  map[ident.Node]ident.Inc
 		is   bool
 	}{
-		{"two of three", one, yes(a, b), true},
-		{"one of three", one, yes(a), false},
-		{"an emptied disk does not count", one, yes(a, reborn), false},
-		{"a stranger does not count", one, yes(a, d), false},
-		{"both sets", two, yes(a, b), true},
-		{"only the new set", two, yes(a, d), false},
-		{"only the old set", two, yes(a, c), false},
-		{"each by another pair", two, yes(a, c, d), true},
-		{"no set at all", protocol.Desired{}, yes(a, b, c), false},
+		{"two of three", one, incarnations(a, b), true},
+		{"one of three", one, incarnations(a), false},
+		{"a voter with an emptied disk does not count", one, incarnations(a, reborn), false},
+		{"a node outside the set does not count", one, incarnations(a, d), false},
+		{"both sets", two, incarnations(a, b), true},
+		{"only the new set", two, incarnations(a, d), false},
+		{"only the old set", two, incarnations(a, c), false},
+		{"each by another pair", two, incarnations(a, c, d), true},
+		{"no set at all", protocol.Desired{}, incarnations(a, b, c), false},
 	} {
 		require.Equal(t, x.is, voterset.Majority(x.set, x.yes), x.name)
 	}
 }
 
-// The life of a spot.
+// The state machine of a spot.
 func TestSpots(t *testing.T) {
 	for _, c := range []struct{ was, sees, now string }{
 		{Ordered, SeeReady, Ready}, {Ordered, SeeNone, Gone}, {Ordered, SeeLoading, Ordered}, {Ordered, Evict, Ordered}, {Ordered, Idle, Ordered},
@@ -72,11 +74,11 @@
 		require.Equal(t, c.now, p.stage, "%+v", c)
 		n, err := spots.PermittedTriggersCtx(context.WithValue(context.Background(), tag{}, p))
 		require.NoError(t, err)
-		require.NotContains(t, n, "unload", "nothing unloads but by its stage")
+		require.NotContains(t, n, "unload", "no trigger unloads directly; only the stage does")
 	}
 }
 
-// node is a core node on its own, that was the only voter from the start and owns the duty.
+// node is a single core node that is the only voter and owns the duty.
 type node struct {
 	*Core
 	t     *testing.T
@@ -90,6 +92,7 @@
 const onePlan = `{"name":"p","store":{"loads":1},"models":{"m":{"size":4,"floor":1},"n":{"size":4}},"kinds":{"k":{"value":3}},
 "services":{"s":{"models":["m","n"]}},"routes":{"/r":{"service":"s","kinds":["k"]}}}`
 
+// newOwner returns a node that owns the duty.
 func owner(t *testing.T, plan string) *node {
 	me := protocol.Sibling{ID: "a", Addr: "a"}
 	v := protocol.Desired{Gen: 1, Epoch: 1, Plan: []byte(plan), Shape: 1, Voters: []protocol.Voter{voter("a", 5)}}
@@ -103,8 +106,8 @@
 
 func (n *node) step(in any) { n.act(n.Step(n.at, in)) }
 
-// drop begins to take m off the server, as making room for another key does.
-func (n *node) drop() {
+// evictModel starts the eviction of m from the server.
+func (n *node) evictModel() {
 	n.Core.now, n.Core.out = n.at, nil
 	n.evict(n.servers["s"], n.servers["s"].spots["m"])
 	n.flush()
@@ -144,8 +147,8 @@
 	}
 }
 
-// tell answers what was last asked at an address.
-func (n *node) tell(addr string, body any) {
+// answer answers the last request to an address.
+func (n *node) answer(addr string, body any) {
 	a, ok := n.asked[addr]
 	require.True(n.t, ok, addr)
 	delete(n.asked, addr)
@@ -156,20 +159,22 @@
 
 func (n *node) order(addr string) protocol.Order { return n.asked[addr].Body.(protocol.Order) }
 
+// report answers the last request to a server with a report of what it holds.
 func (n *node) report(addr string, h ...protocol.Held) {
 	o := n.order(addr)
-	n.tell(addr, protocol.Report{Server: ident.Server(addr), Inc: 3, Duty: o.Duty, Num: o.Num, Room: 10, Slots: 4, Held: h})
+	n.answer(addr, protocol.Report{Server: ident.Server(addr), Inc: 3, Duty: o.Duty, Num: o.Num, Room: 10, Slots: 4, Held: h})
 }
 
 func has(k ident.Key, stage string) protocol.Held {
 	return protocol.Held{Key: k, Size: 4, Stage: stage}
 }
 
-// ready is an owner with one server, on which m is ready, and one router that holds m.
+// newReadyOwner returns an owner with one server, on which m is ready, and the session of a router that holds an entry
+// of m.
 func ready(t *testing.T) (*node, protocol.Session) {
 	n := owner(t, onePlan)
 	n.run(1e9, func() bool { _, ok := n.asked["platform"]; return ok })
-	n.tell("platform", []protocol.Listed{{ID: "s", Addr: "s", Zone: "z", State: "live"}})
+	n.answer("platform", []protocol.Listed{{ID: "s", Addr: "s", Zone: "z", State: "live"}})
 	n.run(1e9, func() bool { _, ok := n.asked["s"]; return ok })
 	n.report("s", has("m", "ready"))
 	s := protocol.Session{Node: "r", Agent: 1, Router: 1, N: 1}
@@ -215,7 +220,7 @@
 	return c
 }
 
-// pass lets time go by, the server answering every question with what it has.
+// advance advances time while the server answers every request with a report of what it holds.
 func (n *node) pass(s clock.Span, h ...protocol.Held) {
 	for end := n.at.Add(s); n.at < end; n.at = n.at.Add(20e6) {
 		n.step(protocol.Beat{})
@@ -226,29 +231,29 @@
 	}
 }
 
-// No unload is ordered before every holder has acknowledged the break, or its hold ran out.
+// No unload is ordered before every holder has acknowledged the break or its lease has expired.
 func TestAckOrLapse(t *testing.T) {
 	for _, ack := range []bool{true, false} {
 		t.Run(fmt.Sprint("acknowledged ", ack), func(t *testing.T) {
 			n, s := ready(t)
-			n.pass(3e9, has("m", "ready")) // the owner before has lapsed for sure
+			n.pass(3e9, has("m", "ready")) // leases of a previous owner have certainly expired
 			n.mail(protocol.Renew{Session: s, Seq: 2, Gen: 1, Epoch: 1, Heard: 1})
-			if n.links[s] == nil { // its first hold has run out meanwhile: it begins anew
+			if n.links[s] == nil { // the first lease has expired meanwhile: start a new session
 				s.N = 2
 				n.mail(protocol.Renew{Session: s, Seq: 1, Fresh: true, Gen: 1, Epoch: 1})
 				n.mail(protocol.Want{Session: s, Key: "m"})
 				n.mail(protocol.Heard{Session: s, Num: 1})
 				n.sent = nil
 			}
-			n.drop()
+			n.evictModel()
 			l := n.items(s)
 			require.NotEmpty(t, l)
 			require.Equal(t, ident.Key("m"), l[len(l)-1].Break)
 			n.pass(500e6, has("m", "ready"))
-			require.Zero(t, n.unloads(), "neither acknowledged nor lapsed")
+			require.Zero(t, n.unloads(), "neither acknowledged nor expired")
 			was := n.links[s].until
 			n.mail(protocol.Renew{Session: s, Seq: 3, Gen: 1, Epoch: 1, Heard: 1})
-			require.Equal(t, was, n.links[s].until, "no hold outlives what was granted before the promise was broken")
+			require.Equal(t, was, n.links[s].until, "no lease is extended after the promise was broken")
 			if ack {
 				n.mail(protocol.Heard{Session: s, Num: l[len(l)-1].Num})
 				n.pass(400e6, has("m", "ready"))
@@ -262,28 +267,28 @@
 	}
 }
 
-// An unload waits for work under way, as seen by a report that was asked for after the break.
+// An unload waits for active requests, according to a report that was requested after the break.
 func TestDrainBeforeUnload(t *testing.T) {
 	n, s := ready(t)
 	n.pass(3e9, has("m", "ready"))
 	_ = s
 	busy := has("m", "ready")
 	busy.Active = 2
-	n.drop()
+	n.evictModel()
 	n.pass(5e9, busy)
 	require.Zero(t, n.unloads())
 	n.pass(1e9, has("m", "ready"))
 	require.Positive(t, n.unloads())
 }
 
-// A removal that was overtaken by a newer delivery removes nothing: the router holds that one.
+// A removal that was overtaken by a newer delivery has no effect, since the router holds the newer copy.
 func TestLateRemoval(t *testing.T) {
 	for _, c := range []struct {
 		num  uint64
 		held bool
 	}{{1, true}, {2, false}} {
 		n, s := ready(t)
-		n.mail(protocol.Want{Session: s, Key: "m"}) // the router has let the first copy go
+		n.mail(protocol.Want{Session: s, Key: "m"}) // the router has dropped the first copy
 		n.mail(protocol.Heard{Session: s, Num: 2})
 		n.mail(protocol.Removal{Session: s, Drops: []protocol.Drop{{Key: "m", Num: c.num}}})
 		_, ok := n.links[s].holds["m"]
@@ -291,23 +296,24 @@
 	}
 }
 
-// What is ordered follows from the stages of the spots alone. Found by the simulator
-// (moves-cut, seed 9): an unload sat in a queue past its reason and was sent a second time.
+// Orders are derived from the stages of the spots alone. The simulator (moves-cut, seed 9) found an unload that stayed
+// in a queue after its reason was gone and was sent a second time.
 func TestNoOrderOutlivesItsReason(t *testing.T) {
 	n, _ := ready(t)
 	n.pass(3e9, has("m", "ready"))
-	n.drop()
+	n.evictModel()
 	n.run(3e9, func() bool { return n.servers["s"].spots["m"].stage == Unloading || len(n.asked) > 0 && n.answered() })
-	n.pass(3e9, has("m", "ready")) // each unload is refused: it goes on draining and is told again
+	n.pass(3e9, has("m", "ready")) // each unload is refused: the spot drains again and the order is repeated
 	before := n.unloads()
 	require.Positive(t, before)
-	n.pass(300e6)                      // gone at last
-	n.pass(400e6, has("m", "loading")) // its floor brings it back
+	n.pass(300e6)                      // the unload succeeds
+	n.pass(400e6, has("m", "loading")) // the model is loaded again because of its floor
 	n.pass(3e9, has("m", "ready"))     //
-	require.LessOrEqual(t, n.unloads(), before+1, "nothing unloads what came back")
+	require.LessOrEqual(t, n.unloads(), before+1, "the reloaded model is not unloaded")
 	require.Equal(t, Ready, n.servers["s"].spots["m"].stage)
 }
 
+// answered has the server report m as ready if a request is pending. It always returns false.
 func (n *node) answered() bool {
 	if _, ok := n.asked["s"]; ok {
 		n.report("s", has("m", "ready"))
@@ -315,7 +321,7 @@
 	return false
 }
 
-// Callback state is bounded: the oldest callbacks are broken to make room.
+// The number of callbacks is bounded: the oldest callbacks are broken to make room.
 func TestShedding(t *testing.T) {
 	n, s := ready(t)
 	n.o.Most = 3
@@ -332,7 +338,7 @@
 	require.Equal(t, 3, broken)
 }
 
-// A session that was let go is told so, and does not come back to life.
+// An expired session gets an answer that says so, and is not revived.
 func TestGoneSession(t *testing.T) {
 	n, s := ready(t)
 	n.pass(3e9, has("m", "ready"))
@@ -349,24 +355,24 @@
 	require.Equal(t, 2, gone)
 }
 
-// Loads keep within the store's budget and the server's room, with what is ordered counted.
+// Loads stay within the store's budget and the server's room, including ordered loads.
 func TestLoadsKeepWithin(t *testing.T) {
 	n := owner(t, strings.Replace(onePlan, `"n":{"size":4}`, `"n":{"size":4,"floor":1},"o":{"size":4,"floor":1}`, 1))
 	n.run(1e9, func() bool { _, ok := n.asked["platform"]; return ok })
-	n.tell("platform", []protocol.Listed{{ID: "s", Addr: "s", Zone: "z", State: "live"}})
+	n.answer("platform", []protocol.Listed{{ID: "s", Addr: "s", Zone: "z", State: "live"}})
 	n.run(1e9, func() bool { _, ok := n.asked["s"]; return ok })
 	n.report("s")
 	n.run(1e9, func() bool { return len(n.ops) == 1 })
 	n.pass(2e9, has("m", "loading"))
-	require.Len(t, n.ops, 1, "one load at a time is the budget")
+	require.Len(t, n.ops, 1, "the budget allows one load at a time")
 	n.run(1e9, func() bool { _, ok := n.asked["s"]; return ok })
 	n.report("s", has("m", "ready"))
 	n.run(1e9, func() bool { return len(n.ops) == 2 })
 	n.pass(2e9, has("m", "ready"), has("n", "ready"))
-	require.Len(t, n.ops, 2, "a third does not fit: 4 + 4 of 10 are taken")
+	require.Len(t, n.ops, 2, "a third model does not fit: 4 + 4 of 10 are occupied")
 }
 
-// The changes of an operator: expected epochs, repeats, faults.
+// Operators' changes: expected epochs, repeats and faults.
 func TestChanges(t *testing.T) {
 	n := owner(t, onePlan)
 	ask := func(a Admin) Receipt {
@@ -412,7 +418,7 @@
 
 const calendar = "BEGIN:VCALENDAR\r\nVERSION:2.0\r\nPRODID:x\r\nBEGIN:VEVENT\r\nUID:1\r\nDTSTAMP:20260101T000000Z\r\nLOCATION:server s\r\nDTSTART:20260105T100000Z\r\nDTEND:20260105T110000Z\r\nRRULE:FREQ=WEEKLY\r\nEND:VEVENT\r\nEND:VCALENDAR\r\n"
 
-// Windows from iCalendar: what is sound opens and closes, what is not is refused with its reason.
+// Maintenance windows from iCalendar files: valid ones open and close, invalid ones are refused with the reason.
 func TestWindows(t *testing.T) {
 	for _, c := range []struct {
 		name, old, new, why string
@@ -445,15 +451,15 @@
 		run bool
 	}{
 		{"2026-01-05T09:58:30Z", false}, {"2026-01-05T09:59:30Z", true}, {"2026-01-05T10:59:59Z", true}, {"2026-01-05T11:00:00Z", false},
-		{"2026-03-02T10:30:00Z", true}, {"2026-03-03T10:30:00Z", false}, {"2025-12-29T10:30:00Z", false}, // clocks may jump back, too
+		{"2026-03-02T10:30:00Z", true}, {"2026-03-03T10:30:00Z", false}, {"2025-12-29T10:30:00Z", false}, // the clock may also jump back
 	} {
 		at, err := time.Parse(time.RFC3339, c.at)
 		require.NoError(t, err)
-		require.Equal(t, c.run, l[0].runs(at, time.Minute), c.at)
+		require.Equal(t, c.run, l[0].openAt(at, time.Minute), c.at)
 	}
 }
 
-// A server in a window is offered no more, ahead of it.
+// A server gets no more requests before its maintenance window begins.
 func TestWindowDrains(t *testing.T) {
 	n, s := ready(t)
 	at := time.Date(2026, 1, 5, 9, 0, 0, 0, time.UTC)
@@ -473,7 +479,7 @@
 	require.True(t, broke, "the promise is broken")
 }
 
-// A key that no server could hold is given up on, and routers are told; with room it is not.
+// Routers are notified if a key is too large for every server, but not if a server has room for it.
 func TestNever(t *testing.T) {
 	n, s := ready(t)
 	n.mail(protocol.Want{Session: s, Key: "n"})
@@ -487,7 +493,7 @@
 	require.True(t, l[len(l)-1].Entry.Never)
 }
 
-// A router under another generation is sent the plan, whatever epoch it says it has.
+// A router with another generation is sent the plan, whatever its epoch.
 func TestOtherGeneration(t *testing.T) {
 	n, _ := ready(t)
 	s := protocol.Session{Node: "r", Agent: 2, Router: 1, N: 1}
@@ -500,12 +506,13 @@
 			require.Empty(t, l)
 			continue
 		}
-		// A core whose generation a router is past goes past it, or the router would stay on its old plan.
+		// If a router's generation is higher, the core moves to a still higher one, or the router would keep its old
+		// plan.
 		require.Equal(t, c.gets, l[len(l)-1].Desired.Gen)
 	}
 }
 
-// Which lists are believed. What is not listed any more is doubted only where most that answer are missing.
+// Validation of server lists. Missing servers are retained only if a list omits most of those that answer.
 func TestLists(t *testing.T) {
 	x := func(id, state string) protocol.Listed {
 		return protocol.Listed{ID: ident.Server(id), Addr: id, Zone: "z", State: state}
@@ -520,7 +527,7 @@
 		{"no id", []protocol.Listed{x("", "live")}, false}, {"no zone", []protocol.Listed{{ID: "a", Addr: "a", State: "live"}}, false},
 		{"no address", []protocol.Listed{{ID: "a", Zone: "z", State: "live"}}, false},
 	} {
-		require.Equal(t, c.sound, sound(c.list), c.name)
+		require.Equal(t, c.sound, validList(c.list), c.name)
 	}
 	for _, c := range []struct {
 		name  string
@@ -541,7 +548,7 @@
 			k.servers[ident.Server(id)] = &server{Listed: x(id, "live"), known: true, dark: strings.Contains(c.dark, id)}
 		}
 		got := ""
-		for _, y := range k.believe(c.list) {
+		for _, y := range k.retainOmitted(c.list) {
 			if y.State == "live" {
 				got += string(y.ID)
 			}
@@ -550,9 +557,8 @@
 	}
 }
 
-// A voter says that it grants the duty only once its disk has the pledge: a second question
-// that comes while the first is being written gets no grant ahead of the disk. Found by
-// reading: a voter that lost power then could have pledged one number to two owners.
+// A voter answers that it grants the duty only once the grant is on disk, also if a second query arrives while the
+// first grant is being written. Otherwise a voter that loses power could grant one number to two owners.
 func TestPledgeIsSynced(t *testing.T) {
 	v := protocol.Desired{Gen: 1, Epoch: 1, Shape: 1, Voters: []protocol.Voter{voter("a", 5), voter("b", 5), voter("c", 5)}}
 	c := New(Options{Me: protocol.Sibling{ID: "a", Addr: "a"}, Inc: 6, Rand: rand.New(rand.NewPCG(1, 2))})
@@ -572,10 +578,10 @@
 	require.False(t, granted)
 	require.NotNil(t, first)
 	granted, again := ask("b", 3)
-	require.False(t, granted, "ahead of the disk")
+	require.False(t, granted, "the grant is not on disk yet")
 	require.Nil(t, again)
 	granted, _ = ask("c", 4)
-	require.False(t, granted, "the hold of another runs")
+	require.False(t, granted, "the lease of another node is in force")
 	granted = false
 	for _, o := range c.Step(9e9, protocol.Saved{Token: first.Token}) {
 		if x, ok := o.(protocol.Env); ok {
@@ -587,9 +593,8 @@
 	require.True(t, granted)
 }
 
-// A large plan that is not acknowledged yet is not sent again and again: found with a plan of
-// 30,000 routes on real processes, where the repeats crowded out the owner's own rounds and
-// it lost the duty.
+// A large plan that is not acknowledged yet is not sent repeatedly. With a plan of 30,000 routes on real processes, the
+// repeats delayed the owner's own rounds until it lost the duty.
 func TestLargePlanIsNotRepeated(t *testing.T) {
 	for size, most := range map[int]int{0: 6, 2_000_000: 1} {
 		n, s := ready(t)
@@ -608,7 +613,7 @@
 	}
 }
 
-// A read asks a majority and changes nothing: no round of proposals, however large the plan.
+// A read queries a majority and proposes nothing, however large the plan.
 func TestReadProposesNothing(t *testing.T) {
 	n := owner(t, onePlan)
 	was := n.Counts().Rounds
@@ -619,8 +624,8 @@
 	require.Equal(t, was, n.Counts().Rounds)
 }
 
-// A round that was under way when the duty was given back does not win it back: its grants may
-// have been let go of meanwhile, and another may own it. Found by scene blind, seed 50000.
+// A round that was in progress when the duty was released doesn't regain it: its grants may have been released
+// meanwhile, and another node may own the duty. Found by simulator scene blind, seed 50000.
 func TestGivenBackStaysSo(t *testing.T) {
 	n := owner(t, onePlan)
 	n.Core.now, n.Core.out = n.at, nil
@@ -633,7 +638,7 @@
 	n.Step(n.at, protocol.Env{From: protocol.Sibling{ID: "a", Addr: "a"}, Body: protocol.State{Round: q.round, Inc: 5, Granted: true, Duty: q.num, Accepted: n.reg.at}})
 	require.False(t, n.rules())
 	n.run(9e9, func() bool { return n.rules() })
-	require.False(t, n.rules(), "it does not want it for a while")
+	require.False(t, n.rules(), "it does not claim the duty for a while")
 	n.run(9e9, func() bool { return n.rules() })
-	require.True(t, n.rules(), "with nobody else it takes it again")
+	require.True(t, n.rules(), "it claims the duty again if no other node does")
 }
--- a/internal/controller/enrol.go
+++ b/internal/controller/enrol.go
@@ -10,58 +10,58 @@
 	"tidedeck/internal/voterset"
 )
 
-// Announce is a server's own word to a core node.
+// Announce passes a server's announcement to a core node.
 type Announce struct {
 	Token  uint64
 	Beacon protocol.Beacon
 }
 
-// Announced answers Announce. A leaving that is not OK is not known where it must be.
+// Announced answers Announce. OK is false if a departure is not yet known to the owner and to a majority.
 type Announced struct {
 	Token uint64
 	OK    bool
 }
 
-// enrolled is what a core node knows of a server that announced itself.
+// enrolled is a core node's record of a server that has announced itself.
 type enrolled struct {
 	protocol.Beacon
-	heard clock.Tick         // when its last word came, by whatever way
-	had   map[ident.Key]bool // what its own disk has, surely (true) or likely: an earlier start held it
-	soft  bool               // it is only taken for gone, since another start has its address
-	spoke clock.Tick         // when it first spoke all the same
+	heard          clock.Tick         // when the latest announcement arrived, directly or relayed
+	had            map[ident.Key]bool // models on the server's disk: true if certain, false if only held by an earlier start
+	presumedGone   bool               // assumed to be gone because another start has its address
+	announcedAgain clock.Tick         // first announcement after that assumption
 }
 
-// keeps adds what a server says that it holds to what it has had.
-func (c *Core) keeps(e *enrolled, l []ident.Key) {
-	for _, k := range l {
+// recordHeld adds the models that a server reports to hold to those known to be on its disk.
+func (c *Core) recordHeld(e *enrolled, held []ident.Key) {
+	for _, k := range held {
 		c.noteOnDisk(e, k, true)
 	}
 }
 
-// leaving is an announced leaving, or a going, that is not answered yet: the owner must have broken
-// every promise on the server, and a majority of the core must know, or the next owner would not.
+// leaving is an announcement that a server leaves or is gone, and that has not been acknowledged yet. Before that, the
+// owner must have broken every promise on the server, and a majority of the core must know, or the next owner might not.
 type leaving struct {
-	token uint64
-	at    clock.Tick
-	sent  clock.Tick
-	list  []protocol.Beacon
-	yes   map[ident.Node]ident.Inc
-	ruled bool
+	token      uint64
+	since      clock.Tick
+	lastSent   clock.Tick
+	beacons    []protocol.Beacon
+	knownBy    map[ident.Node]ident.Inc
+	ownerKnows bool
 }
 
-// Stages of a server's life, in the only order that they come in.
-var stagesOf = map[string]int{"live": 0, "leaving": 1, "gone": 2}
+// stateRank orders the states of a server's life; a server never returns to an earlier state.
+var stateRank = map[string]int{"live": 0, "leaving": 1, "gone": 2}
 
 const (
-	relayEvery  = 100e6
-	rollForget  = 60e9 // ended servers are remembered for so long, should a late word of theirs come
-	leaveWait   = 900e6
-	leaveResend = 200e6
+	relayInterval       = 100e6
+	goneRetention       = 60e9 // servers that are gone stay on record for this long, in case a delayed announcement arrives
+	leaveTimeout        = 900e6
+	leaveResendInterval = 200e6
 )
 
-// enrol takes in a server's word, which may be late; it tells whether it says anything new.
+// enrol processes a server's announcement, which may be delayed, and reports whether it contains anything new.
 func (c *Core) enrol(b protocol.Beacon) bool {
-	if b.ID == "" || stagesOf[b.State] == 0 && b.State != "live" {
+	if b.ID == "" || stateRank[b.State] == 0 && b.State != "live" {
 		return false
 	}
 	e := c.roll[b.ID]
@@ -70,108 +70,108 @@
 			return false
 		}
 		e = &enrolled{Beacon: b, heard: c.now, had: map[ident.Key]bool{}}
-		// An address that another start of a server had is no longer its; its disk may still be there.
+		// If another start had this address, that start is gone, but its disk may be the same.
 		for _, id := range generic.SortedKeys(c.roll) {
-			o := c.roll[id]
-			if b.Addr == "" || o.Addr != b.Addr || b.State == "gone" {
+			other := c.roll[id]
+			if b.Addr == "" || other.Addr != b.Addr || b.State == "gone" {
 				continue
 			}
-			if o.Service == b.Service && o.Zone == b.Zone {
-				for k := range o.had {
+			if other.Service == b.Service && other.Zone == b.Zone {
+				for k := range other.had {
 					e.had[k] = false
 				}
 			}
-			c.retire(o)
+			c.retire(other)
 		}
 		c.noteEnrolled(b)
 		c.enlist(e)
-		c.keeps(e, b.Held)
-		c.applyRoll(e)
+		c.recordHeld(e, b.Held)
+		c.applyEnrolled(e)
 		return true
 	}
 	if b.State == "gone" {
-		if e.State == "gone" && !e.soft {
+		if e.State == "gone" && !e.presumedGone {
 			return false
 		}
-		e.State, e.soft, e.heard = "gone", false, c.now
-		c.applyRoll(e)
+		e.State, e.presumedGone, e.heard = "gone", false, c.now
+		c.applyEnrolled(e)
 		return true
 	}
-	if b.Count <= e.Count || e.State == "gone" && !e.soft {
+	if b.Count <= e.Count || e.State == "gone" && !e.presumedGone {
 		return false
 	}
-	if e.soft {
-		// It may be a late word; one that goes on speaking while the other start says nothing is there.
+	if e.presumedGone {
+		// The announcement may be delayed. A present server keeps announcing itself while the other start is silent.
 		e.Count = b.Count
-		if e.spoke == 0 {
-			e.spoke = c.now
+		if e.announcedAgain == 0 {
+			e.announcedAgain = c.now
 		}
 		holder := clock.Tick(0)
-		for _, o := range c.roll {
-			if o != e && o.Addr == b.Addr && o.State != "gone" {
-				holder = max(holder, o.heard)
+		for _, other := range c.roll {
+			if other != e && other.Addr == b.Addr && other.State != "gone" {
+				holder = max(holder, other.heard)
 			}
 		}
-		if c.now.Sub(e.spoke) < relayEvery*5 || holder > e.spoke {
-			if holder > e.spoke {
-				e.spoke = 0
+		if c.now.Sub(e.announcedAgain) < relayInterval*5 || holder > e.announcedAgain {
+			if holder > e.announcedAgain {
+				e.announcedAgain = 0
 			}
 			return false
 		}
-		e.soft, e.spoke, e.State = false, 0, "live"
+		e.presumedGone, e.announcedAgain, e.State = false, 0, "live"
 		for _, id := range generic.SortedKeys(c.roll) {
-			if o := c.roll[id]; o != e && o.Addr == b.Addr {
-				c.retire(o)
+			if other := c.roll[id]; other != e && other.Addr == b.Addr {
+				c.retire(other)
 			}
 		}
 	}
-	if stagesOf[b.State] < stagesOf[e.State] {
+	if stateRank[b.State] < stateRank[e.State] {
 		b.State = e.State
 	}
-	was := e.Beacon
+	previous := e.Beacon
 	e.Beacon, e.heard = b, c.now
-	c.keeps(e, b.Held)
-	if was.State != b.State || was.Listed != b.Listed {
-		c.applyRoll(e)
+	c.recordHeld(e, b.Held)
+	if previous.State != b.State || previous.Listed != b.Listed {
+		c.applyEnrolled(e)
 	} else if s := c.servers[b.ID]; s != nil && s.dark && !s.silent(c) {
-		c.lighten(s)
+		c.markReachable(s)
 	}
 	return true
 }
 
-// noteEnrolled counts and logs a server that was not known.
+// noteEnrolled counts and logs a new server.
 func (c *Core) noteEnrolled(b protocol.Beacon) {
 	c.tally.Enrolments++
 	c.note("server enrolled", field("server", b.ID), field("address", b.Addr), field("state", b.State))
 }
 
-// retire takes a server for gone whose address another start of a server has.
+// presumeGone presumes that a server is gone because another start has its address.
 func (c *Core) retire(o *enrolled) {
 	if o.State != "gone" {
-		c.note("server's address has another start of a server", field("server", o.ID), field("address", o.Addr))
-		o.State, o.soft = "gone", true
-		c.applyRoll(o)
+		c.note("server's address is now used by another start; the server is presumed gone", field("server", o.ID), field("address", o.Addr))
+		o.State, o.presumedGone = "gone", true
+		c.applyEnrolled(o)
 	}
 }
 
-// silent tells whether nothing was heard of an announced server for too long.
+// silent reports whether an enrolled server has not announced itself for longer than allowed.
 func (s *server) silent(c *Core) bool {
 	e := c.roll[s.ID]
 	return e != nil && c.now.Sub(e.heard) > c.o.Silence
 }
 
-// lighten takes a server back that was dark and has spoken.
-func (c *Core) lighten(s *server) {
+// markReachable handles an announcement from a server that was unreachable.
+func (c *Core) markReachable(s *server) {
 	if s.plain {
 		s.dark, s.fails = false, 0
 		c.touchOn(s)
 		return
 	}
-	s.next = c.now // its report tells what it holds
+	s.next = c.now // poll at once: the report lists what the server holds
 }
 
-// applyRoll takes what is known of one server into the owner's view at once.
-func (c *Core) applyRoll(e *enrolled) {
+// applyEnrolled copies the record of one server into the owner's view.
+func (c *Core) applyEnrolled(e *enrolled) {
 	if !c.duty.mine || !c.o.Enrolled {
 		return
 	}
@@ -182,7 +182,7 @@
 		}
 		s = newServer(e.Listed, c.now)
 		c.addServer(s)
-		c.adopt(s)
+		c.applyService(s)
 		c.touchAll()
 		return
 	}
@@ -193,12 +193,12 @@
 		s.known = false
 	}
 	s.Listed = e.Listed
-	c.adopt(s)
+	c.applyService(s)
 	c.touchOn(s)
 }
 
-// adopt draws from a server's announcement what it is.
-func (c *Core) adopt(s *server) {
+// applyService sets a server's properties from its announcement and from its service in the plan.
+func (c *Core) applyService(s *server) {
 	if !c.o.Enrolled || c.plan == nil {
 		return
 	}
@@ -211,7 +211,7 @@
 	}
 	s.room, s.places, s.plain = v.Room, v.Places, v.Plain
 	for k, p := range s.spots {
-		p.size = c.sizeOf(k) // it may have been reported before the plan that says its size was known
+		p.size = c.sizeOf(k) // the server may have reported it before the plan with its size was known
 	}
 	if s.plain && !s.known {
 		s.known, s.room = true, 0
@@ -219,6 +219,7 @@
 	}
 }
 
+// onAnnounce handles an announcement that a server sent to this node.
 func (c *Core) onAnnounce(a Announce) {
 	b := a.Beacon
 	c.tally.Beacons++
@@ -237,176 +238,180 @@
 	}
 	if b.State == "live" {
 		if first {
-			c.relayRoll()
+			c.relayBeacons()
 		}
-		// A node that is parted from the core sends servers on to one that is not.
+		// A node without contact to the core answers not OK, so that the server tries another node.
 		c.out = append(c.out, Announced{Token: a.Token, OK: c.reg.known == nil && !c.o.Joined || c.Ready()})
 		return
 	}
-	// Repeats of a leaving are answered like the first: their answer may be the one that is heard.
+	// A repeated departure is acknowledged like the first one, because the first answer may have been lost.
 	c.tally.Leaves++
 	c.mark++
 	e := c.roll[b.ID]
 	if e == nil {
-		c.out = append(c.out, Announced{Token: a.Token, OK: true}) // nobody was ever told of it
+		c.out = append(c.out, Announced{Token: a.Token, OK: true}) // an unknown server: it was never offered
 		return
 	}
-	l := &leaving{token: a.Token, at: c.now, list: []protocol.Beacon{e.Beacon}, yes: map[ident.Node]ident.Inc{}}
+	departure := &leaving{token: a.Token, since: c.now, beacons: []protocol.Beacon{e.Beacon}, knownBy: map[ident.Node]ident.Inc{}}
 	mark := c.mark
-	c.acks[mark] = l
-	l.ruled = c.rules()
-	c.tellLeaving(mark, l)
-	c.keepLeavings(func() {
-		if c.acks[mark] == l {
-			l.yes[c.o.Me.ID] = c.vote.inc
-			c.settleLeaving(mark, l)
+	c.acks[mark] = departure
+	departure.ownerKnows = c.rules()
+	c.sendLeaving(mark, departure)
+	c.persistLeavings(func() {
+		if c.acks[mark] == departure {
+			departure.knownBy[c.o.Me.ID] = c.vote.inc
+			c.tryAcknowledge(mark, departure)
 		}
 	})
 }
 
-// keepLeavings has the disk know who leaves and who is gone, before anybody is told that it is known.
-func (c *Core) keepLeavings(then func()) {
-	var l []protocol.Beacon
+// persistLeavings writes the servers that leave or are gone to disk before calling then, which may acknowledge them.
+func (c *Core) persistLeavings(then func()) {
+	var departing []protocol.Beacon
 	for _, id := range generic.SortedKeys(c.roll) {
-		if e := c.roll[id]; e.State != "live" && !e.soft {
-			l = append(l, e.Beacon)
+		if e := c.roll[id]; e.State != "live" && !e.presumedGone {
+			departing = append(departing, e.Beacon)
 		}
 	}
-	b := jot(l)
-	if string(b) == string(c.leavings) {
+	encoded := jot(departing)
+	if string(encoded) == string(c.leavings) {
 		then()
 		return
 	}
-	c.save(map[string][]byte{diskR: b}, func() {
-		c.leavings = b
+	c.save(map[string][]byte{diskR: encoded}, func() {
+		c.leavings = encoded
 		then()
 	})
 }
 
-// recall takes in what the disk knows of servers that leave.
-func (c *Core) recall(l []protocol.Beacon) {
-	for _, b := range l {
+// restoreLeavings restores the departing servers that were stored on disk.
+func (c *Core) recall(beacons []protocol.Beacon) {
+	for _, b := range beacons {
 		if b.ID != "" {
 			c.enlist(&enrolled{Beacon: b, heard: c.now, had: map[ident.Key]bool{}})
 		}
 	}
 }
 
-func (c *Core) tellLeaving(mark uint64, l *leaving) {
-	l.sent = c.now
-	for _, p := range c.others() {
-		c.send(p, protocol.Beacons{Mark: mark, List: l.list})
+// sendLeaving sends a departure to the other core nodes.
+func (c *Core) sendLeaving(mark uint64, departure *leaving) {
+	departure.lastSent = c.now
+	for _, sibling := range c.others() {
+		c.send(sibling, protocol.Beacons{Mark: mark, List: departure.beacons})
 	}
 }
 
-// others lists the core nodes beside this one.
-func (c *Core) others() (l []protocol.Sibling) {
-	to := map[ident.Node]protocol.Sibling{}
-	if k := c.latest(); k != nil {
-		for _, p := range voterset.Addresses(*k) {
-			to[p.ID] = p
+// others lists the other core nodes: voters and live members.
+func (c *Core) others() (nodes []protocol.Sibling) {
+	byID := map[ident.Node]protocol.Sibling{}
+	if value := c.latest(); value != nil {
+		for _, p := range voterset.Addresses(*value) {
+			byID[p.ID] = p
 		}
 	}
 	for _, m := range c.mates.Alive("controller") {
-		to[m.ID] = m.Sibling
+		byID[m.ID] = m.Sibling
 	}
-	for _, id := range generic.SortedKeys(to) {
+	for _, id := range generic.SortedKeys(byID) {
 		if id != c.o.Me.ID {
-			l = append(l, to[id])
+			nodes = append(nodes, byID[id])
 		}
 	}
-	return l
+	return nodes
 }
 
-// settleLeaving answers a leaving once the owner and a majority know of it.
-func (c *Core) settleLeaving(mark uint64, l *leaving) {
-	k := c.latest()
-	if !l.ruled || k == nil || !voterset.Majority(*k, l.yes) {
+// tryAcknowledge acknowledges a departure once the owner and a majority know of it.
+func (c *Core) tryAcknowledge(mark uint64, departure *leaving) {
+	value := c.latest()
+	if !departure.ownerKnows || value == nil || !voterset.Majority(*value, departure.knownBy) {
 		return
 	}
 	delete(c.acks, mark)
-	c.checkLeaving(l)
-	c.noteLeaving("leaving acknowledged", l)
-	c.out = append(c.out, Announced{Token: l.token, OK: true})
+	c.checkLeaving(departure)
+	c.noteLeaving("leaving acknowledged", departure)
+	c.out = append(c.out, Announced{Token: departure.token, OK: true})
 }
 
-// noteLeaving logs what became of a leaving.
-func (c *Core) noteLeaving(text string, l *leaving) {
-	for _, b := range l.list {
-		c.note(text, field("server", b.ID), field("state", b.State), field("owner_knows", l.ruled),
-			field("known_at", generic.SortedKeys(l.yes)), field("took_ms", c.now.Sub(l.at).Milliseconds()))
+// noteLeaving logs the outcome of a departure.
+func (c *Core) noteLeaving(text string, departure *leaving) {
+	for _, b := range departure.beacons {
+		c.note(text, field("server", b.ID), field("state", b.State), field("owner_knows", departure.ownerKnows),
+			field("known_at", generic.SortedKeys(departure.knownBy)), field("took_ms", c.now.Sub(departure.since).Milliseconds()))
 	}
 }
 
+// onBeacons handles announcements that another core node relays.
 func (c *Core) onBeacons(e protocol.Env) {
 	b := e.Body.(protocol.Beacons)
-	for _, x := range b.List {
-		c.enrol(x)
+	for _, beacon := range b.List {
+		c.enrol(beacon)
 	}
 	if b.Mark != 0 && !c.ending {
-		c.keepLeavings(func() { c.reply(e, protocol.BeaconsHeard{Mark: b.Mark, Inc: c.vote.inc, Ruled: c.rules()}) })
+		c.persistLeavings(func() { c.reply(e, protocol.BeaconsHeard{Mark: b.Mark, Inc: c.vote.inc, Ruled: c.rules()}) })
 	}
 }
 
+// onBeaconsHeard handles another node's confirmation that it has stored a departure.
 func (c *Core) onBeaconsHeard(e protocol.Env) {
 	b := e.Body.(protocol.BeaconsHeard)
-	l := c.acks[b.Mark]
-	if l == nil {
+	departure := c.acks[b.Mark]
+	if departure == nil {
 		return
 	}
 	if b.Inc != 0 {
-		l.yes[e.From.ID] = b.Inc
+		departure.knownBy[e.From.ID] = b.Inc
 	}
-	l.ruled = l.ruled || b.Ruled
-	c.settleLeaving(b.Mark, l)
+	departure.ownerKnows = departure.ownerKnows || b.Ruled
+	c.tryAcknowledge(b.Mark, departure)
 }
 
-func (c *Core) relayRoll() {
+// relayBeacons sends the announcements that this node has received to the other core nodes.
+func (c *Core) relayBeacons() {
 	c.relayed = c.now
 	if len(c.relays) == 0 {
 		return
 	}
-	l := c.relays
+	beacons := c.relays
 	c.relays = nil
-	for _, p := range c.others() {
-		c.send(p, protocol.Beacons{List: l})
+	for _, sibling := range c.others() {
+		c.send(sibling, protocol.Beacons{List: beacons})
 	}
 }
 
-// beatRoll passes announcements on, gives up on leavings that nobody could be told of, and, at the
-// owner, draws consequences from silence.
+// updateRegistry runs the periodic work of the registry: it relays announcements, gives up on departures that too few
+// nodes confirmed, requests missing registries, and has the owner check on silent servers.
 func (c *Core) beatRoll() {
 	if !c.o.Enrolled {
 		return
 	}
-	if c.now.Sub(c.relayed) > relayEvery {
-		c.relayRoll()
+	if c.now.Sub(c.relayed) > relayInterval {
+		c.relayBeacons()
 	}
-	for _, m := range generic.SortedKeys(c.acks) {
-		l := c.acks[m]
+	for _, mark := range generic.SortedKeys(c.acks) {
+		departure := c.acks[mark]
 		switch {
-		case c.now.Sub(l.at) > leaveWait:
-			delete(c.acks, m)
+		case c.now.Sub(departure.since) > leaveTimeout:
+			delete(c.acks, mark)
 			c.tally.LeavesUnheard++
-			c.noteLeaving("leaving not acknowledged: too few core nodes know of it", l)
-			c.out = append(c.out, Announced{Token: l.token})
-		case c.now.Sub(l.sent) > leaveResend:
-			l.ruled = l.ruled || c.rules()
-			c.tellLeaving(m, l)
-			c.settleLeaving(m, l)
+			c.noteLeaving("leaving not acknowledged: too few core nodes know of it", departure)
+			c.out = append(c.out, Announced{Token: departure.token})
+		case c.now.Sub(departure.lastSent) > leaveResendInterval:
+			departure.ownerKnows = departure.ownerKnows || c.rules()
+			c.sendLeaving(mark, departure)
+			c.tryAcknowledge(mark, departure)
 		}
 	}
-	c.forgetSilent()
+	c.expireServers()
 	if !c.rollWhole {
-		c.recoverRoll()
+		c.requestRegistries()
 	}
 	if !c.rules() {
 		return
 	}
-	if !c.rolled() && c.now.Sub(c.called) > leaveResend {
+	if !c.registryComplete() && c.now.Sub(c.called) > leaveResendInterval {
 		c.called = c.now
-		for _, p := range c.others() {
-			c.send(p, protocol.RollCall{Duty: c.duty.num, Life: c.o.Inc})
+		for _, sibling := range c.others() {
+			c.send(sibling, protocol.RollCall{Duty: c.duty.num, Life: c.o.Inc})
 		}
 	}
 	for _, s := range c.fleet.ordered {
@@ -416,38 +421,38 @@
 	}
 }
 
-// silencesToGone is after how many times the silence that makes a server be asked it is taken for gone.
-const silencesToGone = 8
+// goneAfterSilences is the number of silence intervals after which a server is presumed gone.
+const goneAfterSilences = 8
 
-// forgetSilent takes servers for gone that have long been silent, and forgets those that are gone for long.
-func (c *Core) forgetSilent() {
-	var due []ident.Server
+// expireServers presumes that servers are gone after a long silence, and removes those that have been gone for a while.
+func (c *Core) expireServers() {
+	var expired []ident.Server
 	for id, e := range c.roll {
-		if silence := c.now.Sub(e.heard); e.State == "gone" && silence > rollForget || e.State != "gone" && silence > silencesToGone*c.o.Silence {
-			due = append(due, id)
+		if silence := c.now.Sub(e.heard); e.State == "gone" && silence > goneRetention || e.State != "gone" && silence > goneAfterSilences*c.o.Silence {
+			expired = append(expired, id)
 		}
 	}
-	slices.Sort(due)
-	for _, id := range due {
+	slices.Sort(expired)
+	for _, id := range expired {
 		if e := c.roll[id]; e.State != "gone" {
 			e.State = "gone"
-			c.applyRoll(e)
+			c.applyEnrolled(e)
 		}
-		c.delist(id) // its next word, if one comes, enrols it anew
+		c.delist(id) // a later announcement enrols the server again
 	}
 }
 
-// inquire asks a server that has been silent: its words may come to a core node that is parted from this
-// one. Only one that does not answer, either, is taken for dark.
+// checkAlive polls a silent server, because its announcements may reach a core node that is disconnected from this one.
+// Only a server that doesn't answer either is marked unreachable.
 func (c *Core) inquire(s *server) {
 	if !s.plain {
 		c.survey(s)
 		return
 	}
 	s.asking, s.asked = true, c.now
-	num := c.duty.num
+	duty := c.duty.num
 	c.askServer(s, c.plan.Services[s.Service].Probe, protocol.Order{Key: ident.ServiceKey(s.Service)}, func(t protocol.Told) {
-		if !c.duty.mine || c.duty.num != num || c.servers[s.ID] != s {
+		if !c.duty.mine || c.duty.num != duty || c.servers[s.ID] != s {
 			return
 		}
 		s.asking = false
@@ -466,7 +471,7 @@
 	})
 }
 
-// spoke notes that a server has answered this owner, which is as good as its own word.
+// noteAnswer records that a server has answered this owner, which counts like an announcement.
 func (c *Core) spoke(s *server) {
 	if e := c.roll[s.ID]; e != nil {
 		e.heard = c.now
@@ -476,10 +481,10 @@
 	}
 }
 
-// callRoll makes the owner's view anew from what is enrolled, and from the last list of the owner
-// before for servers that this node has not heard of in this life. One whose address an enrolled server has is over, and
-// was forgotten here as such, or speaks soon. The others count as silent from the start, and so are asked at once whether
-// they are there: an owner's beginning is no word of theirs.
+// rebuildServers rebuilds the owner's view from the registry and, for servers that are unknown to this node in its
+// present life, from the previous owner's last list. A listed server whose address an enrolled server has is skipped:
+// it is gone and was already removed here, or will announce itself soon. The other listed servers count as silent from
+// the start, so that they are polled at once: the start of a new term says nothing about whether they are reachable.
 func (c *Core) callRoll() {
 	taken := map[string]bool{}
 	for _, e := range c.roll {
@@ -491,91 +496,95 @@
 		}
 	}
 	for _, id := range generic.SortedKeys(c.roll) {
-		c.applyRoll(c.roll[id])
+		c.applyEnrolled(c.roll[id])
 	}
 	c.listed = c.now
 }
 
-// knownToLeave lists the servers that this node knows to leave, or to be gone.
-func (c *Core) knownToLeave() (l []ident.Server) {
+// leavingServers lists the servers that this node knows to be leaving or gone.
+func (c *Core) knownToLeave() (servers []ident.Server) {
 	for id, e := range c.roll {
 		if e.State != "live" {
-			l = append(l, id)
+			servers = append(servers, id)
 		}
 	}
-	slices.Sort(l)
-	return l
+	slices.Sort(servers)
+	return servers
 }
 
-// has tells whether a server likely has a model on its own disk.
+// mayHaveOnDisk reports whether a server probably has a model on its own disk.
 func (c *Core) has(s *server, k ident.Key) bool {
 	_, ok := c.disks[k][s.ID]
 	return ok
 }
 
-// sure tells whether a server has a model on its own disk, without doubt.
+// hasOnDisk reports whether a server certainly has a model on its own disk.
 func (c *Core) sure(s *server, k ident.Key) bool {
 	return c.disks[k][s.ID]
 }
 
+// onRollCall sends this node's registry.
 func (c *Core) onRollCall(e protocol.Env) {
-	var l []protocol.Beacon
+	var beacons []protocol.Beacon
 	for _, id := range generic.SortedKeys(c.roll) {
-		if x := c.roll[id]; !x.soft {
-			l = append(l, x.Beacon)
+		if record := c.roll[id]; !record.presumedGone {
+			beacons = append(beacons, record.Beacon)
 		}
 	}
-	asked := e.Body.(protocol.RollCall)
-	c.reply(e, protocol.Roll{Duty: asked.Duty, Life: asked.Life, Inc: c.vote.inc, Partial: !c.rollWhole, List: l})
+	request := e.Body.(protocol.RollCall)
+	c.reply(e, protocol.Roll{Duty: request.Duty, Life: request.Life, Inc: c.vote.inc, Partial: !c.rollWhole, List: beacons})
 }
 
-// recoverRoll asks the others for their rolls, at a node whose disk began a new life: what it once
-// acknowledged of leavings it has forgotten, and until it has heard a majority its own roll may not count
-// for one.
-func (c *Core) recoverRoll() {
-	if c.now.Sub(c.called) <= leaveResend {
+// requestRegistries asks the other nodes for their registries. It runs at a node with a new disk, which has lost the
+// departures that it once acknowledged. Its own registry must not count towards a majority until it has received a
+// majority.
+func (c *Core) requestRegistries() {
+	if c.now.Sub(c.called) <= leaveResendInterval {
 		return
 	}
 	c.called = c.now
-	for _, p := range c.others() {
-		c.send(p, protocol.RollCall{Life: c.o.Inc})
+	for _, sibling := range c.others() {
+		c.send(sibling, protocol.RollCall{Life: c.o.Inc})
 	}
 }
 
-// settleRoll has a node's roll count again once a majority's are in it and on its disk.
-func (c *Core) settleRoll() {
+// finishRecovery marks this node's registry as complete once it has merged a majority's registries and stored them on
+// disk.
+func (c *Core) finishRecovery() {
 	if c.reg.known == nil || !voterset.Majority(*c.reg.known, c.recovered) {
 		return
 	}
-	c.keepLeavings(func() {
+	c.persistLeavings(func() {
 		c.rollWhole = true
 		c.rolls[c.o.Me.ID] = c.vote.inc
 	})
 }
 
-// rolled tells whether the owner has heard a majority's roll: a leaving that was acknowledged is in it.
-func (c *Core) rolled() bool {
+// registryComplete reports whether the owner has merged the registries of a majority, which contain every acknowledged
+// departure.
+func (c *Core) registryComplete() bool {
 	return !c.o.Enrolled || c.reg.known != nil && voterset.Majority(*c.reg.known, c.rolls)
 }
 
+// onRoll merges another node's registry.
 func (c *Core) onRoll(e protocol.Env) {
 	b := e.Body.(protocol.Roll)
-	for _, x := range b.List {
-		c.enrol(x)
+	for _, beacon := range b.List {
+		c.enrol(beacon)
 	}
 	if b.Partial || b.Life != c.o.Inc {
-		return // it may lack what was acknowledged since
+		return // may lack departures that were acknowledged since
 	}
 	if !c.rollWhole {
 		c.recovered[e.From.ID] = b.Inc
-		c.settleRoll()
+		c.finishRecovery()
 	}
 	if !c.duty.mine || b.Duty != c.duty.num {
 		return
 	}
-	was := c.rolled()
+	wasComplete := c.registryComplete()
 	c.rolls[e.From.ID] = b.Inc
-	if !was && c.rolled() {
+	if !wasComplete && c.registryComplete() {
 		c.touchAll()
 	}
 }
--- a/internal/controller/enrol_test.go
+++ b/internal/controller/enrol_test.go
@@ -13,7 +13,7 @@
 	"tidedeck/internal/protocol"
 )
 
-// What a node knows of a server after some words of it, in the order that they came.
+// TestWordsOfAServer checks a node's record of a server after a sequence of announcements, including delayed ones.
 func TestWordsOfAServer(t *testing.T) {
 	type word struct {
 		state string
@@ -60,7 +60,8 @@
 	require.False(t, New(Options{Enrolled: true}).enrol(beacon("", "live", 1)), "no id")
 }
 
-// An address that a newer start has retires the older id, which no late word brings back.
+// When a newer start of a server uses an address, the older id is presumed gone, and delayed announcements don't revive
+// it.
 func TestReusedAddress(t *testing.T) {
 	c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
 	m := c.serve("old", "llm|m")
@@ -75,7 +76,7 @@
 	require.True(t, c.until(9e9, func() bool { return c.lead().servers["new"] != nil }))
 	c.run(100e6)
 	require.Equal(t, "gone", c.lead().roll["old"].State)
-	require.False(t, r.sends("llm|m", "old"), "nothing is sent to what an address was")
+	require.False(t, r.sends("llm|m", "old"), "no requests go to the address under the old id")
 	c.announce(c.owner(), beacon("old", "live", 99))
 	c.announce(c.other(), beacon("old", "live", 98))
 	c.run(400e6)
@@ -85,7 +86,7 @@
 	}
 }
 
-// A word that comes to any node reaches the owner, and every other node.
+// An announcement to any node reaches the owner and every other node.
 func TestBeaconsSpread(t *testing.T) {
 	c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
 	for i, id := range generic.SortedKeys(c.nodes) {
@@ -103,17 +104,16 @@
 	}
 }
 
-// When a leaving, or a going, is acknowledged: the owner and a majority must know, and what is never
-// heard of needs nobody's word. The owner is a.
+// A departure is acknowledged only when the owner and a majority know of it. The owner is a.
 func TestLeavingIsKnown(t *testing.T) {
 	for _, x := range []struct {
 		name   string
-		told   string // the node that the server calls
+		told   string // the node that receives the announcement
 		parted []string
-		heal   clock.Span // when they are back, if they are
+		heal   clock.Span // when the connections are restored; 0 for never
 		ok     bool
-		within clock.Span // of the answer
-		least  clock.Span
+		within clock.Span // latest time of the answer
+		least  clock.Span // earliest time of the answer
 	}{
 		{"all are there", "c", nil, 0, true, 1, 0},
 		{"the owner does not hear", "c", []string{"a"}, 0, false, 1100e6, 800e6},
@@ -156,14 +156,14 @@
 				continue
 			}
 			require.Equal(t, state, c.nodes["a"].roll["s"].State, "%s: the owner knows", x.name)
-			ok, answered = c.announce(x.told, b) // its answer may have been lost
+			ok, answered = c.announce(x.told, b) // the first answer may have been lost
 			require.True(t, c.until(1e9, func() bool { ok, answered = c.answer(c.token); return answered }), x.name)
 			require.True(t, ok, "%s: a repeat is answered like the first", x.name)
 		}
 	}
 }
 
-// A going of what nobody was told of is acknowledged; nothing comes of it.
+// An announcement that an unknown server is gone is acknowledged and has no further effect.
 func TestUnknownGoing(t *testing.T) {
 	c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
 	for _, id := range generic.SortedKeys(c.nodes) {
@@ -178,8 +178,8 @@
 	require.Empty(t, c.lead().servers)
 }
 
-// No router may send to a server whose leaving is acknowledged: its promises are broken before, or
-// run out within the hold.
+// No router may send to a server whose departure is acknowledged: its promises are broken before, or expire with the
+// lease.
 func TestLeavingBreaksPromises(t *testing.T) {
 	c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
 	m := c.serve("s", "llm|m")
@@ -196,10 +196,11 @@
 	c.run(20e6)
 	require.False(t, r.sends("llm|m", "s"))
 	c.run(c.lead().o.Hold)
-	require.False(t, stuck.sends("llm|m", "s"), "its hold was not extended beside a broken promise")
+	require.False(t, stuck.sends("llm|m", "s"), "the lease is not extended after a promise is broken")
 }
 
-// A silent server that answers is not dark: its words may go to a core node that is parted from the owner.
+// A silent server that answers polls stays reachable: its announcements may go to a core node that is disconnected from
+// the owner.
 func TestSilentButThere(t *testing.T) {
 	c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
 	m, w := c.serve("s", "llm|m"), c.serve("w")
@@ -215,7 +216,7 @@
 	}
 }
 
-// A server that is silent and does not answer is dark: it is offered no more, until its next word.
+// A server that is silent and doesn't answer polls is unreachable: it gets no requests until its next announcement.
 func TestSilence(t *testing.T) {
 	c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
 	m := c.serve("s", "llm|m")
@@ -223,18 +224,18 @@
 	r.burden["llm|m"] = protocol.Burden{Came: 1}
 	require.True(t, c.until(9e9, func() bool { return r.sends("llm|m", "s") }))
 	c.run(10e9)
-	require.True(t, r.sends("llm|m", "s"), "it speaks")
+	require.True(t, r.sends("llm|m", "s"), "the server announces itself")
 	m.silent, m.mute = true, true
 	c.run(c.lead().o.Silence - 1100e6)
-	require.True(t, r.sends("llm|m", "s"), "its next word is hardly due")
+	require.True(t, r.sends("llm|m", "s"), "the next announcement is not overdue yet")
 	c.run(1500e6 + 2*(c.lead().o.Wait+c.lead().o.Poll))
 	require.False(t, r.sends("llm|m", "s"))
 	require.True(t, c.lead().servers["s"].dark)
 	m.silent, m.mute = false, false
-	require.True(t, c.until(2e9, func() bool { return r.sends("llm|m", "s") }), "a word takes it back")
+	require.True(t, c.until(2e9, func() bool { return r.sends("llm|m", "s") }), "an announcement makes it reachable again")
 }
 
-// Servers that come before there is a plan are taken in when it comes.
+// Servers that announce themselves before there is a plan are used once the plan arrives.
 func TestPlanAfterServers(t *testing.T) {
 	c := newCluster(t, nil, "a", "b", "c")
 	m := c.serve("s", "llm|m")
@@ -252,11 +253,11 @@
 	r := c.route("r")
 	r.burden["llm|m"], r.burden["web|"] = protocol.Burden{Came: 1}, protocol.Burden{Came: 1}
 	require.True(t, c.until(3e9, func() bool { return r.sends("llm|m", "s") && r.sends("web|", "w") }))
-	require.True(t, c.until(9e9, func() bool { return m.holds["llm|n"] }), "its floor is kept")
+	require.True(t, c.until(9e9, func() bool { return m.holds["llm|n"] }), "the floor of n is met")
 }
 
-// The next owner begins with the last list and with what it heard itself: routers are served again at
-// once, by servers that have not spoken since.
+// A new owner starts with the last server list and its own registry, so that routers get entries again at once, with
+// servers that have not announced themselves since.
 func TestTakeoverKnowsServers(t *testing.T) {
 	c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
 	s, w := c.serve("s", "llm|m"), c.serve("w")
@@ -286,8 +287,7 @@
 	}
 }
 
-// Servers of a plain service are offered as soon as they announce themselves, take no orders, and are
-// never evicted.
+// Servers of a plain service are offered as soon as they announce themselves. They get no orders and no evictions.
 func TestPlainServers(t *testing.T) {
 	c := newCluster(t, modelPlan(8, "llm|m", "llm|n", "llm|o"), "a")
 	r := c.route("r")
@@ -309,8 +309,8 @@
 	}
 }
 
-// Servers with models are offered as such too, to requests that name none: from their first report on, whatever they
-// hold, until they leave. Nothing is ordered or evicted for it.
+// Servers with models are also offered for requests without a model, from their first report until they leave, whatever
+// models they hold. This causes no orders and no evictions.
 func TestServersOfferedWithoutModel(t *testing.T) {
 	c := newCluster(t, modelPlan(8, "llm|m", "llm|n", "llm|o"), "a", "b", "c")
 	r := c.route("r")
@@ -330,7 +330,7 @@
 	require.True(t, r.sends("llm|", "empty"))
 }
 
-// A server that answers no more is not offered to requests that name no model, either.
+// An unreachable server is not offered for requests without a model either.
 func TestDarkServerNotOfferedWithoutModel(t *testing.T) {
 	c := newCluster(t, modelPlan(8, "llm|m"), "a", "b", "c")
 	r := c.route("r")
@@ -343,8 +343,8 @@
 	require.True(t, r.sends("llm|", "t"))
 }
 
-// An entry that loses a server keeps the others: whoever holds it is told both at once, and need not ask an owner that may
-// be gone by then.
+// When an entry loses a server, its holder gets the break and the remaining servers in one message, so that it needn't
+// ask an owner that may have failed by then.
 func TestBrokenEntryKeepsItsOtherServers(t *testing.T) {
 	c := newCluster(t, modelPlan(8, "llm|m"), "a", "b", "c")
 	r := c.route("r")
@@ -354,7 +354,7 @@
 	}
 	all := func() bool { return r.sends("web|", "w1") && r.sends("web|", "w2") && r.sends("web|", "w3") }
 	require.True(t, c.until(4e9, all))
-	delete(r.burden, "web|") // it asks for nothing by itself
+	delete(r.burden, "web|") // the router has no demand that would request the entry again
 	leaving := beacon("w1", "leaving", 1000).Listed
 	leaving.Service = "web"
 	c.models["at-w1"].silent = true
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -12,7 +12,7 @@
 	"tidedeck/internal/protocol"
 )
 
-// An order that was lost on its way is sent again under the same count.
+// An order that was lost in transit is sent again with the same expected count.
 func TestLostOrderIsSentAgain(t *testing.T) {
 	c := newCluster(t, floor(modelPlan(12, "llm|m"), 1, "llm|m"), "a")
 	m := c.serve("s")
@@ -22,8 +22,8 @@
 	require.Zero(t, c.ops[1].Expected)
 }
 
-// An order of the old owner is taken in its last moment, so that the new one's first report does not
-// show it yet: what the new one placed there meanwhile comes, there or elsewhere.
+// A server accepts an order of the old owner at the end of its lease, so that the new owner's first report doesn't show
+// it yet. A model that the new owner has placed there meanwhile must still get loaded, there or elsewhere.
 func TestOrderInTheLastMoment(t *testing.T) {
 	for _, lag := range []clock.Span{100e6, 300e6, 500e6} {
 		c := newCluster(t, modelPlan(8, "llm|m", "llm|n", "llm|o"), "a", "b", "c")
@@ -33,13 +33,13 @@
 		r, old := c.route("r"), c.lead()
 		c.parted["a"] = true
 		c.until(5e9, func() bool { return c.at >= old.duty.until(old)-20e6 })
-		require.Equal(t, 202, m.take(protocol.Order{Op: "load", Key: "llm|n", Size: 4, Expected: m.count}), "no order is under way")
+		require.Equal(t, 202, m.take(protocol.Order{Op: "load", Key: "llm|n", Size: 4, Expected: m.count}), "no order is in progress")
 		r.burden["llm|o"] = protocol.Burden{Wait: 9, Came: 3, Load: 0.1}
 		require.True(t, c.until(40e9, func() bool { return m.holds["llm|o"] }), "%v", lag)
 	}
 }
 
-// A base that leaves the plan goes, although an adapter was about to be loaded on it.
+// A base model that is removed from the plan is unloaded although the load of an adapter on it is pending.
 func TestBaseGoesBesideUnsentAdapter(t *testing.T) {
 	c := newCluster(t, modelPlan(10, "llm|m", "llm|m+1", "llm|n"), "a")
 	m := c.serve("s", "llm|m")
@@ -48,7 +48,7 @@
 	require.True(t, c.until(9e9, func() bool { return r.sends("llm|m", "s") }))
 	c.run(3e9)
 	s := c.lead().servers["s"]
-	s.busy, s.next = true, c.at.Add(3e9) // as after any order that was refused
+	s.busy, s.next = true, c.at.Add(3e9) // as after a refused order
 	r.burden = map[ident.Key]protocol.Burden{"llm|m+1": {Wait: 1, Came: 1}}
 	require.True(t, c.until(3e9, func() bool { return s.spots["llm|m+1"] != nil }))
 	require.Zero(t, s.spots["llm|m+1"].num)
@@ -57,7 +57,7 @@
 	require.True(t, c.until(30e9, func() bool { return !m.holds["llm|m"] }))
 }
 
-// One adapter that is wanted makes one other go, not all that are there.
+// Loading one adapter evicts only one other adapter.
 func TestOneAdapterMakesWayForOne(t *testing.T) {
 	var keys []ident.Key
 	for i := range 5 {
@@ -77,7 +77,7 @@
 	require.Len(t, c.orders("unload"), 1)
 }
 
-// A leaving that was acknowledged is known to the next owner, also if that one was parted then.
+// The next owner knows of an acknowledged departure even if it was disconnected when the departure was announced.
 func TestLeavingIsKnownToTheNextOwner(t *testing.T) {
 	for _, state := range []string{"leaving", "gone"} {
 		c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
@@ -100,24 +100,24 @@
 	}
 }
 
-// A late word of an older server does not end the newer one that has its address.
+// A delayed announcement of an older start doesn't end the newer start at the same address.
 func TestLateWordAtAReusedAddress(t *testing.T) {
 	k := New(Options{Enrolled: true})
 	k.now = 1e9
 	old, now := beacon("old", "live", 9), beacon("new", "live", 1)
 	now.Addr = old.Addr
 	k.enrol(now)
-	k.enrol(old) // it was relayed, and this node had not heard of it
+	k.enrol(old) // a relayed announcement of a start that this node didn't know
 	now.Count = 2
 	k.enrol(now)
 	k.now = k.now.Add(1200e6)
 	now.Count = 3
-	require.True(t, k.enrol(now), "it goes on speaking, and the other does not")
+	require.True(t, k.enrol(now), "it keeps announcing itself, and the other start does not")
 	require.Equal(t, "live", k.roll["new"].State)
 	require.Equal(t, "gone", k.roll["old"].State)
 }
 
-// A server that was parted from the core for long is taken back by its next word.
+// A server that was disconnected from the core for a long time is used again after its next announcement.
 func TestBackAfterLongSilence(t *testing.T) {
 	for _, s := range []clock.Span{10e9, 25e9, 32e9, 50e9} {
 		c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
@@ -132,7 +132,7 @@
 	}
 }
 
-// A key at its floor does not make way while something else can.
+// A key at its floor is not evicted while another one can be.
 func TestFloorIsKept(t *testing.T) {
 	p := modelPlan(8, "llm|f", "llm|x", "llm|n")
 	p.Models["llm|f"] = fleetplan.Model{Key: "llm|f", Size: 4, Floor: 1, Most: 3, Load: 1e9}
@@ -143,12 +143,12 @@
 	require.Equal(t, "+n@s1 -x@s1", k.changes())
 }
 
-// What a server holds that the plan does not name takes room too: a new owner does not know how much.
+// A model that the plan doesn't contain occupies room too, and a new owner doesn't know how much.
 func TestUnnamedTakesRoom(t *testing.T) {
 	c := newCluster(t, modelPlan(8, "llm|m", "llm|n"), "a")
 	m := c.serve("s", "llm|m", "llm|lost")
 	r := c.route("r")
 	r.burden["llm|n"] = protocol.Burden{Wait: 1, Came: 1}
 	require.True(t, c.until(20e9, func() bool { return len(c.orders("load")) > 0 }))
-	require.False(t, m.holds["llm|lost"], "it goes before anything comes")
+	require.False(t, m.holds["llm|lost"], "it is unloaded before anything is loaded")
 }
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -10,9 +10,9 @@
 	"tidedeck/internal/protocol"
 )
 
-// Handing changes to the owner of the leadership lease, and taking them from others.
+// Forwarding of changes to the owner of the leadership lease, and handling of forwarded changes at the owner.
 
-// proposerElsewhere gives the node that proposes for all, if another node than this one owns the lease and answers.
+// remoteProposer returns the node that proposes all changes, if a node other than this one owns the lease and answers.
 func (c *Core) proposerElsewhere() (protocol.Sibling, bool) {
 	owner := c.duty.who
 	if c.o.Alone || c.duty.mine || owner.ID == "" || owner.ID == c.o.Me.ID || !c.answered(owner.ID, voterFresh) {
@@ -22,43 +22,43 @@
 }
 
 const (
-	leastForwardReads = 1 // times between two reads that the outcome of a change is waited for at least
-	forwardTrips      = 6 // round trips of a read that it may take where no outcome was seen yet
-	forwardDoublings  = 3 // of the wait, one for each change in a row that no outcome came for
-	mostForwardWait   = leastChangeWait
+	minForwardRounds    = 1 // lower bound of the timeout, in intervals between two reads
+	initialForwardTrips = 6 // timeout before the first outcome was measured, in timeouts of a read
+	maxForwardDoublings = 3 // bounds the exponential backoff: each consecutive timeout doubles the next one
+	maxForwardTimeout   = leastChangeWait
 )
 
-// forwards are the changes that this node has handed over.
+// forwards holds the changes that this node has forwarded.
 type forwards struct {
-	open  map[uint64]*pendingChange // whose outcome is not known yet, by the numbers under which they were handed over
-	heard clock.Tick                // when the last outcome came
-	late  int                       // changes since then whose outcomes did not come in time
+	open        map[uint64]*pendingChange // changes without an outcome, by the number in the Forward message
+	lastOutcome clock.Tick                // when the last outcome arrived
+	timeouts    int                       // number of changes since then without an outcome in time
 }
 
-// forwardWait is how long the outcome of a change that was handed over is waited for.
-func (c *Core) forwardWait() clock.Span {
+// forwardTimeout returns how long to wait for the outcome of a forwarded change.
+func (c *Core) forwardTimeout() clock.Span {
 	wait := c.reg.trips.forwards.Timeout()
 	if !c.reg.trips.forwards.Known() {
-		wait = forwardTrips * c.reg.trips.reads.Timeout()
+		wait = initialForwardTrips * c.reg.trips.reads.Timeout()
 	}
-	wait = max(wait, leastForwardReads*c.o.Round) << min(c.forwards.late, forwardDoublings)
-	return min(wait, mostForwardWait)
+	wait = max(wait, minForwardRounds*c.o.Round) << min(c.forwards.timeouts, maxForwardDoublings)
+	return min(wait, maxForwardTimeout)
 }
 
-// forwardDue gives when a change is proposed here. As long as outcomes of others come, the owner is at work, and a change
-// that was handed over waits for its turn there.
-func (c *Core) forwardDue(p *pendingChange) clock.Tick {
-	return min(max(p.sent, c.forwards.heard).Add(c.forwardWait()), p.sent.Add(mostForwardWait))
+// forwardDeadline returns when this node proposes a forwarded change itself. As long as outcomes of other changes
+// arrive, the owner is working and the change is still in its queue, so the deadline moves with the last outcome.
+func (c *Core) forwardDeadline(p *pendingChange) clock.Tick {
+	return min(max(p.sent, c.forwards.lastOutcome).Add(c.forwardTimeout()), p.sent.Add(maxForwardTimeout))
 }
 
-// forward hands a change to the owner of the lease.
+// forward sends a change to the owner of the lease.
 func (c *Core) forward(p *pendingChange, owner protocol.Sibling) {
-	c.reg.round++ // lives have numbers of their own
+	c.reg.round++ // round numbers differ between lives of this node, so an old outcome cannot match
 	number := c.reg.round
-	p.owner, p.sent, p.unsettled = owner, c.now, true
+	p.owner, p.sent, p.maybeCommitted = owner, c.now, true
 	c.forwards.open[number] = p
 	c.tally.Forwards++
-	if p.admin.Change == "" { // it may come to be proposed twice: it must be known again
+	if p.admin.Change == "" { // the change may be proposed twice: the id marks the duplicate
 		p.admin.Change = fmt.Sprintf("%s-%d-%d", c.o.Me.ID, c.o.Inc, number)
 	}
 	a := p.admin
@@ -67,8 +67,8 @@
 	})
 }
 
-// tellKnown tells the outcomes of changes that were handed over, once this node knows the version that each came to: a read that
-// it serves later must not show an older one.
+// reportKnownOutcomes sends the receipts of forwarded changes once this node knows the version that each one produced.
+// Otherwise a later read at this node could return an older version.
 func (c *Core) tellKnown() {
 	for _, number := range generic.SortedKeys(c.forwards.open) {
 		p := c.forwards.open[number]
@@ -76,26 +76,26 @@
 			continue
 		}
 		delete(c.forwards.open, number)
-		c.endChange(p, *p.outcome)
+		c.finishChange(p, *p.outcome)
 	}
 }
 
-// awaitedEpoch gives the version that a change came to and that this node does not know yet, if any.
-func (p *pendingChange) awaitedEpoch() ident.Epoch {
+// outcomeEpoch returns the version that a change produced according to the owner, or 0 if no outcome has arrived.
+func (p *pendingChange) outcomeEpoch() ident.Epoch {
 	if p.outcome == nil {
 		return 0
 	}
 	return p.outcome.Epoch
 }
 
-// tellUnclear gives up on a version that this node does not come to know.
-func (c *Core) tellUnclear(p *pendingChange) {
+// expireOutcome reports a change as unclear if this node does not learn the resulting version in time.
+func (c *Core) expireOutcome(p *pendingChange) {
 	if !p.answered && c.now.Sub(p.sent) > c.changeWait() {
-		c.endChange(p, Receipt{Kind: failure.Unclear, Why: whyUnclear})
+		c.finishChange(p, Receipt{Kind: failure.Unclear, Why: unclearReason})
 	}
 }
 
-// beatForwards has changes proposed here whose outcome does not come in time, or whose owner lost the lease.
+// retryForwards proposes forwarded changes at this node if their outcome is overdue or their owner has lost the lease.
 func (c *Core) beatForwards() {
 	for _, number := range generic.SortedKeys(c.forwards.open) {
 		p := c.forwards.open[number]
@@ -104,21 +104,21 @@
 			continue
 		}
 		if p.outcome != nil {
-			c.tellUnclear(p)
+			c.expireOutcome(p)
 			continue
 		}
 		owner, other := c.proposerElsewhere()
-		late := c.now >= c.forwardDue(p)
+		late := c.now >= c.forwardDeadline(p)
 		if p.proposed || other && owner.ID == p.owner.ID && !late {
 			continue
 		}
-		c.forwards.late += generic.One(late)
+		c.forwards.timeouts += generic.One(late)
 		c.tally.ForwardsUnanswered++
 		c.proposeChange(p)
 	}
 }
 
-// onForwarded takes the outcome of a change that was handed over.
+// onForwarded handles the outcome of a forwarded change.
 func (c *Core) onForwarded(e protocol.Env) {
 	b := e.Body.(protocol.Forwarded)
 	p := c.forwards.open[b.Number]
@@ -126,41 +126,41 @@
 		return
 	}
 	if b.NotOwner {
-		p.unsettled = false
+		p.maybeCommitted = false
 		if !p.proposed {
 			c.proposeChange(p)
 		}
 		return
 	}
 	c.reg.trips.forwards.Observe(c.now.Sub(p.sent))
-	c.forwards.heard, c.forwards.late = c.now, 0
+	c.forwards.lastOutcome, c.forwards.timeouts = c.now, 0
 	r := Receipt{Kind: b.Kind, Why: b.Why, Faults: b.Faults, Epoch: b.Epoch, Empty: b.Empty}
-	if p.proposed && isRefusal(b.Kind) && !p.refusedForGood(b.Kind, b.Epoch) {
-		r = Receipt{Kind: failure.Unclear, Why: whyUnclear}
+	if p.proposed && isRefusal(b.Kind) && !p.refusalIsFinal(b.Kind, b.Epoch) {
+		r = Receipt{Kind: failure.Unclear, Why: unclearReason}
 	}
 	p.outcome = &r
 	c.hearOfChosen(b.Chosen, e.From)
 	c.tellKnown()
 }
 
-// forwardsTaken are the changes that others have handed to this owner in its term: each is taken once, however often it
-// arrives.
+// acceptedForwards records the changes that other nodes have forwarded to this owner during its term, so that duplicates
+// are ignored.
 type forwardsTaken struct {
 	known map[forwardID]bool
 	order []forwardID
 }
 
-// forwardID names a change by the node that handed it over and that node's number.
+// forwardID identifies a forwarded change by the sending node and that node's number.
 type forwardID struct {
 	from   ident.Node
 	number uint64
 }
 
-// mostForwardsKnown bounds how many are remembered.
-const mostForwardsKnown = 1024
+// maxRememberedForwards bounds the entries of forwardsTaken.
+const maxRememberedForwards = 1024
 
-// isNew notes a change, and tells whether it came for the first time.
-func (t *forwardsTaken) isNew(id forwardID) bool {
+// recordIfNew records a change and reports whether it arrived for the first time.
+func (t *forwardsTaken) recordIfNew(id forwardID) bool {
 	if t.known[id] {
 		return false
 	}
@@ -169,37 +169,37 @@
 	}
 	t.known[id] = true
 	t.order = append(t.order, id)
-	if len(t.order) > mostForwardsKnown {
+	if len(t.order) > maxRememberedForwards {
 		delete(t.known, t.order[0])
 		t.order = t.order[1:]
 	}
 	return true
 }
 
-// forwardable are the requests that may be handed over.
-var forwardable = map[string]bool{"put": true, "patch": true, "empty": true, "refill": true, "windows": true}
+// forwardableOps lists the operations that may be forwarded.
+var forwardableOps = map[string]bool{"put": true, "patch": true, "empty": true, "refill": true, "windows": true}
 
-// onForward proposes a change that another node hands over.
+// onForward proposes a change that another node has forwarded.
 func (c *Core) onForward(e protocol.Env) {
 	b := e.Body.(protocol.Forward)
-	if !c.rules() || b.Term != c.duty.num || !forwardable[b.Op] {
+	if !c.rules() || b.Term != c.duty.num || !forwardableOps[b.Op] {
 		c.reply(e, protocol.Forwarded{Number: b.Number, NotOwner: true})
 		return
 	}
-	if !c.taken.isNew(forwardID{e.From.ID, b.Number}) {
+	if !c.taken.recordIfNew(forwardID{e.From.ID, b.Number}) {
 		return
 	}
 	c.tally.ForwardsTaken++
-	admins[b.Op](c, Admin{
+	adminHandlers[b.Op](c, Admin{
 		Op: b.Op, Raw: b.Raw, Expect: b.Expect, Any: b.Any, Number: b.Revision, Change: b.Change, Zone: b.Zone,
 		reply: func(r Receipt) { c.replyForwarded(e, b.Number, r) },
 	})
 }
 
-// replyForwarded tells a node what became of the change that it handed over.
+// replyForwarded sends the outcome of a forwarded change back to the node that forwarded it.
 func (c *Core) replyForwarded(e protocol.Env, number uint64, r Receipt) {
 	if r.Kind == failure.Full {
-		r.Why = fmt.Sprintf("%d changes wait at the owner of the lease", mostQueued)
+		r.Why = fmt.Sprintf("%d changes are queued at the owner of the lease", mostQueued)
 	}
 	c.reply(e, protocol.Forwarded{Number: number, Kind: r.Kind, Why: r.Why, Faults: r.Faults, Epoch: r.Epoch, Empty: r.Empty, Chosen: c.reg.at})
 }
--- a/internal/controller/guards_test.go
+++ b/internal/controller/guards_test.go
@@ -13,8 +13,8 @@
 	"tidedeck/internal/overlay"
 )
 
-// Each condition that the control side's tests are about is taken out, one at a time, by an edit of the
-// sources for one build; the test that is named must then fail. docs/control.md refers to these rows.
+// guards lists the conditions that the tests of this package protect. Each one is removed in turn by an edit of the
+// sources for a single build, and the named test must then fail. docs/control.md refers to these rows.
 var guards = []struct {
 	guard, test string
 	edits       []overlay.Edit
@@ -23,15 +23,15 @@
 	{"no order on an answer after the lease", "TestNoOrderOnAConfirmationAfterTheLease", []overlay.Edit{{File: "orders.go", Old: "return c.rules() && c.now.Sub", New: "return c.now.Sub"}}},
 	{"orders are confirmed", "TestOrderIsConfirmed", []overlay.Edit{{File: "confirm.go", Old: "return s.doing != nil && s.unsure == nil", New: "return false && s.unsure == nil"}}},
 	{"a repeated order is no new count", "TestOrderIsConfirmed", []overlay.Edit{{File: "confirm.go", Old: "(t.Code == underWay || t.Code == taken): //", New: "t.Code == taken:\n\t\ts.num++\n\t\ts.next = c.now\n\tcase t.OK && t.Code == underWay: //"}}},
-	{"disk loads are learned", "TestDiskLoadsAreLearned", []overlay.Edit{{File: "confirm.go", Old: "c.diskPart += (seen - c.diskPart) * diskPartBlend", New: "_ = seen"}}},
+	{"disk loads are learned", "TestDiskLoadsAreLearned", []overlay.Edit{{File: "confirm.go", Old: "c.diskPart += (seen - c.diskPart) * diskLoadWeight", New: "_ = seen"}}},
 	{"whole servers follow their state", "TestDarkServerNotOfferedWithoutModel", []overlay.Edit{{File: "entries.go", Old: "p == nil || p.stage != Ready || !c.open(s)", New: "p == nil || p.stage != Ready || p != s.whole && !c.open(s)"}}},
 	{"an address from the last list is no server's that is enrolled", "TestCrashedServerFromTheList", []overlay.Edit{{File: "enrol.go", Old: " && !taken[x.Addr] {", New: " {"}}},
 	{"whoever is ordered is named", "TestOrderAtAnAddressOfAnother", []overlay.Edit{{File: "core.go", Old: "c.askOnly(s.ID, s.Addr,", New: "c.askOnly(c.servers[s.ID].ID[:0], s.Addr,"}}},
 	{"another's answer is not the server's", "TestAnswerOfAnother", []overlay.Edit{{File: "orders.go", Old: "if t.Server == s.ID || t.Server == \"\" && t.Code != notThisOne {", New: "if true {"}}},
 	{"who comes from the last list is asked at once", "TestServersFromTheListAreAskedAtOnce", []overlay.Edit{{File: "enrol.go", Old: "heard: c.now.Add(-c.o.Silence - 1), had", New: "heard: c.now, had"}}},
-	{"sizes follow the plan", "TestReportsBeforeThePlan", []overlay.Edit{{File: "enrol.go", Old: "p.size = c.sizeOf(k) // it may", New: "_, _ = k, p // it may"}}},
+	{"sizes follow the plan", "TestReportsBeforeThePlan", []overlay.Edit{{File: "enrol.go", Old: "p.size = c.sizeOf(k) // the server", New: "_, _ = k, p // the server"}}},
 	{"changes are remembered by their ids", "TestRepeatAfterManyChanges", []overlay.Edit{{File: "admin.go", Old: "const maxChanges = 512", New: "const maxChanges = 64"}}},
-	{"a forgotten change is not refused", "TestRepeatAfterManyChanges", []overlay.Edit{{File: "changes.go", Old: "if forgotten(d, a) {", New: "if false {"}}},
+	{"a forgotten change is not refused", "TestRepeatAfterManyChanges", []overlay.Edit{{File: "changes.go", Old: "if predatesHistory(d, a) {", New: "if false {"}}},
 	{"the longest absent goes first", "TestLongestAbsentIsReplacedFirst", []overlay.Edit{{File: "voters.go", Old: "if longest < 0 || since < c.reg.absent[voters[longest].ID] {", New: "if longest < 0 {"}}},
 	{"every node knows absences", "TestOwnerLostDuringAReplacement", []overlay.Edit{{File: "voters.go", Old: "	c.noteTouch(inTouch)\n", New: "	c.noteTouch(inTouch)\n	inTouch = inTouch && c.duty.mine\n"}}},
 	{"absence is counted in touch", "TestAbsenceIsCountedInTouchOnly", []overlay.Edit{{File: "voters.go", Old: "	if !inTouch {\n		clear(r.absent)", New: "	if false {\n		clear(r.absent)"}}},
@@ -58,13 +58,13 @@
 	{"changes are handed over under a term", "TestForwardIsTakenOnceAndUnderItsTerm", []overlay.Edit{{File: "forward.go", Old: "|| b.Term != c.duty.num", New: ""}}},
 	{"a change that is handed over is taken once", "TestForwardIsTakenOnceAndUnderItsTerm", []overlay.Edit{{File: "forward.go", Old: "	if t.known[id] {\n		return false", New: "	if t.known[id] {\n		return true"}}},
 	{"a change without an outcome is proposed here", "TestForwardWithoutAnOutcome", []overlay.Edit{{File: "forward.go", Old: "		c.proposeChange(p)\n	}\n}", New: "		_ = p\n	}\n}"}}},
-	{"a change that is handed over has an id", "TestForwardWithoutAnIDIsTakenOnce", []overlay.Edit{{File: "forward.go", Old: "if p.admin.Change == \"\" { // it", New: "if false { // it"}}},
-	{"no refusal beside a copy under way", "TestRefusalBesideACopyUnderWay", []overlay.Edit{{File: "changes.go", Old: "if refused && p.unsettled && !p.refusedForGood(k, v.Epoch) {", New: "if false {"}}},
+	{"a change that is handed over has an id", "TestForwardWithoutAnIDIsTakenOnce", []overlay.Edit{{File: "forward.go", Old: "if p.admin.Change == \"\" { // the", New: "if false { // the"}}},
+	{"no refusal beside a copy under way", "TestRefusalBesideACopyUnderWay", []overlay.Edit{{File: "changes.go", Old: "if refused && p.maybeCommitted && !p.refusalIsFinal(k, v.Epoch) {", New: "if false {"}}},
 	{"handed changes are numbered by life", "TestForwardsOfAnEarlierLife", []overlay.Edit{{File: "forward.go", Old: "	number := c.reg.round\n", New: "	c.token++\n	number := c.token\n"}}},
 	{"no refusal beside a copy of one's own", "TestRefusalBesideACopyOfOnesOwn", []overlay.Edit{{File: "forward.go", Old: "if p.proposed && isRefusal(b.Kind) &&", New: "if false &&"}}},
 	{"an outcome is told once it is known", "TestOutcomeIsToldOnceItIsKnown", []overlay.Edit{{File: "forward.go", Old: "|| p.outcome.Kind == failure.None && c.Epoch() < p.outcome.Epoch {", New: "{"}}},
 	{"changes are applied beside the core", "TestNoPlanIsReadInAStep", []overlay.Edit{{File: "changes.go", Old: "mutation{beside: true,", New: "mutation{"}}},
-	{"waits follow the round trips", "TestRegisterGoesOnAtAnySpeed", []overlay.Edit{{File: "proposer_timing.go", Old: "	return min(max(wait, leastAnswerReads*c.o.Round), mostAnswerReads*c.o.Round)", New: "	_ = wait\n	return 700e6"}, {File: "forward.go", Old: "	return min(wait, mostForwardWait)", New: "	return 250e6"}}},
+	{"waits follow the round trips", "TestRegisterGoesOnAtAnySpeed", []overlay.Edit{{File: "proposer_timing.go", Old: "	return min(max(wait, leastAnswerReads*c.o.Round), mostAnswerReads*c.o.Round)", New: "	_ = wait\n	return 700e6"}, {File: "forward.go", Old: "	return min(wait, maxForwardTimeout)", New: "	return 250e6"}}},
 	{"a broken entry keeps its other servers", "TestBrokenEntryKeepsItsOtherServers", []overlay.Edit{{File: "links.go", Old: "if c.o.Unfenced && len(e.replicas) > 0 && !l.full {", New: "if false {"}}},
 	{"who owned the lease last has it back at once", "TestDutyBackAfterPower", []overlay.Edit{{File: "acceptor.go", Old: "(c.vote.owner.ID == e.From.ID || !held && !quiet)", New: "!held && !quiet"}}},
 	{"one proposer at a time", "TestRegisterGoesOnAtAnySpeed", []overlay.Edit{{File: "forward.go", Old: "if c.o.Alone ||", New: "if true ||"}}},
@@ -89,7 +89,7 @@
 			run.Env = append(os.Environ(), strict.Variable+"="+strict.Off)
 			out, err := run.CombinedOutput()
 			require.Error(t, err, "with this guard taken out, %s still passes", g.test)
-			require.Contains(t, string(out), "--- FAIL: "+g.test, "it fails by its own verdict")
+			require.Contains(t, string(out), "--- FAIL: "+g.test, "the test must fail by its own assertion")
 		})
 	}
 }
--- a/internal/controller/host.go
+++ b/internal/controller/host.go
@@ -21,11 +21,11 @@
 	"tidedeck/internal/protocol"
 )
 
-// Dialect is how a deployment's servers and operators speak to core nodes. It holds names and
-// formats and decides nothing.
+// Dialect defines the HTTP paths and formats that a deployment's servers and operators use with core nodes. It contains
+// no logic of the core.
 type Dialect struct {
-	Servers  string // the path under which servers announce themselves by their ids
-	Plan     string // the path of the plan
+	Servers  string // path prefix of servers' announcements; the server's id follows it
+	Plan     string // path of the plan
 	Beacon   func(id string, raw []byte) (protocol.Beacon, error)
 	Revision func(raw []byte) (uint64, error)
 	Target   func(addr string) []byte
@@ -34,58 +34,59 @@
 	Tell     func(context.Context, *http.Client, protocol.Ask) protocol.Told
 }
 
-// HostOptions of a core node that runs under a hosting platform.
+// HostOptions configures a core node that runs under a hosting platform.
 type HostOptions struct {
 	ID      string
 	Zone    string
-	Post    string                   // where other nodes reach this one
-	Control string                   // where servers and operators reach it
-	Admin   string                   // where the product's own operators' interface is
-	Metrics string                   // and metrics a second time; nowhere if empty
-	Bind    func(told string) string // where to listen for what others are told to reach at an address
-	Regions map[ident.Zone]string    // of zones
+	Post    string                   // address for other nodes
+	Control string                   // address for servers and operators
+	Admin   string                   // address of the product's own interface for operators
+	Metrics string                   // additional address for metrics; none if empty
+	Bind    func(told string) string // maps an advertised address to the one to listen on
+	Regions map[ident.Zone]string    // region of each zone
 	Seeds   []string
-	Follow  func(step func(protocol.Reseed)) // tells of other seeds as they come; none if it is left out
+	Follow  func(step func(protocol.Reseed)) // subscribes to changes of the seeds; optional
 	Data    string
-	First   bool // the whole system starts for the first time
+	First   bool // this is the first start of the whole system
 	Logs    io.Writer
 	Dialect Dialect
 	Timing  Timing
-	Losses  int // core nodes that may be lost at once, with their disks
+	Losses  int // number of core nodes that may be lost at once, including their disks
 }
 
-// dialWait is for a connection to another machine to come up: one that lost its power says nothing, and
-// the next try must not wait long for it.
-const dialWait = 200 * time.Millisecond
+// dialTimeout bounds a connection attempt to another machine. A machine without power doesn't refuse a connection, and
+// the next attempt must not be delayed for long.
+const dialTimeout = 200 * time.Millisecond
 
-// Timing is what a deployment promises and asks for; holds and lapses follow from it.
+// Timing holds a deployment's bounds on delays, from which the durations of leases and time-outs are derived.
 type Timing struct {
-	Apply   clock.Span // a confirmed plan is in force everywhere after so long
-	Drain   clock.Span // a leaving server is sent nothing after so long
-	CatchUp clock.Span // a new core node counts as there after so long
-	Period  clock.Span // between two announcements of a server
-	Tenure  clock.Span // two core nodes do not order a server by turns within so long
-	Rate    clock.Span // the store's rate is kept in every while of this length
+	Apply   clock.Span // a confirmed plan is in force on every node within this time
+	Drain   clock.Span // a leaving server gets no more requests after this time
+	CatchUp clock.Span // a new core node counts as available after this time
+	Period  clock.Span // interval between two announcements of a server
+	Tenure  clock.Span // two core nodes don't alternate in sending orders to a server within this time
+	Rate    clock.Span // the limit on the store's load rate holds in every window of this length
 }
 
-// Hold derives a router's hold: it must have run out, on the owner's clock too, before anything that
-// it may not outlive.
+// Hold derives the duration of a router's lease. The lease must end, on the owner's clock too, within each bound that it
+// must not exceed.
 func (t Timing) Hold() clock.Span {
 	return max(200e6, min(2000e6, min(t.Apply, t.Drain)*7/10))
 }
 
-// Duty derives the duty's hold: short, so that a lost owner is soon replaced, and long enough for four
+// Duty derives the duration of the duty's lease: short enough to replace a lost owner quickly, and long enough for four
 // rounds.
 func (t Timing) Duty() clock.Span { return max(400e6, min(1200e6, t.Hold()*4/7)) }
 
-// Spare derives how long a voter is gone before a spare node takes its place: a new node must be a
-// voter, with the set before it left, by the time that it counts as there.
+// Spare derives how long a voter is absent before a spare node replaces it. By the time that a new node counts as
+// available, it must be a voter and the previous voter set must no longer be in force.
 func (t Timing) Spare() clock.Span { return max(800e6, min(6000e6, t.CatchUp*3/10)) }
 
-// Silence derives how long a server says nothing before it is asked whether it is there.
+// Silence derives how long a server may be silent before it is polled.
 func (t Timing) Silence() clock.Span { return t.Period*2 + t.Period/4 }
 
-func hosted(h HostOptions) Options {
+// hostedOptions returns the options of a core that runs under a hosting platform.
+func hostedOptions(h HostOptions) Options {
 	return Options{
 		Me: protocol.Sibling{ID: ident.Node(h.ID), Addr: h.Post}, Zone: ident.Zone(h.Zone), Inc: host.NewInc(),
 		Seeds: host.Siblings(h.Seeds), Rand: host.NewRand(), Wall: time.Now,
@@ -94,26 +95,26 @@
 	}
 }
 
-// Host runs a core node under a hosting platform until it is told to stop.
+// Host runs a core node under a hosting platform until the process receives a signal to stop.
 func Host(h HostOptions) error {
 	ring := host.NewRingWith(host.RingOptions{Name: h.ID, Out: os.Stderr, Lines: h.Logs})
 	plans := &fleetplan.Memo{Read: h.Dialect.Read}
 	h.Dialect.Read = plans.Plan
 	h.Dialect.Merge = (&fleetplan.MergeMemo{Merge: h.Dialect.Merge}).Apply
-	core := New(hosted(h))
-	d := &desk{wait: map[uint64]chan Receipt{}}
-	a := &announcer{wait: map[uint64]chan bool{}, desk: d, o: h}
-	d.c = host.New(host.Options{Core: core, Listen: []string{h.Bind(h.Post)}, Told: h.Post, Data: h.Data, Beat: 25 * time.Millisecond, Dial: dialWait, Ring: ring,
-		Before: h.readAhead, Tell: h.Dialect.Tell, Else: func(o any) {
-			d.act(o)
-			a.act(o)
+	core := New(hostedOptions(h))
+	d := &adminServer{waiting: map[uint64]chan Receipt{}}
+	a := &controlHandler{waiting: map[uint64]chan bool{}, admin: d, options: h}
+	d.process = host.New(host.Options{Core: core, Listen: []string{h.Bind(h.Post)}, Told: h.Post, Data: h.Data, Beat: 25 * time.Millisecond, Dial: dialTimeout, Ring: ring,
+		Before: h.preparsePlan, Tell: h.Dialect.Tell, Else: func(o any) {
+			d.handleOutput(o)
+			a.handleOutput(o)
 		}})
-	if err := d.c.Run(); err != nil {
+	if err := d.process.Run(); err != nil {
 		return err
 	}
-	defer d.c.Stop()
+	defer d.process.Stop()
 	if h.Follow != nil {
-		h.Follow(func(r protocol.Reseed) { d.c.Step(r) })
+		h.Follow(func(r protocol.Reseed) { d.process.Step(r) })
 	}
 	defer host.ServeBeside(ring, d.routes(core), h.Bind(h.Admin), h.Bind(h.Metrics))()
 	err := host.Web(h.Bind(h.Control), a, ring, nil, 2*time.Second)
@@ -121,74 +122,76 @@
 	return err
 }
 
-// readAhead reads a plan that another node sends, so that the core need not stand still when it is to act by it.
-func (h HostOptions) readAhead(e protocol.Env) {
+// preparsePlan parses a plan in another node's message in advance, so that parsing doesn't block a step of the core.
+func (h HostOptions) preparsePlan(e protocol.Env) {
 	switch b := e.Body.(type) {
 	case protocol.Accept:
-		h.readPlan(b.Value.Plan)
+		h.parsePlan(b.Value.Plan)
 	case protocol.Value:
 		if b.Value != nil {
-			h.readPlan(b.Value.Plan)
+			h.parsePlan(b.Value.Plan)
 		}
 	case protocol.Forward:
 		if b.Op == "put" {
-			h.readPlan(b.Raw)
+			h.parsePlan(b.Raw)
 		}
 	}
 }
 
-// readPlan reads a plan, so that the memory of plans has it.
-func (h HostOptions) readPlan(raw []byte) {
+// parsePlan parses a plan to fill the cache of parsed plans.
+func (h HostOptions) parsePlan(raw []byte) {
 	if len(raw) > 0 {
 		_, _ = h.Dialect.Read(raw)
 	}
 }
 
-// announcer is the door through which servers and the platform's operators come in.
-type announcer struct {
-	mu   sync.Mutex // guards wait and next; taken after the host's
-	next uint64
-	wait map[uint64]chan bool
-	desk *desk
-	o    HostOptions
+// controlHandler serves HTTP requests of servers and of the platform's operators.
+type controlHandler struct {
+	mu        sync.Mutex // guards waiting and lastToken; locked after the host's mutex
+	lastToken uint64
+	waiting   map[uint64]chan bool
+	admin     *adminServer
+	options   HostOptions
 }
 
-func (a *announcer) act(o any) {
+// handleOutput passes the core's answer to an announcement to the waiting request.
+func (a *controlHandler) handleOutput(o any) {
 	v, ok := o.(Announced)
 	if !ok {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if ch := a.wait[v.Token]; ch != nil {
+	if ch := a.waiting[v.Token]; ch != nil {
 		ch <- v.OK
-		delete(a.wait, v.Token)
+		delete(a.waiting, v.Token)
 	}
 }
 
-// ServeHTTP takes announcements of servers, and operators' changes.
-func (a *announcer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if id, ok := strings.CutPrefix(r.URL.Path, a.o.Dialect.Servers); ok {
-		a.server(w, r, id)
+// ServeHTTP handles servers' announcements, and operators' reads and changes of the plan.
+func (a *controlHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if id, ok := strings.CutPrefix(r.URL.Path, a.options.Dialect.Servers); ok {
+		a.serveAnnouncement(w, r, id)
 		return
 	}
-	if r.URL.Path != a.o.Dialect.Plan {
+	if r.URL.Path != a.options.Dialect.Plan {
 		http.NotFound(w, r)
 		return
 	}
 	switch r.Method {
 	case http.MethodGet:
-		a.read(w)
+		a.servePlan(w)
 	case http.MethodPut:
-		a.change(w, r, "put")
+		a.serveChange(w, r, "put")
 	case http.MethodPatch:
-		a.change(w, r, "patch")
+		a.serveChange(w, r, "patch")
 	default:
 		w.WriteHeader(http.StatusMethodNotAllowed)
 	}
 }
 
-func (a *announcer) server(w http.ResponseWriter, r *http.Request, id string) {
+// serveAnnouncement handles an announcement of a server: PUT for its state, DELETE if it is gone.
+func (a *controlHandler) serveAnnouncement(w http.ResponseWriter, r *http.Request, id string) {
 	b := protocol.Beacon{Listed: protocol.Listed{ID: ident.Server(id), State: "gone"}}
 	switch r.Method {
 	case http.MethodPut:
@@ -196,7 +199,7 @@
 		if err != nil {
 			return
 		}
-		if b, err = a.o.Dialect.Beacon(id, raw); err != nil {
+		if b, err = a.options.Dialect.Beacon(id, raw); err != nil {
 			host.Error(w, failure.Malformed, 0, fleetplan.Faults{{Path: "$", Why: err.Error()}})
 			return
 		}
@@ -207,17 +210,17 @@
 	}
 	ch := make(chan bool, 1)
 	a.mu.Lock()
-	a.next++
-	token := a.next
-	a.wait[token] = ch
+	a.lastToken++
+	token := a.lastToken
+	a.waiting[token] = ch
 	a.mu.Unlock()
-	a.desk.c.Step(Announce{Token: token, Beacon: b})
+	a.admin.process.Step(Announce{Token: token, Beacon: b})
 	ok := false
 	select {
 	case ok = <-ch:
 	case <-r.Context().Done():
 		a.mu.Lock()
-		delete(a.wait, token)
+		delete(a.waiting, token)
 		a.mu.Unlock()
 		return
 	}
@@ -226,55 +229,56 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(a.o.Dialect.Target(""))
+	_, _ = w.Write(a.options.Dialect.Target(""))
 }
 
-func (a *announcer) read(w http.ResponseWriter) {
-	v := a.desk.ask(Admin{Op: "get"})
+// servePlan returns the newest plan.
+func (a *controlHandler) servePlan(w http.ResponseWriter) {
+	receipt := a.admin.request(Admin{Op: "get"})
 	switch {
-	case v.Kind != failure.None:
+	case receipt.Kind != failure.None:
 		host.Error(w, failure.NotReady, 0, nil)
-	case len(v.Plan) == 0:
+	case len(receipt.Plan) == 0:
 		host.Error(w, failure.Unknown, 0, nil)
 	default:
 		w.Header().Set("Content-Type", "application/json")
-		w.Header().Set("ETag", fmt.Sprint(v.Epoch))
-		_, _ = w.Write(v.Plan)
+		w.Header().Set("ETag", fmt.Sprint(receipt.Epoch))
+		_, _ = w.Write(receipt.Plan)
 	}
 }
 
-// change takes an operator's change. Its id is a digest of what was sent, so that a repeat of it is
-// known, at whatever node it comes.
-func (a *announcer) change(w http.ResponseWriter, r *http.Request, op string) {
+// serveChange handles an operator's change. The change id is a digest of the request, so that every node recognizes a
+// repeat.
+func (a *controlHandler) serveChange(w http.ResponseWriter, r *http.Request, op string) {
 	raw, ok := host.Body(w, r, 2*fleetplan.MostPlan)
 	if !ok {
 		return
 	}
-	n, err := a.o.Dialect.Revision(raw)
+	revision, err := a.options.Dialect.Revision(raw)
 	if err != nil {
 		host.Error(w, failure.Malformed, 0, fleetplan.Faults{{Path: "$", Why: err.Error()}})
 		return
 	}
-	on, err := strconv.ParseUint(strings.Trim(strings.TrimSpace(r.Header.Get("If-Match")), `"`), 10, 64)
+	base, err := strconv.ParseUint(strings.Trim(strings.TrimSpace(r.Header.Get("If-Match")), `"`), 10, 64)
 	if err != nil {
-		host.Error(w, failure.Malformed, 0, fleetplan.Faults{{Path: "If-Match", Why: "wants the number of the plan that the change goes on"}})
+		host.Error(w, failure.Malformed, 0, fleetplan.Faults{{Path: "If-Match", Why: "wants the revision of the plan that the change is based on"}})
 		return
 	}
 	if op == "put" {
-		a.o.readPlan(raw) // the core refuses what cannot be read
+		a.options.parsePlan(raw) // only fills the cache: the core rejects a plan with faults
 	}
-	h := sha256.New()
-	_, _ = fmt.Fprintf(h, "%s %d\n", op, on)
-	_, _ = h.Write(raw)
-	v := a.desk.ask(Admin{Op: op, Raw: raw, Expect: ident.Epoch(on), Number: ident.Epoch(n), Change: hex.EncodeToString(h.Sum(nil)[:12])})
-	switch v.Kind {
+	digest := sha256.New()
+	_, _ = fmt.Fprintf(digest, "%s %d\n", op, base)
+	_, _ = digest.Write(raw)
+	receipt := a.admin.request(Admin{Op: op, Raw: raw, Expect: ident.Epoch(base), Number: ident.Epoch(revision), Change: hex.EncodeToString(digest.Sum(nil)[:12])})
+	switch receipt.Kind {
 	case failure.None:
-		host.JSON(w, http.StatusOK, v)
+		host.JSON(w, http.StatusOK, receipt)
 	case failure.Conflict:
-		host.JSON(w, http.StatusPreconditionFailed, v)
+		host.JSON(w, http.StatusPreconditionFailed, receipt)
 	case failure.Faulty, failure.Malformed, failure.Unknown:
-		host.JSON(w, http.StatusBadRequest, v)
+		host.JSON(w, http.StatusBadRequest, receipt)
 	default:
-		host.JSON(w, http.StatusServiceUnavailable, v)
+		host.JSON(w, http.StatusServiceUnavailable, receipt)
 	}
 }
--- a/internal/controller/inspect.go
+++ b/internal/controller/inspect.go
@@ -11,10 +11,10 @@
 	"tidedeck/internal/protocol"
 )
 
-// Snapshot is a read-only view of what decides a core node's next steps in the register and the
-// duty. It is meant for checkers; the values it points to are the core's own and must not be changed.
+// Snapshot is a read-only view of the state that determines a core node's next steps in the register and the duty. It is
+// intended for checkers. It shares pointers with the core, so callers must not modify it.
 type Snapshot struct {
-	Began    bool // the node's incarnation is durable, so that it takes part
+	Began    bool // the node's incarnation is durable, so the node participates
 	Ending   bool
 	Voter    VoterSnapshot
 	Register RegisterSnapshot
@@ -22,52 +22,52 @@
 	Members  []protocol.Member
 }
 
-// VoterSnapshot is the acceptor's part of a Snapshot.
+// VoterSnapshot is the acceptor's state in a Snapshot.
 type VoterSnapshot struct {
 	Incarnation   ident.Inc
 	Promised      protocol.Ballot
-	Reserved      protocol.Ballot // the last one that was promised together with an accept
+	Reserved      protocol.Ballot // the last ballot promised together with an accept
 	Accepted      protocol.Ballot
 	Value         *protocol.Desired
 	DurableBallot protocol.Ballot
 	DurableValue  *protocol.Desired
-	Started       clock.Tick // from when grants to others may still run that this voter forgot
+	Started       clock.Tick // start of this life; grants from before may still be in force without this voter knowing
 	Duty          ident.Duty
 	DurableDuty   ident.Duty
 	Owner         ident.Node
 	GrantUntil    clock.Tick
-	Asked         clock.Tick // when the proposer of the promised ballot was last heard
+	Asked         clock.Tick // when the proposer of the promised ballot last sent a message
 }
 
-// RegisterSnapshot is the proposer's and reader's part of a Snapshot.
+// RegisterSnapshot is the proposer's and reader's state in a Snapshot.
 type RegisterSnapshot struct {
 	Known         *protocol.Desired // newest value known to be chosen
 	KnownBallot   protocol.Ballot
-	Hint          *protocol.Desired // newest voter set seen, perhaps not chosen
+	Hint          *protocol.Desired // value with the newest voter set seen; may not be chosen
 	Round         uint64
 	HighestBallot uint64
 	Operation     *OperationSnapshot
 	Queued        []OperationSnapshot
-	Queries       []QuerySnapshot // majority reads under way, oldest first
+	Queries       []QuerySnapshot // majority reads in progress, oldest first
 	LastRead      uint64
 	WantedBallot  protocol.Ballot
 	Wanted        clock.Tick
 	NextQuery     clock.Tick
-	LastMajority  clock.Tick   // when the last read that ended began
+	LastMajority  clock.Tick   // start of the last completed read
 	LastAnswer    clock.Tick   // when a majority last answered
-	Reads         []clock.Tick // when each read that waits for a majority came
+	Reads         []clock.Tick // arrival of each read that waits for a majority
 	Siblings      []SiblingSnapshot
 	Absent        map[ident.Node]clock.Tick
-	UnclearReads  int // majority reads in a row that showed one newer ballot that is not known to be chosen
+	UnclearReads  int // consecutive majority reads that showed the same newer ballot that is not known to be chosen
 	UnclearBallot protocol.Ballot
-	Unequal       clock.Tick      // since when a voter's copy is old
-	Unclear       clock.Tick      // since when reads show the unclear ballot
+	Unequal       clock.Tick      // since when a voter has had an outdated copy
+	Unclear       clock.Tick      // since when reads have shown the unclear ballot
 	Promised      protocol.Ballot // by a majority, for this node's next attempt
 	PromisedAt    protocol.Ballot // with the accept of this ballot
 	Forwards      []ForwardSnapshot
 }
 
-// OperationSnapshot is a change, or a full read, in its rounds.
+// OperationSnapshot is a change or a full read in progress.
 type OperationSnapshot struct {
 	Phase    string
 	Ballot   protocol.Ballot
@@ -84,18 +84,18 @@
 	Unclear  bool
 	Fails    int
 	Resent   int
-	Base     protocol.Ballot // of the newest value that was known to be chosen when the rounds began
+	Base     protocol.Ballot // ballot of the newest value known to be chosen when the operation began
 }
 
-// ForwardSnapshot is a change that was handed to the owner of the leadership lease.
+// ForwardSnapshot is a change that was forwarded to the owner of the leadership lease.
 type ForwardSnapshot struct {
 	Change    string
 	Owner     ident.Node
-	Due       clock.Tick // when it is proposed here, if no outcome has come by then
+	Due       clock.Tick // when this node proposes the change if no outcome has arrived
 	Unsettled bool
 	Proposed  bool
 	Answered  bool
-	Outcome   ident.Epoch // that the owner told, and this node does not know yet
+	Outcome   ident.Epoch // resulting version according to the owner, which this node does not know yet
 }
 
 // QuerySnapshot is a majority read.
@@ -118,7 +118,7 @@
 	Owner    ident.Node
 }
 
-// SiblingSnapshot is what a node heard last of another.
+// SiblingSnapshot is the last state that a node received from another.
 type SiblingSnapshot struct {
 	ID    ident.Node
 	At    clock.Tick
@@ -139,7 +139,7 @@
 	Left    clock.Tick
 }
 
-// Inspect copies what decides the node's next steps. It changes nothing.
+// Inspect returns a Snapshot of the core. It doesn't modify the core.
 func (c *Core) Inspect() Snapshot {
 	return Snapshot{
 		Began: c.began, Ending: c.ending,
@@ -173,7 +173,7 @@
 	}
 	for _, number := range generic.SortedKeys(c.forwards.open) {
 		p := c.forwards.open[number]
-		s.Forwards = append(s.Forwards, ForwardSnapshot{Change: p.admin.Change, Owner: p.owner.ID, Due: c.forwardDue(p), Unsettled: p.unsettled, Proposed: p.proposed, Answered: p.answered, Outcome: p.awaitedEpoch()})
+		s.Forwards = append(s.Forwards, ForwardSnapshot{Change: p.admin.Change, Owner: p.owner.ID, Due: c.forwardDeadline(p), Unsettled: p.maybeCommitted, Proposed: p.proposed, Answered: p.answered, Outcome: p.outcomeEpoch()})
 	}
 	for _, o := range r.queue {
 		s.Queued = append(s.Queued, inspectOperation(o))
@@ -214,7 +214,7 @@
 	}
 }
 
-// DurableVote is what a core node's disk has of its votes.
+// DurableVote is the voting state on a core node's disk.
 type DurableVote struct {
 	Incarnation ident.Inc
 	Promised    protocol.Ballot
@@ -224,7 +224,7 @@
 	Owner       ident.Node
 }
 
-// Read takes in what was written to the disk; what is not among it stays.
+// Read updates the state with the keys that were written to disk; other fields keep their values.
 func (v *DurableVote) Read(puts map[string][]byte) error {
 	var accepted safe
 	var granted pledge
@@ -251,19 +251,20 @@
 	return nil
 }
 
-// Chosen gives the newest value that this node knows to be chosen, if any, and its ballot.
+// Chosen returns the newest value that this node knows to be chosen, if any, and its ballot.
 func (c *Core) Chosen() (protocol.Ballot, *protocol.Desired) { return c.reg.at, c.reg.known }
 
-// Proposing tells the highest ballot number that this node has seen, and the round of the operation
-// that it has under way, if it has one.
-func (c *Core) Proposing() (highest, round uint64, under bool) {
+// Proposing returns the highest ballot number that this node has seen and the round of its operation in progress, if
+// there is one.
+func (c *Core) Proposing() (highest, round uint64, active bool) {
 	if c.reg.op == nil {
 		return c.reg.top, 0, false
 	}
 	return c.reg.top, c.reg.op.round, true
 }
 
-// ReadIndex gives the place of a round's majority read among those under way, from 1 on; 0 if it is none of them.
+// ReadIndex returns the 1-based position of a round's majority read among those in progress, or 0 if it isn't in
+// progress.
 func (c *Core) ReadIndex(round uint64) int {
 	for i, q := range c.reg.queries {
 		if q.round == round {
--- a/internal/controller/invariants.go
+++ b/internal/controller/invariants.go
@@ -11,18 +11,18 @@
 	"tidedeck/internal/voterset"
 )
 
-// A core node's promises as checks that run in the code. Each looks at what is about to happen, not at the
-// condition that was to prevent it.
+// Run-time checks of a core node's invariants. Each one checks the action that is about to happen, independently of the
+// condition that should have prevented it.
 
-// sameValue tells whether two values of the register say the same.
-func sameValue(a, b protocol.Desired) bool {
+// equalValues reports whether two values of the register are equal in the fields that the checks compare.
+func equalValues(a, b protocol.Desired) bool {
 	return a.Gen == b.Gen && a.Epoch == b.Epoch && a.Shape == b.Shape && bytes.Equal(a.Plan, b.Plan)
 }
 
-// checkAccept looks at a value that this voter is about to accept.
+// checkAccept checks a value that this voter is about to accept.
 func (c *Core) checkAccept(b protocol.Ballot, value protocol.Desired) {
 	if old := c.vote.value; old != nil && c.vote.accepted == b {
-		invariant.Check(sameValue(*old, value), invariant.BallotOneValue, func() string {
+		invariant.Check(equalValues(*old, value), invariant.BallotOneValue, func() string {
 			return fmt.Sprintf("%s: ballot %v proposes epoch %d, and proposed epoch %d before", c.o.Me.ID, b, value.Epoch, old.Epoch)
 		})
 	}
@@ -31,12 +31,12 @@
 	})
 }
 
-// checkChosen looks at a value that is taken for chosen after another.
+// checkChosen checks a newly chosen value against the previous one.
 func (c *Core) checkChosen(old *protocol.Desired, oldBallot, ballot protocol.Ballot, value protocol.Desired) {
 	if old == nil || old.Gen != value.Gen {
 		return
 	}
-	invariant.Check(oldBallot != ballot || sameValue(*old, value), invariant.BallotOneValue, func() string {
+	invariant.Check(oldBallot != ballot || equalValues(*old, value), invariant.BallotOneValue, func() string {
 		return fmt.Sprintf("%s: ballot %v has epoch %d and epoch %d", c.o.Me.ID, ballot, old.Epoch, value.Epoch)
 	})
 	invariant.Check(value.Epoch >= old.Epoch && value.Shape >= old.Shape, invariant.ChosenRises, func() string {
@@ -50,38 +50,38 @@
 	})
 }
 
-// acknowledged notes the highest epoch that this node has told anybody as taken.
-func (c *Core) acknowledged(epoch ident.Epoch) { c.ackedEpoch = max(c.ackedEpoch, epoch) }
+// noteAcknowledged records the highest epoch that this node has acknowledged as committed.
+func (c *Core) noteAcknowledged(epoch ident.Epoch) { c.ackedEpoch = max(c.ackedEpoch, epoch) }
 
-// checkRead looks at a configuration that is about to be read back.
+// checkRead checks the epoch of a configuration that is about to be returned to a reader.
 func (c *Core) checkRead(epoch ident.Epoch) {
 	invariant.Check(epoch >= c.ackedEpoch, invariant.ReadIsNewest, func() string {
-		return fmt.Sprintf("%s: epoch %d is read, and %d was acknowledged here", c.o.Me.ID, epoch, c.ackedEpoch)
+		return fmt.Sprintf("%s: a read returns epoch %d after epoch %d was acknowledged", c.o.Me.ID, epoch, c.ackedEpoch)
 	})
 }
 
-// checkOwner looks at the owner that a majority read showed, while this node's own lease runs.
+// checkOwner checks the owner that a majority read showed while this node holds the lease.
 func (c *Core) checkOwner(q *query) {
 	if !c.rules() {
 		return
 	}
-	// A minority may hold the term for a claimant that did not win it.
+	// A minority may have granted the term to a claimant that didn't win it.
 	invariant.Check(!voterset.Majority(q.set, q.others), invariant.OneOwner, func() string {
 		return fmt.Sprintf("term %d is held by %s, and by %s at %v", c.duty.num, c.o.Me.ID, q.owner.ID, generic.SortedKeys(q.others))
 	})
 }
 
-// checkOrder looks at an order that is about to be sent.
+// checkOrder checks an order that is about to be sent.
 func (c *Core) checkOrder(s *server, p *spot) {
 	invariant.Check(c.rules(), invariant.OrdersUnderLease, func() string {
-		return fmt.Sprintf("%s orders %s without a lease", c.o.Me.ID, s.ID)
+		return fmt.Sprintf("%s sends an order to %s without a lease", c.o.Me.ID, s.ID)
 	})
 	if p.stage != Ordered || s.room <= 0 {
 		return
 	}
-	// What a server held of itself when it was found may be past its room; only what is ordered counts.
+	// A server may already have held more than its room when it was enrolled; only orders are checked.
 	invariant.Check(s.used() <= s.room, invariant.WithinRoom, func() string {
-		return fmt.Sprintf("%s is to load %s of %d, which makes %d of %d", s.ID, p.key, p.size, s.used(), s.room)
+		return fmt.Sprintf("%s is ordered to load %s of size %d, which makes %d of room %d", s.ID, p.key, p.size, s.used(), s.room)
 	})
 	if s.places > 0 && p.key.IsAdapter() {
 		n := 0
@@ -89,12 +89,12 @@
 			n += generic.One(k.IsAdapter())
 		}
 		invariant.Check(n <= s.places, invariant.WithinRoom, func() string {
-			return fmt.Sprintf("%s is to load %s as adapter %d of %d", s.ID, p.key, n, s.places)
+			return fmt.Sprintf("%s is ordered to load %s as adapter %d of %d", s.ID, p.key, n, s.places)
 		})
 	}
 }
 
-// checkRate looks at the loads from the store that have begun within a while.
+// checkRate checks the number of loads from the store that began within the rate window.
 func (c *Core) checkRate() {
 	recent := 0
 	for _, at := range c.begun {
@@ -102,16 +102,16 @@
 	}
 	most := c.storeRate()*c.o.Rate.Seconds() + 1
 	invariant.Check(float64(recent) <= most, invariant.WithinRate, func() string {
-		return fmt.Sprintf("%d loads from the store began within %v, and %.1f may", recent, c.o.Rate, most)
+		return fmt.Sprintf("%d loads from the store began within %v, at most %.1f are allowed", recent, c.o.Rate, most)
 	})
 }
 
-// checkLeaving looks at a leaving that is about to be acknowledged: this node knows of it, and its disk.
+// checkLeaving checks that this node has a record of a departure that is about to be acknowledged.
 func (c *Core) checkLeaving(l *leaving) {
-	for _, b := range l.list {
+	for _, b := range l.beacons {
 		e := c.roll[b.ID]
-		invariant.Check(e != nil && stagesOf[e.State] >= stagesOf[b.State], invariant.LeavingIsKnown, func() string {
-			return fmt.Sprintf("%s acknowledges that %s is %s, and has forgotten it", c.o.Me.ID, b.ID, b.State)
+		invariant.Check(e != nil && stateRank[e.State] >= stateRank[b.State], invariant.LeavingIsKnown, func() string {
+			return fmt.Sprintf("%s acknowledges that %s is %s, but has no record of that", c.o.Me.ID, b.ID, b.State)
 		})
 	}
 }
--- a/internal/controller/list.go
+++ b/internal/controller/list.go
@@ -10,41 +10,42 @@
 	"tidedeck/internal/protocol"
 )
 
-// Roll is a server list as an owner of the duty had it; every core node keeps the last one, on
-// disk, so that a takeover or a restart under a silent platform begins with it.
+// Roll is the server list of an owner of the duty. Every core node keeps the latest one on disk, so that a new owner or
+// a restarted core has a list while the platform doesn't answer.
 type Roll struct {
 	Duty ident.Duty
 	List []protocol.Listed
 }
 
-// eye is how an owner that reaches too little finds out whether a sibling reaches more.
+// reachCheck is the state of an owner with poor connectivity that checks whether a sibling reaches more servers.
 type eye struct {
-	since clock.Tick // since when it reaches too little
-	asked clock.Tick
-	round uint64
-	told  clock.Tick // when siblings were last sent the list
+	since         clock.Tick // when connectivity became insufficient; 0 if it is sufficient
+	lastLook      clock.Tick
+	round         uint64
+	lastBroadcast clock.Tick // when the list was last sent to siblings
 }
 
-var states = map[string]bool{"live": true, "leaving": true, "gone": true}
+// listedStates are the valid states of a listed server.
+var listedStates = map[string]bool{"live": true, "leaving": true, "gone": true}
 
-// sound tells whether a list can be what the platform means.
-func sound(l []protocol.Listed) bool {
+// validList reports whether a server list is well-formed.
+func validList(list []protocol.Listed) bool {
 	seen := map[ident.Server]bool{}
-	for _, x := range l {
-		if x.ID == "" || x.Addr == "" || x.Zone == "" || !states[x.State] || seen[x.ID] {
+	for _, listed := range list {
+		if listed.ID == "" || listed.Addr == "" || listed.Zone == "" || !listedStates[listed.State] || seen[listed.ID] {
 			return false
 		}
-		seen[x.ID] = true
+		seen[listed.ID] = true
 	}
 	return true
 }
 
-// believe doubts a list that says nothing of more than half of the servers that are there: those
-// stay as they were, for as long as they answer. What a list does say is always believed.
-func (c *Core) believe(l []protocol.Listed) []protocol.Listed {
+// retainOmitted guards against a truncated list. If a list omits more than half of the reachable servers, these keep
+// their state for as long as they answer. The entries that a list does have always apply.
+func (c *Core) retainOmitted(list []protocol.Listed) []protocol.Listed {
 	seen := map[ident.Server]bool{}
-	for _, x := range l {
-		seen[x.ID] = true
+	for _, listed := range list {
+		seen[listed.ID] = true
 	}
 	there := 0
 	var lost []protocol.Listed
@@ -59,132 +60,134 @@
 		}
 	}
 	if 2*len(lost) <= there {
-		return l
+		return list
 	}
 	c.tally.Doubts++
 	if c.tally.Doubts%100 == 1 {
 		c.oops(fmt.Sprintf("the platform no longer lists %d of %d servers that answer: they are kept", len(lost), there))
 	}
-	return append(append([]protocol.Listed{}, l...), lost...)
+	return append(append([]protocol.Listed{}, list...), lost...)
 }
 
-// tellList gives the list in use to every core node, when it changes and now and then.
-func (c *Core) tellList() {
-	var l []protocol.Listed
+// broadcastList sends the list in use to every core node, on each change and periodically.
+func (c *Core) broadcastList() {
+	var servers []protocol.Listed
 	for _, id := range generic.SortedKeys(c.servers) {
 		if s := c.servers[id]; s.State != "gone" {
-			l = append(l, s.Listed)
+			servers = append(servers, s.Listed)
 		}
 	}
-	n := Roll{c.duty.num, l}
-	if string(jot(n)) == string(jot(c.list)) && (c.o.Enrolled || c.now.Sub(c.eye.told) < 3e9) {
+	list := Roll{c.duty.num, servers}
+	if string(jot(list)) == string(jot(c.list)) && (c.o.Enrolled || c.now.Sub(c.eye.lastBroadcast) < 3e9) {
 		return
 	}
-	c.eye.told = c.now
-	c.keepList(n)
-	for _, m := range c.mates.Alive("controller") {
-		if m.ID != c.o.Me.ID {
-			c.send(m.Sibling, protocol.Listing{Duty: n.Duty, List: n.List})
+	c.eye.lastBroadcast = c.now
+	c.storeList(list)
+	for _, member := range c.mates.Alive("controller") {
+		if member.ID != c.o.Me.ID {
+			c.send(member.Sibling, protocol.Listing{Duty: list.Duty, List: list.List})
 		}
 	}
 }
 
-func (c *Core) keepList(n Roll) {
-	if n.Duty < c.list.Duty || string(jot(n)) == string(jot(c.list)) {
+// storeList keeps a list and writes it to disk, unless it is older than the stored one or equal to it.
+func (c *Core) storeList(list Roll) {
+	if list.Duty < c.list.Duty || string(jot(list)) == string(jot(c.list)) {
 		return
 	}
-	c.list = n
-	c.save(map[string][]byte{diskL: jot(n)}, func() {})
+	c.list = list
+	c.save(map[string][]byte{diskL: jot(list)}, func() {})
 }
 
+// onListing handles the owner's server list.
 func (c *Core) onListing(e protocol.Env) {
 	b := e.Body.(protocol.Listing)
-	if !c.duty.mine && sound(b.List) {
-		c.keepList(Roll{b.Duty, b.List})
+	if !c.duty.mine && validList(b.List) {
+		c.storeList(Roll{b.Duty, b.List})
 	}
 }
 
-// reach counts the servers that should answer, and those that do.
-func (c *Core) reach() (should, do int) {
+// countReachable counts the servers that should answer and those that do.
+func (c *Core) countReachable() (should, reached int) {
 	for _, s := range c.servers {
 		if s.State == "gone" {
 			continue
 		}
 		should++
 		if s.known && !s.dark {
-			do++
+			reached++
 		}
 	}
-	return should, do
+	return should, reached
 }
 
-// beatEye asks siblings what they reach, once this owner has for long reached too little to
-// serve the duty: not the platform, or less than half of the servers.
+// checkReach asks siblings what they can reach after this owner's connectivity has been insufficient for a while, that
+// is, it can't reach the platform or reaches less than half of the servers.
 func (c *Core) beatEye() {
 	if c.o.Enrolled {
-		return // the core is where servers announce themselves: it is not blind beside its siblings
+		return // servers announce themselves to the core, so a node doesn't need to reach a platform
 	}
-	should, do := c.reach()
-	if c.now.Sub(c.seenAt) < c.o.Blind && 2*do >= should {
+	should, reached := c.countReachable()
+	if c.now.Sub(c.seenAt) < c.o.Blind && 2*reached >= should {
 		c.eye.since = 0
 		return
 	}
 	if c.eye.since == 0 {
 		c.eye.since = c.now
 	}
-	if c.now.Sub(c.eye.since) < c.o.Blind/2 || c.now.Sub(c.duty.began) < c.o.Blind || c.now.Sub(c.eye.asked) < 1e9 {
+	if c.now.Sub(c.eye.since) < c.o.Blind/2 || c.now.Sub(c.duty.began) < c.o.Blind || c.now.Sub(c.eye.lastLook) < 1e9 {
 		return
 	}
-	c.eye.asked = c.now
+	c.eye.lastLook = c.now
 	c.eye.round++
 	c.tally.Looks++
-	for _, v := range c.reg.known.Voters {
-		if v.ID != c.o.Me.ID {
-			c.send(v.Sibling, protocol.Look{Round: c.eye.round, List: c.list.List})
+	for _, voter := range c.reg.known.Voters {
+		if voter.ID != c.o.Me.ID {
+			c.send(voter.Sibling, protocol.Look{Round: c.eye.round, List: c.list.List})
 		}
 	}
 }
 
-// onLook finds out what this node reaches. An order under duty 0 is none: servers only report.
+// onLook checks what this node can reach. A server answers an order with duty 0 with a report and doesn't execute it.
 func (c *Core) onLook(e protocol.Env) {
 	b := e.Body.(protocol.Look)
 	if len(b.List) > 1000 {
 		return
 	}
-	left := len(b.List) + 1
-	r := protocol.Looked{Round: b.Round}
-	end := func() {
-		if left--; left == 0 {
-			c.reply(e, r)
+	remaining := len(b.List) + 1
+	result := protocol.Looked{Round: b.Round}
+	finish := func() {
+		if remaining--; remaining == 0 {
+			c.reply(e, result)
 		}
 	}
 	c.ask(c.o.Platform, "/servers", nil, c.o.Wait, func(t protocol.Told) {
-		var l []protocol.Listed
-		r.Platform = t.OK && t.Code == 200 && json.Unmarshal(t.Body, &l) == nil && sound(l)
-		end()
+		var list []protocol.Listed
+		result.Platform = t.OK && t.Code == 200 && json.Unmarshal(t.Body, &list) == nil && validList(list)
+		finish()
 	})
-	for _, x := range b.List {
-		c.ask(x.Addr, "/orders", protocol.Order{}, c.o.Wait, func(t protocol.Told) {
-			var p protocol.Report
-			if t.OK && json.Unmarshal(t.Body, &p) == nil && p.Server == x.ID {
-				r.Servers++
+	for _, listed := range b.List {
+		c.ask(listed.Addr, "/orders", protocol.Order{}, c.o.Wait, func(t protocol.Told) {
+			var report protocol.Report
+			if t.OK && json.Unmarshal(t.Body, &report) == nil && report.Server == listed.ID {
+				result.Servers++
 			}
-			end()
+			finish()
 		})
 	}
 }
 
-// onLooked gives the duty to a sibling that reaches clearly more.
+// onLooked hands the duty over to a sibling with clearly better connectivity.
 func (c *Core) onLooked(e protocol.Env) {
 	b := e.Body.(protocol.Looked)
 	if !c.rules() || b.Round != c.eye.round || c.eye.since == 0 {
 		return
 	}
-	should, do := c.reach()
+	should, reached := c.countReachable()
 	blind := c.now.Sub(c.seenAt) >= c.o.Blind
-	if blind && b.Platform && b.Servers >= do || 2*do < should && b.Servers > do && 2*b.Servers >= should && (b.Platform || blind) {
+	if blind && b.Platform && b.Servers >= reached || 2*reached < should && b.Servers > reached && 2*b.Servers >= should && (b.Platform || blind) {
 		c.tally.Yields++
-		c.giveBack(fmt.Sprintf("%s reaches %d of %d servers, this node %d", e.From.ID, b.Servers, should, do), e.From.ID)
+		c.giveBack(fmt.Sprintf("%s reaches %d of %d servers, this node %d", e.From.ID, b.Servers, should, reached), e.From.ID)
 		c.duty.shy = c.now.Add(c.o.Shy)
 	}
 }
--- a/internal/controller/lives_test.go
+++ b/internal/controller/lives_test.go
@@ -9,12 +9,13 @@
 	"tidedeck/internal/protocol"
 )
 
+// from returns a message from a node.
 func from(node string, body any) protocol.Env {
 	return protocol.Env{From: protocol.Sibling{ID: ident.Node(node), Addr: node}, Body: body}
 }
 
-// rest names the two nodes of three that do not own the duty.
-func (c *cluster) rest() (l []string) {
+// nonOwners returns the two nodes of three that don't own the duty.
+func (c *cluster) nonOwners() (l []string) {
 	for _, id := range []string{"a", "b", "c"} {
 		if id != c.owner() {
 			l = append(l, id)
@@ -23,13 +24,13 @@
 	return l
 }
 
-// A core node that has heard of a leaving loses its disk and is taken in again, empty. Its answer from before comes
-// only now: it does not say which disk knows of the leaving, so it must not count for the one that the seat has now.
+// A core node confirms a departure, loses its disk and becomes a voter again with an empty one. Its delayed confirmation
+// doesn't say which disk has the record, so it must not count for the new disk.
 func TestLeavingHeardByALostDisk(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c")
 	c.plans["1"] = modelPlan(8, "llm|m")
 	c.told("a", Admin{Op: "put", Raw: []byte("1"), Number: 1, Change: "x"})
-	owner, rest := c.owner(), c.rest()
+	owner, rest := c.owner(), c.nonOwners()
 	c.announce(owner, beacon("s", "live", 1))
 	c.run(1e9)
 	c.wipe(rest[0])
@@ -40,16 +41,16 @@
 	c.announce(owner, beacon("s", "leaving", 2))
 	c.step(owner, from(rest[0], protocol.BeaconsHeard{Mark: c.nodes[owner].mark}))
 	ok, _ := c.answer(token)
-	require.False(t, ok, "the leaving is acknowledged, and only this node's disk knows of it")
+	require.False(t, ok, "the departure is acknowledged, but only this node's disk has a record of it")
 }
 
-// An emptied node asks the others what leavings they know of. What they answered to a question of a life before
-// does not have what was acknowledged since, and must not count.
+// A node with an emptied disk requests the registries of the others. An answer to a request of an earlier life lacks the
+// departures that were acknowledged since, so it must not count.
 func TestRollOfAnEarlierQuestion(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c")
 	c.plans["1"] = modelPlan(8, "llm|m")
 	c.told("a", Admin{Op: "put", Raw: []byte("1"), Number: 1, Change: "x"})
-	wiped := c.rest()[0]
+	wiped := c.nonOwners()[0]
 	c.wipe(wiped)
 	require.True(t, c.until(catchUp, func() bool { return c.nodes[wiped].reg.known != nil }))
 	c.nodes[wiped].rollWhole, c.nodes[wiped].recovered = false, map[ident.Node]ident.Inc{}
--- a/internal/controller/waits_for_test.go
+++ b/internal/controller/missing_voters_test.go
@@ -9,7 +9,7 @@
 	"tidedeck/internal/protocol"
 )
 
-// A core that has lost its majority tells operators which voters it waits for: in its status, its log and its metrics.
+// A core without a majority reports the missing voters in its status, its log and its metrics.
 func TestCoreTellsWhomItWaitsFor(t *testing.T) {
 	c := newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c", "d", "e")
 	c.run(2e9)
@@ -23,24 +23,24 @@
 	c.parted["d"], c.parted["e"] = true, true
 	c.run(2e9)
 	_, waits = status("a")
-	require.False(t, waits, "three of five go on")
+	require.False(t, waits, "three of five are a majority")
 	require.Zero(t, c.nodes["a"].tally.VotersMissing)
 	c.parted["c"] = true
 	c.out = nil
 	c.run(3e9)
 	text, waits := status("a")
 	require.True(t, waits)
-	require.Equal(t, "a majority of the voters [a b c d e] must answer: [c d e] do not, or have lost their disks", text)
+	require.Equal(t, "a majority of the voters [a b c d e] must answer: [c d e] do not answer or have lost their disks", text)
 	require.Equal(t, 3, c.nodes["a"].tally.VotersMissing)
-	require.Equal(t, 2, linesWith(c.out, "the core cannot go on: "+text), "each of the two that are left, once")
+	require.Equal(t, 2, linesWith(c.out, "the core cannot go on: "+text), "each of the two remaining nodes logs it once")
 	clear(c.parted)
 	c.run(2e9)
 	_, waits = status("a")
 	require.False(t, waits)
-	require.NotZero(t, linesWith(c.out, "the core waits for no voter any more"))
+	require.NotZero(t, linesWith(c.out, "a majority of the voters answers again"))
 }
 
-// linesWith counts the log lines that have a text.
+// linesWith counts the log lines that contain a text.
 func linesWith(out []any, text string) (n int) {
 	for _, o := range out {
 		line := ""
@@ -57,8 +57,8 @@
 	return n
 }
 
-// While two sets rule together, or one was accepted by some and not confirmed, that is said, and a voter that lost its disk
-// counts as missing though its node answers.
+// The report names both sets while two sets are in force, and says if the newest one is not confirmed. A voter that has
+// lost its disk counts as missing although its node answers.
 func TestCoreTellsOfAJointSet(t *testing.T) {
 	c := newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
 	c.run(2e9)
@@ -67,11 +67,11 @@
 	joint.Prior, joint.Shape = joint.Voters, joint.Shape+1
 	joint.Voters = []protocol.Voter{voter("a", 5), voter("b", 5), voter("f", 9)}
 	n.reg.hint = &joint
-	_, lacks := n.lacksVoters()
+	_, lacks := n.missingMajority()
 	require.False(t, lacks, "a and b are a majority of both")
 	c.parted["b"] = true
 	c.run(3e9)
-	m, lacks := n.lacksVoters()
+	m, lacks := n.missingMajority()
 	require.True(t, lacks)
-	require.Equal(t, "a majority of the voters [a b f] and one of those before them, [a b c], must answer: [b f] do not, or have lost their disks (this set was seen and is not confirmed)", m.String())
+	require.Equal(t, "a majority of the voters [a b f] and a majority of the previous voters [a b c] must answer: [b f] do not answer or have lost their disks (this set is not confirmed)", m.String())
 }
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -8,36 +8,36 @@
 	"tidedeck/internal/ident"
 )
 
-// The plan in force at this node, and whether its owner knows enough of the servers to act by it.
+// The plan in force at this node, and whether the owner knows enough about the servers to apply it.
 
-// planned takes the newest desired state into force at this node.
+// applyDesired puts the newest desired state into force at this node.
 func (c *Core) planned() {
 	c.plan, c.empty, c.windows, c.shutAt = nil, map[ident.Zone]bool{}, nil, 0
-	k := c.reg.known
-	if k == nil {
+	value := c.reg.known
+	if value == nil {
 		return
 	}
-	for _, z := range k.Empty {
+	for _, z := range value.Empty {
 		c.empty[z] = true
 	}
-	c.windows, _ = readWindows(k.Windows)
-	if len(k.Plan) > 0 {
-		c.plan, _ = c.o.Read(k.Plan)
+	c.windows, _ = readWindows(value.Windows)
+	if len(value.Plan) > 0 {
+		c.plan, _ = c.o.Read(value.Plan)
 	}
 	if c.duty.mine {
 		for _, id := range generic.SortedKeys(c.servers) {
-			c.adopt(c.servers[id])
+			c.applyService(c.servers[id])
 		}
 		c.touchAll()
 	}
 }
 
-// settled tells whether the owner knows enough of the servers to answer for them.
+// serversKnown reports whether the owner knows enough about the servers to answer for them.
 func (c *Core) settled() bool {
 	if !c.rules() || c.listed == 0 {
 		return false
 	}
-	if !c.rolled() {
+	if !c.registryComplete() {
 		return false
 	}
 	if c.now.Sub(c.duty.began) > c.o.Wait+c.o.Poll {
@@ -51,7 +51,7 @@
 	return true
 }
 
-// sizeOf tells the size that the plan gives a key, if it knows it.
+// sizeOf returns the size of a key in the plan, or an upper bound if the plan doesn't contain the key.
 func (c *Core) sizeOf(k ident.Key) int {
 	if c.plan == nil {
 		return 0
@@ -59,7 +59,7 @@
 	if m, ok := c.plan.Models[k]; ok || !c.o.Unfenced {
 		return m.Size
 	}
-	most := 0 // what no plan names may be as large as anything that it names
+	most := 0 // a key outside the plan may be as large as any of its kind in the plan
 	for x, m := range c.plan.Models {
 		if x.IsAdapter() == k.IsAdapter() && x.Service() == k.Service() {
 			most = max(most, m.Size)
@@ -68,64 +68,65 @@
 	return most
 }
 
-// serversThatStay is what the servers come to that can be counted on.
-type serversThatStay struct {
+// stableCapacity is the total capacity of the servers that are expected to stay in service.
+type stableCapacity struct {
 	count, room int
-	largest     int // the most room that one of them has
+	largest     int // maximum room of a single server
 	zones       map[ident.Zone]bool
 }
 
-func (c *Core) serversThatStay() serversThatStay {
-	sum := serversThatStay{zones: map[ident.Zone]bool{}}
+// stableCapacity sums up the servers that are expected to stay in service.
+func (c *Core) stableCapacity() stableCapacity {
+	total := stableCapacity{zones: map[ident.Zone]bool{}}
 	for _, s := range c.servers {
 		if c.stays(s) {
-			sum.count++
-			sum.room += s.room
-			sum.largest = max(sum.largest, s.room)
-			sum.zones[s.Zone] = true
+			total.count++
+			total.room += s.room
+			total.largest = max(total.largest, s.room)
+			total.zones[s.Zone] = true
 		}
 	}
-	return sum
+	return total
 }
 
-// lacks tells operators what of the plan the servers cannot give.
-func (c *Core) lacks() (l []fleetplan.Fault) {
+// shortfalls lists the requirements of the plan that the servers cannot meet, for operators.
+func (c *Core) lacks() (faults []fleetplan.Fault) {
 	if c.plan == nil || !c.settled() {
 		return nil
 	}
-	all := c.serversThatStay()
+	capacity := c.stableCapacity()
 	floors := 0
 	for _, key := range generic.SortedKeys(c.plan.Models) {
 		m := c.plan.Models[key]
 		floors += m.Floor * m.Size
-		if f := c.lack(m, all); f != nil {
-			l = append(l, *f)
+		if fault := c.shortfall(m, capacity); fault != nil {
+			faults = append(faults, *fault)
 		}
 	}
-	if floors > all.room {
-		l = append(l, fleetplan.Fault{Path: "$", Why: fmt.Sprintf("floors come to %d, but all room to %d", floors, all.room)})
+	if floors > capacity.room {
+		faults = append(faults, fleetplan.Fault{Path: "$", Why: fmt.Sprintf("floors need room %d in total, but the servers have %d", floors, capacity.room)})
 	}
-	return l
+	return faults
 }
 
-// lack tells what the servers cannot give one model.
-func (c *Core) lack(m fleetplan.Model, all serversThatStay) *fleetplan.Fault {
-	has, path := c.replicasOf(m.Key), pathOf(m.Key)
+// shortfall describes the first requirement of a model that the servers cannot meet, if any.
+func (c *Core) shortfall(m fleetplan.Model, capacity stableCapacity) *fleetplan.Fault {
+	replicas, path := c.replicasOf(m.Key), planPath(m.Key)
 	switch {
-	case m.Floor > all.count:
-		return &fleetplan.Fault{Path: path + ".floor", Why: fmt.Sprintf("%d replicas, but %d servers", m.Floor, all.count)}
-	case m.Size > all.largest:
-		return &fleetplan.Fault{Path: path + ".size", Why: fmt.Sprintf("%d, but no server has more room than %d", m.Size, all.largest)}
-	case has.count < m.Floor:
-		return &fleetplan.Fault{Path: path + ".floor", Why: fmt.Sprintf("%d of %d replicas are there", has.count, m.Floor)}
-	case m.Floor > 1 && len(has.zones) < 2 && len(all.zones) > 1:
+	case m.Floor > capacity.count:
+		return &fleetplan.Fault{Path: path + ".floor", Why: fmt.Sprintf("%d replicas, but %d servers", m.Floor, capacity.count)}
+	case m.Size > capacity.largest:
+		return &fleetplan.Fault{Path: path + ".size", Why: fmt.Sprintf("%d, but no server has more room than %d", m.Size, capacity.largest)}
+	case replicas.count < m.Floor:
+		return &fleetplan.Fault{Path: path + ".floor", Why: fmt.Sprintf("only %d of %d replicas exist", replicas.count, m.Floor)}
+	case m.Floor > 1 && len(replicas.zones) < 2 && len(capacity.zones) > 1:
 		return &fleetplan.Fault{Path: path + ".floor", Why: "every replica is in one zone"}
 	}
 	return nil
 }
 
-// pathOf tells where in a plan a model or an adapter stands.
-func pathOf(key ident.Key) string {
+// planPath returns the path of a model or an adapter in the plan.
+func planPath(key ident.Key) string {
 	if key.IsAdapter() {
 		return "$.adapters." + string(key)[len(key.Base())+1:]
 	}
--- a/internal/controller/promises_test.go
+++ b/internal/controller/promises_test.go
@@ -13,8 +13,8 @@
 	"tidedeck/internal/protocol"
 )
 
-// sentBodies gives the bodies of one kind among a step's outputs.
-func sentBodies[T any](out []any) (l []T) {
+// bodiesOf returns the message bodies of type T among a step's outputs.
+func bodiesOf[T any](out []any) (l []T) {
 	for _, o := range out {
 		if e, is := o.(protocol.Env); is {
 			if body, is := e.Body.(T); is {
@@ -25,8 +25,8 @@
 	return l
 }
 
-// What a voter promises together with an accept is on its disk before it answers: after a restart it refuses what lies
-// between the two.
+// A promise that is made together with an accept is on disk before the voter answers. After a restart, the voter refuses
+// ballots between the accepted and the promised one.
 func TestPromiseIsOnDiskWithTheAccept(t *testing.T) {
 	c := newCluster(t, modelPlan(8, "llm|m"), "a", "b", "c")
 	node := c.other()
@@ -44,7 +44,7 @@
 		n.Step(c.at, from("y", protocol.Prepare{Round: 2, Ballot: b}))
 		out := n.Step(c.at, protocol.Saved{Token: n.token})
 		out = append(out, n.Step(c.at, from("y", protocol.Prepare{Round: 3, Ballot: b}))...)
-		l := sentBodies[protocol.Promise](out)
+		l := bodiesOf[protocol.Promise](out)
 		require.NotEmpty(t, l)
 		return l[0]
 	}
@@ -52,8 +52,8 @@
 	require.True(t, promise(protocol.Ballot{N: next.N + 1, By: "y", Life: 1}).OK)
 }
 
-// An accept that comes again is answered like the first, though a later ballot is promised by then; any other below that
-// promise is refused.
+// A repeated accept gets the same answer as the first, although a later ballot is promised by then. Other accepts below
+// that promise are refused.
 func TestAcceptIsAnsweredAgain(t *testing.T) {
 	c := newCluster(t, modelPlan(8, "llm|m"), "a", "b", "c")
 	node := c.other()
@@ -61,21 +61,21 @@
 	ballot := protocol.Ballot{N: n.reg.top + 1, By: "z", Life: 1}
 	next := protocol.Ballot{N: ballot.N + 1, By: "z", Life: 1}
 	accept := protocol.Accept{Round: 1, Ballot: ballot, Value: *n.reg.known, Next: next}
-	require.Empty(t, sentBodies[protocol.Accepted](n.Step(c.at, from("z", accept))), "its disk has not confirmed it")
-	require.Empty(t, sentBodies[protocol.Accepted](n.Step(c.at, from("z", accept))), "nor yet")
-	require.Len(t, sentBodies[protocol.Accepted](n.Step(c.at, protocol.Saved{Token: n.token})), 1)
-	again := sentBodies[protocol.Accepted](n.Step(c.at, from("z", accept)))
+	require.Empty(t, bodiesOf[protocol.Accepted](n.Step(c.at, from("z", accept))), "the disk has not confirmed the write")
+	require.Empty(t, bodiesOf[protocol.Accepted](n.Step(c.at, from("z", accept))), "the write is still not confirmed")
+	require.Len(t, bodiesOf[protocol.Accepted](n.Step(c.at, protocol.Saved{Token: n.token})), 1)
+	again := bodiesOf[protocol.Accepted](n.Step(c.at, from("z", accept)))
 	require.Len(t, again, 1)
 	require.True(t, again[0].OK)
 	accept.Ballot = protocol.Ballot{N: next.N, By: "y", Life: 1}
-	refused := sentBodies[protocol.Accepted](n.Step(c.at, from("y", accept)))
+	refused := bodiesOf[protocol.Accepted](n.Step(c.at, from("y", accept)))
 	require.Len(t, refused, 1)
 	require.False(t, refused[0].OK)
 	require.Equal(t, next, refused[0].Promised)
 }
 
-// An owner goes on by what a majority promised with its last accept: one round for a change. Each ballot stands for one
-// value, also where the voters have gone past it meanwhile.
+// An owner uses the ballot that a majority promised with its last accept, so that a change takes one round. Each ballot
+// proposes only one value, even if the voters have promised a later ballot meanwhile.
 func TestPromiseIsUsedOnce(t *testing.T) {
 	c := newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
 	owner := c.owner()
@@ -92,7 +92,7 @@
 	require.True(t, c.until(2e9, func() bool { return second() != nil }))
 	require.Equal(t, was+1, n.tally.RoundsPromised, "no prepare was needed")
 
-	// Others go past the promise.
+	// The other voters promise a later ballot to a rival.
 	rival := protocol.Ballot{N: n.reg.promised.ballot.N + 5, By: "z", Life: 1}
 	for id := range c.nodes {
 		if id != owner {
@@ -111,25 +111,25 @@
 	fourth := put("fourth")
 	require.True(t, c.until(4e9, func() bool { return fourth() != nil }))
 	require.Equal(t, failure.None, fourth().Kind)
-	require.Equal(t, ident.Epoch(5), n.Epoch(), "each was taken once")
+	require.Equal(t, ident.Epoch(5), n.Epoch(), "each change was committed once")
 	for id, other := range c.nodes {
 		require.Equal(t, "fourth", string(other.reg.known.Plan), id)
 	}
 }
 
-// forwardTo is a change that is handed to an owner.
+// forwardTo returns a message that forwards a change to an owner.
 func forwardTo(n *Core, number uint64) protocol.Forward {
 	return protocol.Forward{Number: number, Term: n.duty.num, Op: "put", Raw: []byte("1"), Any: true, Change: fmt.Sprint("change-", number)}
 }
 
-// A change that is handed over is taken under the term that it names, and once, however often it arrives.
+// A forwarded change is accepted only under the term that it names, and duplicates of the message have no effect.
 func TestForwardIsTakenOnceAndUnderItsTerm(t *testing.T) {
 	c := newCluster(t, modelPlan(8, "llm|m"), "a", "b", "c")
 	owner := c.owner()
 	n := c.nodes[owner]
 	forward := forwardTo(n, 1)
 	forward.Term--
-	refused := sentBodies[protocol.Forwarded](n.Step(c.at, from("z", forward)))
+	refused := bodiesOf[protocol.Forwarded](n.Step(c.at, from("z", forward)))
 	require.Equal(t, []protocol.Forwarded{{Number: 1, NotOwner: true}}, refused)
 	forward = forwardTo(n, 2)
 	forward.Change = ""
@@ -139,13 +139,13 @@
 	}
 	require.EqualValues(t, 2, n.Epoch())
 	other := c.nodes[c.other()]
-	require.Equal(t, []protocol.Forwarded{{Number: 3, NotOwner: true}}, sentBodies[protocol.Forwarded](other.Step(c.at, from("z", forwardTo(n, 3)))))
+	require.Equal(t, []protocol.Forwarded{{Number: 3, NotOwner: true}}, bodiesOf[protocol.Forwarded](other.Step(c.at, from("z", forwardTo(n, 3)))))
 	form := forwardTo(n, 4)
 	form.Op = "form"
-	require.True(t, sentBodies[protocol.Forwarded](n.Step(c.at, from("z", form)))[0].NotOwner, "only changes are handed over")
+	require.True(t, bodiesOf[protocol.Forwarded](n.Step(c.at, from("z", form)))[0].NotOwner, "only changes may be forwarded")
 }
 
-// handOver has a node that does not own the lease take a change, and loses what it hands to the owner.
+// handOver sends a change to a node that doesn't own the lease, and drops the message that forwards it to the owner.
 func handOver(t *testing.T, a Admin) (c *cluster, node string, answer func() *Receipt) {
 	c = newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
 	c.run(2e9)
@@ -158,10 +158,10 @@
 	return c, node, answer
 }
 
-// A change whose outcome does not come is proposed by the node that the operator asked.
+// A forwarded change without an outcome is proposed by the node that received the operator's request.
 func TestForwardWithoutAnOutcome(t *testing.T) {
 	c, node, answer := handOver(t, Admin{Op: "put", Raw: []byte("1"), Any: true, Change: "x"})
-	wait := c.nodes[node].forwardWait()
+	wait := c.nodes[node].forwardTimeout()
 	require.LessOrEqual(t, wait, 4*c.nodes[node].o.Round)
 	require.True(t, c.until(2*wait, func() bool { return answer() != nil }))
 	require.Equal(t, failure.None, answer().Kind)
@@ -171,8 +171,8 @@
 	require.Empty(t, c.nodes[node].forwards.open)
 }
 
-// A change without an id of its own gets one when it is handed over: it is known again where its outcome is lost, and the
-// node that the operator asked proposes it as well.
+// A change without an id gets one when it is forwarded. If its outcome is lost and the forwarding node proposes it too,
+// the id marks the duplicate.
 func TestForwardWithoutAnIDIsTakenOnce(t *testing.T) {
 	c := newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
 	c.run(2e9)
@@ -183,13 +183,13 @@
 	}
 	answer := c.admin(node, Admin{Op: "put", Raw: []byte("1"), Expect: 1})
 	require.True(t, c.until(4e9, func() bool { return answer() != nil }))
-	require.Equal(t, failure.None, answer().Kind, "it was taken")
+	require.Equal(t, failure.None, answer().Kind, "the change was committed")
 	require.EqualValues(t, 2, answer().Epoch)
 	c.run(4e9)
 	require.EqualValues(t, 2, c.nodes[node].Epoch())
 }
 
-// A refusal is told only if it holds for the copy that was handed over as well: that one may still arrive, on a later version.
+// A refusal is reported only if it also holds for the forwarded copy, which may still arrive at a later version.
 func TestRefusalBesideACopyUnderWay(t *testing.T) {
 	for _, x := range []struct {
 		name   string
@@ -210,9 +210,9 @@
 	}
 }
 
-// No step of a core reads a plan or applies a change to one that was not read or applied beside it before.
+// No step of a core parses a plan or merges a patch: both are done beside the core beforehand.
 func TestNoPlanIsReadInAStep(t *testing.T) {
-	ahead := map[string]bool{} // plans that were read beside the core
+	ahead := map[string]bool{} // plans that were parsed beside the core
 	inStep, late := true, 0
 	tune := func(o *Options) {
 		grownTimes(o)
@@ -238,7 +238,7 @@
 		run()
 		inStep = true
 	}
-	late = 0 // what the disk had is read when a node starts
+	late = 0 // a node parses the plan on its disk when it starts
 	grown := "1"
 	for range 400 {
 		grown += "{}"
@@ -261,8 +261,8 @@
 	require.Zero(t, late)
 }
 
-// An outcome for a change of a node's earlier life says nothing of one that its present life has handed over, and the owner
-// takes a change of the present life for a new one.
+// An outcome of a change from a node's earlier life must not match a change that its present life has forwarded, and
+// the owner must treat the change of the present life as new.
 func TestForwardsOfAnEarlierLife(t *testing.T) {
 	c := newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
 	c.run(2e9)
@@ -286,19 +286,19 @@
 	c.loses = func(protocol.Env) bool { return false }
 	c.delay = 100e6
 	handed := c.nodes[owner].tally.ForwardsTaken
-	c.nodes[node].token = early.Number - 1 // whatever else is counted anew in each life
+	c.nodes[node].token = early.Number - 1 // a counter that restarts in each life would reach the same number
 	answer := c.admin(node, Admin{Op: "put", Raw: []byte("late"), Any: true, Change: "late"})
 	require.Len(t, c.nodes[node].forwards.open, 1)
 	c.step(node, protocol.Env{From: protocol.Sibling{ID: ident.Node(owner), Addr: owner}, To: protocol.Sibling{ID: ident.Node(node), Addr: node}, Body: early})
-	require.Nil(t, answer(), "it is not known yet whether it is taken")
+	require.Nil(t, answer(), "the outcome is not known yet")
 	require.True(t, c.until(4e9, func() bool { return answer() != nil }))
 	require.Equal(t, failure.None, answer().Kind)
 	require.EqualValues(t, 3, answer().Epoch)
-	require.Equal(t, handed+1, c.nodes[owner].tally.ForwardsTaken, "the owner took it")
+	require.Equal(t, handed+1, c.nodes[owner].tally.ForwardsTaken, "the owner accepted it")
 }
 
-// While a change is proposed by the node that handed it over as well, that node passes on a refusal only if it holds for its own
-// copy, too.
+// If the forwarding node has proposed a change as well, it passes on the owner's refusal only if that holds for its own
+// copy too.
 func TestRefusalBesideACopyOfOnesOwn(t *testing.T) {
 	for _, x := range []struct {
 		expect ident.Epoch
@@ -323,8 +323,8 @@
 	}
 }
 
-// A node that handed a change over tells its operator that it was taken once it knows so itself: no read that it serves after
-// that shows an older version, whenever the read began.
+// A forwarding node acknowledges a change only once it knows the new version itself, so that no read that it serves
+// afterwards returns an older version, whenever the read began.
 func TestOutcomeIsToldOnceItIsKnown(t *testing.T) {
 	c := newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
 	c.run(2e9)
@@ -340,16 +340,16 @@
 	}
 	answer := c.admin(node, Admin{Op: "put", Raw: []byte("1"), Any: true, Change: "x"})
 	c.run(200e6)
-	require.EqualValues(t, 2, c.lead().Epoch(), "it is taken")
+	require.EqualValues(t, 2, c.lead().Epoch(), "the change is committed")
 	require.EqualValues(t, 1, n.Epoch())
-	require.Nil(t, answer(), "and the node does not know it yet")
+	require.Nil(t, answer(), "the node does not know the new version yet")
 	blind = false
 	require.True(t, c.until(2e9, func() bool { return answer() != nil }))
 	require.Equal(t, failure.None, answer().Kind)
 	require.EqualValues(t, 2, n.Epoch())
 }
 
-// A node that comes to know of no version that was taken leaves its operator's change unclear.
+// If the forwarding node never learns the committed version, it reports the change as unclear.
 func TestOutcomeThatIsNeverKnownIsUnclear(t *testing.T) {
 	c := newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
 	c.run(2e9)
--- a/internal/controller/report.go
+++ b/internal/controller/report.go
@@ -8,36 +8,36 @@
 	"tidedeck/internal/protocol"
 )
 
-// What a server reports is checked for contradictions before it is believed.
+// Checks of servers' reports for contradictions.
 
-// mostSize is past any size, room or number of slots that there is.
+// maxSize is an upper bound of every valid size, room and number of slots.
 const mostSize = 1 << 30
 
-// oddity finds what in a report contradicts itself. Numbers past any bound are no numbers.
+// contradiction describes the first contradiction or out-of-range number in a report, or returns an empty string.
 func oddity(r protocol.Report) string {
 	if r.Room < 0 || r.Room > mostSize || r.Slots < 1 || r.Slots > mostSize {
 		return fmt.Sprintf("room %d, slots %d", r.Room, r.Slots)
 	}
-	sum := 0
+	total := 0
 	seen := map[ident.Key]bool{}
-	l := append([]protocol.Held{}, r.Held...)
-	sort.Slice(l, func(i, j int) bool { return l[i].Key < l[j].Key })
-	for _, h := range l {
+	models := append([]protocol.Held{}, r.Held...)
+	sort.Slice(models, func(i, j int) bool { return models[i].Key < models[j].Key })
+	for _, model := range models {
 		switch {
-		case h.Key == "":
-			return "a key without a name"
-		case seen[h.Key]:
-			return fmt.Sprintf("%s twice", h.Key)
-		case h.Size < 1 || h.Size > mostSize:
-			return fmt.Sprintf("%s of size %d", h.Key, h.Size)
-		case h.Active < 0 || h.AgeMs < 0:
-			return fmt.Sprintf("%s with %d under way for %d ms", h.Key, h.Active, h.AgeMs)
-		case h.Stage != "loading" && h.Stage != "ready":
-			return fmt.Sprintf("%s at stage %q", h.Key, h.Stage)
+		case model.Key == "":
+			return "an empty key"
+		case seen[model.Key]:
+			return fmt.Sprintf("%s is listed twice", model.Key)
+		case model.Size < 1 || model.Size > mostSize:
+			return fmt.Sprintf("%s has size %d", model.Key, model.Size)
+		case model.Active < 0 || model.AgeMs < 0:
+			return fmt.Sprintf("%s has %d active requests and age %d ms", model.Key, model.Active, model.AgeMs)
+		case model.Stage != "loading" && model.Stage != "ready":
+			return fmt.Sprintf("%s has unknown stage %q", model.Key, model.Stage)
 		}
-		seen[h.Key] = true
-		if sum += h.Size; sum > r.Room {
-			return fmt.Sprintf("%d held in a room of %d", sum, r.Room)
+		seen[model.Key] = true
+		if total += model.Size; total > r.Room {
+			return fmt.Sprintf("models of size %d in a room of %d", total, r.Room)
 		}
 	}
 	return ""
--- a/internal/controller/serve_test.go
+++ b/internal/controller/serve_test.go
@@ -18,19 +18,19 @@
 	"tidedeck/internal/protocol"
 )
 
-// The operators' HTTP side of a core of one, on a real disk: bad input changes nothing and is
-// told with its kind and places; what was taken is read back to the byte.
+// The operators' HTTP interface of a single-node core on a real disk: invalid input changes nothing and is answered
+// with the kind and the paths of its faults; an accepted plan is read back byte for byte.
 func TestAdminAPI(t *testing.T) {
 	dir := t.TempDir()
 	v := protocol.Desired{Gen: 1, Epoch: 1, Plan: []byte(onePlan), Shape: 1, Voters: []protocol.Voter{voter("a", 5)}}
 	core := New(Options{Me: protocol.Sibling{ID: "a", Addr: "a"}, Inc: 6, Platform: "127.0.0.1:1", Rand: host.NewRand()})
-	d := &desk{wait: map[uint64]chan Receipt{}}
-	// A core of one speaks only to itself: its messages come back as its input.
-	loop := &echo{core: core}
-	d.c = host.New(host.Options{Core: loop, Beat: time.Millisecond, Ring: host.NewRing("a", io.Discard), Data: dir, Else: d.act})
+	d := &adminServer{waiting: map[uint64]chan Receipt{}}
+	// A single-node core sends messages only to itself, so they are fed back as input.
+	loop := &loopback{core: core}
+	d.process = host.New(host.Options{Core: loop, Beat: time.Millisecond, Ring: host.NewRing("a", io.Discard), Data: dir, Else: d.handleOutput})
 	loop.disk = map[string][]byte{diskInc: []byte("5"), diskV: jot(safe{protocol.Ballot{N: 1, By: "a"}, &v}), diskB: jot(protocol.Ballot{N: 1, By: "a"})}
-	require.NoError(t, d.c.Run())
-	t.Cleanup(d.c.Stop)
+	require.NoError(t, d.process.Run())
+	t.Cleanup(d.process.Stop)
 	s := httptest.NewServer(d.routes(core))
 	t.Cleanup(s.Close)
 	do := func(how, path, expect, body string) (int, string) {
@@ -94,13 +94,14 @@
 	}
 }
 
-type echo struct {
+// loopback feeds the messages of a single-node core back to it.
+type loopback struct {
 	core *Core
 	disk map[string][]byte
 }
 
-// Step feeds a core's messages back to it.
-func (e *echo) Step(now clock.Tick, in any) (out []any) {
+// Step runs a step of the core and of every message that it sends to itself, and returns the other outputs.
+func (e *loopback) Step(now clock.Tick, in any) (out []any) {
 	if s, ok := in.(protocol.Start); ok && len(s.Disk) == 0 {
 		in = protocol.Start{Disk: e.disk}
 	}
@@ -119,7 +120,7 @@
 	return out
 }
 
-// Settings are checked in full, every fault named, before anything is opened.
+// Check reports every fault in the settings at once.
 func TestSettings(t *testing.T) {
 	s := Settings{ID: "a", Zone: "z", Listen: "127.0.0.1:1", Admin: "127.0.0.1:2", Platform: "127.0.0.1:3", Seeds: []string{"127.0.0.1:1", "127.0.0.1:4", "127.0.0.1:5"},
 		HoldMs: 2000, DutyMs: 1200, SpareMs: 6000, LeadMs: 60000}
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -9,39 +9,39 @@
 	"tidedeck/internal/protocol"
 )
 
-// The owner's view of model servers: what each one holds, has room for, and may be offered.
+// The owner's view of model servers: what each one holds, how much room it has, and whether it may receive requests.
 
 // server is the owner's view of one model server.
 type server struct {
 	protocol.Listed
-	inc     ident.Inc // of the server's life, as last reported
-	room    int       // for models, in all
-	slots   int       // requests that it serves at once
+	inc     ident.Inc // life of the server, from its last report
+	room    int       // total room for models
+	slots   int       // maximum number of concurrent requests
 	spots   map[ident.Key]*spot
-	whole   *spot      // stands for the server itself, to requests that name no model
-	num     uint64     // of the last order that it took, or was sent
-	asking  bool       // a question is under way
-	next    clock.Tick // when it is asked again
-	fails   int        // questions in a row that got no answer
-	dark    bool       // it does not answer
-	known   bool       // it has reported in this reign
-	ok      clock.Tick // when the last report that came was asked for
-	first   clock.Tick // when it was listed first
-	odd     string     // what its report contradicts itself in; it is ordered to load nothing
-	plain   bool       // it holds no models and takes no orders
-	places  int        // for adapters; zero where they are not counted
-	busy    bool       // it carries out an order
-	alien   bool       // that is not of this reign: what it comes to is not known
-	unsure  *spot      // the spot whose order got no answer
-	asked   clock.Tick // when it was asked or ordered last
-	ordered clock.Tick // when it was ordered last
-
-	doing     *spot      // the spot whose order it has taken and carries out
-	confirms  int        // how often it was asked whether that is done
-	confirmed clock.Tick // when it last said that an order was done
-}
-
-// newServer is a server that was just listed.
+	whole   *spot      // the server itself, for requests without a model
+	num     uint64     // number of the last order that the server accepted or was sent
+	asking  bool       // a request to the server is in progress
+	next    clock.Tick // when the server is polled next
+	fails   int        // consecutive requests without an answer
+	dark    bool       // the server doesn't answer
+	known   bool       // the server has reported during this term
+	ok      clock.Tick // when the latest received report was requested
+	first   clock.Tick // when the server was first listed
+	odd     string     // contradiction in the last report; such a server gets no load orders
+	plain   bool       // the server holds no models and accepts no orders
+	places  int        // places for adapters; 0 if they are not limited
+	busy    bool       // the server executes an order
+	alien   bool       // the order is from an earlier term, so its outcome is unknown
+	unsure  *spot      // the spot whose last order got no answer
+	asked   clock.Tick // time of the last request or order
+	ordered clock.Tick // time of the last order
+
+	doing     *spot      // the spot whose order the server has accepted and executes
+	confirms  int        // number of confirmation requests for that order
+	confirmed clock.Tick // when the server last confirmed that an order was complete
+}
+
+// newServer returns the initial state of a newly listed server.
 func newServer(l protocol.Listed, now clock.Tick) *server {
 	return &server{
 		Listed: l, spots: map[ident.Key]*spot{}, first: now,
@@ -49,7 +49,7 @@
 	}
 }
 
-// spotOf gives what a server has for a key: a model's spot, or the one that stands for itself.
+// spotFor returns the spot of a key: a model's spot, or the one of the server itself.
 func (s *server) spotOf(k ident.Key) *spot {
 	if s.whole != nil && k == s.whole.key {
 		return s.whole
@@ -57,7 +57,7 @@
 	return s.spots[k]
 }
 
-// used is the room that is taken, or ordered to be.
+// used returns the room that is occupied or reserved by orders.
 func (s *server) used() int {
 	n := 0
 	for _, p := range s.spots {
@@ -66,7 +66,7 @@
 	return n
 }
 
-// loading counts the loads that are ordered.
+// loading counts the ordered loads.
 func (s *server) loading() int {
 	n := 0
 	for _, p := range s.spots {
@@ -77,10 +77,10 @@
 	return n
 }
 
-// free is the room that nothing takes, nor is ordered to take; it is below zero where too much is.
+// free returns the room that is neither occupied nor reserved; it is negative if the server is over capacity.
 func (s *server) free() int { return s.room - s.used() }
 
-// leaving is the room that is on its way to be free.
+// leaving returns the room of the spots that are being unloaded.
 func (s *server) leaving() int {
 	n := 0
 	for _, p := range s.spots {
@@ -91,18 +91,18 @@
 	return n
 }
 
-// leavingKeys lists what is on its way out, in order.
-func (s *server) leavingKeys() (l []ident.Key) {
+// leavingKeys lists the keys that are being unloaded, sorted.
+func (s *server) leavingKeys() (keys []ident.Key) {
 	for key, p := range s.spots {
 		if p.leaves() {
-			l = append(l, key)
+			keys = append(keys, key)
 		}
 	}
-	slices.Sort(l)
-	return l
+	slices.Sort(keys)
+	return keys
 }
 
-// pending counts the orders that a server still has to carry out.
+// pending counts the orders that a server has yet to complete.
 func (s *server) pending() int {
 	n := 0
 	for _, p := range s.spots {
@@ -113,7 +113,7 @@
 	return n
 }
 
-// adapters counts the places for adapters that are taken or promised.
+// adapters counts the places for adapters that are occupied or reserved.
 func (s *server) adapters() int {
 	n := 0
 	for k := range s.spots {
@@ -124,14 +124,14 @@
 	return n
 }
 
-// based tells whether the base of an adapter is ready.
+// baseReady reports whether the base model of an adapter is ready.
 func (s *server) based(k ident.Key) bool {
 	b := s.spots[k.Base()]
 	return b != nil && b.stage == Ready
 }
 
-// due finds a spot whose order has not been sent: what is ordered follows from the spots
-// alone, so no order outlives the reason for it.
+// nextOrder finds a spot whose order has not been sent. Orders are derived from the spots alone, so no order outlives
+// the reason for it.
 func (s *server) due() *spot {
 	if !s.known || s.dark {
 		return nil
@@ -140,8 +140,8 @@
 	over := s.room > 0 && s.used() > s.room
 	for _, k := range s.unsentKeys() {
 		p := s.spots[k]
-		if p.stage == Ordered && (over || p.key.IsAdapter() && !s.mayTakeAdapter(p.key)) {
-			continue // what makes way for it is not gone yet, or its base is not there
+		if p.stage == Ordered && (over || p.key.IsAdapter() && !s.canLoadAdapter(p.key)) {
+			continue // its room is not free yet, or its base model is not ready
 		}
 		if next == nil || p.stage == Unloading && next.stage != Unloading {
 			next = p
@@ -150,52 +150,52 @@
 	return next
 }
 
-// unsentKeys lists what an order is to be sent for, in order.
-func (s *server) unsentKeys() (l []ident.Key) {
+// unsentKeys lists the keys with an unsent order, sorted.
+func (s *server) unsentKeys() (keys []ident.Key) {
 	for key, p := range s.spots {
 		if p.num == 0 && (p.stage == Ordered || p.stage == Unloading) {
-			l = append(l, key)
+			keys = append(keys, key)
 		}
 	}
-	slices.Sort(l)
-	return l
+	slices.Sort(keys)
+	return keys
 }
 
-// mayTakeAdapter tells whether the base of an adapter is ready, and the places are not more than taken.
-func (s *server) mayTakeAdapter(key ident.Key) bool {
+// canLoadAdapter reports whether the base model of an adapter is ready and the number of places suffices.
+func (s *server) canLoadAdapter(key ident.Key) bool {
 	return s.based(key) && (s.places == 0 || s.adapters() <= s.places)
 }
 
-// open tells whether a server may be offered new work.
+// open reports whether a server may receive new requests.
 func (c *Core) open(s *server) bool {
-	return !s.dark && s.known && c.meant(s) && c.rolled()
+	return !s.dark && s.known && c.meant(s) && c.registryComplete()
 }
 
-// meant tells whether platform and operators mean a server to work, whether it answers or not.
+// inService reports whether a server is in service according to the platform and the operators, reachable or not.
 func (c *Core) meant(s *server) bool {
 	return s.State == "live" && !c.empty[s.Zone] && !c.closed(s.Zone, s.ID)
 }
 
-// stays tells whether what a server holds can be counted on for a while.
+// staysInService reports whether a server is expected to remain in service for a while.
 func (c *Core) stays(s *server) bool {
 	return c.open(s) && !c.soonZ[s.Zone] && !c.soonS[s.ID]
 }
 
-// onList takes in the servers that there are; one that is not listed is gone.
-func (c *Core) onList(l []protocol.Listed) {
+// onList applies a complete list of servers; servers that are not listed are gone.
+func (c *Core) onList(list []protocol.Listed) {
 	seen := map[ident.Server]bool{}
-	for _, x := range l {
-		seen[x.ID] = true
-		s := c.servers[x.ID]
+	for _, listed := range list {
+		seen[listed.ID] = true
+		s := c.servers[listed.ID]
 		if s == nil {
-			c.addServer(newServer(x, c.now))
+			c.addServer(newServer(listed, c.now))
 			continue
 		}
-		if s.Listed != x {
-			if s.Addr != x.Addr {
+		if s.Listed != listed {
+			if s.Addr != listed.Addr {
 				s.known = false
 			}
-			s.Listed = x
+			s.Listed = listed
 			c.touchOn(s)
 		}
 	}
@@ -207,20 +207,20 @@
 	}
 }
 
-// listEvery is how often the platform is asked for its servers, and core nodes are told of them.
-const listEvery = 300e6
+// listInterval is the interval between two requests for the platform's servers, and between two updates of core nodes.
+const listInterval = 300e6
 
-// beatList asks the platform which servers there are, or, where they announce themselves, only tells the
-// other core nodes.
+// refreshList requests the platform's server list. If servers announce themselves, it only sends the list to the other
+// core nodes.
 func (c *Core) beatList() {
 	if c.o.Enrolled {
-		if c.now.Sub(c.listed) > listEvery {
+		if c.now.Sub(c.listed) > listInterval {
 			c.listed = c.now
-			c.tellList()
+			c.broadcastList()
 		}
 		return
 	}
-	if c.listing || c.o.Platform == "" || c.listed != 0 && c.now.Sub(c.listed) < listEvery {
+	if c.listing || c.o.Platform == "" || c.listed != 0 && c.now.Sub(c.listed) < listInterval {
 		return
 	}
 	c.listing = true
@@ -232,17 +232,17 @@
 	})
 }
 
-// onPlatformList takes in the platform's answer; the last list stands while it gives none.
+// onPlatformList handles the platform's answer; the last list stays in force if the answer is not a valid list.
 func (c *Core) onPlatformList(t protocol.Told) {
 	c.listing = false
-	var l []protocol.Listed
-	if !t.OK || t.Code != 200 || json.Unmarshal(t.Body, &l) != nil || !sound(l) {
+	var list []protocol.Listed
+	if !t.OK || t.Code != 200 || json.Unmarshal(t.Body, &list) != nil || !validList(list) {
 		if c.listed != 0 || len(c.servers) > 0 {
 			c.listed = c.now
 		}
 		return
 	}
 	c.listed, c.seenAt = c.now, c.now
-	c.onList(c.believe(l))
-	c.tellList()
+	c.onList(c.retainOmitted(list))
+	c.broadcastList()
 }
--- a/internal/controller/mends_test.go
+++ b/internal/controller/takeover_test.go
@@ -10,9 +10,8 @@
 	"tidedeck/internal/protocol"
 )
 
-// A voter that has just started does not know what it granted before: to the node that owned the duty
-// last it grants at once, since whatever that one held is over, and to others only when a hold that it
-// may have forgotten has run out.
+// A restarted voter doesn't know what it granted before. It grants the duty to the last owner at once, since
+// that owner's previous grant is over, and to other nodes only after a forgotten grant must have expired.
 func TestVoterAfterItsRestart(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -56,7 +55,7 @@
 	}
 }
 
-// When the whole core loses power, the last owner has the duty again well within one hold.
+// After a power loss of the whole core, the last owner regains the duty within one lease duration.
 func TestDutyBackAfterPower(t *testing.T) {
 	c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
 	c.run(2e9)
@@ -69,7 +68,7 @@
 	require.Less(t, c.at.Sub(at), c.lead().o.Duty)
 }
 
-// What was meant to be busy, by the replicas that servers came with, keeps them until demand is known.
+// Keys that had several replicas before keep them until the demand is known.
 func TestReplicasUntilDemandIsKnown(t *testing.T) {
 	p := modelPlan(8, "llm|hot", "llm|x", "llm|y", "llm|n")
 	k := weighed(p, keys{"s1": {"llm|hot", "llm|x"}, "s2": {"llm|hot", "llm|y"}})
@@ -83,11 +82,11 @@
 	k.demand["llm|x"] = &need{slow: 1, rate: 1, load: 0.3, now: 0.3}
 	k.demand["llm|y"] = &need{slow: 1, rate: 1, load: 0.3, now: 0.3}
 	weighNow(k, 9)
-	require.Contains(t, k.changes(), "-hot", "and gives one up when nobody asks for it")
+	require.Contains(t, k.changes(), "-hot", "a replica without demand is evicted")
 }
 
-// A core that formed of three seeds grows to five voters where two may be lost at once, and outlives
-// two emptied disks; without the wish it stays as it formed.
+// A core that formed with three seeds grows to five voters if the options ask for five, and then survives two emptied
+// disks. Otherwise it keeps three voters.
 func TestVotersGrow(t *testing.T) {
 	for _, want := range []int{0, 5} {
 		c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
--- a/internal/controller/windows.go
+++ b/internal/controller/windows.go
@@ -19,128 +19,129 @@
 
 // window is a maintenance window of a server or of a whole zone.
 type window struct {
-	zone   ident.Zone
-	server ident.Server
-	from   time.Time
-	long   time.Duration
-	again  *rrule.Set
-	times  []time.Time // when it begins, drawn for a while around drawn
-	drawn  time.Time
+	zone       ident.Zone
+	server     ident.Server
+	start      time.Time
+	duration   time.Duration
+	recurrence *rrule.Set
+	starts     []time.Time // starts of the occurrences around computedAt
+	computedAt time.Time
 }
 
 const (
-	mostWindows = 1000
-	mostLong    = 31 * 24 * time.Hour
+	maxWindows        = 1000
+	maxWindowDuration = 31 * 24 * time.Hour
 )
 
-// decodeCalendar reads one calendar. The library panics on some lines that end too soon; an operator's file
-// must not end the process.
+// decodeCalendar reads one calendar. The library panics on some truncated lines; an operator's file must not crash the
+// process.
 func decodeCalendar(d *ical.Decoder) (cal *ical.Calendar, err error) {
 	defer func() {
 		if fault := recover(); fault != nil {
-			cal, err = nil, errors.Errorf("a line ends too soon: %v", fault)
+			cal, err = nil, errors.Errorf("truncated line: %v", fault)
 		}
 	}()
 	return d.Decode()
 }
 
-// readWindows reads an iCalendar file: each event names its target in LOCATION, as
-// "zone NAME" or "server NAME". With any fault there are no windows.
-func readWindows(raw []byte) (l []*window, f fleetplan.Faults) {
+// readWindows parses an iCalendar file. Each event names its target in LOCATION, as "zone NAME" or "server NAME". If
+// there are faults, it returns no windows.
+func readWindows(raw []byte) (windows []*window, faults fleetplan.Faults) {
 	if len(raw) == 0 {
 		return nil, nil
 	}
-	d := ical.NewDecoder(bytes.NewReader(raw))
-	for n := 0; ; n++ {
-		cal, err := decodeCalendar(d)
+	decoder := ical.NewDecoder(bytes.NewReader(raw))
+	for calendars := 0; ; calendars++ {
+		cal, err := decodeCalendar(decoder)
 		if errors.Is(err, io.EOF) {
-			if n != bytes.Count(bytes.ToUpper(raw), []byte("BEGIN:VCALENDAR")) {
-				return nil, fleetplan.Faults{{Path: "$", Why: "malformed iCalendar: it is cut short"}}
+			if calendars != bytes.Count(bytes.ToUpper(raw), []byte("BEGIN:VCALENDAR")) {
+				return nil, fleetplan.Faults{{Path: "$", Why: "malformed iCalendar: the file is truncated"}}
 			}
 			break
 		}
 		if err != nil {
 			return nil, fleetplan.Faults{{Path: "$", Why: "malformed iCalendar: " + err.Error()}}
 		}
-		for _, e := range cal.Events() {
-			path := fmt.Sprintf("$.events[%d]", len(l)+len(f))
-			if st, _ := e.Status(); st == ical.EventCancelled {
+		for _, event := range cal.Events() {
+			path := fmt.Sprintf("$.events[%d]", len(windows)+len(faults))
+			if status, _ := event.Status(); status == ical.EventCancelled {
 				continue
 			}
-			w, err := readWindow(e)
+			w, err := readWindow(event)
 			if err != nil {
-				f = append(f, fleetplan.Fault{Path: path, Why: err.Error()})
+				faults = append(faults, fleetplan.Fault{Path: path, Why: err.Error()})
 				continue
 			}
-			l = append(l, w)
+			windows = append(windows, w)
 		}
 	}
-	if len(l) > mostWindows {
-		f = append(f, fleetplan.Fault{Path: "$", Why: fmt.Sprintf("has %d events, at most %d are allowed", len(l), mostWindows)})
+	if len(windows) > maxWindows {
+		faults = append(faults, fleetplan.Fault{Path: "$", Why: fmt.Sprintf("has %d events, at most %d are allowed", len(windows), maxWindows)})
 	}
-	if len(l) == 0 && len(f) == 0 {
-		f = append(f, fleetplan.Fault{Path: "$", Why: "has no events; an empty file takes all windows back"})
+	if len(windows) == 0 && len(faults) == 0 {
+		faults = append(faults, fleetplan.Fault{Path: "$", Why: "has no events; send an empty file to remove all windows"})
 	}
-	if len(f) > 0 {
-		return nil, f
+	if len(faults) > 0 {
+		return nil, faults
 	}
-	return l, nil
+	return windows, nil
 }
 
+// readWindow parses one event.
 func readWindow(e ical.Event) (w *window, err error) {
 	w = &window{}
-	at, err := e.Props.Text(ical.PropLocation)
+	location, err := e.Props.Text(ical.PropLocation)
 	if err != nil {
 		return w, errors.Wrap(err, "LOCATION")
 	}
-	what, name, ok := strings.Cut(strings.TrimSpace(at), " ")
+	kind, name, ok := strings.Cut(strings.TrimSpace(location), " ")
 	switch {
-	case ok && what == "zone":
+	case ok && kind == "zone":
 		w.zone = ident.Zone(strings.TrimSpace(name))
-	case ok && what == "server":
+	case ok && kind == "server":
 		w.server = ident.Server(strings.TrimSpace(name))
 	default:
-		return w, errors.Errorf(`LOCATION wants "zone NAME" or "server NAME", has %q`, at)
+		return w, errors.Errorf(`LOCATION wants "zone NAME" or "server NAME", has %q`, location)
 	}
-	if w.from, err = e.DateTimeStart(time.UTC); err != nil {
+	if w.start, err = e.DateTimeStart(time.UTC); err != nil {
 		return w, errors.Wrap(err, "DTSTART")
 	}
 	end, err := e.DateTimeEnd(time.UTC)
 	if err != nil {
 		return w, errors.Wrap(err, "DTEND")
 	}
-	if w.long = end.Sub(w.from); w.long <= 0 || w.long > mostLong {
-		return w, errors.Errorf("lasts %v: wants more than nothing and at most 31 days", w.long)
+	if w.duration = end.Sub(w.start); w.duration <= 0 || w.duration > maxWindowDuration {
+		return w, errors.Errorf("lasts %v: wants a positive duration of at most 31 days", w.duration)
 	}
-	if r, err := e.Props.RecurrenceRule(); err != nil {
+	if rule, err := e.Props.RecurrenceRule(); err != nil {
 		return w, errors.Wrap(err, "RRULE")
-	} else if r != nil && r.Freq > rrule.DAILY {
-		return w, errors.New("RRULE: comes more often than daily")
+	} else if rule != nil && rule.Freq > rrule.DAILY {
+		return w, errors.New("RRULE: recurs more often than daily")
 	}
-	if w.again, err = e.RecurrenceSet(time.UTC); err != nil {
+	if w.recurrence, err = e.RecurrenceSet(time.UTC); err != nil {
 		return w, errors.Wrap(err, "RRULE")
 	}
 	return w, nil
 }
 
-// runs tells whether the window, begun early by the lead, is open at a wall time.
-func (w *window) runs(now time.Time, lead time.Duration) bool {
-	if d := now.Sub(w.drawn); w.drawn.IsZero() || d < 0 || d > 12*time.Hour {
-		w.drawn, w.times = now, []time.Time{w.from}
-		if w.again != nil {
-			w.times = w.again.Between(now.Add(-w.long), now.Add(13*time.Hour+2*lead), true)
+// openAt reports whether the window is open at a wall time, if each occurrence starts earlier by lead.
+func (w *window) openAt(now time.Time, lead time.Duration) bool {
+	if age := now.Sub(w.computedAt); w.computedAt.IsZero() || age < 0 || age > 12*time.Hour {
+		w.computedAt, w.starts = now, []time.Time{w.start}
+		if w.recurrence != nil {
+			w.starts = w.recurrence.Between(now.Add(-w.duration), now.Add(13*time.Hour+2*lead), true)
 		}
 	}
-	for _, t := range w.times {
-		if !now.Before(t.Add(-lead)) && now.Before(t.Add(w.long)) {
+	for _, start := range w.starts {
+		if !now.Before(start.Add(-lead)) && now.Before(start.Add(w.duration)) {
 			return true
 		}
 	}
 	return false
 }
 
-// watchWindows opens and closes windows. It is the one place where wall time counts: a
-// clock that jumps closes servers to new work early or late, and nothing else.
+// updateWindows updates the sets of closed zones and servers. Only this function depends on wall time. A clock that
+// jumps closes servers to new requests too early or too late, and has no other effect.
 func (c *Core) watchWindows() {
 	if c.o.Wall == nil || c.now < c.shutAt {
 		return
@@ -150,11 +151,11 @@
 	zones, servers := map[ident.Zone]bool{}, map[ident.Server]bool{}
 	c.soonZ, c.soonS = map[ident.Zone]bool{}, map[ident.Server]bool{}
 	for _, w := range c.windows {
-		if !w.runs(now, c.o.Lead) {
-			// As long again before it closes, what is only there is loaded elsewhere.
-			if w.runs(now, 2*c.o.Lead) && w.zone != "" {
+		if !w.openAt(now, c.o.Lead) {
+			// Twice the lead before the window, models that have no other replica are loaded elsewhere.
+			if w.openAt(now, 2*c.o.Lead) && w.zone != "" {
 				c.soonZ[w.zone] = true
-			} else if w.runs(now, 2*c.o.Lead) {
+			} else if w.openAt(now, 2*c.o.Lead) {
 				c.soonS[w.server] = true
 			}
 			continue
@@ -165,25 +166,26 @@
 			servers[w.server] = true
 		}
 	}
-	same := len(zones) == len(c.shutZ) && len(servers) == len(c.shutS)
+	unchanged := len(zones) == len(c.shutZ) && len(servers) == len(c.shutS)
 	for z := range zones {
-		same = same && c.shutZ[z]
+		unchanged = unchanged && c.shutZ[z]
 	}
 	for s := range servers {
-		same = same && c.shutS[s]
+		unchanged = unchanged && c.shutS[s]
 	}
-	if !same {
+	if !unchanged {
 		c.shutZ, c.shutS = zones, servers
-		c.note(fmt.Sprintf("maintenance: %d zones and %d servers are closed to new work", len(zones), len(servers)))
+		c.note(fmt.Sprintf("maintenance windows: %d zones and %d servers closed to new requests", len(zones), len(servers)))
 		c.touchAll()
 	}
 }
 
+// closed reports whether a maintenance window is open for a server or its zone.
 func (c *Core) closed(z ident.Zone, s ident.Server) bool { return c.shutZ[z] || c.shutS[s] }
 
 func (c *Core) putWindows(a Admin) {
-	if _, f := readWindows(a.Raw); f != nil {
-		c.answer(a, Receipt{Kind: failure.Faulty, Faults: f})
+	if _, faults := readWindows(a.Raw); faults != nil {
+		c.answer(a, Receipt{Kind: failure.Faulty, Faults: faults})
 		return
 	}
 	c.change(a, func(d *protocol.Desired) (failure.Kind, fleetplan.Faults) {
