--- a/internal/controller/enrol_test.go
+++ b/internal/controller/enrol_test.go
@@ -15,40 +15,40 @@
 
 // TestWordsOfAServer checks a node's record of a server after a sequence of announcements, including delayed ones.
 func TestWordsOfAServer(t *testing.T) {
-	type word struct {
+	type announcement struct {
 		state string
 		count uint64
 		addr  string
 	}
 	for _, c := range []struct {
-		name  string
-		words []word
-		news  []bool // whether each says anything new
-		state string
-		count uint64
-		addr  string
+		name          string
+		announcements []announcement
+		isNew         []bool // whether each one contains anything new
+		state         string
+		count         uint64
+		addr          string
 	}{
-		{"one", []word{{"live", 1, "x"}}, []bool{true}, "live", 1, "x"},
-		{"in order", []word{{"live", 1, "x"}, {"live", 2, "y"}}, []bool{true, true}, "live", 2, "y"},
-		{"a late one", []word{{"live", 2, "y"}, {"live", 1, "x"}}, []bool{true, false}, "live", 2, "y"},
-		{"a repeat", []word{{"live", 2, "y"}, {"live", 2, "x"}}, []bool{true, false}, "live", 2, "y"},
-		{"a late leaving", []word{{"live", 2, "x"}, {"leaving", 1, "x"}}, []bool{true, false}, "live", 2, "x"},
-		{"leaving", []word{{"live", 1, "x"}, {"leaving", 2, "x"}}, []bool{true, true}, "leaving", 2, "x"},
-		{"leaving is sticky", []word{{"leaving", 2, "x"}, {"live", 3, "x"}}, []bool{true, true}, "leaving", 3, "x"},
-		{"and against a late word", []word{{"leaving", 2, "x"}, {"live", 1, "x"}}, []bool{true, false}, "leaving", 2, "x"},
-		{"gone", []word{{"live", 2, "x"}, {"gone", 0, ""}}, []bool{true, true}, "gone", 2, "x"},
-		{"gone is final", []word{{"live", 2, "x"}, {"gone", 0, ""}, {"live", 3, "x"}, {"leaving", 4, "x"}, {"gone", 0, ""}}, []bool{true, true, false, false, false}, "gone", 2, "x"},
-		{"first heard as gone", []word{{"gone", 0, ""}, {"live", 3, "x"}}, []bool{true, false}, "gone", 0, ""},
-		{"no address", []word{{"live", 1, ""}}, []bool{false}, "", 0, ""},
-		{"no such state", []word{{"asleep", 1, "x"}}, []bool{false}, "", 0, ""},
-		{"no state", []word{{"", 1, "x"}}, []bool{false}, "", 0, ""},
+		{"one", []announcement{{"live", 1, "x"}}, []bool{true}, "live", 1, "x"},
+		{"in order", []announcement{{"live", 1, "x"}, {"live", 2, "y"}}, []bool{true, true}, "live", 2, "y"},
+		{"a delayed one", []announcement{{"live", 2, "y"}, {"live", 1, "x"}}, []bool{true, false}, "live", 2, "y"},
+		{"a repeat", []announcement{{"live", 2, "y"}, {"live", 2, "x"}}, []bool{true, false}, "live", 2, "y"},
+		{"a delayed leaving", []announcement{{"live", 2, "x"}, {"leaving", 1, "x"}}, []bool{true, false}, "live", 2, "x"},
+		{"leaving", []announcement{{"live", 1, "x"}, {"leaving", 2, "x"}}, []bool{true, true}, "leaving", 2, "x"},
+		{"leaving is sticky", []announcement{{"leaving", 2, "x"}, {"live", 3, "x"}}, []bool{true, true}, "leaving", 3, "x"},
+		{"leaving despite a delayed announcement", []announcement{{"leaving", 2, "x"}, {"live", 1, "x"}}, []bool{true, false}, "leaving", 2, "x"},
+		{"gone", []announcement{{"live", 2, "x"}, {"gone", 0, ""}}, []bool{true, true}, "gone", 2, "x"},
+		{"gone is final", []announcement{{"live", 2, "x"}, {"gone", 0, ""}, {"live", 3, "x"}, {"leaving", 4, "x"}, {"gone", 0, ""}}, []bool{true, true, false, false, false}, "gone", 2, "x"},
+		{"first announced as gone", []announcement{{"gone", 0, ""}, {"live", 3, "x"}}, []bool{true, false}, "gone", 0, ""},
+		{"no address", []announcement{{"live", 1, ""}}, []bool{false}, "", 0, ""},
+		{"no such state", []announcement{{"asleep", 1, "x"}}, []bool{false}, "", 0, ""},
+		{"no state", []announcement{{"", 1, "x"}}, []bool{false}, "", 0, ""},
 	} {
 		k := New(Options{Enrolled: true})
-		for i, w := range c.words {
+		for i, w := range c.announcements {
 			k.now = k.now.Add(1e9)
 			b := beacon("s", w.state, w.count)
 			b.Addr = w.addr
-			require.Equal(t, c.news[i], k.enrol(b), "%s: word %d", c.name, i+1)
+			require.Equal(t, c.isNew[i], k.enrol(b), "%s: announcement %d", c.name, i+1)
 		}
 		e := k.roll["s"]
 		if c.state == "" {
--- a/internal/controller/host.go
+++ b/internal/controller/host.go
@@ -102,23 +102,23 @@
 	h.Dialect.Read = plans.Plan
 	h.Dialect.Merge = (&fleetplan.MergeMemo{Merge: h.Dialect.Merge}).Apply
 	core := New(hostedOptions(h))
-	d := &adminServer{waiting: map[uint64]chan Receipt{}}
-	a := &controlHandler{waiting: map[uint64]chan bool{}, admin: d, options: h}
-	d.process = host.New(host.Options{Core: core, Listen: []string{h.Bind(h.Post)}, Told: h.Post, Data: h.Data, Beat: 25 * time.Millisecond, Dial: dialTimeout, Ring: ring,
+	admin := &adminServer{waiting: map[uint64]chan Receipt{}}
+	handler := &controlHandler{waiting: map[uint64]chan bool{}, admin: admin, options: h}
+	admin.process = host.New(host.Options{Core: core, Listen: []string{h.Bind(h.Post)}, Told: h.Post, Data: h.Data, Beat: 25 * time.Millisecond, Dial: dialTimeout, Ring: ring,
 		Before: h.preparsePlan, Tell: h.Dialect.Tell, Else: func(o any) {
-			d.handleOutput(o)
-			a.handleOutput(o)
+			admin.handleOutput(o)
+			handler.handleOutput(o)
 		}})
-	if err := d.process.Run(); err != nil {
+	if err := admin.process.Run(); err != nil {
 		return err
 	}
-	defer d.process.Stop()
+	defer admin.process.Stop()
 	if h.Follow != nil {
-		h.Follow(func(r protocol.Reseed) { d.process.Step(r) })
+		h.Follow(func(r protocol.Reseed) { admin.process.Step(r) })
 	}
-	defer host.ServeBeside(ring, d.routes(core), h.Bind(h.Admin), h.Bind(h.Metrics))()
-	err := host.Web(h.Bind(h.Control), a, ring, nil, 2*time.Second)
-	d.stop(core)
+	defer host.ServeBeside(ring, admin.routes(core), h.Bind(h.Admin), h.Bind(h.Metrics))()
+	err := host.Web(h.Bind(h.Control), handler, ring, nil, 2*time.Second)
+	admin.stop(core)
 	return err
 }
 
@@ -155,43 +155,43 @@
 }
 
 // handleOutput passes the core's answer to an announcement to the waiting request.
-func (a *controlHandler) handleOutput(o any) {
+func (h *controlHandler) handleOutput(o any) {
 	v, ok := o.(Announced)
 	if !ok {
 		return
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if ch := a.waiting[v.Token]; ch != nil {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if ch := h.waiting[v.Token]; ch != nil {
 		ch <- v.OK
-		delete(a.waiting, v.Token)
+		delete(h.waiting, v.Token)
 	}
 }
 
 // ServeHTTP handles servers' announcements, and operators' reads and changes of the plan.
-func (a *controlHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if id, ok := strings.CutPrefix(r.URL.Path, a.options.Dialect.Servers); ok {
-		a.serveAnnouncement(w, r, id)
+func (h *controlHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if id, ok := strings.CutPrefix(r.URL.Path, h.options.Dialect.Servers); ok {
+		h.serveAnnouncement(w, r, id)
 		return
 	}
-	if r.URL.Path != a.options.Dialect.Plan {
+	if r.URL.Path != h.options.Dialect.Plan {
 		http.NotFound(w, r)
 		return
 	}
 	switch r.Method {
 	case http.MethodGet:
-		a.servePlan(w)
+		h.servePlan(w)
 	case http.MethodPut:
-		a.serveChange(w, r, "put")
+		h.serveChange(w, r, "put")
 	case http.MethodPatch:
-		a.serveChange(w, r, "patch")
+		h.serveChange(w, r, "patch")
 	default:
 		w.WriteHeader(http.StatusMethodNotAllowed)
 	}
 }
 
 // serveAnnouncement handles an announcement of a server: PUT for its state, DELETE if it is gone.
-func (a *controlHandler) serveAnnouncement(w http.ResponseWriter, r *http.Request, id string) {
+func (h *controlHandler) serveAnnouncement(w http.ResponseWriter, r *http.Request, id string) {
 	b := protocol.Beacon{Listed: protocol.Listed{ID: ident.Server(id), State: "gone"}}
 	switch r.Method {
 	case http.MethodPut:
@@ -199,7 +199,7 @@
 		if err != nil {
 			return
 		}
-		if b, err = a.options.Dialect.Beacon(id, raw); err != nil {
+		if b, err = h.options.Dialect.Beacon(id, raw); err != nil {
 			host.Error(w, failure.Malformed, 0, fleetplan.Faults{{Path: "$", Why: err.Error()}})
 			return
 		}
@@ -208,20 +208,20 @@
 		w.WriteHeader(http.StatusMethodNotAllowed)
 		return
 	}
-	ch := make(chan bool, 1)
-	a.mu.Lock()
-	a.lastToken++
-	token := a.lastToken
-	a.waiting[token] = ch
-	a.mu.Unlock()
-	a.admin.process.Step(Announce{Token: token, Beacon: b})
+	reply := make(chan bool, 1)
+	h.mu.Lock()
+	h.lastToken++
+	token := h.lastToken
+	h.waiting[token] = reply
+	h.mu.Unlock()
+	h.admin.process.Step(Announce{Token: token, Beacon: b})
 	ok := false
 	select {
-	case ok = <-ch:
+	case ok = <-reply:
 	case <-r.Context().Done():
-		a.mu.Lock()
-		delete(a.waiting, token)
-		a.mu.Unlock()
+		h.mu.Lock()
+		delete(h.waiting, token)
+		h.mu.Unlock()
 		return
 	}
 	if !ok {
@@ -229,12 +229,12 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(a.options.Dialect.Target(""))
+	_, _ = w.Write(h.options.Dialect.Target(""))
 }
 
 // servePlan returns the newest plan.
-func (a *controlHandler) servePlan(w http.ResponseWriter) {
-	receipt := a.admin.request(Admin{Op: "get"})
+func (h *controlHandler) servePlan(w http.ResponseWriter) {
+	receipt := h.admin.request(Admin{Op: "get"})
 	switch {
 	case receipt.Kind != failure.None:
 		host.Error(w, failure.NotReady, 0, nil)
@@ -249,12 +249,12 @@
 
 // serveChange handles an operator's change. The change id is a digest of the request, so that every node recognizes a
 // repeat.
-func (a *controlHandler) serveChange(w http.ResponseWriter, r *http.Request, op string) {
+func (h *controlHandler) serveChange(w http.ResponseWriter, r *http.Request, op string) {
 	raw, ok := host.Body(w, r, 2*fleetplan.MostPlan)
 	if !ok {
 		return
 	}
-	revision, err := a.options.Dialect.Revision(raw)
+	revision, err := h.options.Dialect.Revision(raw)
 	if err != nil {
 		host.Error(w, failure.Malformed, 0, fleetplan.Faults{{Path: "$", Why: err.Error()}})
 		return
@@ -265,12 +265,12 @@
 		return
 	}
 	if op == "put" {
-		a.options.parsePlan(raw) // only fills the cache: the core rejects a plan with faults
+		h.options.parsePlan(raw) // only fills the cache: the core rejects a plan with faults
 	}
 	digest := sha256.New()
 	_, _ = fmt.Fprintf(digest, "%s %d\n", op, base)
 	_, _ = digest.Write(raw)
-	receipt := a.admin.request(Admin{Op: op, Raw: raw, Expect: ident.Epoch(base), Number: ident.Epoch(revision), Change: hex.EncodeToString(digest.Sum(nil)[:12])})
+	receipt := h.admin.request(Admin{Op: op, Raw: raw, Expect: ident.Epoch(base), Number: ident.Epoch(revision), Change: hex.EncodeToString(digest.Sum(nil)[:12])})
 	switch receipt.Kind {
 	case failure.None:
 		host.JSON(w, http.StatusOK, receipt)
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -64,21 +64,21 @@
 }
 
 // request passes an operator's request to the core and waits for its receipt.
-func (d *adminServer) request(a Admin) Receipt {
+func (s *adminServer) request(a Admin) Receipt {
 	reply := make(chan Receipt, 1)
-	d.mu.Lock()
-	d.lastToken++
-	a.Token = d.lastToken
-	d.waiting[a.Token] = reply
-	d.mu.Unlock()
-	d.process.Step(a)
+	s.mu.Lock()
+	s.lastToken++
+	a.Token = s.lastToken
+	s.waiting[a.Token] = reply
+	s.mu.Unlock()
+	s.process.Step(a)
 	select {
 	case r := <-reply:
 		return r
 	case <-time.After(receiptTimeout):
-		d.mu.Lock()
-		delete(d.waiting, a.Token)
-		d.mu.Unlock()
+		s.mu.Lock()
+		delete(s.waiting, a.Token)
+		s.mu.Unlock()
 		return Receipt{Kind: failure.Unclear, Why: "the core did not answer in time"}
 	}
 }
@@ -90,26 +90,26 @@
 )
 
 // stop has the core release its leases, and waits until a spare node, if there is one, has replaced it as voter.
-func (d *adminServer) stop(core *Core) {
-	d.process.Step(protocol.Stop{})
+func (s *adminServer) stop(core *Core) {
+	s.process.Step(protocol.Stop{})
 	handing := true
 	for end := time.Now().Add(handoverTimeout); handing && time.Now().Before(end); time.Sleep(handoverPollInterval) {
-		d.process.With(func(clock.Tick) { handing = core.HandingOver() })
+		s.process.With(func(clock.Tick) { handing = core.HandingOver() })
 	}
-	d.process.Flush(300 * time.Millisecond)
+	s.process.Flush(300 * time.Millisecond)
 }
 
 // handleOutput passes a receipt from the core to the waiting request.
-func (d *adminServer) handleOutput(o any) {
+func (s *adminServer) handleOutput(o any) {
 	receipt, ok := o.(Receipt)
 	if !ok {
 		return
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if reply := d.waiting[receipt.Token]; reply != nil {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if reply := s.waiting[receipt.Token]; reply != nil {
 		reply <- receipt
-		delete(d.waiting, receipt.Token)
+		delete(s.waiting, receipt.Token)
 	}
 }
 
@@ -135,9 +135,9 @@
 }
 
 // routes returns the HTTP handler for operators.
-func (d *adminServer) routes(core *Core) http.Handler {
+func (s *adminServer) routes(core *Core) http.Handler {
 	mux := flow.New()
-	show := func(w http.ResponseWriter, a Receipt) {
+	writeReceipt := func(w http.ResponseWriter, a Receipt) {
 		if a.Kind == failure.None {
 			host.JSON(w, http.StatusOK, a)
 			return
@@ -176,7 +176,7 @@
 				}
 				a.Expect = ident.Epoch(n)
 			}
-			show(w, d.request(a))
+			writeReceipt(w, s.request(a))
 		}
 	}
 	mux.HandleFunc("/plan", change("put", true), http.MethodPut)
@@ -185,12 +185,12 @@
 	mux.HandleFunc("/zones/:zone/refill", change("refill", false), http.MethodPost)
 	mux.HandleFunc("/windows", change("windows", true), http.MethodPut)
 	mux.HandleFunc("/plan", func(w http.ResponseWriter, r *http.Request) {
-		a := d.request(Admin{Op: "get"})
+		a := s.request(Admin{Op: "get"})
 		if a.Kind != failure.None || len(a.Plan) == 0 {
 			if a.Kind == failure.None {
 				a.Kind, a.Why = failure.Unknown, "there is no plan yet"
 			}
-			show(w, a)
+			writeReceipt(w, a)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
@@ -198,18 +198,18 @@
 		_, _ = w.Write(a.Plan)
 	}, http.MethodGet)
 	for _, op := range []string{"nodes", "servers", "holds", "status"} {
-		mux.HandleFunc("/"+op, func(w http.ResponseWriter, r *http.Request) { show(w, d.request(Admin{Op: op})) }, http.MethodGet)
+		mux.HandleFunc("/"+op, func(w http.ResponseWriter, r *http.Request) { writeReceipt(w, s.request(Admin{Op: op})) }, http.MethodGet)
 	}
 	mux.HandleFunc("/core/replace/:old/:new", func(w http.ResponseWriter, r *http.Request) {
-		show(w, d.request(Admin{Op: "replace", Old: ident.Node(r.PathValue("old")), New: ident.Node(r.PathValue("new"))}))
+		writeReceipt(w, s.request(Admin{Op: "replace", Old: ident.Node(r.PathValue("old")), New: ident.Node(r.PathValue("new"))}))
 	}, http.MethodPost)
-	mux.HandleFunc("/core/form", func(w http.ResponseWriter, r *http.Request) { show(w, d.request(Admin{Op: "form"})) }, http.MethodPost)
+	mux.HandleFunc("/core/form", func(w http.ResponseWriter, r *http.Request) { writeReceipt(w, s.request(Admin{Op: "form"})) }, http.MethodPost)
 	host.Life(mux, "", func() (ok bool, _ map[string]any) {
-		d.process.With(func(clock.Tick) { ok = core.Ready() })
+		s.process.With(func(clock.Tick) { ok = core.Ready() })
 		return ok, nil
 	})
-	mux.Handle("/metrics", host.Metrics(d.process.Times(), host.Tallies{Name: "controller", Get: func() (tally any) {
-		d.process.With(func(clock.Tick) { tally = core.Counts() })
+	mux.Handle("/metrics", host.Metrics(s.process.Times(), host.Tallies{Name: "controller", Get: func() (tally any) {
+		s.process.With(func(clock.Tick) { tally = core.Counts() })
 		return tally
 	}}), http.MethodGet)
 	return mux
