--- a/internal/controller/fenced.go
+++ b/internal/controller/fenced.go
@@ -14,8 +14,8 @@
 // Servers that check a fencing token refuse orders of an older term. Each server has one outstanding request,
 // either an order or a request for its report, and the requests are valid until the server restarts.
 
-// goneRetention is how long a server that is gone is remembered after its last report.
-const goneRetention = 10e9
+// serverRemovalDelay is the time from the last report of a server that is gone to its removal.
+const serverRemovalDelay = 10e9
 
 // beatServer advances the replicas on a server and sends the request that is due.
 func (c *Core) beatServer(s *server) {
@@ -28,7 +28,7 @@
 	switch {
 	case s.State == "gone" && (s.fails > 0 || c.o.Enrolled):
 		c.dropSpots(s)
-		if c.now.Sub(max(s.ok, s.first)) > goneRetention {
+		if c.now.Sub(max(s.ok, s.first)) > serverRemovalDelay {
 			c.removeServer(s.ID)
 		}
 	case c.o.Unfenced:
--- a/internal/controller/links.go
+++ b/internal/controller/links.go
@@ -243,7 +243,8 @@
 		l.callbackOrder = append(l.callbackOrder, b.Key)
 	}
 	l.holds[b.Key] = c.queueItem(l, protocol.Item{Entry: &i})
-	// Above the limit, the oldest callbacks are broken to free their memory.
+	// Above the limit, the oldest callbacks are broken to free their memory (section 3.1 of the design paper, Howard
+	// et al., 1988).
 	for len(l.holds) > c.o.Most {
 		k := l.callbackOrder[0]
 		l.callbackOrder = l.callbackOrder[1:]
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -128,7 +128,7 @@
 		c.orderDone(s, p)
 	case t.Code == higherDuty:
 		c.tally.OrdersRefused++
-		c.lose("a server accepted orders of a higher term")
+		c.lose("a server has accepted a higher term")
 	default:
 		c.tally.OrdersRefused++
 		p.num = 0
--- a/internal/simulator/control_test.go
+++ b/internal/simulator/control_test.go
@@ -11,7 +11,7 @@
 // Guards of the core's register and voter sets, on drawn deployments.
 var controlBites = []bite{
 	{"control: read by a majority", "control-parted", "operators' history fits no order: a stale read", []edit{
-		{"internal/controller/admin.go", "\t// A majority read that begins now will tell whether what is known is the newest.\n",
+		{"internal/controller/admin.go", "\t// A majority read that begins now shows whether the known value is the newest.\n",
 			"\tif v := c.reg.known; v != nil {\n\t\tc.receipt(Receipt{Token: a.Token, Epoch: v.Epoch, Plan: v.Plan})\n\t\treturn\n\t}\n"}}},
 	{"control: answer a repeat as before", "control-race", "operators' history fits no order: change", []edit{
 		{"internal/controller/changes.go", "if x.ID == a.Change {\n\t\t\t\treturn d, failure.Repeated", "if x.ID == `no` {\n\t\t\t\treturn d, failure.Repeated"}, {"internal/controller/changes.go", "&& c.hasTaken(a.Change) {", "&& false {"}}},
--- a/internal/simulator/hosted_test.go
+++ b/internal/simulator/hosted_test.go
@@ -71,10 +71,10 @@
 		{"internal/controller/weigh.go", "return min(atOnce, toBegin)", "return max(100, atOnce, toBegin)"}}},
 	{"announced: offer no leaving server", "announced-leave", "after its leaving was acknowledged|takes it to stay", []edit{
 		{"internal/controller/server.go", `return s.State == "live" && !c.empty`, "return !c.empty"}}},
-	{"announced: a leaving is known", "announced-minority", "takes it to stay", []edit{{"internal/controller/enrol.go", "if !l.ruled || k == nil || !voterset.Majority(*k, l.yes) {", "if k == nil {"}}},
+	{"announced: a leaving is known", "announced-minority", "takes it to stay", []edit{{"internal/controller/enrol.go", "if !departure.ownerKnows || value == nil || !voterset.Majority(*value, departure.knownBy) {", "if value == nil {"}}},
 	{"announced: know late words", "announced-late", "takes it to stay|after its leaving", []edit{
-		{"internal/controller/enrol.go", `if b.Count <= e.Count || e.State == "gone" && !e.soft {`, `if e.State == "gone" && !e.soft {`},
-		{"internal/controller/enrol.go", "if stagesOf[b.State] < stagesOf[e.State] {", "if false {"}}},
+		{"internal/controller/enrol.go", `if b.Count <= e.Count || e.State == "gone" && !e.presumedGone {`, `if e.State == "gone" && !e.presumedGone {`},
+		{"internal/controller/enrol.go", "if stateRank[b.State] < stateRank[e.State] {", "if false {"}}},
 	{"announced: break before an unload", "announced-shift", "held a promise", []edit{{"internal/controller/evict.go", "if quiet && c.dropped(p.waits) {", "if quiet || true {"}}},
 	{"announced: repeat only what may be", "announced-reuse", "may not be repeated", []edit{
 		{"internal/router/ledger.go", "Lost:    {{kind: failure.Unclear}, {again: true, pay: true}}", "Lost:    {{again: true}, {again: true}}"}}},
@@ -83,7 +83,7 @@
 		{"internal/router/queue.go", "if failure.Receipts[k].Dropped && r.mayHaveRun() {", "if r == nil {"}}},
 	{"announced: send a plan again", "announced-plans", "routes under epoch", []edit{{"internal/controller/links.go", "l.sent = l.heard // una", "_ = l.heard // una"}, {"internal/controller/links.go", "if since, owes := c.owedSince(l); owes {", "if since, owes := c.owedSince(l); owes && false {"}}},
 	{"announced: expect the number", "announced-plans", "two changes that go on|told twice", []edit{{"internal/controller/changes.go", "if !a.Any && d.Epoch != a.Expect {", "if false {"}}},
-	{"announced: keep the number", "announced-plans", "a change of number", []edit{{"internal/controller/changes.go", "if n.Epoch++; a.Number != 0 {", "if n.Epoch++; false {"}}},
+	{"announced: keep the number", "announced-plans", "a change of number", []edit{{"internal/controller/changes.go", "if next.Epoch++; a.Number != 0 {", "if next.Epoch++; false {"}}},
 	{"announced: sync before an answer", "announced-all", "routes under epoch|read gave epoch|bytes that were not sent|slipped back", []edit{
 		{"internal/controller/core.go", "c.saves[c.token] = then", "then()\n\tc.saves[c.token] = func() {}"}}},
 }
