--- a/cmd/replay/main.go
+++ b/cmd/replay/main.go
@@ -1,4 +1,4 @@
-// Command replay replays recorded days against a fleet.
+// Command replay sends recorded requests to a fleet again.
 package main
 
 import (
@@ -10,25 +10,25 @@
 )
 
 func main() {
-	var s struct {
-		Settings string `help:"File of settings, JSON; flags go before it." type:"path"`
+	var flags struct {
+		Settings string `help:"Settings file in JSON; flags take precedence over it." type:"path"`
 		Check    struct {
-			File string `arg:"" help:"The record."`
-		} `cmd:"" help:"Check a record, and tell every place that is damaged."`
+			File string `arg:"" help:"The recording."`
+		} `cmd:"" help:"Check a recording and list all damage."`
 		Replay struct {
-			File    string   `arg:"" help:"The record."`
-			Routers []string `help:"Routers to ask in turn, ip:port." required:""`
-			Speed   float64  `help:"How many times as fast as it was recorded." default:"1"`
-			Out     string   `help:"File for what was seen." required:"" type:"path"`
-			Tag     string   `help:"Put before every request's id; another one for each run."`
-			Sound   bool     `help:"Replay what is sound of a damaged record."`
-		} `cmd:"" help:"Send a record's requests again."`
+			File    string   `arg:"" help:"The recording."`
+			Routers []string `help:"Routers that receive the requests in turn, ip:port." required:""`
+			Speed   float64  `help:"Speed as a multiple of the recorded one." default:"1"`
+			Out     string   `help:"File for the results." required:"" type:"path"`
+			Tag     string   `help:"Prefix for every request's id; generated for each run by default."`
+			Sound   bool     `help:"Replay the intact requests of a damaged recording."`
+		} `cmd:"" help:"Send the requests of a recording again."`
 		Compare struct {
 			First  string `arg:"" help:"A run's file."`
 			Second string `arg:"" help:"Another run's file."`
 		} `cmd:"" help:"Compare two runs."`
 	}
-	cmd := host.Parse(&s, "replay", "replay replays recorded days against a fleet.")
+	cmd := host.Parse(&flags, "replay", "replay sends recorded requests to a fleet again.")
 	fail := func(err error) {
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "replay:", err)
@@ -36,54 +36,54 @@
 		}
 	}
 	read := func(path string) *replay.Day {
-		f, err := os.Open(path)
+		file, err := os.Open(path)
 		fail(err)
-		defer f.Close()
-		d := replay.Read(f)
-		for _, p := range d.Bad {
-			fmt.Fprintf(os.Stderr, "%s: %v\n", path, p)
+		defer file.Close()
+		recording := replay.Read(file)
+		for _, damage := range recording.Bad {
+			fmt.Fprintf(os.Stderr, "%s: %v\n", path, damage)
 		}
-		if d.Lost > 0 {
-			fmt.Fprintf(os.Stderr, "%s: the router lost %d lines\n", path, d.Lost)
+		if recording.Lost > 0 {
+			fmt.Fprintf(os.Stderr, "%s: the router dropped %d lines\n", path, recording.Lost)
 		}
-		return d
+		return recording
 	}
 	switch cmd {
 	case "check <file>":
-		d := read(s.Check.File)
-		fmt.Printf("%d requests are sound, %d places are not\n", len(d.Lines), len(d.Bad))
-		if len(d.Bad) > 0 {
+		recording := read(flags.Check.File)
+		fmt.Printf("%d intact requests, %d damaged places\n", len(recording.Lines), len(recording.Bad))
+		if len(recording.Bad) > 0 {
 			os.Exit(1)
 		}
 	case "replay <file>":
-		for i, a := range s.Replay.Routers {
-			for _, f := range host.Addr(fmt.Sprintf("routers[%d]", i), a) {
-				fail(fmt.Errorf("%s: %s", f.Path, f.Why))
+		for i, a := range flags.Replay.Routers {
+			for _, fault := range host.Addr(fmt.Sprintf("routers[%d]", i), a) {
+				fail(fmt.Errorf("%s: %s", fault.Path, fault.Why))
 			}
 		}
-		if s.Replay.Speed <= 0 || s.Replay.Speed > 1000 {
-			fail(fmt.Errorf("speed: wants more than 0 and at most 1000"))
+		if flags.Replay.Speed <= 0 || flags.Replay.Speed > 1000 {
+			fail(fmt.Errorf("speed: must be greater than 0 and at most 1000"))
 		}
-		d := read(s.Replay.File)
-		if len(d.Bad) > 0 && !s.Replay.Sound {
-			fail(fmt.Errorf("the record is damaged; --sound replays what is sound of it"))
+		recording := read(flags.Replay.File)
+		if len(recording.Bad) > 0 && !flags.Replay.Sound {
+			fail(fmt.Errorf("the recording is damaged; --sound replays its intact requests"))
 		}
-		if len(d.Lines) == 0 {
-			fail(fmt.Errorf("there is nothing to replay"))
+		if len(recording.Lines) == 0 {
+			fail(fmt.Errorf("the recording has no requests"))
 		}
-		tag := s.Replay.Tag
+		tag := flags.Replay.Tag
 		if tag == "" {
 			tag = fmt.Sprintf("%x-", host.NewInc())
 		}
-		r := replay.Replay(d, s.Replay.Routers, s.Replay.Speed, tag)
-		r.Record = s.Replay.File
-		fail(r.Save(s.Replay.Out))
-		kinds, _ := r.Sum()
-		fmt.Printf("replayed %d: %v\n", len(r.Seen), kinds)
+		run := replay.Replay(recording, flags.Replay.Routers, flags.Replay.Speed, tag)
+		run.Record = flags.Replay.File
+		fail(run.Save(flags.Replay.Out))
+		kinds, _ := run.Sum()
+		fmt.Printf("replayed %d: %v\n", len(run.Seen), kinds)
 	case "compare <first> <second>":
-		a, err := replay.Load(s.Compare.First)
+		a, err := replay.Load(flags.Compare.First)
 		fail(err)
-		b, err := replay.Load(s.Compare.Second)
+		b, err := replay.Load(flags.Compare.Second)
 		fail(err)
 		replay.Compare(os.Stdout, a, b)
 	}
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,4 +1,4 @@
-// Command standin runs the stand-ins that tidedeck is tried on.
+// Command standin runs a stand-in model server, weight store or platform for tests of tidedeck.
 package main
 
 import (
@@ -11,29 +11,29 @@
 )
 
 func main() {
-	var s struct {
-		Settings string                   `help:"File of settings, JSON; flags go before it." type:"path"`
-		Server   standin.ServerSettings   `cmd:"" help:"A model server."`
-		Store    standin.StoreSettings    `cmd:"" help:"The weight store."`
-		Platform standin.PlatformSettings `cmd:"" help:"The platform."`
+	var flags struct {
+		Settings string                   `help:"Settings file in JSON; flags take precedence over it." type:"path"`
+		Server   standin.ServerSettings   `cmd:"" help:"Run a model server."`
+		Store    standin.StoreSettings    `cmd:"" help:"Run a weight store."`
+		Platform standin.PlatformSettings `cmd:"" help:"Run a platform."`
 	}
-	which := ""
+	command := ""
 	if len(os.Args) > 1 {
-		which = os.Args[1]
+		command = os.Args[1]
 	}
-	check := map[string]func() fleetplan.Faults{"server": s.Server.Check, "store": s.Store.Check, "platform": s.Platform.Check}
+	check := map[string]func() fleetplan.Faults{"server": flags.Server.Check, "store": flags.Store.Check, "platform": flags.Platform.Check}
 	run := map[string]func() error{
-		"server":   func() error { return standin.ServerMain(s.Server) },
-		"store":    func() error { return standin.StoreMain(s.Store) },
-		"platform": func() error { return standin.PlatformMain(s.Platform) },
+		"server":   func() error { return standin.ServerMain(flags.Server) },
+		"store":    func() error { return standin.StoreMain(flags.Store) },
+		"platform": func() error { return standin.PlatformMain(flags.Platform) },
 	}
-	host.Parse(&s, "standin", "standin runs the stand-ins that tidedeck is tried on.", func() fleetplan.Faults {
-		if f := check[which]; f != nil {
+	host.Parse(&flags, "standin", "standin runs stand-ins for tests of tidedeck.", func() fleetplan.Faults {
+		if f := check[command]; f != nil {
 			return f()
 		}
-		return fleetplan.Faults{{Path: "command", Why: "the command comes first: server, store or platform"}}
+		return fleetplan.Faults{{Path: "command", Why: "the first argument must be the command: server, store or platform"}}
 	})
-	if err := run[which](); err != nil {
+	if err := run[command](); err != nil {
 		fmt.Fprintln(os.Stderr, "standin:", err)
 		os.Exit(1)
 	}
--- a/cmd/tidedeckctl/main.go
+++ b/cmd/tidedeckctl/main.go
@@ -9,7 +9,7 @@
 )
 
 func main() {
-	var l tidedeckctl.Line
-	cmd := host.Parse(&l, "tidedeckctl", "tidedeckctl speaks to tidedeck's core for operators.", l.Check)
-	os.Exit(l.Run(cmd, os.Stdin, os.Stdout, os.Stderr))
+	var line tidedeckctl.Line
+	cmd := host.Parse(&line, "tidedeckctl", "tidedeckctl is the operator's command line for tidedeck's core.", line.Check)
+	os.Exit(line.Run(cmd, os.Stdin, os.Stdout, os.Stderr))
 }
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -1,5 +1,5 @@
-// Package replay replays recorded days: it checks a record, sends its requests again at a
-// chosen speed, and compares what two runs saw.
+// Package replay validates recordings of a router's requests, sends the requests again at a chosen speed, and compares the
+// results of two runs.
 package replay
 
 import (
@@ -22,101 +22,103 @@
 	"tidedeck/internal/standin"
 )
 
-// Place is where in a record something is wrong.
+// Damage is a damaged or missing part of a recording.
 type Place struct {
 	Line int
 	Byte int64
 	Why  string
 }
 
-// Error tells the place and what is wrong there.
+// Error returns the position and the kind of the damage.
 func (p Place) Error() string { return fmt.Sprintf("line %d, byte %d: %s", p.Line, p.Byte, p.Why) }
 
-// Day is a record that was read.
+// Recording is the content of a recording.
 type Day struct {
 	Router string
 	Began  string
 	Lines  []router.Logged
-	Lost   int // lines that the router itself could not keep up with
+	Lost   int // lines that the router dropped because it could not write them in time
 	Bad    []Place
 }
 
-// Read reads a record. What is damaged or missing is told with its place; what is sound is
-// given all the same.
+// Read reads a recording. It reports every damaged or missing part with its position, and returns all intact requests
+// regardless.
 func Read(r io.Reader) *Day {
-	d := &Day{}
+	recording := &Day{}
 	in := bufio.NewReaderSize(r, 1<<20)
-	at, last, ended := int64(0), int64(0), false
-	for n := 1; ; n++ {
-		l, err := in.ReadBytes('\n')
-		from := at
-		at += int64(len(l))
-		bad := func(form string, a ...any) { d.Bad = append(d.Bad, Place{n, from, fmt.Sprintf(form, a...)}) }
+	offset, last, closed := int64(0), int64(0), false
+	for number := 1; ; number++ {
+		line, err := in.ReadBytes('\n')
+		from := offset
+		offset += int64(len(line))
+		bad := func(form string, a ...any) {
+			recording.Bad = append(recording.Bad, Place{number, from, fmt.Sprintf(form, a...)})
+		}
 		if err != nil {
 			switch {
-			case len(l) > 0:
-				bad("is cut short after %d bytes", len(l))
-			case n == 1:
-				bad("the record is empty")
-			case !ended:
-				bad("the record ends without its last line: it was truncated, or its router did not stop as planned")
+			case len(line) > 0:
+				bad("truncated after %d bytes", len(line))
+			case number == 1:
+				bad("the recording is empty")
+			case !closed:
+				bad("the recording has no closing line: it was truncated, or its router did not stop in an orderly way")
 			}
-			return d
+			return recording
 		}
-		l = bytes.TrimSuffix(l, []byte("\n"))
-		if ended {
-			bad("follows the last line")
+		line = bytes.TrimSuffix(line, []byte("\n"))
+		if closed {
+			bad("line after the closing line")
 			continue
 		}
-		sum, text, ok := bytes.Cut(l, []byte(" "))
-		if !ok || fmt.Sprintf("%08x", crc32.ChecksumIEEE(text)) != string(sum) {
-			bad("its checksum does not fit: it is damaged")
+		checksum, text, ok := bytes.Cut(line, []byte(" "))
+		if !ok || fmt.Sprintf("%08x", crc32.ChecksumIEEE(text)) != string(checksum) {
+			bad("checksum mismatch")
 			continue
 		}
 		switch {
-		case n == 1:
-			var h struct {
+		case number == 1:
+			var header struct {
 				Record string `json:"record"`
 				V      int    `json:"v"`
 				Router string `json:"router"`
 				Began  string `json:"began"`
 			}
-			if json.Unmarshal(text, &h) != nil || h.Record != "tidedeck" || h.V != 1 {
-				bad("is no head of a record that this replay knows")
+			if json.Unmarshal(text, &header) != nil || header.Record != "tidedeck" || header.V != 1 {
+				bad("not a supported header line")
 			}
-			d.Router, d.Began = h.Router, h.Began
+			recording.Router, recording.Began = header.Router, header.Began
 		case bytes.HasPrefix(text, []byte(`{"end":`)):
-			var e struct{ End, Lost int }
-			if json.Unmarshal(text, &e) != nil {
-				bad("is no sound last line")
-			} else if e.End != len(d.Lines) {
-				bad("counts %d requests where %d are sound", e.End, len(d.Lines))
+			var closing struct{ End, Lost int }
+			if json.Unmarshal(text, &closing) != nil {
+				bad("malformed closing line")
+			} else if closing.End != len(recording.Lines) {
+				bad("the closing line counts %d requests, but %d are intact", closing.End, len(recording.Lines))
 			}
-			d.Lost, ended = e.Lost, true
+			recording.Lost, closed = closing.Lost, true
 		default:
-			var x router.Logged
-			if err := json.Unmarshal(text, &x); err != nil {
-				bad("is no request: %v", err)
+			var request router.Logged
+			if err := json.Unmarshal(text, &request); err != nil {
+				bad("not a request: %v", err)
 				continue
 			}
-			if x.At < last {
-				bad("goes back in time from %d ms to %d ms", last, x.At)
+			if request.At < last {
+				bad("time goes backwards from %d ms to %d ms", last, request.At)
 				continue
 			}
-			last = x.At
-			d.Lines = append(d.Lines, x)
+			last = request.At
+			recording.Lines = append(recording.Lines, request)
 		}
 	}
 }
 
-// Run is what a replay saw.
+// Run holds the results of a replay.
 type Run struct {
 	Record string  `json:"record"`
 	Speed  float64 `json:"speed"`
 	Seen   []Seen  `json:"seen"`
 }
 
-// Seen is what became of one request of a replay.
+// Result is the outcome of one request of a replay.
 type Seen struct {
 	ID      string `json:"id"`
 	Kind    string `json:"kind,omitempty"`
@@ -126,50 +128,50 @@
 	Wrong   string `json:"wrong,omitempty"`
 }
 
-// Ask makes a request of a recorded line. Text that was not recorded is made up, in its
-// recorded length and, for shared parts, the same wherever the digest is the same.
-func Ask(x router.Logged, tag string) standin.Ask {
+// MakeRequest converts a recorded request to a request to send. Text that was not recorded is generated in its recorded
+// length; shared prompt parts with the same checksum get the same text.
+func Ask(recorded router.Logged, tag string) standin.Ask {
 	fill := func(seed string, n int) string {
 		return strings.Repeat(seed+" ", n/(len(seed)+1)+1)[:n]
 	}
-	c := fleetplan.Call{ID: tag + x.ID, Base: x.Base, Extra: x.Extra, Kind: x.Kind, Max: x.Max, Again: x.Again, Repeat: x.Repeat,
-		Wait: time.Duration(x.WaitMs) * time.Millisecond, Prompt: x.Prompt}
-	if len(c.ID) > 128 {
-		c.ID = c.ID[:128]
+	call := fleetplan.Call{ID: tag + recorded.ID, Base: recorded.Base, Extra: recorded.Extra, Kind: recorded.Kind, Max: recorded.Max, Again: recorded.Again, Repeat: recorded.Repeat,
+		Wait: time.Duration(recorded.WaitMs) * time.Millisecond, Prompt: recorded.Prompt}
+	if len(call.ID) > 128 {
+		call.ID = call.ID[:128]
 	}
-	if c.Prompt == "" {
-		c.Prompt = fill("prompt", x.Length)
+	if call.Prompt == "" {
+		call.Prompt = fill("prompt", recorded.Length)
 	}
-	for _, p := range x.Parts {
+	for _, p := range recorded.Parts {
 		if p.Text != "" {
-			c.Parts = append(c.Parts, p.Text)
+			call.Parts = append(call.Parts, p.Text)
 		} else {
-			c.Parts = append(c.Parts, fill("part-"+p.Sum, max(1, p.Length)))
+			call.Parts = append(call.Parts, fill("part-"+p.Sum, max(1, p.Length)))
 		}
 	}
-	return standin.Ask{Route: x.Route, Call: c}
+	return standin.Ask{Route: recorded.Route, Call: call}
 }
 
-// Replay sends a day's requests to routers in turn, speed times as fast as they came.
-func Replay(d *Day, routers []string, speed float64, tag string) *Run {
-	r := &Run{Speed: speed, Seen: make([]Seen, len(d.Lines))}
-	h := standin.Client()
+// Replay sends the requests of a recording to the routers in turn, speed times as fast as they were recorded.
+func Replay(recording *Day, routers []string, speed float64, tag string) *Run {
+	run := &Run{Speed: speed, Seen: make([]Seen, len(recording.Lines))}
+	client := standin.Client()
 	begin := time.Now()
-	var all sync.WaitGroup
-	for i, x := range d.Lines {
-		time.Sleep(time.Until(begin.Add(time.Duration(float64(x.At-d.Lines[0].At) / speed * 1e6))))
-		all.Add(1)
+	var pending sync.WaitGroup
+	for i, recorded := range recording.Lines {
+		time.Sleep(time.Until(begin.Add(time.Duration(float64(recorded.At-recording.Lines[0].At) / speed * 1e6))))
+		pending.Add(1)
 		go func() {
-			defer all.Done()
-			o := standin.One(h, routers[i%len(routers)], Ask(x, tag), false)
-			r.Seen[i] = Seen{x.ID, o.Kind, o.Events, o.First.Milliseconds(), o.Took.Milliseconds(), o.Wrong}
+			defer pending.Done()
+			outcome := standin.One(client, routers[i%len(routers)], Ask(recorded, tag), false)
+			run.Seen[i] = Seen{recorded.ID, outcome.Kind, outcome.Events, outcome.First.Milliseconds(), outcome.Took.Milliseconds(), outcome.Wrong}
 		}()
 	}
-	all.Wait()
-	return r
+	pending.Wait()
+	return run
 }
 
-// Load reads the file of a run.
+// Load reads a run from a file.
 func Load(path string) (*Run, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -182,7 +184,7 @@
 	return &r, nil
 }
 
-// Save writes the file of a run.
+// Save writes a run to a file.
 func (r *Run) Save(path string) error {
 	b, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -191,26 +193,27 @@
 	return os.WriteFile(path, b, 0o644)
 }
 
-// Sum draws a run up by kind; answers count under "answered".
+// Summarize counts the results of a run by kind, successful ones as "answered", and returns the sorted times in ms to the
+// first event of the successful ones.
 func (r *Run) Sum() (kinds map[string]int, first []int64) {
 	kinds = map[string]int{}
-	for _, s := range r.Seen {
-		if s.Kind == "" {
+	for _, result := range r.Seen {
+		if result.Kind == "" {
 			kinds["answered"]++
-			first = append(first, s.FirstMs)
+			first = append(first, result.FirstMs)
 		} else {
-			kinds[s.Kind]++
+			kinds[result.Kind]++
 		}
 	}
 	sort.Slice(first, func(i, j int) bool { return first[i] < first[j] })
 	return kinds, first
 }
 
-// Compare writes where two runs differ.
+// Compare prints a comparison of two runs.
 func Compare(w io.Writer, a, b *Run) {
-	ka, fa := a.Sum()
-	kb, fb := b.Sum()
-	at := func(l []int64, q float64) int64 {
+	kindsA, firstA := a.Sum()
+	kindsB, firstB := b.Sum()
+	quantile := func(l []int64, q float64) int64 {
 		if len(l) == 0 {
 			return 0
 		}
@@ -219,10 +222,10 @@
 	fmt.Fprintf(w, "%-22s %8s %8s\n", "", "first", "second")
 	fmt.Fprintf(w, "%-22s %8d %8d\n", "requests", len(a.Seen), len(b.Seen))
 	names := map[string]bool{}
-	for k := range ka {
+	for k := range kindsA {
 		names[k] = true
 	}
-	for k := range kb {
+	for k := range kindsB {
 		names[k] = true
 	}
 	var l []string
@@ -231,25 +234,25 @@
 	}
 	sort.Strings(l)
 	for _, k := range l {
-		fmt.Fprintf(w, "%-22s %8d %8d\n", k, ka[k], kb[k])
+		fmt.Fprintf(w, "%-22s %8d %8d\n", k, kindsA[k], kindsB[k])
 	}
-	fmt.Fprintf(w, "%-22s %8d %8d\n", "first event, median ms", at(fa, 0.5), at(fb, 0.5))
-	fmt.Fprintf(w, "%-22s %8d %8d\n", "first event, 95th ms", at(fa, 0.95), at(fb, 0.95))
-	was := map[string]Seen{}
-	for _, s := range a.Seen {
-		was[s.ID] = s
+	fmt.Fprintf(w, "%-22s %8d %8d\n", "first event, median ms", quantile(firstA, 0.5), quantile(firstB, 0.5))
+	fmt.Fprintf(w, "%-22s %8d %8d\n", "first event, 95th ms", quantile(firstA, 0.95), quantile(firstB, 0.95))
+	before := map[string]Seen{}
+	for _, result := range a.Seen {
+		before[result.ID] = result
 	}
-	other, missing := 0, 0
-	for _, s := range b.Seen {
-		o, ok := was[s.ID]
+	different, missing := 0, 0
+	for _, result := range b.Seen {
+		old, ok := before[result.ID]
 		switch {
 		case !ok:
 			missing++
-		case o.Kind != s.Kind || o.Kind == "" && o.Events != s.Events:
-			if other++; other <= 20 {
-				fmt.Fprintf(w, "differs: %s: %q with %d events, then %q with %d\n", s.ID, o.Kind, o.Events, s.Kind, s.Events)
+		case old.Kind != result.Kind || old.Kind == "" && old.Events != result.Events:
+			if different++; different <= 20 {
+				fmt.Fprintf(w, "differs: %s: %q with %d events, then %q with %d\n", result.ID, old.Kind, old.Events, result.Kind, result.Events)
 			}
 		}
 	}
-	fmt.Fprintf(w, "%d requests fared otherwise, %d are only in the second\n", other, missing)
+	fmt.Fprintf(w, "%d requests had a different outcome, %d are only in the second run\n", different, missing)
 }
--- a/internal/standin/batch.go
+++ b/internal/standin/batch.go
@@ -10,30 +10,30 @@
 	"tidedeck/internal/protocol"
 )
 
-// BatchOptions of a stand-in batch server that announces itself and checks no fence.
+// BatchOptions configure a stand-in batch server that announces itself and does not check fencing tokens.
 type BatchOptions struct {
 	ID      ident.Server
 	Service string
-	Plain   bool // it holds no models and takes no orders
+	Plain   bool // the server holds no models and accepts no orders
 	Slots   int
 	Room    int
-	Places  int        // for adapters
-	Step    clock.Span // between two steps of the batch, when it is nearly empty
-	Fill    int        // prompt tokens that a step reads
-	Lag     clock.Span // reports are so old
+	Places  int        // adapters that fit
+	Step    clock.Span // interval between two decode steps of a nearly empty batch
+	Fill    int        // prompt bytes prefilled in one decode step
+	Lag     clock.Span // age of reports
 	Held    []ident.Key
-	Disk    map[ident.Key]bool // what it held in this life or an earlier one
+	Disk    map[ident.Key]bool // models that were loaded in this incarnation or an earlier one
 	Weight  func(ident.Key) int
-	Load    func(k ident.Key, disk bool) clock.Span // how long a load that begins now takes
+	Load    func(k ident.Key, disk bool) clock.Span // duration of a load that begins now
 }
 
-// BatchOrder is an order, or a question for the report, that came in.
+// BatchOrder is a received order or, without an operation, a request for the report.
 type BatchOrder struct {
 	Token uint64
 	Order protocol.Order
 }
 
-// BatchAnswer answers a BatchOrder. Over says that the order would pass the room or the places.
+// BatchAnswer answers a BatchOrder. Over reports that the order exceeds the room or the places.
 type BatchAnswer struct {
 	Token  uint64
 	Code   int
@@ -41,23 +41,24 @@
 	Report protocol.Report
 }
 
-// LoadDone says that a load ended.
+// LoadDone reports that a load has finished.
 type LoadDone struct{ Key ident.Key }
 
+// reported is a report with the time when it was made.
 type reported struct {
 	at clock.Tick
 	r  protocol.Report
 }
 
-// Batch is a stand-in batch server that announces itself, without I/O. It counts the orders that it
-// took, and carries out one at a time.
+// Batch is a stand-in batch server that announces itself. It does no I/O. It numbers the orders that it accepts and carries
+// out one at a time.
 type Batch struct {
 	o     BatchOptions
 	now   clock.Tick
 	out   []any
-	held  map[ident.Key]clock.Tick // since when
-	op    *protocol.Order          // under way
-	ready clock.Tick               // when its load ends
+	held  map[ident.Key]clock.Tick // time when the key became ready
+	op    *protocol.Order          // order in progress
+	ready clock.Tick               // time when its load ends
 	num   uint64
 	past  []reported
 	jobs  []*job
@@ -65,7 +66,7 @@
 	tally ServerTally
 }
 
-// NewBatch makes a stand-in batch server.
+// NewBatch creates a stand-in batch server.
 func NewBatch(o BatchOptions) *Batch {
 	generic.SetDefault(&o.Step, 20e6)
 	generic.SetDefault(&o.Fill, 4000)
@@ -79,7 +80,7 @@
 	return s
 }
 
-// Step takes one input and gives what is to be done.
+// Step processes one input and returns the outputs to carry out.
 func (s *Batch) Step(now clock.Tick, in any) []any {
 	s.now, s.out = now, nil
 	s.settle()
@@ -113,7 +114,7 @@
 	return s.out
 }
 
-// settle ends the order under way when it is done.
+// settle finishes the order in progress once its conditions are met.
 func (s *Batch) settle() {
 	if s.op == nil || s.now < s.ready {
 		return
@@ -135,12 +136,12 @@
 			runs = true
 			left = append(left, j)
 		default:
-			s.drop(j.Token, failure.Busy) // it has not begun
+			s.drop(j.Token, failure.Busy) // not started
 		}
 	}
 	s.jobs = left
 	if runs {
-		return // an unload waits for its runs
+		return // an unload waits for the running requests of its model
 	}
 	for x := range s.held {
 		if x == k || !k.IsAdapter() && x.Base() == k {
@@ -194,7 +195,7 @@
 	return r
 }
 
-// keep remembers a report for as long as one may be given late.
+// keep records the current report and discards records that are older than the lag requires.
 func (s *Batch) keep() {
 	s.past = append(s.past, reported{s.now, s.report()})
 	for len(s.past) > 1 && s.now.Sub(s.past[1].at) >= s.o.Lag {
@@ -202,6 +203,7 @@
 	}
 }
 
+// late returns the report as it was one lag ago.
 func (s *Batch) late() protocol.Report {
 	r := s.report()
 	if len(s.past) > 0 {
@@ -224,13 +226,13 @@
 func (s *Batch) work(v WorkIn) {
 	k := ident.KeyOf(v.Work.Base, v.Work.Extra).In(s.o.Service)
 	if s.o.Plain || v.Work.Base == "" {
-		k = ident.ServiceKey(s.o.Service) // it needs no model
+		k = ident.ServiceKey(s.o.Service) // the request needs no model
 	} else if _, ok := s.held[k]; !ok {
 		s.drop(v.Token, failure.Mismatch)
 		return
 	}
-	goes := s.op != nil && s.op.Op == "unload" && (s.op.Key == k || s.op.Key == k.Base())
-	if goes || len(s.jobs) >= s.o.Slots+max(2, s.o.Slots/4) {
+	unloading := s.op != nil && s.op.Op == "unload" && (s.op.Key == k || s.op.Key == k.Base())
+	if unloading || len(s.jobs) >= s.o.Slots+max(2, s.o.Slots/4) {
 		s.drop(v.Token, failure.Busy)
 		return
 	}
@@ -243,7 +245,7 @@
 	s.jobs = append(s.jobs, &job{WorkIn: v, key: k, fill: n})
 }
 
-// batch is one step: some of the prompts, and one token for all that run.
+// batch runs one decode step: it prefills up to the limit and generates one token for every decoding request.
 func (s *Batch) batch() {
 	fill := s.o.Fill
 	var left []*job
@@ -260,25 +262,25 @@
 				continue
 			}
 		}
-		w := j.Work
-		e := Event{Token: j.Token, N: j.n, Go: w.Go, Server: s.o.ID, Text: Word(w.ID, w.Base, w.Extra, j.n)}
-		if j.n >= w.Max {
-			e.Text, e.Done = "", true
+		work := j.Work
+		event := Event{Token: j.Token, N: j.n, Go: work.Go, Server: s.o.ID, Text: Word(work.ID, work.Base, work.Extra, j.n)}
+		if j.n >= work.Max {
+			event.Text, event.Done = "", true
 			s.tally.Done++
 		} else {
 			left = append(left, j)
 		}
 		j.n++
-		s.out = append(s.out, e)
+		s.out = append(s.out, event)
 	}
 	s.jobs = left
 }
 
-// Counts gives the tally so far.
+// Counts returns the counters.
 func (s *Batch) Counts() ServerTally { return s.tally }
 
-// Keys lists what the server holds ready.
+// Keys returns the models and adapters that the server holds ready.
 func (s *Batch) Keys() []ident.Key { return generic.SortedKeys(s.held) }
 
-// Active tells how many requests are under way.
+// Active returns the number of requests that wait or run.
 func (s *Batch) Active() int { return len(s.jobs) }
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -19,15 +19,15 @@
 	"tidedeck/internal/ident"
 )
 
-// Ask is one request of a stand-in caller.
+// Request is one request of a stand-in caller.
 type Ask struct {
 	Route string
 	Call  fleetplan.Call
 }
 
-// Mix draws requests from a plan: few keys are asked for often, most now and then.
+// Mix generates random requests for the routes and models of a plan. Few keys are requested often, most of them rarely.
 type Mix struct {
-	Tenants int // whose shared prompt parts differ
+	Tenants int // number of tenants with different shared prompt parts
 	plan    *fleetplan.Plan
 	asks    []Ask
 	sum     []float64
@@ -36,7 +36,7 @@
 	n       int
 }
 
-// NewMix makes a mix. The same seed draws the same requests.
+// NewMix creates a generator. The same seed gives the same requests.
 func NewMix(p *fleetplan.Plan, seed uint64) *Mix {
 	m := &Mix{plan: p, rand: rand.New(rand.NewPCG(seed, 17)), tag: fmt.Sprintf("c%x", seed)}
 	seen := map[ident.Key]int{}
@@ -56,7 +56,7 @@
 		k := ident.KeyOf(a.Call.Base, a.Call.Extra)
 		w := 1 / float64(1+seen[k])
 		if p.Models[k].Floor > 0 {
-			w *= 8 // what operators keep ready is what is asked for
+			w *= 8 // models with a floor are the most requested ones
 		}
 		w /= float64(1 + p.Kinds[a.Call.Kind].Value)
 		all += w
@@ -65,14 +65,14 @@
 	return m
 }
 
-// Next draws a request.
+// Next generates a request.
 func (m *Mix) Next() Ask {
 	f := m.rand.Float64() * m.sum[len(m.sum)-1]
 	i := sort.SearchFloat64s(m.sum, f)
 	return m.Of(m.asks[min(i, len(m.asks)-1)])
 }
 
-// Rare draws a request for one of the keys that are asked for least.
+// NextRare generates a request for one of the least requested keys.
 func (m *Mix) Rare() Ask {
 	for range 50 {
 		a := m.asks[m.rand.IntN(len(m.asks))]
@@ -83,7 +83,7 @@
 	return m.Next()
 }
 
-// Of fills in a request for the route and model of another.
+// Fill generates a request with the route, model and kind of the given one.
 func (m *Mix) Of(a Ask) Ask {
 	m.n++
 	a.Call.ID = fmt.Sprintf("%s-%d", m.tag, m.n)
@@ -95,7 +95,7 @@
 	return a
 }
 
-// Body writes a request as callers send it.
+// Body returns the JSON body of the request.
 func (a Ask) Body() []byte {
 	c := a.Call
 	m := map[string]any{"id": c.ID, "model": c.Base, "kind": c.Kind, "parts": c.Parts, "prompt": c.Prompt, "max_tokens": c.Max, "repeatable": c.Again}
@@ -112,37 +112,37 @@
 	return b
 }
 
-// CallReport is what callers saw.
+// CallReport summarizes the results of a run of callers.
 type CallReport struct {
 	Sent, Receipts, Events int
 	Kinds                  map[string]int
-	Wrong                  []string // what must never be seen
+	Wrong                  []string // violations seen in responses
 	Unreached, Reused      int
-	First                  []time.Duration // until the first event
+	First                  []time.Duration // times to the first event
 	Repeats, Backs         int
 	ByRouter               map[string]int
 }
 
-// CallOptions of a run of callers.
+// CallOptions configure a run of callers.
 type CallOptions struct {
 	Routers []string
 	Next    func() Ask
-	Rate    float64 // requests a second
+	Rate    float64 // requests per second
 	Total   int
-	Most    int // under way at once
-	Again   bool
+	Most    int  // maximum number of concurrent requests
+	Again   bool // let some callers repeat a refused request after the time that the router names
 }
 
-// Calls sends requests to routers in turn, checks every answer, and reports.
+// RunCalls sends requests to the routers in turn, checks every response, and returns a report.
 func Calls(ctx context.Context, o CallOptions) *CallReport {
 	r := &CallReport{Kinds: map[string]int{}, ByRouter: map[string]int{}}
 	var mu sync.Mutex // guards the report
-	var all sync.WaitGroup
+	var pending sync.WaitGroup
 	if o.Most == 0 {
 		o.Most = 512
 	}
 	slot := make(chan struct{}, o.Most)
-	h := Client()
+	client := Client()
 	begin := time.Now()
 	for i := 0; i < o.Total && ctx.Err() == nil; i++ {
 		due := begin.Add(time.Duration(float64(i) / o.Rate * 1e9))
@@ -151,37 +151,37 @@
 		case <-ctx.Done():
 		}
 		a := o.Next()
-		to := o.Routers[i%len(o.Routers)]
+		router := o.Routers[i%len(o.Routers)]
 		slot <- struct{}{}
-		all.Add(1)
+		pending.Add(1)
 		go func() {
-			defer all.Done()
+			defer pending.Done()
 			defer func() { <-slot }()
-			back := Call(h, to, a, r, &mu)
-			if back > 0 && o.Again && a.Call.Again && i%10 == 0 {
-				// One caller in ten comes back when told to, and says that it does.
-				time.Sleep(back)
+			retryAfter := Call(client, router, a, r, &mu)
+			if retryAfter > 0 && o.Again && a.Call.Again && i%10 == 0 {
+				// One caller in ten repeats the request after the time that the router names, and marks it as a repeat.
+				time.Sleep(retryAfter)
 				a.Call.Repeat = true
 				mu.Lock()
 				r.Repeats++
 				mu.Unlock()
-				Call(h, to, a, r, &mu)
+				Call(client, router, a, r, &mu)
 			}
 		}()
 	}
-	all.Wait()
+	pending.Wait()
 	return r
 }
 
-// Client makes the HTTP client of a stand-in caller.
+// Client creates the HTTP client of a stand-in caller.
 func Client() *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: 2 * time.Second}).DialContext}}
 }
 
-// Outcome is what became of one request.
+// Outcome is the result of one request.
 type Outcome struct {
-	Kind   string // empty for an answer
-	Back   time.Duration
+	Kind   string        // empty for a complete response
+	Back   time.Duration // time after which the router allows a repeat
 	Events int
 	Reused int
 	First  time.Duration
@@ -189,14 +189,14 @@
 	Wrong  string
 }
 
-// Call sends one request, checks its answer to the end, and adds it to a report. It tells
-// when to come back, if the request was dropped.
-func Call(h *http.Client, to string, a Ask, r *CallReport, mu *sync.Mutex) time.Duration {
-	o := One(h, to, a, true)
+// Call sends one request, checks the complete response, and adds the outcome to a report. If the request was dropped, it
+// returns the time after which the router allows a repeat.
+func Call(client *http.Client, router string, a Ask, r *CallReport, mu *sync.Mutex) time.Duration {
+	o := One(client, router, a, true)
 	mu.Lock()
 	defer mu.Unlock()
 	r.Sent++
-	r.ByRouter[to]++
+	r.ByRouter[router]++
 	r.Events += o.Events
 	r.Reused += o.Reused
 	if o.First > 0 {
@@ -216,73 +216,73 @@
 	return o.Back
 }
 
-// One sends one request and checks its answer to the end; with words, also that every
-// event is what a stand-in server says to this very request.
-func One(h *http.Client, to string, a Ask, words bool) (o Outcome) {
-	at := time.Now()
-	defer func() { o.Took = time.Since(at) }()
-	q, err := http.NewRequest(http.MethodPost, "http://"+to+a.Route, bytes.NewReader(a.Body()))
+// SendOne sends one request and checks the complete response. With words set, it also checks that the text of every event is
+// the one that a stand-in server sends for this request.
+func One(client *http.Client, router string, a Ask, words bool) (o Outcome) {
+	begin := time.Now()
+	defer func() { o.Took = time.Since(begin) }()
+	request, err := http.NewRequest(http.MethodPost, "http://"+router+a.Route, bytes.NewReader(a.Body()))
 	if err != nil {
 		return Outcome{Kind: "unsent", Wrong: err.Error()}
 	}
-	w, err := h.Do(q)
+	response, err := client.Do(request)
 	if err != nil {
 		return Outcome{Kind: "router unreached"}
 	}
-	defer w.Body.Close()
-	var p struct {
+	defer response.Body.Close()
+	var problem struct {
 		Kind    string `json:"kind"`
 		Dropped bool   `json:"dropped"`
 		BackMs  int64  `json:"retry_after_ms"`
 	}
-	if w.StatusCode != 200 {
-		if json.NewDecoder(w.Body).Decode(&p) != nil || p.Kind == "" {
-			return Outcome{Kind: "no kind", Wrong: fmt.Sprintf("status %d without a kind", w.StatusCode)}
+	if response.StatusCode != 200 {
+		if json.NewDecoder(response.Body).Decode(&problem) != nil || problem.Kind == "" {
+			return Outcome{Kind: "no kind", Wrong: fmt.Sprintf("status %d without a kind", response.StatusCode)}
 		}
-		return Outcome{Kind: p.Kind, Back: time.Duration(p.BackMs) * time.Millisecond}
+		return Outcome{Kind: problem.Kind, Back: time.Duration(problem.BackMs) * time.Millisecond}
 	}
-	in := bufio.NewReader(w.Body)
-	server, run, bad := ident.Server(""), "", false
+	in := bufio.NewReader(response.Body)
+	server, run, failed := ident.Server(""), "", false
 	for {
-		l, err := in.ReadString('\n')
+		line, err := in.ReadString('\n')
 		if err != nil {
 			o.Kind = "router broke off"
 			return o
 		}
-		l = strings.TrimSpace(l)
-		if l == "event: error" {
-			bad = true
+		line = strings.TrimSpace(line)
+		if line == "event: error" {
+			failed = true
 			continue
 		}
-		d, ok := strings.CutPrefix(l, "data: ")
+		data, ok := strings.CutPrefix(line, "data: ")
 		if !ok {
 			continue
 		}
-		if bad {
-			_ = json.Unmarshal([]byte(d), &p)
-			o.Kind = p.Kind
+		if failed {
+			_ = json.Unmarshal([]byte(data), &problem)
+			o.Kind = problem.Kind
 			return o
 		}
-		var e Event
-		if json.Unmarshal([]byte(d), &e) != nil {
-			o.Kind, o.Wrong = "bad event", "an event that is not JSON"
+		var event Event
+		if json.Unmarshal([]byte(data), &event) != nil {
+			o.Kind, o.Wrong = "bad event", "event is not JSON"
 			return o
 		}
 		if o.Events == 0 {
-			server, run, o.Reused, o.First = e.Server, e.Go, e.Reused, time.Since(at)
+			server, run, o.Reused, o.First = event.Server, event.Go, event.Reused, time.Since(begin)
 		}
-		if why := CheckEvent(a, e, o.Events, server, run); why != "" && (words || e.N != o.Events || e.Go != run) {
+		if why := CheckEvent(a, event, o.Events, server, run); why != "" && (words || event.N != o.Events || event.Go != run) {
 			o.Kind, o.Wrong = "wrong event", why
 			return o
 		}
 		o.Events++
-		if e.Done {
+		if event.Done {
 			return o
 		}
 	}
 }
 
-// CheckEvent tells what is wrong with the n-th event of an answer, if anything.
+// CheckEvent returns a description of the fault in the n-th event of a response, or an empty string.
 func CheckEvent(a Ask, e Event, n int, server ident.Server, run string) string {
 	c := a.Call
 	switch {
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -18,19 +18,19 @@
 	"tidedeck/internal/protocol"
 )
 
-// ServerSettings of a stand-in model server.
+// ServerSettings are the settings of a stand-in model server.
 type ServerSettings struct {
-	ID     string `help:"This server's name." required:""`
-	Listen string `help:"Where it serves HTTP, ip:port." required:""`
-	Store  string `help:"The weight store's address, ip:port." required:""`
-	Room   int    `help:"Room for weights." default:"80"`
+	ID     string `help:"Name of this server." required:""`
+	Listen string `help:"Listen address for HTTP, ip:port." required:""`
+	Store  string `help:"Address of the weight store, ip:port." required:""`
+	Room   int    `help:"Capacity for weights." default:"80"`
 	Slots  int    `help:"Requests decoded in one batch." default:"16"`
-	StepMs int    `help:"Between two decode steps, in ms." default:"20"`
-	Fill   int    `help:"Prompt bytes that a step can prefill." default:"4000"`
-	Whole  int    `help:"A request not wholly in so long after its connection was accepted is late, in ms." name:"whole-ms" default:"500"`
+	StepMs int    `help:"Interval between two decode steps, in ms." default:"20"`
+	Fill   int    `help:"Prompt bytes prefilled in one decode step." default:"4000"`
+	Whole  int    `help:"Time from accepting a connection to receiving the complete request, in ms; later requests are refused." name:"whole-ms" default:"500"`
 }
 
-// Check names what is wrong with the settings.
+// Check validates the settings.
 func (s *ServerSettings) Check() (f fleetplan.Faults) {
 	f = append(f, host.Addr("listen", s.Listen)...)
 	f = append(f, host.Addr("store", s.Store)...)
@@ -39,21 +39,22 @@
 		val  int
 	}{{"room", s.Room}, {"slots", s.Slots}, {"step-ms", s.StepMs}, {"fill", s.Fill}, {"whole-ms", s.Whole}} {
 		if n.val < 1 || n.val > 1_000_000 {
-			f = append(f, fleetplan.Fault{Path: n.path, Why: "wants a whole number from 1 to 1000000"})
+			f = append(f, fleetplan.Fault{Path: n.path, Why: "must be an integer from 1 to 1000000"})
 		}
 	}
 	return f
 }
 
-// hall joins HTTP requests to a core by tokens.
+// hall connects HTTP requests with a core by tokens.
 type hall struct {
 	mu   sync.Mutex // guards wait, next and dark; taken after the host's
 	next uint64
 	wait map[uint64]chan any
 	c    *host.Process
-	dark chan struct{} // closed while the server is not dark
+	dark chan struct{} // open while the server is set to be unresponsive, closed otherwise
 }
 
+// open registers a request and returns its token and the channel for its outputs, with a buffer of n.
 func (h *hall) open(n int) (uint64, chan any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -69,6 +70,7 @@
 	delete(h.wait, t)
 }
 
+// act passes an output of the core to the request that it belongs to.
 func (h *hall) act(o any) {
 	t := uint64(0)
 	switch v := o.(type) {
@@ -86,14 +88,14 @@
 	if ch := h.wait[t]; ch != nil {
 		select {
 		case ch <- o:
-		default: // a reader this far behind is cut off
+		default: // disconnect a reader that is this far behind
 			close(ch)
 			delete(h.wait, t)
 		}
 	}
 }
 
-// lit waits while the server is dark.
+// lit holds requests while the server is set to be unresponsive.
 func (h *hall) lit(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h.mu.Lock()
@@ -107,20 +109,20 @@
 	})
 }
 
-// swap is a core that can be exchanged for one that restarted empty.
+// swap is a core that can be replaced with a freshly started, empty one.
 type swap struct{ s *Server }
 
-// Step hands the input to the core in place.
+// Step passes the input to the current core.
 func (c *swap) Step(now clock.Tick, in any) []any { return c.s.Step(now, in) }
 
-// ServerMain runs a stand-in model server until it is told to stop.
+// ServerMain runs a stand-in model server until the process receives a stop signal.
 func ServerMain(s ServerSettings) error {
 	ring := host.NewRing(s.ID, os.Stderr)
-	born := func() *Server {
+	newCore := func() *Server {
 		return NewServer(ServerOptions{ID: ident.Server(s.ID), Inc: host.NewInc(), Room: s.Room, Slots: s.Slots, Store: s.Store,
 			Step: clock.Span(s.StepMs) * 1e6, Fill: s.Fill, Whole: clock.Span(s.Whole) * 1e6})
 	}
-	core := &swap{born()}
+	core := &swap{newCore()}
 	h := &hall{wait: map[uint64]chan any{}, dark: make(chan struct{})}
 	close(h.dark)
 	h.c = host.New(host.Options{Core: core, Beat: 5 * time.Millisecond, Ring: ring, Else: h.act})
@@ -155,14 +157,14 @@
 			host.Error(w, failure.Unknown, 0, nil)
 			return
 		}
-		f(h, core, born)
+		f(h, core, newCore)
 		host.JSON(w, 200, map[string]bool{"done": true})
 	}, http.MethodPost)
 	return host.Web(s.Listen, m, ring, nil, 10*time.Minute)
 }
 
-// The ways a server can be made to fail.
-var faults = map[string]func(h *hall, c *swap, born func() *Server){
+// faults maps the kinds of injected faults to their effects.
+var faults = map[string]func(h *hall, c *swap, newCore func() *Server){
 	"crash": func(*hall, *swap, func() *Server) { os.Exit(1) },
 	"dark": func(h *hall, _ *swap, _ func() *Server) {
 		h.mu.Lock()
@@ -178,8 +180,8 @@
 			close(h.dark)
 		}
 	},
-	"empty": func(h *hall, c *swap, born func() *Server) {
-		h.c.With(func(clock.Tick) { c.s = born() })
+	"empty": func(h *hall, c *swap, newCore func() *Server) {
+		h.c.With(func(clock.Tick) { c.s = newCore() })
 		h.c.Forget()
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -192,6 +194,7 @@
 	"fast": func(h *hall, c *swap, _ func() *Server) { h.c.With(func(clock.Tick) { c.s.Slow(0) }) },
 }
 
+// readInto decodes the JSON body of a request. It sends an error response and returns false if the body is malformed.
 func readInto(w http.ResponseWriter, r *http.Request, v any) bool {
 	b, ok := host.Body(w, r, 8<<20)
 	if !ok {
@@ -204,42 +207,43 @@
 	return true
 }
 
+// generate streams the events of a request.
 func (h *hall) generate(w http.ResponseWriter, r *http.Request) {
-	var q protocol.Work
-	at := host.Born(r)
-	if !readInto(w, r, &q) {
+	var work protocol.Work
+	accepted := host.Born(r)
+	if !readInto(w, r, &work) {
 		return
 	}
-	t, ch := h.open(1024)
-	defer h.shut(t)
-	h.c.Step(WorkIn{t, q, at})
-	f, _ := w.(http.Flusher)
-	open := false
+	token, outputs := h.open(1024)
+	defer h.shut(token)
+	h.c.Step(WorkIn{token, work, accepted})
+	flusher, _ := w.(http.Flusher)
+	started := false
 	for {
 		select {
 		case <-r.Context().Done():
-			h.c.Step(WorkQuit{t})
+			h.c.Step(WorkQuit{token})
 			return
-		case o, ok := <-ch:
+		case o, ok := <-outputs:
 			if !ok {
-				panic(http.ErrAbortHandler) // the life that ran it is over
+				panic(http.ErrAbortHandler) // the incarnation that executed the request has ended
 			}
 			switch v := o.(type) {
 			case WorkDrop:
 				host.Error(w, v.Kind, 0, nil)
 				return
 			case Event:
-				if !open {
-					open = true
+				if !started {
+					started = true
 					w.Header().Set("Content-Type", "text/event-stream")
 				}
 				b, _ := json.Marshal(v)
 				if _, err := fmt.Fprintf(w, "data: %s\n\n", b); err != nil {
-					h.c.Step(WorkQuit{t})
+					h.c.Step(WorkQuit{token})
 					return
 				}
-				if f != nil {
-					f.Flush()
+				if flusher != nil {
+					flusher.Flush()
 				}
 				if v.Done {
 					return
@@ -249,17 +253,17 @@
 	}
 }
 
-// StoreSettings of a stand-in weight store.
+// StoreSettings are the settings of a stand-in weight store.
 type StoreSettings struct {
-	Listen string `help:"Where it serves HTTP, ip:port." required:""`
-	Rate   int    `help:"Size that it moves in a second, shared by all who pull." default:"60"`
-	Bear   int    `help:"Pulls that it bears at once." default:"3"`
+	Listen string `help:"Listen address for HTTP, ip:port." required:""`
+	Rate   int    `help:"Size transferred per second, shared by all pulls." default:"60"`
+	Bear   int    `help:"Maximum number of concurrent pulls." default:"3"`
 }
 
-// Check names what is wrong with the settings.
+// Check validates the settings.
 func (s *StoreSettings) Check() fleetplan.Faults { return host.Addr("listen", s.Listen) }
 
-// StoreMain runs a weight store until it is told to stop.
+// StoreMain runs a weight store until the process receives a stop signal.
 func StoreMain(s StoreSettings) error {
 	ring := host.NewRing("store", os.Stderr)
 	core := NewStore(float64(s.Rate), s.Bear)
@@ -293,38 +297,39 @@
 	return host.Web(s.Listen, m, ring, nil, 10*time.Second)
 }
 
-// PlatformSettings of a stand-in platform.
+// PlatformSettings are the settings of a stand-in platform.
 type PlatformSettings struct {
-	Listen  string   `help:"Where it serves HTTP, ip:port." required:""`
+	Listen  string   `help:"Listen address for HTTP, ip:port." required:""`
 	Servers []string `help:"Servers to list, id=ip:port=zone."`
 }
 
-// Check names what is wrong with the settings.
+// Check validates the settings.
 func (s *PlatformSettings) Check() (f fleetplan.Faults) {
 	f = host.Addr("listen", s.Listen)
 	for i, x := range s.Servers {
 		if _, ok := listedOf(x); !ok {
-			f = append(f, fleetplan.Fault{Path: fmt.Sprintf("servers[%d]", i), Why: "wants id=ip:port=zone"})
+			f = append(f, fleetplan.Fault{Path: fmt.Sprintf("servers[%d]", i), Why: "must have the form id=ip:port=zone"})
 		}
 	}
 	return f
 }
 
+// listedOf parses a server of the form id=ip:port=zone.
 func listedOf(s string) (protocol.Listed, bool) {
-	var a [3]string
-	n := 0
+	var fields [3]string
+	index := 0
 	for _, r := range s {
-		if r == '=' && n < 2 {
-			n++
+		if r == '=' && index < 2 {
+			index++
 			continue
 		}
-		a[n] += string(r)
+		fields[index] += string(r)
 	}
-	x := protocol.Listed{ID: ident.Server(a[0]), Addr: a[1], Zone: ident.Zone(a[2]), State: "live"}
-	return x, a[0] != "" && a[2] != "" && host.Addr("", a[1]) == nil
+	server := protocol.Listed{ID: ident.Server(fields[0]), Addr: fields[1], Zone: ident.Zone(fields[2]), State: "live"}
+	return server, fields[0] != "" && fields[2] != "" && host.Addr("", fields[1]) == nil
 }
 
-// PlatformMain runs a platform until it is told to stop.
+// PlatformMain runs a platform until the process receives a stop signal.
 func PlatformMain(s PlatformSettings) error {
 	ring := host.NewRing("platform", os.Stderr)
 	p := NewPlatform()
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -1,6 +1,5 @@
-// Package standin holds the stand-ins that tidedeck is tried on: model servers, the weight
-// store, the platform and callers. They are small, but they keep the rules that real ones
-// must keep towards the system, and they can be made to fail.
+// Package standin provides stand-ins for tests and load runs of tidedeck: model servers, the weight store, the platform and
+// callers. They are small, but follow the protocol rules that real ones must follow, and they support fault injection.
 package standin
 
 import (
@@ -14,7 +13,7 @@
 	"tidedeck/internal/protocol"
 )
 
-// ServerOptions of a stand-in model server.
+// ServerOptions configure a stand-in model server.
 type ServerOptions struct {
 	ID    ident.Server
 	Inc   ident.Inc
@@ -22,13 +21,13 @@
 	Slots int
 	Store string
 	Step  clock.Span // between two decode steps of the batch
-	Fill  int        // bytes that a step can prefill
-	Cache int        // shared prompt parts kept
-	Pull  clock.Span // for a load, at the most
-	Whole clock.Span // a request that is not wholly in so long after its connection was accepted is late
+	Fill  int        // prompt bytes prefilled in one decode step
+	Cache int        // capacity of the prefix cache, in prompt parts
+	Pull  clock.Span // timeout of a load
+	Whole clock.Span // time from accepting a connection to receiving the complete request, after which it is refused as late
 }
 
-// OrderIn is an order that came in; OrderOut answers it.
+// OrderIn is a received order; OrderOut answers it.
 type OrderIn struct {
 	Token uint64
 	Order protocol.Order
@@ -40,23 +39,23 @@
 	Report protocol.Report
 }
 
-// WorkIn is a request that came in.
+// WorkIn is a received request.
 type WorkIn struct {
 	Token uint64
 	Work  protocol.Work
 	Since clock.Tick // when its connection was accepted
 }
 
-// WorkQuit says that whoever sent a request is gone.
+// WorkQuit reports that the sender of a request has disconnected.
 type WorkQuit struct{ Token uint64 }
 
-// WorkDrop drops a request that never ran.
+// WorkDrop refuses a request that was not executed.
 type WorkDrop struct {
 	Token uint64
 	Kind  failure.Kind
 }
 
-// Event is one event of an answer's stream.
+// Event is one event of a response stream.
 type Event struct {
 	Token  uint64       `json:"-"`
 	N      int          `json:"n"`
@@ -64,23 +63,25 @@
 	Server ident.Server `json:"server"`
 	Text   string       `json:"text,omitempty"`
 	Done   bool         `json:"done,omitempty"`
-	Reused int          `json:"reused,omitempty"` // prompt bytes found in the cache
+	Reused int          `json:"reused,omitempty"` // prompt bytes taken from the prefix cache
 }
 
+// held is a model or adapter that the server is loading or has ready.
 type held struct {
 	protocol.Held
 	since clock.Tick
 }
 
+// job is a request that waits or runs.
 type job struct {
 	WorkIn
 	key  ident.Key
-	fill int // bytes still to prefill
-	hit  int
-	n    int
+	fill int // prompt bytes still to prefill
+	hit  int // prompt bytes found in the prefix cache
+	n    int // events sent
 }
 
-// Server is a stand-in model server without I/O.
+// Server is a stand-in model server. It does no I/O: Step takes inputs and returns outputs.
 type Server struct {
 	o     ServerOptions
 	now   clock.Tick
@@ -99,7 +100,7 @@
 	tally ServerTally
 }
 
-// ServerTally counts what a server saw; its checkers read it.
+// ServerTally holds counters of a server for checkers.
 type ServerTally struct {
 	Works, Dropped, Done, Quit    uint64
 	PromptBytes, Reused           uint64
@@ -109,7 +110,7 @@
 	DropKinds                     map[failure.Kind]uint64
 }
 
-// NewServer makes a stand-in model server.
+// NewServer creates a stand-in model server.
 func NewServer(o ServerOptions) *Server {
 	generic.SetDefault(&o.Step, 20e6)
 	generic.SetDefault(&o.Fill, 4000)
@@ -118,11 +119,11 @@
 	generic.SetDefault(&o.Pull, 120e9)
 	generic.SetDefault(&o.Whole, 500e6)
 	return &Server{o: o, held: map[ident.Key]*held{}, cache: map[string]clock.Tick{}, ran: map[string]bool{}, pulls: map[uint64]ident.Key{},
-		token: uint64(o.Inc), // no answer to an earlier life's question is taken for one of this life's
+		token: uint64(o.Inc), // distinguishes answers to an earlier incarnation's requests from those to this one's
 		tally: ServerTally{DropKinds: map[failure.Kind]uint64{}}}
 }
 
-// Step takes one input and gives what is to be done.
+// Step processes one input and returns the outputs to carry out.
 func (s *Server) Step(now clock.Tick, in any) []any {
 	s.now, s.out = now, nil
 	switch v := in.(type) {
@@ -149,7 +150,7 @@
 	return s.out
 }
 
-// Slow makes every decode step take n times longer.
+// SetSlowdown makes every decode step take 1+n times as long.
 func (s *Server) Slow(n int) { s.slow = n }
 
 func (s *Server) used() int {
@@ -176,7 +177,7 @@
 	return r
 }
 
-// order obeys only orders that are newer than the last one, by duty and number.
+// order carries out an order only if it is newer than the last one, by duty and number.
 func (s *Server) order(o protocol.Order) protocol.Report {
 	if o.Duty < s.duty || o.Duty == s.duty && o.Num <= s.num {
 		s.tally.Stale++
@@ -238,14 +239,14 @@
 }
 
 func (s *Server) work(v WorkIn) {
-	// What was sent long after its sender last looked may no longer be meant for this server.
+	// A request that took long to arrive was routed on old information and may no longer be meant for this server.
 	if v.Since != 0 && s.now.Sub(v.Since) > s.o.Whole {
 		s.drop(v.Token, failure.Late)
 		return
 	}
 	k := ident.KeyOf(v.Work.Base, v.Work.Extra)
-	h, b := s.held[k], s.held[k.Base()]
-	if v.Work.Inc != s.o.Inc || h == nil || b == nil || h.Stage != "ready" || b.Stage != "ready" {
+	model, base := s.held[k], s.held[k.Base()]
+	if v.Work.Inc != s.o.Inc || model == nil || base == nil || model.Stage != "ready" || base.Stage != "ready" {
 		s.drop(v.Token, failure.Mismatch)
 		return
 	}
@@ -269,9 +270,9 @@
 	path := string(k)
 	for _, p := range v.Work.Parts {
 		path += "|" + p
-		h := fnv.New64a()
-		fmt.Fprint(h, path)
-		path = fmt.Sprintf("%x", h.Sum64())
+		hash := fnv.New64a()
+		fmt.Fprint(hash, path)
+		path = fmt.Sprintf("%x", hash.Sum64())
 		if _, ok := s.cache[path]; ok {
 			j.hit += len(p)
 		} else {
@@ -291,7 +292,7 @@
 	s.tally.PromptBytes += uint64(j.fill + j.hit)
 	s.tally.Reused += uint64(j.hit)
 	s.jobs = append(s.jobs, j)
-	if s.now.Sub(h.since) < 1e9 {
+	if s.now.Sub(model.since) < 1e9 {
 		n := 0
 		for _, x := range s.jobs {
 			if x.key == k {
@@ -302,15 +303,15 @@
 	}
 }
 
-// Word is the text that a server answers with at place n: anyone can check that an answer
-// is this request's own.
+// Word returns the text of event n of the response to a request. It depends on the request, so that every receiver can
+// check that a response belongs to its request.
 func Word(id, base, extra string, n int) string {
-	h := fnv.New32a()
-	fmt.Fprint(h, id, "|", base, "|", extra, "|", n)
-	return fmt.Sprintf("w%08x", h.Sum32())
+	hash := fnv.New32a()
+	fmt.Fprint(hash, id, "|", base, "|", extra, "|", n)
+	return fmt.Sprintf("w%08x", hash.Sum32())
 }
 
-// batch is one step of the server: some prefill, and one token for all that are decoding.
+// batch runs one decode step: it prefills up to the limit and generates one token for every decoding request.
 func (s *Server) batch() {
 	fill := s.o.Fill
 	var left []*job
@@ -328,27 +329,27 @@
 				continue
 			}
 		}
-		w := j.Work
-		e := Event{Token: j.Token, N: j.n, Go: w.Go, Server: s.o.ID, Text: Word(w.ID, w.Base, w.Extra, j.n)}
+		work := j.Work
+		event := Event{Token: j.Token, N: j.n, Go: work.Go, Server: s.o.ID, Text: Word(work.ID, work.Base, work.Extra, j.n)}
 		if j.n == 0 {
-			e.Reused = j.hit
+			event.Reused = j.hit
 		}
-		if j.n >= w.Max {
-			e.Text, e.Done = "", true
+		if j.n >= work.Max {
+			event.Text, event.Done = "", true
 			s.tally.Done++
 		} else {
 			left = append(left, j)
 		}
 		j.n++
-		s.out = append(s.out, e)
+		s.out = append(s.out, event)
 	}
 	s.jobs = left
 }
 
-// Counts gives the tally so far.
+// Counts returns the counters.
 func (s *Server) Counts() ServerTally { return s.tally }
 
-// Since tells for how long the server has held a key ready, on its own clock.
+// ReadyFor returns for how long the server has held a key ready, by its own clock.
 func (s *Server) Since(k ident.Key) (clock.Span, bool) {
 	h := s.held[k]
 	if h == nil || h.Stage != "ready" {
@@ -357,7 +358,7 @@
 	return s.now.Sub(h.since), true
 }
 
-// Holds lists what the server holds, for checkers.
+// Holds returns the models and adapters that the server holds, for checkers.
 func (s *Server) Holds() map[ident.Key]protocol.Held {
 	m := map[ident.Key]protocol.Held{}
 	for k, h := range s.held {
@@ -366,8 +367,8 @@
 	return m
 }
 
-// Active tells how many requests are under way.
+// Active returns the number of requests that wait or run.
 func (s *Server) Active() int { return len(s.jobs) }
 
-// Used tells how much room is taken.
+// Used returns the size of all held models and adapters.
 func (s *Server) Used() int { return s.used() }
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -8,53 +8,53 @@
 	"tidedeck/internal/protocol"
 )
 
-// Pull asks the weight store for weights.
+// Pull requests weights from the weight store.
 type Pull struct {
 	Server ident.Server `json:"server"`
 	Key    ident.Key    `json:"key"`
 	Size   int          `json:"size"`
 }
 
-// PullIn is a pull that came in.
+// PullIn is a received pull.
 type PullIn struct {
 	Token uint64
 	Pull  Pull
 }
 
-// PullOut says that a pull is done.
+// PullOut reports that a pull is complete.
 type PullOut struct{ Token uint64 }
 
-// PullQuit says that whoever pulled is gone.
+// PullQuit reports that the sender of a pull has disconnected.
 type PullQuit struct{ Token uint64 }
 
-// Store is a stand-in weight store: its bandwidth is shared by all who pull.
+// Store is a stand-in weight store. All pulls share its bandwidth.
 type Store struct {
-	Rate  float64 // size per second, shared
-	Bear  int     // pulls that it bears at once
-	pulls map[uint64]float64
+	Rate  float64            // size per second, shared by all pulls
+	Bear  int                // maximum number of concurrent pulls
+	pulls map[uint64]float64 // size still to transfer, by token
 	last  clock.Tick
 	tally StoreTally
 }
 
-// StoreTally counts what the store bore.
+// StoreTally holds counters of the store.
 type StoreTally struct {
-	Pulls, Over uint64 // Over counts pulls that came in beyond what it bears
+	Pulls, Over uint64 // Over counts pulls beyond the maximum number
 	Peak        int
 }
 
-// NewStore makes a weight store.
+// NewStore creates a weight store.
 func NewStore(rate float64, bear int) *Store {
 	return &Store{Rate: rate, Bear: bear, pulls: map[uint64]float64{}}
 }
 
-// Step takes one input and gives what is to be done.
+// Step processes one input and returns the outputs to carry out.
 func (s *Store) Step(now clock.Tick, in any) (out []any) {
-	dt := now.Sub(s.last).Seconds()
+	elapsed := now.Sub(s.last).Seconds()
 	s.last = now
 	if n := len(s.pulls); n > 0 {
-		part := s.Rate * dt / float64(max(n, 1))
+		share := s.Rate * elapsed / float64(max(n, 1))
 		for t := range s.pulls {
-			s.pulls[t] -= part
+			s.pulls[t] -= share
 		}
 	}
 	switch v := in.(type) {
@@ -82,42 +82,42 @@
 	return out
 }
 
-// Counts gives the tally so far.
+// Counts returns the counters.
 func (s *Store) Counts() StoreTally { return s.tally }
 
-// Platform is the stand-in platform: it keeps the list of servers.
+// Platform is the stand-in platform. It maintains the list of servers.
 type Platform struct {
 	list map[ident.Server]protocol.Listed
 }
 
-// NewPlatform makes a platform with a first list.
-func NewPlatform(l ...protocol.Listed) *Platform {
+// NewPlatform creates a platform with an initial list of servers.
+func NewPlatform(servers ...protocol.Listed) *Platform {
 	p := &Platform{list: map[ident.Server]protocol.Listed{}}
-	for _, x := range l {
-		p.list[x.ID] = x
+	for _, server := range servers {
+		p.list[server.ID] = server
 	}
 	return p
 }
 
-// Set lists a server, or lists it anew.
-func (p *Platform) Set(x protocol.Listed) { p.list[x.ID] = x }
+// Set adds a server to the list or replaces its entry.
+func (p *Platform) Set(server protocol.Listed) { p.list[server.ID] = server }
 
-// Mark changes a server's state: live, leaving or gone. It tells whether the server is known.
+// Mark changes a server's state to live, leaving or gone. It reports whether the server is known.
 func (p *Platform) Mark(id ident.Server, state string) bool {
-	x, ok := p.list[id]
-	x.State = state
+	server, ok := p.list[id]
+	server.State = state
 	if ok {
-		p.list[id] = x
+		p.list[id] = server
 	}
 	return ok
 }
 
-// List gives the servers, by id.
+// List returns the servers, sorted by id.
 func (p *Platform) List() []protocol.Listed {
-	l := make([]protocol.Listed, 0, len(p.list))
-	for _, x := range p.list {
-		l = append(l, x)
+	servers := make([]protocol.Listed, 0, len(p.list))
+	for _, server := range p.list {
+		servers = append(servers, server)
 	}
-	sort.Slice(l, func(i, j int) bool { return l[i].ID < l[j].ID })
-	return l
+	sort.Slice(servers, func(i, j int) bool { return servers[i].ID < servers[j].ID })
+	return servers
 }
--- a/internal/tidedeckctl/requests.go
+++ b/internal/tidedeckctl/requests.go
@@ -11,8 +11,8 @@
 	"github.com/go-faster/errors"
 )
 
-// requests asks every router what became of a request. The router that took it, if it failed there, knows.
-func (l *Line) requests(out, err io.Writer) int {
+// requests queries every router for failed or retried requests. Only the router that handled a request has a record of it.
+func (l *Line) requests(out, errOut io.Writer) int {
 	query := url.Values{"last": {strconv.Itoa(l.Requests.Last)}}
 	if l.Requests.ID != "" {
 		query.Set("id", l.Requests.ID)
@@ -20,16 +20,16 @@
 	client := &http.Client{Timeout: l.Wait}
 	found, answered := []json.RawMessage{}, false
 	for _, router := range l.Requests.Router {
-		list, e := requestsAt(client, router, query)
-		if e != nil {
-			fmt.Fprintf(err, "%s: %v\n", router, e)
+		list, err := requestsAt(client, router, query)
+		if err != nil {
+			fmt.Fprintf(errOut, "%s: %v\n", router, err)
 			continue
 		}
 		answered = true
 		found = append(found, list...)
 	}
 	if !answered {
-		return fail(err, errors.New("no router answered"), Dropped)
+		return fail(errOut, errors.New("no router answered"), Dropped)
 	}
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
@@ -41,17 +41,17 @@
 }
 
 func requestsAt(client *http.Client, router string, query url.Values) ([]json.RawMessage, error) {
-	answer, e := client.Get("http://" + router + "/-/requests?" + query.Encode())
-	if e != nil {
-		return nil, e
+	response, err := client.Get("http://" + router + "/-/requests?" + query.Encode())
+	if err != nil {
+		return nil, err
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return nil, errors.Errorf("status %d", answer.StatusCode)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return nil, errors.Errorf("status %d", response.StatusCode)
 	}
 	var body struct {
 		Requests []json.RawMessage `json:"requests"`
 	}
-	e = json.NewDecoder(answer.Body).Decode(&body)
-	return body.Requests, e
+	err = json.NewDecoder(response.Body).Decode(&body)
+	return body.Requests, err
 }
--- a/internal/tidedeckctl/tidedeckctl.go
+++ b/internal/tidedeckctl/tidedeckctl.go
@@ -1,4 +1,4 @@
-// Package tidedeckctl is the operator's command line: it speaks to a core node's admin API.
+// Package tidedeckctl implements the operator's command line, a client of the core nodes' admin API.
 package tidedeckctl
 
 import (
@@ -20,64 +20,64 @@
 
 // Line is tidedeckctl's command line.
 type Line struct {
-	Settings string        `help:"File of settings, JSON; flags go before it." type:"path"`
-	Admin    []string      `help:"Admin addresses of core nodes, ip:port; the first that answers is asked." env:"TIDEDECK_ADMIN"`
-	Wait     time.Duration `help:"For an answer, at the most." default:"8s"`
+	Settings string        `help:"Settings file in JSON; flags take precedence over it." type:"path"`
+	Admin    []string      `help:"Admin addresses of core nodes, ip:port; the first that answers handles the command." env:"TIDEDECK_ADMIN"`
+	Wait     time.Duration `help:"Maximum time to wait for a response." default:"8s"`
 
 	Plan struct {
 		Put struct {
 			File   string `arg:"" help:"The plan; - for standard input."`
-			Expect string `help:"Epoch that the plan goes on, or any." required:""`
-			Change string `help:"Id of the change: a repeat under the same id is safe."`
-		} `cmd:"" help:"Hand over a whole plan."`
+			Expect string `help:"Epoch that the plan is based on, or any." required:""`
+			Change string `help:"Id of the change; repeating it with the same id is safe."`
+		} `cmd:"" help:"Replace the complete plan."`
 		Patch struct {
 			File   string `arg:"" help:"A JSON merge patch (RFC 7396); - for standard input."`
-			Expect string `help:"Epoch that the change goes on, or any." required:""`
+			Expect string `help:"Epoch that the change is based on, or any." required:""`
 			Change string `help:"Id of the change."`
-		} `cmd:"" help:"Make a small change to the plan."`
-		Get   struct{} `cmd:"" help:"Read the plan back, byte for byte; its epoch goes to standard error."`
+		} `cmd:"" help:"Apply a change to the plan."`
+		Get   struct{} `cmd:"" help:"Print the plan as stored; its epoch goes to standard error."`
 		Check struct {
 			File string `arg:"" help:"The plan; - for standard input."`
-		} `cmd:"" help:"Check a plan here, without handing it over."`
+		} `cmd:"" help:"Validate a plan locally without sending it."`
 	} `cmd:"" help:"The fleet plan."`
 	Zone struct {
 		Empty struct {
 			Zone   string `arg:""`
-			Expect string `help:"Epoch that the change goes on, or any." default:"any"`
+			Expect string `help:"Epoch that the change is based on, or any." default:"any"`
 			Change string `help:"Id of the change."`
-		} `cmd:"" help:"Empty a zone: it gets no new work."`
+		} `cmd:"" help:"Empty a zone: it receives no new work."`
 		Refill struct {
 			Zone   string `arg:""`
-			Expect string `help:"Epoch that the change goes on, or any." default:"any"`
+			Expect string `help:"Epoch that the change is based on, or any." default:"any"`
 			Change string `help:"Id of the change."`
-		} `cmd:"" help:"Let a zone have work again."`
+		} `cmd:"" help:"Allow work in a zone again."`
 	} `cmd:"" help:"Zones."`
 	Windows struct {
 		Put struct {
 			File   string `arg:"" help:"An iCalendar file; - for standard input."`
-			Expect string `help:"Epoch that the change goes on, or any." default:"any"`
+			Expect string `help:"Epoch that the change is based on, or any." default:"any"`
 			Change string `help:"Id of the change."`
-		} `cmd:"" help:"Hand over maintenance windows."`
+		} `cmd:"" help:"Replace the maintenance windows."`
 	} `cmd:"" help:"Maintenance windows."`
 	Requests struct {
 		ID     string   `arg:"" optional:"" help:"The request's id; the newest requests if none is given."`
-		Router []string `help:"Addresses of routers' own interface, ip:port; all are asked." required:"" env:"TIDEDECK_ROUTERS"`
-		Last   int      `help:"Requests of each router, at the most." default:"100"`
-	} `cmd:"" help:"Show what became of requests that failed or took more than one attempt."`
+		Router []string `help:"Addresses of the routers' control interface, ip:port; all are queried." required:"" env:"TIDEDECK_ROUTERS"`
+		Last   int      `help:"Maximum number of requests of each router." default:"100"`
+	} `cmd:"" help:"Show the requests that failed or took more than one attempt."`
 	Nodes   struct{} `cmd:"" help:"Show the nodes and the core's voters."`
-	Servers struct{} `cmd:"" help:"Show servers and what they hold."`
+	Servers struct{} `cmd:"" help:"Show the servers and the models that they hold."`
 	Holds   struct{} `cmd:"" help:"Show the routers' links and callbacks."`
-	Status  struct{} `cmd:"" help:"Show a core node's own state."`
+	Status  struct{} `cmd:"" help:"Show the state of a core node."`
 	Core    struct {
 		Replace struct {
-			Old string `arg:"" help:"Voter that goes."`
-			New string `arg:"" help:"Node that takes its seat."`
-		} `cmd:"" help:"Replace a core node by another."`
-		Form struct{} `cmd:"" help:"Form a new core from the seeds that are there, all their disks blank."`
+			Old string `arg:"" help:"Voter to remove."`
+			New string `arg:"" help:"Node that becomes a voter in its place."`
+		} `cmd:"" help:"Replace one voter of the core with another node."`
+		Form struct{} `cmd:"" help:"Form a new core from the reachable seeds, all of which must have empty disks."`
 	} `cmd:"" help:"The core."`
 }
 
-// Check names what is wrong with the command line.
+// Check validates the addresses on the command line.
 func (l *Line) Check() (f fleetplan.Faults) {
 	for i, a := range l.Admin {
 		f = append(f, host.Addr(fmt.Sprintf("admin[%d]", i), a)...)
@@ -88,43 +88,44 @@
 	return f
 }
 
-// Codes of tidedeckctl's exit.
+// Exit codes of tidedeckctl.
 const (
 	OK      = 0
-	Dropped = 1 // nothing changed
+	Dropped = 1 // the command was rejected or not delivered; nothing changed
 	Misused = 2
-	Unclear = 3 // it is not known whether the change was taken
+	Unclear = 3 // it is unknown whether the change was applied
 )
 
+// call is a request to the admin API.
 type call struct {
 	how, path string
-	expect    string
-	change    string
-	file      string
+	expect    string // epoch that the change is based on
+	change    string // id of the change
+	file      string // file with the body
 }
 
-// Run runs one command; it gives the exit code.
-func (l *Line) Run(cmd string, in io.Reader, out, err io.Writer) int {
+// Run runs one command and returns the exit code.
+func (l *Line) Run(cmd string, in io.Reader, out, errOut io.Writer) int {
 	p := &l.Plan
 	if cmd == "plan check <file>" {
-		raw, e := read(p.Check.File, in)
-		if e != nil {
-			return fail(err, e, Misused)
+		raw, err := read(p.Check.File, in)
+		if err != nil {
+			return fail(errOut, err, Misused)
 		}
 		if _, f := fleetplan.ReadPlan(raw); f != nil {
 			for _, x := range f {
-				fmt.Fprintf(err, "%s: %s\n", x.Path, x.Why)
+				fmt.Fprintf(errOut, "%s: %s\n", x.Path, x.Why)
 			}
 			return Dropped
 		}
-		fmt.Fprintln(out, "the plan is sound")
+		fmt.Fprintln(out, "the plan is valid")
 		return OK
 	}
 	if cmd == "requests" || cmd == "requests <id>" {
-		return l.requests(out, err)
+		return l.requests(out, errOut)
 	}
 	if len(l.Admin) == 0 {
-		return fail(err, errors.New("--admin is missing: the addresses of core nodes"), Misused)
+		return fail(errOut, errors.New("--admin is missing: give the addresses of core nodes"), Misused)
 	}
 	calls := map[string]call{
 		"plan put <file>":          {http.MethodPut, "/plan", p.Put.Expect, p.Put.Change, p.Put.File},
@@ -142,90 +143,90 @@
 	}
 	c, ok := calls[cmd]
 	if !ok {
-		return fail(err, errors.Errorf("no such command: %s", cmd), Misused)
+		return fail(errOut, errors.Errorf("unknown command: %s", cmd), Misused)
 	}
 	var body []byte
 	if c.file != "" {
-		var e error
-		if body, e = read(c.file, in); e != nil {
-			return fail(err, e, Misused)
+		var err error
+		if body, err = read(c.file, in); err != nil {
+			return fail(errOut, err, Misused)
 		}
 	}
 	if c.how != http.MethodGet && c.change == "" && c.expect != "" {
-		// With an id of our own, asking a second node after a lost reply is safe.
+		// A generated id makes it safe to send the change to a second node after a lost response.
 		c.change = fmt.Sprintf("tidedeckctl-%d", host.NewInc())
 	}
-	return l.send(c, body, cmd, out, err)
+	return l.send(c, body, cmd, out, errOut)
 }
 
-func (l *Line) send(c call, body []byte, cmd string, out, err io.Writer) int {
-	h := &http.Client{Timeout: l.Wait, Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
-	risky := false
-	list := append([]string{}, l.Admin...)
-	for i := 0; i < len(list); i++ {
-		q, e := http.NewRequest(c.how, "http://"+list[i]+c.path, bytes.NewReader(body))
-		if e != nil {
-			return fail(err, e, Misused)
+func (l *Line) send(c call, body []byte, cmd string, out, errOut io.Writer) int {
+	client := &http.Client{Timeout: l.Wait, Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
+	maybeDelivered := false
+	nodes := append([]string{}, l.Admin...)
+	for i := 0; i < len(nodes); i++ {
+		request, err := http.NewRequest(c.how, "http://"+nodes[i]+c.path, bytes.NewReader(body))
+		if err != nil {
+			return fail(errOut, err, Misused)
 		}
 		if c.expect != "" {
-			q.Header.Set("X-Expect-Epoch", c.expect)
-			q.Header.Set("X-Change-Id", c.change)
+			request.Header.Set("X-Expect-Epoch", c.expect)
+			request.Header.Set("X-Change-Id", c.change)
 		}
-		w, e := h.Do(q)
-		if e != nil {
+		response, err := client.Do(request)
+		if err != nil {
 			var d *net.OpError
-			risky = risky || !(errors.As(e, &d) && d.Op == "dial")
-			fmt.Fprintf(err, "%s: %v\n", list[i], e)
+			maybeDelivered = maybeDelivered || !(errors.As(err, &d) && d.Op == "dial")
+			fmt.Fprintf(errOut, "%s: %v\n", nodes[i], err)
 			continue
 		}
-		b, e := io.ReadAll(w.Body)
-		_ = w.Body.Close()
-		if e != nil {
-			risky = true
+		raw, err := io.ReadAll(response.Body)
+		_ = response.Body.Close()
+		if err != nil {
+			maybeDelivered = true
 			continue
 		}
-		var a struct {
+		var reply struct {
 			Kind   string           `json:"kind"`
 			Why    string           `json:"why"`
 			Epoch  uint64           `json:"epoch"`
 			Faults fleetplan.Faults `json:"faults"`
 			View   any              `json:"view"`
 		}
-		if cmd == "plan get" && w.StatusCode == 200 {
-			fmt.Fprintf(err, "epoch %s\n", w.Header.Get("X-Epoch"))
-			_, _ = out.Write(b)
+		if cmd == "plan get" && response.StatusCode == 200 {
+			fmt.Fprintf(errOut, "epoch %s\n", response.Header.Get("X-Epoch"))
+			_, _ = out.Write(raw)
 			return OK
 		}
-		if e := json.Unmarshal(b, &a); e != nil {
-			fmt.Fprintf(err, "%s: status %d, no JSON\n", list[i], w.StatusCode)
+		if err := json.Unmarshal(raw, &reply); err != nil {
+			fmt.Fprintf(errOut, "%s: status %d, response is not JSON\n", nodes[i], response.StatusCode)
 			continue
 		}
-		if a.Kind == "not_ready" && i+1 < len(list) {
-			continue // another node may own the duty, or know the core
+		if reply.Kind == "not_ready" && i+1 < len(nodes) {
+			continue // another node may own the duty or be in touch with the core
 		}
-		if a.Kind == "" {
-			if a.View != nil {
-				e := json.NewEncoder(out)
-				e.SetIndent("", "  ")
-				_ = e.Encode(a.View)
+		if reply.Kind == "" {
+			if reply.View != nil {
+				encoder := json.NewEncoder(out)
+				encoder.SetIndent("", "  ")
+				_ = encoder.Encode(reply.View)
 			} else {
-				fmt.Fprintf(out, "taken under epoch %d\n", a.Epoch)
+				fmt.Fprintf(out, "accepted under epoch %d\n", reply.Epoch)
 			}
 			return OK
 		}
-		fmt.Fprintf(err, "%s: %s\n", a.Kind, strings.TrimSpace(a.Why))
-		for _, f := range a.Faults {
-			fmt.Fprintf(err, "  %s: %s\n", f.Path, f.Why)
+		fmt.Fprintf(errOut, "%s: %s\n", reply.Kind, strings.TrimSpace(reply.Why))
+		for _, f := range reply.Faults {
+			fmt.Fprintf(errOut, "  %s: %s\n", f.Path, f.Why)
 		}
-		if a.Kind == "unclear" {
+		if reply.Kind == "unclear" {
 			return Unclear
 		}
 		return Dropped
 	}
-	if risky {
-		return fail(err, errors.New("unclear: no answer came; repeat the command with the same --change"), Unclear)
+	if maybeDelivered {
+		return fail(errOut, errors.New("unclear: no response; repeat the command with the same --change"), Unclear)
 	}
-	return fail(err, errors.New("no core node answered"), Dropped)
+	return fail(errOut, errors.New("no core node answered"), Dropped)
 }
 
 func read(file string, in io.Reader) ([]byte, error) {
@@ -235,7 +236,7 @@
 	return os.ReadFile(file)
 }
 
-func fail(w io.Writer, e error, code int) int {
-	fmt.Fprintln(w, "tidedeckctl:", e)
+func fail(w io.Writer, err error, code int) int {
+	fmt.Fprintln(w, "tidedeckctl:", err)
 	return code
 }
