--- a/cmd/replay/main.go
+++ b/cmd/replay/main.go
@@ -35,24 +35,24 @@
 			os.Exit(1)
 		}
 	}
-	read := func(path string) *replay.Day {
+	read := func(path string) *replay.Recording {
 		file, err := os.Open(path)
 		fail(err)
 		defer file.Close()
 		recording := replay.Read(file)
-		for _, damage := range recording.Bad {
+		for _, damage := range recording.Damaged {
 			fmt.Fprintf(os.Stderr, "%s: %v\n", path, damage)
 		}
-		if recording.Lost > 0 {
-			fmt.Fprintf(os.Stderr, "%s: the router dropped %d lines\n", path, recording.Lost)
+		if recording.Dropped > 0 {
+			fmt.Fprintf(os.Stderr, "%s: the router dropped %d lines\n", path, recording.Dropped)
 		}
 		return recording
 	}
 	switch cmd {
 	case "check <file>":
 		recording := read(flags.Check.File)
-		fmt.Printf("%d intact requests, %d damaged places\n", len(recording.Lines), len(recording.Bad))
-		if len(recording.Bad) > 0 {
+		fmt.Printf("%d intact requests, %d damaged places\n", len(recording.Requests), len(recording.Damaged))
+		if len(recording.Damaged) > 0 {
 			os.Exit(1)
 		}
 	case "replay <file>":
@@ -65,10 +65,10 @@
 			fail(fmt.Errorf("speed: must be greater than 0 and at most 1000"))
 		}
 		recording := read(flags.Replay.File)
-		if len(recording.Bad) > 0 && !flags.Replay.Sound {
+		if len(recording.Damaged) > 0 && !flags.Replay.Sound {
 			fail(fmt.Errorf("the recording is damaged; --sound replays its intact requests"))
 		}
-		if len(recording.Lines) == 0 {
+		if len(recording.Requests) == 0 {
 			fail(fmt.Errorf("the recording has no requests"))
 		}
 		tag := flags.Replay.Tag
@@ -78,8 +78,8 @@
 		run := replay.Replay(recording, flags.Replay.Routers, flags.Replay.Speed, tag)
 		run.Record = flags.Replay.File
 		fail(run.Save(flags.Replay.Out))
-		kinds, _ := run.Sum()
-		fmt.Printf("replayed %d: %v\n", len(run.Seen), kinds)
+		kinds, _ := run.Summarize()
+		fmt.Printf("replayed %d: %v\n", len(run.Results), kinds)
 	case "compare <first> <second>":
 		a, err := replay.Load(flags.Compare.First)
 		fail(err)
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -23,28 +23,28 @@
 )
 
 // Damage is a damaged or missing part of a recording.
-type Place struct {
+type Damage struct {
 	Line int
 	Byte int64
 	Why  string
 }
 
 // Error returns the position and the kind of the damage.
-func (p Place) Error() string { return fmt.Sprintf("line %d, byte %d: %s", p.Line, p.Byte, p.Why) }
+func (p Damage) Error() string { return fmt.Sprintf("line %d, byte %d: %s", p.Line, p.Byte, p.Why) }
 
 // Recording is the content of a recording.
-type Day struct {
+type Recording struct {
 	Router string
 	Began  string
-	Lines  []router.Logged
-	Lost   int // lines that the router dropped because it could not write them in time
-	Bad    []Place
+	Requests  []router.Logged
+	Dropped   int // lines that the router dropped because it could not write them in time
+	Damaged    []Damage
 }
 
 // Read reads a recording. It reports every damaged or missing part with its position, and returns all intact requests
 // regardless.
-func Read(r io.Reader) *Day {
-	recording := &Day{}
+func Read(r io.Reader) *Recording {
+	recording := &Recording{}
 	in := bufio.NewReaderSize(r, 1<<20)
 	offset, last, closed := int64(0), int64(0), false
 	for number := 1; ; number++ {
@@ -52,7 +52,7 @@
 		from := offset
 		offset += int64(len(line))
 		bad := func(form string, a ...any) {
-			recording.Bad = append(recording.Bad, Place{number, from, fmt.Sprintf(form, a...)})
+			recording.Damaged = append(recording.Damaged, Damage{number, from, fmt.Sprintf(form, a...)})
 		}
 		if err != nil {
 			switch {
@@ -91,10 +91,10 @@
 			var closing struct{ End, Lost int }
 			if json.Unmarshal(text, &closing) != nil {
 				bad("malformed closing line")
-			} else if closing.End != len(recording.Lines) {
-				bad("the closing line counts %d requests, but %d are intact", closing.End, len(recording.Lines))
+			} else if closing.End != len(recording.Requests) {
+				bad("the closing line counts %d requests, but %d are intact", closing.End, len(recording.Requests))
 			}
-			recording.Lost, closed = closing.Lost, true
+			recording.Dropped, closed = closing.Lost, true
 		default:
 			var request router.Logged
 			if err := json.Unmarshal(text, &request); err != nil {
@@ -106,7 +106,7 @@
 				continue
 			}
 			last = request.At
-			recording.Lines = append(recording.Lines, request)
+			recording.Requests = append(recording.Requests, request)
 		}
 	}
 }
@@ -115,11 +115,11 @@
 type Run struct {
 	Record string  `json:"record"`
 	Speed  float64 `json:"speed"`
-	Seen   []Seen  `json:"seen"`
+	Results   []Result  `json:"seen"`
 }
 
 // Result is the outcome of one request of a replay.
-type Seen struct {
+type Result struct {
 	ID      string `json:"id"`
 	Kind    string `json:"kind,omitempty"`
 	Events  int    `json:"events"`
@@ -130,7 +130,7 @@
 
 // MakeRequest converts a recorded request to a request to send. Text that was not recorded is generated in its recorded
 // length; shared prompt parts with the same checksum get the same text.
-func Ask(recorded router.Logged, tag string) standin.Ask {
+func MakeRequest(recorded router.Logged, tag string) standin.Ask {
 	fill := func(seed string, n int) string {
 		return strings.Repeat(seed+" ", n/(len(seed)+1)+1)[:n]
 	}
@@ -153,18 +153,18 @@
 }
 
 // Replay sends the requests of a recording to the routers in turn, speed times as fast as they were recorded.
-func Replay(recording *Day, routers []string, speed float64, tag string) *Run {
-	run := &Run{Speed: speed, Seen: make([]Seen, len(recording.Lines))}
+func Replay(recording *Recording, routers []string, speed float64, tag string) *Run {
+	run := &Run{Speed: speed, Results: make([]Result, len(recording.Requests))}
 	client := standin.Client()
 	begin := time.Now()
 	var pending sync.WaitGroup
-	for i, recorded := range recording.Lines {
-		time.Sleep(time.Until(begin.Add(time.Duration(float64(recorded.At-recording.Lines[0].At) / speed * 1e6))))
+	for i, recorded := range recording.Requests {
+		time.Sleep(time.Until(begin.Add(time.Duration(float64(recorded.At-recording.Requests[0].At) / speed * 1e6))))
 		pending.Add(1)
 		go func() {
 			defer pending.Done()
-			outcome := standin.One(client, routers[i%len(routers)], Ask(recorded, tag), false)
-			run.Seen[i] = Seen{recorded.ID, outcome.Kind, outcome.Events, outcome.First.Milliseconds(), outcome.Took.Milliseconds(), outcome.Wrong}
+			outcome := standin.One(client, routers[i%len(routers)], MakeRequest(recorded, tag), false)
+			run.Results[i] = Result{recorded.ID, outcome.Kind, outcome.Events, outcome.First.Milliseconds(), outcome.Duration.Milliseconds(), outcome.Wrong}
 		}()
 	}
 	pending.Wait()
@@ -195,9 +195,9 @@
 
 // Summarize counts the results of a run by kind, successful ones as "answered", and returns the sorted times in ms to the
 // first event of the successful ones.
-func (r *Run) Sum() (kinds map[string]int, first []int64) {
+func (r *Run) Summarize() (kinds map[string]int, first []int64) {
 	kinds = map[string]int{}
-	for _, result := range r.Seen {
+	for _, result := range r.Results {
 		if result.Kind == "" {
 			kinds["answered"]++
 			first = append(first, result.FirstMs)
@@ -211,8 +211,8 @@
 
 // Compare prints a comparison of two runs.
 func Compare(w io.Writer, a, b *Run) {
-	kindsA, firstA := a.Sum()
-	kindsB, firstB := b.Sum()
+	kindsA, firstA := a.Summarize()
+	kindsB, firstB := b.Summarize()
 	quantile := func(l []int64, q float64) int64 {
 		if len(l) == 0 {
 			return 0
@@ -220,7 +220,7 @@
 		return l[int(q*float64(len(l)-1))]
 	}
 	fmt.Fprintf(w, "%-22s %8s %8s\n", "", "first", "second")
-	fmt.Fprintf(w, "%-22s %8d %8d\n", "requests", len(a.Seen), len(b.Seen))
+	fmt.Fprintf(w, "%-22s %8d %8d\n", "requests", len(a.Results), len(b.Results))
 	names := map[string]bool{}
 	for k := range kindsA {
 		names[k] = true
@@ -238,12 +238,12 @@
 	}
 	fmt.Fprintf(w, "%-22s %8d %8d\n", "first event, median ms", quantile(firstA, 0.5), quantile(firstB, 0.5))
 	fmt.Fprintf(w, "%-22s %8d %8d\n", "first event, 95th ms", quantile(firstA, 0.95), quantile(firstB, 0.95))
-	before := map[string]Seen{}
-	for _, result := range a.Seen {
+	before := map[string]Result{}
+	for _, result := range a.Results {
 		before[result.ID] = result
 	}
 	different, missing := 0, 0
-	for _, result := range b.Seen {
+	for _, result := range b.Results {
 		old, ok := before[result.ID]
 		switch {
 		case !ok:
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -54,14 +54,14 @@
 	} {
 		d := Read(strings.NewReader(c.raw))
 		var bad []int
-		for _, p := range d.Bad {
+		for _, p := range d.Damaged {
 			bad = append(bad, p.Line)
 			require.NotEmpty(t, p.Why)
 		}
-		require.Equal(t, c.bad, bad, "%s: %v", c.name, d.Bad)
-		require.Len(t, d.Lines, c.sound, c.name)
+		require.Equal(t, c.bad, bad, "%s: %v", c.name, d.Damaged)
+		require.Len(t, d.Requests, c.sound, c.name)
 	}
-	require.Equal(t, int64(len(lines[0])), Read(strings.NewReader(lines[0] + "garbage\n" + join(lines[1:]...))).Bad[0].Byte)
+	require.Equal(t, int64(len(lines[0])), Read(strings.NewReader(lines[0] + "garbage\n" + join(lines[1:]...))).Damaged[0].Byte)
 }
 
 // Prompt text is recorded only where the settings say so, and replayed in its length otherwise.
@@ -69,8 +69,8 @@
 	without, with := record(t, 1, false), record(t, 1, true)
 	require.NotContains(t, string(without), "secret")
 	require.Contains(t, string(with), "secret")
-	a := Ask(Read(bytes.NewReader(without)).Lines[0], "t-")
-	b := Ask(Read(bytes.NewReader(with)).Lines[0], "t-")
+	a := MakeRequest(Read(bytes.NewReader(without)).Requests[0], "t-")
+	b := MakeRequest(Read(bytes.NewReader(with)).Requests[0], "t-")
 	require.Len(t, a.Call.Prompt, len("a secret"))
 	require.Len(t, a.Call.Parts[0], len("shared"))
 	require.Equal(t, "a secret", b.Call.Prompt)
@@ -79,8 +79,8 @@
 }
 
 func TestCompare(t *testing.T) {
-	a := &Run{Seen: []Seen{{ID: "1", Events: 3, FirstMs: 5}, {ID: "2", Kind: "full"}, {ID: "3", Events: 2, FirstMs: 9}}}
-	b := &Run{Seen: []Seen{{ID: "1", Events: 3, FirstMs: 6}, {ID: "2", Events: 1, FirstMs: 2}, {ID: "3", Kind: "cut", Events: 1}, {ID: "4", Events: 1}}}
+	a := &Run{Results: []Result{{ID: "1", Events: 3, FirstMs: 5}, {ID: "2", Kind: "full"}, {ID: "3", Events: 2, FirstMs: 9}}}
+	b := &Run{Results: []Result{{ID: "1", Events: 3, FirstMs: 6}, {ID: "2", Events: 1, FirstMs: 2}, {ID: "3", Kind: "cut", Events: 1}, {ID: "4", Events: 1}}}
 	var w bytes.Buffer
 	Compare(&w, a, b)
 	require.Contains(t, w.String(), "2 requests fared otherwise, 1 are only in the second")
--- a/internal/standin/batch.go
+++ b/internal/standin/batch.go
@@ -44,25 +44,25 @@
 // LoadDone reports that a load has finished.
 type LoadDone struct{ Key ident.Key }
 
-// reported is a report with the time when it was made.
-type reported struct {
+// pastReport is a report with the time when it was made.
+type pastReport struct {
 	at clock.Tick
-	r  protocol.Report
+	report  protocol.Report
 }
 
 // Batch is a stand-in batch server that announces itself. It does no I/O. It numbers the orders that it accepts and carries
 // out one at a time.
 type Batch struct {
-	o     BatchOptions
+	options     BatchOptions
 	now   clock.Tick
 	out   []any
 	held  map[ident.Key]clock.Tick // time when the key became ready
-	op    *protocol.Order          // order in progress
+	current    *protocol.Order          // order in progress
 	ready clock.Tick               // time when its load ends
-	num   uint64
-	past  []reported
+	orders   uint64
+	reports  []pastReport
 	jobs  []*job
-	next  clock.Tick
+	nextStep  clock.Tick
 	tally ServerTally
 }
 
@@ -72,10 +72,10 @@
 	generic.SetDefault(&o.Fill, 4000)
 	generic.SetDefault(&o.Slots, 16)
 	generic.SetDefault(&o.Lag, 200e6)
-	s := &Batch{o: o, held: map[ident.Key]clock.Tick{}, tally: ServerTally{DropKinds: map[failure.Kind]uint64{}}}
+	s := &Batch{options: o, held: map[ident.Key]clock.Tick{}, tally: ServerTally{DropKinds: map[failure.Kind]uint64{}}}
 	for _, k := range o.Held {
 		s.held[k] = 0
-		s.o.Disk[k] = true
+		s.options.Disk[k] = true
 	}
 	return s
 }
@@ -83,17 +83,17 @@
 // Step processes one input and returns the outputs to carry out.
 func (s *Batch) Step(now clock.Tick, in any) []any {
 	s.now, s.out = now, nil
-	s.settle()
+	s.finishOrder()
 	switch v := in.(type) {
 	case BatchOrder:
 		if v.Order.Op == "" {
-			s.out = append(s.out, BatchAnswer{Token: v.Token, Code: http.StatusOK, Report: s.late()})
+			s.out = append(s.out, BatchAnswer{Token: v.Token, Code: http.StatusOK, Report: s.delayedReport()})
 			break
 		}
-		code, over := s.order(v.Order)
+		code, over := s.acceptOrder(v.Order)
 		s.out = append(s.out, BatchAnswer{Token: v.Token, Code: code, Over: over})
 	case WorkIn:
-		s.work(v)
+		s.acceptWork(v)
 	case WorkQuit:
 		for i, j := range s.jobs {
 			if j.Token == v.Token {
@@ -103,26 +103,26 @@
 			}
 		}
 	case protocol.Beat:
-		if now >= s.next {
-			n := clock.Span(min(len(s.jobs), s.o.Slots))
-			s.next = now.Add(s.o.Step + s.o.Step*n/clock.Span(s.o.Slots))
-			s.batch()
+		if now >= s.nextStep {
+			n := clock.Span(min(len(s.jobs), s.options.Slots))
+			s.nextStep = now.Add(s.options.Step + s.options.Step*n/clock.Span(s.options.Slots))
+			s.decodeStep()
 		}
 	}
-	s.settle()
-	s.keep()
+	s.finishOrder()
+	s.recordReport()
 	return s.out
 }
 
-// settle finishes the order in progress once its conditions are met.
-func (s *Batch) settle() {
-	if s.op == nil || s.now < s.ready {
+// finishOrder finishes the order in progress once its conditions are met.
+func (s *Batch) finishOrder() {
+	if s.current == nil || s.now < s.ready {
 		return
 	}
-	k := s.op.Key
-	if s.op.Op == "load" {
-		s.held[k], s.o.Disk[k] = s.now, true
-		s.op = nil
+	k := s.current.Key
+	if s.current.Op == "load" {
+		s.held[k], s.options.Disk[k] = s.now, true
+		s.current = nil
 		s.out = append(s.out, LoadDone{k})
 		return
 	}
@@ -132,11 +132,11 @@
 		switch {
 		case j.key != k && (k.IsAdapter() || j.key.Base() != k):
 			left = append(left, j)
-		case i < s.o.Slots || j.n > 0:
+		case i < s.options.Slots || j.sent > 0:
 			runs = true
 			left = append(left, j)
 		default:
-			s.drop(j.Token, failure.Busy) // not started
+			s.refuse(j.Token, failure.Busy) // not started
 		}
 	}
 	s.jobs = left
@@ -149,12 +149,12 @@
 		}
 	}
 	s.tally.Unloads++
-	s.op = nil
+	s.current = nil
 }
 
 func (s *Batch) used() (room, places int) {
 	for k := range s.held {
-		room += s.o.Weight(k)
+		room += s.options.Weight(k)
 		if k.IsAdapter() {
 			places++
 		}
@@ -162,13 +162,13 @@
 	return room, places
 }
 
-func (s *Batch) order(o protocol.Order) (code int, over bool) {
+func (s *Batch) acceptOrder(o protocol.Order) (code int, over bool) {
 	_, has := s.held[o.Key]
 	_, base := s.held[o.Key.Base()]
 	switch {
-	case s.o.Plain || o.Owner == "" || o.Duty == 0 || o.Key.Service() != s.o.Service || o.Op != "load" && o.Op != "unload":
+	case s.options.Plain || o.Owner == "" || o.Duty == 0 || o.Key.Service() != s.options.Service || o.Op != "load" && o.Op != "unload":
 		return http.StatusBadRequest, false
-	case o.Expected != s.num || s.op != nil:
+	case o.Expected != s.orders || s.current != nil:
 		s.tally.Stale++
 		return http.StatusConflict, false
 	case o.Op == "load" && has || o.Op == "unload" && !has:
@@ -177,63 +177,63 @@
 		return http.StatusBadRequest, false
 	}
 	room, places := s.used()
-	s.num++
-	s.op, s.ready = &o, s.now
+	s.orders++
+	s.current, s.ready = &o, s.now
 	if o.Op == "load" {
-		over = room+s.o.Weight(o.Key) > s.o.Room || o.Key.IsAdapter() && s.o.Places > 0 && places >= s.o.Places
+		over = room+s.options.Weight(o.Key) > s.options.Room || o.Key.IsAdapter() && s.options.Places > 0 && places >= s.options.Places
 		s.tally.Loads++
-		s.ready = s.now.Add(s.o.Load(o.Key, s.o.Disk[o.Key]))
+		s.ready = s.now.Add(s.options.Load(o.Key, s.options.Disk[o.Key]))
 	}
 	return http.StatusAccepted, over
 }
 
 func (s *Batch) report() protocol.Report {
-	r := protocol.Report{Server: s.o.ID, Num: s.num, Busy: s.op != nil, Held: []protocol.Held{}}
+	r := protocol.Report{Server: s.options.ID, Num: s.orders, Busy: s.current != nil, Held: []protocol.Held{}}
 	for _, k := range generic.SortedKeys(s.held) {
 		r.Held = append(r.Held, protocol.Held{Key: k, Stage: "ready"})
 	}
 	return r
 }
 
-// keep records the current report and discards records that are older than the lag requires.
-func (s *Batch) keep() {
-	s.past = append(s.past, reported{s.now, s.report()})
-	for len(s.past) > 1 && s.now.Sub(s.past[1].at) >= s.o.Lag {
-		s.past = s.past[1:]
+// recordReport records the current report and discards records that are older than the lag requires.
+func (s *Batch) recordReport() {
+	s.reports = append(s.reports, pastReport{s.now, s.report()})
+	for len(s.reports) > 1 && s.now.Sub(s.reports[1].at) >= s.options.Lag {
+		s.reports = s.reports[1:]
 	}
 }
 
-// late returns the report as it was one lag ago.
-func (s *Batch) late() protocol.Report {
+// delayedReport returns the report as it was one lag ago.
+func (s *Batch) delayedReport() protocol.Report {
 	r := s.report()
-	if len(s.past) > 0 {
-		r = s.past[0].r
+	if len(s.reports) > 0 {
+		r = s.reports[0].report
 	}
-	for _, x := range s.past {
-		if s.now.Sub(x.at) >= s.o.Lag {
-			r = x.r
+	for _, x := range s.reports {
+		if s.now.Sub(x.at) >= s.options.Lag {
+			r = x.report
 		}
 	}
 	return r
 }
 
-func (s *Batch) drop(t uint64, k failure.Kind) {
+func (s *Batch) refuse(t uint64, k failure.Kind) {
 	s.tally.Dropped++
 	s.tally.DropKinds[k]++
 	s.out = append(s.out, WorkDrop{t, k})
 }
 
-func (s *Batch) work(v WorkIn) {
-	k := ident.KeyOf(v.Work.Base, v.Work.Extra).In(s.o.Service)
-	if s.o.Plain || v.Work.Base == "" {
-		k = ident.ServiceKey(s.o.Service) // the request needs no model
+func (s *Batch) acceptWork(v WorkIn) {
+	k := ident.KeyOf(v.Work.Base, v.Work.Extra).In(s.options.Service)
+	if s.options.Plain || v.Work.Base == "" {
+		k = ident.ServiceKey(s.options.Service) // the request needs no model
 	} else if _, ok := s.held[k]; !ok {
-		s.drop(v.Token, failure.Mismatch)
+		s.refuse(v.Token, failure.Mismatch)
 		return
 	}
-	unloading := s.op != nil && s.op.Op == "unload" && (s.op.Key == k || s.op.Key == k.Base())
-	if unloading || len(s.jobs) >= s.o.Slots+max(2, s.o.Slots/4) {
-		s.drop(v.Token, failure.Busy)
+	unloading := s.current != nil && s.current.Op == "unload" && (s.current.Key == k || s.current.Key == k.Base())
+	if unloading || len(s.jobs) >= s.options.Slots+max(2, s.options.Slots/4) {
+		s.refuse(v.Token, failure.Busy)
 		return
 	}
 	s.tally.Works++
@@ -242,35 +242,35 @@
 		n += len(p)
 	}
 	s.tally.PromptBytes += uint64(n)
-	s.jobs = append(s.jobs, &job{WorkIn: v, key: k, fill: n})
+	s.jobs = append(s.jobs, &job{WorkIn: v, key: k, uncached: n})
 }
 
-// batch runs one decode step: it prefills up to the limit and generates one token for every decoding request.
-func (s *Batch) batch() {
-	fill := s.o.Fill
+// decodeStep runs one decode step: it prefills up to the limit and generates one token for every decoding request.
+func (s *Batch) decodeStep() {
+	fill := s.options.Fill
 	var left []*job
 	for i, j := range s.jobs {
-		if i >= s.o.Slots {
+		if i >= s.options.Slots {
 			left = append(left, j)
 			continue
 		}
-		if n := min(fill, j.fill); j.fill > 0 {
-			j.fill -= n
+		if n := min(fill, j.uncached); j.uncached > 0 {
+			j.uncached -= n
 			fill -= n
-			if j.fill > 0 {
+			if j.uncached > 0 {
 				left = append(left, j)
 				continue
 			}
 		}
 		work := j.Work
-		event := Event{Token: j.Token, N: j.n, Go: work.Go, Server: s.o.ID, Text: Word(work.ID, work.Base, work.Extra, j.n)}
-		if j.n >= work.Max {
+		event := Event{Token: j.Token, N: j.sent, Go: work.Go, Server: s.options.ID, Text: TokenText(work.ID, work.Base, work.Extra, j.sent)}
+		if j.sent >= work.Max {
 			event.Text, event.Done = "", true
 			s.tally.Done++
 		} else {
 			left = append(left, j)
 		}
-		j.n++
+		j.sent++
 		s.out = append(s.out, event)
 	}
 	s.jobs = left
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -25,20 +25,20 @@
 	Call  fleetplan.Call
 }
 
-// Mix generates random requests for the routes and models of a plan. Few keys are requested often, most of them rarely.
+// Workload generates random requests for the routes and models of a plan. Few keys are requested often, most of them rarely.
 type Mix struct {
 	Tenants int // number of tenants with different shared prompt parts
 	plan    *fleetplan.Plan
-	asks    []Ask
-	sum     []float64
+	templates    []Ask
+	cumulative     []float64
 	rand    *rand.Rand
-	tag     string
-	n       int
+	idPrefix     string
+	count       int
 }
 
-// NewMix creates a generator. The same seed gives the same requests.
+// NewWorkload creates a workload. The same seed gives the same requests.
 func NewMix(p *fleetplan.Plan, seed uint64) *Mix {
-	m := &Mix{plan: p, rand: rand.New(rand.NewPCG(seed, 17)), tag: fmt.Sprintf("c%x", seed)}
+	m := &Mix{plan: p, rand: rand.New(rand.NewPCG(seed, 17)), idPrefix: fmt.Sprintf("c%x", seed)}
 	seen := map[ident.Key]int{}
 	for _, r := range generic.SortedKeys(p.Routes) {
 		for _, k := range generic.SortedKeys(p.Services[p.Routes[r].Service].Keys) {
@@ -47,12 +47,12 @@
 					seen[k] = len(seen)
 				}
 				b, x, _ := strings.Cut(string(k), "+")
-				m.asks = append(m.asks, Ask{r, fleetplan.Call{Base: b, Extra: x, Kind: c}})
+				m.templates = append(m.templates, Ask{r, fleetplan.Call{Base: b, Extra: x, Kind: c}})
 			}
 		}
 	}
 	all := 0.0
-	for _, a := range m.asks {
+	for _, a := range m.templates {
 		k := ident.KeyOf(a.Call.Base, a.Call.Extra)
 		w := 1 / float64(1+seen[k])
 		if p.Models[k].Floor > 0 {
@@ -60,22 +60,22 @@
 		}
 		w /= float64(1 + p.Kinds[a.Call.Kind].Value)
 		all += w
-		m.sum = append(m.sum, all)
+		m.cumulative = append(m.cumulative, all)
 	}
 	return m
 }
 
 // Next generates a request.
 func (m *Mix) Next() Ask {
-	f := m.rand.Float64() * m.sum[len(m.sum)-1]
-	i := sort.SearchFloat64s(m.sum, f)
-	return m.Of(m.asks[min(i, len(m.asks)-1)])
+	f := m.rand.Float64() * m.cumulative[len(m.cumulative)-1]
+	i := sort.SearchFloat64s(m.cumulative, f)
+	return m.Of(m.templates[min(i, len(m.templates)-1)])
 }
 
 // NextRare generates a request for one of the least requested keys.
 func (m *Mix) Rare() Ask {
 	for range 50 {
-		a := m.asks[m.rand.IntN(len(m.asks))]
+		a := m.templates[m.rand.IntN(len(m.templates))]
 		if m.plan.Models[ident.KeyOf(a.Call.Base, a.Call.Extra)].Floor == 0 {
 			return m.Of(a)
 		}
@@ -85,8 +85,8 @@
 
 // Fill generates a request with the route, model and kind of the given one.
 func (m *Mix) Of(a Ask) Ask {
-	m.n++
-	a.Call.ID = fmt.Sprintf("%s-%d", m.tag, m.n)
+	m.count++
+	a.Call.ID = fmt.Sprintf("%s-%d", m.idPrefix, m.count)
 	t := m.rand.IntN(max(6, m.Tenants))
 	a.Call.Parts = []string{strings.Repeat("system ", 60), strings.Repeat(fmt.Sprintf("tenant-%d ", t), 60)}
 	a.Call.Prompt = strings.Repeat("line ", 4+m.rand.IntN(60))
@@ -185,7 +185,7 @@
 	Events int
 	Reused int
 	First  time.Duration
-	Took   time.Duration
+	Duration   time.Duration
 	Wrong  string
 }
 
@@ -220,7 +220,7 @@
 // the one that a stand-in server sends for this request.
 func One(client *http.Client, router string, a Ask, words bool) (o Outcome) {
 	begin := time.Now()
-	defer func() { o.Took = time.Since(begin) }()
+	defer func() { o.Duration = time.Since(begin) }()
 	request, err := http.NewRequest(http.MethodPost, "http://"+router+a.Route, bytes.NewReader(a.Body()))
 	if err != nil {
 		return Outcome{Kind: "unsent", Wrong: err.Error()}
@@ -292,7 +292,7 @@
 		return "events of two goes in one answer"
 	case e.Done && n != c.Max:
 		return fmt.Sprintf("ended after %d of %d", n, c.Max)
-	case !e.Done && e.Text != Word(c.ID, c.Base, c.Extra, n):
+	case !e.Done && e.Text != TokenText(c.ID, c.Base, c.Extra, n):
 		return "an event that belongs to someone else"
 	}
 	return ""
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -45,33 +45,33 @@
 	return f
 }
 
-// hall connects HTTP requests with a core by tokens.
-type hall struct {
+// requestTable connects HTTP requests with a core by tokens.
+type requestTable struct {
 	mu   sync.Mutex // guards wait, next and dark; taken after the host's
 	next uint64
-	wait map[uint64]chan any
-	c    *host.Process
-	dark chan struct{} // open while the server is set to be unresponsive, closed otherwise
+	pending map[uint64]chan any
+	process    *host.Process
+	responsive chan struct{} // open while the server is set to be unresponsive, closed otherwise
 }
 
-// open registers a request and returns its token and the channel for its outputs, with a buffer of n.
-func (h *hall) open(n int) (uint64, chan any) {
+// register registers a request and returns its token and the channel for its outputs, with a buffer of n.
+func (h *requestTable) register(n int) (uint64, chan any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.next++
 	ch := make(chan any, n)
-	h.wait[h.next] = ch
+	h.pending[h.next] = ch
 	return h.next, ch
 }
 
-func (h *hall) shut(t uint64) {
+func (h *requestTable) unregister(t uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	delete(h.wait, t)
+	delete(h.pending, t)
 }
 
-// act passes an output of the core to the request that it belongs to.
-func (h *hall) act(o any) {
+// dispatch passes an output of the core to the request that it belongs to.
+func (h *requestTable) dispatch(o any) {
 	t := uint64(0)
 	switch v := o.(type) {
 	case OrderOut:
@@ -85,21 +85,21 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if ch := h.wait[t]; ch != nil {
+	if ch := h.pending[t]; ch != nil {
 		select {
 		case ch <- o:
 		default: // disconnect a reader that is this far behind
 			close(ch)
-			delete(h.wait, t)
+			delete(h.pending, t)
 		}
 	}
 }
 
-// lit holds requests while the server is set to be unresponsive.
-func (h *hall) lit(next http.Handler) http.Handler {
+// whileResponsive holds requests while the server is set to be unresponsive.
+func (h *requestTable) whileResponsive(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h.mu.Lock()
-		d := h.dark
+		d := h.responsive
 		h.mu.Unlock()
 		select {
 		case <-d:
@@ -109,11 +109,11 @@
 	})
 }
 
-// swap is a core that can be replaced with a freshly started, empty one.
-type swap struct{ s *Server }
+// replaceableCore is a core that can be replaced with a freshly started, empty one.
+type replaceableCore struct{ server *Server }
 
 // Step passes the input to the current core.
-func (c *swap) Step(now clock.Tick, in any) []any { return c.s.Step(now, in) }
+func (c *replaceableCore) Step(now clock.Tick, in any) []any { return c.server.Step(now, in) }
 
 // ServerMain runs a stand-in model server until the process receives a stop signal.
 func ServerMain(s ServerSettings) error {
@@ -122,25 +122,25 @@
 		return NewServer(ServerOptions{ID: ident.Server(s.ID), Inc: host.NewInc(), Room: s.Room, Slots: s.Slots, Store: s.Store,
 			Step: clock.Span(s.StepMs) * 1e6, Fill: s.Fill, Whole: clock.Span(s.Whole) * 1e6})
 	}
-	core := &swap{newCore()}
-	h := &hall{wait: map[uint64]chan any{}, dark: make(chan struct{})}
-	close(h.dark)
-	h.c = host.New(host.Options{Core: core, Beat: 5 * time.Millisecond, Ring: ring, Else: h.act})
-	if err := h.c.Run(); err != nil {
+	core := &replaceableCore{newCore()}
+	h := &requestTable{pending: map[uint64]chan any{}, responsive: make(chan struct{})}
+	close(h.responsive)
+	h.process = host.New(host.Options{Core: core, Beat: 5 * time.Millisecond, Ring: ring, Else: h.dispatch})
+	if err := h.process.Run(); err != nil {
 		return err
 	}
-	defer h.c.Stop()
+	defer h.process.Stop()
 	m := flow.New()
 	m.Group(func(m *flow.Mux) {
-		m.Use(h.lit)
+		m.Use(h.whileResponsive)
 		m.HandleFunc("/orders", func(w http.ResponseWriter, r *http.Request) {
 			var o protocol.Order
-			if !readInto(w, r, &o) {
+			if !decodeBody(w, r, &o) {
 				return
 			}
-			t, ch := h.open(1)
-			defer h.shut(t)
-			h.c.Step(OrderIn{t, o})
+			t, ch := h.register(1)
+			defer h.unregister(t)
+			h.process.Step(OrderIn{t, o})
 			host.JSON(w, 200, (<-ch).(OrderOut).Report)
 		}, http.MethodPost)
 		m.HandleFunc("/generate", h.generate, http.MethodPost)
@@ -148,11 +148,11 @@
 	m.HandleFunc("/count", func(w http.ResponseWriter, r *http.Request) {
 		var t ServerTally
 		var n, u int
-		h.c.With(func(clock.Tick) { t, n, u = core.s.Counts(), core.s.Active(), core.s.Used() })
+		h.process.With(func(clock.Tick) { t, n, u = core.server.Counts(), core.server.Active(), core.server.Used() })
 		host.JSON(w, 200, map[string]any{"tally": t, "active": n, "used": u, "room": s.Room})
 	}, http.MethodGet)
 	m.HandleFunc("/fault/:kind", func(w http.ResponseWriter, r *http.Request) {
-		f := faults[r.PathValue("kind")]
+		f := injectors[r.PathValue("kind")]
 		if f == nil {
 			host.Error(w, failure.Unknown, 0, nil)
 			return
@@ -163,39 +163,39 @@
 	return host.Web(s.Listen, m, ring, nil, 10*time.Minute)
 }
 
-// faults maps the kinds of injected faults to their effects.
-var faults = map[string]func(h *hall, c *swap, newCore func() *Server){
-	"crash": func(*hall, *swap, func() *Server) { os.Exit(1) },
-	"dark": func(h *hall, _ *swap, _ func() *Server) {
+// injectors maps the kinds of injected faults to their effects.
+var injectors = map[string]func(h *requestTable, c *replaceableCore, newCore func() *Server){
+	"crash": func(*requestTable, *replaceableCore, func() *Server) { os.Exit(1) },
+	"dark": func(h *requestTable, _ *replaceableCore, _ func() *Server) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.dark = make(chan struct{})
+		h.responsive = make(chan struct{})
 	},
-	"light": func(h *hall, _ *swap, _ func() *Server) {
+	"light": func(h *requestTable, _ *replaceableCore, _ func() *Server) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		select {
-		case <-h.dark:
+		case <-h.responsive:
 		default:
-			close(h.dark)
+			close(h.responsive)
 		}
 	},
-	"empty": func(h *hall, c *swap, newCore func() *Server) {
-		h.c.With(func(clock.Tick) { c.s = newCore() })
-		h.c.Forget()
+	"empty": func(h *requestTable, c *replaceableCore, newCore func() *Server) {
+		h.process.With(func(clock.Tick) { c.server = newCore() })
+		h.process.Forget()
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		for t, ch := range h.wait {
+		for t, ch := range h.pending {
 			close(ch)
-			delete(h.wait, t)
+			delete(h.pending, t)
 		}
 	},
-	"slow": func(h *hall, c *swap, _ func() *Server) { h.c.With(func(clock.Tick) { c.s.Slow(9) }) },
-	"fast": func(h *hall, c *swap, _ func() *Server) { h.c.With(func(clock.Tick) { c.s.Slow(0) }) },
+	"slow": func(h *requestTable, c *replaceableCore, _ func() *Server) { h.process.With(func(clock.Tick) { c.server.Slow(9) }) },
+	"fast": func(h *requestTable, c *replaceableCore, _ func() *Server) { h.process.With(func(clock.Tick) { c.server.Slow(0) }) },
 }
 
-// readInto decodes the JSON body of a request. It sends an error response and returns false if the body is malformed.
-func readInto(w http.ResponseWriter, r *http.Request, v any) bool {
+// decodeBody decodes the JSON body of a request. It sends an error response and returns false if the body is malformed.
+func decodeBody(w http.ResponseWriter, r *http.Request, v any) bool {
 	b, ok := host.Body(w, r, 8<<20)
 	if !ok {
 		return false
@@ -208,21 +208,21 @@
 }
 
 // generate streams the events of a request.
-func (h *hall) generate(w http.ResponseWriter, r *http.Request) {
+func (h *requestTable) generate(w http.ResponseWriter, r *http.Request) {
 	var work protocol.Work
 	accepted := host.Born(r)
-	if !readInto(w, r, &work) {
+	if !decodeBody(w, r, &work) {
 		return
 	}
-	token, outputs := h.open(1024)
-	defer h.shut(token)
-	h.c.Step(WorkIn{token, work, accepted})
+	token, outputs := h.register(1024)
+	defer h.unregister(token)
+	h.process.Step(WorkIn{token, work, accepted})
 	flusher, _ := w.(http.Flusher)
 	started := false
 	for {
 		select {
 		case <-r.Context().Done():
-			h.c.Step(WorkQuit{token})
+			h.process.Step(WorkQuit{token})
 			return
 		case o, ok := <-outputs:
 			if !ok {
@@ -239,7 +239,7 @@
 				}
 				b, _ := json.Marshal(v)
 				if _, err := fmt.Fprintf(w, "data: %s\n\n", b); err != nil {
-					h.c.Step(WorkQuit{token})
+					h.process.Step(WorkQuit{token})
 					return
 				}
 				if flusher != nil {
@@ -267,31 +267,31 @@
 func StoreMain(s StoreSettings) error {
 	ring := host.NewRing("store", os.Stderr)
 	core := NewStore(float64(s.Rate), s.Bear)
-	h := &hall{wait: map[uint64]chan any{}}
-	h.c = host.New(host.Options{Core: core, Beat: 10 * time.Millisecond, Ring: ring, Else: h.act})
-	if err := h.c.Run(); err != nil {
+	h := &requestTable{pending: map[uint64]chan any{}}
+	h.process = host.New(host.Options{Core: core, Beat: 10 * time.Millisecond, Ring: ring, Else: h.dispatch})
+	if err := h.process.Run(); err != nil {
 		return err
 	}
-	defer h.c.Stop()
+	defer h.process.Stop()
 	m := flow.New()
 	m.HandleFunc("/pull", func(w http.ResponseWriter, r *http.Request) {
 		var p Pull
-		if !readInto(w, r, &p) {
+		if !decodeBody(w, r, &p) {
 			return
 		}
-		t, ch := h.open(1)
-		defer h.shut(t)
-		h.c.Step(PullIn{t, p})
+		t, ch := h.register(1)
+		defer h.unregister(t)
+		h.process.Step(PullIn{t, p})
 		select {
 		case <-ch:
 			host.JSON(w, 200, map[string]bool{"done": true})
 		case <-r.Context().Done():
-			h.c.Step(PullQuit{t})
+			h.process.Step(PullQuit{t})
 		}
 	}, http.MethodPost)
 	m.HandleFunc("/count", func(w http.ResponseWriter, r *http.Request) {
 		var t StoreTally
-		h.c.With(func(clock.Tick) { t = core.Counts() })
+		h.process.With(func(clock.Tick) { t = core.Counts() })
 		host.JSON(w, 200, t)
 	}, http.MethodGet)
 	return host.Web(s.Listen, m, ring, nil, 10*time.Second)
@@ -307,15 +307,15 @@
 func (s *PlatformSettings) Check() (f fleetplan.Faults) {
 	f = host.Addr("listen", s.Listen)
 	for i, x := range s.Servers {
-		if _, ok := listedOf(x); !ok {
+		if _, ok := parseListed(x); !ok {
 			f = append(f, fleetplan.Fault{Path: fmt.Sprintf("servers[%d]", i), Why: "must have the form id=ip:port=zone"})
 		}
 	}
 	return f
 }
 
-// listedOf parses a server of the form id=ip:port=zone.
-func listedOf(s string) (protocol.Listed, bool) {
+// parseListed parses a server of the form id=ip:port=zone.
+func parseListed(s string) (protocol.Listed, bool) {
 	var fields [3]string
 	index := 0
 	for _, r := range s {
@@ -334,7 +334,7 @@
 	ring := host.NewRing("platform", os.Stderr)
 	p := NewPlatform()
 	for _, x := range s.Servers {
-		l, _ := listedOf(x)
+		l, _ := parseListed(x)
 		p.Set(l)
 	}
 	var mu sync.Mutex
@@ -347,7 +347,7 @@
 	}, http.MethodGet)
 	m.HandleFunc("/servers", func(w http.ResponseWriter, r *http.Request) {
 		var x protocol.Listed
-		if !readInto(w, r, &x) {
+		if !decodeBody(w, r, &x) {
 			return
 		}
 		mu.Lock()
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -66,8 +66,8 @@
 	Reused int          `json:"reused,omitempty"` // prompt bytes taken from the prefix cache
 }
 
-// held is a model or adapter that the server is loading or has ready.
-type held struct {
+// heldModel is a model or adapter that the server is loading or has ready.
+type heldModel struct {
 	protocol.Held
 	since clock.Tick
 }
@@ -76,27 +76,27 @@
 type job struct {
 	WorkIn
 	key  ident.Key
-	fill int // prompt bytes still to prefill
-	hit  int // prompt bytes found in the prefix cache
-	n    int // events sent
+	uncached int // prompt bytes still to prefill
+	cached  int // prompt bytes found in the prefix cache
+	sent    int // events sent
 }
 
 // Server is a stand-in model server. It does no I/O: Step takes inputs and returns outputs.
 type Server struct {
-	o     ServerOptions
+	options     ServerOptions
 	now   clock.Tick
 	out   []any
 	duty  ident.Duty
-	num   uint64
-	held  map[ident.Key]*held
+	orders   uint64
+	held  map[ident.Key]*heldModel
 	jobs  []*job
 	cache map[string]clock.Tick
-	ran   map[string]bool
-	ranIn []string
+	executed   map[string]bool
+	executedOrder []string
 	pulls map[uint64]ident.Key
 	token uint64
-	next  clock.Tick
-	slow  int
+	nextStep  clock.Tick
+	slowdown  int
 	tally ServerTally
 }
 
@@ -118,7 +118,7 @@
 	generic.SetDefault(&o.Slots, 16)
 	generic.SetDefault(&o.Pull, 120e9)
 	generic.SetDefault(&o.Whole, 500e6)
-	return &Server{o: o, held: map[ident.Key]*held{}, cache: map[string]clock.Tick{}, ran: map[string]bool{}, pulls: map[uint64]ident.Key{},
+	return &Server{options: o, held: map[ident.Key]*heldModel{}, cache: map[string]clock.Tick{}, executed: map[string]bool{}, pulls: map[uint64]ident.Key{},
 		token: uint64(o.Inc), // distinguishes answers to an earlier incarnation's requests from those to this one's
 		tally: ServerTally{DropKinds: map[failure.Kind]uint64{}}}
 }
@@ -128,9 +128,9 @@
 	s.now, s.out = now, nil
 	switch v := in.(type) {
 	case OrderIn:
-		s.out = append(s.out, OrderOut{v.Token, s.order(v.Order)})
+		s.out = append(s.out, OrderOut{v.Token, s.acceptOrder(v.Order)})
 	case WorkIn:
-		s.work(v)
+		s.acceptWork(v)
 	case WorkQuit:
 		for i, j := range s.jobs {
 			if j.Token == v.Token {
@@ -140,18 +140,18 @@
 			}
 		}
 	case protocol.Told:
-		s.pulled(v)
+		s.finishPull(v)
 	case protocol.Beat:
-		if now >= s.next {
-			s.next = now.Add(s.o.Step * clock.Span(1+s.slow))
-			s.batch()
+		if now >= s.nextStep {
+			s.nextStep = now.Add(s.options.Step * clock.Span(1+s.slowdown))
+			s.decodeStep()
 		}
 	}
 	return s.out
 }
 
 // SetSlowdown makes every decode step take 1+n times as long.
-func (s *Server) Slow(n int) { s.slow = n }
+func (s *Server) Slow(n int) { s.slowdown = n }
 
 func (s *Server) used() int {
 	n := 0
@@ -162,7 +162,7 @@
 }
 
 func (s *Server) report(drop failure.Kind) protocol.Report {
-	r := protocol.Report{Server: s.o.ID, Inc: s.o.Inc, Duty: s.duty, Num: s.num, Room: s.o.Room, Slots: s.o.Slots, Drop: drop, Held: []protocol.Held{}}
+	r := protocol.Report{Server: s.options.ID, Inc: s.options.Inc, Duty: s.duty, Num: s.orders, Room: s.options.Room, Slots: s.options.Slots, Drop: drop, Held: []protocol.Held{}}
 	for _, k := range generic.SortedKeys(s.held) {
 		h := s.held[k]
 		x := h.Held
@@ -177,14 +177,14 @@
 	return r
 }
 
-// order carries out an order only if it is newer than the last one, by duty and number.
-func (s *Server) order(o protocol.Order) protocol.Report {
-	if o.Duty < s.duty || o.Duty == s.duty && o.Num <= s.num {
+// acceptOrder carries out an order only if it is newer than the last one, by duty and number.
+func (s *Server) acceptOrder(o protocol.Order) protocol.Report {
+	if o.Duty < s.duty || o.Duty == s.duty && o.Num <= s.orders {
 		s.tally.Stale++
 		return s.report(failure.Stale)
 	}
-	s.duty, s.num = o.Duty, o.Num
-	if o.Op != "" && o.Inc != s.o.Inc {
+	s.duty, s.orders = o.Duty, o.Num
+	if o.Op != "" && o.Inc != s.options.Inc {
 		return s.report(failure.Mismatch)
 	}
 	switch o.Op {
@@ -193,15 +193,15 @@
 		if s.held[o.Key] != nil {
 			break
 		}
-		if s.used()+o.Size > s.o.Room {
+		if s.used()+o.Size > s.options.Room {
 			s.tally.NoRoom++
 			return s.report(failure.NoRoom)
 		}
 		s.tally.Loads++
-		s.held[o.Key] = &held{Held: protocol.Held{Key: o.Key, Size: o.Size, Stage: "loading"}, since: s.now}
+		s.held[o.Key] = &heldModel{Held: protocol.Held{Key: o.Key, Size: o.Size, Stage: "loading"}, since: s.now}
 		s.token++
 		s.pulls[s.token] = o.Key
-		s.out = append(s.out, protocol.Ask{Token: s.token, Addr: s.o.Store, Path: "/pull", Body: Pull{Server: s.o.ID, Key: o.Key, Size: o.Size}, Wait: s.o.Pull})
+		s.out = append(s.out, protocol.Ask{Token: s.token, Addr: s.options.Store, Path: "/pull", Body: Pull{Server: s.options.ID, Key: o.Key, Size: o.Size}, Wait: s.options.Pull})
 	case "unload":
 		for _, j := range s.jobs {
 			if j.key == o.Key || j.key.Base() == o.Key {
@@ -218,7 +218,7 @@
 	return s.report(failure.None)
 }
 
-func (s *Server) pulled(t protocol.Told) {
+func (s *Server) finishPull(t protocol.Told) {
 	k, ok := s.pulls[t.Token]
 	delete(s.pulls, t.Token)
 	h := s.held[k]
@@ -232,41 +232,41 @@
 	h.Stage, h.since = "ready", s.now
 }
 
-func (s *Server) drop(t uint64, k failure.Kind) {
+func (s *Server) refuse(t uint64, k failure.Kind) {
 	s.tally.Dropped++
 	s.tally.DropKinds[k]++
 	s.out = append(s.out, WorkDrop{t, k})
 }
 
-func (s *Server) work(v WorkIn) {
+func (s *Server) acceptWork(v WorkIn) {
 	// A request that took long to arrive was routed on old information and may no longer be meant for this server.
-	if v.Since != 0 && s.now.Sub(v.Since) > s.o.Whole {
-		s.drop(v.Token, failure.Late)
+	if v.Since != 0 && s.now.Sub(v.Since) > s.options.Whole {
+		s.refuse(v.Token, failure.Late)
 		return
 	}
 	k := ident.KeyOf(v.Work.Base, v.Work.Extra)
 	model, base := s.held[k], s.held[k.Base()]
-	if v.Work.Inc != s.o.Inc || model == nil || base == nil || model.Stage != "ready" || base.Stage != "ready" {
-		s.drop(v.Token, failure.Mismatch)
+	if v.Work.Inc != s.options.Inc || model == nil || base == nil || model.Stage != "ready" || base.Stage != "ready" {
+		s.refuse(v.Token, failure.Mismatch)
 		return
 	}
-	if len(s.jobs) >= 3*s.o.Slots {
-		s.drop(v.Token, failure.Busy)
+	if len(s.jobs) >= 3*s.options.Slots {
+		s.refuse(v.Token, failure.Busy)
 		return
 	}
-	if s.ran[v.Work.ID] && v.Work.Once {
-		s.drop(v.Token, failure.Repeated)
+	if s.executed[v.Work.ID] && v.Work.Once {
+		s.refuse(v.Token, failure.Repeated)
 		return
 	}
 	if v.Work.Once {
-		s.ran[v.Work.ID] = true
-		if s.ranIn = append(s.ranIn, v.Work.ID); len(s.ranIn) > 100_000 {
-			delete(s.ran, s.ranIn[0])
-			s.ranIn = s.ranIn[1:]
+		s.executed[v.Work.ID] = true
+		if s.executedOrder = append(s.executedOrder, v.Work.ID); len(s.executedOrder) > 100_000 {
+			delete(s.executed, s.executedOrder[0])
+			s.executedOrder = s.executedOrder[1:]
 		}
 	}
 	s.tally.Works++
-	j := &job{WorkIn: v, key: k, fill: len(v.Work.Prompt)}
+	j := &job{WorkIn: v, key: k, uncached: len(v.Work.Prompt)}
 	path := string(k)
 	for _, p := range v.Work.Parts {
 		path += "|" + p
@@ -274,13 +274,13 @@
 		fmt.Fprint(hash, path)
 		path = fmt.Sprintf("%x", hash.Sum64())
 		if _, ok := s.cache[path]; ok {
-			j.hit += len(p)
+			j.cached += len(p)
 		} else {
-			j.fill += len(p)
+			j.uncached += len(p)
 		}
 		s.cache[path] = s.now
 	}
-	for len(s.cache) > s.o.Cache {
+	for len(s.cache) > s.options.Cache {
 		old := ""
 		for p, t := range s.cache {
 			if old == "" || t < s.cache[old] || t == s.cache[old] && p < old {
@@ -289,8 +289,8 @@
 		}
 		delete(s.cache, old)
 	}
-	s.tally.PromptBytes += uint64(j.fill + j.hit)
-	s.tally.Reused += uint64(j.hit)
+	s.tally.PromptBytes += uint64(j.uncached + j.cached)
+	s.tally.Reused += uint64(j.cached)
 	s.jobs = append(s.jobs, j)
 	if s.now.Sub(model.since) < 1e9 {
 		n := 0
@@ -303,44 +303,44 @@
 	}
 }
 
-// Word returns the text of event n of the response to a request. It depends on the request, so that every receiver can
+// TokenText returns the text of event n of the response to a request. It depends on the request, so that every receiver can
 // check that a response belongs to its request.
-func Word(id, base, extra string, n int) string {
+func TokenText(id, base, extra string, n int) string {
 	hash := fnv.New32a()
 	fmt.Fprint(hash, id, "|", base, "|", extra, "|", n)
 	return fmt.Sprintf("w%08x", hash.Sum32())
 }
 
-// batch runs one decode step: it prefills up to the limit and generates one token for every decoding request.
-func (s *Server) batch() {
-	fill := s.o.Fill
+// decodeStep runs one decode step: it prefills up to the limit and generates one token for every decoding request.
+func (s *Server) decodeStep() {
+	fill := s.options.Fill
 	var left []*job
 	for i, j := range s.jobs {
-		if i >= s.o.Slots {
+		if i >= s.options.Slots {
 			left = append(left, j)
 			continue
 		}
-		if j.fill > 0 {
-			n := min(fill, j.fill)
-			j.fill -= n
+		if j.uncached > 0 {
+			n := min(fill, j.uncached)
+			j.uncached -= n
 			fill -= n
-			if j.fill > 0 {
+			if j.uncached > 0 {
 				left = append(left, j)
 				continue
 			}
 		}
 		work := j.Work
-		event := Event{Token: j.Token, N: j.n, Go: work.Go, Server: s.o.ID, Text: Word(work.ID, work.Base, work.Extra, j.n)}
-		if j.n == 0 {
-			event.Reused = j.hit
+		event := Event{Token: j.Token, N: j.sent, Go: work.Go, Server: s.options.ID, Text: TokenText(work.ID, work.Base, work.Extra, j.sent)}
+		if j.sent == 0 {
+			event.Reused = j.cached
 		}
-		if j.n >= work.Max {
+		if j.sent >= work.Max {
 			event.Text, event.Done = "", true
 			s.tally.Done++
 		} else {
 			left = append(left, j)
 		}
-		j.n++
+		j.sent++
 		s.out = append(s.out, event)
 	}
 	s.jobs = left
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -111,13 +111,13 @@
 func TestCheckEvent(t *testing.T) {
 	a := Ask{}
 	a.Call.ID, a.Call.Base, a.Call.Max = "1", "m", 2
-	ok := Event{N: 1, Go: "g", Server: "s", Text: Word("1", "m", "", 1)}
+	ok := Event{N: 1, Go: "g", Server: "s", Text: TokenText("1", "m", "", 1)}
 	require.Empty(t, CheckEvent(a, ok, 1, "s", "g"))
 	for name, change := range map[string]func(e *Event){
 		"skips":          func(e *Event) { e.N = 2 },
 		"repeats":        func(e *Event) { e.N = 0 },
-		"another's":      func(e *Event) { e.Text = Word("2", "m", "", 1) },
-		"another model":  func(e *Event) { e.Text = Word("1", "n", "", 1) },
+		"another's":      func(e *Event) { e.Text = TokenText("2", "m", "", 1) },
+		"another model":  func(e *Event) { e.Text = TokenText("1", "n", "", 1) },
 		"another server": func(e *Event) { e.Server = "t" },
 		"another go":     func(e *Event) { e.Go = "h" },
 		"ends early":     func(e *Event) { e.Done = true },
@@ -136,7 +136,7 @@
 		ran        bool
 	}{{1e9, 1e9, true}, {1e9, 1.5e9, true}, {1e9, 1.5e9 + 1, false}, {1e9, 9e9, false}, {0, 9e9, true}} {
 		s := NewServer(ServerOptions{ID: "s", Inc: 4, Room: 9, Store: "store"})
-		s.held["m"] = &held{Held: protocol.Held{Key: "m", Size: 1, Stage: "ready"}}
+		s.held["m"] = &heldModel{Held: protocol.Held{Key: "m", Size: 1, Stage: "ready"}}
 		out := s.Step(c.now, WorkIn{Token: 1, Since: c.since, Work: protocol.Work{ID: "1", Base: "m", Inc: 4, Max: 3}})
 		if c.ran {
 			require.Empty(t, out, "%+v", c)
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -32,7 +32,7 @@
 	Rate  float64            // size per second, shared by all pulls
 	Bear  int                // maximum number of concurrent pulls
 	pulls map[uint64]float64 // size still to transfer, by token
-	last  clock.Tick
+	lastStep  clock.Tick
 	tally StoreTally
 }
 
@@ -49,8 +49,8 @@
 
 // Step processes one input and returns the outputs to carry out.
 func (s *Store) Step(now clock.Tick, in any) (out []any) {
-	elapsed := now.Sub(s.last).Seconds()
-	s.last = now
+	elapsed := now.Sub(s.lastStep).Seconds()
+	s.lastStep = now
 	if n := len(s.pulls); n > 0 {
 		share := s.Rate * elapsed / float64(max(n, 1))
 		for t := range s.pulls {
--- a/internal/tidedeckctl/requests.go
+++ b/internal/tidedeckctl/requests.go
@@ -11,8 +11,8 @@
 	"github.com/go-faster/errors"
 )
 
-// requests queries every router for failed or retried requests. Only the router that handled a request has a record of it.
-func (l *Line) requests(out, errOut io.Writer) int {
+// listRequests queries every router for failed or retried requests. Only the router that handled a request has a record of it.
+func (l *Line) listRequests(out, errOut io.Writer) int {
 	query := url.Values{"last": {strconv.Itoa(l.Requests.Last)}}
 	if l.Requests.ID != "" {
 		query.Set("id", l.Requests.ID)
@@ -20,7 +20,7 @@
 	client := &http.Client{Timeout: l.Wait}
 	found, answered := []json.RawMessage{}, false
 	for _, router := range l.Requests.Router {
-		list, err := requestsAt(client, router, query)
+		list, err := fetchRequests(client, router, query)
 		if err != nil {
 			fmt.Fprintf(errOut, "%s: %v\n", router, err)
 			continue
@@ -29,18 +29,18 @@
 		found = append(found, list...)
 	}
 	if !answered {
-		return fail(errOut, errors.New("no router answered"), Dropped)
+		return fail(errOut, errors.New("no router answered"), ExitRejected)
 	}
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
 	_ = encoder.Encode(found)
 	if len(found) == 0 {
-		return Dropped
+		return ExitRejected
 	}
-	return OK
+	return ExitOK
 }
 
-func requestsAt(client *http.Client, router string, query url.Values) ([]json.RawMessage, error) {
+func fetchRequests(client *http.Client, router string, query url.Values) ([]json.RawMessage, error) {
 	response, err := client.Get("http://" + router + "/-/requests?" + query.Encode())
 	if err != nil {
 		return nil, err
--- a/internal/tidedeckctl/tidedeckctl.go
+++ b/internal/tidedeckctl/tidedeckctl.go
@@ -90,15 +90,15 @@
 
 // Exit codes of tidedeckctl.
 const (
-	OK      = 0
-	Dropped = 1 // the command was rejected or not delivered; nothing changed
-	Misused = 2
-	Unclear = 3 // it is unknown whether the change was applied
+	ExitOK      = 0
+	ExitRejected = 1 // the command was rejected or not delivered; nothing changed
+	ExitUsage = 2
+	ExitUnknown = 3 // it is unknown whether the change was applied
 )
 
-// call is a request to the admin API.
-type call struct {
-	how, path string
+// adminCall is a request to the admin API.
+type adminCall struct {
+	method, path string
 	expect    string // epoch that the change is based on
 	change    string // id of the change
 	file      string // file with the body
@@ -108,26 +108,26 @@
 func (l *Line) Run(cmd string, in io.Reader, out, errOut io.Writer) int {
 	p := &l.Plan
 	if cmd == "plan check <file>" {
-		raw, err := read(p.Check.File, in)
+		raw, err := readFile(p.Check.File, in)
 		if err != nil {
-			return fail(errOut, err, Misused)
+			return fail(errOut, err, ExitUsage)
 		}
 		if _, f := fleetplan.ReadPlan(raw); f != nil {
 			for _, x := range f {
 				fmt.Fprintf(errOut, "%s: %s\n", x.Path, x.Why)
 			}
-			return Dropped
+			return ExitRejected
 		}
 		fmt.Fprintln(out, "the plan is valid")
-		return OK
+		return ExitOK
 	}
 	if cmd == "requests" || cmd == "requests <id>" {
-		return l.requests(out, errOut)
+		return l.listRequests(out, errOut)
 	}
 	if len(l.Admin) == 0 {
-		return fail(errOut, errors.New("--admin is missing: give the addresses of core nodes"), Misused)
+		return fail(errOut, errors.New("--admin is missing: give the addresses of core nodes"), ExitUsage)
 	}
-	calls := map[string]call{
+	calls := map[string]adminCall{
 		"plan put <file>":          {http.MethodPut, "/plan", p.Put.Expect, p.Put.Change, p.Put.File},
 		"plan patch <file>":        {http.MethodPatch, "/plan", p.Patch.Expect, p.Patch.Change, p.Patch.File},
 		"plan get":                 {http.MethodGet, "/plan", "", "", ""},
@@ -143,30 +143,30 @@
 	}
 	c, ok := calls[cmd]
 	if !ok {
-		return fail(errOut, errors.Errorf("unknown command: %s", cmd), Misused)
+		return fail(errOut, errors.Errorf("unknown command: %s", cmd), ExitUsage)
 	}
 	var body []byte
 	if c.file != "" {
 		var err error
-		if body, err = read(c.file, in); err != nil {
-			return fail(errOut, err, Misused)
+		if body, err = readFile(c.file, in); err != nil {
+			return fail(errOut, err, ExitUsage)
 		}
 	}
-	if c.how != http.MethodGet && c.change == "" && c.expect != "" {
+	if c.method != http.MethodGet && c.change == "" && c.expect != "" {
 		// A generated id makes it safe to send the change to a second node after a lost response.
 		c.change = fmt.Sprintf("tidedeckctl-%d", host.NewInc())
 	}
 	return l.send(c, body, cmd, out, errOut)
 }
 
-func (l *Line) send(c call, body []byte, cmd string, out, errOut io.Writer) int {
+func (l *Line) send(c adminCall, body []byte, cmd string, out, errOut io.Writer) int {
 	client := &http.Client{Timeout: l.Wait, Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
 	maybeDelivered := false
 	nodes := append([]string{}, l.Admin...)
 	for i := 0; i < len(nodes); i++ {
-		request, err := http.NewRequest(c.how, "http://"+nodes[i]+c.path, bytes.NewReader(body))
+		request, err := http.NewRequest(c.method, "http://"+nodes[i]+c.path, bytes.NewReader(body))
 		if err != nil {
-			return fail(errOut, err, Misused)
+			return fail(errOut, err, ExitUsage)
 		}
 		if c.expect != "" {
 			request.Header.Set("X-Expect-Epoch", c.expect)
@@ -195,7 +195,7 @@
 		if cmd == "plan get" && response.StatusCode == 200 {
 			fmt.Fprintf(errOut, "epoch %s\n", response.Header.Get("X-Epoch"))
 			_, _ = out.Write(raw)
-			return OK
+			return ExitOK
 		}
 		if err := json.Unmarshal(raw, &reply); err != nil {
 			fmt.Fprintf(errOut, "%s: status %d, response is not JSON\n", nodes[i], response.StatusCode)
@@ -212,24 +212,24 @@
 			} else {
 				fmt.Fprintf(out, "accepted under epoch %d\n", reply.Epoch)
 			}
-			return OK
+			return ExitOK
 		}
 		fmt.Fprintf(errOut, "%s: %s\n", reply.Kind, strings.TrimSpace(reply.Why))
 		for _, f := range reply.Faults {
 			fmt.Fprintf(errOut, "  %s: %s\n", f.Path, f.Why)
 		}
 		if reply.Kind == "unclear" {
-			return Unclear
+			return ExitUnknown
 		}
-		return Dropped
+		return ExitRejected
 	}
 	if maybeDelivered {
-		return fail(errOut, errors.New("unclear: no response; repeat the command with the same --change"), Unclear)
+		return fail(errOut, errors.New("unclear: no response; repeat the command with the same --change"), ExitUnknown)
 	}
-	return fail(errOut, errors.New("no core node answered"), Dropped)
+	return fail(errOut, errors.New("no core node answered"), ExitRejected)
 }
 
-func read(file string, in io.Reader) ([]byte, error) {
+func readFile(file string, in io.Reader) ([]byte, error) {
 	if file == "-" {
 		return io.ReadAll(in)
 	}
--- a/internal/tidedeckctl/tidedeckctl_test.go
+++ b/internal/tidedeckctl/tidedeckctl_test.go
@@ -35,14 +35,14 @@
 		code  int
 		says  string
 	}{
-		{"taken", []*httptest.Server{taken}, OK, "taken under epoch 7"},
-		{"the next node is asked", []*httptest.Server{dead, unready, taken}, OK, "taken under epoch 7"},
-		{"a stale epoch", []*httptest.Server{stale}, Dropped, "the epoch in force is 9"},
-		{"a faulty plan", []*httptest.Server{faulty}, Dropped, "$.x: unknown key"},
-		{"no node is there", []*httptest.Server{dead}, Dropped, "no core node answered"},
-		{"the core does not know", []*httptest.Server{unclear}, Unclear, "unclear"},
-		{"the reply was lost", []*httptest.Server{breaks}, Unclear, "repeat the command"},
-		{"the reply was lost, another node knows", []*httptest.Server{breaks, taken}, OK, "taken under epoch 7"},
+		{"taken", []*httptest.Server{taken}, ExitOK, "taken under epoch 7"},
+		{"the next node is asked", []*httptest.Server{dead, unready, taken}, ExitOK, "taken under epoch 7"},
+		{"a stale epoch", []*httptest.Server{stale}, ExitRejected, "the epoch in force is 9"},
+		{"a faulty plan", []*httptest.Server{faulty}, ExitRejected, "$.x: unknown key"},
+		{"no node is there", []*httptest.Server{dead}, ExitRejected, "no core node answered"},
+		{"the core does not know", []*httptest.Server{unclear}, ExitUnknown, "unclear"},
+		{"the reply was lost", []*httptest.Server{breaks}, ExitUnknown, "repeat the command"},
+		{"the reply was lost, another node knows", []*httptest.Server{breaks, taken}, ExitOK, "taken under epoch 7"},
 	} {
 		var l Line
 		l.Wait = time.Minute
@@ -60,7 +60,7 @@
 	var l Line
 	l.Plan.Check.File = "-"
 	var out, err bytes.Buffer
-	require.Equal(t, Dropped, l.Run("plan check <file>", strings.NewReader(`{"name":1}`), &out, &err))
+	require.Equal(t, ExitRejected, l.Run("plan check <file>", strings.NewReader(`{"name":1}`), &out, &err))
 	require.Contains(t, err.String(), "$.name: wants a text")
 }
 
@@ -83,9 +83,9 @@
 		code    int
 		says    string
 	}{
-		{[]string{none, down, knows}, OK, `"end": "refused"`},
-		{[]string{none}, Dropped, "[]"},
-		{[]string{down}, Dropped, "no router answered"},
+		{[]string{none, down, knows}, ExitOK, `"end": "refused"`},
+		{[]string{none}, ExitRejected, "[]"},
+		{[]string{down}, ExitRejected, "no router answered"},
 	} {
 		var l Line
 		l.Wait = time.Minute
@@ -96,6 +96,6 @@
 	}
 	var l Line
 	var out, err bytes.Buffer
-	require.Equal(t, Misused, l.Run("status", nil, &out, &err))
+	require.Equal(t, ExitUsage, l.Run("status", nil, &out, &err))
 	require.Contains(t, err.String(), "--admin is missing")
 }
