--- a/cmd/replay/main.go
+++ b/cmd/replay/main.go
@@ -40,7 +40,7 @@
 		fail(err)
 		defer file.Close()
 		recording := replay.Read(file)
-		for _, damage := range recording.Damaged {
+		for _, damage := range recording.Faults {
 			fmt.Fprintf(os.Stderr, "%s: %v\n", path, damage)
 		}
 		if recording.Dropped > 0 {
@@ -51,8 +51,8 @@
 	switch cmd {
 	case "check <file>":
 		recording := read(flags.Check.File)
-		fmt.Printf("%d intact requests, %d damaged places\n", len(recording.Requests), len(recording.Damaged))
-		if len(recording.Damaged) > 0 {
+		fmt.Printf("%d intact requests, %d damaged places\n", len(recording.Requests), len(recording.Faults))
+		if len(recording.Faults) > 0 {
 			os.Exit(1)
 		}
 	case "replay <file>":
@@ -65,7 +65,7 @@
 			fail(fmt.Errorf("speed: must be greater than 0 and at most 1000"))
 		}
 		recording := read(flags.Replay.File)
-		if len(recording.Damaged) > 0 && !flags.Replay.Sound {
+		if len(recording.Faults) > 0 && !flags.Replay.Sound {
 			fail(fmt.Errorf("the recording is damaged; --sound replays its intact requests"))
 		}
 		if len(recording.Requests) == 0 {
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -22,48 +22,46 @@
 	"tidedeck/internal/standin"
 )
 
-// Damage is a damaged or missing part of a recording.
-type Damage struct {
+// Fault is a damaged or missing part of a recording.
+type Fault struct {
 	Line int
 	Byte int64
 	Why  string
 }
 
-// Error returns the position and the kind of the damage.
-func (p Damage) Error() string { return fmt.Sprintf("line %d, byte %d: %s", p.Line, p.Byte, p.Why) }
+// Error describes the fault with its position.
+func (f Fault) Error() string { return fmt.Sprintf("line %d, byte %d: %s", f.Line, f.Byte, f.Why) }
 
 // Recording is the content of a recording.
 type Recording struct {
-	Router string
-	Began  string
-	Requests  []router.Logged
-	Dropped   int // lines that the router dropped because it could not write them in time
-	Damaged    []Damage
+	Router   string
+	Began    string
+	Requests []router.Logged
+	Dropped  int // lines that the router dropped because it could not write them in time
+	Faults   []Fault
 }
 
 // Read reads a recording. It reports every damaged or missing part with its position, and returns all intact requests
 // regardless.
 func Read(r io.Reader) *Recording {
-	recording := &Recording{}
+	rec := &Recording{}
 	in := bufio.NewReaderSize(r, 1<<20)
 	offset, last, closed := int64(0), int64(0), false
-	for number := 1; ; number++ {
+	for n := 1; ; n++ {
 		line, err := in.ReadBytes('\n')
 		from := offset
 		offset += int64(len(line))
-		bad := func(form string, a ...any) {
-			recording.Damaged = append(recording.Damaged, Damage{number, from, fmt.Sprintf(form, a...)})
-		}
+		bad := func(form string, a ...any) { rec.Faults = append(rec.Faults, Fault{n, from, fmt.Sprintf(form, a...)}) }
 		if err != nil {
 			switch {
 			case len(line) > 0:
 				bad("truncated after %d bytes", len(line))
-			case number == 1:
+			case n == 1:
 				bad("the recording is empty")
 			case !closed:
 				bad("the recording has no closing line: it was truncated, or its router did not stop in an orderly way")
 			}
-			return recording
+			return rec
 		}
 		line = bytes.TrimSuffix(line, []byte("\n"))
 		if closed {
@@ -76,7 +74,7 @@
 			continue
 		}
 		switch {
-		case number == 1:
+		case n == 1:
 			var header struct {
 				Record string `json:"record"`
 				V      int    `json:"v"`
@@ -86,15 +84,15 @@
 			if json.Unmarshal(text, &header) != nil || header.Record != "tidedeck" || header.V != 1 {
 				bad("not a supported header line")
 			}
-			recording.Router, recording.Began = header.Router, header.Began
+			rec.Router, rec.Began = header.Router, header.Began
 		case bytes.HasPrefix(text, []byte(`{"end":`)):
 			var closing struct{ End, Lost int }
 			if json.Unmarshal(text, &closing) != nil {
 				bad("malformed closing line")
-			} else if closing.End != len(recording.Requests) {
-				bad("the closing line counts %d requests, but %d are intact", closing.End, len(recording.Requests))
+			} else if closing.End != len(rec.Requests) {
+				bad("the closing line counts %d requests, but %d are intact", closing.End, len(rec.Requests))
 			}
-			recording.Dropped, closed = closing.Lost, true
+			rec.Dropped, closed = closing.Lost, true
 		default:
 			var request router.Logged
 			if err := json.Unmarshal(text, &request); err != nil {
@@ -106,16 +104,16 @@
 				continue
 			}
 			last = request.At
-			recording.Requests = append(recording.Requests, request)
+			rec.Requests = append(rec.Requests, request)
 		}
 	}
 }
 
 // Run holds the results of a replay.
 type Run struct {
-	Record string  `json:"record"`
-	Speed  float64 `json:"speed"`
-	Results   []Result  `json:"seen"`
+	Record  string   `json:"record"`
+	Speed   float64  `json:"speed"`
+	Results []Result `json:"seen"`
 }
 
 // Result is the outcome of one request of a replay.
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -24,47 +24,47 @@
 	}
 	r.Close()
 	_, err = router.OpenRecorder(p, "router-1", text)
-	require.Error(t, err, "a day is not written over")
+	require.Error(t, err, "an existing recording must not be overwritten")
 	b, err := os.ReadFile(p)
 	require.NoError(t, err)
 	return b
 }
 
-// A record is read whole, or every place that is damaged is named; nothing is skipped silently.
+// Reading a recording reports all damage; nothing is skipped silently.
 func TestRead(t *testing.T) {
 	whole := record(t, 5, false)
 	lines := strings.SplitAfter(strings.TrimSuffix(string(whole), "\n"), "\n")
 	require.Len(t, lines, 7)
 	join := func(l ...string) string { return strings.Join(l, "") }
 	for _, c := range []struct {
-		name  string
-		raw   string
-		sound int
-		bad   []int // lines
+		name   string
+		raw    string
+		intact int
+		bad    []int // lines
 	}{
-		{"whole", string(whole), 5, nil},
+		{"intact", string(whole), 5, nil},
 		{"empty", "", 0, []int{1}},
 		{"truncated in a line", string(whole[:len(lines[0])+len(lines[1])+9]), 1, []int{3}},
 		{"truncated between lines", join(lines[:4]...), 3, []int{5}},
-		{"a bit turned", strings.Replace(string(whole), `"id":"2"`, `"id":"3"`, 1), 4, []int{4, 7}},
-		{"a line missing", join(append(append([]string{}, lines[:3]...), lines[4:]...)...), 4, []int{6}},
-		{"a line twice", join(lines[0], lines[1], lines[1], lines[2], lines[3], lines[4], lines[5], lines[6]), 6, []int{8}},
+		{"a flipped bit", strings.Replace(string(whole), `"id":"2"`, `"id":"3"`, 1), 4, []int{4, 7}},
+		{"a missing line", join(append(append([]string{}, lines[:3]...), lines[4:]...)...), 4, []int{6}},
+		{"a repeated line", join(lines[0], lines[1], lines[1], lines[2], lines[3], lines[4], lines[5], lines[6]), 6, []int{8}},
 		{"more after the end", string(whole) + lines[1], 5, []int{8}},
-		{"no head", join(lines[1:]...), 4, []int{1, 6}},
+		{"no header", join(lines[1:]...), 4, []int{1, 6}},
 	} {
 		d := Read(strings.NewReader(c.raw))
 		var bad []int
-		for _, p := range d.Damaged {
+		for _, p := range d.Faults {
 			bad = append(bad, p.Line)
 			require.NotEmpty(t, p.Why)
 		}
-		require.Equal(t, c.bad, bad, "%s: %v", c.name, d.Damaged)
-		require.Len(t, d.Requests, c.sound, c.name)
+		require.Equal(t, c.bad, bad, "%s: %v", c.name, d.Faults)
+		require.Len(t, d.Requests, c.intact, c.name)
 	}
-	require.Equal(t, int64(len(lines[0])), Read(strings.NewReader(lines[0] + "garbage\n" + join(lines[1:]...))).Damaged[0].Byte)
+	require.Equal(t, int64(len(lines[0])), Read(strings.NewReader(lines[0] + "garbage\n" + join(lines[1:]...))).Faults[0].Byte)
 }
 
-// Prompt text is recorded only where the settings say so, and replayed in its length otherwise.
+// Prompt text is recorded only if the settings enable it; otherwise the replay generates text of the same length.
 func TestText(t *testing.T) {
 	without, with := record(t, 1, false), record(t, 1, true)
 	require.NotContains(t, string(without), "secret")
@@ -83,6 +83,6 @@
 	b := &Run{Results: []Result{{ID: "1", Events: 3, FirstMs: 6}, {ID: "2", Events: 1, FirstMs: 2}, {ID: "3", Kind: "cut", Events: 1}, {ID: "4", Events: 1}}}
 	var w bytes.Buffer
 	Compare(&w, a, b)
-	require.Contains(t, w.String(), "2 requests fared otherwise, 1 are only in the second")
+	require.Contains(t, w.String(), "2 requests had a different outcome, 1 are only in the second run")
 	require.Contains(t, w.String(), `differs: 3: "" with 2 events, then "cut" with 1`)
 }
--- a/internal/simulator/bites_test.go
+++ b/internal/simulator/bites_test.go
@@ -67,7 +67,7 @@
 		{"internal/router/admission.go", "case c.leased():\n\t\t\treturn why", "case why != failure.None && c.leased():"},
 		{"internal/router/admission.go", "return why\n}\n\n// admit", "_ = why\n\treturn failure.None\n}\n\n// admit"}}},
 	{"turn away under a hold only", "grow", "was turned away", []edit{{"internal/router/admission.go", "case c.leased():\n\t\t\treturn why", "case true:\n\t\t\treturn why"}}},
-	{"refuse what was sent late", "lag", "after it was leaving or gone|in emptied zone|which no plan allows", []edit{{"internal/standin/server.go", "s.now.Sub(v.Since) > s.o.Whole", "s.now.Sub(v.Since) > 1e15"}}},
+	{"refuse what was sent late", "lag", "after it was leaving or gone|in emptied zone|which no plan allows", []edit{{"internal/standin/server.go", "s.now.Sub(v.Since) > s.options.Whole", "s.now.Sub(v.Since) > 1e15"}}},
 	{"one server for what runs once", "again", "may not be repeated", []edit{{"internal/router/choice.go", "if !r.repeatable() && !c.o.Free {\n\t\tif only", "if r == nil {\n\t\tif only"}}},
 	{"routers give agents back the plan", "ruin-clocks", "the routers' plan did not come back", []edit{{"internal/router/core.go", "if b.Session.Agent != c.ses.Agent && c.last != nil {", "if false {"}}},
 	{"agents' lives by the steady clock", "clocks", "proper requests were answered", []edit{{"internal/agent/core.go", "Agent: c.o.Life, Router", "Agent: c.o.Inc, Router"}}},
--- a/internal/standin/batch.go
+++ b/internal/standin/batch.go
@@ -46,24 +46,24 @@
 
 // pastReport is a report with the time when it was made.
 type pastReport struct {
-	at clock.Tick
-	report  protocol.Report
+	at     clock.Tick
+	report protocol.Report
 }
 
 // Batch is a stand-in batch server that announces itself. It does no I/O. It numbers the orders that it accepts and carries
 // out one at a time.
 type Batch struct {
-	options     BatchOptions
-	now   clock.Tick
-	out   []any
-	held  map[ident.Key]clock.Tick // time when the key became ready
-	current    *protocol.Order          // order in progress
-	ready clock.Tick               // time when its load ends
+	options  BatchOptions
+	now      clock.Tick
+	out      []any
+	held     map[ident.Key]clock.Tick // time when the key became ready
+	current  *protocol.Order          // order in progress
+	ready    clock.Tick               // time when its load ends
 	orders   uint64
 	reports  []pastReport
-	jobs  []*job
-	nextStep  clock.Tick
-	tally ServerTally
+	jobs     []*job
+	nextStep clock.Tick
+	tally    ServerTally
 }
 
 // NewBatch creates a stand-in batch server.
@@ -242,7 +242,7 @@
 		n += len(p)
 	}
 	s.tally.PromptBytes += uint64(n)
-	s.jobs = append(s.jobs, &job{WorkIn: v, key: k, uncached: n})
+	s.jobs = append(s.jobs, &job{WorkIn: v, key: k, prefill: n})
 }
 
 // decodeStep runs one decode step: it prefills up to the limit and generates one token for every decoding request.
@@ -254,10 +254,10 @@
 			left = append(left, j)
 			continue
 		}
-		if n := min(fill, j.uncached); j.uncached > 0 {
-			j.uncached -= n
+		if n := min(fill, j.prefill); j.prefill > 0 {
+			j.prefill -= n
 			fill -= n
-			if j.uncached > 0 {
+			if j.prefill > 0 {
 				left = append(left, j)
 				continue
 			}
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -27,13 +27,13 @@
 
 // Workload generates random requests for the routes and models of a plan. Few keys are requested often, most of them rarely.
 type Mix struct {
-	Tenants int // number of tenants with different shared prompt parts
-	plan    *fleetplan.Plan
-	templates    []Ask
-	cumulative     []float64
-	rand    *rand.Rand
-	idPrefix     string
-	count       int
+	Tenants    int // number of tenants with different shared prompt parts
+	plan       *fleetplan.Plan
+	templates  []Ask
+	cumulative []float64
+	rand       *rand.Rand
+	idPrefix   string
+	count      int
 }
 
 // NewWorkload creates a workload. The same seed gives the same requests.
@@ -180,13 +180,13 @@
 
 // Outcome is the result of one request.
 type Outcome struct {
-	Kind   string        // empty for a complete response
-	Back   time.Duration // time after which the router allows a repeat
-	Events int
-	Reused int
-	First  time.Duration
-	Duration   time.Duration
-	Wrong  string
+	Kind     string        // empty for a complete response
+	Back     time.Duration // time after which the router allows a repeat
+	Events   int
+	Reused   int
+	First    time.Duration
+	Duration time.Duration
+	Wrong    string
 }
 
 // Call sends one request, checks the complete response, and adds the outcome to a report. If the request was dropped, it
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -47,9 +47,9 @@
 
 // requestTable connects HTTP requests with a core by tokens.
 type requestTable struct {
-	mu   sync.Mutex // guards wait, next and dark; taken after the host's
-	next uint64
-	pending map[uint64]chan any
+	mu         sync.Mutex // guards wait, next and dark; taken after the host's
+	next       uint64
+	pending    map[uint64]chan any
 	process    *host.Process
 	responsive chan struct{} // open while the server is set to be unresponsive, closed otherwise
 }
@@ -190,8 +190,12 @@
 			delete(h.pending, t)
 		}
 	},
-	"slow": func(h *requestTable, c *replaceableCore, _ func() *Server) { h.process.With(func(clock.Tick) { c.server.Slow(9) }) },
-	"fast": func(h *requestTable, c *replaceableCore, _ func() *Server) { h.process.With(func(clock.Tick) { c.server.Slow(0) }) },
+	"slow": func(h *requestTable, c *replaceableCore, _ func() *Server) {
+		h.process.With(func(clock.Tick) { c.server.Slow(9) })
+	},
+	"fast": func(h *requestTable, c *replaceableCore, _ func() *Server) {
+		h.process.With(func(clock.Tick) { c.server.Slow(0) })
+	},
 }
 
 // decodeBody decodes the JSON body of a request. It sends an error response and returns false if the body is malformed.
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -75,29 +75,29 @@
 // job is a request that waits or runs.
 type job struct {
 	WorkIn
-	key  ident.Key
-	uncached int // prompt bytes still to prefill
-	cached  int // prompt bytes found in the prefix cache
-	sent    int // events sent
+	key      ident.Key
+	prefill int // prompt bytes still to prefill
+	cached   int // prompt bytes found in the prefix cache
+	sent     int // events sent
 }
 
 // Server is a stand-in model server. It does no I/O: Step takes inputs and returns outputs.
 type Server struct {
-	options     ServerOptions
-	now   clock.Tick
-	out   []any
-	duty  ident.Duty
-	orders   uint64
-	held  map[ident.Key]*heldModel
-	jobs  []*job
-	cache map[string]clock.Tick
-	executed   map[string]bool
+	options       ServerOptions
+	now           clock.Tick
+	out           []any
+	duty          ident.Duty
+	orders        uint64
+	held          map[ident.Key]*heldModel
+	jobs          []*job
+	cache         map[string]clock.Tick
+	executed      map[string]bool
 	executedOrder []string
-	pulls map[uint64]ident.Key
-	token uint64
-	nextStep  clock.Tick
-	slowdown  int
-	tally ServerTally
+	pulls         map[uint64]ident.Key
+	token         uint64
+	nextStep      clock.Tick
+	slowdown      int
+	tally         ServerTally
 }
 
 // ServerTally holds counters of a server for checkers.
@@ -266,7 +266,7 @@
 		}
 	}
 	s.tally.Works++
-	j := &job{WorkIn: v, key: k, uncached: len(v.Work.Prompt)}
+	j := &job{WorkIn: v, key: k, prefill: len(v.Work.Prompt)}
 	path := string(k)
 	for _, p := range v.Work.Parts {
 		path += "|" + p
@@ -276,7 +276,7 @@
 		if _, ok := s.cache[path]; ok {
 			j.cached += len(p)
 		} else {
-			j.uncached += len(p)
+			j.prefill += len(p)
 		}
 		s.cache[path] = s.now
 	}
@@ -289,7 +289,7 @@
 		}
 		delete(s.cache, old)
 	}
-	s.tally.PromptBytes += uint64(j.uncached + j.cached)
+	s.tally.PromptBytes += uint64(j.prefill + j.cached)
 	s.tally.Reused += uint64(j.cached)
 	s.jobs = append(s.jobs, j)
 	if s.now.Sub(model.since) < 1e9 {
@@ -320,11 +320,11 @@
 			left = append(left, j)
 			continue
 		}
-		if j.uncached > 0 {
-			n := min(fill, j.uncached)
-			j.uncached -= n
+		if j.prefill > 0 {
+			n := min(fill, j.prefill)
+			j.prefill -= n
 			fill -= n
-			if j.uncached > 0 {
+			if j.prefill > 0 {
 				left = append(left, j)
 				continue
 			}
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -16,10 +16,10 @@
 			return r.Report
 		}
 	}
-	panic("an order is always answered")
+	panic("an order must always be answered")
 }
 
-// A server obeys only orders newer than the last, in the life that they name, within its room.
+// A server carries out only orders that are newer than the last one, name its incarnation and fit its room.
 func TestOrders(t *testing.T) {
 	s := NewServer(ServerOptions{ID: "s", Inc: 4, Room: 10})
 	for _, c := range []struct {
@@ -28,16 +28,16 @@
 		drop failure.Kind
 		held int
 	}{
-		{"a question", protocol.Order{Duty: 2, Num: 1}, "", 0},
+		{"a request for the report", protocol.Order{Duty: 2, Num: 1}, "", 0},
 		{"a load", protocol.Order{Duty: 2, Num: 2, Inc: 4, Op: "load", Key: "m", Size: 6}, "", 1},
 		{"its repeat", protocol.Order{Duty: 2, Num: 2, Inc: 4, Op: "load", Key: "n", Size: 1}, failure.Stale, 1},
 		{"an older number", protocol.Order{Duty: 2, Num: 1, Inc: 4, Op: "unload", Key: "m"}, failure.Stale, 1},
 		{"an older duty", protocol.Order{Duty: 1, Num: 9, Inc: 4, Op: "unload", Key: "m"}, failure.Stale, 1},
-		{"another life", protocol.Order{Duty: 2, Num: 3, Inc: 3, Op: "unload", Key: "m"}, failure.Mismatch, 1},
-		{"past its room", protocol.Order{Duty: 2, Num: 4, Inc: 4, Op: "load", Key: "n", Size: 5}, failure.NoRoom, 1},
-		{"nonsense", protocol.Order{Duty: 2, Num: 5, Inc: 4, Op: "polish", Key: "m"}, failure.Malformed, 1},
+		{"another incarnation", protocol.Order{Duty: 2, Num: 3, Inc: 3, Op: "unload", Key: "m"}, failure.Mismatch, 1},
+		{"more than the room", protocol.Order{Duty: 2, Num: 4, Inc: 4, Op: "load", Key: "n", Size: 5}, failure.NoRoom, 1},
+		{"an unknown operation", protocol.Order{Duty: 2, Num: 5, Inc: 4, Op: "polish", Key: "m"}, failure.Malformed, 1},
 		{"a newer duty", protocol.Order{Duty: 3, Num: 1, Inc: 4, Op: "unload", Key: "m"}, "", 0},
-		{"the duty before", protocol.Order{Duty: 2, Num: 99, Inc: 4, Op: "load", Key: "m", Size: 6}, failure.Stale, 0},
+		{"the previous duty", protocol.Order{Duty: 2, Num: 99, Inc: 4, Op: "load", Key: "m", Size: 6}, failure.Stale, 0},
 	} {
 		r := give(s, 1e9, c.o)
 		require.Equal(t, c.drop, r.Drop, c.name)
@@ -45,8 +45,8 @@
 	}
 }
 
-// A server runs what it holds ready, in the life that the request names, and once only what
-// may not be repeated; whatever it drops has not run.
+// A server executes requests for models that it has ready, if they name its incarnation, and a request that may not be
+// repeated only once. A refused request has not been executed.
 func TestWorks(t *testing.T) {
 	s := NewServer(ServerOptions{ID: "s", Inc: 4, Room: 10, Slots: 1})
 	give(s, 0, protocol.Order{Duty: 1, Num: 1, Inc: 4, Op: "load", Key: "m", Size: 6})
@@ -58,14 +58,14 @@
 		drop failure.Kind
 	}{
 		{"held", protocol.Work{ID: "1", Base: "m", Inc: 4, Max: 3, Once: true}, ""},
-		{"once more", protocol.Work{ID: "1", Base: "m", Inc: 4, Max: 3, Once: true}, failure.Repeated},
-		{"another life", protocol.Work{ID: "2", Base: "m", Inc: 3, Max: 3}, failure.Mismatch},
+		{"a repeat", protocol.Work{ID: "1", Base: "m", Inc: 4, Max: 3, Once: true}, failure.Repeated},
+		{"another incarnation", protocol.Work{ID: "2", Base: "m", Inc: 3, Max: 3}, failure.Mismatch},
 		{"still loading", protocol.Work{ID: "3", Base: "n", Inc: 4, Max: 3}, failure.Mismatch},
 		{"not held", protocol.Work{ID: "4", Base: "x", Inc: 4, Max: 3}, failure.Mismatch},
 		{"an adapter that is not held", protocol.Work{ID: "5", Base: "m", Extra: "a", Inc: 4, Max: 3}, failure.Mismatch},
-		{"in line", protocol.Work{ID: "6", Base: "m", Inc: 4, Max: 3}, ""},
-		{"in line too", protocol.Work{ID: "7", Base: "m", Inc: 4, Max: 3}, ""},
-		{"too many", protocol.Work{ID: "8", Base: "m", Inc: 4, Max: 3}, failure.Busy},
+		{"queued", protocol.Work{ID: "6", Base: "m", Inc: 4, Max: 3}, ""},
+		{"queued as well", protocol.Work{ID: "7", Base: "m", Inc: 4, Max: 3}, ""},
+		{"queue full", protocol.Work{ID: "8", Base: "m", Inc: 4, Max: 3}, failure.Busy},
 	} {
 		var drop failure.Kind
 		for _, x := range s.Step(0, WorkIn{Token: uint64(i + 1), Work: c.w}) {
@@ -90,7 +90,7 @@
 	require.Empty(t, give(s, 0, protocol.Order{Duty: 1, Num: 4, Inc: 4, Op: "unload", Key: "m"}).Drop)
 }
 
-// The store's bandwidth is shared, and pulls beyond its budget are counted.
+// All pulls share the store's bandwidth, and pulls beyond the maximum number are counted.
 func TestStore(t *testing.T) {
 	s := NewStore(10, 1)
 	s.Step(0, PullIn{1, Pull{Size: 10}})
@@ -107,20 +107,20 @@
 	require.Equal(t, 2, s.Counts().Peak)
 }
 
-// The callers' own check sees each way that an answer can be wrong.
+// CheckEvent detects every kind of wrong event.
 func TestCheckEvent(t *testing.T) {
 	a := Ask{}
 	a.Call.ID, a.Call.Base, a.Call.Max = "1", "m", 2
 	ok := Event{N: 1, Go: "g", Server: "s", Text: TokenText("1", "m", "", 1)}
 	require.Empty(t, CheckEvent(a, ok, 1, "s", "g"))
 	for name, change := range map[string]func(e *Event){
-		"skips":          func(e *Event) { e.N = 2 },
-		"repeats":        func(e *Event) { e.N = 0 },
-		"another's":      func(e *Event) { e.Text = TokenText("2", "m", "", 1) },
-		"another model":  func(e *Event) { e.Text = TokenText("1", "n", "", 1) },
-		"another server": func(e *Event) { e.Server = "t" },
-		"another go":     func(e *Event) { e.Go = "h" },
-		"ends early":     func(e *Event) { e.Done = true },
+		"skips":           func(e *Event) { e.N = 2 },
+		"repeats":         func(e *Event) { e.N = 0 },
+		"another's":       func(e *Event) { e.Text = TokenText("2", "m", "", 1) },
+		"another model":   func(e *Event) { e.Text = TokenText("1", "n", "", 1) },
+		"another server":  func(e *Event) { e.Server = "t" },
+		"another attempt": func(e *Event) { e.Go = "h" },
+		"ends early":      func(e *Event) { e.Done = true },
 	} {
 		e := ok
 		change(&e)
@@ -128,8 +128,8 @@
 	}
 }
 
-// A request that is not wholly in soon after its connection was accepted is late, and never ran:
-// whoever sent it may have looked long before.
+// A request that is not completely received soon after its connection was accepted is refused as late and not executed, since
+// the sender may have chosen the server on old information.
 func TestLate(t *testing.T) {
 	for _, c := range []struct {
 		since, now clock.Tick
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -29,11 +29,11 @@
 
 // Store is a stand-in weight store. All pulls share its bandwidth.
 type Store struct {
-	Rate  float64            // size per second, shared by all pulls
-	Bear  int                // maximum number of concurrent pulls
-	pulls map[uint64]float64 // size still to transfer, by token
-	lastStep  clock.Tick
-	tally StoreTally
+	Rate     float64            // size per second, shared by all pulls
+	Bear     int                // maximum number of concurrent pulls
+	pulls    map[uint64]float64 // size still to transfer, by token
+	lastStep clock.Tick
+	tally    StoreTally
 }
 
 // StoreTally holds counters of the store.
--- a/internal/tidedeckctl/tidedeckctl.go
+++ b/internal/tidedeckctl/tidedeckctl.go
@@ -90,18 +90,18 @@
 
 // Exit codes of tidedeckctl.
 const (
-	ExitOK      = 0
+	ExitOK       = 0
 	ExitRejected = 1 // the command was rejected or not delivered; nothing changed
-	ExitUsage = 2
-	ExitUnknown = 3 // it is unknown whether the change was applied
+	ExitUsage    = 2
+	ExitUnknown  = 3 // it is unknown whether the change was applied
 )
 
 // adminCall is a request to the admin API.
 type adminCall struct {
 	method, path string
-	expect    string // epoch that the change is based on
-	change    string // id of the change
-	file      string // file with the body
+	expect       string // epoch that the change is based on
+	change       string // id of the change
+	file         string // file with the body
 }
 
 // Run runs one command and returns the exit code.
--- a/internal/tidedeckctl/tidedeckctl_test.go
+++ b/internal/tidedeckctl/tidedeckctl_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Exit codes tell what an operator may rely on: taken, surely not taken, or not known.
+// Exit codes distinguish commands that were applied, certainly not applied, and possibly applied.
 func TestExitCodes(t *testing.T) {
 	answer := func(code int, body string) *httptest.Server {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -35,14 +35,14 @@
 		code  int
 		says  string
 	}{
-		{"taken", []*httptest.Server{taken}, ExitOK, "taken under epoch 7"},
-		{"the next node is asked", []*httptest.Server{dead, unready, taken}, ExitOK, "taken under epoch 7"},
+		{"accepted", []*httptest.Server{taken}, ExitOK, "accepted under epoch 7"},
+		{"the next node accepts", []*httptest.Server{dead, unready, taken}, ExitOK, "accepted under epoch 7"},
 		{"a stale epoch", []*httptest.Server{stale}, ExitRejected, "the epoch in force is 9"},
 		{"a faulty plan", []*httptest.Server{faulty}, ExitRejected, "$.x: unknown key"},
-		{"no node is there", []*httptest.Server{dead}, ExitRejected, "no core node answered"},
-		{"the core does not know", []*httptest.Server{unclear}, ExitUnknown, "unclear"},
-		{"the reply was lost", []*httptest.Server{breaks}, ExitUnknown, "repeat the command"},
-		{"the reply was lost, another node knows", []*httptest.Server{breaks, taken}, ExitOK, "taken under epoch 7"},
+		{"no node is reachable", []*httptest.Server{dead}, ExitRejected, "no core node answered"},
+		{"the core reports an unclear outcome", []*httptest.Server{unclear}, ExitUnknown, "unclear"},
+		{"the response was lost", []*httptest.Server{breaks}, ExitUnknown, "repeat the command"},
+		{"the response was lost, another node accepts", []*httptest.Server{breaks, taken}, ExitOK, "accepted under epoch 7"},
 	} {
 		var l Line
 		l.Wait = time.Minute
@@ -64,7 +64,7 @@
 	require.Contains(t, err.String(), "$.name: wants a text")
 }
 
-// Every router is asked for a request; one that is down does not hide what another knows.
+// Every router is queried; an unreachable router does not hide the results of the others.
 func TestRequests(t *testing.T) {
 	router := func(body string) string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
