--- a/internal/standin/batch.go
+++ b/internal/standin/batch.go
@@ -33,7 +33,7 @@
 	Order protocol.Order
 }
 
-// BatchAnswer answers a BatchOrder. Over reports that the order exceeds the room or the places.
+// BatchAnswer answers a BatchOrder. OverCapacity reports that the order exceeds the room or the places.
 type BatchAnswer struct {
 	Token  uint64
 	Code   int
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -37,32 +37,32 @@
 }
 
 // NewWorkload creates a workload. The same seed gives the same requests.
-func NewMix(p *fleetplan.Plan, seed uint64) *Mix {
-	m := &Mix{plan: p, rand: rand.New(rand.NewPCG(seed, 17)), idPrefix: fmt.Sprintf("c%x", seed)}
+func NewMix(plan *fleetplan.Plan, seed uint64) *Mix {
+	mix := &Mix{plan: plan, rand: rand.New(rand.NewPCG(seed, 17)), idPrefix: fmt.Sprintf("c%x", seed)}
 	seen := map[ident.Key]int{}
-	for _, r := range generic.SortedKeys(p.Routes) {
-		for _, k := range generic.SortedKeys(p.Services[p.Routes[r].Service].Keys) {
-			for _, c := range generic.SortedKeys(p.Routes[r].Kinds) {
-				if _, ok := seen[k]; !ok {
-					seen[k] = len(seen)
+	for _, route := range generic.SortedKeys(plan.Routes) {
+		for _, key := range generic.SortedKeys(plan.Services[plan.Routes[route].Service].Keys) {
+			for _, kind := range generic.SortedKeys(plan.Routes[route].Kinds) {
+				if _, ok := seen[key]; !ok {
+					seen[key] = len(seen)
 				}
-				b, x, _ := strings.Cut(string(k), "+")
-				m.templates = append(m.templates, Ask{r, fleetplan.Call{Base: b, Extra: x, Kind: c}})
+				base, extra, _ := strings.Cut(string(key), "+")
+				mix.templates = append(mix.templates, Ask{route, fleetplan.Call{Base: base, Extra: extra, Kind: kind}})
 			}
 		}
 	}
-	all := 0.0
-	for _, a := range m.templates {
-		k := ident.KeyOf(a.Call.Base, a.Call.Extra)
-		w := 1 / float64(1+seen[k])
-		if p.Models[k].Floor > 0 {
-			w *= 8 // models with a floor are the most requested ones
+	total := 0.0
+	for _, template := range mix.templates {
+		key := ident.KeyOf(template.Call.Base, template.Call.Extra)
+		weight := 1 / float64(1+seen[key])
+		if plan.Models[key].Floor > 0 {
+			weight *= 8 // models with a floor are the most requested ones
 		}
-		w /= float64(1 + p.Kinds[a.Call.Kind].Value)
-		all += w
-		m.cumulative = append(m.cumulative, all)
+		weight /= float64(1 + plan.Kinds[template.Call.Kind].Value)
+		total += weight
+		mix.cumulative = append(mix.cumulative, total)
 	}
-	return m
+	return mix
 }
 
 // Next generates a request.
@@ -97,19 +97,19 @@
 
 // Body returns the JSON body of the request.
 func (a Ask) Body() []byte {
-	c := a.Call
-	m := map[string]any{"id": c.ID, "model": c.Base, "kind": c.Kind, "parts": c.Parts, "prompt": c.Prompt, "max_tokens": c.Max, "repeatable": c.Again}
-	if c.Extra != "" {
-		m["adapter"] = c.Extra
+	call := a.Call
+	body := map[string]any{"id": call.ID, "model": call.Base, "kind": call.Kind, "parts": call.Parts, "prompt": call.Prompt, "max_tokens": call.Max, "repeatable": call.Again}
+	if call.Extra != "" {
+		body["adapter"] = call.Extra
 	}
-	if c.Wait != 0 {
-		m["horizon_ms"] = c.Wait.Milliseconds()
+	if call.Wait != 0 {
+		body["horizon_ms"] = call.Wait.Milliseconds()
 	}
-	if c.Repeat {
-		m["repeat"] = true
+	if call.Repeat {
+		body["repeat"] = true
 	}
-	b, _ := json.Marshal(m)
-	return b
+	raw, _ := json.Marshal(body)
+	return raw
 }
 
 // CallReport summarizes the results of a run of callers.
@@ -134,43 +134,43 @@
 }
 
 // RunCalls sends requests to the routers in turn, checks every response, and returns a report.
-func Calls(ctx context.Context, o CallOptions) *CallReport {
-	r := &CallReport{Kinds: map[string]int{}, ByRouter: map[string]int{}}
+func Calls(ctx context.Context, options CallOptions) *CallReport {
+	report := &CallReport{Kinds: map[string]int{}, ByRouter: map[string]int{}}
 	var mu sync.Mutex // guards the report
 	var pending sync.WaitGroup
-	if o.Most == 0 {
-		o.Most = 512
+	if options.Most == 0 {
+		options.Most = 512
 	}
-	slot := make(chan struct{}, o.Most)
+	slot := make(chan struct{}, options.Most)
 	client := Client()
 	begin := time.Now()
-	for i := 0; i < o.Total && ctx.Err() == nil; i++ {
-		due := begin.Add(time.Duration(float64(i) / o.Rate * 1e9))
+	for i := 0; i < options.Total && ctx.Err() == nil; i++ {
+		due := begin.Add(time.Duration(float64(i) / options.Rate * 1e9))
 		select {
 		case <-time.After(time.Until(due)):
 		case <-ctx.Done():
 		}
-		a := o.Next()
-		router := o.Routers[i%len(o.Routers)]
+		request := options.Next()
+		router := options.Routers[i%len(options.Routers)]
 		slot <- struct{}{}
 		pending.Add(1)
 		go func() {
 			defer pending.Done()
 			defer func() { <-slot }()
-			retryAfter := Call(client, router, a, r, &mu)
-			if retryAfter > 0 && o.Again && a.Call.Again && i%10 == 0 {
+			retryAfter := Call(client, router, request, report, &mu)
+			if retryAfter > 0 && options.Again && request.Call.Again && i%10 == 0 {
 				// One caller in ten repeats the request after the time that the router names, and marks it as a repeat.
 				time.Sleep(retryAfter)
-				a.Call.Repeat = true
+				request.Call.Repeat = true
 				mu.Lock()
-				r.Repeats++
+				report.Repeats++
 				mu.Unlock()
-				Call(client, router, a, r, &mu)
+				Call(client, router, request, report, &mu)
 			}
 		}()
 	}
 	pending.Wait()
-	return r
+	return report
 }
 
 // Client creates the HTTP client of a stand-in caller.
@@ -191,41 +191,41 @@
 
 // Call sends one request, checks the complete response, and adds the outcome to a report. If the request was dropped, it
 // returns the time after which the router allows a repeat.
-func Call(client *http.Client, router string, a Ask, r *CallReport, mu *sync.Mutex) time.Duration {
-	o := One(client, router, a, true)
+func Call(client *http.Client, router string, request Ask, report *CallReport, mu *sync.Mutex) time.Duration {
+	outcome := One(client, router, request, true)
 	mu.Lock()
 	defer mu.Unlock()
-	r.Sent++
-	r.ByRouter[router]++
-	r.Events += o.Events
-	r.Reused += o.Reused
-	if o.First > 0 {
-		r.First = append(r.First, o.First)
+	report.Sent++
+	report.ByRouter[router]++
+	report.Events += outcome.Events
+	report.Reused += outcome.Reused
+	if outcome.First > 0 {
+		report.First = append(report.First, outcome.First)
 	}
-	if o.Wrong != "" {
-		r.Wrong = append(r.Wrong, a.Call.ID+": "+o.Wrong)
+	if outcome.Wrong != "" {
+		report.Wrong = append(report.Wrong, request.Call.ID+": "+outcome.Wrong)
 	}
-	if o.Kind == "" {
-		r.Receipts++
+	if outcome.Kind == "" {
+		report.Receipts++
 	} else {
-		r.Kinds[o.Kind]++
+		report.Kinds[outcome.Kind]++
 	}
-	if o.Back > 0 {
-		r.Backs++
+	if outcome.Back > 0 {
+		report.Backs++
 	}
-	return o.Back
+	return outcome.Back
 }
 
 // SendOne sends one request and checks the complete response. With words set, it also checks that the text of every event is
 // the one that a stand-in server sends for this request.
-func One(client *http.Client, router string, a Ask, words bool) (o Outcome) {
+func One(client *http.Client, router string, request Ask, words bool) (outcome Outcome) {
 	begin := time.Now()
-	defer func() { o.Duration = time.Since(begin) }()
-	request, err := http.NewRequest(http.MethodPost, "http://"+router+a.Route, bytes.NewReader(a.Body()))
+	defer func() { outcome.Duration = time.Since(begin) }()
+	httpRequest, err := http.NewRequest(http.MethodPost, "http://"+router+request.Route, bytes.NewReader(request.Body()))
 	if err != nil {
 		return Outcome{Kind: "unsent", Wrong: err.Error()}
 	}
-	response, err := client.Do(request)
+	response, err := client.Do(httpRequest)
 	if err != nil {
 		return Outcome{Kind: "router unreached"}
 	}
@@ -246,8 +246,8 @@
 	for {
 		line, err := in.ReadString('\n')
 		if err != nil {
-			o.Kind = "router broke off"
-			return o
+			outcome.Kind = "router broke off"
+			return outcome
 		}
 		line = strings.TrimSpace(line)
 		if line == "event: error" {
@@ -260,39 +260,39 @@
 		}
 		if failed {
 			_ = json.Unmarshal([]byte(data), &problem)
-			o.Kind = problem.Kind
-			return o
+			outcome.Kind = problem.Kind
+			return outcome
 		}
 		var event Event
 		if json.Unmarshal([]byte(data), &event) != nil {
-			o.Kind, o.Wrong = "bad event", "event is not JSON"
-			return o
+			outcome.Kind, outcome.Wrong = "bad event", "event is not JSON"
+			return outcome
 		}
-		if o.Events == 0 {
-			server, run, o.Reused, o.First = event.Server, event.Go, event.Reused, time.Since(begin)
+		if outcome.Events == 0 {
+			server, run, outcome.Reused, outcome.First = event.Server, event.Go, event.Reused, time.Since(begin)
 		}
-		if why := CheckEvent(a, event, o.Events, server, run); why != "" && (words || event.N != o.Events || event.Go != run) {
-			o.Kind, o.Wrong = "wrong event", why
-			return o
+		if why := CheckEvent(request, event, outcome.Events, server, run); why != "" && (words || event.N != outcome.Events || event.Go != run) {
+			outcome.Kind, outcome.Wrong = "wrong event", why
+			return outcome
 		}
-		o.Events++
+		outcome.Events++
 		if event.Done {
-			return o
+			return outcome
 		}
 	}
 }
 
 // CheckEvent returns a description of the fault in the n-th event of a response, or an empty string.
-func CheckEvent(a Ask, e Event, n int, server ident.Server, run string) string {
-	c := a.Call
+func CheckEvent(request Ask, event Event, n int, server ident.Server, run string) string {
+	call := request.Call
 	switch {
-	case e.N != n:
-		return fmt.Sprintf("event %d came as number %d", e.N, n)
-	case e.Server != server || e.Go != run:
+	case event.N != n:
+		return fmt.Sprintf("event %d came as number %d", event.N, n)
+	case event.Server != server || event.Go != run:
 		return "events of two goes in one answer"
-	case e.Done && n != c.Max:
-		return fmt.Sprintf("ended after %d of %d", n, c.Max)
-	case !e.Done && e.Text != TokenText(c.ID, c.Base, c.Extra, n):
+	case event.Done && n != call.Max:
+		return fmt.Sprintf("ended after %d of %d", n, call.Max)
+	case !event.Done && event.Text != TokenText(call.ID, call.Base, call.Extra, n):
 		return "an event that belongs to someone else"
 	}
 	return ""
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -47,7 +47,7 @@
 
 // requestTable connects HTTP requests with a core by tokens.
 type requestTable struct {
-	mu         sync.Mutex // guards wait, next and dark; taken after the host's
+	mu         sync.Mutex // guards pending, next and responsive; taken after the host's lock
 	next       uint64
 	pending    map[uint64]chan any
 	process    *host.Process
@@ -71,26 +71,26 @@
 }
 
 // dispatch passes an output of the core to the request that it belongs to.
-func (h *requestTable) dispatch(o any) {
-	t := uint64(0)
-	switch v := o.(type) {
+func (h *requestTable) dispatch(output any) {
+	token := uint64(0)
+	switch v := output.(type) {
 	case OrderOut:
-		t = v.Token
+		token = v.Token
 	case WorkDrop:
-		t = v.Token
+		token = v.Token
 	case Event:
-		t = v.Token
+		token = v.Token
 	case PullOut:
-		t = v.Token
+		token = v.Token
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if ch := h.pending[t]; ch != nil {
+	if ch := h.pending[token]; ch != nil {
 		select {
-		case ch <- o:
+		case ch <- output:
 		default: // disconnect a reader that is this far behind
 			close(ch)
-			delete(h.pending, t)
+			delete(h.pending, token)
 		}
 	}
 }
@@ -116,51 +116,51 @@
 func (c *replaceableCore) Step(now clock.Tick, in any) []any { return c.server.Step(now, in) }
 
 // ServerMain runs a stand-in model server until the process receives a stop signal.
-func ServerMain(s ServerSettings) error {
-	ring := host.NewRing(s.ID, os.Stderr)
+func ServerMain(settings ServerSettings) error {
+	ring := host.NewRing(settings.ID, os.Stderr)
 	newCore := func() *Server {
-		return NewServer(ServerOptions{ID: ident.Server(s.ID), Inc: host.NewInc(), Room: s.Room, Slots: s.Slots, Store: s.Store,
-			Step: clock.Span(s.StepMs) * 1e6, Fill: s.Fill, Whole: clock.Span(s.Whole) * 1e6})
+		return NewServer(ServerOptions{ID: ident.Server(settings.ID), Inc: host.NewInc(), Room: settings.Room, Slots: settings.Slots, Store: settings.Store,
+			Step: clock.Span(settings.StepMs) * 1e6, Fill: settings.Fill, Whole: clock.Span(settings.Whole) * 1e6})
 	}
 	core := &replaceableCore{newCore()}
-	h := &requestTable{pending: map[uint64]chan any{}, responsive: make(chan struct{})}
-	close(h.responsive)
-	h.process = host.New(host.Options{Core: core, Beat: 5 * time.Millisecond, Ring: ring, Else: h.dispatch})
-	if err := h.process.Run(); err != nil {
+	requests := &requestTable{pending: map[uint64]chan any{}, responsive: make(chan struct{})}
+	close(requests.responsive)
+	requests.process = host.New(host.Options{Core: core, Beat: 5 * time.Millisecond, Ring: ring, Else: requests.dispatch})
+	if err := requests.process.Run(); err != nil {
 		return err
 	}
-	defer h.process.Stop()
-	m := flow.New()
-	m.Group(func(m *flow.Mux) {
-		m.Use(h.whileResponsive)
-		m.HandleFunc("/orders", func(w http.ResponseWriter, r *http.Request) {
+	defer requests.process.Stop()
+	mux := flow.New()
+	mux.Group(func(mux *flow.Mux) {
+		mux.Use(requests.whileResponsive)
+		mux.HandleFunc("/orders", func(w http.ResponseWriter, r *http.Request) {
 			var o protocol.Order
 			if !decodeBody(w, r, &o) {
 				return
 			}
-			t, ch := h.register(1)
-			defer h.unregister(t)
-			h.process.Step(OrderIn{t, o})
+			t, ch := requests.register(1)
+			defer requests.unregister(t)
+			requests.process.Step(OrderIn{t, o})
 			host.JSON(w, 200, (<-ch).(OrderOut).Report)
 		}, http.MethodPost)
-		m.HandleFunc("/generate", h.generate, http.MethodPost)
+		mux.HandleFunc("/generate", requests.generate, http.MethodPost)
 	})
-	m.HandleFunc("/count", func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("/count", func(w http.ResponseWriter, r *http.Request) {
 		var t ServerTally
-		var n, u int
-		h.process.With(func(clock.Tick) { t, n, u = core.server.Counts(), core.server.Active(), core.server.Used() })
-		host.JSON(w, 200, map[string]any{"tally": t, "active": n, "used": u, "room": s.Room})
+		var active, used int
+		requests.process.With(func(clock.Tick) { t, active, used = core.server.Counts(), core.server.Active(), core.server.Used() })
+		host.JSON(w, 200, map[string]any{"tally": t, "active": active, "used": used, "room": settings.Room})
 	}, http.MethodGet)
-	m.HandleFunc("/fault/:kind", func(w http.ResponseWriter, r *http.Request) {
-		f := injectors[r.PathValue("kind")]
-		if f == nil {
+	mux.HandleFunc("/fault/:kind", func(w http.ResponseWriter, r *http.Request) {
+		inject := injectors[r.PathValue("kind")]
+		if inject == nil {
 			host.Error(w, failure.Unknown, 0, nil)
 			return
 		}
-		f(h, core, newCore)
+		inject(requests, core, newCore)
 		host.JSON(w, 200, map[string]bool{"done": true})
 	}, http.MethodPost)
-	return host.Web(s.Listen, m, ring, nil, 10*time.Minute)
+	return host.Web(settings.Listen, mux, ring, nil, 10*time.Minute)
 }
 
 // injectors maps the kinds of injected faults to their effects.
@@ -268,37 +268,37 @@
 func (s *StoreSettings) Check() fleetplan.Faults { return host.Addr("listen", s.Listen) }
 
 // StoreMain runs a weight store until the process receives a stop signal.
-func StoreMain(s StoreSettings) error {
+func StoreMain(settings StoreSettings) error {
 	ring := host.NewRing("store", os.Stderr)
-	core := NewStore(float64(s.Rate), s.Bear)
-	h := &requestTable{pending: map[uint64]chan any{}}
-	h.process = host.New(host.Options{Core: core, Beat: 10 * time.Millisecond, Ring: ring, Else: h.dispatch})
-	if err := h.process.Run(); err != nil {
+	core := NewStore(float64(settings.Rate), settings.Bear)
+	requests := &requestTable{pending: map[uint64]chan any{}}
+	requests.process = host.New(host.Options{Core: core, Beat: 10 * time.Millisecond, Ring: ring, Else: requests.dispatch})
+	if err := requests.process.Run(); err != nil {
 		return err
 	}
-	defer h.process.Stop()
-	m := flow.New()
-	m.HandleFunc("/pull", func(w http.ResponseWriter, r *http.Request) {
+	defer requests.process.Stop()
+	mux := flow.New()
+	mux.HandleFunc("/pull", func(w http.ResponseWriter, r *http.Request) {
 		var p Pull
 		if !decodeBody(w, r, &p) {
 			return
 		}
-		t, ch := h.register(1)
-		defer h.unregister(t)
-		h.process.Step(PullIn{t, p})
+		t, ch := requests.register(1)
+		defer requests.unregister(t)
+		requests.process.Step(PullIn{t, p})
 		select {
 		case <-ch:
 			host.JSON(w, 200, map[string]bool{"done": true})
 		case <-r.Context().Done():
-			h.process.Step(PullQuit{t})
+			requests.process.Step(PullQuit{t})
 		}
 	}, http.MethodPost)
-	m.HandleFunc("/count", func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("/count", func(w http.ResponseWriter, r *http.Request) {
 		var t StoreTally
-		h.process.With(func(clock.Tick) { t = core.Counts() })
+		requests.process.With(func(clock.Tick) { t = core.Counts() })
 		host.JSON(w, 200, t)
 	}, http.MethodGet)
-	return host.Web(s.Listen, m, ring, nil, 10*time.Second)
+	return host.Web(settings.Listen, mux, ring, nil, 10*time.Second)
 }
 
 // PlatformSettings are the settings of a stand-in platform.
@@ -334,41 +334,41 @@
 }
 
 // PlatformMain runs a platform until the process receives a stop signal.
-func PlatformMain(s PlatformSettings) error {
+func PlatformMain(settings PlatformSettings) error {
 	ring := host.NewRing("platform", os.Stderr)
-	p := NewPlatform()
-	for _, x := range s.Servers {
-		l, _ := parseListed(x)
-		p.Set(l)
+	platform := NewPlatform()
+	for _, entry := range settings.Servers {
+		server, _ := parseListed(entry)
+		platform.Set(server)
 	}
 	var mu sync.Mutex
-	m := flow.New()
-	m.HandleFunc("/servers", func(w http.ResponseWriter, r *http.Request) {
+	mux := flow.New()
+	mux.HandleFunc("/servers", func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
-		l := p.List()
+		servers := platform.List()
 		mu.Unlock()
-		host.JSON(w, 200, l)
+		host.JSON(w, 200, servers)
 	}, http.MethodGet)
-	m.HandleFunc("/servers", func(w http.ResponseWriter, r *http.Request) {
-		var x protocol.Listed
-		if !decodeBody(w, r, &x) {
+	mux.HandleFunc("/servers", func(w http.ResponseWriter, r *http.Request) {
+		var server protocol.Listed
+		if !decodeBody(w, r, &server) {
 			return
 		}
 		mu.Lock()
-		p.Set(x)
+		platform.Set(server)
 		mu.Unlock()
-		host.JSON(w, 200, x)
+		host.JSON(w, 200, server)
 	}, http.MethodPost)
-	m.HandleFunc("/servers/:id/:state", func(w http.ResponseWriter, r *http.Request) {
-		st := r.PathValue("state")
+	mux.HandleFunc("/servers/:id/:state", func(w http.ResponseWriter, r *http.Request) {
+		state := r.PathValue("state")
 		mu.Lock()
-		ok := map[string]bool{"live": true, "leaving": true, "gone": true}[st] && p.Mark(ident.Server(r.PathValue("id")), st)
+		ok := map[string]bool{"live": true, "leaving": true, "gone": true}[state] && platform.Mark(ident.Server(r.PathValue("id")), state)
 		mu.Unlock()
 		if !ok {
 			host.Error(w, failure.Unknown, 0, nil)
 			return
 		}
-		host.JSON(w, 200, map[string]string{"state": st})
+		host.JSON(w, 200, map[string]string{"state": state})
 	}, http.MethodPost)
-	return host.Web(s.Listen, m, ring, nil, 5*time.Second)
+	return host.Web(settings.Listen, mux, ring, nil, 5*time.Second)
 }
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -75,10 +75,10 @@
 // job is a request that waits or runs.
 type job struct {
 	WorkIn
-	key      ident.Key
+	key     ident.Key
 	prefill int // prompt bytes still to prefill
-	cached   int // prompt bytes found in the prefix cache
-	sent     int // events sent
+	cached  int // prompt bytes found in the prefix cache
+	sent    int // events sent
 }
 
 // Server is a stand-in model server. It does no I/O: Step takes inputs and returns outputs.
@@ -358,7 +358,7 @@
 	return s.now.Sub(h.since), true
 }
 
-// Holds returns the models and adapters that the server holds, for checkers.
+// Held returns the models and adapters that the server holds, for checkers.
 func (s *Server) Holds() map[ident.Key]protocol.Held {
 	m := map[ident.Key]protocol.Held{}
 	for k, h := range s.held {
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -10,7 +10,7 @@
 	"tidedeck/internal/protocol"
 )
 
-func give(s *Server, at clock.Tick, o protocol.Order) protocol.Report {
+func sendOrder(s *Server, at clock.Tick, o protocol.Order) protocol.Report {
 	for _, x := range s.Step(at, OrderIn{Order: o}) {
 		if r, ok := x.(OrderOut); ok {
 			return r.Report
@@ -39,7 +39,7 @@
 		{"a newer duty", protocol.Order{Duty: 3, Num: 1, Inc: 4, Op: "unload", Key: "m"}, "", 0},
 		{"the previous duty", protocol.Order{Duty: 2, Num: 99, Inc: 4, Op: "load", Key: "m", Size: 6}, failure.Stale, 0},
 	} {
-		r := give(s, 1e9, c.o)
+		r := sendOrder(s, 1e9, c.o)
 		require.Equal(t, c.drop, r.Drop, c.name)
 		require.Len(t, r.Held, c.held, c.name)
 	}
@@ -49,9 +49,9 @@
 // repeated only once. A refused request has not been executed.
 func TestWorks(t *testing.T) {
 	s := NewServer(ServerOptions{ID: "s", Inc: 4, Room: 10, Slots: 1})
-	give(s, 0, protocol.Order{Duty: 1, Num: 1, Inc: 4, Op: "load", Key: "m", Size: 6})
+	sendOrder(s, 0, protocol.Order{Duty: 1, Num: 1, Inc: 4, Op: "load", Key: "m", Size: 6})
 	s.Step(0, protocol.Told{Token: 5, OK: true, Code: 200})
-	give(s, 0, protocol.Order{Duty: 1, Num: 2, Inc: 4, Op: "load", Key: "n", Size: 1})
+	sendOrder(s, 0, protocol.Order{Duty: 1, Num: 2, Inc: 4, Op: "load", Key: "n", Size: 1})
 	for i, c := range []struct {
 		name string
 		w    protocol.Work
@@ -76,7 +76,7 @@
 		require.Equal(t, c.drop, drop, c.name)
 	}
 	require.EqualValues(t, 3, s.Counts().Works)
-	require.Equal(t, failure.Busy, give(s, 0, protocol.Order{Duty: 1, Num: 3, Inc: 4, Op: "unload", Key: "m"}).Drop)
+	require.Equal(t, failure.Busy, sendOrder(s, 0, protocol.Order{Duty: 1, Num: 3, Inc: 4, Op: "unload", Key: "m"}).Drop)
 	n := map[uint64]int{}
 	for at := clock.Tick(0); at < 1e9; at += 20e6 {
 		for _, x := range s.Step(at, protocol.Beat{}) {
@@ -87,7 +87,7 @@
 		}
 	}
 	require.Equal(t, map[uint64]int{1: 4, 7: 4, 8: 4}, n)
-	require.Empty(t, give(s, 0, protocol.Order{Duty: 1, Num: 4, Inc: 4, Op: "unload", Key: "m"}).Drop)
+	require.Empty(t, sendOrder(s, 0, protocol.Order{Duty: 1, Num: 4, Inc: 4, Op: "unload", Key: "m"}).Drop)
 }
 
 // All pulls share the store's bandwidth, and pulls beyond the maximum number are counted.
--- a/internal/tidedeckctl/tidedeckctl.go
+++ b/internal/tidedeckctl/tidedeckctl.go
@@ -106,15 +106,15 @@
 
 // Run runs one command and returns the exit code.
 func (l *Line) Run(cmd string, in io.Reader, out, errOut io.Writer) int {
-	p := &l.Plan
+	plan := &l.Plan
 	if cmd == "plan check <file>" {
-		raw, err := readFile(p.Check.File, in)
+		raw, err := readFile(plan.Check.File, in)
 		if err != nil {
 			return fail(errOut, err, ExitUsage)
 		}
-		if _, f := fleetplan.ReadPlan(raw); f != nil {
-			for _, x := range f {
-				fmt.Fprintf(errOut, "%s: %s\n", x.Path, x.Why)
+		if _, faults := fleetplan.ReadPlan(raw); faults != nil {
+			for _, fault := range faults {
+				fmt.Fprintf(errOut, "%s: %s\n", fault.Path, fault.Why)
 			}
 			return ExitRejected
 		}
@@ -128,8 +128,8 @@
 		return fail(errOut, errors.New("--admin is missing: give the addresses of core nodes"), ExitUsage)
 	}
 	calls := map[string]adminCall{
-		"plan put <file>":          {http.MethodPut, "/plan", p.Put.Expect, p.Put.Change, p.Put.File},
-		"plan patch <file>":        {http.MethodPatch, "/plan", p.Patch.Expect, p.Patch.Change, p.Patch.File},
+		"plan put <file>":          {http.MethodPut, "/plan", plan.Put.Expect, plan.Put.Change, plan.Put.File},
+		"plan patch <file>":        {http.MethodPatch, "/plan", plan.Patch.Expect, plan.Patch.Change, plan.Patch.File},
 		"plan get":                 {http.MethodGet, "/plan", "", "", ""},
 		"zone empty <zone>":        {http.MethodPost, "/zones/" + l.Zone.Empty.Zone + "/empty", l.Zone.Empty.Expect, l.Zone.Empty.Change, ""},
 		"zone refill <zone>":       {http.MethodPost, "/zones/" + l.Zone.Refill.Zone + "/refill", l.Zone.Refill.Expect, l.Zone.Refill.Change, ""},
@@ -141,41 +141,41 @@
 		"core replace <old> <new>": {http.MethodPost, "/core/replace/" + l.Core.Replace.Old + "/" + l.Core.Replace.New, "", "", ""},
 		"core form":                {http.MethodPost, "/core/form", "", "", ""},
 	}
-	c, ok := calls[cmd]
+	call, ok := calls[cmd]
 	if !ok {
 		return fail(errOut, errors.Errorf("unknown command: %s", cmd), ExitUsage)
 	}
 	var body []byte
-	if c.file != "" {
+	if call.file != "" {
 		var err error
-		if body, err = readFile(c.file, in); err != nil {
+		if body, err = readFile(call.file, in); err != nil {
 			return fail(errOut, err, ExitUsage)
 		}
 	}
-	if c.method != http.MethodGet && c.change == "" && c.expect != "" {
+	if call.method != http.MethodGet && call.change == "" && call.expect != "" {
 		// A generated id makes it safe to send the change to a second node after a lost response.
-		c.change = fmt.Sprintf("tidedeckctl-%d", host.NewInc())
+		call.change = fmt.Sprintf("tidedeckctl-%d", host.NewInc())
 	}
-	return l.send(c, body, cmd, out, errOut)
+	return l.send(call, body, cmd, out, errOut)
 }
 
-func (l *Line) send(c adminCall, body []byte, cmd string, out, errOut io.Writer) int {
+func (l *Line) send(call adminCall, body []byte, cmd string, out, errOut io.Writer) int {
 	client := &http.Client{Timeout: l.Wait, Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
 	maybeDelivered := false
 	nodes := append([]string{}, l.Admin...)
 	for i := 0; i < len(nodes); i++ {
-		request, err := http.NewRequest(c.method, "http://"+nodes[i]+c.path, bytes.NewReader(body))
+		request, err := http.NewRequest(call.method, "http://"+nodes[i]+call.path, bytes.NewReader(body))
 		if err != nil {
 			return fail(errOut, err, ExitUsage)
 		}
-		if c.expect != "" {
-			request.Header.Set("X-Expect-Epoch", c.expect)
-			request.Header.Set("X-Change-Id", c.change)
+		if call.expect != "" {
+			request.Header.Set("X-Expect-Epoch", call.expect)
+			request.Header.Set("X-Change-Id", call.change)
 		}
 		response, err := client.Do(request)
 		if err != nil {
-			var d *net.OpError
-			maybeDelivered = maybeDelivered || !(errors.As(err, &d) && d.Op == "dial")
+			var opError *net.OpError
+			maybeDelivered = maybeDelivered || !(errors.As(err, &opError) && opError.Op == "dial")
 			fmt.Fprintf(errOut, "%s: %v\n", nodes[i], err)
 			continue
 		}
@@ -215,8 +215,8 @@
 			return ExitOK
 		}
 		fmt.Fprintf(errOut, "%s: %s\n", reply.Kind, strings.TrimSpace(reply.Why))
-		for _, f := range reply.Faults {
-			fmt.Fprintf(errOut, "  %s: %s\n", f.Path, f.Why)
+		for _, fault := range reply.Faults {
+			fmt.Fprintf(errOut, "  %s: %s\n", fault.Path, fault.Why)
 		}
 		if reply.Kind == "unclear" {
 			return ExitUnknown
