--- a/internal/standin/batch.go
+++ b/internal/standin/batch.go
@@ -10,30 +10,30 @@
 	"tidedeck/internal/protocol"
 )
 
-// BatchOptions of a stand-in batch server that announces itself and checks no fence.
+// BatchOptions configure a stand-in batch server that announces itself and does not check fencing tokens.
 type BatchOptions struct {
 	ID      ident.Server
 	Service string
-	Plain   bool // it holds no models and takes no orders
+	Plain   bool // the server holds no models and accepts no orders
 	Slots   int
 	Room    int
-	Places  int        // for adapters
-	Step    clock.Span // between two steps of the batch, when it is nearly empty
-	Fill    int        // prompt tokens that a step reads
-	Lag     clock.Span // reports are so old
+	Places  int        // adapters that fit
+	Step    clock.Span // interval between two decode steps of a nearly empty batch
+	Fill    int        // prompt bytes prefilled in one decode step
+	Lag     clock.Span // age of reports
 	Held    []ident.Key
-	Disk    map[ident.Key]bool // what it held in this life or an earlier one
+	Disk    map[ident.Key]bool // models that were loaded in this incarnation or an earlier one
 	Weight  func(ident.Key) int
-	Load    func(k ident.Key, disk bool) clock.Span // how long a load that begins now takes
+	Load    func(k ident.Key, disk bool) clock.Span // duration of a load that begins now
 }
 
-// BatchOrder is an order, or a question for the report, that came in.
+// BatchOrder is a received order or, without an operation, a request for the report.
 type BatchOrder struct {
 	Token uint64
 	Order protocol.Order
 }
 
-// BatchAnswer answers a BatchOrder. Over says that the order would pass the room or the places.
+// BatchAnswer answers a BatchOrder. OverCapacity reports that the order exceeds the room or the places.
 type BatchAnswer struct {
 	Token  uint64
 	Code   int
@@ -41,58 +41,59 @@
 	Report protocol.Report
 }
 
-// LoadDone says that a load ended.
+// LoadDone reports that a load has finished.
 type LoadDone struct{ Key ident.Key }
 
-type reported struct {
-	at clock.Tick
-	r  protocol.Report
+// pastReport is a report with the time when it was made.
+type pastReport struct {
+	at     clock.Tick
+	report protocol.Report
 }
 
-// Batch is a stand-in batch server that announces itself, without I/O. It counts the orders that it
-// took, and carries out one at a time.
+// Batch is a stand-in batch server that announces itself. It does no I/O. It numbers the orders that it accepts and carries
+// out one at a time.
 type Batch struct {
-	o     BatchOptions
-	now   clock.Tick
-	out   []any
-	held  map[ident.Key]clock.Tick // since when
-	op    *protocol.Order          // under way
-	ready clock.Tick               // when its load ends
-	num   uint64
-	past  []reported
-	jobs  []*job
-	next  clock.Tick
-	tally ServerTally
+	options  BatchOptions
+	now      clock.Tick
+	out      []any
+	held     map[ident.Key]clock.Tick // time when the key became ready
+	current  *protocol.Order          // order in progress
+	ready    clock.Tick               // time when its load ends
+	orders   uint64
+	reports  []pastReport
+	jobs     []*job
+	nextStep clock.Tick
+	tally    ServerTally
 }
 
-// NewBatch makes a stand-in batch server.
+// NewBatch creates a stand-in batch server.
 func NewBatch(o BatchOptions) *Batch {
 	generic.SetDefault(&o.Step, 20e6)
 	generic.SetDefault(&o.Fill, 4000)
 	generic.SetDefault(&o.Slots, 16)
 	generic.SetDefault(&o.Lag, 200e6)
-	s := &Batch{o: o, held: map[ident.Key]clock.Tick{}, tally: ServerTally{DropKinds: map[failure.Kind]uint64{}}}
+	s := &Batch{options: o, held: map[ident.Key]clock.Tick{}, tally: ServerTally{DropKinds: map[failure.Kind]uint64{}}}
 	for _, k := range o.Held {
 		s.held[k] = 0
-		s.o.Disk[k] = true
+		s.options.Disk[k] = true
 	}
 	return s
 }
 
-// Step takes one input and gives what is to be done.
+// Step processes one input and returns the outputs to carry out.
 func (s *Batch) Step(now clock.Tick, in any) []any {
 	s.now, s.out = now, nil
-	s.settle()
+	s.finishOrder()
 	switch v := in.(type) {
 	case BatchOrder:
 		if v.Order.Op == "" {
-			s.out = append(s.out, BatchAnswer{Token: v.Token, Code: http.StatusOK, Report: s.late()})
+			s.out = append(s.out, BatchAnswer{Token: v.Token, Code: http.StatusOK, Report: s.delayedReport()})
 			break
 		}
-		code, over := s.order(v.Order)
+		code, over := s.acceptOrder(v.Order)
 		s.out = append(s.out, BatchAnswer{Token: v.Token, Code: code, Over: over})
 	case WorkIn:
-		s.work(v)
+		s.acceptWork(v)
 	case WorkQuit:
 		for i, j := range s.jobs {
 			if j.Token == v.Token {
@@ -102,26 +103,26 @@
 			}
 		}
 	case protocol.Beat:
-		if now >= s.next {
-			n := clock.Span(min(len(s.jobs), s.o.Slots))
-			s.next = now.Add(s.o.Step + s.o.Step*n/clock.Span(s.o.Slots))
-			s.batch()
+		if now >= s.nextStep {
+			n := clock.Span(min(len(s.jobs), s.options.Slots))
+			s.nextStep = now.Add(s.options.Step + s.options.Step*n/clock.Span(s.options.Slots))
+			s.decodeStep()
 		}
 	}
-	s.settle()
-	s.keep()
+	s.finishOrder()
+	s.recordReport()
 	return s.out
 }
 
-// settle ends the order under way when it is done.
-func (s *Batch) settle() {
-	if s.op == nil || s.now < s.ready {
+// finishOrder finishes the order in progress once its conditions are met.
+func (s *Batch) finishOrder() {
+	if s.current == nil || s.now < s.ready {
 		return
 	}
-	k := s.op.Key
-	if s.op.Op == "load" {
-		s.held[k], s.o.Disk[k] = s.now, true
-		s.op = nil
+	k := s.current.Key
+	if s.current.Op == "load" {
+		s.held[k], s.options.Disk[k] = s.now, true
+		s.current = nil
 		s.out = append(s.out, LoadDone{k})
 		return
 	}
@@ -131,16 +132,16 @@
 		switch {
 		case j.key != k && (k.IsAdapter() || j.key.Base() != k):
 			left = append(left, j)
-		case i < s.o.Slots || j.n > 0:
+		case i < s.options.Slots || j.sent > 0:
 			runs = true
 			left = append(left, j)
 		default:
-			s.drop(j.Token, failure.Busy) // it has not begun
+			s.refuse(j.Token, failure.Busy) // not started
 		}
 	}
 	s.jobs = left
 	if runs {
-		return // an unload waits for its runs
+		return // an unload waits for the running requests of its model
 	}
 	for x := range s.held {
 		if x == k || !k.IsAdapter() && x.Base() == k {
@@ -148,12 +149,12 @@
 		}
 	}
 	s.tally.Unloads++
-	s.op = nil
+	s.current = nil
 }
 
 func (s *Batch) used() (room, places int) {
 	for k := range s.held {
-		room += s.o.Weight(k)
+		room += s.options.Weight(k)
 		if k.IsAdapter() {
 			places++
 		}
@@ -161,13 +162,13 @@
 	return room, places
 }
 
-func (s *Batch) order(o protocol.Order) (code int, over bool) {
+func (s *Batch) acceptOrder(o protocol.Order) (code int, over bool) {
 	_, has := s.held[o.Key]
 	_, base := s.held[o.Key.Base()]
 	switch {
-	case s.o.Plain || o.Owner == "" || o.Duty == 0 || o.Key.Service() != s.o.Service || o.Op != "load" && o.Op != "unload":
+	case s.options.Plain || o.Owner == "" || o.Duty == 0 || o.Key.Service() != s.options.Service || o.Op != "load" && o.Op != "unload":
 		return http.StatusBadRequest, false
-	case o.Expected != s.num || s.op != nil:
+	case o.Expected != s.orders || s.current != nil:
 		s.tally.Stale++
 		return http.StatusConflict, false
 	case o.Op == "load" && has || o.Op == "unload" && !has:
@@ -176,62 +177,63 @@
 		return http.StatusBadRequest, false
 	}
 	room, places := s.used()
-	s.num++
-	s.op, s.ready = &o, s.now
+	s.orders++
+	s.current, s.ready = &o, s.now
 	if o.Op == "load" {
-		over = room+s.o.Weight(o.Key) > s.o.Room || o.Key.IsAdapter() && s.o.Places > 0 && places >= s.o.Places
+		over = room+s.options.Weight(o.Key) > s.options.Room || o.Key.IsAdapter() && s.options.Places > 0 && places >= s.options.Places
 		s.tally.Loads++
-		s.ready = s.now.Add(s.o.Load(o.Key, s.o.Disk[o.Key]))
+		s.ready = s.now.Add(s.options.Load(o.Key, s.options.Disk[o.Key]))
 	}
 	return http.StatusAccepted, over
 }
 
 func (s *Batch) report() protocol.Report {
-	r := protocol.Report{Server: s.o.ID, Num: s.num, Busy: s.op != nil, Held: []protocol.Held{}}
+	r := protocol.Report{Server: s.options.ID, Num: s.orders, Busy: s.current != nil, Held: []protocol.Held{}}
 	for _, k := range generic.SortedKeys(s.held) {
 		r.Held = append(r.Held, protocol.Held{Key: k, Stage: "ready"})
 	}
 	return r
 }
 
-// keep remembers a report for as long as one may be given late.
-func (s *Batch) keep() {
-	s.past = append(s.past, reported{s.now, s.report()})
-	for len(s.past) > 1 && s.now.Sub(s.past[1].at) >= s.o.Lag {
-		s.past = s.past[1:]
+// recordReport records the current report and discards records that are older than the lag requires.
+func (s *Batch) recordReport() {
+	s.reports = append(s.reports, pastReport{s.now, s.report()})
+	for len(s.reports) > 1 && s.now.Sub(s.reports[1].at) >= s.options.Lag {
+		s.reports = s.reports[1:]
 	}
 }
 
-func (s *Batch) late() protocol.Report {
+// delayedReport returns the report as it was one lag ago.
+func (s *Batch) delayedReport() protocol.Report {
 	r := s.report()
-	if len(s.past) > 0 {
-		r = s.past[0].r
+	if len(s.reports) > 0 {
+		r = s.reports[0].report
 	}
-	for _, x := range s.past {
-		if s.now.Sub(x.at) >= s.o.Lag {
-			r = x.r
+	for _, x := range s.reports {
+		if s.now.Sub(x.at) >= s.options.Lag {
+			r = x.report
 		}
 	}
 	return r
 }
 
-func (s *Batch) drop(t uint64, k failure.Kind) {
+func (s *Batch) refuse(t uint64, k failure.Kind) {
 	s.tally.Dropped++
 	s.tally.DropKinds[k]++
 	s.out = append(s.out, WorkDrop{t, k})
 }
 
-func (s *Batch) work(v WorkIn) {
-	k := ident.KeyOf(v.Work.Base, v.Work.Extra).In(s.o.Service)
-	if s.o.Plain || v.Work.Base == "" {
-		k = ident.ServiceKey(s.o.Service) // it needs no model
+func (s *Batch) acceptWork(v WorkIn) {
+	k := ident.KeyOf(v.Work.Base, v.Work.Extra).In(s.options.Service)
+	if s.options.Plain || v.Work.Base == "" {
+		k = ident.ServiceKey(s.options.Service) // the request needs no model
 	} else if _, ok := s.held[k]; !ok {
-		s.drop(v.Token, failure.Mismatch)
+		s.refuse(v.Token, failure.Mismatch)
 		return
 	}
-	goes := s.op != nil && s.op.Op == "unload" && (s.op.Key == k || s.op.Key == k.Base())
-	if goes || len(s.jobs) >= s.o.Slots+max(2, s.o.Slots/4) {
-		s.drop(v.Token, failure.Busy)
+	unloading := s.current != nil && s.current.Op == "unload" && (s.current.Key == k || s.current.Key == k.Base())
+	if unloading || len(s.jobs) >= s.options.Slots+max(2, s.options.Slots/4) {
+		s.refuse(v.Token, failure.Busy)
 		return
 	}
 	s.tally.Works++
@@ -240,45 +242,45 @@
 		n += len(p)
 	}
 	s.tally.PromptBytes += uint64(n)
-	s.jobs = append(s.jobs, &job{WorkIn: v, key: k, fill: n})
+	s.jobs = append(s.jobs, &job{WorkIn: v, key: k, prefill: n})
 }
 
-// batch is one step: some of the prompts, and one token for all that run.
-func (s *Batch) batch() {
-	fill := s.o.Fill
+// decodeStep runs one decode step: it prefills up to the limit and generates one token for every decoding request.
+func (s *Batch) decodeStep() {
+	fill := s.options.Fill
 	var left []*job
 	for i, j := range s.jobs {
-		if i >= s.o.Slots {
+		if i >= s.options.Slots {
 			left = append(left, j)
 			continue
 		}
-		if n := min(fill, j.fill); j.fill > 0 {
-			j.fill -= n
+		if n := min(fill, j.prefill); j.prefill > 0 {
+			j.prefill -= n
 			fill -= n
-			if j.fill > 0 {
+			if j.prefill > 0 {
 				left = append(left, j)
 				continue
 			}
 		}
-		w := j.Work
-		e := Event{Token: j.Token, N: j.n, Go: w.Go, Server: s.o.ID, Text: Word(w.ID, w.Base, w.Extra, j.n)}
-		if j.n >= w.Max {
-			e.Text, e.Done = "", true
+		work := j.Work
+		event := Event{Token: j.Token, N: j.sent, Go: work.Go, Server: s.options.ID, Text: TokenText(work.ID, work.Base, work.Extra, j.sent)}
+		if j.sent >= work.Max {
+			event.Text, event.Done = "", true
 			s.tally.Done++
 		} else {
 			left = append(left, j)
 		}
-		j.n++
-		s.out = append(s.out, e)
+		j.sent++
+		s.out = append(s.out, event)
 	}
 	s.jobs = left
 }
 
-// Counts gives the tally so far.
+// Counts returns the counters.
 func (s *Batch) Counts() ServerTally { return s.tally }
 
-// Keys lists what the server holds ready.
+// Keys returns the models and adapters that the server holds ready.
 func (s *Batch) Keys() []ident.Key { return generic.SortedKeys(s.held) }
 
-// Active tells how many requests are under way.
+// Active returns the number of requests that wait or run.
 func (s *Batch) Active() int { return len(s.jobs) }
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -19,63 +19,63 @@
 	"tidedeck/internal/ident"
 )
 
-// Ask is one request of a stand-in caller.
+// Request is one request of a stand-in caller.
 type Ask struct {
 	Route string
 	Call  fleetplan.Call
 }
 
-// Mix draws requests from a plan: few keys are asked for often, most now and then.
+// Workload generates random requests for the routes and models of a plan. Few keys are requested often, most of them rarely.
 type Mix struct {
-	Tenants int // whose shared prompt parts differ
-	plan    *fleetplan.Plan
-	asks    []Ask
-	sum     []float64
-	rand    *rand.Rand
-	tag     string
-	n       int
+	Tenants    int // number of tenants with different shared prompt parts
+	plan       *fleetplan.Plan
+	templates  []Ask
+	cumulative []float64
+	rand       *rand.Rand
+	idPrefix   string
+	count      int
 }
 
-// NewMix makes a mix. The same seed draws the same requests.
-func NewMix(p *fleetplan.Plan, seed uint64) *Mix {
-	m := &Mix{plan: p, rand: rand.New(rand.NewPCG(seed, 17)), tag: fmt.Sprintf("c%x", seed)}
+// NewWorkload creates a workload. The same seed gives the same requests.
+func NewMix(plan *fleetplan.Plan, seed uint64) *Mix {
+	mix := &Mix{plan: plan, rand: rand.New(rand.NewPCG(seed, 17)), idPrefix: fmt.Sprintf("c%x", seed)}
 	seen := map[ident.Key]int{}
-	for _, r := range generic.SortedKeys(p.Routes) {
-		for _, k := range generic.SortedKeys(p.Services[p.Routes[r].Service].Keys) {
-			for _, c := range generic.SortedKeys(p.Routes[r].Kinds) {
-				if _, ok := seen[k]; !ok {
-					seen[k] = len(seen)
+	for _, route := range generic.SortedKeys(plan.Routes) {
+		for _, key := range generic.SortedKeys(plan.Services[plan.Routes[route].Service].Keys) {
+			for _, kind := range generic.SortedKeys(plan.Routes[route].Kinds) {
+				if _, ok := seen[key]; !ok {
+					seen[key] = len(seen)
 				}
-				b, x, _ := strings.Cut(string(k), "+")
-				m.asks = append(m.asks, Ask{r, fleetplan.Call{Base: b, Extra: x, Kind: c}})
+				base, extra, _ := strings.Cut(string(key), "+")
+				mix.templates = append(mix.templates, Ask{route, fleetplan.Call{Base: base, Extra: extra, Kind: kind}})
 			}
 		}
 	}
-	all := 0.0
-	for _, a := range m.asks {
-		k := ident.KeyOf(a.Call.Base, a.Call.Extra)
-		w := 1 / float64(1+seen[k])
-		if p.Models[k].Floor > 0 {
-			w *= 8 // what operators keep ready is what is asked for
+	total := 0.0
+	for _, template := range mix.templates {
+		key := ident.KeyOf(template.Call.Base, template.Call.Extra)
+		weight := 1 / float64(1+seen[key])
+		if plan.Models[key].Floor > 0 {
+			weight *= 8 // models with a floor are the most requested ones
 		}
-		w /= float64(1 + p.Kinds[a.Call.Kind].Value)
-		all += w
-		m.sum = append(m.sum, all)
+		weight /= float64(1 + plan.Kinds[template.Call.Kind].Value)
+		total += weight
+		mix.cumulative = append(mix.cumulative, total)
 	}
-	return m
+	return mix
 }
 
-// Next draws a request.
+// Next generates a request.
 func (m *Mix) Next() Ask {
-	f := m.rand.Float64() * m.sum[len(m.sum)-1]
-	i := sort.SearchFloat64s(m.sum, f)
-	return m.Of(m.asks[min(i, len(m.asks)-1)])
+	f := m.rand.Float64() * m.cumulative[len(m.cumulative)-1]
+	i := sort.SearchFloat64s(m.cumulative, f)
+	return m.Of(m.templates[min(i, len(m.templates)-1)])
 }
 
-// Rare draws a request for one of the keys that are asked for least.
+// NextRare generates a request for one of the least requested keys.
 func (m *Mix) Rare() Ask {
 	for range 50 {
-		a := m.asks[m.rand.IntN(len(m.asks))]
+		a := m.templates[m.rand.IntN(len(m.templates))]
 		if m.plan.Models[ident.KeyOf(a.Call.Base, a.Call.Extra)].Floor == 0 {
 			return m.Of(a)
 		}
@@ -83,10 +83,10 @@
 	return m.Next()
 }
 
-// Of fills in a request for the route and model of another.
+// Fill generates a request with the route, model and kind of the given one.
 func (m *Mix) Of(a Ask) Ask {
-	m.n++
-	a.Call.ID = fmt.Sprintf("%s-%d", m.tag, m.n)
+	m.count++
+	a.Call.ID = fmt.Sprintf("%s-%d", m.idPrefix, m.count)
 	t := m.rand.IntN(max(6, m.Tenants))
 	a.Call.Parts = []string{strings.Repeat("system ", 60), strings.Repeat(fmt.Sprintf("tenant-%d ", t), 60)}
 	a.Call.Prompt = strings.Repeat("line ", 4+m.rand.IntN(60))
@@ -95,204 +95,204 @@
 	return a
 }
 
-// Body writes a request as callers send it.
+// Body returns the JSON body of the request.
 func (a Ask) Body() []byte {
-	c := a.Call
-	m := map[string]any{"id": c.ID, "model": c.Base, "kind": c.Kind, "parts": c.Parts, "prompt": c.Prompt, "max_tokens": c.Max, "repeatable": c.Again}
-	if c.Extra != "" {
-		m["adapter"] = c.Extra
+	call := a.Call
+	body := map[string]any{"id": call.ID, "model": call.Base, "kind": call.Kind, "parts": call.Parts, "prompt": call.Prompt, "max_tokens": call.Max, "repeatable": call.Again}
+	if call.Extra != "" {
+		body["adapter"] = call.Extra
 	}
-	if c.Wait != 0 {
-		m["horizon_ms"] = c.Wait.Milliseconds()
+	if call.Wait != 0 {
+		body["horizon_ms"] = call.Wait.Milliseconds()
 	}
-	if c.Repeat {
-		m["repeat"] = true
+	if call.Repeat {
+		body["repeat"] = true
 	}
-	b, _ := json.Marshal(m)
-	return b
+	raw, _ := json.Marshal(body)
+	return raw
 }
 
-// CallReport is what callers saw.
+// CallReport summarizes the results of a run of callers.
 type CallReport struct {
 	Sent, Receipts, Events int
 	Kinds                  map[string]int
-	Wrong                  []string // what must never be seen
+	Wrong                  []string // violations seen in responses
 	Unreached, Reused      int
-	First                  []time.Duration // until the first event
+	First                  []time.Duration // times to the first event
 	Repeats, Backs         int
 	ByRouter               map[string]int
 }
 
-// CallOptions of a run of callers.
+// CallOptions configure a run of callers.
 type CallOptions struct {
 	Routers []string
 	Next    func() Ask
-	Rate    float64 // requests a second
+	Rate    float64 // requests per second
 	Total   int
-	Most    int // under way at once
-	Again   bool
+	Most    int  // maximum number of concurrent requests
+	Again   bool // let some callers repeat a refused request after the time that the router names
 }
 
-// Calls sends requests to routers in turn, checks every answer, and reports.
-func Calls(ctx context.Context, o CallOptions) *CallReport {
-	r := &CallReport{Kinds: map[string]int{}, ByRouter: map[string]int{}}
+// RunCalls sends requests to the routers in turn, checks every response, and returns a report.
+func Calls(ctx context.Context, options CallOptions) *CallReport {
+	report := &CallReport{Kinds: map[string]int{}, ByRouter: map[string]int{}}
 	var mu sync.Mutex // guards the report
-	var all sync.WaitGroup
-	if o.Most == 0 {
-		o.Most = 512
+	var pending sync.WaitGroup
+	if options.Most == 0 {
+		options.Most = 512
 	}
-	slot := make(chan struct{}, o.Most)
-	h := Client()
+	slot := make(chan struct{}, options.Most)
+	client := Client()
 	begin := time.Now()
-	for i := 0; i < o.Total && ctx.Err() == nil; i++ {
-		due := begin.Add(time.Duration(float64(i) / o.Rate * 1e9))
+	for i := 0; i < options.Total && ctx.Err() == nil; i++ {
+		due := begin.Add(time.Duration(float64(i) / options.Rate * 1e9))
 		select {
 		case <-time.After(time.Until(due)):
 		case <-ctx.Done():
 		}
-		a := o.Next()
-		to := o.Routers[i%len(o.Routers)]
+		request := options.Next()
+		router := options.Routers[i%len(options.Routers)]
 		slot <- struct{}{}
-		all.Add(1)
+		pending.Add(1)
 		go func() {
-			defer all.Done()
+			defer pending.Done()
 			defer func() { <-slot }()
-			back := Call(h, to, a, r, &mu)
-			if back > 0 && o.Again && a.Call.Again && i%10 == 0 {
-				// One caller in ten comes back when told to, and says that it does.
-				time.Sleep(back)
-				a.Call.Repeat = true
+			retryAfter := Call(client, router, request, report, &mu)
+			if retryAfter > 0 && options.Again && request.Call.Again && i%10 == 0 {
+				// One caller in ten repeats the request after the time that the router names, and marks it as a repeat.
+				time.Sleep(retryAfter)
+				request.Call.Repeat = true
 				mu.Lock()
-				r.Repeats++
+				report.Repeats++
 				mu.Unlock()
-				Call(h, to, a, r, &mu)
+				Call(client, router, request, report, &mu)
 			}
 		}()
 	}
-	all.Wait()
-	return r
+	pending.Wait()
+	return report
 }
 
-// Client makes the HTTP client of a stand-in caller.
+// Client creates the HTTP client of a stand-in caller.
 func Client() *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: 2 * time.Second}).DialContext}}
 }
 
-// Outcome is what became of one request.
+// Outcome is the result of one request.
 type Outcome struct {
-	Kind   string // empty for an answer
-	Back   time.Duration
-	Events int
-	Reused int
-	First  time.Duration
-	Took   time.Duration
-	Wrong  string
+	Kind     string        // empty for a complete response
+	Back     time.Duration // time after which the router allows a repeat
+	Events   int
+	Reused   int
+	First    time.Duration
+	Duration time.Duration
+	Wrong    string
 }
 
-// Call sends one request, checks its answer to the end, and adds it to a report. It tells
-// when to come back, if the request was dropped.
-func Call(h *http.Client, to string, a Ask, r *CallReport, mu *sync.Mutex) time.Duration {
-	o := One(h, to, a, true)
+// Call sends one request, checks the complete response, and adds the outcome to a report. If the request was dropped, it
+// returns the time after which the router allows a repeat.
+func Call(client *http.Client, router string, request Ask, report *CallReport, mu *sync.Mutex) time.Duration {
+	outcome := One(client, router, request, true)
 	mu.Lock()
 	defer mu.Unlock()
-	r.Sent++
-	r.ByRouter[to]++
-	r.Events += o.Events
-	r.Reused += o.Reused
-	if o.First > 0 {
-		r.First = append(r.First, o.First)
+	report.Sent++
+	report.ByRouter[router]++
+	report.Events += outcome.Events
+	report.Reused += outcome.Reused
+	if outcome.First > 0 {
+		report.First = append(report.First, outcome.First)
 	}
-	if o.Wrong != "" {
-		r.Wrong = append(r.Wrong, a.Call.ID+": "+o.Wrong)
+	if outcome.Wrong != "" {
+		report.Wrong = append(report.Wrong, request.Call.ID+": "+outcome.Wrong)
 	}
-	if o.Kind == "" {
-		r.Receipts++
+	if outcome.Kind == "" {
+		report.Receipts++
 	} else {
-		r.Kinds[o.Kind]++
+		report.Kinds[outcome.Kind]++
 	}
-	if o.Back > 0 {
-		r.Backs++
+	if outcome.Back > 0 {
+		report.Backs++
 	}
-	return o.Back
+	return outcome.Back
 }
 
-// One sends one request and checks its answer to the end; with words, also that every
-// event is what a stand-in server says to this very request.
-func One(h *http.Client, to string, a Ask, words bool) (o Outcome) {
-	at := time.Now()
-	defer func() { o.Took = time.Since(at) }()
-	q, err := http.NewRequest(http.MethodPost, "http://"+to+a.Route, bytes.NewReader(a.Body()))
+// SendOne sends one request and checks the complete response. With words set, it also checks that the text of every event is
+// the one that a stand-in server sends for this request.
+func One(client *http.Client, router string, request Ask, words bool) (outcome Outcome) {
+	begin := time.Now()
+	defer func() { outcome.Duration = time.Since(begin) }()
+	httpRequest, err := http.NewRequest(http.MethodPost, "http://"+router+request.Route, bytes.NewReader(request.Body()))
 	if err != nil {
 		return Outcome{Kind: "unsent", Wrong: err.Error()}
 	}
-	w, err := h.Do(q)
+	response, err := client.Do(httpRequest)
 	if err != nil {
 		return Outcome{Kind: "router unreached"}
 	}
-	defer w.Body.Close()
-	var p struct {
+	defer response.Body.Close()
+	var problem struct {
 		Kind    string `json:"kind"`
 		Dropped bool   `json:"dropped"`
 		BackMs  int64  `json:"retry_after_ms"`
 	}
-	if w.StatusCode != 200 {
-		if json.NewDecoder(w.Body).Decode(&p) != nil || p.Kind == "" {
-			return Outcome{Kind: "no kind", Wrong: fmt.Sprintf("status %d without a kind", w.StatusCode)}
+	if response.StatusCode != 200 {
+		if json.NewDecoder(response.Body).Decode(&problem) != nil || problem.Kind == "" {
+			return Outcome{Kind: "no kind", Wrong: fmt.Sprintf("status %d without a kind", response.StatusCode)}
 		}
-		return Outcome{Kind: p.Kind, Back: time.Duration(p.BackMs) * time.Millisecond}
+		return Outcome{Kind: problem.Kind, Back: time.Duration(problem.BackMs) * time.Millisecond}
 	}
-	in := bufio.NewReader(w.Body)
-	server, run, bad := ident.Server(""), "", false
+	in := bufio.NewReader(response.Body)
+	server, run, failed := ident.Server(""), "", false
 	for {
-		l, err := in.ReadString('\n')
+		line, err := in.ReadString('\n')
 		if err != nil {
-			o.Kind = "router broke off"
-			return o
+			outcome.Kind = "router broke off"
+			return outcome
 		}
-		l = strings.TrimSpace(l)
-		if l == "event: error" {
-			bad = true
+		line = strings.TrimSpace(line)
+		if line == "event: error" {
+			failed = true
 			continue
 		}
-		d, ok := strings.CutPrefix(l, "data: ")
+		data, ok := strings.CutPrefix(line, "data: ")
 		if !ok {
 			continue
 		}
-		if bad {
-			_ = json.Unmarshal([]byte(d), &p)
-			o.Kind = p.Kind
-			return o
+		if failed {
+			_ = json.Unmarshal([]byte(data), &problem)
+			outcome.Kind = problem.Kind
+			return outcome
 		}
-		var e Event
-		if json.Unmarshal([]byte(d), &e) != nil {
-			o.Kind, o.Wrong = "bad event", "an event that is not JSON"
-			return o
+		var event Event
+		if json.Unmarshal([]byte(data), &event) != nil {
+			outcome.Kind, outcome.Wrong = "bad event", "event is not JSON"
+			return outcome
 		}
-		if o.Events == 0 {
-			server, run, o.Reused, o.First = e.Server, e.Go, e.Reused, time.Since(at)
+		if outcome.Events == 0 {
+			server, run, outcome.Reused, outcome.First = event.Server, event.Go, event.Reused, time.Since(begin)
 		}
-		if why := CheckEvent(a, e, o.Events, server, run); why != "" && (words || e.N != o.Events || e.Go != run) {
-			o.Kind, o.Wrong = "wrong event", why
-			return o
+		if why := CheckEvent(request, event, outcome.Events, server, run); why != "" && (words || event.N != outcome.Events || event.Go != run) {
+			outcome.Kind, outcome.Wrong = "wrong event", why
+			return outcome
 		}
-		o.Events++
-		if e.Done {
-			return o
+		outcome.Events++
+		if event.Done {
+			return outcome
 		}
 	}
 }
 
-// CheckEvent tells what is wrong with the n-th event of an answer, if anything.
-func CheckEvent(a Ask, e Event, n int, server ident.Server, run string) string {
-	c := a.Call
+// CheckEvent returns a description of the fault in the n-th event of a response, or an empty string.
+func CheckEvent(request Ask, event Event, n int, server ident.Server, run string) string {
+	call := request.Call
 	switch {
-	case e.N != n:
-		return fmt.Sprintf("event %d came as number %d", e.N, n)
-	case e.Server != server || e.Go != run:
+	case event.N != n:
+		return fmt.Sprintf("event %d came as number %d", event.N, n)
+	case event.Server != server || event.Go != run:
 		return "events of two goes in one answer"
-	case e.Done && n != c.Max:
-		return fmt.Sprintf("ended after %d of %d", n, c.Max)
-	case !e.Done && e.Text != Word(c.ID, c.Base, c.Extra, n):
+	case event.Done && n != call.Max:
+		return fmt.Sprintf("ended after %d of %d", n, call.Max)
+	case !event.Done && event.Text != TokenText(call.ID, call.Base, call.Extra, n):
 		return "an event that belongs to someone else"
 	}
 	return ""
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -18,19 +18,19 @@
 	"tidedeck/internal/protocol"
 )
 
-// ServerSettings of a stand-in model server.
+// ServerSettings are the settings of a stand-in model server.
 type ServerSettings struct {
-	ID     string `help:"This server's name." required:""`
-	Listen string `help:"Where it serves HTTP, ip:port." required:""`
-	Store  string `help:"The weight store's address, ip:port." required:""`
-	Room   int    `help:"Room for weights." default:"80"`
+	ID     string `help:"Name of this server." required:""`
+	Listen string `help:"Listen address for HTTP, ip:port." required:""`
+	Store  string `help:"Address of the weight store, ip:port." required:""`
+	Room   int    `help:"Capacity for weights." default:"80"`
 	Slots  int    `help:"Requests decoded in one batch." default:"16"`
-	StepMs int    `help:"Between two decode steps, in ms." default:"20"`
-	Fill   int    `help:"Prompt bytes that a step can prefill." default:"4000"`
-	Whole  int    `help:"A request not wholly in so long after its connection was accepted is late, in ms." name:"whole-ms" default:"500"`
+	StepMs int    `help:"Interval between two decode steps, in ms." default:"20"`
+	Fill   int    `help:"Prompt bytes prefilled in one decode step." default:"4000"`
+	Whole  int    `help:"Time from accepting a connection to receiving the complete request, in ms; later requests are refused." name:"whole-ms" default:"500"`
 }
 
-// Check names what is wrong with the settings.
+// Check validates the settings.
 func (s *ServerSettings) Check() (f fleetplan.Faults) {
 	f = append(f, host.Addr("listen", s.Listen)...)
 	f = append(f, host.Addr("store", s.Store)...)
@@ -39,65 +39,67 @@
 		val  int
 	}{{"room", s.Room}, {"slots", s.Slots}, {"step-ms", s.StepMs}, {"fill", s.Fill}, {"whole-ms", s.Whole}} {
 		if n.val < 1 || n.val > 1_000_000 {
-			f = append(f, fleetplan.Fault{Path: n.path, Why: "wants a whole number from 1 to 1000000"})
+			f = append(f, fleetplan.Fault{Path: n.path, Why: "must be an integer from 1 to 1000000"})
 		}
 	}
 	return f
 }
 
-// hall joins HTTP requests to a core by tokens.
-type hall struct {
-	mu   sync.Mutex // guards wait, next and dark; taken after the host's
-	next uint64
-	wait map[uint64]chan any
-	c    *host.Process
-	dark chan struct{} // closed while the server is not dark
+// requestTable connects HTTP requests with a core by tokens.
+type requestTable struct {
+	mu         sync.Mutex // guards pending, next and responsive; taken after the host's lock
+	next       uint64
+	pending    map[uint64]chan any
+	process    *host.Process
+	responsive chan struct{} // open while the server is set to be unresponsive, closed otherwise
 }
 
-func (h *hall) open(n int) (uint64, chan any) {
+// register registers a request and returns its token and the channel for its outputs, with a buffer of n.
+func (h *requestTable) register(n int) (uint64, chan any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.next++
 	ch := make(chan any, n)
-	h.wait[h.next] = ch
+	h.pending[h.next] = ch
 	return h.next, ch
 }
 
-func (h *hall) shut(t uint64) {
+func (h *requestTable) unregister(t uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	delete(h.wait, t)
+	delete(h.pending, t)
 }
 
-func (h *hall) act(o any) {
-	t := uint64(0)
-	switch v := o.(type) {
+// dispatch passes an output of the core to the request that it belongs to.
+func (h *requestTable) dispatch(output any) {
+	token := uint64(0)
+	switch v := output.(type) {
 	case OrderOut:
-		t = v.Token
+		token = v.Token
 	case WorkDrop:
-		t = v.Token
+		token = v.Token
 	case Event:
-		t = v.Token
+		token = v.Token
 	case PullOut:
-		t = v.Token
+		token = v.Token
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if ch := h.wait[t]; ch != nil {
+	if ch := h.pending[token]; ch != nil {
 		select {
-		case ch <- o:
-		default: // a reader this far behind is cut off
+		case ch <- output:
+		default: // disconnect a reader that is this far behind
 			close(ch)
-			delete(h.wait, t)
+			delete(h.pending, token)
 		}
 	}
 }
 
-// lit waits while the server is dark.
-func (h *hall) lit(next http.Handler) http.Handler {
+// whileResponsive holds requests while the server is set to be unresponsive.
+func (h *requestTable) whileResponsive(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h.mu.Lock()
-		d := h.dark
+		d := h.responsive
 		h.mu.Unlock()
 		select {
 		case <-d:
@@ -107,92 +109,97 @@
 	})
 }
 
-// swap is a core that can be exchanged for one that restarted empty.
-type swap struct{ s *Server }
+// replaceableCore is a core that can be replaced with a freshly started, empty one.
+type replaceableCore struct{ server *Server }
 
-// Step hands the input to the core in place.
-func (c *swap) Step(now clock.Tick, in any) []any { return c.s.Step(now, in) }
+// Step passes the input to the current core.
+func (c *replaceableCore) Step(now clock.Tick, in any) []any { return c.server.Step(now, in) }
 
-// ServerMain runs a stand-in model server until it is told to stop.
-func ServerMain(s ServerSettings) error {
-	ring := host.NewRing(s.ID, os.Stderr)
-	born := func() *Server {
-		return NewServer(ServerOptions{ID: ident.Server(s.ID), Inc: host.NewInc(), Room: s.Room, Slots: s.Slots, Store: s.Store,
-			Step: clock.Span(s.StepMs) * 1e6, Fill: s.Fill, Whole: clock.Span(s.Whole) * 1e6})
+// ServerMain runs a stand-in model server until the process receives a stop signal.
+func ServerMain(settings ServerSettings) error {
+	ring := host.NewRing(settings.ID, os.Stderr)
+	newCore := func() *Server {
+		return NewServer(ServerOptions{ID: ident.Server(settings.ID), Inc: host.NewInc(), Room: settings.Room, Slots: settings.Slots, Store: settings.Store,
+			Step: clock.Span(settings.StepMs) * 1e6, Fill: settings.Fill, Whole: clock.Span(settings.Whole) * 1e6})
 	}
-	core := &swap{born()}
-	h := &hall{wait: map[uint64]chan any{}, dark: make(chan struct{})}
-	close(h.dark)
-	h.c = host.New(host.Options{Core: core, Beat: 5 * time.Millisecond, Ring: ring, Else: h.act})
-	if err := h.c.Run(); err != nil {
+	core := &replaceableCore{newCore()}
+	requests := &requestTable{pending: map[uint64]chan any{}, responsive: make(chan struct{})}
+	close(requests.responsive)
+	requests.process = host.New(host.Options{Core: core, Beat: 5 * time.Millisecond, Ring: ring, Else: requests.dispatch})
+	if err := requests.process.Run(); err != nil {
 		return err
 	}
-	defer h.c.Stop()
-	m := flow.New()
-	m.Group(func(m *flow.Mux) {
-		m.Use(h.lit)
-		m.HandleFunc("/orders", func(w http.ResponseWriter, r *http.Request) {
+	defer requests.process.Stop()
+	mux := flow.New()
+	mux.Group(func(mux *flow.Mux) {
+		mux.Use(requests.whileResponsive)
+		mux.HandleFunc("/orders", func(w http.ResponseWriter, r *http.Request) {
 			var o protocol.Order
-			if !readInto(w, r, &o) {
+			if !decodeBody(w, r, &o) {
 				return
 			}
-			t, ch := h.open(1)
-			defer h.shut(t)
-			h.c.Step(OrderIn{t, o})
+			t, ch := requests.register(1)
+			defer requests.unregister(t)
+			requests.process.Step(OrderIn{t, o})
 			host.JSON(w, 200, (<-ch).(OrderOut).Report)
 		}, http.MethodPost)
-		m.HandleFunc("/generate", h.generate, http.MethodPost)
+		mux.HandleFunc("/generate", requests.generate, http.MethodPost)
 	})
-	m.HandleFunc("/count", func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("/count", func(w http.ResponseWriter, r *http.Request) {
 		var t ServerTally
-		var n, u int
-		h.c.With(func(clock.Tick) { t, n, u = core.s.Counts(), core.s.Active(), core.s.Used() })
-		host.JSON(w, 200, map[string]any{"tally": t, "active": n, "used": u, "room": s.Room})
+		var active, used int
+		requests.process.With(func(clock.Tick) { t, active, used = core.server.Counts(), core.server.Active(), core.server.Used() })
+		host.JSON(w, 200, map[string]any{"tally": t, "active": active, "used": used, "room": settings.Room})
 	}, http.MethodGet)
-	m.HandleFunc("/fault/:kind", func(w http.ResponseWriter, r *http.Request) {
-		f := faults[r.PathValue("kind")]
-		if f == nil {
+	mux.HandleFunc("/fault/:kind", func(w http.ResponseWriter, r *http.Request) {
+		inject := injectors[r.PathValue("kind")]
+		if inject == nil {
 			host.Error(w, failure.Unknown, 0, nil)
 			return
 		}
-		f(h, core, born)
+		inject(requests, core, newCore)
 		host.JSON(w, 200, map[string]bool{"done": true})
 	}, http.MethodPost)
-	return host.Web(s.Listen, m, ring, nil, 10*time.Minute)
+	return host.Web(settings.Listen, mux, ring, nil, 10*time.Minute)
 }
 
-// The ways a server can be made to fail.
-var faults = map[string]func(h *hall, c *swap, born func() *Server){
-	"crash": func(*hall, *swap, func() *Server) { os.Exit(1) },
-	"dark": func(h *hall, _ *swap, _ func() *Server) {
+// injectors maps the kinds of injected faults to their effects.
+var injectors = map[string]func(h *requestTable, c *replaceableCore, newCore func() *Server){
+	"crash": func(*requestTable, *replaceableCore, func() *Server) { os.Exit(1) },
+	"dark": func(h *requestTable, _ *replaceableCore, _ func() *Server) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.dark = make(chan struct{})
+		h.responsive = make(chan struct{})
 	},
-	"light": func(h *hall, _ *swap, _ func() *Server) {
+	"light": func(h *requestTable, _ *replaceableCore, _ func() *Server) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		select {
-		case <-h.dark:
+		case <-h.responsive:
 		default:
-			close(h.dark)
+			close(h.responsive)
 		}
 	},
-	"empty": func(h *hall, c *swap, born func() *Server) {
-		h.c.With(func(clock.Tick) { c.s = born() })
-		h.c.Forget()
+	"empty": func(h *requestTable, c *replaceableCore, newCore func() *Server) {
+		h.process.With(func(clock.Tick) { c.server = newCore() })
+		h.process.Forget()
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		for t, ch := range h.wait {
+		for t, ch := range h.pending {
 			close(ch)
-			delete(h.wait, t)
+			delete(h.pending, t)
 		}
 	},
-	"slow": func(h *hall, c *swap, _ func() *Server) { h.c.With(func(clock.Tick) { c.s.Slow(9) }) },
-	"fast": func(h *hall, c *swap, _ func() *Server) { h.c.With(func(clock.Tick) { c.s.Slow(0) }) },
+	"slow": func(h *requestTable, c *replaceableCore, _ func() *Server) {
+		h.process.With(func(clock.Tick) { c.server.Slow(9) })
+	},
+	"fast": func(h *requestTable, c *replaceableCore, _ func() *Server) {
+		h.process.With(func(clock.Tick) { c.server.Slow(0) })
+	},
 }
 
-func readInto(w http.ResponseWriter, r *http.Request, v any) bool {
+// decodeBody decodes the JSON body of a request. It sends an error response and returns false if the body is malformed.
+func decodeBody(w http.ResponseWriter, r *http.Request, v any) bool {
 	b, ok := host.Body(w, r, 8<<20)
 	if !ok {
 		return false
@@ -204,42 +211,43 @@
 	return true
 }
 
-func (h *hall) generate(w http.ResponseWriter, r *http.Request) {
-	var q protocol.Work
-	at := host.Born(r)
-	if !readInto(w, r, &q) {
+// generate streams the events of a request.
+func (h *requestTable) generate(w http.ResponseWriter, r *http.Request) {
+	var work protocol.Work
+	accepted := host.Born(r)
+	if !decodeBody(w, r, &work) {
 		return
 	}
-	t, ch := h.open(1024)
-	defer h.shut(t)
-	h.c.Step(WorkIn{t, q, at})
-	f, _ := w.(http.Flusher)
-	open := false
+	token, outputs := h.register(1024)
+	defer h.unregister(token)
+	h.process.Step(WorkIn{token, work, accepted})
+	flusher, _ := w.(http.Flusher)
+	started := false
 	for {
 		select {
 		case <-r.Context().Done():
-			h.c.Step(WorkQuit{t})
+			h.process.Step(WorkQuit{token})
 			return
-		case o, ok := <-ch:
+		case o, ok := <-outputs:
 			if !ok {
-				panic(http.ErrAbortHandler) // the life that ran it is over
+				panic(http.ErrAbortHandler) // the incarnation that executed the request has ended
 			}
 			switch v := o.(type) {
 			case WorkDrop:
 				host.Error(w, v.Kind, 0, nil)
 				return
 			case Event:
-				if !open {
-					open = true
+				if !started {
+					started = true
 					w.Header().Set("Content-Type", "text/event-stream")
 				}
 				b, _ := json.Marshal(v)
 				if _, err := fmt.Fprintf(w, "data: %s\n\n", b); err != nil {
-					h.c.Step(WorkQuit{t})
+					h.process.Step(WorkQuit{token})
 					return
 				}
-				if f != nil {
-					f.Flush()
+				if flusher != nil {
+					flusher.Flush()
 				}
 				if v.Done {
 					return
@@ -249,117 +257,118 @@
 	}
 }
 
-// StoreSettings of a stand-in weight store.
+// StoreSettings are the settings of a stand-in weight store.
 type StoreSettings struct {
-	Listen string `help:"Where it serves HTTP, ip:port." required:""`
-	Rate   int    `help:"Size that it moves in a second, shared by all who pull." default:"60"`
-	Bear   int    `help:"Pulls that it bears at once." default:"3"`
+	Listen string `help:"Listen address for HTTP, ip:port." required:""`
+	Rate   int    `help:"Size transferred per second, shared by all pulls." default:"60"`
+	Bear   int    `help:"Maximum number of concurrent pulls." default:"3"`
 }
 
-// Check names what is wrong with the settings.
+// Check validates the settings.
 func (s *StoreSettings) Check() fleetplan.Faults { return host.Addr("listen", s.Listen) }
 
-// StoreMain runs a weight store until it is told to stop.
-func StoreMain(s StoreSettings) error {
+// StoreMain runs a weight store until the process receives a stop signal.
+func StoreMain(settings StoreSettings) error {
 	ring := host.NewRing("store", os.Stderr)
-	core := NewStore(float64(s.Rate), s.Bear)
-	h := &hall{wait: map[uint64]chan any{}}
-	h.c = host.New(host.Options{Core: core, Beat: 10 * time.Millisecond, Ring: ring, Else: h.act})
-	if err := h.c.Run(); err != nil {
+	core := NewStore(float64(settings.Rate), settings.Bear)
+	requests := &requestTable{pending: map[uint64]chan any{}}
+	requests.process = host.New(host.Options{Core: core, Beat: 10 * time.Millisecond, Ring: ring, Else: requests.dispatch})
+	if err := requests.process.Run(); err != nil {
 		return err
 	}
-	defer h.c.Stop()
-	m := flow.New()
-	m.HandleFunc("/pull", func(w http.ResponseWriter, r *http.Request) {
+	defer requests.process.Stop()
+	mux := flow.New()
+	mux.HandleFunc("/pull", func(w http.ResponseWriter, r *http.Request) {
 		var p Pull
-		if !readInto(w, r, &p) {
+		if !decodeBody(w, r, &p) {
 			return
 		}
-		t, ch := h.open(1)
-		defer h.shut(t)
-		h.c.Step(PullIn{t, p})
+		t, ch := requests.register(1)
+		defer requests.unregister(t)
+		requests.process.Step(PullIn{t, p})
 		select {
 		case <-ch:
 			host.JSON(w, 200, map[string]bool{"done": true})
 		case <-r.Context().Done():
-			h.c.Step(PullQuit{t})
+			requests.process.Step(PullQuit{t})
 		}
 	}, http.MethodPost)
-	m.HandleFunc("/count", func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("/count", func(w http.ResponseWriter, r *http.Request) {
 		var t StoreTally
-		h.c.With(func(clock.Tick) { t = core.Counts() })
+		requests.process.With(func(clock.Tick) { t = core.Counts() })
 		host.JSON(w, 200, t)
 	}, http.MethodGet)
-	return host.Web(s.Listen, m, ring, nil, 10*time.Second)
+	return host.Web(settings.Listen, mux, ring, nil, 10*time.Second)
 }
 
-// PlatformSettings of a stand-in platform.
+// PlatformSettings are the settings of a stand-in platform.
 type PlatformSettings struct {
-	Listen  string   `help:"Where it serves HTTP, ip:port." required:""`
+	Listen  string   `help:"Listen address for HTTP, ip:port." required:""`
 	Servers []string `help:"Servers to list, id=ip:port=zone."`
 }
 
-// Check names what is wrong with the settings.
+// Check validates the settings.
 func (s *PlatformSettings) Check() (f fleetplan.Faults) {
 	f = host.Addr("listen", s.Listen)
 	for i, x := range s.Servers {
-		if _, ok := listedOf(x); !ok {
-			f = append(f, fleetplan.Fault{Path: fmt.Sprintf("servers[%d]", i), Why: "wants id=ip:port=zone"})
+		if _, ok := parseListed(x); !ok {
+			f = append(f, fleetplan.Fault{Path: fmt.Sprintf("servers[%d]", i), Why: "must have the form id=ip:port=zone"})
 		}
 	}
 	return f
 }
 
-func listedOf(s string) (protocol.Listed, bool) {
-	var a [3]string
-	n := 0
+// parseListed parses a server of the form id=ip:port=zone.
+func parseListed(s string) (protocol.Listed, bool) {
+	var fields [3]string
+	index := 0
 	for _, r := range s {
-		if r == '=' && n < 2 {
-			n++
+		if r == '=' && index < 2 {
+			index++
 			continue
 		}
-		a[n] += string(r)
+		fields[index] += string(r)
 	}
-	x := protocol.Listed{ID: ident.Server(a[0]), Addr: a[1], Zone: ident.Zone(a[2]), State: "live"}
-	return x, a[0] != "" && a[2] != "" && host.Addr("", a[1]) == nil
+	server := protocol.Listed{ID: ident.Server(fields[0]), Addr: fields[1], Zone: ident.Zone(fields[2]), State: "live"}
+	return server, fields[0] != "" && fields[2] != "" && host.Addr("", fields[1]) == nil
 }
 
-// PlatformMain runs a platform until it is told to stop.
-func PlatformMain(s PlatformSettings) error {
+// PlatformMain runs a platform until the process receives a stop signal.
+func PlatformMain(settings PlatformSettings) error {
 	ring := host.NewRing("platform", os.Stderr)
-	p := NewPlatform()
-	for _, x := range s.Servers {
-		l, _ := listedOf(x)
-		p.Set(l)
+	platform := NewPlatform()
+	for _, entry := range settings.Servers {
+		server, _ := parseListed(entry)
+		platform.Set(server)
 	}
 	var mu sync.Mutex
-	m := flow.New()
-	m.HandleFunc("/servers", func(w http.ResponseWriter, r *http.Request) {
+	mux := flow.New()
+	mux.HandleFunc("/servers", func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
-		l := p.List()
+		servers := platform.List()
 		mu.Unlock()
-		host.JSON(w, 200, l)
+		host.JSON(w, 200, servers)
 	}, http.MethodGet)
-	m.HandleFunc("/servers", func(w http.ResponseWriter, r *http.Request) {
-		var x protocol.Listed
-		if !readInto(w, r, &x) {
+	mux.HandleFunc("/servers", func(w http.ResponseWriter, r *http.Request) {
+		var server protocol.Listed
+		if !decodeBody(w, r, &server) {
 			return
 		}
 		mu.Lock()
-		p.Set(x)
+		platform.Set(server)
 		mu.Unlock()
-		host.JSON(w, 200, x)
+		host.JSON(w, 200, server)
 	}, http.MethodPost)
-	m.HandleFunc("/servers/:id/:state", func(w http.ResponseWriter, r *http.Request) {
-		st := r.PathValue("state")
+	mux.HandleFunc("/servers/:id/:state", func(w http.ResponseWriter, r *http.Request) {
+		state := r.PathValue("state")
 		mu.Lock()
-		ok := map[string]bool{"live": true, "leaving": true, "gone": true}[st] && p.Mark(ident.Server(r.PathValue("id")), st)
+		ok := map[string]bool{"live": true, "leaving": true, "gone": true}[state] && platform.Mark(ident.Server(r.PathValue("id")), state)
 		mu.Unlock()
 		if !ok {
 			host.Error(w, failure.Unknown, 0, nil)
 			return
 		}
-		host.JSON(w, 200, map[string]string{"state": st})
+		host.JSON(w, 200, map[string]string{"state": state})
 	}, http.MethodPost)
-	return host.Web(s.Listen, m, ring, nil, 5*time.Second)
+	return host.Web(settings.Listen, mux, ring, nil, 5*time.Second)
 }
