--- a/internal/agent/contact.go
+++ b/internal/agent/contact.go
@@ -5,88 +5,93 @@
 	"tidedeck/internal/protocol"
 )
 
-// A router that hears no owner may be cut off from the core, and may then go on by what it knew. It must not take for
-// that that it is late itself, that the owner is, or that there is none: it asks every core node before it says so.
+// A router without contact to a leader may be cut off from the core, and may then continue with its last
+// configuration. It must not infer this from its own delay, a slow leader, or the absence of a leader, so the agent
+// queries every core node before it reports the machine as cut off.
 
 const (
-	// sweepAfter is a silence of the core after which every core node is asked at once.
-	sweepAfter = clock.Span(600e6)
-	// partedAfter is a silence of the core after which this machine counts as cut off, if it has asked them all.
+	// queryAllAfter is the time without an answer from the core after which every core node is queried at once.
+	queryAllAfter = clock.Span(600e6)
+	// partedAfter is the time without an answer from the core after which this machine is considered cut off,
+	// provided that every core node was queried.
 	partedAfter = clock.Span(1300e6)
-	// answerWait is how long a core node has to answer such a question.
-	answerWait = clock.Span(600e6)
+	// queryTimeout is how long a core node has to answer such a query.
+	queryTimeout = clock.Span(600e6)
 )
 
-// contact is what is known of whether the core can be reached, whoever owns the duty. Only the word of a core node that
-// hears a majority counts: another is cut off itself.
-type contact struct {
-	heard  clock.Tick // when such a node last answered
-	waits  bool       // a renewal was sent since then
-	swept  clock.Tick // when every core node was last asked at once, since then
-	parted bool
-	// unvouched counts, since such a node last answered, the answers of nodes that could not tell what is the newest.
-	unvouched int
+// coreContact tracks whether the core is reachable, independent of the current leader. Only answers from a core node
+// in contact with a majority count; a node without a majority is cut off itself.
+type coreContact struct {
+	lastAnswer     clock.Tick // when such a node last answered
+	awaitingAnswer bool       // a renewal was sent since lastAnswer
+	lastQueryAll   clock.Tick // when every core node was last queried at once, since lastAnswer
+	parted         bool
+	// inconclusive counts the answers since lastAnswer of nodes that could not determine the newest configuration.
+	inconclusive int
 }
 
-func (k *contact) hear(now clock.Tick) { k.heard, k.waits, k.swept, k.unvouched = now, false, 0, 0 }
+func (k *coreContact) noteAnswer(now clock.Tick) {
+	k.lastAnswer, k.awaitingAnswer, k.lastQueryAll, k.inconclusive = now, false, 0, 0
+}
 
-func (k *contact) asked(now clock.Tick) {
-	k.waits = true
-	if k.heard == 0 {
-		k.heard = now // silence begins with the first question
+func (k *coreContact) noteRequest(now clock.Tick) {
+	k.awaitingAnswer = true
+	if k.lastAnswer == 0 {
+		k.lastAnswer = now // measure from the first request
 	}
 }
 
-// doubt forgets a question whose answers may wait to be read.
-func (k *contact) doubt() { k.swept = 0 }
+// discardQuery discards a query whose answers may still be unread.
+func (k *coreContact) discardQuery() { k.lastQueryAll = 0 }
 
-// due tells whether every core node should be asked now. A machine that counts as cut off asks twice as often: once the
-// core can take changes again it must hear of it long before they have to be in force.
-func (k *contact) due(now clock.Tick) bool {
-	again := 2 * answerWait
+// queryDue reports whether every core node should be queried now. A machine that is cut off queries twice as often,
+// because it has to learn that the core accepts changes again well before such changes take effect.
+func (k *coreContact) queryDue(now clock.Tick) bool {
+	again := 2 * queryTimeout
 	if k.parted {
-		again = answerWait
+		again = queryTimeout
 	}
-	return k.waits && now.Sub(k.heard) > sweepAfter && (k.swept == 0 || now.Sub(k.swept) > again)
+	return k.awaitingAnswer && now.Sub(k.lastAnswer) > queryAllAfter && (k.lastQueryAll == 0 || now.Sub(k.lastQueryAll) > again)
 }
 
-// silent tells whether every core node was asked, had time to answer, and none did.
-func (k *contact) silent(now clock.Tick) bool {
-	return k.swept != 0 && now.Sub(k.swept) > answerWait && now.Sub(k.heard) > partedAfter
+// timedOut reports whether every core node was queried and had time to answer, and none did.
+func (k *coreContact) timedOut(now clock.Tick) bool {
+	return k.lastQueryAll != 0 && now.Sub(k.lastQueryAll) > queryTimeout && now.Sub(k.lastAnswer) > partedAfter
 }
 
-// hearCore notes that a core node is heard.
-func (c *Core) hearCore() {
-	c.contact.hear(c.now)
+// noteCoreAnswer records an answer from a core node.
+func (c *Core) noteCoreAnswer() {
+	c.contact.noteAnswer(c.now)
 	if c.contact.parted {
 		c.setParted(false)
 	}
 }
 
-// watchContact asks every core node after a while of silence, and finds this machine cut off after a longer one.
-func (c *Core) watchContact() {
-	if c.contact.due(c.now) {
-		c.sweep()
+// checkContact queries every core node after a period without answers, and marks this machine as cut off after a
+// longer one.
+func (c *Core) checkContact() {
+	if c.contact.queryDue(c.now) {
+		c.queryAllCoreNodes()
 	}
-	if !c.contact.parted && c.contact.silent(c.now) {
+	if !c.contact.parted && c.contact.timedOut(c.now) {
 		c.setParted(true)
 	}
 }
 
 func (c *Core) setParted(parted bool) {
 	c.contact.parted = parted
-	c.note("cut off from the core", protocol.Field{Name: "parted", Value: parted}, protocol.Field{Name: "way", Value: c.way.to.Addr}, protocol.Field{Name: "via", Value: c.way.via.ID},
-		protocol.Field{Name: "epoch", Value: c.epoch}, protocol.Field{Name: "unvouched_answers", Value: c.contact.unvouched}, protocol.Field{Name: "silent_ms", Value: c.now.Sub(c.contact.heard).Milliseconds()})
-	c.tell()
+	c.logEvent("contact with the core changed", protocol.Field{Name: "parted", Value: parted}, protocol.Field{Name: "way", Value: c.path.to.Addr}, protocol.Field{Name: "via", Value: c.path.via.ID},
+		protocol.Field{Name: "epoch", Value: c.epoch}, protocol.Field{Name: "unvouched_answers", Value: c.contact.inconclusive}, protocol.Field{Name: "silent_ms", Value: c.now.Sub(c.contact.lastAnswer).Milliseconds()})
+	c.sendHold()
 }
 
-// sweep asks every core node at once.
-func (c *Core) sweep() {
-	c.contact.swept = c.now
+// queryAllCoreNodes sends a renewal to every core node at once.
+func (c *Core) queryAllCoreNodes() {
+	c.contact.lastQueryAll = c.now
 	c.tally.Sweeps++
-	question := c.renewal()
-	question.Burden = underWay(c.burden) // what came is told once, in a renewal
-	for _, to := range c.coreNodes() {
-		c.post(protocol.Env{From: c.o.Me, To: to, Body: question})
+	query := c.renewal()
+	query.Burden = outstanding(c.burden) // arrival counts are reported once, in a regular renewal
+	for _, node := range c.coreNodes() {
+		c.send(protocol.Env{From: c.o.Me, To: node, Body: query})
 	}
 }
--- a/internal/agent/contact_test.go
+++ b/internal/agent/contact_test.go
@@ -9,55 +9,56 @@
 	"tidedeck/internal/protocol"
 )
 
-// hold gives the last word to the router.
-func (r *rig) hold() protocol.Hold {
-	h, _, _ := last[protocol.Hold](r)
+// lastHold returns the last hold sent to the router.
+func (r *harness) lastHold() protocol.Hold {
+	h, _, _ := lastSent[protocol.Hold](r)
 	return h
 }
 
-// A machine counts as cut off only once every core node was asked and none that hears a majority answered.
+// A machine is considered cut off only after every core node was queried and none in contact with a majority
+// answered.
 func TestCutOff(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		answer func(r *rig, n protocol.Renew) // of a2, to whatever it is asked
+		answer func(r *harness, n protocol.Renew) // a2's answer to each renewal
 		parted bool
 	}{
-		{"nobody answers", func(*rig, protocol.Renew) {}, true},
-		{"an owner grants", func(r *rig, n protocol.Renew) {
-			r.give(core("a2"), protocol.Grant{Session: n.Session, Seq: n.Seq, Len: 1e9, Duty: 1})
+		{"no answer", func(*harness, protocol.Renew) {}, true},
+		{"leader grants", func(r *harness, n protocol.Renew) {
+			r.deliver(sibling("a2"), protocol.Grant{Session: n.Session, Seq: n.Seq, Len: 1e9, Duty: 1})
 		}, false},
-		{"an owner waits for it", func(r *rig, n protocol.Renew) {
-			r.give(core("a2"), protocol.Grant{Session: n.Session, Seq: n.Seq, Duty: 1})
+		{"leader withholds the lease until an acknowledgement", func(r *harness, n protocol.Renew) {
+			r.deliver(sibling("a2"), protocol.Grant{Session: n.Session, Seq: n.Seq, Duty: 1})
 		}, false},
-		{"a node that hears a majority", func(r *rig, n protocol.Renew) {
-			r.give(core("a2"), protocol.NotOwner{Session: n.Session, Seq: n.Seq, Gen: 1, Epoch: 9, Fresh: 1e9})
+		{"node in contact with a majority", func(r *harness, n protocol.Renew) {
+			r.deliver(sibling("a2"), protocol.NotOwner{Session: n.Session, Seq: n.Seq, Gen: 1, Epoch: 9, Fresh: 1e9})
 		}, false},
-		{"a node that hears a majority and cannot tell what is the newest", func(r *rig, n protocol.Renew) {
-			r.give(core("a2"), protocol.NotOwner{Session: n.Session, Seq: n.Seq, Gen: 1, Epoch: 9, Majority: true})
+		{"node in contact with a majority, newest configuration undetermined", func(r *harness, n protocol.Renew) {
+			r.deliver(sibling("a2"), protocol.NotOwner{Session: n.Session, Seq: n.Seq, Gen: 1, Epoch: 9, Majority: true})
 		}, false},
-		{"a node that is cut off itself", func(r *rig, n protocol.Renew) {
-			r.give(core("a2"), protocol.NotOwner{Session: n.Session, Seq: n.Seq, Gen: 1, Epoch: 9})
+		{"node without a majority", func(r *harness, n protocol.Renew) {
+			r.deliver(sibling("a2"), protocol.NotOwner{Session: n.Session, Seq: n.Seq, Gen: 1, Epoch: 9})
 		}, true},
-		{"an owner that has forgotten it", func(r *rig, n protocol.Renew) {
-			r.give(core("a2"), protocol.NotOwner{Session: n.Session, Gone: true})
+		{"leader without this session", func(r *harness, n protocol.Renew) {
+			r.deliver(sibling("a2"), protocol.NotOwner{Session: n.Session, Gone: true})
 		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := set()
-			r.pass(200e6)
-			was := r.at
+			r := newHarness()
+			r.advance(200e6)
+			was := r.clock
 			parted := false
-			for r.at < was.Add(4e9) {
-				r.out = nil
-				r.pass(20e6)
-				for _, e := range append([]protocol.Env{}, r.out...) {
+			for r.clock < was.Add(4e9) {
+				r.sent = nil
+				r.advance(20e6)
+				for _, e := range append([]protocol.Env{}, r.sent...) {
 					if n, ok := e.Body.(protocol.Renew); ok && e.To.Addr == "a2" {
 						c.answer(r, n)
 					}
 				}
-				parted = parted || r.hold().Parted
-				if r.at < was.Add(partedAfter-250e6) {
-					require.False(t, parted, "so soon")
+				parted = parted || r.lastHold().Parted
+				if r.clock < was.Add(partedAfter-250e6) {
+					require.False(t, parted, "reported as cut off too early")
 				}
 			}
 			require.Equal(t, c.parted, parted)
@@ -65,101 +66,102 @@
 	}
 }
 
-// After a stop of its own process an agent asks anew: answers may wait to be read.
+// After a stall of its own process, an agent queries again, because answers may still be unread.
 func TestStallIsNotSilence(t *testing.T) {
-	r := set()
-	r.pass(20e6)
-	r.give(core("a1"), protocol.Grant{Session: r.Session(), Seq: r.seq, Len: 1400e6, Duty: 1})
-	r.pass(sweepAfter + 500e6)
-	require.NotZero(t, r.contact.swept)
-	r.at = r.at.Add(3e9) // it stands still
-	r.out = nil
-	r.pass(answerWait - 100e6)
-	require.False(t, r.hold().Parted)
-	r.pass(300e6)
-	require.True(t, r.hold().Parted)
+	r := newHarness()
+	r.advance(20e6)
+	r.deliver(sibling("a1"), protocol.Grant{Session: r.Session(), Seq: r.seq, Len: 1400e6, Duty: 1})
+	r.advance(queryAllAfter + 500e6)
+	require.NotZero(t, r.contact.lastQueryAll)
+	r.clock = r.clock.Add(3e9) // the process stalls
+	r.sent = nil
+	r.advance(queryTimeout - 100e6)
+	require.False(t, r.lastHold().Parted)
+	r.advance(300e6)
+	require.True(t, r.lastHold().Parted)
 }
 
-// A core node's word for the configuration counts from when it was asked, for a router that has that configuration.
+// A core node's confirmation of the configuration counts from the time of the request, and only for a router that has
+// that configuration.
 func TestVouched(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		answer protocol.NotOwner
 		counts bool
 	}{
-		{"it has it", protocol.NotOwner{Gen: 0, Epoch: 2, Fresh: 900e6}, true},
-		{"it has a newer one", protocol.NotOwner{Gen: 0, Epoch: 1, Fresh: 900e6}, true},
-		{"it has an older one", protocol.NotOwner{Gen: 0, Epoch: 3, Fresh: 900e6}, false},
-		{"the core formed anew", protocol.NotOwner{Gen: 1, Epoch: 1, Fresh: 900e6}, false},
-		{"the node heard no majority", protocol.NotOwner{Gen: 0, Epoch: 2}, false},
+		{"node has the same configuration", protocol.NotOwner{Gen: 0, Epoch: 2, Fresh: 900e6}, true},
+		{"node has an older configuration", protocol.NotOwner{Gen: 0, Epoch: 1, Fresh: 900e6}, true},
+		{"node has a newer configuration", protocol.NotOwner{Gen: 0, Epoch: 3, Fresh: 900e6}, false},
+		{"core was formed anew", protocol.NotOwner{Gen: 1, Epoch: 1, Fresh: 900e6}, false},
+		{"node without a majority", protocol.NotOwner{Gen: 0, Epoch: 2}, false},
 	} {
-		r := set()
-		n, _, _ := last[protocol.Renew](r)
-		asked := r.at
-		r.at = r.at.Add(200e6)
-		r.out = nil
+		r := newHarness()
+		n, _, _ := lastSent[protocol.Renew](r)
+		asked := r.clock
+		r.clock = r.clock.Add(200e6)
+		r.sent = nil
 		c.answer.Session, c.answer.Seq, c.answer.Leaving = n.Session, n.Seq, nil
-		r.give(core("a2"), c.answer)
+		r.deliver(sibling("a2"), c.answer)
 		if !c.counts {
-			require.Zero(t, r.hold().Current, c.name)
+			require.Zero(t, r.lastHold().Current, c.name)
 			continue
 		}
-		require.Equal(t, asked.Add(clock.Span(900e6)), r.hold().Current, c.name)
+		require.Equal(t, asked.Add(clock.Span(900e6)), r.lastHold().Current, c.name)
 		c.answer.Seq += 5
 		c.answer.Fresh = 9e9
-		r.give(core("a2"), c.answer)
-		require.Equal(t, asked.Add(clock.Span(900e6)), r.hold().Current, "what it never asked")
-		r.give(core("router"), protocol.Hello{Router: 8, Epoch: 1})
-		require.Zero(t, r.hold().Current, "another router has another configuration")
+		r.deliver(sibling("a2"), c.answer)
+		require.Equal(t, asked.Add(clock.Span(900e6)), r.lastHold().Current, "answer to a request that was never sent")
+		r.deliver(sibling("router"), protocol.Hello{Router: 8, Epoch: 1})
+		require.Zero(t, r.lastHold().Current, "a restarted router has another configuration")
 	}
 }
 
-// A configuration that comes too late for its session is taken in all the same.
+// A configuration that arrives after its session has ended is still delivered.
 func TestLateConfiguration(t *testing.T) {
-	r := set()
+	r := newHarness()
 	was := r.Session()
-	r.pass(20e6)
-	r.give(core("a1"), protocol.NotOwner{Session: was, Gone: true})
+	r.advance(20e6)
+	r.deliver(sibling("a1"), protocol.NotOwner{Session: was, Gone: true})
 	require.NotEqual(t, was, r.Session())
-	r.out = nil
+	r.sent = nil
 	d := &protocol.Desired{Epoch: 5}
-	r.give(core("a1"), protocol.News{Session: was, Duty: 1, Items: []protocol.Item{{Num: 1, Break: "m"}, {Num: 2, Desired: d}}})
-	n, e, ok := last[protocol.News](r)
+	r.deliver(sibling("a1"), protocol.News{Session: was, Duty: 1, Items: []protocol.Item{{Num: 1, Break: "m"}, {Num: 2, Desired: d}}})
+	n, e, ok := lastSent[protocol.News](r)
 	require.True(t, ok)
 	require.Equal(t, "router", e.To.Addr)
-	require.Equal(t, protocol.News{Items: []protocol.Item{{Desired: d}}}, n, "and nothing else of that session")
+	require.Equal(t, protocol.News{Items: []protocol.Item{{Desired: d}}}, n, "no other update of that session is delivered")
 }
 
-// What the router asks for is passed on only once an owner has answered in its session: before, an owner would answer that
-// it does not know the session, the next one would begin with the same question, and so on as fast as messages travel.
-// Found on a day on which the owner was killed: 772 sessions of one router in half a second.
+// An agent forwards the router's requests only after a leader has answered in the current session. Otherwise the
+// leader reports the session as unknown, and the next session starts with the same request, in a loop as fast as
+// messages travel: one router started 772 sessions in half a second after its leader was killed.
 func TestNothingIsAskedForBeforeAnOwnerAnswers(t *testing.T) {
-	r := set()
-	r.out = nil
-	want := func() bool {
-		r.give(core("router"), protocol.Want{Session: r.Session(), Key: "m"})
-		_, _, up := last[protocol.Want](r)
+	r := newHarness()
+	r.sent = nil
+	forwarded := func() bool {
+		r.deliver(sibling("router"), protocol.Want{Session: r.Session(), Key: "m"})
+		_, _, up := lastSent[protocol.Want](r)
 		return up
 	}
-	require.False(t, want())
-	r.give(core("a1"), protocol.Grant{Session: r.Session(), Seq: r.seq, Duty: 1})
-	require.True(t, want(), "one that waits for this router knows it")
-	r.give(core("a1"), protocol.NotOwner{Session: r.Session(), Gone: true})
-	r.out = nil
-	require.False(t, want(), "a new session")
+	require.False(t, forwarded())
+	r.deliver(sibling("a1"), protocol.Grant{Session: r.Session(), Seq: r.seq, Duty: 1})
+	require.True(t, forwarded(), "a leader that withholds the lease still knows the session")
+	r.deliver(sibling("a1"), protocol.NotOwner{Session: r.Session(), Gone: true})
+	r.sent = nil
+	require.False(t, forwarded(), "a new session")
 }
 
-// A machine that counts as cut off asks every core node again before long, for as long as that lasts.
+// A machine that is cut off keeps querying every core node at short intervals.
 func TestCutOffAsksOn(t *testing.T) {
-	r := set()
-	r.pass(partedAfter + answerWait + 200e6)
-	require.True(t, r.hold().Parted)
-	swept := r.contact.swept
-	r.out = nil
-	r.pass(answerWait + 100e6)
-	require.Greater(t, r.contact.swept, swept)
+	r := newHarness()
+	r.advance(partedAfter + queryTimeout + 200e6)
+	require.True(t, r.lastHold().Parted)
+	swept := r.contact.lastQueryAll
+	r.sent = nil
+	r.advance(queryTimeout + 100e6)
+	require.Greater(t, r.contact.lastQueryAll, swept)
 	asked := map[string]bool{}
-	for _, e := range r.out {
+	for _, e := range r.sent {
 		if _, is := e.Body.(protocol.Renew); is {
 			asked[e.To.Addr] = true
 		}
@@ -167,7 +169,7 @@
 	for _, node := range r.coreNodes() {
 		require.True(t, asked[node.Addr], node.Addr)
 	}
-	n, _, _ := last[protocol.Renew](r)
-	r.give(core("a2"), protocol.NotOwner{Session: n.Session, Seq: n.Seq, Majority: true})
-	require.False(t, r.hold().Parted)
+	n, _, _ := lastSent[protocol.Renew](r)
+	r.deliver(sibling("a2"), protocol.NotOwner{Session: n.Session, Seq: n.Seq, Majority: true})
+	require.False(t, r.lastHold().Parted)
 }
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -1,5 +1,6 @@
-// Package agent is the agent beside each router: it keeps the link to the core, carries the
-// router's wants and acknowledgements over it, and feeds the router what comes back.
+// Package agent implements the agent process that runs beside each router. The agent maintains the session with the
+// core, forwards the router's requests for keys and its acknowledgements, and delivers the core's updates to the
+// router.
 package agent
 
 import (
@@ -12,191 +13,191 @@
 	"tidedeck/internal/protocol"
 )
 
-// Options of an agent.
+// Options configures an agent.
 type Options struct {
 	Me     protocol.Sibling
 	Zone   ident.Zone
 	Inc    ident.Inc
-	Life   ident.Inc // names this life to the router: later ones on this machine have higher ones
+	Life   ident.Inc // start number of this agent, sent to the router; a later start on the same machine has a higher one
 	Seeds  []protocol.Sibling
 	Router protocol.Sibling
 	Rand   *rand.Rand
-	Keep   clock.Span // between two renewals
-	Wait   clock.Span // for an answer before another way is tried
-	Brisk  bool       // renewals come the sooner the fewer routers there are: they tell what each has under way
+	Keep   clock.Span // interval between lease renewals
+	Wait   clock.Span // time without an answer after which another path is tried
+	Brisk  bool       // renew more often with fewer routers, since renewals report each router's load
 }
 
-// Core is an agent without I/O.
+// Core is the agent's state machine. It performs no I/O.
 type Core struct {
-	o     Options
-	now   clock.Tick
-	out   []any
-	mates *membership.Core
+	o       Options
+	now     clock.Tick
+	out     []any
+	members *membership.Core
 
 	router  ident.Inc
 	gen     uint64
 	epoch   ident.Epoch
 	burden  map[ident.Key]protocol.Burden
 	seats   map[ident.Server]int
-	paces   map[ident.Key]float64 // the shortest times for a token that the router has seen since the last renewal
+	paces   map[ident.Key]float64 // shortest observed time per token since the last renewal
 	routers int
 
-	ses      protocol.Session
-	seq      uint64
-	sent     map[uint64]clock.Tick
-	until    clock.Tick
-	duty     ident.Duty
-	fresh    bool
-	heard    uint64
-	next     clock.Tick
-	contact  contact    // with the core, whoever owns the duty
-	current  clock.Tick // until when a core node vouches for the configuration that the router has
-	leaving  []ident.Server
-	last     clock.Tick // when an owner last answered in this session
-	tried    clock.Tick
-	way      way
-	straight clock.Tick // when a way without a sibling was last tried on a detour
-	cores    []protocol.Sibling
-	turn     int
-	newest   *protocol.Desired
-	stall    clock.Stall
-	tally    Tally
+	session            protocol.Session
+	seq                uint64
+	sentAt             map[uint64]clock.Tick
+	leaseEnd           clock.Tick
+	term               ident.Duty
+	fresh              bool
+	ackedNum           uint64
+	nextRenewal        clock.Tick
+	contact            coreContact // whether any core node is reachable, independent of the current leader
+	configCurrentUntil clock.Tick  // until when a core node has confirmed the router's configuration as current
+	leaving            []ident.Server
+	lastOwnerAnswer    clock.Tick // when a leader last answered in this session
+	pathChangedAt      clock.Tick
+	path               corePath
+	directTriedAt      clock.Tick // when a direct path was last tried while relaying through a sibling
+	advertisedCores    []protocol.Sibling
+	pathIndex          int
+	newestDesired      *protocol.Desired
+	stall              clock.Stall
+	tally              Tally
 }
 
-// stallLeast is a gap between two beats that the log tells of.
-const stallLeast = clock.Span(250e6)
+// minStall is the shortest gap between two ticks that is logged as a stall.
+const minStall = clock.Span(250e6)
 
-// way is how the owner is reached: straight, or through a sibling.
-type way struct {
+// corePath is the path to the leader: direct, or relayed through a sibling.
+type corePath struct {
 	to  protocol.Sibling
 	via protocol.Sibling
 }
 
-// Tally counts what an agent did.
+// Tally counts an agent's events.
 type Tally struct {
 	Renews, Grants, Sessions, Turns, Carried uint64
-	StaleNews                                uint64 // changes that came too late for their session
-	Withheld                                 uint64 // answers of an owner that waits for this router
-	Vouched                                  uint64 // leases on the configuration alone
-	Sweeps                                   uint64 // times that every core node was asked at once
-	Stalls                                   uint64 // the process stood still
-	Unvouched                                uint64 // answers of core nodes that could not tell what is the newest
+	StaleNews                                uint64 // updates that arrived after their session had ended
+	Withheld                                 uint64 // answers of a leader that withholds the lease until this router acknowledges
+	Vouched                                  uint64 // times that a core node confirmed the configuration without granting a lease
+	Sweeps                                   uint64 // times that all core nodes were queried at once
+	Stalls                                   uint64 // stalls of the process
+	Unvouched                                uint64 // answers of core nodes that could not determine the newest configuration
 }
 
-// New makes an agent.
+// New returns an agent with the given options.
 func New(o Options) *Core {
 	generic.SetDefault(&o.Keep, 400e6)
 	generic.SetDefault(&o.Wait, 350e6)
-	c := &Core{o: o, sent: map[uint64]clock.Tick{}, cores: o.Seeds, stall: clock.Stall{Least: stallLeast}}
-	c.mates = membership.New(membership.Options{
+	c := &Core{o: o, sentAt: map[uint64]clock.Tick{}, advertisedCores: o.Seeds, stall: clock.Stall{Least: minStall}}
+	c.members = membership.New(membership.Options{
 		Me:    protocol.Member{Sibling: o.Me, Role: "agent", Zone: o.Zone, Inc: o.Inc},
 		Seeds: o.Seeds, Rand: o.Rand,
 	})
 	if len(o.Seeds) > 0 {
-		c.turn = o.Rand.IntN(len(o.Seeds))
-		c.way.to = o.Seeds[c.turn]
+		c.pathIndex = o.Rand.IntN(len(o.Seeds))
+		c.path.to = o.Seeds[c.pathIndex]
 	}
 	return c
 }
 
-// Step takes one input and gives what is to be done.
+// Step processes one input and returns the resulting outputs.
 func (c *Core) Step(now clock.Tick, in any) []any {
 	c.now, c.out = now, nil
 	switch v := in.(type) {
 	case protocol.Env:
-		c.take(v)
+		c.receive(v)
 	case protocol.Reseed:
 		c.o.Seeds = v.Seeds
-		c.mates.Reseed(v.Seeds)
+		c.members.Reseed(v.Seeds)
 	case protocol.Beat:
-		c.beat()
+		c.tick()
 	}
 	return c.out
 }
 
-func (c *Core) post(l ...protocol.Env) {
-	for _, e := range l {
+func (c *Core) send(messages ...protocol.Env) {
+	for _, e := range messages {
 		c.out = append(c.out, e)
 	}
 }
 
-func (c *Core) note(text string, fields ...protocol.Field) {
+func (c *Core) logEvent(text string, fields ...protocol.Field) {
 	c.out = append(c.out, protocol.Note{Text: text, Fields: fields})
 }
 
-func (c *Core) up(body any) {
-	c.post(protocol.Env{From: c.o.Me, To: c.way.to, Via: c.way.via, Body: body})
+func (c *Core) sendToCore(body any) {
+	c.send(protocol.Env{From: c.o.Me, To: c.path.to, Via: c.path.via, Body: body})
 }
 
-func (c *Core) down(body any) {
-	c.post(protocol.Env{From: c.o.Me, To: c.o.Router, Body: body})
+func (c *Core) sendToRouter(body any) {
+	c.send(protocol.Env{From: c.o.Me, To: c.o.Router, Body: body})
 }
 
-// session begins a new life of the link: whatever the router has is suspect from here on.
-func (c *Core) session(why string) {
-	c.ses = protocol.Session{Node: c.o.Me.ID, Agent: c.o.Life, Router: c.router, N: c.ses.N + 1}
-	c.until, c.duty, c.fresh, c.heard = 0, 0, true, 0
-	c.sent = map[uint64]clock.Tick{}
-	c.next = c.now
+// beginSession starts a new session. The router has to revalidate all of its cached state.
+func (c *Core) beginSession(why string) {
+	c.session = protocol.Session{Node: c.o.Me.ID, Agent: c.o.Life, Router: c.router, N: c.session.N + 1}
+	c.leaseEnd, c.term, c.fresh, c.ackedNum = 0, 0, true, 0
+	c.sentAt = map[uint64]clock.Tick{}
+	c.nextRenewal = c.now
 	c.tally.Sessions++
-	c.note("session begins", protocol.Field{Name: "session", Value: c.ses.N}, protocol.Field{Name: "why", Value: why}, protocol.Field{Name: "way", Value: c.way.to.Addr},
+	c.logEvent("session started", protocol.Field{Name: "session", Value: c.session.N}, protocol.Field{Name: "why", Value: why}, protocol.Field{Name: "way", Value: c.path.to.Addr},
 		protocol.Field{Name: "epoch", Value: c.epoch})
-	c.tell()
+	c.sendHold()
 }
 
-func (c *Core) tell() { c.down(c.standing()) }
+func (c *Core) sendHold() { c.sendToRouter(c.currentHold()) }
 
-// standing is how things stand for the router: its lease, and what it may go by without one.
-func (c *Core) standing() protocol.Hold {
-	return protocol.Hold{Session: c.ses, Until: c.until, Duty: c.duty, Parted: c.contact.parted, Current: c.current, Leaving: c.leaving}
+// currentHold returns the router's current lease, and the terms on which it may continue without one.
+func (c *Core) currentHold() protocol.Hold {
+	return protocol.Hold{Session: c.session, Until: c.leaseEnd, Duty: c.term, Parted: c.contact.parted, Current: c.configCurrentUntil, Leaving: c.leaving}
 }
 
-func (c *Core) take(e protocol.Env) {
-	// A sibling that is cut off sends through this one; only core traffic is carried.
+func (c *Core) receive(e protocol.Env) {
+	// A sibling without a direct path to the core relays through this agent. Only core traffic is relayed.
 	if e.To.ID != "" && e.To.ID != c.o.Me.ID {
 		if e.By.ID == "" {
 			c.tally.Carried++
-			c.post(e.Carry(c.o.Me))
+			c.send(e.Carry(c.o.Me))
 		}
 		return
 	}
-	if l, mine := c.mates.Take(c.now, e); mine {
-		c.post(l...)
+	if l, mine := c.members.Take(c.now, e); mine {
+		c.send(l...)
 		return
 	}
 	switch b := e.Body.(type) {
 	case protocol.Hello:
 		if b.Router == 0 {
-			return // no router begins a life without a number
+			return // a running router has a non-zero start number
 		}
 		if b.Gen != c.gen || b.Epoch != c.epoch {
-			c.next = c.now // the owner waits for it
+			c.nextRenewal = c.now // the leader waits for this acknowledgement
 		}
 		c.gen, c.epoch, c.seats = b.Gen, b.Epoch, b.Seats
-		c.gather(b.Burden)
-		c.gatherPaces(b.Paces)
+		c.mergeBurden(b.Burden)
+		c.mergePaces(b.Paces)
 		if b.Router != c.router {
 			c.router = b.Router
-			c.current, c.leaving = 0, nil // that was for what the router before had
-			c.session("the router is new")
-			c.beat()
-		} else if b.Session != c.ses {
-			c.tell()
+			c.configCurrentUntil, c.leaving = 0, nil // these applied to the previous router's configuration
+			c.beginSession("router restarted")
+			c.tick()
+		} else if b.Session != c.session {
+			c.sendHold()
 		}
 	case protocol.Want:
-		// Before an owner has answered in this session it knows no link: it would say that the session is gone, and the
-		// next one would begin with the same question.
-		if b.Session == c.ses && !c.fresh {
-			c.up(b)
+		// Before a leader has answered in this session, it does not know the session. It would reject the request as
+		// belonging to an unknown session, and the next session would start with the same request.
+		if b.Session == c.session && !c.fresh {
+			c.sendToCore(b)
 		}
 	case protocol.Removal:
-		if b.Session == c.ses {
-			c.up(b)
+		if b.Session == c.session {
+			c.sendToCore(b)
 		}
 	case protocol.Heard:
-		if b.Session == c.ses {
-			c.heard = max(c.heard, b.Num)
-			c.up(b)
+		if b.Session == c.session {
+			c.ackedNum = max(c.ackedNum, b.Num)
+			c.sendToCore(b)
 		}
 	case protocol.Grant:
 		c.onGrant(e, b)
@@ -205,171 +206,173 @@
 	case protocol.News:
 		c.onNews(e, b)
 	case protocol.Kept:
-		c.keep(b.Value)
+		c.rememberDesired(b.Value)
 	case protocol.Keep:
-		c.post(e.Reply(c.o.Me, protocol.Kept{Round: b.Round, Value: c.newest}))
+		c.send(e.Reply(c.o.Me, protocol.Kept{Round: b.Round, Value: c.newestDesired}))
 	}
 }
 
-// same tells whether an owner's message belongs to this session; another owner than the
-// one that the session began with ends it.
-func (c *Core) same(s protocol.Session, d ident.Duty) bool {
-	if s != c.ses {
+// acceptFromOwner reports whether a leader's message belongs to this session. A message from a leader with a higher
+// term ends the session.
+func (c *Core) acceptFromOwner(s protocol.Session, d ident.Duty) bool {
+	if s != c.session {
 		return false
 	}
-	if c.duty != 0 && d != c.duty {
-		if d > c.duty {
-			c.session("another owner speaks")
+	if c.term != 0 && d != c.term {
+		if d > c.term {
+			c.beginSession("message from a leader with a higher term")
 		}
 		return false
 	}
-	c.duty, c.last, c.fresh = d, c.now, false
+	c.term, c.lastOwnerAnswer, c.fresh = d, c.now, false
 	return true
 }
 
 func (c *Core) onGrant(e protocol.Env, b protocol.Grant) {
-	c.hearCore()
-	if !c.same(b.Session, b.Duty) {
+	c.noteCoreAnswer()
+	if !c.acceptFromOwner(b.Session, b.Duty) {
 		return
 	}
-	c.way = way{to: e.From, via: e.By}
+	c.path = corePath{to: e.From, via: e.By}
 	if b.Len <= 0 {
 		c.tally.Withheld++
 		return
 	}
-	at, ok := c.sent[b.Seq]
+	at, ok := c.sentAt[b.Seq]
 	if !ok {
 		return
 	}
-	for s := range c.sent {
+	for s := range c.sentAt {
 		if s <= b.Seq {
-			delete(c.sent, s)
+			delete(c.sentAt, s)
 		}
 	}
 	c.tally.Grants++
 	c.routers = b.Routers
-	c.until = max(c.until, at.Add(b.Len))
-	told := c.standing()
+	c.leaseEnd = max(c.leaseEnd, at.Add(b.Len))
+	told := c.currentHold()
 	told.Routers, told.Seats, told.Paces = b.Routers, b.Seats, b.Paces
-	c.down(told)
+	c.sendToRouter(told)
 }
 
 func (c *Core) onNotOwner(b protocol.NotOwner) {
 	if b.Gone || b.Majority || b.Fresh > 0 {
-		c.hearCore() // one that hears no majority itself is no way to the core
+		c.noteCoreAnswer() // a node without a majority does not count as contact with the core
 	} else {
 		c.tally.Unvouched++
-		c.contact.unvouched++
+		c.contact.inconclusive++
 	}
-	if b.Session != c.ses {
+	if b.Session != c.session {
 		return
 	}
 	if len(b.Cores) > 0 {
-		c.cores = b.Cores
+		c.advertisedCores = b.Cores
 	}
-	c.vouched(b)
+	c.extendConfigCurrent(b)
 	if b.Gone {
-		c.session("the owner does not know it")
+		c.beginSession("session unknown to the leader")
 		return
 	}
-	if b.Hint.ID != "" && b.Hint.Addr != c.way.to.Addr {
-		c.way = way{to: b.Hint, via: c.way.via}
-		c.next, c.tried = c.now, c.now
+	if b.Hint.ID != "" && b.Hint.Addr != c.path.to.Addr {
+		c.path = corePath{to: b.Hint, via: c.path.via}
+		c.nextRenewal, c.pathChangedAt = c.now, c.now
 	}
 }
 
-// vouched takes in a core node's word for the configuration that the router has: it counts from when it was asked for.
-func (c *Core) vouched(b protocol.NotOwner) {
-	asked, ok := c.sent[b.Seq]
+// extendConfigCurrent records a core node's confirmation that the router's configuration is current. Its validity
+// starts when the request was sent.
+func (c *Core) extendConfigCurrent(b protocol.NotOwner) {
+	asked, ok := c.sentAt[b.Seq]
 	if !ok || b.Fresh <= 0 || b.Gen > c.gen || b.Gen == c.gen && b.Epoch > c.epoch {
 		return
 	}
 	c.leaving = b.Leaving
-	c.current = max(c.current, asked.Add(b.Fresh))
+	c.configCurrentUntil = max(c.configCurrentUntil, asked.Add(b.Fresh))
 	c.tally.Vouched++
-	c.tell()
+	c.sendHold()
 }
 
 func (c *Core) onNews(e protocol.Env, b protocol.News) {
-	c.hearCore()
-	if !c.same(b.Session, b.Duty) {
-		c.passOn(b)
+	c.noteCoreAnswer()
+	if !c.acceptFromOwner(b.Session, b.Duty) {
+		c.forwardStaleConfig(b)
 		return
 	}
 	for _, i := range b.Items {
-		c.keep(i.Desired)
+		c.rememberDesired(i.Desired)
 	}
-	c.down(b)
+	c.sendToRouter(b)
 }
 
-// passOn takes from changes that come too late for their session what does not hang on it: a configuration was chosen
-// once and for all, and a router for which it took longer than a session lasts would else never have it.
-func (c *Core) passOn(b protocol.News) {
+// forwardStaleConfig forwards the configurations among updates whose session has ended, and drops the rest. A chosen
+// configuration remains valid in any session, and a router to which delivery takes longer than a session lasts would
+// otherwise never receive it.
+func (c *Core) forwardStaleConfig(b protocol.News) {
 	c.tally.StaleNews += uint64(len(b.Items))
-	var late protocol.News // of no session
+	var late protocol.News // carries no session
 	for _, i := range b.Items {
 		if i.Desired == nil {
 			continue
 		}
-		c.keep(i.Desired)
+		c.rememberDesired(i.Desired)
 		late.Items = append(late.Items, protocol.Item{Desired: i.Desired})
-		c.note("a configuration comes too late for its session", protocol.Field{Name: "session", Value: b.Session.N}, protocol.Field{Name: "now", Value: c.ses.N},
+		c.logEvent("configuration received after its session ended", protocol.Field{Name: "session", Value: b.Session.N}, protocol.Field{Name: "now", Value: c.session.N},
 			protocol.Field{Name: "its_epoch", Value: i.Desired.Epoch}, protocol.Field{Name: "epoch", Value: c.epoch})
 	}
 	if len(late.Items) > 0 {
-		c.down(late)
+		c.sendToRouter(late)
 	}
 }
 
-// keep remembers the newest desired state seen, for a core that has lost everything.
-func (c *Core) keep(d *protocol.Desired) {
-	if d != nil && d.Newer(c.newest) {
-		c.newest = d
+// rememberDesired retains the newest desired state seen, for the recovery of a core that has lost all its disks.
+func (c *Core) rememberDesired(d *protocol.Desired) {
+	if d != nil && d.Newer(c.newestDesired) {
+		c.newestDesired = d
 	}
 }
 
-func (c *Core) beat() {
+func (c *Core) tick() {
 	if gap := c.stall.Beat(c.now); gap > 0 {
 		c.tally.Stalls++
-		c.note("stood still", protocol.Field{Name: "ms", Value: gap.Milliseconds()})
-		c.contact.doubt() // what came meanwhile is not read yet
+		c.logEvent("process stalled", protocol.Field{Name: "ms", Value: gap.Milliseconds()})
+		c.contact.discardQuery() // answers that arrived during the stall may still be unread
 	}
-	c.post(c.mates.Beat(c.now)...)
+	c.send(c.members.Beat(c.now)...)
 	if c.router == 0 {
 		return
 	}
-	if c.until != 0 && c.now > c.until {
-		c.session("its lease ran out") // after a reconnect everything is suspect
+	if c.leaseEnd != 0 && c.now > c.leaseEnd {
+		c.beginSession("lease expired") // the router revalidates its state in the new session
 	}
-	c.watchContact()
-	if c.now < c.next {
+	c.checkContact()
+	if c.now < c.nextRenewal {
 		return
 	}
-	if c.now.Sub(c.last) > c.o.Keep+c.o.Wait && c.now.Sub(c.tried) > c.o.Wait {
-		c.change()
+	if c.now.Sub(c.lastOwnerAnswer) > c.o.Keep+c.o.Wait && c.now.Sub(c.pathChangedAt) > c.o.Wait {
+		c.switchPath()
 	}
-	if c.way.via.ID != "" && c.now.Sub(c.straight) > detourSpan {
-		c.straight, c.way.via = c.now, protocol.Sibling{} // a detour is for as long as it is needed
+	if c.path.via.ID != "" && c.now.Sub(c.directTriedAt) > relayDuration {
+		c.directTriedAt, c.path.via = c.now, protocol.Sibling{} // return to the direct path as soon as possible
 	}
-	c.next = c.now.Add(c.keepFor())
-	if c.now.Sub(c.last) > c.o.Keep+c.o.Wait {
-		c.next = c.now.Add(c.o.Wait / 2)
+	c.nextRenewal = c.now.Add(c.renewInterval())
+	if c.now.Sub(c.lastOwnerAnswer) > c.o.Keep+c.o.Wait {
+		c.nextRenewal = c.now.Add(c.o.Wait / 2)
 	}
 	c.tally.Renews++
-	c.up(c.renewal())
-	c.burden, c.paces = underWay(c.burden), nil // what was sent is not touched any more
+	c.sendToCore(c.renewal())
+	c.burden, c.paces = outstanding(c.burden), nil // a sent map is not modified afterwards
 }
 
-// keepFor is the time to the next renewal.
-func (c *Core) keepFor() clock.Span {
+// renewInterval returns the time until the next renewal.
+func (c *Core) renewInterval() clock.Span {
 	if !c.o.Brisk || c.routers == 0 {
 		return c.o.Keep
 	}
 	return min(c.o.Keep, max(c.o.Keep*3/8, c.o.Keep/60*clock.Span(c.routers)))
 }
 
-// gather takes in what the router bears now, and adds up what came since the last renewal.
-func (c *Core) gather(b map[ident.Key]protocol.Burden) {
+// mergeBurden records the router's current load and adds the counts accumulated since the last renewal.
+func (c *Core) mergeBurden(b map[ident.Key]protocol.Burden) {
 	n := map[ident.Key]protocol.Burden{}
 	for k, u := range b {
 		u.Came, u.Load = u.Came+c.burden[k].Came, u.Load+c.burden[k].Load
@@ -383,8 +386,8 @@
 	c.burden = n
 }
 
-// gatherPaces takes in the shortest times that the router has seen, until the next renewal.
-func (c *Core) gatherPaces(seen map[ident.Key]float64) {
+// mergePaces keeps the shortest observed time per token for each base until the next renewal.
+func (c *Core) mergePaces(seen map[ident.Key]float64) {
 	if c.paces == nil {
 		c.paces = map[ident.Key]float64{}
 	}
@@ -395,27 +398,27 @@
 	}
 }
 
-// detourSpan is how long a detour is gone by before the straight way is tried again.
-const detourSpan = clock.Span(5e9)
+// relayDuration is how long a relayed path is used before the direct path is retried.
+const relayDuration = clock.Span(5e9)
 
-// sentKept is how long the moment of a renewal is remembered: an answer that comes later gives no lease any more.
-const sentKept = clock.Span(5e9)
+// sentRetention is how long a renewal's send time is kept. A later answer grants no lease.
+const sentRetention = clock.Span(5e9)
 
-// renewal asks for the lease to go on, under the newest number.
+// renewal returns a lease renewal with a new sequence number.
 func (c *Core) renewal() protocol.Renew {
 	c.seq++
-	c.sent[c.seq] = c.now
-	for s, t := range c.sent {
-		if c.now.Sub(t) > sentKept {
-			delete(c.sent, s)
+	c.sentAt[c.seq] = c.now
+	for s, t := range c.sentAt {
+		if c.now.Sub(t) > sentRetention {
+			delete(c.sentAt, s)
 		}
 	}
-	c.contact.asked(c.now)
-	return protocol.Renew{Session: c.ses, Seq: c.seq, Fresh: c.fresh, Gen: c.gen, Epoch: c.epoch, Heard: c.heard, Burden: c.burden, Seats: c.seats, Paces: c.paces}
+	c.contact.noteRequest(c.now)
+	return protocol.Renew{Session: c.session, Seq: c.seq, Fresh: c.fresh, Gen: c.gen, Epoch: c.epoch, Heard: c.ackedNum, Burden: c.burden, Seats: c.seats, Paces: c.paces}
 }
 
-// underWay gives of what a router bears what waits and is under way, without what came since the last renewal.
-func underWay(burden map[ident.Key]protocol.Burden) map[ident.Key]protocol.Burden {
+// outstanding returns the waiting and running requests of a load report, without the counts of new arrivals.
+func outstanding(burden map[ident.Key]protocol.Burden) map[ident.Key]protocol.Burden {
 	left := map[ident.Key]protocol.Burden{}
 	for k, u := range burden {
 		if u.Came, u.Load = 0, 0; u.Wait > 0 || u.Work > 0 {
@@ -425,7 +428,7 @@
 	return left
 }
 
-// coreNodes lists every core node that this agent knows of.
+// coreNodes lists all core nodes known to this agent.
 func (c *Core) coreNodes() (l []protocol.Sibling) {
 	add := func(p protocol.Sibling) {
 		for _, x := range l {
@@ -435,46 +438,46 @@
 		}
 		l = append(l, p)
 	}
-	for _, m := range c.mates.Alive("controller") {
+	for _, m := range c.members.Alive("controller") {
 		add(m.Sibling)
 	}
-	for _, p := range append(append([]protocol.Sibling{}, c.cores...), c.o.Seeds...) {
+	for _, p := range append(append([]protocol.Sibling{}, c.advertisedCores...), c.o.Seeds...) {
 		add(p)
 	}
 	return l
 }
 
-// change tries another way: each core node straight, then each through siblings.
-func (c *Core) change() {
-	c.tried = c.now
+// switchPath selects the next path: each core node directly, then each through a sibling.
+func (c *Core) switchPath() {
+	c.pathChangedAt = c.now
 	c.tally.Turns++
 	l := c.coreNodes()
 	if len(l) == 0 {
 		return
 	}
-	c.turn++
-	w := way{to: l[c.turn%len(l)]}
+	c.pathIndex++
+	w := corePath{to: l[c.pathIndex%len(l)]}
 	var sib []protocol.Sibling
-	for _, m := range c.mates.Alive("agent") {
+	for _, m := range c.members.Alive("agent") {
 		if m.ID != c.o.Me.ID {
 			sib = append(sib, m.Sibling)
 		}
 	}
-	// Every second turn goes through a sibling, once the straight ways were tried.
-	if n := c.turn / len(l); n%2 == 1 && len(sib) > 0 && w.to.ID != "" {
+	// Passes over the core nodes alternate between direct paths and paths through a sibling.
+	if n := c.pathIndex / len(l); n%2 == 1 && len(sib) > 0 && w.to.ID != "" {
 		w.via = sib[c.o.Rand.IntN(len(sib))]
 	}
-	c.way = w
+	c.path = w
 }
 
-// Session tells the session now in force.
-func (c *Core) Session() protocol.Session { return c.ses }
+// Session returns the current session.
+func (c *Core) Session() protocol.Session { return c.session }
 
-// Counts gives the tally so far.
+// Counts returns the event counters.
 func (c *Core) Counts() Tally { return c.tally }
 
-// Held tells whether the link is held now.
-func (c *Core) Held(now clock.Tick) bool { return now < c.until }
+// Held reports whether the lease is valid at the given time.
+func (c *Core) Held(now clock.Tick) bool { return now < c.leaseEnd }
 
-// Members lists the membership as this agent sees it.
-func (c *Core) Members() []protocol.Member { return c.mates.All() }
+// Members lists the members known to this agent.
+func (c *Core) Members() []protocol.Member { return c.members.All() }
--- a/internal/agent/fuzz_test.go
+++ b/internal/agent/fuzz_test.go
@@ -11,48 +11,48 @@
 	"tidedeck/internal/protocol"
 )
 
-// FuzzStep gives an agent any envelopes, one a line, in the session that it is in: what it sends can be
-// written, and it still asks for its session's hold to go on.
+// FuzzStep delivers arbitrary envelopes, one per line, in the agent's current session. Everything that the agent
+// sends can be encoded, and it still renews its lease.
 func FuzzStep(f *testing.F) {
-	me := protocol.Member{Sibling: core("a9"), Role: "agent", Inc: 4, Life: "alive"}
+	me := protocol.Member{Sibling: sibling("a9"), Role: "agent", Inc: 4, Life: "alive"}
 	session := protocol.Session{Node: "agent", Router: 7, N: 1}
-	var talk [][]byte
+	var messages [][]byte
 	for _, body := range []any{
 		protocol.Grant{Session: session, Seq: 1, Len: 2e9, Duty: 1, Routers: 3},
 		protocol.News{Session: session, Duty: 1, Items: []protocol.Item{{Num: 1, Desired: &protocol.Desired{Epoch: 1}}, {Num: 2, Break: "k"}}},
 		protocol.Hello{Router: 7, Session: session, Burden: map[ident.Key]protocol.Burden{"k": {Came: 1, Load: 1}}},
-		protocol.NotOwner{Session: session, Hint: core("a2"), Cores: []protocol.Sibling{core("a3")}},
+		protocol.NotOwner{Session: session, Hint: sibling("a2"), Cores: []protocol.Sibling{sibling("a3")}},
 		protocol.Probe{Seq: 1, News: []protocol.Member{me}},
-		protocol.ProbeFor{Seq: 1, Target: core("a9")},
+		protocol.ProbeFor{Seq: 1, Target: sibling("a9")},
 		protocol.Keep{Round: 1},
 	} {
-		raw, err := protocol.Pack(protocol.Env{From: core("a1"), To: core("agent"), Body: body})
+		raw, err := protocol.Pack(protocol.Env{From: sibling("a1"), To: sibling("agent"), Body: body})
 		require.NoError(f, err)
 		f.Add(raw)
-		talk = append(talk, raw)
+		messages = append(messages, raw)
 	}
-	f.Add(bytes.Join(talk, []byte("\n")))
+	f.Add(bytes.Join(messages, []byte("\n")))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		r := set()
+		r := newHarness()
 		check := func() {
-			for _, e := range r.out {
+			for _, e := range r.sent {
 				_, err := protocol.Pack(e)
 				require.NoError(t, err)
 			}
-			r.out = nil
+			r.sent = nil
 		}
 		for _, line := range bytes.SplitN(raw, []byte("\n"), 50) {
 			e, err := protocol.Unpack(line)
 			if err != nil {
 				continue
 			}
-			e.To = core("agent")
-			r.keep(r.Step(r.at, e))
-			r.pass(clock.Span(100e6))
+			e.To = sibling("agent")
+			r.collect(r.Step(r.clock, e))
+			r.advance(clock.Span(100e6))
 			check()
 		}
-		r.pass(clock.Span(3e9))
-		_, _, asked := last[protocol.Renew](r)
+		r.advance(clock.Span(3e9))
+		_, _, asked := lastSent[protocol.Renew](r)
 		require.True(t, asked)
 		check()
 	})
--- a/internal/agent/gather_test.go
+++ b/internal/agent/gather_test.go
@@ -14,43 +14,43 @@
 
 type burdens = map[ident.Key]protocol.Burden
 
-// renewals lists what was sent up since the last call.
-func (r *rig) renewals() (l []protocol.Renew) {
-	for _, e := range r.out {
+// renewals returns the renewals sent since the last call.
+func (r *harness) renewals() (l []protocol.Renew) {
+	for _, e := range r.sent {
 		if b, ok := e.Body.(protocol.Renew); ok {
 			l = append(l, b)
 		}
 	}
-	r.out = nil
+	r.sent = nil
 	return l
 }
 
-// What a renewal says of each key after the router's reports: counts add up, gauges are the latest.
+// A renewal sums the counts of the router's reports and carries the latest gauges.
 func TestRenewalCarriesCounts(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		reports []burdens
-		first   burdens // of the renewal that follows them
-		second  burdens // and of the one after it, with no report between
+		first   burdens // in the renewal after the reports
+		second  burdens // in the next renewal, without a report in between
 	}{
 		{"nothing", nil, burdens{}, burdens{}},
 		{"one report", []burdens{{"m": {Came: 3, Load: 0.5}}}, burdens{"m": {Came: 3, Load: 0.5}}, burdens{}},
 		{"counts add up", []burdens{{"m": {Came: 3, Load: 0.5}}, {"m": {Came: 4, Load: 0.25}}}, burdens{"m": {Came: 7, Load: 0.75}}, burdens{}},
 		{"gauges are the latest", []burdens{{"m": {Wait: 9, Work: 9, Top: 9}}, {"m": {Wait: 1, Work: 2, Top: 3}}}, burdens{"m": {Wait: 1, Work: 2, Top: 3}}, burdens{"m": {Wait: 1, Work: 2, Top: 3}}},
-		{"a key that is not told of again keeps its count", []burdens{{"m": {Came: 3, Load: 0.5, Wait: 2, Work: 1}}, {"n": {Came: 1}}}, burdens{"m": {Came: 3, Load: 0.5}, "n": {Came: 1}}, burdens{}},
-		{"nor does an empty report lose it", []burdens{{"m": {Came: 3, Load: 0.5}}, {}, {}}, burdens{"m": {Came: 3, Load: 0.5}}, burdens{}},
+		{"a key missing from a later report keeps its count", []burdens{{"m": {Came: 3, Load: 0.5, Wait: 2, Work: 1}}, {"n": {Came: 1}}}, burdens{"m": {Came: 3, Load: 0.5}, "n": {Came: 1}}, burdens{}},
+		{"an empty report keeps the counts", []burdens{{"m": {Came: 3, Load: 0.5}}, {}, {}}, burdens{"m": {Came: 3, Load: 0.5}}, burdens{}},
 		{"gauges stay until the next report", []burdens{{"m": {Came: 3, Load: 0.5, Wait: 2, Work: 1, Top: 4}}}, burdens{"m": {Came: 3, Load: 0.5, Wait: 2, Work: 1, Top: 4}}, burdens{"m": {Wait: 2, Work: 1, Top: 4}}},
 	} {
-		r := set()
-		r.pass(20e6)
+		r := newHarness()
+		r.advance(20e6)
 		r.renewals()
 		for _, b := range c.reports {
-			r.give(core("router"), protocol.Hello{Router: 7, Session: r.Session(), Epoch: 2, Burden: b})
+			r.deliver(sibling("router"), protocol.Hello{Router: 7, Session: r.Session(), Epoch: 2, Burden: b})
 		}
 		for i, want := range []burdens{c.first, c.second} {
 			var l []protocol.Renew
 			for len(l) == 0 {
-				r.pass(20e6)
+				r.advance(20e6)
 				l = r.renewals()
 			}
 			require.Len(t, l, 1, c.name)
@@ -63,11 +63,11 @@
 	}
 }
 
-// Whatever the order of reports, renewals, grants and new sessions, what the renewals say that came is
-// what the router said, and a renewal that was sent does not change afterwards.
+// For any order of reports, renewals, grants and new sessions, the arrivals in the renewals sum to those that the
+// router reported, and a renewal does not change after it was sent.
 func TestCountsAddUp(t *testing.T) {
 	for seed := range uint64(20) {
-		r, dice := set(), rand.New(rand.NewPCG(seed, 1))
+		r, rng := newHarness(), rand.New(rand.NewPCG(seed, 1))
 		came, load := map[ident.Key]int{}, map[ident.Key]float64{}
 		var sent []protocol.Renew
 		var copies []string
@@ -78,34 +78,34 @@
 		}
 		drain()
 		for range 400 {
-			switch dice.IntN(8) {
+			switch rng.IntN(8) {
 			case 0, 1, 2:
 				b := burdens{}
 				for _, k := range []ident.Key{"m", "n", "o"} {
-					if dice.IntN(2) == 0 {
+					if rng.IntN(2) == 0 {
 						continue
 					}
-					n := dice.IntN(4)
-					b[k] = protocol.Burden{Came: n, Load: float64(n) / 4, Wait: dice.IntN(2), Work: dice.IntN(2)}
+					n := rng.IntN(4)
+					b[k] = protocol.Burden{Came: n, Load: float64(n) / 4, Wait: rng.IntN(2), Work: rng.IntN(2)}
 					came[k] += n
 					load[k] += float64(n) / 4
 				}
-				r.give(core("router"), protocol.Hello{Router: 7, Session: r.Session(), Epoch: 2, Burden: b})
+				r.deliver(sibling("router"), protocol.Hello{Router: 7, Session: r.Session(), Epoch: 2, Burden: b})
 			case 3:
 				if len(sent) > 0 {
 					n := sent[len(sent)-1]
-					r.give(core("a1"), protocol.Grant{Session: n.Session, Seq: n.Seq, Len: 1e9, Duty: 1})
+					r.deliver(sibling("a1"), protocol.Grant{Session: n.Session, Seq: n.Seq, Len: 1e9, Duty: 1})
 				}
 			case 4:
-				if dice.IntN(10) == 0 {
-					r.give(core("a1"), protocol.NotOwner{Session: r.Session(), Gone: true})
+				if rng.IntN(10) == 0 {
+					r.deliver(sibling("a1"), protocol.NotOwner{Session: r.Session(), Gone: true})
 				}
 			default:
-				r.pass(clock.Span(dice.IntN(300)) * 1e6)
+				r.advance(clock.Span(rng.IntN(300)) * 1e6)
 			}
 			drain()
 		}
-		r.pass(5e9)
+		r.advance(5e9)
 		drain()
 		for i, n := range sent {
 			require.Equal(t, copies[i], fmt.Sprint(n.Burden), "seed %d: renewal %d changed after it was sent", seed, i)
--- a/internal/agent/strict_test.go
+++ b/internal/agent/strict_test.go
@@ -7,5 +7,5 @@
 	"tidedeck/internal/invariant/strict"
 )
 
-// A violated invariant fails the tests.
+// TestMain fails the package if an invariant was violated.
 func TestMain(m *testing.M) { os.Exit(strict.Verdict(m.Run())) }
--- a/internal/explorer/guards_test.go
+++ b/internal/explorer/guards_test.go
@@ -28,7 +28,7 @@
 var guardSources = []string{"internal/controller", "internal/voterset"}
 
 var brokenGuards = []brokenGuard{
-	{"a majority takes a change", "cut-owner", "durably holds", []edit{{"return n > len(l)/2", "return n >= len(l)/2"}}},
+	{"a majority takes a change", "cut-owner", "durably holds", []edit{{"return n > len(voters)/2", "return n >= len(voters)/2"}}},
 	{"expect the epoch", "cut-owner", "which expected epoch", []edit{{"if !a.Any && d.Epoch != a.Expect {", "if false {"}}},
 	{"a read sees the newest ballot", "cut-owner", "a read at|without change", []edit{{"if q.top.Less(b.Accepted) {", "if false {"}}},
 	{"redo no change", "race", "although it was taken", []edit{{"if x.ID == a.Change {\n\t\t\t\treturn d, failure.Repeated", "if x.ID == `no` {\n\t\t\t\treturn d, failure.Repeated"}, {"&& c.hasTaken(a.Change) {", "&& false {"}}},
--- a/internal/fleetplan/fleetplan.go
+++ b/internal/fleetplan/fleetplan.go
@@ -1,5 +1,5 @@
-// Package fleetplan reads and checks what people write: fleet plans, requests and settings.
-// JSON becomes maps, and a small reader of paths walks them and names every faulty path.
+// Package fleetplan parses and validates user input: fleet plans, requests and settings. JSON is decoded into generic
+// values, and a Pen walks them and reports every fault with its path.
 package fleetplan
 
 import (
@@ -16,16 +16,16 @@
 	"tidedeck/internal/generic"
 )
 
-// Fault is one thing wrong, and where.
+// Fault is a validation error and the path of the faulty value.
 type Fault struct {
 	Path string `json:"path"`
 	Why  string `json:"why"`
 }
 
-// Faults gathers what a reading found wrong.
+// Faults is a list of validation errors.
 type Faults []Fault
 
-// Error joins the faults into one line each.
+// Error joins the faults with semicolons.
 func (f Faults) Error() string {
 	var b bytes.Buffer
 	for i, x := range f {
@@ -37,76 +37,78 @@
 	return b.String()
 }
 
-const depth = 32
+const maxDepth = 32
 
-// place is where in a document something stands. Paths are written only for faults, since a document has many places.
-type place struct {
-	in    *place
-	key   string
-	index int // in a list, if there is no key
+// location is the position of a value in a document. Paths are formatted only for faults, since a document has many
+// positions.
+type location struct {
+	parent *location
+	key    string
+	index  int // list index, if there is no key
 }
 
-func (p *place) String() string {
+func (p *location) String() string {
 	switch {
 	case p == nil:
 		return "$"
 	case p.index >= 0:
-		return fmt.Sprintf("%s[%d]", p.in, p.index)
+		return fmt.Sprintf("%s[%d]", p.parent, p.index)
 	}
-	return p.in.String() + "." + p.key
+	return p.parent.String() + "." + p.key
 }
 
-// Pen is the reader's place in the tree.
+// Pen is a cursor into a decoded document.
 type Pen struct {
-	at  *place
-	val any
-	has bool
-	all *Faults
+	location *location
+	value    any
+	present  bool
+	faults   *Faults
 }
 
-// Open parses JSON and gives a reader at its root; duplicate keys and bad syntax are faults.
+// Open parses JSON and returns a cursor at its root. Duplicate keys and syntax errors are faults.
 func Open(raw []byte) (Pen, *Faults) {
-	all := &Faults{}
-	p := Pen{all: all}
+	faults := &Faults{}
+	root := Pen{faults: faults}
 	if !utf8.Valid(raw) {
-		p.Fault("not valid UTF-8")
-		return p, all
+		root.Fault("not valid UTF-8")
+		return root, faults
 	}
-	// Duplicate names are found by the tree, which knows their paths. Escapes of half characters are taken as before.
-	t := tree{decoder: jsontext.NewDecoder(bytes.NewBuffer(raw), jsontext.AllowDuplicateNames(true), jsontext.AllowInvalidUTF8(true)), all: all}
-	v, err := t.value(nil, 0)
+	// The parser below detects duplicate names, because it knows their paths. Unpaired surrogate escapes are accepted
+	// for compatibility with earlier versions.
+	reader := parser{decoder: jsontext.NewDecoder(bytes.NewBuffer(raw), jsontext.AllowDuplicateNames(true), jsontext.AllowInvalidUTF8(true)), faults: faults}
+	value, err := reader.value(nil, 0)
 	if err == nil {
-		if _, end := t.decoder.ReadToken(); end != io.EOF {
-			err = fmt.Errorf("more follows the first value")
+		if _, end := reader.decoder.ReadToken(); end != io.EOF {
+			err = fmt.Errorf("unexpected data after the first value")
 		}
 	}
 	if err != nil {
-		p.Fault(fmt.Sprintf("malformed JSON near byte %d: %v", t.decoder.InputOffset(), err))
-		return p, all
+		root.Fault(fmt.Sprintf("malformed JSON near byte %d: %v", reader.decoder.InputOffset(), err))
+		return root, faults
 	}
-	p.val, p.has = v, true
-	return p, all
+	root.value, root.present = value, true
+	return root, faults
 }
 
-// tree reads a document into maps, lists and plain values.
-type tree struct {
+// parser decodes a document into maps, lists and scalar values.
+type parser struct {
 	decoder *jsontext.Decoder
-	all     *Faults
+	faults  *Faults
 }
 
-func (t *tree) value(at *place, deep int) (any, error) {
-	if deep > depth {
-		return nil, fmt.Errorf("nested deeper than %d", depth)
+func (p *parser) value(at *location, level int) (any, error) {
+	if level > maxDepth {
+		return nil, fmt.Errorf("nested deeper than %d", maxDepth)
 	}
-	token, err := t.decoder.ReadToken()
+	token, err := p.decoder.ReadToken()
 	if err != nil {
 		return nil, err
 	}
 	switch token.Kind() {
 	case '{':
-		return t.table(at, deep)
+		return p.object(at, level)
 	case '[':
-		return t.list(at, deep)
+		return p.list(at, level)
 	case '"':
 		return token.String(), nil
 	case '0':
@@ -117,141 +119,142 @@
 	return nil, nil
 }
 
-func (t *tree) table(at *place, deep int) (any, error) {
-	m := map[string]any{}
-	for t.decoder.PeekKind() != '}' {
-		token, err := t.decoder.ReadToken()
+func (p *parser) object(at *location, level int) (any, error) {
+	object := map[string]any{}
+	for p.decoder.PeekKind() != '}' {
+		token, err := p.decoder.ReadToken()
 		if err != nil {
 			return nil, err
 		}
 		key := token.String()
-		here := &place{in: at, key: key, index: -1}
-		if _, dup := m[key]; dup {
-			*t.all = append(*t.all, Fault{here.String(), "duplicate key"})
+		here := &location{parent: at, key: key, index: -1}
+		if _, dup := object[key]; dup {
+			*p.faults = append(*p.faults, Fault{here.String(), "duplicate key"})
 		}
-		if m[key], err = t.value(here, deep+1); err != nil {
+		if object[key], err = p.value(here, level+1); err != nil {
 			return nil, err
 		}
 	}
-	_, err := t.decoder.ReadToken()
-	return m, err
+	_, err := p.decoder.ReadToken()
+	return object, err
 }
 
-func (t *tree) list(at *place, deep int) (any, error) {
-	l := []any{}
-	for t.decoder.PeekKind() != ']' {
-		v, err := t.value(&place{in: at, index: len(l)}, deep+1)
+func (p *parser) list(at *location, level int) (any, error) {
+	items := []any{}
+	for p.decoder.PeekKind() != ']' {
+		item, err := p.value(&location{parent: at, index: len(items)}, level+1)
 		if err != nil {
 			return nil, err
 		}
-		l = append(l, v)
+		items = append(items, item)
 	}
-	_, err := t.decoder.ReadToken()
-	return l, err
+	_, err := p.decoder.ReadToken()
+	return items, err
 }
 
-// Fault records something wrong at this place.
-func (p Pen) Fault(why string) { *p.all = append(*p.all, Fault{p.at.String(), why}) }
+// Fault records a fault at this position.
+func (p Pen) Fault(why string) { *p.faults = append(*p.faults, Fault{p.location.String(), why}) }
 
-// Has tells whether the place holds anything.
-func (p Pen) Has() bool { return p.has && p.val != nil }
+// Has reports whether the position holds a value other than null.
+func (p Pen) Has() bool { return p.present && p.value != nil }
 
-// Path tells where the reader is.
-func (p Pen) Path() string { return p.at.String() }
+// Path returns the path of this position.
+func (p Pen) Path() string { return p.location.String() }
 
-// Value gives what stands there: a map, a list, a text, a json.Number, a truth, or nothing.
-func (p Pen) Value() any { return p.val }
+// Value returns the decoded value: a map, a list, a string, a json.Number, a boolean, or nil.
+func (p Pen) Value() any { return p.value }
 
-// Only faults every key that is not among those named.
+// Only reports every key that is not in the given list as a fault.
 func (p Pen) Only(keys ...string) Pen {
-	m, ok := p.table()
+	object, ok := p.object()
 	if !ok {
 		return p
 	}
-	for _, k := range generic.SortedKeys(m) {
+	for _, k := range generic.SortedKeys(object) {
 		known := false
-		for _, w := range keys {
-			known = known || w == k
+		for _, allowed := range keys {
+			known = known || allowed == k
 		}
 		if !known {
-			*p.all = append(*p.all, Fault{p.at.String() + "." + k, "unknown key"})
+			*p.faults = append(*p.faults, Fault{p.location.String() + "." + k, "unknown key"})
 		}
 	}
 	return p
 }
 
-// At steps to a key.
+// At moves to the value of a key.
 func (p Pen) At(key string) Pen {
-	n := Pen{at: &place{in: p.at, key: key, index: -1}, all: p.all}
-	if m, ok := p.val.(map[string]any); ok {
-		n.val, n.has = m[key]
-		_, n.has = m[key]
+	child := Pen{location: &location{parent: p.location, key: key, index: -1}, faults: p.faults}
+	if object, ok := p.value.(map[string]any); ok {
+		child.value, child.present = object[key]
+		_, child.present = object[key]
 	}
-	return n
+	return child
 }
 
-// Keys steps to each key of a table, in order.
+// Keys calls a function for each key of an object, in sorted order.
 func (p Pen) Keys(each func(key string, n Pen)) {
-	m, ok := p.table()
+	object, ok := p.object()
 	if !ok {
 		return
 	}
-	for _, k := range generic.SortedKeys(m) {
+	for _, k := range generic.SortedKeys(object) {
 		if k == "" || len(k) > 128 {
-			*p.all = append(*p.all, Fault{p.at.String() + "." + k, "a name has 1 to 128 bytes"})
+			*p.faults = append(*p.faults, Fault{p.location.String() + "." + k, "key must have 1 to 128 bytes"})
 			continue
 		}
 		each(k, p.At(k))
 	}
 }
 
-// List steps to each part of a list.
-func (p Pen) List(most int, each func(n Pen)) {
+// List calls a function for each item of a list.
+func (p Pen) List(maxItems int, each func(n Pen)) {
 	if !p.Has() {
 		return
 	}
-	l, ok := p.val.([]any)
+	items, ok := p.value.([]any)
 	if !ok {
-		p.Fault("wants a list")
+		p.Fault("must be a list")
 		return
 	}
-	if len(l) > most {
-		p.Fault(fmt.Sprintf("has %d parts, at most %d are allowed", len(l), most))
+	if len(items) > maxItems {
+		p.Fault(fmt.Sprintf("list has %d items; at most %d are allowed", len(items), maxItems))
 		return
 	}
-	for i, v := range l {
-		each(Pen{at: &place{in: p.at, index: i}, val: v, has: true, all: p.all})
+	for i, item := range items {
+		each(Pen{location: &location{parent: p.location, index: i}, value: item, present: true, faults: p.faults})
 	}
 }
 
-// Text reads a string; absent gives the default, unless it must be there.
-func (p Pen) Text(must bool, most int) string {
+// Text reads a string. An absent value yields an empty string, and is a fault if the string is required. Null is
+// always a fault.
+func (p Pen) Text(required bool, maxBytes int) string {
 	if !p.Has() {
-		if must || p.has {
+		if required || p.present {
 			p.Fault("wants a text")
 		}
 		return ""
 	}
-	s, ok := p.val.(string)
+	text, ok := p.value.(string)
 	if !ok {
 		p.Fault("wants a text")
 		return ""
 	}
-	if len(s) > most || must && s == "" {
-		p.Fault(fmt.Sprintf("wants 1 to %d bytes", most))
+	if len(text) > maxBytes || required && text == "" {
+		p.Fault(fmt.Sprintf("must have 1 to %d bytes", maxBytes))
 		return ""
 	}
-	return s
+	return text
 }
 
-// Int reads a whole number within bounds; absent gives the default.
+// Int reads an integer within bounds; an absent value yields the default.
 func (p Pen) Int(low, high, def int) int {
-	if !p.has {
+	if !p.present {
 		return def
 	}
-	n, ok := p.val.(json.Number)
+	n, ok := p.value.(json.Number)
 	if !ok {
-		p.Fault("wants a whole number")
+		p.Fault("must be an integer")
 		return def
 	}
 	i, err := strconv.ParseInt(n.String(), 10, 64)
@@ -261,32 +264,32 @@
 		}
 	}
 	if err != nil || i < int64(low) || i > int64(high) {
-		p.Fault(fmt.Sprintf("wants a whole number from %d to %d", low, high))
+		p.Fault(fmt.Sprintf("must be an integer from %d to %d", low, high))
 		return def
 	}
 	return int(i)
 }
 
-// Bool reads a truth; absent gives the default.
+// Bool reads a boolean; an absent value yields the default.
 func (p Pen) Bool(def bool) bool {
-	if !p.has {
+	if !p.present {
 		return def
 	}
-	b, ok := p.val.(bool)
+	b, ok := p.value.(bool)
 	if !ok {
-		p.Fault("wants true or false")
+		p.Fault("must be true or false")
 		return def
 	}
 	return b
 }
 
-func (p Pen) table() (map[string]any, bool) {
-	if !p.has {
+func (p Pen) object() (map[string]any, bool) {
+	if !p.present {
 		return nil, false
 	}
-	m, ok := p.val.(map[string]any)
+	m, ok := p.value.(map[string]any)
 	if !ok {
-		p.Fault("wants a table")
+		p.Fault("must be an object")
 	}
 	return m, ok
 }
--- a/internal/fleetplan/fleetplan_test.go
+++ b/internal/fleetplan/fleetplan_test.go
@@ -11,63 +11,63 @@
 	"github.com/stretchr/testify/require"
 )
 
-const sound = `{"name":"p","store":{"loads":2},"models":{"m":{"size":4,"floor":1,"most":2},"n":{"size":3}},
+const validPlan = `{"name":"p","store":{"loads":2},"models":{"m":{"size":4,"floor":1,"most":2},"n":{"size":3}},
 "adapters":{"a":{"base":"m","size":1}},"kinds":{"k":{"value":3,"wait_ms":500}},
 "services":{"s":{"models":["m"],"adapters":["a"]}},"routes":{"/r":{"service":"s","kinds":["k"]}}}`
 
-// Every fault of a plan is named by its path, and with any fault there is no plan.
+// Every fault of a plan is reported with its path, and a plan with any fault is rejected.
 func TestPlanFaults(t *testing.T) {
 	for _, c := range []struct {
 		name, old, new string
 		paths          []string
 	}{
-		{"sound", "", "", nil},
+		{"valid", "", "", nil},
 		{"not JSON", `{"name"`, `{"name`, []string{"$"}},
-		{"cut short", `}}}`, `}`, []string{"$"}},
-		{"more after the end", `"kinds":["k"]}}}`, `"kinds":["k"]}}} {}`, []string{"$"}},
+		{"truncated", `}}}`, `}`, []string{"$"}},
+		{"data after the end", `"kinds":["k"]}}}`, `"kinds":["k"]}}} {}`, []string{"$"}},
 		{"unknown key", `"name":"p"`, `"name":"p","nam":1`, []string{"$.nam"}},
 		{"duplicate key", `"n":{"size":3}`, `"n":{"size":3},"n":{"size":4}`, []string{"$.models.n"}},
-		{"duplicate key deep down", `"size":4`, `"size":4,"size":4`, []string{"$.models.m.size"}},
+		{"nested duplicate key", `"size":4`, `"size":4,"size":4`, []string{"$.models.m.size"}},
 		{"wrong type", `"size":4`, `"size":"4"`, []string{"$.models.m.size"}},
 		{"a fraction", `"size":4`, `"size":4.5`, []string{"$.models.m.size"}},
 		{"out of range", `"size":4`, `"size":0`, []string{"$.models.m.size"}},
-		{"overflowing", `"size":4`, `"size":99999999999999999999`, []string{"$.models.m.size"}},
+		{"integer overflow", `"size":4`, `"size":99999999999999999999`, []string{"$.models.m.size"}},
 		{"huge exponent", `"size":4`, `"size":1e999`, []string{"$.models.m.size"}},
 		{"size missing", `"n":{"size":3}`, `"n":{}`, []string{"$.models.n.size"}},
-		{"most below floor", `"most":2`, `"most":0`, []string{"$.models.m.most"}},
-		{"base dangles", `"base":"m"`, `"base":"x"`, []string{"$.adapters.a.base", "$.services.s.adapters[0]"}},
-		{"model dangles", `"models":["m"]`, `"models":["m","x"]`, []string{"$.services.s.models[1]"}},
-		{"service dangles", `"service":"s"`, `"service":"x"`, []string{"$.routes./r.service"}},
-		{"kind dangles", `"kinds":["k"]`, `"kinds":["k","x"]`, []string{"$.routes./r.kinds[1]"}},
+		{"maximum below floor", `"most":2`, `"most":0`, []string{"$.models.m.most"}},
+		{"unknown base", `"base":"m"`, `"base":"x"`, []string{"$.adapters.a.base", "$.services.s.adapters[0]"}},
+		{"unknown model", `"models":["m"]`, `"models":["m","x"]`, []string{"$.services.s.models[1]"}},
+		{"unknown service", `"service":"s"`, `"service":"x"`, []string{"$.routes./r.service"}},
+		{"unknown kind", `"kinds":["k"]`, `"kinds":["k","x"]`, []string{"$.routes./r.kinds[1]"}},
 		{"route without slash", `"/r"`, `"r"`, []string{"$.routes.r"}},
-		{"a table wanted", `"store":{"loads":2}`, `"store":[]`, []string{"$.store"}},
-		{"a list wanted", `"models":["m"]`, `"models":"m"`, []string{"$.services.s.models"}},
+		{"list in place of an object", `"store":{"loads":2}`, `"store":[]`, []string{"$.store"}},
+		{"string in place of a list", `"models":["m"]`, `"models":"m"`, []string{"$.services.s.models"}},
 		{"null", `"name":"p"`, `"name":null`, []string{"$.name"}},
 		{"plus in a name", `"n":{"size":3}`, `"n+x":{"size":3}`, []string{"$.models.n+x"}},
-		{"several at once", `"name":"p","store":{"loads":2}`, `"name":7,"store":{"loads":-1}`, []string{"$.name", "$.store.loads"}},
+		{"several faults", `"name":"p","store":{"loads":2}`, `"name":7,"store":{"loads":-1}`, []string{"$.name", "$.store.loads"}},
 		{"not UTF-8", `"name":"p"`, "\"name\":\"\xff\"", []string{"$"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			raw := strings.Replace(sound, c.old, c.new, 1)
-			p, f := ReadPlan([]byte(raw))
+			raw := strings.Replace(validPlan, c.old, c.new, 1)
+			plan, faults := ReadPlan([]byte(raw))
 			var paths []string
-			for _, x := range f {
-				paths = append(paths, x.Path)
-				require.NotEmpty(t, x.Why)
+			for _, fault := range faults {
+				paths = append(paths, fault.Path)
+				require.NotEmpty(t, fault.Why)
 			}
 			require.Equal(t, c.paths, paths)
-			require.Equal(t, c.paths == nil, p != nil)
+			require.Equal(t, c.paths == nil, plan != nil)
 		})
 	}
-	_, f := ReadPlan([]byte(strings.Repeat("[", 100_000)))
-	require.NotEmpty(t, f, "deep nesting is refused, not followed")
-	_, f = ReadPlan(make([]byte, MostPlan+1))
-	require.Len(t, f, 1)
+	_, faults := ReadPlan([]byte(strings.Repeat("[", 100_000)))
+	require.NotEmpty(t, faults, "deep nesting is rejected without recursion to full depth")
+	_, faults = ReadPlan(make([]byte, MostPlan+1))
+	require.Len(t, faults, 1)
 }
 
-// What a plan allows, and nothing else.
+// A plan allows exactly the listed combinations of route, kind, model and adapter.
 func TestAllows(t *testing.T) {
-	p, f := ReadPlan([]byte(sound))
+	p, f := ReadPlan([]byte(validPlan))
 	require.Nil(t, f)
 	for _, c := range []struct {
 		route, kind, base, extra string
@@ -92,22 +92,22 @@
 		name, raw string
 		path      string
 	}{
-		{"sound", `{"id":"1","model":"m","kind":"k"}`, ""},
+		{"valid", `{"id":"1","model":"m","kind":"k"}`, ""},
 		{"all keys", `{"id":"1","model":"m","adapter":"a","kind":"k","parts":["x"],"prompt":"p","max_tokens":3,"horizon_ms":20,"repeatable":true,"repeat":false}`, ""},
 		{"past horizon", `{"id":"1","model":"m","kind":"k","horizon_ms":-5}`, ""},
-		{"no table", `[]`, "$"},
+		{"not an object", `[]`, "$"},
 		{"empty", ``, "$"},
 		{"no id", `{"model":"m","kind":"k"}`, "$.id"},
 		{"unknown key", `{"id":"1","model":"m","kind":"k","stream":true}`, "$.stream"},
 		{"horizon too far", `{"id":"1","model":"m","kind":"k","horizon_ms":600001}`, "$.horizon_ms"},
 		{"tokens overflow", `{"id":"1","model":"m","kind":"k","max_tokens":1e30}`, "$.max_tokens"},
-		{"part no text", `{"id":"1","model":"m","kind":"k","parts":[1]}`, "$.parts[0]"},
-		{"truth no truth", `{"id":"1","model":"m","kind":"k","repeatable":"yes"}`, "$.repeatable"},
+		{"part is not a string", `{"id":"1","model":"m","kind":"k","parts":[1]}`, "$.parts[0]"},
+		{"boolean is not a boolean", `{"id":"1","model":"m","kind":"k","repeatable":"yes"}`, "$.repeatable"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, f := ReadCall([]byte(c.raw))
 			if c.path == "" {
-				require.Nil(t, f, "a sound call has no list of faults, not even an empty one")
+				require.Nil(t, f, "a valid call yields nil faults, not an empty list")
 				return
 			}
 			require.NotEmpty(t, f)
@@ -116,7 +116,7 @@
 	}
 }
 
-// The examples are of the sizes that the two deployments have today.
+// The examples have the sizes of the two current deployments.
 func TestExamples(t *testing.T) {
 	for _, c := range []struct {
 		name             string
--- a/internal/fleetplan/hosts.go
+++ b/internal/fleetplan/hosts.go
@@ -10,213 +10,213 @@
 	"tidedeck/internal/ident"
 )
 
-// Bounds of what a plan says of servers and of routes by host.
+// Limits for services and host routes.
 const (
-	mostServer = 1_000_000_000 // tokens, places, connections and room of one server
-	mostTries  = 100
-	mostSplit  = 100
-	mostWeight = 1_000_000
-	mostRate   = 1e6 // loads a second
+	maxServerCapacity = 1_000_000_000 // tokens, adapter slots, connections and weight capacity of one server
+	maxAttempts       = 100
+	maxSplit          = 100
+	maxWeight         = 1_000_000
+	maxLoadRate       = 1e6 // loads per second
 )
 
 var modes = map[string]bool{Once: true, Idempotent: true, Continuous: true}
 
-// hosts reads what a plan says of routes by host, and of the services that they lead to.
-type hosts struct {
-	q     *Plan
-	named map[string]bool // services that routes by host lead to, or whose servers are described
-	paths map[string]bool // services that routes by path lead to
+// hostReader reads host routes and the services that they target.
+type hostReader struct {
+	plan         *Plan
+	hostServices map[string]bool // services that host routes target, or that describe their servers
+	pathServices map[string]bool // services that path routes target
 }
 
-func newHosts(q *Plan) *hosts {
-	return &hosts{q: q, named: map[string]bool{}, paths: map[string]bool{}}
+func newHostReader(plan *Plan) *hostReader {
+	return &hostReader{plan: plan, hostServices: map[string]bool{}, pathServices: map[string]bool{}}
 }
 
-// byHost tells whether a route is found by its host.
-func byHost(n Pen) bool { return n.At("host").has || n.At("prefix").has }
+// isHostRoute reports whether a route is selected by host.
+func isHostRoute(n Pen) bool { return n.At("host").present || n.At("prefix").present }
 
-// Number reads a number within bounds, whole or not; absent gives the default.
+// Number reads a number within bounds; an absent value yields the default.
 func (p Pen) Number(low, high, def float64) float64 {
-	if !p.has {
+	if !p.present {
 		return def
 	}
-	n, ok := p.val.(json.Number)
+	n, ok := p.value.(json.Number)
 	if !ok {
-		p.Fault("wants a number")
+		p.Fault("must be a number")
 		return def
 	}
 	f, err := n.Float64()
 	if err != nil || !(f >= low && f <= high) {
-		p.Fault(fmt.Sprintf("wants a number from %v to %v", low, high))
+		p.Fault(fmt.Sprintf("must be a number from %v to %v", low, high))
 		return def
 	}
 	return f
 }
 
-// ms reads a time of at least one millisecond; absent gives the default.
-func (p Pen) ms(def int) clock.Span { return clock.Span(p.Int(1, MostWait, def)) * 1_000_000 }
+// durationMs reads a duration of at least one millisecond; an absent value yields the default.
+func (p Pen) durationMs(def int) clock.Span { return clock.Span(p.Int(1, MostWait, def)) * 1_000_000 }
 
-// servers reads what a service says of its servers.
-func (h *hosts) servers(name string, n Pen, s *Service) {
+// servers reads a service's description of its servers.
+func (h *hostReader) servers(name string, n Pen, s *Service) {
 	for _, k := range []string{"plain", "probe", "connections", "slots", "tokens", "room", "places", "loads_per_s"} {
-		h.named[name] = h.named[name] || n.At(k).has
+		h.hostServices[name] = h.hostServices[name] || n.At(k).present
 	}
 	s.Plain = n.At("plain").Bool(false)
-	s.Probe = n.At("probe").Text(n.At("probe").has, 4096)
+	s.Probe = n.At("probe").Text(n.At("probe").present, 4096)
 	if s.Probe != "" && s.Probe[0] != '/' {
-		n.At("probe").Fault("wants to begin with /")
-	}
-	s.Conns = n.At("connections").Int(1, mostServer, 0)
-	s.Slots = n.At("slots").Int(1, mostServer, 0)
-	s.Tokens = n.At("tokens").Int(1, mostServer, 0)
-	s.Room = n.At("room").Int(1, mostServer, 0)
-	s.Places = n.At("places").Int(1, mostServer, 0)
-	s.Loads = n.At("loads_per_s").Number(0, mostRate, 0)
+		n.At("probe").Fault("must begin with /")
+	}
+	s.Conns = n.At("connections").Int(1, maxServerCapacity, 0)
+	s.Slots = n.At("slots").Int(1, maxServerCapacity, 0)
+	s.Tokens = n.At("tokens").Int(1, maxServerCapacity, 0)
+	s.Room = n.At("room").Int(1, maxServerCapacity, 0)
+	s.Places = n.At("places").Int(1, maxServerCapacity, 0)
+	s.Loads = n.At("loads_per_s").Number(0, maxLoadRate, 0)
 	if !s.Plain {
 		return
 	}
 	for _, k := range []string{"models", "adapters", "tokens", "room", "places", "loads_per_s"} {
-		if n.At(k).has {
-			n.At(k).Fault("a plain service holds no models")
+		if n.At(k).present {
+			n.At(k).Fault("not allowed for a plain service, which has no models")
 		}
 	}
 }
 
-// route reads a route by host and prefix.
-func (h *hosts) route(name string, n Pen) {
+// route reads a route selected by host and path prefix.
+func (h *hostReader) route(name string, n Pen) {
 	n.Only("host", "prefix", "service", "split", "mode", "resume", "tries", "value", "wait_ms", "aim_ms", "pause_ms", "quit_ms", "model_optional", "unkeyed")
 	r := &Route{
 		Name: name, Host: n.At("host").Text(true, 255), Prefix: n.At("prefix").Text(true, 4096), Mode: Once,
-		Resume: n.At("resume").Bool(false), Tries: n.At("tries").Int(1, mostTries, 1),
+		Resume: n.At("resume").Bool(false), Tries: n.At("tries").Int(1, maxAttempts, 1),
 		Class: Class{
-			Value: n.At("value").Int(0, 1_000_000, 1), Wait: n.At("wait_ms").ms(10_000),
-			Aim: n.At("aim_ms").ms(0), Pause: n.At("pause_ms").ms(0), Quit: n.At("quit_ms").ms(0),
+			Value: n.At("value").Int(0, 1_000_000, 1), Wait: n.At("wait_ms").durationMs(10_000),
+			Aim: n.At("aim_ms").durationMs(0), Pause: n.At("pause_ms").durationMs(0), Quit: n.At("quit_ms").durationMs(0),
 		},
 		ModelOptional: n.At("model_optional").Bool(false),
 		Unkeyed:       n.At("unkeyed").Bool(false),
 	}
 	if r.Host != strings.ToLower(r.Host) || strings.ContainsAny(r.Host, ":/ ") {
-		n.At("host").Fault("wants a host's name in small letters, without a port")
+		n.At("host").Fault("must be a lower-case host name without a port")
 	}
 	if r.Prefix != "" && (r.Prefix[0] != '/' || !strings.HasSuffix(r.Prefix, "/")) {
-		n.At("prefix").Fault("wants to begin and end with /")
+		n.At("prefix").Fault("must begin and end with /")
 	}
-	if m := n.At("mode"); m.has {
+	if m := n.At("mode"); m.present {
 		if r.Mode = m.Text(true, 128); r.Mode != "" && !modes[r.Mode] {
-			m.Fault("wants once, idempotent or continuous")
+			m.Fault("must be once, idempotent or continuous")
 		}
 	}
 	if r.Mode != Continuous {
 		if r.Resume {
-			n.At("resume").Fault("only a continuous route's answers are taken up")
+			n.At("resume").Fault("only continuous routes can resume a stream")
 		}
 		if r.Class.Pause > 0 {
-			n.At("pause_ms").Fault("only a continuous route's answers have pauses")
+			n.At("pause_ms").Fault("only continuous routes have a limit on pauses between events")
 		}
 	}
 	h.target(n, r)
-	l := h.q.Hosts[r.Host]
-	if l == nil {
-		l = map[string]*Route{}
-		if h.q.Hosts == nil {
-			h.q.Hosts = map[string]map[string]*Route{}
+	routes := h.plan.Hosts[r.Host]
+	if routes == nil {
+		routes = map[string]*Route{}
+		if h.plan.Hosts == nil {
+			h.plan.Hosts = map[string]map[string]*Route{}
 		}
-		h.q.Hosts[r.Host] = l
+		h.plan.Hosts[r.Host] = routes
 	}
-	if o := l[r.Prefix]; o != nil && r.Prefix != "" {
-		n.At("prefix").Fault(fmt.Sprintf("%q has this host and prefix too", o.Name))
+	if existing := routes[r.Prefix]; existing != nil && r.Prefix != "" {
+		n.At("prefix").Fault(fmt.Sprintf("route %q has the same host and prefix", existing.Name))
 	}
-	l[r.Prefix] = r
+	routes[r.Prefix] = r
 }
 
-// target reads where a route by host leads: to one service, or to several by weight.
-func (h *hosts) target(n Pen, r *Route) {
-	one, split := n.At("service"), n.At("split")
-	if one.has == split.has {
-		one.Fault("wants either one service or a split")
+// target reads the target of a host route: one service, or several with weights.
+func (h *hostReader) target(n Pen, r *Route) {
+	service, split := n.At("service"), n.At("split")
+	if service.present == split.present {
+		service.Fault("must have either a service or a split")
 		return
 	}
-	if one.has {
-		r.Service = h.service(one)
+	if service.present {
+		r.Service = h.service(service)
 		return
 	}
 	sum, seen := 0, map[string]bool{}
-	split.List(mostSplit, func(n Pen) {
+	split.List(maxSplit, func(n Pen) {
 		n.Only("service", "weight")
-		s := Share{Service: h.service(n.At("service")), Weight: n.At("weight").Int(0, mostWeight, 0)}
-		if !n.At("weight").has {
-			n.At("weight").Fault("is missing")
+		s := Share{Service: h.service(n.At("service")), Weight: n.At("weight").Int(0, maxWeight, 0)}
+		if !n.At("weight").present {
+			n.At("weight").Fault("is required")
 		}
 		if seen[s.Service] && s.Service != "" {
-			n.At("service").Fault(fmt.Sprintf("%q is there twice", s.Service))
+			n.At("service").Fault(fmt.Sprintf("service %q is listed twice", s.Service))
 		}
 		seen[s.Service] = true
 		sum += s.Weight
 		r.Split = append(r.Split, s)
 	})
 	if sum <= 0 {
-		split.Fault("the weights add up to 0")
+		split.Fault("the weights sum to 0")
 	}
 }
 
-func (h *hosts) service(n Pen) string {
-	s := n.Text(true, 128)
-	if _, ok := h.q.Services[s]; !ok && s != "" {
-		n.Fault(fmt.Sprintf("no service is called %q", s))
+func (h *hostReader) service(n Pen) string {
+	name := n.Text(true, 128)
+	if _, ok := h.plan.Services[name]; !ok && name != "" {
+		n.Fault(fmt.Sprintf("no service named %q", name))
 	}
-	h.named[s] = true
-	return s
+	h.hostServices[name] = true
+	return name
 }
 
-// settle puts the models of services that are found by host under their service, since their servers
-// are their own. A model that only such services name stands only there.
-func (h *hosts) settle(services Pen) {
-	paths, under := map[ident.Key]bool{}, map[ident.Key]bool{}
-	for _, name := range generic.SortedKeys(h.q.Services) {
-		s, n := h.q.Services[name], services.At(name)
-		if !h.named[name] {
+// qualifyModels adds the service name to the model keys of host-routed services, because each of these services has
+// its own servers. A model that only such services list is kept only under their names.
+func (h *hostReader) qualifyModels(services Pen) {
+	pathKeys, qualified := map[ident.Key]bool{}, map[ident.Key]bool{}
+	for _, name := range generic.SortedKeys(h.plan.Services) {
+		s, n := h.plan.Services[name], services.At(name)
+		if !h.hostServices[name] {
 			for k := range s.Keys {
-				paths[k] = true
+				pathKeys[k] = true
 			}
 			continue
 		}
-		if h.paths[name] {
-			n.Fault("a service that is found by host, or says what its servers are, has no routes by path")
+		if h.pathServices[name] {
+			n.Fault("a service that host routes target, or that describes its servers, cannot have path routes")
 		}
 		if strings.ContainsAny(name, "|+") {
-			n.Fault("the name of a service that is found by host has neither | nor +")
+			n.Fault("the name of a host-routed service must not contain | or +")
 		}
 		keys := map[ident.Key]bool{}
 		if s.Plain {
 			keys[ident.ServiceKey(name)] = true
 		} else {
 			for _, k := range []string{"room", "loads_per_s"} {
-				if !n.At(k).has {
-					n.At(k).Fault("is missing: nothing could be loaded")
+				if !n.At(k).present {
+					n.At(k).Fault("is required: without it, no model could be loaded")
 				}
 			}
 		}
 		for _, k := range generic.SortedKeys(s.Keys) {
-			m, ok := h.q.Models[k]
+			model, ok := h.plan.Models[k]
 			if !ok {
-				continue // told already
+				continue // already reported
 			}
 			if strings.Contains(string(k), "|") {
-				n.Fault(fmt.Sprintf("%q: a name in a service that is found by host has no |", k))
+				n.Fault(fmt.Sprintf("%q: model names of a host-routed service must not contain |", k))
 			}
 			if !s.Keys[k.Base()] {
-				n.At("adapters").Fault(fmt.Sprintf("%q is not among the service's models", k.Base()))
+				n.At("adapters").Fault(fmt.Sprintf("%q is not one of the service's models", k.Base()))
 			}
-			under[k] = true
-			m.Key = k.In(name)
-			h.q.Models[m.Key], keys[m.Key] = m, true
+			qualified[k] = true
+			model.Key = k.In(name)
+			h.plan.Models[model.Key], keys[model.Key] = model, true
 		}
 		s.Keys = keys
-		h.q.Services[name] = s
+		h.plan.Services[name] = s
 	}
-	for k := range under {
-		if !paths[k] {
-			delete(h.q.Models, k)
+	for k := range qualified {
+		if !pathKeys[k] {
+			delete(h.plan.Models, k)
 		}
 	}
 }
--- a/internal/fleetplan/hosts_test.go
+++ b/internal/fleetplan/hosts_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const soundHosts = `{"name":"p","store":{"loads":2},"models":{"m":{"size":4,"floor":1,"most":2,"load_ms":950},"n":{"size":3}},
+const validHostPlan = `{"name":"p","store":{"loads":2},"models":{"m":{"size":4,"floor":1,"most":2,"load_ms":950},"n":{"size":3}},
 "adapters":{"a":{"base":"m","size":1}},"kinds":{"k":{"value":3,"wait_ms":500}},
 "services":{"s":{"models":["m"],"adapters":["a"],"probe":"/well","connections":9,"slots":6,"tokens":500,"room":8,"places":3,"loads_per_s":2.5},
 "t":{"plain":true,"slots":2},"u":{"models":["m","n"],"adapters":["a"]}},
@@ -22,10 +22,10 @@
 "one":{"host":"h.example","prefix":"/a/","service":"s","mode":"continuous","resume":true,"tries":2,"value":7,"wait_ms":4000,"aim_ms":600,"pause_ms":400,"quit_ms":3200},
 "two":{"host":"h.example","prefix":"/a/b/","split":[{"service":"t","weight":3},{"service":"s","weight":1}]}}}`
 
-// Everything that a plan says of routes by host and of servers is read, and what a service found by
-// host holds is under its name.
+// Host routes and server descriptions are read completely, and the keys of a host-routed service are qualified with
+// its name.
 func TestHosts(t *testing.T) {
-	p, f := ReadPlan([]byte(soundHosts))
+	p, f := ReadPlan([]byte(validHostPlan))
 	require.Nil(t, f)
 	const ms = time.Millisecond
 	m := Model{Size: 4, Floor: 1, Most: 2, Load: 950 * ms}
@@ -51,9 +51,9 @@
 	}}, p.Hosts)
 }
 
-// A plan without any of it gives what it gave before.
+// A plan without host routes is read as before they were introduced.
 func TestHostsAbsent(t *testing.T) {
-	p, f := ReadPlan([]byte(sound))
+	p, f := ReadPlan([]byte(validPlan))
 	require.Nil(t, f)
 	require.Nil(t, p.Hosts)
 	require.Equal(t, map[string]Service{"s": {Keys: map[ident.Key]bool{"m": true, "m+a": true}}}, p.Services)
@@ -61,17 +61,17 @@
 	require.Len(t, p.Models, 3)
 }
 
-// A model that only services found by host name stands under them alone.
+// A model that only host-routed services list is kept only under their names.
 func TestHostsOnly(t *testing.T) {
-	raw := strings.Replace(soundHosts, `"u":{"models":["m","n"],"adapters":["a"]}`, `"u":{"models":["n"]}`, 1)
+	raw := strings.Replace(validHostPlan, `"u":{"models":["m","n"],"adapters":["a"]}`, `"u":{"models":["n"]}`, 1)
 	p, f := ReadPlan([]byte(raw))
 	require.Nil(t, f)
 	require.Equal(t, []ident.Key{"n", "s|m", "s|m+a"}, generic.SortedKeys(p.Models))
 }
 
-// What such a plan allows: the longest prefix decides, within the models of the service it leads to.
+// The longest prefix selects the route, and the request may use the models of the service that it targets.
 func TestHostsMatch(t *testing.T) {
-	p, f := ReadPlan([]byte(soundHosts))
+	p, f := ReadPlan([]byte(validHostPlan))
 	require.Nil(t, f)
 	for _, c := range []struct {
 		host, path, base, extra string
@@ -93,54 +93,54 @@
 			require.Equal(t, c.route, m.Route.Name, fmt.Sprint(c))
 		}
 	}
-	met := map[ident.Key]int{}
+	chosen := map[ident.Key]int{}
 	for i := range 400 {
 		m, why := p.Match(Query{ID: fmt.Sprint(i), Host: "h.example", Path: "/a/b/c", Base: "m"})
 		require.Equal(t, failure.None, why)
 		require.Equal(t, "two", m.Route.Name)
-		met[m.Key]++
+		chosen[m.Key]++
 	}
-	require.Len(t, met, 2)
-	require.Greater(t, met["t|"], 2*met["s|m"])
+	require.Len(t, chosen, 2)
+	require.Greater(t, chosen["t|"], 2*chosen["s|m"])
 }
 
-// Every fault is named by its path, and with any fault there is no plan.
+// Every fault is reported with its path, and a plan with any fault is rejected.
 func TestHostFaults(t *testing.T) {
 	for _, c := range []struct {
 		name, old, new string
 		paths          []string
 	}{
-		{"sound", "", "", nil},
-		{"a host that is none", `"host":"h.example","prefix":"/a/",`, `"host":"H.example:80","prefix":"/a/",`, []string{"$.routes.one.host"}},
+		{"valid", "", "", nil},
+		{"invalid host", `"host":"h.example","prefix":"/a/",`, `"host":"H.example:80","prefix":"/a/",`, []string{"$.routes.one.host"}},
 		{"no host", `"host":"h.example","prefix":"/a/",`, `"prefix":"/a/",`, []string{"$.routes.one.host"}},
 		{"no prefix", `"prefix":"/a/",`, ``, []string{"$.routes.one.prefix"}},
-		{"a prefix that does not end", `"/a/"`, `"/a"`, []string{"$.routes.one.prefix"}},
-		{"a prefix that does not begin", `"/a/"`, `"a/"`, []string{"$.routes.one.prefix"}},
-		{"a prefix twice", `"/a/b/"`, `"/a/"`, []string{"$.routes.two.prefix"}},
+		{"prefix without a trailing slash", `"/a/"`, `"/a"`, []string{"$.routes.one.prefix"}},
+		{"prefix without a leading slash", `"/a/"`, `"a/"`, []string{"$.routes.one.prefix"}},
+		{"duplicate prefix", `"/a/b/"`, `"/a/"`, []string{"$.routes.two.prefix"}},
 		{"kinds", `"tries":2`, `"tries":2,"kinds":["k"]`, []string{"$.routes.one.kinds"}},
-		{"a mode that is none", `"continuous"`, `"twice"`, []string{"$.routes.one.mode", "$.routes.one.resume", "$.routes.one.pause_ms"}},
-		{"a mode that is no text", `"continuous","resume":true`, `1`, []string{"$.routes.one.mode", "$.routes.one.pause_ms"}},
-		{"no stream to take up", `"mode":"continuous",`, `"mode":"idempotent",`, []string{"$.routes.one.resume", "$.routes.one.pause_ms"}},
+		{"unknown mode", `"continuous"`, `"twice"`, []string{"$.routes.one.mode", "$.routes.one.resume", "$.routes.one.pause_ms"}},
+		{"mode is not a string", `"continuous","resume":true`, `1`, []string{"$.routes.one.mode", "$.routes.one.pause_ms"}},
+		{"resume without a stream", `"mode":"continuous",`, `"mode":"idempotent",`, []string{"$.routes.one.resume", "$.routes.one.pause_ms"}},
 		{"no tries", `"tries":2`, `"tries":0`, []string{"$.routes.one.tries"}},
 		{"no wait", `"wait_ms":4000`, `"wait_ms":0`, []string{"$.routes.one.wait_ms"}},
-		{"too long a wait", `"wait_ms":4000`, `"wait_ms":600001`, []string{"$.routes.one.wait_ms"}},
-		{"an aim of null", `"aim_ms":600`, `"aim_ms":null`, []string{"$.routes.one.aim_ms"}},
-		{"quitting at once", `"quit_ms":3200`, `"quit_ms":0`, []string{"$.routes.one.quit_ms"}},
-		{"a value below 0", `"value":7`, `"value":-7`, []string{"$.routes.one.value"}},
+		{"wait above the limit", `"wait_ms":4000`, `"wait_ms":600001`, []string{"$.routes.one.wait_ms"}},
+		{"null aim", `"aim_ms":600`, `"aim_ms":null`, []string{"$.routes.one.aim_ms"}},
+		{"zero quit time", `"quit_ms":3200`, `"quit_ms":0`, []string{"$.routes.one.quit_ms"}},
+		{"negative value", `"value":7`, `"value":-7`, []string{"$.routes.one.value"}},
 		{"no target", `"service":"s","mode"`, `"mode"`, []string{"$.routes.one.service"}},
 		{"two targets", `"service":"s","mode"`, `"service":"s","split":[],"mode"`, []string{"$.routes.one.service"}},
-		{"a service that dangles", `"service":"s","mode"`, `"service":"x","mode"`, []string{"$.routes.one.service"}},
-		{"a split that dangles", `{"service":"t"`, `{"service":"x"`, []string{"$.routes.two.split[0].service"}},
+		{"unknown service", `"service":"s","mode"`, `"service":"x","mode"`, []string{"$.routes.one.service"}},
+		{"unknown service in a split", `{"service":"t"`, `{"service":"x"`, []string{"$.routes.two.split[0].service"}},
 		{"a service twice in a split", `{"service":"t"`, `{"service":"s"`, []string{"$.routes.two.split[1].service"}},
-		{"a share without weight", `"t","weight":3`, `"t"`, []string{"$.routes.two.split[0].weight"}},
-		{"a weight below 0", `"weight":3`, `"weight":-3`, []string{"$.routes.two.split[0].weight"}},
-		{"weights of 0", `[{"service":"t","weight":3},{"service":"s","weight":1}]`, `[{"service":"t","weight":0}]`, []string{"$.routes.two.split"}},
+		{"share without a weight", `"t","weight":3`, `"t"`, []string{"$.routes.two.split[0].weight"}},
+		{"negative weight", `"weight":3`, `"weight":-3`, []string{"$.routes.two.split[0].weight"}},
+		{"weights that sum to 0", `[{"service":"t","weight":3},{"service":"s","weight":1}]`, `[{"service":"t","weight":0}]`, []string{"$.routes.two.split"}},
 		{"an empty split", `[{"service":"t","weight":3},{"service":"s","weight":1}]`, `[]`, []string{"$.routes.two.split"}},
 		{"an unknown key of a share", `"weight":3`, `"weight":3,"gain":3`, []string{"$.routes.two.split[0].gain"}},
 		{"an unknown key of a service", `"slots":6`, `"slots":6,"slot":6`, []string{"$.services.s.slot"}},
 		{"a plain service with models", `"plain":true`, `"plain":true,"models":["m"],"room":4`, []string{"$.services.t.models", "$.services.t.room"}},
-		{"plain that is no truth", `"plain":true`, `"plain":1`, []string{"$.services.t.plain", "$.services.t", "$.services.t.room", "$.services.t.loads_per_s"}},
-		{"a probe that is no path", `"/well"`, `"well"`, []string{"$.services.s.probe"}},
+		{"plain is not a boolean", `"plain":true`, `"plain":1`, []string{"$.services.t.plain", "$.services.t", "$.services.t.room", "$.services.t.loads_per_s"}},
+		{"probe is not a path", `"/well"`, `"well"`, []string{"$.services.s.probe"}},
 		{"an empty probe", `"/well"`, `""`, []string{"$.services.s.probe"}},
 		{"a fraction of a slot", `"slots":6`, `"slots":6.5`, []string{"$.services.s.slots"}},
 		{"too many tokens", `"tokens":500`, `"tokens":1000000001`, []string{"$.services.s.tokens"}},
@@ -148,33 +148,33 @@
 		{"no connections", `"connections":9`, `"connections":"9"`, []string{"$.services.s.connections"}},
 		{"no room", `"room":8,`, ``, []string{"$.services.s.room"}},
 		{"no loads", `,"loads_per_s":2.5`, ``, []string{"$.services.s.loads_per_s"}},
-		{"loads below 0", `2.5`, `-2.5`, []string{"$.services.s.loads_per_s"}},
-		{"loads past counting", `2.5`, `1e999`, []string{"$.services.s.loads_per_s"}},
-		{"loads that are no number", `2.5`, `"2.5"`, []string{"$.services.s.loads_per_s"}},
-		{"a load in no time", `"load_ms":950`, `"load_ms":0`, []string{"$.models.m.load_ms"}},
-		{"an adapter's load", `"base":"m","size":1`, `"base":"m","size":1,"load_ms":5`, []string{"$.adapters.a.load_ms"}},
+		{"negative load rate", `2.5`, `-2.5`, []string{"$.services.s.loads_per_s"}},
+		{"load rate overflow", `2.5`, `1e999`, []string{"$.services.s.loads_per_s"}},
+		{"load rate is not a number", `2.5`, `"2.5"`, []string{"$.services.s.loads_per_s"}},
+		{"zero load time", `"load_ms":950`, `"load_ms":0`, []string{"$.models.m.load_ms"}},
+		{"load time of an adapter", `"base":"m","size":1`, `"base":"m","size":1,"load_ms":5`, []string{"$.adapters.a.load_ms"}},
 		{"an adapter without its base", `"s":{"models":["m"]`, `"s":{"models":["n"]`, []string{"$.services.s.adapters"}},
-		{"by host and by path", `{"service":"u"`, `{"service":"s"`, []string{"$.services.s"}},
-		{"described and by path", `"u":{`, `"u":{"slots":1,"room":1,"loads_per_s":1,`, []string{"$.services.u"}},
+		{"targeted by host and by path", `{"service":"u"`, `{"service":"s"`, []string{"$.services.s"}},
+		{"server description with a path route", `"u":{`, `"u":{"slots":1,"room":1,"loads_per_s":1,`, []string{"$.services.u"}},
 		{"a service's name", `"t"`, `"t|"`, []string{"$.services.t|"}},
-		{"a model's name", `"n"`, `"n|"`, nil}, // as before, by path
+		{"a model's name", `"n"`, `"n|"`, nil}, // allowed for path routes
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			raw := soundHosts
+			raw := validHostPlan
 			if c.name == "a service's name" || c.name == "a model's name" {
 				raw = strings.ReplaceAll(raw, c.old, c.new)
 			} else if c.old != "" {
 				raw = strings.Replace(raw, c.old, c.new, 1)
-				require.NotEqual(t, soundHosts, raw)
+				require.NotEqual(t, validHostPlan, raw)
 			}
-			p, f := ReadPlan([]byte(raw))
+			plan, faults := ReadPlan([]byte(raw))
 			var paths []string
-			for _, x := range f {
-				paths = append(paths, x.Path)
-				require.NotEmpty(t, x.Why)
+			for _, fault := range faults {
+				paths = append(paths, fault.Path)
+				require.NotEmpty(t, fault.Why)
 			}
 			require.Equal(t, c.paths, paths)
-			require.Equal(t, c.paths == nil, p != nil)
+			require.Equal(t, c.paths == nil, plan != nil)
 		})
 	}
 }
@@ -196,8 +196,8 @@
 }
 
 func FuzzReadPlan(f *testing.F) {
-	f.Add([]byte(sound))
-	f.Add([]byte(soundHosts))
+	f.Add([]byte(validPlan))
+	f.Add([]byte(validHostPlan))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		p, faults := ReadPlan(raw)
 		require.Equal(t, p == nil, len(faults) > 0)
@@ -211,7 +211,7 @@
 			for _, r := range l {
 				require.Positive(t, r.Tries)
 				require.Positive(t, r.Class.Wait)
-				require.Contains(t, p.Services, r.choose("1"))
+				require.Contains(t, p.Services, r.chooseService("1"))
 			}
 		}
 		for name, s := range p.Services {
--- a/internal/fleetplan/match_test.go
+++ b/internal/fleetplan/match_test.go
@@ -10,13 +10,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// optional lets requests of a route name no model.
-func optional(r *Route) *Route {
+// modelOptional allows requests without a model on a route.
+func modelOptional(r *Route) *Route {
 	r.ModelOptional = true
 	return r
 }
 
-// hostPlan has two hosts, a plain service "web" and "llm", which holds m and its adapter a.
+// hostPlan returns a plan with two hosts, the plain services "web" and "old", and "llm" with model m and its adapter
+// a.
 func hostPlan() *Plan {
 	r := func(name, service string, split ...Share) *Route {
 		return &Route{Name: name, Service: service, Split: split, Class: Class{Value: 7}}
@@ -24,13 +25,13 @@
 	return &Plan{
 		Services: map[string]Service{"web": {Plain: true}, "old": {Plain: true}, "llm": {Keys: map[ident.Key]bool{"llm|m": true, "llm|m+a": true}}},
 		Hosts: map[string]map[string]*Route{
-			"h": {"/": r("root", "web"), "/v1/": r("v1", "llm"), "/v1/batch/": r("batch", "old"), "/any/": optional(r("any", "llm"))},
+			"h": {"/": r("root", "web"), "/v1/": r("v1", "llm"), "/v1/batch/": r("batch", "old"), "/any/": modelOptional(r("any", "llm"))},
 			"i": {"/v1/": r("other", "web"), "/s/": r("split", "", Share{"web", 90}, Share{"old", 10}, Share{"llm", 0})},
 		},
 	}
 }
 
-// The route of a host is the one with the longest prefix that begins the path.
+// The longest matching path prefix selects the route of a host.
 func TestFind(t *testing.T) {
 	p := hostPlan()
 	for _, c := range []struct{ host, path, route string }{
@@ -47,7 +48,7 @@
 	}
 }
 
-// What a request with a host may go to, and under which terms.
+// A request with a host is routed to the expected key, with the class of its route.
 func TestMatchByHost(t *testing.T) {
 	p := hostPlan()
 	for _, c := range []struct {
@@ -56,19 +57,19 @@
 		key  ident.Key
 		why  failure.Kind
 	}{
-		{"a plain service takes what names no model", Query{Host: "h", Path: "/x"}, "web|", failure.None},
-		{"and what names one", Query{Host: "h", Path: "/x", Base: "m"}, "web|", failure.None},
-		{"a model", Query{Host: "h", Path: "/v1/x", Base: "m"}, "llm|m", failure.None},
-		{"its adapter", Query{Host: "h", Path: "/v1/x", Base: "m", Extra: "a"}, "llm|m+a", failure.None},
-		{"no such model", Query{Host: "h", Path: "/v1/x", Base: "n"}, "", failure.NoModel},
-		{"no such adapter", Query{Host: "h", Path: "/v1/x", Base: "m", Extra: "b"}, "", failure.NoModel},
-		{"no model named", Query{Host: "h", Path: "/v1/x"}, "", failure.NoModel},
-		{"no model named, where none need be", Query{Host: "h", Path: "/any/x"}, "llm|", failure.None},
-		{"a model, likewise", Query{Host: "h", Path: "/any/x", Base: "m", Extra: "a"}, "llm|m+a", failure.None},
-		{"no such model, likewise", Query{Host: "h", Path: "/any/x", Base: "n"}, "", failure.NoModel},
-		{"an adapter of no model, likewise", Query{Host: "h", Path: "/any/x", Extra: "a"}, "", failure.NoModel},
-		{"no such host", Query{Host: "j", Path: "/v1/x", Base: "m"}, "", failure.NoRoute},
-		{"no such path", Query{Host: "i", Path: "/x"}, "", failure.NoRoute},
+		{"plain service, no model", Query{Host: "h", Path: "/x"}, "web|", failure.None},
+		{"plain service, with a model", Query{Host: "h", Path: "/x", Base: "m"}, "web|", failure.None},
+		{"model", Query{Host: "h", Path: "/v1/x", Base: "m"}, "llm|m", failure.None},
+		{"adapter", Query{Host: "h", Path: "/v1/x", Base: "m", Extra: "a"}, "llm|m+a", failure.None},
+		{"unknown model", Query{Host: "h", Path: "/v1/x", Base: "n"}, "", failure.NoModel},
+		{"unknown adapter", Query{Host: "h", Path: "/v1/x", Base: "m", Extra: "b"}, "", failure.NoModel},
+		{"no model", Query{Host: "h", Path: "/v1/x"}, "", failure.NoModel},
+		{"no model, model optional", Query{Host: "h", Path: "/any/x"}, "llm|", failure.None},
+		{"model, model optional", Query{Host: "h", Path: "/any/x", Base: "m", Extra: "a"}, "llm|m+a", failure.None},
+		{"unknown model, model optional", Query{Host: "h", Path: "/any/x", Base: "n"}, "", failure.NoModel},
+		{"adapter without a model, model optional", Query{Host: "h", Path: "/any/x", Extra: "a"}, "", failure.NoModel},
+		{"unknown host", Query{Host: "j", Path: "/v1/x", Base: "m"}, "", failure.NoRoute},
+		{"unknown path", Query{Host: "i", Path: "/x"}, "", failure.NoRoute},
 	} {
 		m, why := p.Match(c.q)
 		require.Equal(t, c.why, why, c.name)
@@ -80,8 +81,8 @@
 	}
 }
 
-// A split is by the id of the request: it is the same for an id at every reading of the plan, and
-// near its weights over many ids.
+// A split is determined by the request ID: the choice is the same for an ID each time a plan is read, and the shares
+// approach the weights over many IDs.
 func TestSplit(t *testing.T) {
 	const ids = 10_000
 	for _, c := range []struct {
@@ -90,31 +91,31 @@
 	}{
 		{"one", []Share{{"a", 1}}}, {"even", []Share{{"a", 1}, {"b", 1}}}, {"90 to 10", []Share{{"a", 90}, {"b", 10}}},
 		{"99 to 1", []Share{{"a", 99}, {"b", 1}}}, {"three", []Share{{"a", 50}, {"b", 30}, {"c", 20}}},
-		{"nothing for one", []Share{{"a", 0}, {"b", 5}, {"c", 0}}},
+		{"zero weights", []Share{{"a", 0}, {"b", 5}, {"c", 0}}},
 	} {
-		one, two := &Route{Name: "r", Split: c.split}, &Route{Name: "r", Split: append([]Share{}, c.split...)}
-		sum, got := 0, map[string]int{}
+		route, reread := &Route{Name: "r", Split: c.split}, &Route{Name: "r", Split: append([]Share{}, c.split...)}
+		sum, counts := 0, map[string]int{}
 		for _, s := range c.split {
 			sum += s.Weight
 		}
 		for i := range ids {
 			id := fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15)
-			s := one.choose(id)
-			require.Equal(t, s, one.choose(id), c.name)
-			require.Equal(t, s, two.choose(id), c.name)
-			got[s]++
+			s := route.chooseService(id)
+			require.Equal(t, s, route.chooseService(id), c.name)
+			require.Equal(t, s, reread.chooseService(id), c.name)
+			counts[s]++
 		}
 		for _, s := range c.split {
-			require.InDelta(t, ids*s.Weight/sum, got[s.Service], ids/50, "%s: %v", c.name, got)
+			require.InDelta(t, ids*s.Weight/sum, counts[s.Service], ids/50, "%s: %v", c.name, counts)
 			if s.Weight == 0 {
-				require.Zero(t, got[s.Service], c.name)
+				require.Zero(t, counts[s.Service], c.name)
 			}
 		}
 	}
-	// Two routes do not split the same ids the same way, or all that they share would meet one service.
+	// Two routes split the same IDs differently. Otherwise all requests that they share would go to the same service.
 	a, b, same := &Route{Name: "a", Split: []Share{{"x", 1}, {"y", 1}}}, &Route{Name: "b", Split: []Share{{"x", 1}, {"y", 1}}}, 0
 	for i := range ids {
-		if id := fmt.Sprint(i); a.choose(id) == b.choose(id) {
+		if id := fmt.Sprint(i); a.chooseService(id) == b.chooseService(id) {
 			same++
 		}
 	}
--- a/internal/fleetplan/memo.go
+++ b/internal/fleetplan/memo.go
@@ -5,24 +5,24 @@
 	"sync"
 )
 
-// memoSize is how many plans a Memo remembers: the one in force, and those that are on their way.
+// memoSize is the number of plans that a Memo retains: the current one and those being distributed.
 const memoSize = 4
 
-// Memo reads plans, and remembers those that it read last. A large plan takes a while to read: it can be read ahead, by
-// whoever brings it, so that the core that is to act by it does not stand still.
+// Memo parses plans and caches the most recent ones. Parsing a large plan takes a while; the caller that delivers a
+// plan can parse it in advance, so that the core which applies it is not blocked.
 type Memo struct {
 	Read func([]byte) (*Plan, Faults)
 
-	mu   sync.Mutex // guards the rest
-	list []remembered
+	mu      sync.Mutex // guards entries
+	entries []memoEntry
 }
 
-type remembered struct {
+type memoEntry struct {
 	raw  []byte
 	plan *Plan
 }
 
-// Plan gives what bytes come to. Plans are not changed once they are read, so that all may share one.
+// Plan returns the parsed plan. Plans are immutable after parsing, so callers may share them.
 func (m *Memo) Plan(raw []byte) (*Plan, Faults) {
 	if p := m.find(raw); p != nil {
 		return p, nil
@@ -33,9 +33,9 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.list = append(m.list, remembered{raw, p})
-	if len(m.list) > memoSize {
-		m.list = append([]remembered{}, m.list[1:]...)
+	m.entries = append(m.entries, memoEntry{raw, p})
+	if len(m.entries) > memoSize {
+		m.entries = append([]memoEntry{}, m.entries[1:]...)
 	}
 	return p, nil
 }
@@ -43,7 +43,7 @@
 func (m *Memo) find(raw []byte) *Plan {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, r := range m.list {
+	for _, r := range m.entries {
 		if bytes.Equal(r.raw, raw) {
 			return r.plan
 		}
--- a/internal/fleetplan/memo_test.go
+++ b/internal/fleetplan/memo_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What was read of late is not read again, what is faulty is never remembered, and the list stays short.
+// A recently parsed plan is not parsed again, a faulty plan is never cached, and the cache stays bounded.
 func TestMemo(t *testing.T) {
 	reads := 0
 	m := Memo{Read: func(raw []byte) (*Plan, Faults) {
@@ -32,7 +32,7 @@
 	for i := range 2 * memoSize {
 		_, _ = m.Plan([]byte(fmt.Sprint(i)))
 	}
-	require.Len(t, m.list, memoSize)
+	require.Len(t, m.entries, memoSize)
 	_, _ = m.Plan([]byte("a"))
 	require.Equal(t, 3+2*memoSize+1, reads)
 }
--- a/internal/fleetplan/merge_memo.go
+++ b/internal/fleetplan/merge_memo.go
@@ -5,20 +5,21 @@
 	"sync"
 )
 
-// MergeMemo applies changes to plans, and remembers those that it applied last. A change to a large plan takes a while: it
-// can be applied ahead, by whoever brings it, and one that goes through its rounds again is not applied again.
+// MergeMemo applies changes to plans and caches the most recent results. Applying a change to a large plan takes a
+// while; the caller that delivers the change can apply it in advance, and a change that is proposed again is not
+// applied again.
 type MergeMemo struct {
 	Merge func(plan, change []byte) ([]byte, Faults)
 
-	mu   sync.Mutex // guards the rest
-	list []merged
+	mu      sync.Mutex // guards entries
+	entries []mergeEntry
 }
 
-type merged struct {
+type mergeEntry struct {
 	plan, change, result []byte
 }
 
-// Apply gives the plan that a change turns another into.
+// Apply returns the plan that results from a change.
 func (m *MergeMemo) Apply(plan, change []byte) ([]byte, Faults) {
 	if result := m.find(plan, change); result != nil {
 		return result, nil
@@ -29,9 +30,9 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.list = append(m.list, merged{plan, change, result})
-	if len(m.list) > memoSize {
-		m.list = append([]merged{}, m.list[1:]...)
+	m.entries = append(m.entries, mergeEntry{plan, change, result})
+	if len(m.entries) > memoSize {
+		m.entries = append([]mergeEntry{}, m.entries[1:]...)
 	}
 	return result, nil
 }
@@ -39,7 +40,7 @@
 func (m *MergeMemo) find(plan, change []byte) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, r := range m.list {
+	for _, r := range m.entries {
 		if bytes.Equal(r.change, change) && bytes.Equal(r.plan, plan) {
 			return r.result
 		}
--- a/internal/fleetplan/plan.go
+++ b/internal/fleetplan/plan.go
@@ -11,7 +11,8 @@
 	"tidedeck/internal/ident"
 )
 
-// Bounds of what a plan may say.
+// Limits for plans and requests: bytes of a plan and of a request body, wait in milliseconds, size of a model, and
+// tokens of an answer.
 const (
 	MostPlan   = 4 << 20
 	MostBody   = 1 << 20
@@ -24,49 +25,49 @@
 type Model struct {
 	Key   ident.Key
 	Size  int
-	Floor int        // replicas kept ready at all times
-	Most  int        // replicas at the most
-	Load  clock.Span // how long a load takes at full speed, if that is known
+	Floor int        // minimum number of ready replicas
+	Most  int        // maximum number of replicas
+	Load  clock.Span // load time at full rate; 0 if unknown
 }
 
-// Class is a kind of request: its worth and how long it may wait.
+// Class is a class of requests: their value and their time limits.
 type Class struct {
 	Value int
 	Wait  clock.Span
-	Aim   clock.Span // an answer that begins within it is worth the most, if that is said
-	Pause clock.Span // between two events, likewise
-	Quit  clock.Span // callers give up when an answer has not begun by then, if that is said
+	Aim   clock.Span // target time to the first byte of an answer; 0 if unset
+	Pause clock.Span // target time between two events; 0 if unset
+	Quit  clock.Span // time after which callers give up waiting for the first byte; 0 if unset
 }
 
-// Service is what a route leads to: the keys that may be asked of it, by name. A plain service has
-// servers without models; the others' servers are all of one make.
+// Service is the target of a route, with the keys that requests may use. A plain service has servers without models;
+// the servers of any other service are identical.
 type Service struct {
 	Keys   map[ident.Key]bool
 	Plain  bool
-	Probe  string  // the path at which a server tells whether it is well
-	Conns  int     // connections that one server takes from all callers together
-	Slots  int     // requests that one server runs at once
-	Tokens int     // that its running requests and kept prompts share
-	Room   int     // for weights, in the unit of sizes
-	Places int     // for adapters
-	Loads  float64 // a second, over all its servers, that the store bears
+	Probe  string  // path of the health check
+	Conns  int     // connections that one server accepts, from all callers together
+	Slots  int     // concurrent requests of one server
+	Tokens int     // token capacity shared by running requests and cached prompts
+	Room   int     // capacity for weights, in the unit of model sizes
+	Places int     // number of adapters that one server can hold
+	Loads  float64 // loads per second that the store supports, over all servers of the service
 }
 
-// Modes of a route: what may be repeated, and how answers come.
+// Modes of a route: whether requests may be repeated, and how answers are delivered.
 const (
 	Once       = "once"       // runs at most once
 	Idempotent = "idempotent" // may run again
 	Continuous = "continuous" // runs at most once and answers with a stream of events
 )
 
-// Share is one service's part of a route.
+// Share is one service's share of a split route.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Route is a path that callers use. Routes with a host are found by it and the longest prefix of
-// the path; the others by the whole path.
+// Route is an entry point for callers. A route with a host is selected by the host and the longest matching path
+// prefix; any other route by its full path.
 type Route struct {
 	Service string
 	Kinds   map[string]bool
@@ -75,49 +76,49 @@
 	Host   string
 	Prefix string
 	Mode   string
-	Resume bool // a stream may be taken up at another server
+	Resume bool // a stream may be resumed on another server
 	Class  Class
-	Tries  int // servers that one request may be sent to
+	Tries  int // servers to which one request may be sent
 	Split  []Share
 
-	// ModelOptional says that a request which names no model is for any server of a service with models.
+	// ModelOptional allows requests without a model; these may go to any server of a service with models.
 	ModelOptional bool
 
-	// Unkeyed says that requests need no tenant's key, where the plan has tenants.
+	// Unkeyed allows requests without a tenant's key in a plan that has tenants.
 	Unkeyed bool
 }
 
-// Plan is a checked fleet plan.
+// Plan is a validated fleet plan.
 type Plan struct {
 	Name     string
-	Loads    int // loads that the weight store bears at once
+	Loads    int // concurrent loads that the weight store supports
 	Models   map[ident.Key]Model
 	Kinds    map[string]Class
 	Services map[string]Service
 	Routes   map[string]Route
 	Hosts    map[string]map[string]*Route // by host and prefix
-	Idle     clock.Span                   // a caller's connection may be idle for so long, if that is said
-	HeadMost int                          // bytes of a request's head, likewise
-	BodyMost int                          // bytes of its body
-	HeadWait clock.Span                   // for its head
+	Idle     clock.Span                   // idle timeout of callers' connections; 0 if unset
+	HeadMost int                          // maximum bytes of a request's header; 0 if unset
+	BodyMost int                          // maximum bytes of a request's body; 0 if unset
+	HeadWait clock.Span                   // timeout for reading a request's header; 0 if unset
 
-	tenants *Tenants // nil where nobody wants a key
+	tenants *Tenants // nil if the plan has no tenants and requires no keys
 	ranks   map[int]int
 }
 
-// Rank gives a value's place among those of the plan's classes: 0 is the highest. It is not safe for use
-// by two at once.
+// Rank returns the rank of a value among those of the plan's classes; 0 is the highest. It is not safe for concurrent
+// use.
 func (q *Plan) Rank(value int) int {
 	if q.ranks == nil {
-		l := q.values()
+		values := q.classValues()
 		if q.tenants != nil {
-			l = q.tenants.values(l)
+			values = q.tenants.requestValues(values)
 		}
-		slices.Sort(l)
-		slices.Reverse(l)
+		slices.Sort(values)
+		slices.Reverse(values)
 		q.ranks = map[int]int{}
-		for i, v := range slices.Compact(l) {
-			q.ranks[v] = i
+		for i, value := range slices.Compact(values) {
+			q.ranks[value] = i
 		}
 	}
 	if n, ok := q.ranks[value]; ok {
@@ -126,25 +127,24 @@
 	return max(0, len(q.ranks)-1)
 }
 
-// Query is what of a request decides where it may go, and whose it is.
+// Query contains the attributes of a request that determine its route and its tenant.
 type Query struct {
 	ID, Host, Path, Kind, Base, Extra string
 
 	Credential Credential
 }
 
-// Match is where a request may go, and under which terms. A request that may not go still has the route that it was found
-// under, if it has one.
+// Match is the result of routing a request. A rejected request keeps the route that it matched, if any.
 type Match struct {
 	Key   ident.Key
 	Class Class
-	Route *Route // of those found by host; nil for the others
+	Route *Route // the matched host route; nil for path routes
 
-	Keyed  bool   // the plan has tenants: what the caller shows as a key goes no further
-	Tenant string // whose request it is; empty for nobody's
+	Keyed  bool   // the plan has tenants: the caller's key must not be forwarded
+	Tenant string // name of the tenant; empty if none
 }
 
-// Match finds what a plan allows a request.
+// Match routes a request according to the plan.
 func (q *Plan) Match(x Query) (Match, failure.Kind) {
 	if x.Host == "" {
 		return q.matchPath(x)
@@ -154,10 +154,10 @@
 		return Match{}, failure.NoRoute
 	}
 	m := Match{Class: r.Class, Route: r}
-	if !q.admits(&m, x.Credential, r.Unkeyed) {
+	if !q.authorize(&m, x.Credential, r.Unkeyed) {
 		return m, failure.NoKey
 	}
-	name := r.choose(x.ID)
+	name := r.chooseService(x.ID)
 	s := q.Services[name]
 	if s.Plain || r.ModelOptional && x.Base == "" && x.Extra == "" {
 		m.Key = ident.ServiceKey(name)
@@ -171,39 +171,40 @@
 	return m, failure.None
 }
 
-// matchPath finds what a plan allows a request that is found by its whole path.
+// matchPath routes a request by its full path.
 func (q *Plan) matchPath(x Query) (m Match, why failure.Kind) {
 	r, ok := q.Routes[x.Path]
 	if !ok {
 		return Match{}, failure.NoRoute
 	}
 	m.Class = q.Kinds[x.Kind]
-	if !q.admits(&m, x.Credential, r.Unkeyed) {
+	if !q.authorize(&m, x.Credential, r.Unkeyed) {
 		return m, failure.NoKey
 	}
 	m.Key, _, why = q.Allows(x.Path, x.Kind, x.Base, x.Extra)
 	return m, why
 }
 
-// Find gives the route of a host with the longest prefix that begins the path.
+// Find returns the route of a host with the longest prefix that matches the path.
 func (q *Plan) Find(host, path string) *Route {
-	l := q.Hosts[host]
-	if l == nil {
+	routes := q.Hosts[host]
+	if routes == nil {
 		return nil
 	}
 	for i := len(path); i > 0; i-- {
 		if path[i-1] != '/' {
 			continue
 		}
-		if r := l[path[:i]]; r != nil {
+		if r := routes[path[:i]]; r != nil {
 			return r
 		}
 	}
 	return nil
 }
 
-// choose gives the service that a request goes to: by its id, so that the choice lasts.
-func (r *Route) choose(id string) string {
+// chooseService returns the service for a request. The choice is a hash of the request ID and the route's name, so it
+// is the same each time.
+func (r *Route) chooseService(id string) string {
 	if len(r.Split) == 0 {
 		return r.Service
 	}
@@ -218,74 +219,74 @@
 	n ^= n >> 33
 	n *= 0xff51afd7ed558ccd
 	n ^= n >> 33
-	at := int(n % uint64(max(1, sum)))
+	position := int(n % uint64(max(1, sum)))
 	for _, s := range r.Split {
-		if at -= s.Weight; at < 0 {
+		if position -= s.Weight; position < 0 {
 			return s.Service
 		}
 	}
 	return r.Service
 }
 
-// ReadPlan reads and checks a plan in full; with any fault there is no plan.
+// ReadPlan parses and validates a plan. With any fault it returns no plan.
 func ReadPlan(raw []byte) (*Plan, Faults) {
 	if len(raw) > MostPlan {
-		return nil, Faults{{"$", fmt.Sprintf("a plan has at most %d bytes", MostPlan)}}
+		return nil, Faults{{"$", fmt.Sprintf("plan exceeds %d bytes", MostPlan)}}
 	}
-	p, all := Open(raw)
-	if len(*all) > 0 && !p.has {
-		return nil, *all
+	p, faults := Open(raw)
+	if len(*faults) > 0 && !p.present {
+		return nil, *faults
 	}
-	q := &Plan{Models: map[ident.Key]Model{}, Kinds: map[string]Class{}, Services: map[string]Service{}, Routes: map[string]Route{}}
+	plan := &Plan{Models: map[ident.Key]Model{}, Kinds: map[string]Class{}, Services: map[string]Service{}, Routes: map[string]Route{}}
 	p.Only("name", "store", "models", "adapters", "kinds", "services", "routes", "tenants")
-	q.Name = p.At("name").Text(true, 128)
-	q.Loads = p.At("store").Only("loads").At("loads").Int(1, 1000, 2)
+	plan.Name = p.At("name").Text(true, 128)
+	plan.Loads = p.At("store").Only("loads").At("loads").Int(1, 1000, 2)
 	for _, s := range []string{"models", "kinds", "services", "routes"} {
-		if !p.At(s).has {
-			p.At(s).Fault("is missing")
+		if !p.At(s).present {
+			p.At(s).Fault("is required")
 		}
 	}
 	p.At("models").Keys(func(k string, n Pen) {
 		if strings.Contains(k, "+") {
-			n.Fault("a model's name has no +")
+			n.Fault("a model's name must not contain +")
 			return
 		}
 		n.Only("size", "floor", "most", "load_ms")
-		m := sizes(n, ident.Key(k))
-		m.Load = n.At("load_ms").ms(0)
-		q.Models[m.Key] = m
+		m := readModel(n, ident.Key(k))
+		m.Load = n.At("load_ms").durationMs(0)
+		plan.Models[m.Key] = m
 	})
 	names := map[string]ident.Key{}
 	p.At("adapters").Keys(func(k string, n Pen) {
 		n.Only("base", "size", "floor", "most")
-		b := n.At("base").Text(true, 128)
-		if b == "" {
+		base := n.At("base").Text(true, 128)
+		if base == "" {
 			return
 		}
-		if _, ok := q.Models[ident.Key(b)]; !ok {
-			n.At("base").Fault(fmt.Sprintf("no model is called %q", b))
+		if _, ok := plan.Models[ident.Key(base)]; !ok {
+			n.At("base").Fault(fmt.Sprintf("no model named %q", base))
 			return
 		}
-		key := ident.KeyOf(b, k)
+		key := ident.KeyOf(base, k)
 		names[k] = key
-		q.Models[key] = sizes(n, key)
+		plan.Models[key] = readModel(n, key)
 	})
 	p.At("kinds").Keys(func(k string, n Pen) {
 		n.Only("value", "wait_ms")
-		q.Kinds[k] = Class{
+		plan.Kinds[k] = Class{
 			Value: n.At("value").Int(0, 1_000_000, 1),
 			Wait:  clock.Span(n.At("wait_ms").Int(1, MostWait, 10_000)) * 1_000_000,
 		}
 	})
-	h := newHosts(q)
+	hosts := newHostReader(plan)
 	p.At("services").Keys(func(k string, n Pen) {
 		n.Only("models", "adapters", "plain", "probe", "connections", "slots", "tokens", "room", "places", "loads_per_s")
 		s := Service{Keys: map[ident.Key]bool{}}
-		h.servers(k, n, &s)
+		hosts.servers(k, n, &s)
 		n.At("models").List(100_000, func(n Pen) {
 			if m := ident.Key(n.Text(true, 128)); m != "" {
-				if _, ok := q.Models[m]; !ok || m.IsAdapter() {
-					n.Fault(fmt.Sprintf("no model is called %q", m))
+				if _, ok := plan.Models[m]; !ok || m.IsAdapter() {
+					n.Fault(fmt.Sprintf("no model named %q", m))
 				}
 				s.Keys[m] = true
 			}
@@ -294,70 +295,70 @@
 			if a := n.Text(true, 128); a != "" {
 				key, ok := names[a]
 				if !ok {
-					n.Fault(fmt.Sprintf("no adapter is called %q", a))
+					n.Fault(fmt.Sprintf("no adapter named %q", a))
 				}
 				s.Keys[key] = true
 			}
 		})
 		if len(s.Keys) == 0 && !s.Plain {
-			n.Fault("a service names at least one model or adapter")
+			n.Fault("a service must list at least one model or adapter")
 		}
-		q.Services[k] = s
+		plan.Services[k] = s
 	})
 	p.At("routes").Keys(func(k string, n Pen) {
-		if byHost(n) {
-			h.route(k, n)
+		if isHostRoute(n) {
+			hosts.route(k, n)
 			return
 		}
-		q.Routes[k] = h.pathRoute(k, n)
+		plan.Routes[k] = hosts.pathRoute(k, n)
 	})
-	h.settle(p.At("services"))
-	if n := p.At("tenants"); n.has {
-		q.SetTenants(readTenants(n))
+	hosts.qualifyModels(p.At("services"))
+	if n := p.At("tenants"); n.present {
+		plan.SetTenants(readTenants(n))
 	}
-	if len(*all) > 0 {
-		return nil, *all
+	if len(*faults) > 0 {
+		return nil, *faults
 	}
-	return q, nil
+	return plan, nil
 }
 
-// pathRoute reads a route that is found by its whole path.
-func (h *hosts) pathRoute(path string, n Pen) Route {
+// pathRoute reads a route that is selected by its full path.
+func (h *hostReader) pathRoute(path string, n Pen) Route {
 	n.Only("service", "kinds", "unkeyed")
 	if !strings.HasPrefix(path, "/") {
-		n.Fault("a route begins with /")
+		n.Fault("a route must begin with /")
 	}
 	r := Route{Service: n.At("service").Text(true, 128), Kinds: map[string]bool{}, Unkeyed: n.At("unkeyed").Bool(false)}
-	if _, ok := h.q.Services[r.Service]; !ok && r.Service != "" {
-		n.At("service").Fault(fmt.Sprintf("no service is called %q", r.Service))
+	if _, ok := h.plan.Services[r.Service]; !ok && r.Service != "" {
+		n.At("service").Fault(fmt.Sprintf("no service named %q", r.Service))
 	}
 	n.At("kinds").List(1000, func(n Pen) {
-		if c := n.Text(true, 128); c != "" {
-			if _, ok := h.q.Kinds[c]; !ok {
-				n.Fault(fmt.Sprintf("no kind is called %q", c))
+		if kind := n.Text(true, 128); kind != "" {
+			if _, ok := h.plan.Kinds[kind]; !ok {
+				n.Fault(fmt.Sprintf("no kind named %q", kind))
 			}
-			r.Kinds[c] = true
+			r.Kinds[kind] = true
 		}
 	})
 	if len(r.Kinds) == 0 {
-		n.At("kinds").Fault("a route names at least one kind")
+		n.At("kinds").Fault("a route must list at least one kind")
 	}
-	h.paths[r.Service] = true
+	h.pathServices[r.Service] = true
 	return r
 }
 
-func sizes(n Pen, k ident.Key) Model {
+func readModel(n Pen, k ident.Key) Model {
 	m := Model{Key: k, Size: n.At("size").Int(1, MostSize, 1), Floor: n.At("floor").Int(0, 1000, 0), Most: n.At("most").Int(1, 1000, 1000)}
-	if !n.At("size").has {
-		n.At("size").Fault("is missing")
+	if !n.At("size").present {
+		n.At("size").Fault("is required")
 	}
 	if m.Most < m.Floor {
-		n.At("most").Fault("is below floor")
+		n.At("most").Fault("is less than floor")
 	}
 	return m
 }
 
-// Allows finds what a request may use: the key, and the class of its kind.
+// Allows returns the key that a request may use and the class of its kind.
 func (q *Plan) Allows(route, kind, base, extra string) (ident.Key, Class, failure.Kind) {
 	r, ok := q.Routes[route]
 	if !ok {
@@ -382,30 +383,30 @@
 	Parts  []string
 	Prompt string
 	Max    int
-	Wait   clock.Span // how long from now it may wait; zero leaves it to its kind
-	Again  bool       // it may be repeated: running it twice does no harm
-	Repeat bool       // it is itself a repeat of an earlier request
-	Host   string     // that it was sent to, where routes go by hosts
-	Tokens int        // of its prompt, if that is known
-	Sizes  []int      // tokens of each of its parts, likewise
-	Seen   uint64     // it takes up a stream after the event of this number
+	Wait   clock.Span // remaining time to wait; 0 selects the limit of the request's kind
+	Again  bool       // running the request twice is harmless
+	Repeat bool       // the request repeats an earlier one
+	Host   string     // host that the request was sent to, for host routes
+	Tokens int        // number of prompt tokens, if known
+	Sizes  []int      // number of tokens of each part, if known
+	Seen   uint64     // resumes a stream after the event with this number
 
-	Credential Credential // what it shows of its caller
+	Credential Credential // the key that the caller presented
 }
 
-// Query gives what of the call decides where it may go.
+// Query returns the attributes of the call that determine its route.
 func (c Call) Query(path string) Query {
 	return Query{ID: c.ID, Host: c.Host, Path: path, Kind: c.Kind, Base: c.Base, Extra: c.Extra, Credential: c.Credential}
 }
 
-// ReadCall reads and checks a caller's request.
+// ReadCall parses and validates a caller's request.
 func ReadCall(raw []byte) (Call, Faults) {
-	p, all := Open(raw)
-	if len(*all) > 0 && !p.has {
-		return Call{}, *all
+	p, faults := Open(raw)
+	if len(*faults) > 0 && !p.present {
+		return Call{}, *faults
 	}
 	p.Only("id", "model", "adapter", "kind", "parts", "prompt", "max_tokens", "horizon_ms", "repeatable", "repeat")
-	c := Call{
+	call := Call{
 		ID:     p.At("id").Text(true, 128),
 		Base:   p.At("model").Text(true, 128),
 		Extra:  p.At("adapter").Text(false, 128),
@@ -416,17 +417,17 @@
 		Again:  p.At("repeatable").Bool(false),
 		Repeat: p.At("repeat").Bool(false),
 	}
-	if p.At("horizon_ms").has && c.Wait <= 0 {
-		c.Wait = -1
+	if p.At("horizon_ms").present && call.Wait <= 0 {
+		call.Wait = -1
 	}
-	p.At("parts").List(64, func(n Pen) { c.Parts = append(c.Parts, n.Text(true, MostBody)) })
-	if p.val != nil {
-		if _, ok := p.val.(map[string]any); !ok {
-			p.Fault("wants a table")
+	p.At("parts").List(64, func(n Pen) { call.Parts = append(call.Parts, n.Text(true, MostBody)) })
+	if p.value != nil {
+		if _, ok := p.value.(map[string]any); !ok {
+			p.Fault("must be an object")
 		}
 	}
-	if len(*all) > 0 {
-		return Call{}, *all
+	if len(*faults) > 0 {
+		return Call{}, *faults
 	}
-	return c, nil
+	return call, nil
 }
--- a/internal/fleetplan/tenants.go
+++ b/internal/fleetplan/tenants.go
@@ -8,44 +8,46 @@
 	"unicode"
 )
 
-// The tenants of a plan and their keys. A plan without tenants wants no keys; one with an empty list of them knows none.
+// This file implements the tenants of a plan and their keys. A plan without tenants requires no keys; a plan with an
+// empty list of tenants accepts none.
 
-// keyDigest stands for a key. Keys are kept and compared as digests only, so that none can be read from memory that is
-// looked at or printed, and how long a comparison takes tells nothing of a key.
+// keyDigest is the digest of a key. Keys are stored and compared only as digests, so that no key can be read from a
+// memory dump or a printed value, and the time of a comparison does not depend on the key.
 type keyDigest [sha256.Size]byte
 
-// Credential is what a request shows of its caller: a key, known by its digest, or nothing that can be one. Printing one
-// tells nothing of the key.
+// Credential is what a request presents to identify its caller: the digest of a key, or nothing that is valid as a
+// key. Printing a Credential reveals nothing about the key.
 type Credential struct {
-	digest keyDigest
-	shown  bool
+	digest  keyDigest
+	present bool
 }
 
-// String hides the key's digest.
+// String hides the digest of the key.
 func (c Credential) String() string {
-	if c.shown {
+	if c.present {
 		return "a key"
 	}
 	return "no key"
 }
 
-// GoString hides it likewise.
+// GoString hides the digest of the key.
 func (c Credential) GoString() string { return c.String() }
 
-// NewCredential is what a request with this key shows. An empty key is none.
+// NewCredential returns the credential for a key. An empty key yields an empty credential.
 func NewCredential(key string) Credential {
 	if key == "" {
 		return Credential{}
 	}
-	return Credential{digest: sha256.Sum256([]byte(key)), shown: true}
+	return Credential{digest: sha256.Sum256([]byte(key)), present: true}
 }
 
-// BearerScheme is the scheme of HTTP authentication under which callers show keys.
+// BearerScheme is the HTTP authentication scheme for keys.
 const BearerScheme = "Bearer"
 
-// ReadBearer gives what the Authorization lines of a request show: the one key of the one line with the scheme Bearer, in
-// letters of any case (RFC 9110, section 11). More than one line, or more than one word behind the scheme, shows nothing,
-// since the caller and a server behind could each take another for the key.
+// ReadBearer returns the credential of a request's Authorization lines: the single key of a single line with the
+// scheme Bearer, which is matched case-insensitively (RFC 9110, section 11). More than one line, or more than one
+// word after the scheme, yields no credential, since the caller and an upstream server could each take a different
+// one for the key.
 func ReadBearer(lines []string) Credential {
 	if len(lines) != 1 {
 		return Credential{}
@@ -58,44 +60,44 @@
 	return NewCredential(key)
 }
 
-// Tenant is somebody on whose behalf callers send requests.
+// Tenant is a party on whose behalf callers send requests.
 type Tenant struct {
 	Name       string
-	Precedence int // whose requests come first: the lowest
+	Precedence int // the lowest precedence is served first
 }
 
-// Tenants are a plan's tenants and their keys.
+// Tenants holds a plan's tenants and their keys.
 type Tenants struct {
-	named map[string]Tenant
-	keys  map[keyDigest]string // whose key it is
+	byName     map[string]Tenant
+	keyHolders map[keyDigest]string // tenant name by key digest
 
-	bands map[int]int // by precedence: how many of the plan's other precedences come after it, and requests of nobody
-	step  int         // more than any route's or kind's value
+	bands     map[int]int // by precedence: 1 plus the number of the plan's precedences that are served later; 0 is the band of requests without a tenant
+	bandWidth int         // greater than any route's or kind's value
 }
 
-// NewTenants makes an empty list of tenants.
+// NewTenants returns an empty set of tenants.
 func NewTenants() *Tenants {
-	return &Tenants{named: map[string]Tenant{}, keys: map[keyDigest]string{}}
+	return &Tenants{byName: map[string]Tenant{}, keyHolders: map[keyDigest]string{}}
 }
 
-// Bounds of what a plan says of tenants.
+// Limits for tenants.
 const (
-	mostKeyBytes   = 4096
-	mostTenantKeys = 1000
-	mostPrecedence = 1_000_000
+	maxKeyBytes   = 4096
+	maxTenantKeys = 1000
+	maxPrecedence = 1_000_000
 )
 
-// readTenants reads tenants by name, with the keys and the precedence of each. No fault tells a key.
+// readTenants reads tenants by name, with the keys and the precedence of each. No fault contains a key.
 func readTenants(p Pen) *Tenants {
 	t := NewTenants()
 	p.Keys(func(name string, n Pen) {
 		n.Only("keys", "precedence")
 		if !ValidTenantName(name) {
-			n.Fault("a tenant's name has no control characters, and no spaces around it")
+			n.Fault("a tenant's name must not contain control characters or have leading or trailing spaces")
 		}
-		t.Add(Tenant{Name: name, Precedence: n.At("precedence").Int(0, mostPrecedence, 0)})
-		n.At("keys").List(mostTenantKeys, func(n Pen) {
-			key := n.Text(true, mostKeyBytes)
+		t.Add(Tenant{Name: name, Precedence: n.At("precedence").Int(0, maxPrecedence, 0)})
+		n.At("keys").List(maxTenantKeys, func(n Pen) {
+			key := n.Text(true, maxKeyBytes)
 			if key == "" {
 				return
 			}
@@ -107,51 +109,53 @@
 	return t
 }
 
-// SharedKey says that a key is another tenant's, without telling it.
-func SharedKey(other string) string { return fmt.Sprintf("is a key of tenant %q too", other) }
+// SharedKey returns the fault text for a key that another tenant has, without the key itself.
+func SharedKey(other string) string { return fmt.Sprintf("is also a key of tenant %q", other) }
 
-// ValidTenantName tells whether servers can be told a name in a header.
+// ValidTenantName reports whether a name can be sent to servers in a header.
 func ValidTenantName(name string) bool {
 	return name != "" && strings.Trim(name, " ") == name && !strings.ContainsFunc(name, unicode.IsControl)
 }
 
-// Add adds a tenant; it tells whether nobody had that name.
+// Add adds a tenant and reports whether the name was unused.
 func (t *Tenants) Add(tenant Tenant) bool {
-	if _, taken := t.named[tenant.Name]; taken {
+	if _, exists := t.byName[tenant.Name]; exists {
 		return false
 	}
-	t.named[tenant.Name] = tenant
+	t.byName[tenant.Name] = tenant
 	return true
 }
 
-// Grant makes a key a tenant's; another tenant's key stays the other's, whose name is given.
+// Grant assigns a key to a tenant. If another tenant has the key, Grant returns that tenant's name and changes
+// nothing.
 func (t *Tenants) Grant(name, key string) (other string, ok bool) {
 	digest := NewCredential(key).digest
-	if holder, held := t.keys[digest]; held && holder != name {
+	if holder, held := t.keyHolders[digest]; held && holder != name {
 		return holder, false
 	}
-	t.keys[digest] = name
+	t.keyHolders[digest] = name
 	return "", true
 }
 
-// holder gives whose key a request shows.
+// holder returns the tenant whose key a request presents.
 func (t *Tenants) holder(c Credential) (Tenant, bool) {
-	if !c.shown {
+	if !c.present {
 		return Tenant{}, false
 	}
-	name, known := t.keys[c.digest]
-	return t.named[name], known
+	name, known := t.keyHolders[c.digest]
+	return t.byName[name], known
 }
 
-// rank lays out the values of requests so that a tenant's precedence comes before the value of a route or a kind: the values
-// of each precedence are a band of their own, above those of all that come after it. Requests of no tenant are the lowest band.
-func (t *Tenants) rank(values []int) {
-	t.step = 1
+// assignBands assigns each precedence a band of request values, so that a tenant's precedence outweighs the value of
+// a route or a kind: every value in a band is higher than those in the bands served later. Requests without a tenant
+// use the lowest band.
+func (t *Tenants) assignBands(values []int) {
+	t.bandWidth = 1
 	for _, v := range values {
-		t.step = max(t.step, v+1)
+		t.bandWidth = max(t.bandWidth, v+1)
 	}
 	var precedences []int
-	for _, tenant := range t.named {
+	for _, tenant := range t.byName {
 		precedences = append(precedences, tenant.Precedence)
 	}
 	slices.Sort(precedences)
@@ -162,35 +166,36 @@
 	}
 }
 
-// value is what a request of a tenant is worth whose route or kind has a value.
-func (t *Tenants) value(tenant Tenant, known bool, value int) int {
+// requestValue returns the value of a tenant's request, given the value of its route or kind.
+func (t *Tenants) requestValue(tenant Tenant, known bool, value int) int {
 	if !known {
 		return value
 	}
-	return t.bands[tenant.Precedence]*t.step + value
+	return t.bands[tenant.Precedence]*t.bandWidth + value
 }
 
-// values lists what requests may be worth, for all bands.
-func (t *Tenants) values(values []int) []int {
+// requestValues returns the values that requests may have, in all bands.
+func (t *Tenants) requestValues(values []int) []int {
 	all := slices.Clone(values)
 	for _, band := range t.bands {
 		for _, v := range values {
-			all = append(all, band*t.step+v)
+			all = append(all, band*t.bandWidth+v)
 		}
 	}
 	return all
 }
 
-// SetTenants gives the plan its tenants, once its routes and kinds are there.
+// SetTenants sets the plan's tenants. It must be called after the routes and kinds are set.
 func (q *Plan) SetTenants(t *Tenants) {
 	q.tenants = t
-	t.rank(q.values())
+	t.assignBands(q.classValues())
 }
 
-// Keyed tells whether the plan has tenants, so that what callers show as keys concerns the routers only.
+// Keyed reports whether the plan has tenants. If so, callers' keys are meant for the routers only.
 func (q *Plan) Keyed() bool { return q.tenants != nil }
 
-// Holder tells the name of the tenant whose key a request shows; none where the plan has no tenants, or the key is nobody's.
+// Holder returns the name of the tenant whose key a request presents, or an empty string if the plan has no tenants
+// or the key is unknown.
 func (q *Plan) Holder(c Credential) string {
 	if q.tenants == nil {
 		return ""
@@ -199,26 +204,26 @@
 	return tenant.Name
 }
 
-// values lists the values of the plan's kinds and routes.
-func (q *Plan) values() (l []int) {
+// classValues returns the values of the plan's kinds and routes.
+func (q *Plan) classValues() (values []int) {
 	for _, k := range q.Kinds {
-		l = append(l, k.Value)
+		values = append(values, k.Value)
 	}
-	for _, h := range q.Hosts {
-		for _, r := range h {
-			l = append(l, r.Class.Value)
+	for _, routes := range q.Hosts {
+		for _, r := range routes {
+			values = append(values, r.Class.Value)
 		}
 	}
-	return l
+	return values
 }
 
-// admits completes a match with whose request it is, and tells whether the route lets it in.
-func (q *Plan) admits(m *Match, c Credential, unkeyed bool) bool {
+// authorize adds the tenant to a match and reports whether the route accepts the request.
+func (q *Plan) authorize(m *Match, credential Credential, unkeyed bool) bool {
 	if q.tenants == nil {
 		return true
 	}
-	tenant, known := q.tenants.holder(c)
+	tenant, known := q.tenants.holder(credential)
 	m.Keyed, m.Tenant = true, tenant.Name
-	m.Class.Value = q.tenants.value(tenant, known, m.Class.Value)
+	m.Class.Value = q.tenants.requestValue(tenant, known, m.Class.Value)
 	return known || unkeyed
 }
--- a/internal/fleetplan/tenants_test.go
+++ b/internal/fleetplan/tenants_test.go
@@ -16,45 +16,45 @@
 "h":{"host":"h.example","prefix":"/","service":"web","value":9}},
 "tenants":{"acme":{"keys":["k1","k2"],"precedence":1},"globex":{"keys":["k3"]}}}`
 
-// The product's own form of plan has tenants, at both doors.
+// Tenants of a plan in the native format apply to path routes and to host routes.
 func TestTenantsOfAPlan(t *testing.T) {
-	q, f := ReadPlan([]byte(tenantPlan))
-	require.Empty(t, f)
-	require.True(t, q.Keyed())
+	plan, faults := ReadPlan([]byte(tenantPlan))
+	require.Empty(t, faults)
+	require.True(t, plan.Keyed())
 	for _, c := range []struct {
 		name, path, host, kind, key string
 		tenant                      string
 		why                         failure.Kind
 	}{
 		{"a key", "/r", "", "k", "k1", "acme", failure.None},
-		{"its other key", "/r", "", "k", "k2", "acme", failure.None},
-		{"another's", "/r", "", "k", "k3", "globex", failure.None},
+		{"second key of the tenant", "/r", "", "k", "k2", "acme", failure.None},
+		{"key of another tenant", "/r", "", "k", "k3", "globex", failure.None},
 		{"no key", "/r", "", "k", "", "", failure.NoKey},
-		{"an unknown key, and no such kind", "/r", "", "odd", "x", "", failure.NoKey},
-		{"no key where none is wanted", "/open", "", "k", "", "", failure.None},
-		{"a key where none is wanted", "/open", "", "k", "k1", "acme", failure.None},
+		{"unknown key and unknown kind", "/r", "", "odd", "x", "", failure.NoKey},
+		{"no key on an unkeyed route", "/open", "", "k", "", "", failure.None},
+		{"key on an unkeyed route", "/open", "", "k", "k1", "acme", failure.None},
 		{"by host", "/x", "h.example", "", "k1", "acme", failure.None},
 		{"by host, without a key", "/x", "h.example", "", "", "", failure.NoKey},
 	} {
-		m, why := q.Match(Query{ID: "1", Host: c.host, Path: c.path, Kind: c.kind, Base: "m", Credential: NewCredential(c.key)})
+		m, why := plan.Match(Query{ID: "1", Host: c.host, Path: c.path, Kind: c.kind, Base: "m", Credential: NewCredential(c.key)})
 		require.Equal(t, c.why, why, c.name)
 		require.Equal(t, c.tenant, m.Tenant, c.name)
 		require.True(t, m.Keyed, c.name)
 	}
-	bare, f := ReadPlan([]byte(tenantPlan[:strings.Index(tenantPlan, ",\n\"tenants\"")] + "}"))
-	require.Empty(t, f)
-	m, why := bare.Match(Query{ID: "1", Path: "/r", Kind: "k", Base: "m"})
+	untenanted, faults := ReadPlan([]byte(tenantPlan[:strings.Index(tenantPlan, ",\n\"tenants\"")] + "}"))
+	require.Empty(t, faults)
+	m, why := untenanted.Match(Query{ID: "1", Path: "/r", Kind: "k", Base: "m"})
 	require.Equal(t, failure.None, why)
 	require.False(t, m.Keyed)
 }
 
-// Faults name the place, and no key.
+// Faults contain the path and no key.
 func TestTenantFaults(t *testing.T) {
 	for _, c := range []struct{ name, old, new, path string }{
 		{"a shared key", `["k3"]`, `["k3","k1"]`, "$.tenants.globex.keys[1]"},
-		{"a key that is no text", `["k3"]`, `[3]`, "$.tenants.globex.keys[0]"},
+		{"key is not a string", `["k3"]`, `[3]`, "$.tenants.globex.keys[0]"},
 		{"an unknown field", `"precedence":1`, `"rank":1`, "$.tenants.acme.rank"},
-		{"a name that no header can carry", `"globex"`, `"glo\u0007bex"`, "$.tenants.glo\abex"},
+		{"name that is invalid in a header", `"globex"`, `"glo\u0007bex"`, "$.tenants.glo\abex"},
 	} {
 		_, f := ReadPlan([]byte(strings.Replace(tenantPlan, c.old, c.new, 1)))
 		require.Len(t, f, 1, c.name)
@@ -63,7 +63,7 @@
 	}
 }
 
-// A tenant's precedence comes before the value of a route or a kind, and nobody's requests come last.
+// A tenant's precedence outweighs the value of a route or a kind, and requests without a tenant come last.
 func TestPrecedenceBeforeValue(t *testing.T) {
 	q, f := ReadPlan([]byte(tenantPlan))
 	require.Empty(t, f)
@@ -79,7 +79,7 @@
 	require.IsIncreasing(t, ranks)
 }
 
-// What a request shows is printed without the key or its digest, whatever the verb.
+// Printing a request reveals neither the key nor its digest, for any formatting verb.
 func TestCredentialsAreNotPrinted(t *testing.T) {
 	c := Call{ID: "1", Credential: NewCredential("secret-key")}
 	for _, verb := range []string{"%v", "%+v", "%#v", "%s"} {
@@ -90,7 +90,8 @@
 	}
 }
 
-// One line with the scheme and one word shows a key; whatever else it is, reading it ends, and the same bytes show the same key.
+// A single line with the scheme and one word yields the key. Any other input is handled without failure, and the same
+// bytes always yield the same credential.
 func FuzzReadBearer(f *testing.F) {
 	for _, s := range []string{"Bearer k", "bearer  k ", "Basic k", "Bearer", "Bearer a b", "Bearer a,b", "\tBearer\tk", "", "Bearer \xff"} {
 		f.Add(s)
@@ -100,7 +101,7 @@
 		require.Equal(t, c, ReadBearer([]string{line}))
 		require.Equal(t, Credential{}, ReadBearer([]string{line, line}))
 		words := strings.FieldsFunc(line, func(r rune) bool { return r == ' ' || r == '\t' })
-		if c.shown {
+		if c.present {
 			require.Len(t, words, 2)
 			require.Equal(t, NewCredential(words[1]), c)
 		}
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package invariant states the promises that matter most as checks which run in the code. A check that does
-// not hold is counted, logged by the process, and ends a test at once (package strict). It changes nothing of
-// what the program does: a wrong check must not take a sound process down.
+// Package invariant provides runtime checks of the system's most important guarantees. A failed check is counted and
+// logged by the process, and ends a test at once (package strict). It does not affect the program otherwise: an
+// incorrect check must not take down a sound process.
 package invariant
 
 import (
@@ -10,10 +10,10 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Name names an invariant.
+// Name identifies an invariant.
 type Name string
 
-// The invariants. What each says, and which promise it stands for, is in docs/invariants.md.
+// The invariants. docs/invariants.md describes each one and the guarantee that it checks.
 const (
 	RunsOnce          Name = "request_runs_once"
 	RefusedNeverRan   Name = "refused_never_ran"
@@ -45,16 +45,16 @@
 	OneOwner, OrdersUnderLease, WithinRoom, WithinRate, LeavingIsKnown, TenantHoldsKey,
 }
 
-// Violation is an invariant that did not hold, and what was seen.
+// Violation is a failed invariant with details of the observed state.
 type Violation struct {
 	Name   Name
 	Detail string
 }
 
-// Sign is in the text of every violation.
+// Sign is part of the text of every violation.
 const Sign = "invariant violated: "
 
-// Error tells the violation as text.
+// Error returns the violation as text.
 func (v Violation) Error() string { return fmt.Sprintf("%s%s: %s", Sign, v.Name, v.Detail) }
 
 var (
@@ -70,14 +70,14 @@
 	return m
 }
 
-// Observe sets who hears of each violation: the process's log, or a test. It may be called under locks of
-// the caller's and must not wait.
+// Observe sets the function that receives each violation, such as the process's logger or a test. The function may be
+// called while the caller holds locks, and must not block.
 func Observe(f func(Violation)) { observer.Store(&f) }
 
-// ObserveByDefault sets who hears of each violation if nobody does yet.
+// ObserveByDefault sets the function that receives each violation, unless one is already set.
 func ObserveByDefault(f func(Violation)) { observer.CompareAndSwap(nil, &f) }
 
-// Check counts and reports a violation unless holds is true. The detail is put together only then.
+// Check counts and reports a violation unless holds is true. The detail is computed only for a violation.
 func Check(holds bool, name Name, detail func() string) {
 	if holds {
 		return
@@ -88,21 +88,21 @@
 	}
 }
 
-// Count tells how often an invariant did not hold in this process.
+// Count returns the number of violations of an invariant in this process.
 func Count(name Name) uint64 { return counts[name].Load() }
 
-// collector shows the counts as metrics, those of zero too.
+// collector exports the counts as metrics, including those that are zero.
 type collector struct{ desc *prometheus.Desc }
 
-// Collector gives the counts as a metric with a label for each invariant.
+// Collector returns a collector for a metric with one label value for each invariant.
 func Collector() prometheus.Collector {
-	return collector{prometheus.NewDesc("tidedeck_invariant_violations_total", "Checks of promises that did not hold.", []string{"invariant"}, nil)}
+	return collector{prometheus.NewDesc("tidedeck_invariant_violations_total", "Number of invariant violations.", []string{"invariant"}, nil)}
 }
 
-// Describe tells of the one metric.
+// Describe sends the descriptor of the metric.
 func (c collector) Describe(ch chan<- *prometheus.Desc) { ch <- c.desc }
 
-// Collect reads the counts.
+// Collect sends the current counts.
 func (c collector) Collect(ch chan<- prometheus.Metric) {
 	for _, name := range Names {
 		ch <- prometheus.MustNewConstMetric(c.desc, prometheus.CounterValue, float64(Count(name)), string(name))
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -8,17 +8,17 @@
 )
 
 func TestCheck(t *testing.T) {
-	var seen []Violation
-	Observe(func(v Violation) { seen = append(seen, v) })
+	var violations []Violation
+	Observe(func(v Violation) { violations = append(violations, v) })
 	Check(true, RunsOnce, func() string {
-		t.Error("the detail of a check that holds is not wanted")
+		t.Error("the detail of a check that holds must not be computed")
 		return ""
 	})
-	require.Empty(t, seen)
+	require.Empty(t, violations)
 	Check(false, RunsOnce, func() string { return "request 7" })
-	require.Equal(t, []Violation{{RunsOnce, "request 7"}}, seen)
+	require.Equal(t, []Violation{{RunsOnce, "request 7"}}, violations)
 	require.EqualValues(t, 1, Count(RunsOnce))
-	require.Equal(t, "invariant violated: request_runs_once: request 7", seen[0].Error())
+	require.Equal(t, "invariant violated: request_runs_once: request 7", violations[0].Error())
 }
 
 func TestCollectorShowsAll(t *testing.T) {
--- a/internal/invariant/strict/strict.go
+++ b/internal/invariant/strict/strict.go
@@ -1,5 +1,5 @@
-// Package strict makes a violated invariant end the test, or the simulated run, that meets it. Test files and
-// the simulator import it for that.
+// Package strict makes a violated invariant end the test or the simulation that encounters it. Test files and the
+// simulator import it for this effect.
 package strict
 
 import (
@@ -9,8 +9,8 @@
 	"tidedeck/internal/invariant"
 )
 
-// Variable names the environment variable that turns the checks off with the value Off: tests that break a
-// guard on purpose do so, to see that their own checks notice it without the invariants.
+// Variable is the environment variable that turns the checks off if it has the value Off. Tests that break a guard on
+// purpose use it to verify that their own checks detect the fault without the invariants.
 const (
 	Variable = "TIDEDECK_INVARIANTS"
 	Off      = "off"
@@ -24,8 +24,8 @@
 	invariant.Observe(func(v invariant.Violation) { panic(v) })
 }
 
-// Verdict turns the exit code of a package's tests into a failure if any invariant was violated: a panic may
-// have been recovered, as net/http does for its handlers.
+// Verdict turns the exit code of a package's tests into a failure if any invariant was violated, because the panic
+// may have been recovered, as net/http does for its handlers.
 func Verdict(code int) int {
 	if os.Getenv(Variable) == Off {
 		return code
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,5 +1,6 @@
-// Package membership tells which siblings are alive: probes to a few others in turn, second
-// opinions through third parties, and suspicion, which a live process refutes, before removal.
+// Package membership tracks which siblings are alive. Each process probes a few others in turn, requests indirect
+// probes through third parties when a probe is not answered, and suspects a member, which a live process refutes,
+// before declaring it dead.
 package membership
 
 import (
@@ -15,53 +16,53 @@
 	"tidedeck/internal/protocol"
 )
 
-// Stages of a member's life.
+// States of a member.
 const (
 	Alive   = "alive"
 	Suspect = "suspect"
 	Dead    = "dead"
 )
 
-// Options of a membership core.
+// Options configures a membership core.
 type Options struct {
 	Me      protocol.Member
 	Seeds   []protocol.Sibling
 	Rand    *rand.Rand
-	Every   clock.Span // between two probes
-	Wait    clock.Span // for an answer before second opinions are asked
-	Grace   clock.Span // a suspect's time to refute
-	Forget  clock.Span // how long a dead member is remembered
+	Every   clock.Span // interval between probes
+	Wait    clock.Span // time to wait for an answer before indirect probes are requested
+	Grace   clock.Span // time for a suspect to refute the suspicion
+	Forget  clock.Span // how long a dead member is retained
 	Helpers int
 }
 
-type mate struct {
+type member struct {
 	protocol.Member
-	since clock.Tick
-	life  string
-	told  int // times this line was gossiped
+	since    clock.Tick
+	state    string
+	gossiped int // number of times that this state was gossiped
 }
 
 type probe struct {
-	to     ident.Node
-	at     clock.Tick
-	helped bool
-	asker  protocol.Sibling // set when probing on another's behalf
-	seq    uint64           // the asker's number
+	target       ident.Node
+	sentAt       clock.Tick
+	indirect     bool
+	requester    protocol.Sibling // set when probing on behalf of another process
+	requesterSeq uint64           // sequence number of the requester's probe
 }
 
-// Core is the membership of one process. It does no I/O and keeps no lock.
+// Core is the membership state of one process. It performs no I/O and is not safe for concurrent use.
 type Core struct {
-	o     Options
-	mates map[ident.Node]*mate
-	out   map[uint64]*probe
-	seq   uint64
-	next  clock.Tick
-	ring  []ident.Node
-	seed  int
-	now   clock.Tick
+	o          Options
+	members    map[ident.Node]*member
+	pending    map[uint64]*probe
+	seq        uint64
+	nextProbe  clock.Tick
+	probeOrder []ident.Node
+	seedIndex  int
+	now        clock.Tick
 }
 
-// New makes a membership core that knows only its seeds.
+// New returns a membership core that knows only its seeds.
 func New(o Options) *Core {
 	generic.SetDefault(&o.Every, 250e6)
 	generic.SetDefault(&o.Wait, 200e6)
@@ -69,31 +70,34 @@
 	generic.SetDefault(&o.Forget, 60e9)
 	generic.SetDefault(&o.Helpers, 2)
 	o.Me.Life = Alive
-	return &Core{o: o, mates: map[ident.Node]*mate{}, out: map[uint64]*probe{}}
+	return &Core{o: o, members: map[ident.Node]*member{}, pending: map[uint64]*probe{}}
 }
 
-type turn struct {
-	m    *mate
-	line protocol.Member
+type transition struct {
+	member *member
+	update protocol.Member
 }
 
-type tag struct{}
+type transitionKey struct{}
 
-// The life of a member: what is heard moves it, and a higher incarnation always wins.
-var life = func() *stateless.StateMachine {
+// stateMachine defines the transitions of a member's state: an update applies only if its incarnation is high enough,
+// and a higher incarnation always wins.
+var stateMachine = func() *stateless.StateMachine {
 	s := stateless.NewStateMachineWithExternalStorage(
-		func(c context.Context) (stateless.State, error) { return c.Value(tag{}).(*turn).m.life, nil },
+		func(c context.Context) (stateless.State, error) {
+			return c.Value(transitionKey{}).(*transition).member.state, nil
+		},
 		func(c context.Context, s stateless.State) error {
-			c.Value(tag{}).(*turn).m.life = s.(string)
+			c.Value(transitionKey{}).(*transition).member.state = s.(string)
 			return nil
 		}, stateless.FiringImmediate)
 	newer := func(c context.Context, _ ...any) bool {
-		t := c.Value(tag{}).(*turn)
-		return t.line.Inc > t.m.Inc
+		t := c.Value(transitionKey{}).(*transition)
+		return t.update.Inc > t.member.Inc
 	}
 	even := func(c context.Context, _ ...any) bool {
-		t := c.Value(tag{}).(*turn)
-		return t.line.Inc >= t.m.Inc
+		t := c.Value(transitionKey{}).(*transition)
+		return t.update.Inc >= t.member.Inc
 	}
 	s.Configure(Alive).Permit(Suspect, Suspect, even).Permit(Dead, Dead, even).Ignore(Alive)
 	s.Configure(Suspect).Permit(Alive, Alive, newer).Permit(Dead, Dead, even).Ignore(Suspect)
@@ -102,250 +106,250 @@
 	return s
 }()
 
-// maxIncarnation is above all that a process draws or raises its own to.
+// maxIncarnation is greater than any incarnation that a process draws or raises its own to.
 const maxIncarnation ident.Inc = 1 << 63
 
-// valid tells whether a line of gossip is one that a process can have written.
-func valid(l protocol.Member) bool {
-	known := l.Life == Alive || l.Life == Suspect || l.Life == Dead
-	return known && l.ID != "" && l.Addr != "" && l.Inc < maxIncarnation
+// valid reports whether a gossiped update can have been produced by a process.
+func valid(update protocol.Member) bool {
+	validState := update.Life == Alive || update.Life == Suspect || update.Life == Dead
+	return validState && update.ID != "" && update.Addr != "" && update.Inc < maxIncarnation
 }
 
-// hear takes in a line of gossip. One that makes no sense would never be forgotten, and is left out.
-func (c *Core) hear(now clock.Tick, l protocol.Member) {
-	if !valid(l) {
+// applyUpdate applies a gossiped update. Invalid updates are ignored, because they would never be removed again.
+func (c *Core) applyUpdate(now clock.Tick, update protocol.Member) {
+	if !valid(update) {
 		return
 	}
-	if l.ID == c.o.Me.ID {
-		if l.Life != Alive && l.Inc >= c.o.Me.Inc {
-			c.o.Me.Inc = l.Inc + 1
+	if update.ID == c.o.Me.ID {
+		if update.Life != Alive && update.Inc >= c.o.Me.Inc {
+			c.o.Me.Inc = update.Inc + 1
 		}
 		return
 	}
-	m := c.mates[l.ID]
-	if m == nil {
-		if l.Life == Dead {
+	known := c.members[update.ID]
+	if known == nil {
+		if update.Life == Dead {
 			return
 		}
-		c.mates[l.ID] = &mate{Member: l, since: now, life: l.Life}
+		c.members[update.ID] = &member{Member: update, since: now, state: update.Life}
 		return
 	}
-	was, inc := m.life, m.Inc
-	_ = life.FireCtx(context.WithValue(context.Background(), tag{}, &turn{m, l}), l.Life)
-	if l.Inc > m.Inc {
-		m.Inc, m.Addr, m.Zone, m.Role = l.Inc, l.Addr, l.Zone, l.Role
-		if m.life == l.Life && was == l.Life {
-			m.told = 0
+	was, inc := known.state, known.Inc
+	_ = stateMachine.FireCtx(context.WithValue(context.Background(), transitionKey{}, &transition{known, update}), update.Life)
+	if update.Inc > known.Inc {
+		known.Inc, known.Addr, known.Zone, known.Role = update.Inc, update.Addr, update.Zone, update.Role
+		if known.state == update.Life && was == update.Life {
+			known.gossiped = 0
 		}
 	}
-	if m.life != was || m.Inc != inc {
-		m.Life, m.since, m.told = m.life, now, 0
+	if known.state != was || known.Inc != inc {
+		known.Life, known.since, known.gossiped = known.state, now, 0
 	}
 }
 
 func (c *Core) gossip() []protocol.Member {
-	l := make([]*mate, 0, len(c.mates))
-	for _, m := range c.mates {
-		l = append(l, m)
+	members := make([]*member, 0, len(c.members))
+	for _, m := range c.members {
+		members = append(members, m)
 	}
-	sort.Slice(l, func(i, j int) bool {
-		if l[i].told != l[j].told {
-			return l[i].told < l[j].told
+	sort.Slice(members, func(i, j int) bool {
+		if members[i].gossiped != members[j].gossiped {
+			return members[i].gossiped < members[j].gossiped
 		}
-		return l[i].ID < l[j].ID
+		return members[i].ID < members[j].ID
 	})
-	n := []protocol.Member{c.o.Me}
-	for i := 0; i < len(l) && i < 8; i++ {
-		l[i].told++
-		b := l[i].Member
-		b.Life = l[i].life
-		n = append(n, b)
+	updates := []protocol.Member{c.o.Me}
+	for i := 0; i < len(members) && i < 8; i++ {
+		members[i].gossiped++
+		update := members[i].Member
+		update.Life = members[i].state
+		updates = append(updates, update)
 	}
-	return n
+	return updates
 }
 
-// Reseed replaces the seeds: those of the start may all be gone by the time that they are needed again.
+// Reseed replaces the seeds, because the initial seeds may all be gone by the time they are needed again.
 func (c *Core) Reseed(seeds []protocol.Sibling) { c.o.Seeds = seeds }
 
-func (c *Core) mail(to protocol.Sibling, body any) protocol.Env {
-	return protocol.Env{From: c.o.Me.Sibling, To: to, Body: body}
+func (c *Core) envelope(to protocol.Sibling, message any) protocol.Env {
+	return protocol.Env{From: c.o.Me.Sibling, To: to, Body: message}
 }
 
-// Beat sends what is due.
+// Beat expires timers and returns the messages that are due.
 func (c *Core) Beat(now clock.Tick) (out []protocol.Env) {
 	c.now = now
-	for _, s := range generic.SortedKeys(c.out) {
-		p := c.out[s]
-		switch age := now.Sub(p.at); {
-		case p.asker.ID != "" && age > 2*c.o.Wait:
-			delete(c.out, s)
-		case p.asker.ID == "" && !p.helped && age > c.o.Wait:
-			p.helped = true
-			m := c.mates[p.to]
-			for _, h := range c.pick(c.o.Helpers, p.to) {
+	for _, seq := range generic.SortedKeys(c.pending) {
+		p := c.pending[seq]
+		switch age := now.Sub(p.sentAt); {
+		case p.requester.ID != "" && age > 2*c.o.Wait:
+			delete(c.pending, seq)
+		case p.requester.ID == "" && !p.indirect && age > c.o.Wait:
+			p.indirect = true
+			m := c.members[p.target]
+			for _, helper := range c.pickHelpers(c.o.Helpers, p.target) {
 				if m != nil {
-					out = append(out, c.mail(h.Sibling, protocol.ProbeFor{Seq: s, Target: m.Sibling, News: c.gossip()}))
+					out = append(out, c.envelope(helper.Sibling, protocol.ProbeFor{Seq: seq, Target: m.Sibling, News: c.gossip()}))
 				}
 			}
-		case p.asker.ID == "" && age > 3*c.o.Wait:
-			delete(c.out, s)
-			if m := c.mates[p.to]; m != nil && m.life == Alive {
-				c.hear(now, protocol.Member{Sibling: m.Sibling, Inc: m.Inc, Life: Suspect})
+		case p.requester.ID == "" && age > 3*c.o.Wait:
+			delete(c.pending, seq)
+			if m := c.members[p.target]; m != nil && m.state == Alive {
+				c.applyUpdate(now, protocol.Member{Sibling: m.Sibling, Inc: m.Inc, Life: Suspect})
 			}
 		}
 	}
-	for id, m := range c.mates {
-		if m.life == Suspect && now.Sub(m.since) > c.o.Grace {
-			c.hear(now, protocol.Member{Sibling: m.Sibling, Inc: m.Inc, Life: Dead})
+	for id, m := range c.members {
+		if m.state == Suspect && now.Sub(m.since) > c.o.Grace {
+			c.applyUpdate(now, protocol.Member{Sibling: m.Sibling, Inc: m.Inc, Life: Dead})
 		}
-		if m.life == Dead && now.Sub(m.since) > c.o.Forget {
-			delete(c.mates, id)
+		if m.state == Dead && now.Sub(m.since) > c.o.Forget {
+			delete(c.members, id)
 		}
 	}
-	if now < c.next {
+	if now < c.nextProbe {
 		return out
 	}
-	c.next = now.Add(c.o.Every)
-	if t := c.turn(); t != nil {
+	c.nextProbe = now.Add(c.o.Every)
+	if target := c.nextTarget(); target != nil {
 		c.seq++
-		c.out[c.seq] = &probe{to: t.ID, at: now}
-		out = append(out, c.mail(t.Sibling, protocol.Probe{Seq: c.seq, News: c.gossip()}))
+		c.pending[c.seq] = &probe{target: target.ID, sentAt: now}
+		out = append(out, c.envelope(target.Sibling, protocol.Probe{Seq: c.seq, News: c.gossip()}))
 	}
-	// A seed that is not known alive is asked now and then, so that parted halves meet again.
+	// A seed that is not known to be alive is probed periodically, so that a partitioned group can merge again.
 	if len(c.o.Seeds) > 0 {
-		c.seed++
-		s := c.o.Seeds[c.seed%len(c.o.Seeds)]
-		known := s.Addr == c.o.Me.Addr
-		for _, m := range c.mates {
-			known = known || m.Addr == s.Addr && m.life == Alive
+		c.seedIndex++
+		seq := c.o.Seeds[c.seedIndex%len(c.o.Seeds)]
+		known := seq.Addr == c.o.Me.Addr
+		for _, m := range c.members {
+			known = known || m.Addr == seq.Addr && m.state == Alive
 		}
 		if !known {
-			out = append(out, c.mail(s, protocol.Probe{News: c.gossip()}))
+			out = append(out, c.envelope(seq, protocol.Probe{News: c.gossip()}))
 		}
 	}
 	return out
 }
 
-func (c *Core) turn() *mate {
+func (c *Core) nextTarget() *member {
 	for tries := 0; tries < 2; tries++ {
-		for len(c.ring) > 0 {
-			m := c.mates[c.ring[0]]
-			c.ring = c.ring[1:]
-			if m != nil && m.life != Dead {
-				return m
+		for len(c.probeOrder) > 0 {
+			candidate := c.members[c.probeOrder[0]]
+			c.probeOrder = c.probeOrder[1:]
+			if candidate != nil && candidate.state != Dead {
+				return candidate
 			}
 		}
-		for id, m := range c.mates {
-			if m.life != Dead {
-				c.ring = append(c.ring, id)
+		for id, candidate := range c.members {
+			if candidate.state != Dead {
+				c.probeOrder = append(c.probeOrder, id)
 			}
 		}
-		sort.Slice(c.ring, func(i, j int) bool { return c.ring[i] < c.ring[j] })
-		c.o.Rand.Shuffle(len(c.ring), func(i, j int) { c.ring[i], c.ring[j] = c.ring[j], c.ring[i] })
+		sort.Slice(c.probeOrder, func(i, j int) bool { return c.probeOrder[i] < c.probeOrder[j] })
+		c.o.Rand.Shuffle(len(c.probeOrder), func(i, j int) { c.probeOrder[i], c.probeOrder[j] = c.probeOrder[j], c.probeOrder[i] })
 	}
 	return nil
 }
 
-func (c *Core) pick(n int, not ident.Node) []protocol.Member {
-	var l []protocol.Member
+func (c *Core) pickHelpers(n int, excluded ident.Node) []protocol.Member {
+	var candidates []protocol.Member
 	for _, m := range c.Alive("") {
-		if m.ID != not && m.ID != c.o.Me.ID {
-			l = append(l, m)
+		if m.ID != excluded && m.ID != c.o.Me.ID {
+			candidates = append(candidates, m)
 		}
 	}
-	c.o.Rand.Shuffle(len(l), func(i, j int) { l[i], l[j] = l[j], l[i] })
-	return l[:min(n, len(l))]
+	c.o.Rand.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+	return candidates[:min(n, len(candidates))]
 }
 
-// Take hears a message; it answers false for messages that are not membership's.
+// Take processes a message. It returns false for messages that do not belong to the membership protocol.
 func (c *Core) Take(now clock.Tick, e protocol.Env) (out []protocol.Env, mine bool) {
 	c.now = now
-	hear := func(l []protocol.Member) {
-		for _, m := range l {
-			c.hear(now, m)
+	apply := func(suspicion []protocol.Member) {
+		for _, m := range suspicion {
+			c.applyUpdate(now, m)
 		}
 	}
 	switch b := e.Body.(type) {
 	case protocol.Probe:
-		hear(b.News)
-		n := c.gossip()
-		if m := c.mates[e.From.ID]; m != nil && m.life != Alive {
-			l := m.Member // so that a live sender learns of the suspicion and refutes it
-			l.Life = m.life
-			n = append(n, l)
+		apply(b.News)
+		updates := c.gossip()
+		if m := c.members[e.From.ID]; m != nil && m.state != Alive {
+			suspicion := m.Member // lets a live sender learn of the suspicion and refute it
+			suspicion.Life = m.state
+			updates = append(updates, suspicion)
 		}
-		return []protocol.Env{c.mail(e.From, protocol.ProbeAck{Seq: b.Seq, News: n})}, true
+		return []protocol.Env{c.envelope(e.From, protocol.ProbeAck{Seq: b.Seq, News: updates})}, true
 	case protocol.ProbeFor:
-		hear(b.News)
+		apply(b.News)
 		if e.From.ID == "" {
-			return nil, true // nobody to tell
+			return nil, true // no requester to answer
 		}
 		c.seq++
-		c.out[c.seq] = &probe{to: b.Target.ID, at: now, asker: e.From, seq: b.Seq}
-		return []protocol.Env{c.mail(b.Target, protocol.Probe{Seq: c.seq, News: c.gossip()})}, true
+		c.pending[c.seq] = &probe{target: b.Target.ID, sentAt: now, requester: e.From, requesterSeq: b.Seq}
+		return []protocol.Env{c.envelope(b.Target, protocol.Probe{Seq: c.seq, News: c.gossip()})}, true
 	case protocol.ProbeAck:
-		hear(b.News)
-		p := c.out[b.Seq]
+		apply(b.News)
+		p := c.pending[b.Seq]
 		if p == nil {
 			return nil, true
 		}
-		delete(c.out, b.Seq)
-		if p.asker.ID != "" {
-			return []protocol.Env{c.mail(p.asker, protocol.ProbeAck{Seq: p.seq, News: c.gossip()})}, true
+		delete(c.pending, b.Seq)
+		if p.requester.ID != "" {
+			return []protocol.Env{c.envelope(p.requester, protocol.ProbeAck{Seq: p.requesterSeq, News: c.gossip()})}, true
 		}
 		return nil, true
 	}
 	return nil, false
 }
 
-// Alive lists the members of a role that are not known dead, this process among them, by id.
+// Alive lists the members of a role that are alive, including this process, sorted by ID. An empty role selects all.
 func (c *Core) Alive(role string) []protocol.Member {
-	var l []protocol.Member
+	var members []protocol.Member
 	if role == "" || role == c.o.Me.Role {
-		l = append(l, c.o.Me)
+		members = append(members, c.o.Me)
 	}
-	for _, m := range c.mates {
-		if m.life == Alive && (role == "" || m.Role == role) {
-			l = append(l, m.Member)
+	for _, m := range c.members {
+		if m.state == Alive && (role == "" || m.Role == role) {
+			members = append(members, m.Member)
 		}
 	}
-	sort.Slice(l, func(i, j int) bool { return l[i].ID < l[j].ID })
-	return l
+	sort.Slice(members, func(i, j int) bool { return members[i].ID < members[j].ID })
+	return members
 }
 
-// CountAlive counts the members of a role that are alive.
+// CountAlive counts the members of a role that are alive, including this process.
 func (c *Core) CountAlive(role string) int {
 	n := 0
 	if role == c.o.Me.Role {
 		n++
 	}
-	for _, m := range c.mates {
-		if m.life == Alive && m.Role == role {
+	for _, m := range c.members {
+		if m.state == Alive && m.Role == role {
 			n++
 		}
 	}
 	return n
 }
 
-// All lists every member that is remembered, with its stage of life.
+// All lists every retained member with its state, sorted by ID.
 func (c *Core) All() []protocol.Member {
-	l := []protocol.Member{c.o.Me}
-	for _, m := range c.mates {
-		b := m.Member
-		b.Life = m.life
-		l = append(l, b)
+	members := []protocol.Member{c.o.Me}
+	for _, m := range c.members {
+		update := m.Member
+		update.Life = m.state
+		members = append(members, update)
 	}
-	sort.Slice(l, func(i, j int) bool { return l[i].ID < l[j].ID })
-	return l
+	sort.Slice(members, func(i, j int) bool { return members[i].ID < members[j].ID })
+	return members
 }
 
-// Life tells a member's stage and since when; unknown members have none.
+// Life returns a member's state and the time of its last change. An unknown member has an empty state.
 func (c *Core) Life(id ident.Node) (string, clock.Tick) {
 	if id == c.o.Me.ID {
 		return Alive, 0
 	}
-	if m := c.mates[id]; m != nil {
-		return m.life, m.since
+	if m := c.members[id]; m != nil {
+		return m.state, m.since
 	}
 	return "", 0
 }
--- a/internal/roundtrip/roundtrip.go
+++ b/internal/roundtrip/roundtrip.go
@@ -1,24 +1,24 @@
-// Package roundtrip estimates from measured round trips how long an answer is worth waiting for, as TCP does
-// (RFC 6298): a smoothed mean, and a smoothed deviation that is added four times.
+// Package roundtrip estimates a response timeout from measured round trips in the manner of TCP (RFC 6298): a
+// smoothed mean plus four times the smoothed deviation.
 package roundtrip
 
 import "tidedeck/internal/clock"
 
-// The gains of RFC 6298, as powers of two: a sample moves the mean by 1/8 and the deviation by 1/4 of the difference.
+// Gains of RFC 6298 as powers of two: a sample moves the mean by 1/8 and the deviation by 1/4 of the difference.
 const (
 	meanShift      = 3
 	deviationShift = 2
-	deviations     = 4 // that a timeout lies above the mean
+	deviations     = 4 // number of deviations that the timeout lies above the mean
 )
 
-// Estimator follows one kind of round trip. The zero value has no sample yet.
+// Estimator tracks one kind of round trip. The zero value has no samples.
 type Estimator struct {
 	mean      clock.Span
 	deviation clock.Span
 }
 
-// Observe takes in a measured round trip. One whose question was asked more than once must not be given: its answer may
-// be to any of them.
+// Observe adds a measured round trip. Do not pass a sample whose request was sent more than once, because its answer
+// may belong to any of the transmissions.
 func (e *Estimator) Observe(sample clock.Span) {
 	sample = max(sample, 1)
 	if e.mean == 0 {
@@ -30,11 +30,11 @@
 	e.deviation += (difference.Abs() - e.deviation) >> deviationShift
 }
 
-// Known tells whether there was a sample.
+// Known reports whether there are any samples.
 func (e *Estimator) Known() bool { return e.mean != 0 }
 
-// Mean gives the smoothed round trip; zero if there was no sample.
+// Mean returns the smoothed round-trip time, or zero without samples.
 func (e *Estimator) Mean() clock.Span { return e.mean }
 
-// Timeout gives how long an answer is worth waiting for; zero if there was no sample.
+// Timeout returns the response timeout, or zero without samples.
 func (e *Estimator) Timeout() clock.Span { return e.mean + deviations*e.deviation }
--- a/internal/roundtrip/roundtrip_test.go
+++ b/internal/roundtrip/roundtrip_test.go
@@ -20,21 +20,21 @@
 	for range 100 {
 		e.Observe(100e6)
 	}
-	require.Less(t, e.Timeout(), clock.Span(101e6), "what does not vary is waited for no longer than it takes")
+	require.Less(t, e.Timeout(), clock.Span(101e6), "without variation, the timeout converges to the mean")
 	for range 100 {
 		e.Observe(400e6)
 	}
 	require.Greater(t, e.Mean(), clock.Span(399e6))
 }
 
-// Of samples that vary, few take longer than the timeout; none is so long that the mean would follow it at once.
+// With varying samples, few exceed the timeout, and a single outlier does not dominate the mean.
 func TestTimeoutCoversTheSpread(t *testing.T) {
-	dice := rand.New(rand.NewPCG(1, 2))
+	rng := rand.New(rand.NewPCG(1, 2))
 	var e Estimator
 	late := 0
 	const samples = 10_000
 	for range samples {
-		sample := 140e6 + clock.Span(dice.Int64N(560e6))
+		sample := 140e6 + clock.Span(rng.Int64N(560e6))
 		if e.Known() && sample > e.Timeout() {
 			late++
 		}
@@ -42,13 +42,13 @@
 	}
 	require.Less(t, late, samples/100)
 	require.Less(t, e.Timeout(), clock.Span(1500e6))
-	was := e.Mean()
-	e.Observe(100 * was)
-	require.Less(t, e.Mean(), 15*was)
+	before := e.Mean()
+	e.Observe(100 * before)
+	require.Less(t, e.Mean(), 15*before)
 }
 
 func TestObserveNothing(t *testing.T) {
 	var e Estimator
 	e.Observe(0)
-	require.True(t, e.Known(), "an answer within the clock's grain is a sample, too")
+	require.True(t, e.Known(), "a round trip below the clock's resolution counts as a sample")
 }
--- a/internal/voterset/next.go
+++ b/internal/voterset/next.go
@@ -9,45 +9,45 @@
 	"tidedeck/internal/protocol"
 )
 
-// Replace gives a set in which one seat, by its index, is another voter's.
-func Replace(l []protocol.Voter, i int, n protocol.Voter) []protocol.Voter {
-	m := slices.Clone(l)
-	m[i] = n
-	return byID(m)
+// Replace returns the set with the voter at index i replaced.
+func Replace(voters []protocol.Voter, i int, replacement protocol.Voter) []protocol.Voter {
+	result := slices.Clone(voters)
+	result[i] = replacement
+	return byID(result)
 }
 
-// Add gives a set with one voter more.
-func Add(l []protocol.Voter, n protocol.Voter) []protocol.Voter {
-	return byID(append(slices.Clone(l), n))
+// Add returns the set with one more voter.
+func Add(voters []protocol.Voter, voter protocol.Voter) []protocol.Voter {
+	return byID(append(slices.Clone(voters), voter))
 }
 
-func byID(l []protocol.Voter) []protocol.Voter {
-	slices.SortFunc(l, func(a, b protocol.Voter) int { return cmp.Compare(a.ID, b.ID) })
-	return l
+func byID(voters []protocol.Voter) []protocol.Voter {
+	slices.SortFunc(voters, func(a, b protocol.Voter) int { return cmp.Compare(a.ID, b.ID) })
+	return voters
 }
 
-// Domain names what a voter shares with those that are lost together with it: its zone, or its region.
+// Domain returns the failure domain of a voter: its zone or its region.
 type Domain func(protocol.Voter) string
 
-// Zone names a voter's zone.
+// Zone returns a voter's zone.
 func Zone(v protocol.Voter) string { return string(v.Zone) }
 
-// seatsIn counts the voters of each domain, without the one at index skip.
-func seatsIn(voters []protocol.Voter, of Domain, skip int) map[string]int {
-	n := map[string]int{}
+// seatsIn counts the voters in each domain, excluding the one at index skip.
+func seatsIn(voters []protocol.Voter, domainOf Domain, skip int) map[string]int {
+	counts := map[string]int{}
 	for i, v := range voters {
 		if i != skip {
-			n[of(v)]++
+			counts[domainOf(v)]++
 		}
 	}
-	return n
+	return counts
 }
 
-// PickSpare chooses the spare whose region, and then whose zone, has the fewest voters left; among equals one of the zone of
-// the voter that goes, at index out, if one goes; -1 if none does.
+// PickSpare returns the spare whose region, and then whose zone, has the fewest remaining voters. Ties go to a spare
+// in the zone of the departing voter, whose index is out; out is -1 if no voter departs.
 func PickSpare(voters []protocol.Voter, out int, spares []protocol.Voter, region Domain) protocol.Voter {
 	regions, zones := seatsIn(voters, region, out), seatsIn(voters, Zone, out)
-	elsewhere := func(s protocol.Voter) int {
+	otherZone := func(s protocol.Voter) int {
 		if out >= 0 && s.Zone == voters[out].Zone {
 			return 0
 		}
@@ -57,20 +57,20 @@
 		return cmp.Or(
 			cmp.Compare(regions[region(a)], regions[region(b)]),
 			cmp.Compare(zones[Zone(a)], zones[Zone(b)]),
-			cmp.Compare(elsewhere(a), elsewhere(b)))
+			cmp.Compare(otherZone(a), otherZone(b)))
 	})
 }
 
-// Spread moves a seat out of a domain whose loss would leave no majority, if a spare stands in one that has fewer; else it
-// gives none.
-func Spread(voters, spares []protocol.Voter, of Domain) []protocol.Voter {
-	n := seatsIn(voters, of, -1)
+// Spread moves a seat out of a domain whose loss would leave no majority, if a spare is in a domain with fewer
+// voters. Otherwise it returns nil.
+func Spread(voters, spares []protocol.Voter, domainOf Domain) []protocol.Voter {
+	counts := seatsIn(voters, domainOf, -1)
 	for i, v := range voters {
-		if len(voters)-n[of(v)] > len(voters)/2 {
+		if len(voters)-counts[domainOf(v)] > len(voters)/2 {
 			continue
 		}
 		for _, s := range spares {
-			if n[of(s)]+1 < n[of(v)] {
+			if counts[domainOf(s)]+1 < counts[domainOf(v)] {
 				return Replace(voters, i, s)
 			}
 		}
@@ -78,12 +78,12 @@
 	return nil
 }
 
-// Describe says for the log which seats a change of the voter set gives to whom.
+// Describe returns a log text for a change of the voter set.
 func Describe(from, to []protocol.Voter) string {
-	names := func(l, without []protocol.Voter) []ident.Node {
+	names := func(voters, excluded []protocol.Voter) []ident.Node {
 		var ids []ident.Node
-		for _, v := range l {
-			if !Names(without, v.ID, v.Inc) {
+		for _, v := range voters {
+			if !Names(excluded, v.ID, v.Inc) {
 				ids = append(ids, v.ID)
 			}
 		}
--- a/internal/voterset/voterset.go
+++ b/internal/voterset/voterset.go
@@ -1,8 +1,9 @@
-// Package voterset says who votes in the core: what counts as a majority, and which set should follow another. Voter sets and
-// the answers of voters go in; verdicts and sets come out. It keeps nothing, and imports only the messages' types.
+// Package voterset computes majorities of the core's voters and the successors of voter sets. It is stateless and
+// imports only the message types.
 //
-// A value of the register names one set of voters, or two that rule together while the older one is being left. A voter is
-// named with its incarnation, the life of its disk: an emptied disk begins another, which no set names.
+// A register value names one set of voters, or two sets in joint operation while the older one is being replaced. A
+// voter is identified by its node and the incarnation of its disk: after its disk is erased, a node has a new
+// incarnation, which no set names.
 package voterset
 
 import (
@@ -10,7 +11,7 @@
 	"tidedeck/internal/protocol"
 )
 
-// Same tells whether two lists name the same voters, in the same lives.
+// Same reports whether two lists contain the same voters with the same incarnations.
 func Same(a, b []protocol.Voter) bool {
 	if len(a) != len(b) {
 		return false
@@ -23,9 +24,9 @@
 	return true
 }
 
-// Names tells whether a list names a node in a life of its disk.
-func Names(l []protocol.Voter, id ident.Node, inc ident.Inc) bool {
-	for _, v := range l {
+// Names reports whether a list contains a node with the given incarnation.
+func Names(voters []protocol.Voter, id ident.Node, inc ident.Inc) bool {
+	for _, v := range voters {
 		if v.ID == id && v.Inc == inc {
 			return true
 		}
@@ -33,9 +34,9 @@
 	return false
 }
 
-// Seats tells whether a list has a seat for a node, in whatever life.
-func Seats(l []protocol.Voter, id ident.Node) bool {
-	for _, v := range l {
+// Seats reports whether a list contains a node, with any incarnation.
+func Seats(voters []protocol.Voter, id ident.Node) bool {
+	for _, v := range voters {
 		if v.ID == id {
 			return true
 		}
@@ -43,51 +44,51 @@
 	return false
 }
 
-// In tells whether a value names a node in a life of its disk as a voter of either set.
+// In reports whether a value names a node with the given incarnation as a voter of either set.
 func In(v protocol.Desired, id ident.Node, inc ident.Inc) bool {
 	return Names(v.Voters, id, inc) || Names(v.Prior, id, inc)
 }
 
-// Majority tells whether those who said yes are a majority of the voter set, each in the life that the set names, and of the
-// set before it while that one is still being left.
+// Majority reports whether the nodes in yes are a majority of the voter set, each with the incarnation that the set
+// names, and also of the prior set while that one is being replaced.
 func Majority(v protocol.Desired, yes map[ident.Node]ident.Inc) bool {
-	most := func(l []protocol.Voter) bool {
+	isMajority := func(voters []protocol.Voter) bool {
 		n := 0
-		for _, w := range l {
-			if inc, ok := yes[w.ID]; ok && inc == w.Inc {
+		for _, voter := range voters {
+			if incarnation, ok := yes[voter.ID]; ok && incarnation == voter.Inc {
 				n++
 			}
 		}
-		return n > len(l)/2
+		return n > len(voters)/2
 	}
-	return len(v.Voters) > 0 && most(v.Voters) && (len(v.Prior) == 0 || most(v.Prior))
+	return len(v.Voters) > 0 && isMajority(v.Voters) && (len(v.Prior) == 0 || isMajority(v.Prior))
 }
 
-// Addresses gives every voter of a value once.
+// Addresses returns each voter of a value once.
 func Addresses(v protocol.Desired) []protocol.Sibling {
 	seen := map[ident.Node]bool{}
-	var l []protocol.Sibling
-	for _, w := range append(append([]protocol.Voter{}, v.Voters...), v.Prior...) {
-		if !seen[w.ID] {
-			seen[w.ID] = true
-			l = append(l, w.Sibling)
+	var siblings []protocol.Sibling
+	for _, voter := range append(append([]protocol.Voter{}, v.Voters...), v.Prior...) {
+		if !seen[voter.ID] {
+			seen[voter.ID] = true
+			siblings = append(siblings, voter.Sibling)
 		}
 	}
-	return l
+	return siblings
 }
 
-// Both gives a value that names the voters of two.
+// Both returns a value that names the voters of both values.
 func Both(a, b protocol.Desired) protocol.Desired {
 	a.Prior = append(append(append([]protocol.Voter{}, a.Prior...), b.Voters...), b.Prior...)
 	return a
 }
 
-// Changed counts the seats of a voter set that the next one gives to others, or adds.
-func Changed(old, next []protocol.Voter) (n int) {
+// Changed counts the seats of a voter set that the next set replaces, adds or removes.
+func Changed(old, next []protocol.Voter) (changed int) {
 	for _, v := range next {
 		if !Names(old, v.ID, v.Inc) {
-			n++
+			changed++
 		}
 	}
-	return max(n, len(old)-len(next))
+	return max(changed, len(old)-len(next))
 }
--- a/internal/voterset/voterset_test.go
+++ b/internal/voterset/voterset_test.go
@@ -13,15 +13,15 @@
 	return protocol.Voter{Sibling: protocol.Sibling{ID: ident.Node(id), Addr: "at-" + id}, Zone: ident.Zone(zone), Inc: inc}
 }
 
-func set(ids ...string) (l []protocol.Voter) {
+func voterSet(ids ...string) (l []protocol.Voter) {
 	for _, id := range ids {
 		l = append(l, voter(id, "z"+id, 1))
 	}
 	return l
 }
 
-// yes is what voters answered, each in its first life.
-func yes(ids ...string) map[ident.Node]ident.Inc {
+// answers returns positive answers of the given voters, each with incarnation 1.
+func answers(ids ...string) map[ident.Node]ident.Inc {
 	m := map[ident.Node]ident.Inc{}
 	for _, id := range ids {
 		m[ident.Node(id)] = 1
@@ -36,44 +36,44 @@
 		yes           map[ident.Node]ident.Inc
 		is            bool
 	}{
-		{"nobody votes", nil, nil, yes("a"), false},
-		{"two of three", set("a", "b", "c"), nil, yes("a", "b"), true},
-		{"one of three", set("a", "b", "c"), nil, yes("a"), false},
-		{"half of four", set("a", "b", "c", "d"), nil, yes("a", "b"), false},
-		{"others do not count", set("a", "b", "c"), nil, yes("a", "x", "y"), false},
-		{"another life does not count", set("a", "b", "c"), nil, map[ident.Node]ident.Inc{"a": 1, "b": 2}, false},
-		{"of both sets", set("a", "b", "d"), set("a", "b", "c"), yes("a", "b"), true},
-		{"of the newer set only", set("a", "d", "e"), set("a", "b", "c"), yes("d", "e"), false},
-		{"of the older set only", set("a", "d", "e"), set("a", "b", "c"), yes("b", "c"), false},
+		{"no voters", nil, nil, answers("a"), false},
+		{"two of three", voterSet("a", "b", "c"), nil, answers("a", "b"), true},
+		{"one of three", voterSet("a", "b", "c"), nil, answers("a"), false},
+		{"half of four", voterSet("a", "b", "c", "d"), nil, answers("a", "b"), false},
+		{"non-voters do not count", voterSet("a", "b", "c"), nil, answers("a", "x", "y"), false},
+		{"another incarnation does not count", voterSet("a", "b", "c"), nil, map[ident.Node]ident.Inc{"a": 1, "b": 2}, false},
+		{"majority of both sets", voterSet("a", "b", "d"), voterSet("a", "b", "c"), answers("a", "b"), true},
+		{"majority of the newer set only", voterSet("a", "d", "e"), voterSet("a", "b", "c"), answers("d", "e"), false},
+		{"majority of the older set only", voterSet("a", "d", "e"), voterSet("a", "b", "c"), answers("b", "c"), false},
 	} {
 		require.Equal(t, x.is, Majority(protocol.Desired{Voters: x.voters, Prior: x.prior}, x.yes), x.name)
 	}
 }
 
 func TestSameAndNames(t *testing.T) {
-	require.True(t, Same(set("a", "b"), set("b", "a")))
-	require.False(t, Same(set("a", "b"), set("a", "c")))
-	require.False(t, Same(set("a"), set("a", "b")))
-	require.False(t, Same(set("a"), []protocol.Voter{voter("a", "z", 2)}))
-	require.True(t, Seats(set("a"), "a"))
-	require.False(t, Names(set("a"), "a", 2))
-	joint := protocol.Desired{Voters: set("a", "d"), Prior: set("a", "b")}
+	require.True(t, Same(voterSet("a", "b"), voterSet("b", "a")))
+	require.False(t, Same(voterSet("a", "b"), voterSet("a", "c")))
+	require.False(t, Same(voterSet("a"), voterSet("a", "b")))
+	require.False(t, Same(voterSet("a"), []protocol.Voter{voter("a", "z", 2)}))
+	require.True(t, Seats(voterSet("a"), "a"))
+	require.False(t, Names(voterSet("a"), "a", 2))
+	joint := protocol.Desired{Voters: voterSet("a", "d"), Prior: voterSet("a", "b")}
 	require.True(t, In(joint, "b", 1))
 	require.False(t, In(joint, "c", 1))
 	require.Len(t, Addresses(joint), 3)
-	require.Equal(t, 1, Changed(set("a", "b"), set("a", "c")))
-	require.Equal(t, 1, Changed(set("a", "b"), set("a", "b", "c")))
-	require.Equal(t, 2, Changed(set("a", "b", "c"), set("a")))
+	require.Equal(t, 1, Changed(voterSet("a", "b"), voterSet("a", "c")))
+	require.Equal(t, 1, Changed(voterSet("a", "b"), voterSet("a", "b", "c")))
+	require.Equal(t, 2, Changed(voterSet("a", "b", "c"), voterSet("a")))
 }
 
 func TestNextSets(t *testing.T) {
-	require.Equal(t, set("a", "c", "d"), Replace(set("a", "b", "d"), 1, set("c")[0]))
-	require.Equal(t, set("a", "b", "c"), Add(set("a", "c"), set("b")[0]))
+	require.Equal(t, voterSet("a", "c", "d"), Replace(voterSet("a", "b", "d"), 1, voterSet("c")[0]))
+	require.Equal(t, voterSet("a", "b", "c"), Add(voterSet("a", "c"), voterSet("b")[0]))
 	voters := []protocol.Voter{voter("a", "z1", 1), voter("b", "z1", 1), voter("c", "z2", 1)}
 	region := func(v protocol.Voter) string { return "r" }
 	spares := []protocol.Voter{voter("d", "z1", 1), voter("e", "z3", 1)}
-	require.Equal(t, spares[1], PickSpare(voters, 2, spares, region), "the zone with the fewest")
+	require.Equal(t, spares[1], PickSpare(voters, 2, spares, region), "the zone with the fewest voters")
 	require.Equal(t, []protocol.Voter{voters[1], voters[2], spares[1]}, Spread(voters, spares, Zone), "the loss of z1 would leave no majority")
-	require.Nil(t, Spread(set("a", "b", "c"), spares, Zone))
-	require.Equal(t, "voter set changes: [c] in, [b] out", Describe(set("a", "b"), set("a", "c")))
+	require.Nil(t, Spread(voterSet("a", "b", "c"), spares, Zone))
+	require.Equal(t, "voter set changes: [c] in, [b] out", Describe(voterSet("a", "b"), voterSet("a", "c")))
 }
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -1,5 +1,5 @@
-// Package workload sums what routers report of the requests that they are asked for, by model and by base. Reports come in
-// one session at a time; a sum is read without looking at any session. It does no I/O and reads no clock.
+// Package workload sums the load reports of the routers by model and by base. Each report replaces the previous one
+// of its session, and reading a sum does not iterate over sessions. The package performs no I/O and reads no clock.
 package workload
 
 import (
@@ -10,57 +10,57 @@
 	"tidedeck/internal/protocol"
 )
 
-// Waiting is how many requests wait for a key at all sessions that are not silent, and the highest value among them.
+// Waiting is the number of requests that wait for a key in all active sessions, and the highest value among them.
 type Waiting struct {
 	Requests int
 	Value    int
 }
 
-// Sums counts the requests of a base and its adapters at all sessions.
+// Sums counts the requests for a base and its adapters in all sessions.
 type Sums struct {
 	Waiting int
 	Running int
 }
 
-// Index keeps the sums of the newest report of each session. It is not safe for use by two at once.
+// Index maintains the sums over the newest report of each session. It is not safe for concurrent use.
 type Index struct {
 	reports map[protocol.Session]*report
 	keys    map[ident.Key]*keySums
 	bases   map[ident.Key]Sums
-	heard   *list.List // reports of sessions that are not silent, that heard longest ago first
+	active  *list.List // reports of active sessions, least recently heard first
 }
 
-// report is what a session said last.
+// report is the newest report of a session.
 type report struct {
-	burdens map[ident.Key]protocol.Burden
-	heard   clock.Tick
-	place   *list.Element // among those that are not silent; nil if the session is: its waiting requests are not counted
+	burdens   map[ident.Key]protocol.Burden
+	lastHeard clock.Tick
+	element   *list.Element // position in Index.active; nil if the session is inactive and its waiting requests are not counted
 }
 
-// keySums counts the requests of one key.
+// keySums holds the sums for one key.
 type keySums struct {
-	underWay int // that wait or run
-	waiting  int // of sessions that are not silent
-	values   []valueCount
-	sessions int // that name the key
+	outstanding int // waiting and running requests
+	waiting     int // waiting requests of active sessions
+	values      []valueCount
+	sessions    int // sessions that report the key
 }
 
-// valueCount counts the sessions whose waiting requests have a highest value.
+// valueCount counts the sessions whose waiting requests have the given highest value.
 type valueCount struct{ value, sessions int }
 
-// NewIndex makes an index without reports.
+// NewIndex returns an empty index.
 func NewIndex() *Index {
-	return &Index{reports: map[protocol.Session]*report{}, keys: map[ident.Key]*keySums{}, bases: map[ident.Key]Sums{}, heard: list.New()}
+	return &Index{reports: map[protocol.Session]*report{}, keys: map[ident.Key]*keySums{}, bases: map[ident.Key]Sums{}, active: list.New()}
 }
 
-// Report takes a session's newest report in place of the one before. The caller does not change the map afterwards.
+// Report replaces a session's report. The caller must not modify the map afterwards.
 func (x *Index) Report(session protocol.Session, burdens map[ident.Key]protocol.Burden, now clock.Tick) {
 	x.Forget(session)
 	if len(burdens) == 0 {
 		return
 	}
-	r := &report{burdens: burdens, heard: now}
-	r.place = x.heard.PushBack(r)
+	r := &report{burdens: burdens, lastHeard: now}
+	r.element = x.active.PushBack(r)
 	x.reports[session] = r
 	for key, b := range burdens {
 		x.addKey(key, b)
@@ -68,53 +68,53 @@
 	}
 }
 
-// Heard notes that a session is not silent, whatever it says.
+// Heard marks a session as active without changing its report.
 func (x *Index) Heard(session protocol.Session, now clock.Tick) {
 	r := x.reports[session]
 	if r == nil {
 		return
 	}
-	r.heard = now
-	if r.place != nil {
-		x.heard.MoveToBack(r.place)
+	r.lastHeard = now
+	if r.element != nil {
+		x.active.MoveToBack(r.element)
 		return
 	}
-	r.place = x.heard.PushBack(r)
+	r.element = x.active.PushBack(r)
 	for key, b := range r.burdens {
-		x.keys[key].wait(b)
+		x.keys[key].addWaiting(b)
 	}
 }
 
-// Expire takes sessions for silent that were last heard before a moment: their waiting requests are counted no longer, until
+// Expire marks sessions last heard before the given time as inactive. Their waiting requests are not counted until
 // they are heard again.
 func (x *Index) Expire(before clock.Tick) {
-	for first := x.heard.Front(); first != nil && first.Value.(*report).heard < before; first = x.heard.Front() {
-		r := first.Value.(*report)
-		x.heard.Remove(first)
-		r.place = nil
+	for oldest := x.active.Front(); oldest != nil && oldest.Value.(*report).lastHeard < before; oldest = x.active.Front() {
+		r := oldest.Value.(*report)
+		x.active.Remove(oldest)
+		r.element = nil
 		for key, b := range r.burdens {
-			x.keys[key].stopWaiting(b)
+			x.keys[key].removeWaiting(b)
 		}
 	}
 }
 
-// Forget takes out all that a session has reported.
+// Forget removes a session's report.
 func (x *Index) Forget(session protocol.Session) {
 	r := x.reports[session]
 	if r == nil {
 		return
 	}
 	delete(x.reports, session)
-	if r.place != nil {
-		x.heard.Remove(r.place)
+	if r.element != nil {
+		x.active.Remove(r.element)
 	}
 	for key, b := range r.burdens {
-		x.removeKey(key, b, r.place == nil)
+		x.removeKey(key, b, r.element == nil)
 		x.addBase(key.Base(), -b.Wait, -b.Work)
 	}
 }
 
-// Waiting tells how many requests wait for a key.
+// Waiting returns the requests that wait for a key.
 func (x *Index) Waiting(key ident.Key) Waiting {
 	sums := x.keys[key]
 	if sums == nil {
@@ -123,15 +123,15 @@
 	return Waiting{Requests: sums.waiting, Value: sums.highest()}
 }
 
-// UnderWay counts the requests for a key that wait or run.
+// UnderWay returns the number of waiting and running requests for a key.
 func (x *Index) UnderWay(key ident.Key) int {
 	if sums := x.keys[key]; sums != nil {
-		return sums.underWay
+		return sums.outstanding
 	}
 	return 0
 }
 
-// OfBase counts the requests for a base and its adapters.
+// OfBase returns the sums for a base and its adapters.
 func (x *Index) OfBase(base ident.Key) Sums { return x.bases[base] }
 
 func (x *Index) addKey(key ident.Key, b protocol.Burden) {
@@ -141,19 +141,19 @@
 		x.keys[key] = sums
 	}
 	sums.sessions++
-	sums.underWay += b.Wait + b.Work
-	sums.wait(b)
+	sums.outstanding += b.Wait + b.Work
+	sums.addWaiting(b)
 }
 
-func (x *Index) removeKey(key ident.Key, b protocol.Burden, silent bool) {
+func (x *Index) removeKey(key ident.Key, b protocol.Burden, inactive bool) {
 	sums := x.keys[key]
 	if sums.sessions--; sums.sessions == 0 {
 		delete(x.keys, key)
 		return
 	}
-	sums.underWay -= b.Wait + b.Work
-	if !silent {
-		sums.stopWaiting(b)
+	sums.outstanding -= b.Wait + b.Work
+	if !inactive {
+		sums.removeWaiting(b)
 	}
 }
 
@@ -168,8 +168,8 @@
 	x.bases[base] = sums
 }
 
-// wait counts the waiting requests of a report.
-func (s *keySums) wait(b protocol.Burden) {
+// addWaiting adds the waiting requests of a report.
+func (s *keySums) addWaiting(b protocol.Burden) {
 	if b.Wait <= 0 {
 		return
 	}
@@ -183,8 +183,8 @@
 	s.values = append(s.values, valueCount{value: b.Top, sessions: 1})
 }
 
-// stopWaiting takes the waiting requests of a report out again.
-func (s *keySums) stopWaiting(b protocol.Burden) {
+// removeWaiting subtracts the waiting requests of a report.
+func (s *keySums) removeWaiting(b protocol.Burden) {
 	if b.Wait <= 0 {
 		return
 	}
@@ -201,7 +201,7 @@
 	}
 }
 
-// highest is the highest value among the waiting requests.
+// highest returns the highest value among the waiting requests.
 func (s *keySums) highest() int {
 	highest := 0
 	for _, v := range s.values {
