--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -12,19 +12,19 @@
 	"tidedeck/internal/protocol"
 )
 
-// naive sums the reports of all sessions anew each time.
-type naive map[protocol.Session]*lastReport
+// reference recomputes the sums over all reports each time.
+type reference map[protocol.Session]*referenceReport
 
-type lastReport struct {
-	burdens map[ident.Key]protocol.Burden
-	heard   clock.Tick
+type referenceReport struct {
+	burdens   map[ident.Key]protocol.Burden
+	lastHeard clock.Tick
 }
 
-const freshFor = clock.Span(20)
+const activeFor = clock.Span(20)
 
-func (n naive) waiting(key ident.Key, now clock.Tick) (w Waiting) {
+func (n reference) waiting(key ident.Key, now clock.Tick) (w Waiting) {
 	for _, r := range n {
-		if b := r.burdens[key]; b.Wait > 0 && now.Sub(r.heard) <= freshFor {
+		if b := r.burdens[key]; b.Wait > 0 && now.Sub(r.lastHeard) <= activeFor {
 			w.Requests += b.Wait
 			w.Value = max(w.Value, b.Top)
 		}
@@ -32,14 +32,14 @@
 	return w
 }
 
-func (n naive) underWay(key ident.Key) (sum int) {
+func (n reference) underWay(key ident.Key) (sum int) {
 	for _, r := range n {
 		sum += r.burdens[key].Wait + r.burdens[key].Work
 	}
 	return sum
 }
 
-func (n naive) ofBase(base ident.Key) (s Sums) {
+func (n reference) ofBase(base ident.Key) (s Sums) {
 	for _, r := range n {
 		for key, b := range r.burdens {
 			if key.Base() == base {
@@ -53,11 +53,11 @@
 
 var keys = []ident.Key{"llm|m", "llm|m+1", "llm|m+2", "llm|n", "llm|n+1", "llm|o"}
 
-func drawReport(dice *rand.Rand) map[ident.Key]protocol.Burden {
+func randomReport(rng *rand.Rand) map[ident.Key]protocol.Burden {
 	burdens := map[ident.Key]protocol.Burden{}
 	for _, key := range keys {
-		if dice.IntN(2) == 0 {
-			burdens[key] = protocol.Burden{Wait: dice.IntN(3), Work: dice.IntN(3), Top: dice.IntN(4)}
+		if rng.IntN(2) == 0 {
+			burdens[key] = protocol.Burden{Wait: rng.IntN(3), Work: rng.IntN(3), Top: rng.IntN(4)}
 		}
 	}
 	return burdens
@@ -65,36 +65,36 @@
 
 func TestSumsEqualThoseOfAllReports(t *testing.T) {
 	for seed := range uint64(100) {
-		dice := rand.New(rand.NewPCG(seed, 1))
-		x, all := NewIndex(), naive{}
+		rng := rand.New(rand.NewPCG(seed, 1))
+		index, expected := NewIndex(), reference{}
 		for now := range clock.Tick(200) {
-			session := protocol.Session{Node: ident.Node(fmt.Sprint(dice.IntN(9)))}
-			switch dice.IntN(4) {
+			session := protocol.Session{Node: ident.Node(fmt.Sprint(rng.IntN(9)))}
+			switch rng.IntN(4) {
 			case 0:
-				x.Forget(session)
-				delete(all, session)
+				index.Forget(session)
+				delete(expected, session)
 			case 1:
-				x.Heard(session, now)
-				if r := all[session]; r != nil {
-					r.heard = now
+				index.Heard(session, now)
+				if r := expected[session]; r != nil {
+					r.lastHeard = now
 				}
 			default:
-				burdens := drawReport(dice)
-				x.Report(session, burdens, now)
-				all[session] = &lastReport{burdens: burdens, heard: now}
+				burdens := randomReport(rng)
+				index.Report(session, burdens, now)
+				expected[session] = &referenceReport{burdens: burdens, lastHeard: now}
 			}
-			x.Expire(now.Add(-freshFor))
+			index.Expire(now.Add(-activeFor))
 			for _, key := range keys {
-				require.Equal(t, all.waiting(key, now), x.Waiting(key), "seed %d, %s", seed, key)
-				require.Equal(t, all.underWay(key), x.UnderWay(key), "seed %d, %s", seed, key)
-				require.Equal(t, all.ofBase(key.Base()), x.OfBase(key.Base()), "seed %d, %s", seed, key)
+				require.Equal(t, expected.waiting(key, now), index.Waiting(key), "seed %d, %s", seed, key)
+				require.Equal(t, expected.underWay(key), index.UnderWay(key), "seed %d, %s", seed, key)
+				require.Equal(t, expected.ofBase(key.Base()), index.OfBase(key.Base()), "seed %d, %s", seed, key)
 			}
 		}
-		for session := range all {
-			x.Forget(session)
+		for session := range expected {
+			index.Forget(session)
 		}
-		require.Empty(t, x.keys, "nothing is kept of sessions that are gone")
-		require.Empty(t, x.bases)
-		require.Zero(t, x.heard.Len())
+		require.Empty(t, index.keys, "no sums remain after all sessions are removed")
+		require.Empty(t, index.bases)
+		require.Zero(t, index.active.Len())
 	}
 }
