--- a/internal/agent/contact.go
+++ b/internal/agent/contact.go
@@ -47,11 +47,11 @@
 // queryDue reports whether every core node should be queried now. A machine that is cut off queries twice as often,
 // because it has to learn that the core accepts changes again well before such changes take effect.
 func (k *coreContact) queryDue(now clock.Tick) bool {
-	again := 2 * queryTimeout
+	interval := 2 * queryTimeout
 	if k.parted {
-		again = queryTimeout
+		interval = queryTimeout
 	}
-	return k.awaitingAnswer && now.Sub(k.lastAnswer) > queryAllAfter && (k.lastQueryAll == 0 || now.Sub(k.lastQueryAll) > again)
+	return k.awaitingAnswer && now.Sub(k.lastAnswer) > queryAllAfter && (k.lastQueryAll == 0 || now.Sub(k.lastQueryAll) > interval)
 }
 
 // timedOut reports whether every core node was queried and had time to answer, and none did.
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -13,7 +13,7 @@
 	"tidedeck/internal/protocol"
 )
 
-// Options configures an agent.
+// Options configures an agent. Life distinguishes the starts of the agent process in its sessions with the router.
 type Options struct {
 	Me     protocol.Sibling
 	Zone   ident.Zone
@@ -53,7 +53,7 @@
 	contact            coreContact // whether any core node is reachable, independent of the current leader
 	configCurrentUntil clock.Tick  // until when a core node has confirmed the router's configuration as current
 	leaving            []ident.Server
-	lastOwnerAnswer    clock.Tick // when a leader last answered in this session
+	lastLeaderAnswer   clock.Tick // when a leader last answered in this session
 	pathChangedAt      clock.Tick
 	path               corePath
 	directTriedAt      clock.Tick // when a direct path was last tried while relaying through a sibling
@@ -161,163 +161,163 @@
 		}
 		return
 	}
-	if l, mine := c.members.Take(c.now, e); mine {
-		c.send(l...)
+	if replies, mine := c.members.Take(c.now, e); mine {
+		c.send(replies...)
 		return
 	}
-	switch b := e.Body.(type) {
+	switch body := e.Body.(type) {
 	case protocol.Hello:
-		if b.Router == 0 {
+		if body.Router == 0 {
 			return // a running router has a non-zero start number
 		}
-		if b.Gen != c.gen || b.Epoch != c.epoch {
+		if body.Gen != c.gen || body.Epoch != c.epoch {
 			c.nextRenewal = c.now // the leader waits for this acknowledgement
 		}
-		c.gen, c.epoch, c.seats = b.Gen, b.Epoch, b.Seats
-		c.mergeBurden(b.Burden)
-		c.mergePaces(b.Paces)
-		if b.Router != c.router {
-			c.router = b.Router
+		c.gen, c.epoch, c.seats = body.Gen, body.Epoch, body.Seats
+		c.mergeBurden(body.Burden)
+		c.mergePaces(body.Paces)
+		if body.Router != c.router {
+			c.router = body.Router
 			c.configCurrentUntil, c.leaving = 0, nil // these applied to the previous router's configuration
 			c.beginSession("router restarted")
 			c.tick()
-		} else if b.Session != c.session {
+		} else if body.Session != c.session {
 			c.sendHold()
 		}
 	case protocol.Want:
 		// Before a leader has answered in this session, it does not know the session. It would reject the request as
 		// belonging to an unknown session, and the next session would start with the same request.
-		if b.Session == c.session && !c.fresh {
-			c.sendToCore(b)
+		if body.Session == c.session && !c.fresh {
+			c.sendToCore(body)
 		}
 	case protocol.Removal:
-		if b.Session == c.session {
-			c.sendToCore(b)
+		if body.Session == c.session {
+			c.sendToCore(body)
 		}
 	case protocol.Heard:
-		if b.Session == c.session {
-			c.ackedNum = max(c.ackedNum, b.Num)
-			c.sendToCore(b)
+		if body.Session == c.session {
+			c.ackedNum = max(c.ackedNum, body.Num)
+			c.sendToCore(body)
 		}
 	case protocol.Grant:
-		c.onGrant(e, b)
+		c.onGrant(e, body)
 	case protocol.NotOwner:
-		c.onNotOwner(b)
+		c.onNotOwner(body)
 	case protocol.News:
-		c.onNews(e, b)
+		c.onNews(e, body)
 	case protocol.Kept:
-		c.rememberDesired(b.Value)
+		c.rememberDesired(body.Value)
 	case protocol.Keep:
-		c.send(e.Reply(c.o.Me, protocol.Kept{Round: b.Round, Value: c.newestDesired}))
+		c.send(e.Reply(c.o.Me, protocol.Kept{Round: body.Round, Value: c.newestDesired}))
 	}
 }
 
-// acceptFromOwner reports whether a leader's message belongs to this session. A message from a leader with a higher
+// acceptFromLeader reports whether a leader's message belongs to this session. A message from a leader with a higher
 // term ends the session.
-func (c *Core) acceptFromOwner(s protocol.Session, d ident.Duty) bool {
-	if s != c.session {
+func (c *Core) acceptFromLeader(session protocol.Session, term ident.Duty) bool {
+	if session != c.session {
 		return false
 	}
-	if c.term != 0 && d != c.term {
-		if d > c.term {
+	if c.term != 0 && term != c.term {
+		if term > c.term {
 			c.beginSession("message from a leader with a higher term")
 		}
 		return false
 	}
-	c.term, c.lastOwnerAnswer, c.fresh = d, c.now, false
+	c.term, c.lastLeaderAnswer, c.fresh = term, c.now, false
 	return true
 }
 
-func (c *Core) onGrant(e protocol.Env, b protocol.Grant) {
+func (c *Core) onGrant(e protocol.Env, grant protocol.Grant) {
 	c.noteCoreAnswer()
-	if !c.acceptFromOwner(b.Session, b.Duty) {
+	if !c.acceptFromLeader(grant.Session, grant.Duty) {
 		return
 	}
 	c.path = corePath{to: e.From, via: e.By}
-	if b.Len <= 0 {
+	if grant.Len <= 0 {
 		c.tally.Withheld++
 		return
 	}
-	at, ok := c.sentAt[b.Seq]
+	sentAt, ok := c.sentAt[grant.Seq]
 	if !ok {
 		return
 	}
-	for s := range c.sentAt {
-		if s <= b.Seq {
-			delete(c.sentAt, s)
+	for seq := range c.sentAt {
+		if seq <= grant.Seq {
+			delete(c.sentAt, seq)
 		}
 	}
 	c.tally.Grants++
-	c.routers = b.Routers
-	c.leaseEnd = max(c.leaseEnd, at.Add(b.Len))
-	told := c.currentHold()
-	told.Routers, told.Seats, told.Paces = b.Routers, b.Seats, b.Paces
-	c.sendToRouter(told)
+	c.routers = grant.Routers
+	c.leaseEnd = max(c.leaseEnd, sentAt.Add(grant.Len))
+	hold := c.currentHold()
+	hold.Routers, hold.Seats, hold.Paces = grant.Routers, grant.Seats, grant.Paces
+	c.sendToRouter(hold)
 }
 
-func (c *Core) onNotOwner(b protocol.NotOwner) {
-	if b.Gone || b.Majority || b.Fresh > 0 {
+func (c *Core) onNotOwner(answer protocol.NotOwner) {
+	if answer.Gone || answer.Majority || answer.Fresh > 0 {
 		c.noteCoreAnswer() // a node without a majority does not count as contact with the core
 	} else {
 		c.tally.Unvouched++
 		c.contact.inconclusive++
 	}
-	if b.Session != c.session {
+	if answer.Session != c.session {
 		return
 	}
-	if len(b.Cores) > 0 {
-		c.advertisedCores = b.Cores
+	if len(answer.Cores) > 0 {
+		c.advertisedCores = answer.Cores
 	}
-	c.extendConfigCurrent(b)
-	if b.Gone {
+	c.extendConfigCurrent(answer)
+	if answer.Gone {
 		c.beginSession("session unknown to the leader")
 		return
 	}
-	if b.Hint.ID != "" && b.Hint.Addr != c.path.to.Addr {
-		c.path = corePath{to: b.Hint, via: c.path.via}
+	if answer.Hint.ID != "" && answer.Hint.Addr != c.path.to.Addr {
+		c.path = corePath{to: answer.Hint, via: c.path.via}
 		c.nextRenewal, c.pathChangedAt = c.now, c.now
 	}
 }
 
 // extendConfigCurrent records a core node's confirmation that the router's configuration is current. Its validity
 // starts when the request was sent.
-func (c *Core) extendConfigCurrent(b protocol.NotOwner) {
-	asked, ok := c.sentAt[b.Seq]
-	if !ok || b.Fresh <= 0 || b.Gen > c.gen || b.Gen == c.gen && b.Epoch > c.epoch {
+func (c *Core) extendConfigCurrent(answer protocol.NotOwner) {
+	sentAt, ok := c.sentAt[answer.Seq]
+	if !ok || answer.Fresh <= 0 || answer.Gen > c.gen || answer.Gen == c.gen && answer.Epoch > c.epoch {
 		return
 	}
-	c.leaving = b.Leaving
-	c.configCurrentUntil = max(c.configCurrentUntil, asked.Add(b.Fresh))
+	c.leaving = answer.Leaving
+	c.configCurrentUntil = max(c.configCurrentUntil, sentAt.Add(answer.Fresh))
 	c.tally.Vouched++
 	c.sendHold()
 }
 
-func (c *Core) onNews(e protocol.Env, b protocol.News) {
+func (c *Core) onNews(e protocol.Env, news protocol.News) {
 	c.noteCoreAnswer()
-	if !c.acceptFromOwner(b.Session, b.Duty) {
-		c.forwardStaleConfig(b)
+	if !c.acceptFromLeader(news.Session, news.Duty) {
+		c.forwardStaleConfig(news)
 		return
 	}
-	for _, i := range b.Items {
-		c.rememberDesired(i.Desired)
+	for _, item := range news.Items {
+		c.rememberDesired(item.Desired)
 	}
-	c.sendToRouter(b)
+	c.sendToRouter(news)
 }
 
 // forwardStaleConfig forwards the configurations among updates whose session has ended, and drops the rest. A chosen
 // configuration remains valid in any session, and a router to which delivery takes longer than a session lasts would
 // otherwise never receive it.
-func (c *Core) forwardStaleConfig(b protocol.News) {
-	c.tally.StaleNews += uint64(len(b.Items))
+func (c *Core) forwardStaleConfig(news protocol.News) {
+	c.tally.StaleNews += uint64(len(news.Items))
 	var late protocol.News // carries no session
-	for _, i := range b.Items {
-		if i.Desired == nil {
+	for _, item := range news.Items {
+		if item.Desired == nil {
 			continue
 		}
-		c.rememberDesired(i.Desired)
-		late.Items = append(late.Items, protocol.Item{Desired: i.Desired})
-		c.logEvent("configuration received after its session ended", protocol.Field{Name: "session", Value: b.Session.N}, protocol.Field{Name: "now", Value: c.session.N},
-			protocol.Field{Name: "its_epoch", Value: i.Desired.Epoch}, protocol.Field{Name: "epoch", Value: c.epoch})
+		c.rememberDesired(item.Desired)
+		late.Items = append(late.Items, protocol.Item{Desired: item.Desired})
+		c.logEvent("configuration received after its session ended", protocol.Field{Name: "session", Value: news.Session.N}, protocol.Field{Name: "now", Value: c.session.N},
+			protocol.Field{Name: "its_epoch", Value: item.Desired.Epoch}, protocol.Field{Name: "epoch", Value: c.epoch})
 	}
 	if len(late.Items) > 0 {
 		c.sendToRouter(late)
@@ -348,14 +348,14 @@
 	if c.now < c.nextRenewal {
 		return
 	}
-	if c.now.Sub(c.lastOwnerAnswer) > c.o.Keep+c.o.Wait && c.now.Sub(c.pathChangedAt) > c.o.Wait {
+	if c.now.Sub(c.lastLeaderAnswer) > c.o.Keep+c.o.Wait && c.now.Sub(c.pathChangedAt) > c.o.Wait {
 		c.switchPath()
 	}
 	if c.path.via.ID != "" && c.now.Sub(c.directTriedAt) > relayDuration {
-		c.directTriedAt, c.path.via = c.now, protocol.Sibling{} // return to the direct path as soon as possible
+		c.directTriedAt, c.path.via = c.now, protocol.Sibling{} // retry the direct path, so that relaying lasts no longer than necessary
 	}
 	c.nextRenewal = c.now.Add(c.renewInterval())
-	if c.now.Sub(c.lastOwnerAnswer) > c.o.Keep+c.o.Wait {
+	if c.now.Sub(c.lastLeaderAnswer) > c.o.Keep+c.o.Wait {
 		c.nextRenewal = c.now.Add(c.o.Wait / 2)
 	}
 	c.tally.Renews++
@@ -372,18 +372,18 @@
 }
 
 // mergeBurden records the router's current load and adds the counts accumulated since the last renewal.
-func (c *Core) mergeBurden(b map[ident.Key]protocol.Burden) {
-	n := map[ident.Key]protocol.Burden{}
-	for k, u := range b {
-		u.Came, u.Load = u.Came+c.burden[k].Came, u.Load+c.burden[k].Load
-		n[k] = u
-	}
-	for k, u := range c.burden {
-		if _, ok := n[k]; !ok && u.Came > 0 {
-			n[k] = protocol.Burden{Came: u.Came, Load: u.Load}
+func (c *Core) mergeBurden(reported map[ident.Key]protocol.Burden) {
+	merged := map[ident.Key]protocol.Burden{}
+	for key, load := range reported {
+		load.Came, load.Load = load.Came+c.burden[key].Came, load.Load+c.burden[key].Load
+		merged[key] = load
+	}
+	for key, load := range c.burden {
+		if _, ok := merged[key]; !ok && load.Came > 0 {
+			merged[key] = protocol.Burden{Came: load.Came, Load: load.Load}
 		}
 	}
-	c.burden = n
+	c.burden = merged
 }
 
 // mergePaces keeps the shortest observed time per token for each base until the next renewal.
@@ -392,7 +392,7 @@
 		c.paces = map[ident.Key]float64{}
 	}
 	for base, pace := range seen {
-		if was, ok := c.paces[base]; !ok || pace < was {
+		if known, ok := c.paces[base]; !ok || pace < known {
 			c.paces[base] = pace
 		}
 	}
@@ -408,9 +408,9 @@
 func (c *Core) renewal() protocol.Renew {
 	c.seq++
 	c.sentAt[c.seq] = c.now
-	for s, t := range c.sentAt {
-		if c.now.Sub(t) > sentRetention {
-			delete(c.sentAt, s)
+	for seq, sentAt := range c.sentAt {
+		if c.now.Sub(sentAt) > sentRetention {
+			delete(c.sentAt, seq)
 		}
 	}
 	c.contact.noteRequest(c.now)
@@ -419,55 +419,55 @@
 
 // outstanding returns the waiting and running requests of a load report, without the counts of new arrivals.
 func outstanding(burden map[ident.Key]protocol.Burden) map[ident.Key]protocol.Burden {
-	left := map[ident.Key]protocol.Burden{}
-	for k, u := range burden {
-		if u.Came, u.Load = 0, 0; u.Wait > 0 || u.Work > 0 {
-			left[k] = u
+	result := map[ident.Key]protocol.Burden{}
+	for key, load := range burden {
+		if load.Came, load.Load = 0, 0; load.Wait > 0 || load.Work > 0 {
+			result[key] = load
 		}
 	}
-	return left
+	return result
 }
 
 // coreNodes lists all core nodes known to this agent.
-func (c *Core) coreNodes() (l []protocol.Sibling) {
-	add := func(p protocol.Sibling) {
-		for _, x := range l {
-			if x.Addr == p.Addr {
+func (c *Core) coreNodes() (nodes []protocol.Sibling) {
+	add := func(node protocol.Sibling) {
+		for _, known := range nodes {
+			if known.Addr == node.Addr {
 				return
 			}
 		}
-		l = append(l, p)
+		nodes = append(nodes, node)
 	}
 	for _, m := range c.members.Alive("controller") {
 		add(m.Sibling)
 	}
-	for _, p := range append(append([]protocol.Sibling{}, c.advertisedCores...), c.o.Seeds...) {
-		add(p)
+	for _, node := range append(append([]protocol.Sibling{}, c.advertisedCores...), c.o.Seeds...) {
+		add(node)
 	}
-	return l
+	return nodes
 }
 
 // switchPath selects the next path: each core node directly, then each through a sibling.
 func (c *Core) switchPath() {
 	c.pathChangedAt = c.now
 	c.tally.Turns++
-	l := c.coreNodes()
-	if len(l) == 0 {
+	nodes := c.coreNodes()
+	if len(nodes) == 0 {
 		return
 	}
 	c.pathIndex++
-	w := corePath{to: l[c.pathIndex%len(l)]}
-	var sib []protocol.Sibling
+	next := corePath{to: nodes[c.pathIndex%len(nodes)]}
+	var siblings []protocol.Sibling
 	for _, m := range c.members.Alive("agent") {
 		if m.ID != c.o.Me.ID {
-			sib = append(sib, m.Sibling)
+			siblings = append(siblings, m.Sibling)
 		}
 	}
 	// Passes over the core nodes alternate between direct paths and paths through a sibling.
-	if n := c.pathIndex / len(l); n%2 == 1 && len(sib) > 0 && w.to.ID != "" {
-		w.via = sib[c.o.Rand.IntN(len(sib))]
+	if n := c.pathIndex / len(nodes); n%2 == 1 && len(siblings) > 0 && next.to.ID != "" {
+		next.via = siblings[c.o.Rand.IntN(len(siblings))]
 	}
-	c.path = w
+	c.path = next
 }
 
 // Session returns the current session.
--- a/internal/fleetplan/memo.go
+++ b/internal/fleetplan/memo.go
@@ -43,9 +43,9 @@
 func (m *Memo) find(raw []byte) *Plan {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, r := range m.entries {
-		if bytes.Equal(r.raw, raw) {
-			return r.plan
+	for _, entry := range m.entries {
+		if bytes.Equal(entry.raw, raw) {
+			return entry.plan
 		}
 	}
 	return nil
--- a/internal/fleetplan/merge_memo.go
+++ b/internal/fleetplan/merge_memo.go
@@ -40,9 +40,9 @@
 func (m *MergeMemo) find(plan, change []byte) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, r := range m.entries {
-		if bytes.Equal(r.change, change) && bytes.Equal(r.plan, plan) {
-			return r.result
+	for _, entry := range m.entries {
+		if bytes.Equal(entry.change, change) && bytes.Equal(entry.plan, plan) {
+			return entry.result
 		}
 	}
 	return nil
--- a/internal/fleetplan/plan.go
+++ b/internal/fleetplan/plan.go
@@ -14,11 +14,11 @@
 // Limits for plans and requests: bytes of a plan and of a request body, wait in milliseconds, size of a model, and
 // tokens of an answer.
 const (
-	MostPlan   = 4 << 20
-	MostBody   = 1 << 20
-	MostWait   = 600_000
-	MostSize   = 1_000_000
-	MostTokens = 100_000
+	MostPlan        = 4 << 20
+	MostBody        = 1 << 20
+	MostWait        = 600_000
+	maxModelSize    = 1_000_000
+	maxAnswerTokens = 100_000
 )
 
 // Model is a base model or an adapter.
@@ -108,23 +108,23 @@
 
 // Rank returns the rank of a value among those of the plan's classes; 0 is the highest. It is not safe for concurrent
 // use.
-func (q *Plan) Rank(value int) int {
-	if q.ranks == nil {
-		values := q.classValues()
-		if q.tenants != nil {
-			values = q.tenants.requestValues(values)
+func (p *Plan) Rank(value int) int {
+	if p.ranks == nil {
+		values := p.classValues()
+		if p.tenants != nil {
+			values = p.tenants.requestValues(values)
 		}
 		slices.Sort(values)
 		slices.Reverse(values)
-		q.ranks = map[int]int{}
+		p.ranks = map[int]int{}
 		for i, value := range slices.Compact(values) {
-			q.ranks[value] = i
+			p.ranks[value] = i
 		}
 	}
-	if n, ok := q.ranks[value]; ok {
+	if n, ok := p.ranks[value]; ok {
 		return n
 	}
-	return max(0, len(q.ranks)-1)
+	return max(0, len(p.ranks)-1)
 }
 
 // Query contains the attributes of a request that determine its route and its tenant.
@@ -145,49 +145,49 @@
 }
 
 // Match routes a request according to the plan.
-func (q *Plan) Match(x Query) (Match, failure.Kind) {
-	if x.Host == "" {
-		return q.matchPath(x)
+func (p *Plan) Match(query Query) (Match, failure.Kind) {
+	if query.Host == "" {
+		return p.matchPath(query)
 	}
-	r := q.Find(x.Host, x.Path)
+	r := p.Find(query.Host, query.Path)
 	if r == nil {
 		return Match{}, failure.NoRoute
 	}
 	m := Match{Class: r.Class, Route: r}
-	if !q.authorize(&m, x.Credential, r.Unkeyed) {
+	if !p.authorize(&m, query.Credential, r.Unkeyed) {
 		return m, failure.NoKey
 	}
-	name := r.chooseService(x.ID)
-	s := q.Services[name]
-	if s.Plain || r.ModelOptional && x.Base == "" && x.Extra == "" {
+	name := r.chooseService(query.ID)
+	s := p.Services[name]
+	if s.Plain || r.ModelOptional && query.Base == "" && query.Extra == "" {
 		m.Key = ident.ServiceKey(name)
 		return m, failure.None
 	}
-	k := ident.KeyOf(x.Base, x.Extra).In(name)
-	if !s.Keys[k] {
+	key := ident.KeyOf(query.Base, query.Extra).In(name)
+	if !s.Keys[key] {
 		return m, failure.NoModel
 	}
-	m.Key = k
+	m.Key = key
 	return m, failure.None
 }
 
 // matchPath routes a request by its full path.
-func (q *Plan) matchPath(x Query) (m Match, why failure.Kind) {
-	r, ok := q.Routes[x.Path]
+func (p *Plan) matchPath(query Query) (m Match, why failure.Kind) {
+	r, ok := p.Routes[query.Path]
 	if !ok {
 		return Match{}, failure.NoRoute
 	}
-	m.Class = q.Kinds[x.Kind]
-	if !q.authorize(&m, x.Credential, r.Unkeyed) {
+	m.Class = p.Kinds[query.Kind]
+	if !p.authorize(&m, query.Credential, r.Unkeyed) {
 		return m, failure.NoKey
 	}
-	m.Key, _, why = q.Allows(x.Path, x.Kind, x.Base, x.Extra)
+	m.Key, _, why = p.Allows(query.Path, query.Kind, query.Base, query.Extra)
 	return m, why
 }
 
 // Find returns the route of a host with the longest prefix that matches the path.
-func (q *Plan) Find(host, path string) *Route {
-	routes := q.Hosts[host]
+func (p *Plan) Find(host, path string) *Route {
+	routes := p.Hosts[host]
 	if routes == nil {
 		return nil
 	}
@@ -212,14 +212,14 @@
 	for _, s := range r.Split {
 		sum += s.Weight
 	}
-	h := fnv.New64a()
-	_, _ = h.Write([]byte(id))
-	_, _ = h.Write([]byte(r.Name))
-	n := h.Sum64()
-	n ^= n >> 33
-	n *= 0xff51afd7ed558ccd
-	n ^= n >> 33
-	position := int(n % uint64(max(1, sum)))
+	hasher := fnv.New64a()
+	_, _ = hasher.Write([]byte(id))
+	_, _ = hasher.Write([]byte(r.Name))
+	hash := hasher.Sum64()
+	hash ^= hash >> 33
+	hash *= 0xff51afd7ed558ccd
+	hash ^= hash >> 33
+	position := int(hash % uint64(max(1, sum)))
 	for _, s := range r.Split {
 		if position -= s.Weight; position < 0 {
 			return s.Service
@@ -348,7 +348,7 @@
 }
 
 func readModel(n Pen, k ident.Key) Model {
-	m := Model{Key: k, Size: n.At("size").Int(1, MostSize, 1), Floor: n.At("floor").Int(0, 1000, 0), Most: n.At("most").Int(1, 1000, 1000)}
+	m := Model{Key: k, Size: n.At("size").Int(1, maxModelSize, 1), Floor: n.At("floor").Int(0, 1000, 0), Most: n.At("most").Int(1, 1000, 1000)}
 	if !n.At("size").present {
 		n.At("size").Fault("is required")
 	}
@@ -359,19 +359,19 @@
 }
 
 // Allows returns the key that a request may use and the class of its kind.
-func (q *Plan) Allows(route, kind, base, extra string) (ident.Key, Class, failure.Kind) {
-	r, ok := q.Routes[route]
+func (p *Plan) Allows(route, kind, base, extra string) (ident.Key, Class, failure.Kind) {
+	r, ok := p.Routes[route]
 	if !ok {
 		return "", Class{}, failure.NoRoute
 	}
 	key := ident.KeyOf(base, extra)
-	if strings.Contains(base, "+") || !q.Services[r.Service].Keys[key] {
+	if strings.Contains(base, "+") || !p.Services[r.Service].Keys[key] {
 		return "", Class{}, failure.NoModel
 	}
 	if !r.Kinds[kind] {
 		return "", Class{}, failure.NoKind
 	}
-	return key, q.Kinds[kind], failure.None
+	return key, p.Kinds[kind], failure.None
 }
 
 // Call is a caller's request.
@@ -395,8 +395,8 @@
 }
 
 // Query returns the attributes of the call that determine its route.
-func (c Call) Query(path string) Query {
-	return Query{ID: c.ID, Host: c.Host, Path: path, Kind: c.Kind, Base: c.Base, Extra: c.Extra, Credential: c.Credential}
+func (r Call) Query(path string) Query {
+	return Query{ID: r.ID, Host: r.Host, Path: path, Kind: r.Kind, Base: r.Base, Extra: r.Extra, Credential: r.Credential}
 }
 
 // ReadCall parses and validates a caller's request.
@@ -412,7 +412,7 @@
 		Extra:  p.At("adapter").Text(false, 128),
 		Kind:   p.At("kind").Text(true, 128),
 		Prompt: p.At("prompt").Text(false, MostBody),
-		Max:    p.At("max_tokens").Int(1, MostTokens, 64),
+		Max:    p.At("max_tokens").Int(1, maxAnswerTokens, 64),
 		Wait:   clock.Span(p.At("horizon_ms").Int(-MostWait, MostWait, 0)) * 1_000_000,
 		Again:  p.At("repeatable").Bool(false),
 		Repeat: p.At("repeat").Bool(false),
--- a/internal/fleetplan/tenants.go
+++ b/internal/fleetplan/tenants.go
@@ -186,30 +186,30 @@
 }
 
 // SetTenants sets the plan's tenants. It must be called after the routes and kinds are set.
-func (q *Plan) SetTenants(t *Tenants) {
-	q.tenants = t
-	t.assignBands(q.classValues())
+func (p *Plan) SetTenants(t *Tenants) {
+	p.tenants = t
+	t.assignBands(p.classValues())
 }
 
 // Keyed reports whether the plan has tenants. If so, callers' keys are meant for the routers only.
-func (q *Plan) Keyed() bool { return q.tenants != nil }
+func (p *Plan) Keyed() bool { return p.tenants != nil }
 
 // Holder returns the name of the tenant whose key a request presents, or an empty string if the plan has no tenants
 // or the key is unknown.
-func (q *Plan) Holder(c Credential) string {
-	if q.tenants == nil {
+func (p *Plan) Holder(c Credential) string {
+	if p.tenants == nil {
 		return ""
 	}
-	tenant, _ := q.tenants.holder(c)
+	tenant, _ := p.tenants.holder(c)
 	return tenant.Name
 }
 
 // classValues returns the values of the plan's kinds and routes.
-func (q *Plan) classValues() (values []int) {
-	for _, k := range q.Kinds {
+func (p *Plan) classValues() (values []int) {
+	for _, k := range p.Kinds {
 		values = append(values, k.Value)
 	}
-	for _, routes := range q.Hosts {
+	for _, routes := range p.Hosts {
 		for _, r := range routes {
 			values = append(values, r.Class.Value)
 		}
@@ -218,12 +218,12 @@
 }
 
 // authorize adds the tenant to a match and reports whether the route accepts the request.
-func (q *Plan) authorize(m *Match, credential Credential, unkeyed bool) bool {
-	if q.tenants == nil {
+func (p *Plan) authorize(m *Match, credential Credential, unkeyed bool) bool {
+	if p.tenants == nil {
 		return true
 	}
-	tenant, known := q.tenants.holder(credential)
+	tenant, known := p.tenants.holder(credential)
 	m.Keyed, m.Tenant = true, tenant.Name
-	m.Class.Value = q.tenants.requestValue(tenant, known, m.Class.Value)
+	m.Class.Value = p.tenants.requestValue(tenant, known, m.Class.Value)
 	return known || unkeyed
 }
--- a/internal/invariant/strict/strict.go
+++ b/internal/invariant/strict/strict.go
@@ -31,8 +31,8 @@
 		return code
 	}
 	for _, name := range invariant.Names {
-		if n := invariant.Count(name); n > 0 {
-			fmt.Printf("--- FAIL: invariant violated %d times: %s\n", n, name)
+		if count := invariant.Count(name); count > 0 {
+			fmt.Printf("--- FAIL: invariant violated %d times: %s\n", count, name)
 			code = max(code, 1)
 		}
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -95,12 +95,12 @@
 		t := c.Value(transitionKey{}).(*transition)
 		return t.update.Inc > t.member.Inc
 	}
-	even := func(c context.Context, _ ...any) bool {
+	sameOrNewer := func(c context.Context, _ ...any) bool {
 		t := c.Value(transitionKey{}).(*transition)
 		return t.update.Inc >= t.member.Inc
 	}
-	s.Configure(Alive).Permit(Suspect, Suspect, even).Permit(Dead, Dead, even).Ignore(Alive)
-	s.Configure(Suspect).Permit(Alive, Alive, newer).Permit(Dead, Dead, even).Ignore(Suspect)
+	s.Configure(Alive).Permit(Suspect, Suspect, sameOrNewer).Permit(Dead, Dead, sameOrNewer).Ignore(Alive)
+	s.Configure(Suspect).Permit(Alive, Alive, newer).Permit(Dead, Dead, sameOrNewer).Ignore(Suspect)
 	s.Configure(Dead).Permit(Alive, Alive, newer).Permit(Suspect, Suspect, newer).Ignore(Dead)
 	s.OnUnhandledTrigger(func(context.Context, stateless.State, stateless.Trigger, []string) error { return nil })
 	return s
@@ -134,15 +134,15 @@
 		c.members[update.ID] = &member{Member: update, since: now, state: update.Life}
 		return
 	}
-	was, inc := known.state, known.Inc
+	oldState, oldInc := known.state, known.Inc
 	_ = stateMachine.FireCtx(context.WithValue(context.Background(), transitionKey{}, &transition{known, update}), update.Life)
 	if update.Inc > known.Inc {
 		known.Inc, known.Addr, known.Zone, known.Role = update.Inc, update.Addr, update.Zone, update.Role
-		if known.state == update.Life && was == update.Life {
+		if known.state == update.Life && oldState == update.Life {
 			known.gossiped = 0
 		}
 	}
-	if known.state != was || known.Inc != inc {
+	if known.state != oldState || known.Inc != oldInc {
 		known.Life, known.since, known.gossiped = known.state, now, 0
 	}
 }
@@ -218,13 +218,13 @@
 	// A seed that is not known to be alive is probed periodically, so that a partitioned group can merge again.
 	if len(c.o.Seeds) > 0 {
 		c.seedIndex++
-		seq := c.o.Seeds[c.seedIndex%len(c.o.Seeds)]
-		known := seq.Addr == c.o.Me.Addr
+		seed := c.o.Seeds[c.seedIndex%len(c.o.Seeds)]
+		known := seed.Addr == c.o.Me.Addr
 		for _, m := range c.members {
-			known = known || m.Addr == seq.Addr && m.state == Alive
+			known = known || m.Addr == seed.Addr && m.state == Alive
 		}
 		if !known {
-			out = append(out, c.envelope(seq, protocol.Probe{News: c.gossip()}))
+			out = append(out, c.envelope(seed, protocol.Probe{News: c.gossip()}))
 		}
 	}
 	return out
@@ -264,8 +264,8 @@
 // Take processes a message. It returns false for messages that do not belong to the membership protocol.
 func (c *Core) Take(now clock.Tick, e protocol.Env) (out []protocol.Env, mine bool) {
 	c.now = now
-	apply := func(suspicion []protocol.Member) {
-		for _, m := range suspicion {
+	apply := func(updates []protocol.Member) {
+		for _, m := range updates {
 			c.applyUpdate(now, m)
 		}
 	}
