--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -55,7 +55,7 @@
 }
 
 // A lease counts from the time at which its renewal was sent, not from the arrival of the grant.
-func TestHoldCountsFromSending(t *testing.T) {
+func TestLeaseCountsFromSending(t *testing.T) {
 	r := newHarness()
 	renewal, _, ok := lastSent[protocol.Renew](r)
 	require.True(t, ok)
@@ -104,7 +104,7 @@
 }
 
 // An agent without contact to the leader tries the other core nodes directly, then through siblings.
-func TestOtherWays(t *testing.T) {
+func TestPathFailover(t *testing.T) {
 	r := newHarness()
 	for _, id := range []string{"a1", "a2", "a3"} {
 		r.deliver(sibling(id), protocol.Probe{News: []protocol.Member{{Sibling: sibling(id), Role: "controller", Inc: 1, Life: "alive"}}})
@@ -137,7 +137,7 @@
 }
 
 // The agent retains the newest desired state, for the recovery of a core that has lost all its disks.
-func TestKeeps(t *testing.T) {
+func TestRetainsNewestDesired(t *testing.T) {
 	r := newHarness()
 	for i, d := range []protocol.Desired{{Gen: 1, Epoch: 4}, {Gen: 1, Epoch: 3}, {Gen: 2, Epoch: 1}} {
 		r.deliver(sibling("a1"), protocol.News{Session: r.Session(), Duty: 1, Items: []protocol.Item{{Num: uint64(i + 1), Desired: &d}}})
@@ -151,7 +151,7 @@
 
 // A hello without a start number does not come from this machine's router. The agent keeps serving its current
 // router.
-func TestHelloOfNoRouter(t *testing.T) {
+func TestHelloWithoutStartNumber(t *testing.T) {
 	r := newHarness()
 	before := r.Session()
 	r.deliver(sibling("router"), protocol.Hello{})
--- a/internal/agent/contact_test.go
+++ b/internal/agent/contact_test.go
@@ -66,8 +66,9 @@
 	}
 }
 
-// After a stall of its own process, an agent queries again, because answers may still be unread.
-func TestStallIsNotSilence(t *testing.T) {
+// After a stall of its own process, an agent queries every core node again before it reports the machine as cut off,
+// because answers may still be unread.
+func TestStallDiscardsQuery(t *testing.T) {
 	r := newHarness()
 	r.advance(20e6)
 	r.deliver(sibling("a1"), protocol.Grant{Session: r.Session(), Seq: r.seq, Len: 1400e6, Duty: 1})
@@ -83,7 +84,7 @@
 
 // A core node's confirmation of the configuration counts from the time of the request, and only for a router that has
 // that configuration.
-func TestVouched(t *testing.T) {
+func TestConfigurationConfirmed(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		answer protocol.NotOwner
@@ -135,7 +136,7 @@
 // An agent forwards the router's requests only after a leader has answered in the current session. Otherwise the
 // leader reports the session as unknown, and the next session starts with the same request, in a loop as fast as
 // messages travel: one router started 772 sessions in half a second after its leader was killed.
-func TestNothingIsAskedForBeforeAnOwnerAnswers(t *testing.T) {
+func TestRequestsWaitForLeaderAnswer(t *testing.T) {
 	r := newHarness()
 	r.sent = nil
 	forwarded := func() bool {
@@ -152,7 +153,7 @@
 }
 
 // A machine that is cut off keeps querying every core node at short intervals.
-func TestCutOffAsksOn(t *testing.T) {
+func TestCutOffKeepsQuerying(t *testing.T) {
 	r := newHarness()
 	r.advance(partedAfter + queryTimeout + 200e6)
 	require.True(t, r.lastHold().Parted)
--- a/internal/fleetplan/fleetplan_test.go
+++ b/internal/fleetplan/fleetplan_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestCalls(t *testing.T) {
+func TestReadCall(t *testing.T) {
 	for _, c := range []struct {
 		name, raw string
 		path      string
--- a/internal/fleetplan/plan.go
+++ b/internal/fleetplan/plan.go
@@ -34,9 +34,9 @@
 type Class struct {
 	Value int
 	Wait  clock.Span
-	Aim   clock.Span // target time to the first byte of an answer; 0 if unset
-	Pause clock.Span // target time between two events; 0 if unset
-	Quit  clock.Span // time after which callers give up waiting for the first byte; 0 if unset
+	Aim   clock.Span // an answer that begins within this time has the highest value; 0 if unset
+	Pause clock.Span // likewise for the time between two events; 0 if unset
+	Quit  clock.Span // callers give up if an answer has not begun within this time; 0 if unset
 }
 
 // Service is the target of a route, with the keys that requests may use. A plain service has servers without models;
--- a/internal/fleetplan/tenants_test.go
+++ b/internal/fleetplan/tenants_test.go
@@ -17,7 +17,7 @@
 "tenants":{"acme":{"keys":["k1","k2"],"precedence":1},"globex":{"keys":["k3"]}}}`
 
 // Tenants of a plan in the native format apply to path routes and to host routes.
-func TestTenantsOfAPlan(t *testing.T) {
+func TestPlanTenants(t *testing.T) {
 	plan, faults := ReadPlan([]byte(tenantPlan))
 	require.Empty(t, faults)
 	require.True(t, plan.Keyed())
--- a/internal/membership/fuzz_test.go
+++ b/internal/membership/fuzz_test.go
@@ -12,7 +12,7 @@
 )
 
 // Updates that no process can have produced are neither applied nor gossiped.
-func TestNonsenseIsNotHeard(t *testing.T) {
+func TestInvalidUpdatesIgnored(t *testing.T) {
 	good := protocol.Member{Sibling: sibling("x"), Role: "agent", Inc: 6, Life: Alive}
 	for name, corrupt := range map[string]func(*protocol.Member){
 		"unknown state":            func(m *protocol.Member) { m.Life = "asleep" },
@@ -40,7 +40,7 @@
 }
 
 // A request for an indirect probe without a requester is not recorded as one of this process's own probes.
-func TestOpinionForNobody(t *testing.T) {
+func TestIndirectProbeWithoutRequester(t *testing.T) {
 	c := newCore("me")
 	c.applyUpdate(0, protocol.Member{Sibling: sibling("x"), Role: "agent", Inc: 1, Life: Alive})
 	out, mine := c.Take(0, protocol.Env{Body: protocol.ProbeFor{Seq: 1, Target: sibling("x")}})
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -75,7 +75,7 @@
 }
 
 // Processes discover each other through one seed, detect a dead one, and accept it again when it is alive.
-func TestFindMissAndRefute(t *testing.T) {
+func TestDiscoverDetectRefute(t *testing.T) {
 	n := &network{cores: map[string]*Core{}, down: map[string]bool{}}
 	for _, id := range []string{"a", "b", "c", "d"} {
 		n.cores[id] = newCore(id, "a")
@@ -99,7 +99,7 @@
 }
 
 // Indirect probes keep a process alive that only one other process cannot reach.
-func TestSecondOpinion(t *testing.T) {
+func TestIndirectProbes(t *testing.T) {
 	a := newCore("a")
 	a.applyUpdate(0, protocol.Member{Sibling: sibling("x"), Role: "agent", Inc: 1, Life: Alive})
 	a.applyUpdate(0, protocol.Member{Sibling: sibling("y"), Role: "agent", Inc: 1, Life: Alive})
--- a/internal/roundtrip/roundtrip_test.go
+++ b/internal/roundtrip/roundtrip_test.go
@@ -47,7 +47,7 @@
 	require.Less(t, e.Mean(), 15*before)
 }
 
-func TestObserveNothing(t *testing.T) {
+func TestObserveZero(t *testing.T) {
 	var e Estimator
 	e.Observe(0)
 	require.True(t, e.Known(), "a round trip below the clock's resolution counts as a sample")
