--- a/internal/simulator/bites_test.go
+++ b/internal/simulator/bites_test.go
@@ -15,11 +15,11 @@
 )
 
 // edit is one change of a source file, made only for a build.
-type edit struct{ file, old, now string }
+type edit struct{ file, old, replacement string }
 
 // bite is a guard that is broken, the scene that must show it, and what a checker says then.
 type bite struct {
-	guard, scene, sees string
+	guard, scene, expect string
 	edits              []edit
 }
 
@@ -87,14 +87,14 @@
 }
 
 // broken builds the simulator with a guard broken.
-func broken(t *testing.T, edits []edit) string {
+func buildWithEdits(t *testing.T, edits []edit) string {
 	t.Helper()
 	dir := t.TempDir()
 	root, err := filepath.Abs("../..")
 	require.NoError(t, err)
 	var list []overlay.Edit
 	for _, e := range edits {
-		list = append(list, overlay.Edit{File: e.file, Old: e.old, New: e.now})
+		list = append(list, overlay.Edit{File: e.file, Old: e.old, New: e.replacement})
 	}
 	name, err := overlay.Write(root, dir, list)
 	require.NoError(t, err)
@@ -106,7 +106,7 @@
 
 // biteSeeds is how many seeds are tried until a broken guard shows: some show at one in thirteen, and which ones it are changes with
 // every decision that comes a beat sooner or later.
-const biteSeeds = 40
+const maxGuardSeeds = 40
 
 func TestBites(t *testing.T) {
 	if testing.Short() {
@@ -117,27 +117,27 @@
 			t.Parallel()
 			s, ok := Find(b.scene)
 			require.True(t, ok)
-			bin := broken(t, b.edits)
-			for seed := uint64(1); seed <= biteSeeds; seed++ {
+			bin := buildWithEdits(t, b.edits)
+			for seed := uint64(1); seed <= maxGuardSeeds; seed++ {
 				// It exits with an error where a checker saw something.
 				run := exec.Command(bin, "--plans", "../../examples", "--scene", b.scene, "--seed", fmt.Sprint(seed))
 				run.Env = append(os.Environ(), strict.Variable+"="+strict.Off)
 				out, _ := run.CombinedOutput()
 				require.Contains(t, string(out), " failed", "it ran to its end: %s", out)
 				for _, x := range strings.Split(string(out), "\n") {
-					if strings.HasPrefix(x, "   BAD ") && match(b.sees, x) {
-						whole, _ := s.Run(fleet(t, "corrib", seed))
+					if strings.HasPrefix(x, "   BAD ") && matchesAny(b.expect, x) {
+						whole, _ := s.Run(fleetOptions(t, "corrib", seed))
 						require.Empty(t, whole.Check.Bad, "with the guard whole, seed %d", seed)
 						return
 					}
 				}
 			}
-			t.Fatalf("with this guard broken, no seed showed %q", b.sees)
+			t.Fatalf("with this guard broken, no seed showed %q", b.expect)
 		})
 	}
 }
 
-func match(any, s string) bool {
+func matchesAny(any, s string) bool {
 	for _, p := range strings.Split(any, "|") {
 		a, z, _ := strings.Cut(p, "[0-9]*")
 		if i := strings.Index(s, a); i >= 0 && strings.Contains(s[i:], z) {
--- a/internal/simulator/check.go
+++ b/internal/simulator/check.go
@@ -20,27 +20,27 @@
 
 // Bounds that the checkers hold the fleet to.
 const (
-	boundPlan  = 2100e6
+	maxPlanLag  = 2100e6
 	boundGone  = 3100e6
-	boundZone  = 5000e6
-	boundCold  = 12000e6
-	boundShare = 0.2
+	maxZoneLag  = 5000e6
+	maxRecovery  = 12000e6
+	maxRetryShare = 0.2
 )
 
 // mostBad is how many violations of one run are told.
-const mostBad = 50
+const maxViolations = 50
 
 // state is one desired state as operators know it.
-type state struct {
+type desiredState struct {
 	epoch ident.Epoch
 	raw   []byte
 	plan  *fleetplan.Plan
 	empty map[ident.Zone]bool
-	put   bool
-	sent  clock.Tick
-	told  clock.Tick // zero while it is not known to be taken
-	lost  clock.Tick // when it was surely not taken
-	over  clock.Tick // when a newer one was told
+	isPlan   bool
+	sentAt  clock.Tick
+	confirmedAt  clock.Tick // zero while it is not known to be taken
+	rejectedAt  clock.Tick // when it was surely not taken
+	supersededAt  clock.Tick // when a newer one was told
 
 	number, base ident.Epoch // that the operator gave it, and that it goes on
 }
@@ -48,66 +48,66 @@
 // Checker watches a world from outside and says what must never be seen.
 type Checker struct {
 	w       *World
-	open    map[router.Ref]*call
+	openCalls    map[router.Ref]*call
 	calls   []*call
 	Bad     []string
-	states  []*state
-	ranID   map[string]int
-	ranAt   map[string]place
-	goes    []tried
-	epochs  map[string][2]uint64
-	lives   map[string]int
+	states  []*desiredState
+	runCounts   map[string]int
+	lastRuns   map[string]runPlace
+	launches    []launchRecord
+	routerEpochs  map[string][2]uint64
+	routerLives   map[string]int
 	duties  map[ident.Duty]string
 	gone    map[string]clock.Tick // servers that are leaving, gone or dark, since when
-	unload  map[string]clock.Tick
+	unloadedAt  map[string]clock.Tick
 	Seen    Seen
 	healed  clock.Tick
-	batch   batchBooks
-	loose   bool // all core disks were lost: what was confirmed may be gone
-	looseAt clock.Tick
+	batch   hostedRecords
+	disksLost   bool // all core disks were lost: what was confirmed may be gone
+	disksLostAt clock.Tick
 	history history.Recorder // what operators and readers saw
 }
 
 // Seen is what a run measured.
 type Seen struct {
-	Asked, Answered, Dropped, Unclear, Cut, Broke, Events int
+	Asked, Answered, Dropped, Unclear, Cut, Broken, Events int
 	Firsts, Retries, Repeats                              int
-	Asked2, Known2, Ran2                                  int     // asked again after a break; refused as repeated; ran again, where the server that had run it was gone or another was nearer by then
-	Window                                                float64 // worst share of goes that were no first ones, in 10 s
+	CallerRepeats, RefusedRepeats, RepeatedRuns                                  int     // asked again after a break; refused as repeated; ran again, where the server that had run it was gone or another was nearer by then
+	WorstRetryShare                                                float64 // worst share of goes that were no first ones, in 10 s
 	Admits                                                int     // changes of the voter set
-	Needless                                              int     // dropped though, as they were, a server had long held the key and had room
-	Late                                                  uint64  // refused by servers as sent too late
+	NeedlessDrops                                              int     // dropped though, as they were, a server had long held the key and had room
+	RefusedLate                                                  uint64  // refused by servers as sent too late
 	Kinds                                                 map[string]int
 	PlanLag, GoneLag, ZoneLag                             clock.Span // worst
-	Back                                                  clock.Span // from the healing to the first answer
+	Recovery                                                  clock.Span // from the healing to the first answer
 	NoOwner                                               clock.Span // longest time without an owner
-	Cold                                                  int
-	Hits, Lookups, Sames, Breaks, Acks, Lapses, Unloads   uint64
+	PeakCold                                                  int
+	Hits, Lookups, Unchanged, Breaks, Acks, Lapses, Unloads   uint64
 	Prompt, Reused                                        uint64
-	Pulls, Reigns, Moves, Odd                             uint64
-	Orders, Turned                                        int        // orders taken and turned away by servers that check no fence
-	Began                                                 int        // most loads from the store that began in 5 s
-	Held                                                  int        // requests that waited for more than 250 ms
-	HeldFor                                               clock.Span // and for how long, in all
+	Pulls, Reigns, Moves, OddReports                             uint64
+	Orders, OrdersRefused                                        int        // orders taken and turned away by servers that check no fence
+	PeakStoreLoads                                                 int        // most loads from the store that began in 5 s
+	Waited                                                  int        // requests that waited for more than 250 ms
+	WaitTime                                               clock.Span // and for how long, in all
 	Operations                                            int        // of operators and readers, in the history
-	lastOwner                                             clock.Tick
+	lastOwnerAt                                             clock.Tick
 }
 
 func newChecker(w *World) *Checker {
-	return &Checker{w: w, open: map[router.Ref]*call{}, ranID: map[string]int{}, ranAt: map[string]place{}, epochs: map[string][2]uint64{}, lives: map[string]int{},
-		duties: map[ident.Duty]string{}, gone: map[string]clock.Tick{}, unload: map[string]clock.Tick{}, batch: newBooks(),
+	return &Checker{w: w, openCalls: map[router.Ref]*call{}, runCounts: map[string]int{}, lastRuns: map[string]runPlace{}, routerEpochs: map[string][2]uint64{}, routerLives: map[string]int{},
+		duties: map[ident.Duty]string{}, gone: map[string]clock.Tick{}, unloadedAt: map[string]clock.Tick{}, batch: newHostedRecords(),
 		Seen: Seen{Kinds: map[string]int{}}}
 }
 
 func (k *Checker) bad(form string, a ...any) {
 	s := fmt.Sprintf("%.3fs %s", float64(k.w.now)/1e9, fmt.Sprintf(form, a...))
 	k.w.tracef("BAD %s", s)
-	if len(k.Bad) < mostBad {
+	if len(k.Bad) < maxViolations {
 		k.Bad = append(k.Bad, s)
 	}
 }
 
-func (k *Checker) asked(c *call) {
+func (k *Checker) addCall(c *call) {
 	k.calls = append(k.calls, c)
 	k.Seen.Asked++
 	if c.repeat {
@@ -129,9 +129,9 @@
 
 func (w *World) change(node string, a controller.Admin, then func(controller.Receipt)) {
 	k := w.Check
-	s := &state{sent: w.now, raw: a.Raw, put: a.Op == "put", empty: map[ident.Zone]bool{}, number: a.Number, base: a.Expect}
-	if s.put {
-		s.plan, _ = w.read(a.Raw)
+	s := &desiredState{sentAt: w.now, raw: a.Raw, isPlan: a.Op == "put", empty: map[ident.Zone]bool{}, number: a.Number, base: a.Expect}
+	if s.isPlan {
+		s.plan, _ = w.parsePlan(a.Raw)
 	}
 	k.states = append(k.states, s)
 	tries := 0
@@ -149,7 +149,7 @@
 		w.tracef("operator: %s at %s: %q epoch %d", a.Op, node, r.Kind, r.Epoch)
 		switch {
 		case r.Kind == failure.None:
-			s.epoch, s.told = r.Epoch, w.now
+			s.epoch, s.confirmedAt = r.Epoch, w.now
 			if a.Number != 0 && r.Epoch != a.Number {
 				k.bad("a change of number %d was taken as %d", a.Number, r.Epoch)
 			}
@@ -160,22 +160,22 @@
 				s.empty[z] = true
 			}
 			for _, o := range k.states {
-				if o == s || o.told == 0 {
+				if o == s || o.confirmedAt == 0 {
 					continue
 				}
-				if o.epoch == s.epoch && !k.loose {
+				if o.epoch == s.epoch && !k.disksLost {
 					k.bad("epoch %d was told twice", s.epoch)
 				}
 				// A plan is over once a newer plan is told, whichever was told first.
 				switch {
-				case o.epoch < s.epoch && s.put && o.over == 0:
-					o.over = w.now
-				case o.epoch > s.epoch && o.put && s.over == 0:
-					s.over = w.now
+				case o.epoch < s.epoch && s.isPlan && o.supersededAt == 0:
+					o.supersededAt = w.now
+				case o.epoch > s.epoch && o.isPlan && s.supersededAt == 0:
+					s.supersededAt = w.now
 				}
 			}
 		case r.Kind != failure.Unclear:
-			s.lost = w.now
+			s.rejectedAt = w.now
 		}
 		if then != nil {
 			then(r)
@@ -188,19 +188,19 @@
 func (w *World) Read(node string, then func(controller.Receipt)) {
 	k, at := w.Check, w.now
 	w.Admin(node, controller.Admin{Op: "get"}, func(r controller.Receipt) {
-		if r.Kind == failure.None && !k.loose {
+		if r.Kind == failure.None && !k.disksLost {
 			want := k.newest(at)
 			if want != nil && r.Epoch < want.epoch {
 				k.bad("read gave epoch %d after %d was told as taken", r.Epoch, want.epoch)
 			}
 			// It must be the newest plan told up to that epoch, or one whose fate was never told.
-			var last *state
+			var last *desiredState
 			fits := false
 			for _, s := range k.states {
-				if s.put && s.told != 0 && s.epoch <= r.Epoch && (last == nil || s.epoch > last.epoch) {
+				if s.isPlan && s.confirmedAt != 0 && s.epoch <= r.Epoch && (last == nil || s.epoch > last.epoch) {
 					last = s
 				}
-				if s.put && s.told == 0 && s.lost == 0 && bytes.Equal(s.raw, r.Plan) {
+				if s.isPlan && s.confirmedAt == 0 && s.rejectedAt == 0 && bytes.Equal(s.raw, r.Plan) {
 					fits = true
 				}
 			}
@@ -215,10 +215,10 @@
 }
 
 // newest is the newest state told as taken by a moment.
-func (k *Checker) newest(at clock.Tick) *state {
-	var n *state
+func (k *Checker) newest(at clock.Tick) *desiredState {
+	var n *desiredState
 	for _, s := range k.states {
-		if s.told != 0 && s.told <= at && (n == nil || s.epoch > n.epoch) {
+		if s.confirmedAt != 0 && s.confirmedAt <= at && (n == nil || s.epoch > n.epoch) {
 			n = s
 		}
 	}
@@ -229,9 +229,9 @@
 var denials = []failure.Kind{failure.NoRoute, failure.NoModel, failure.NoKind, failure.NoKey}
 
 // ruling lists the states that may rule somewhere at this moment.
-func (k *Checker) ruling() (l []*state) {
+func (k *Checker) possiblyInForce() (l []*desiredState) {
 	for _, s := range k.states {
-		if s.put && s.lost == 0 && s.sent <= k.w.now && (s.over == 0 || k.w.now.Sub(s.over) <= boundPlan) {
+		if s.isPlan && s.rejectedAt == 0 && s.sentAt <= k.w.now && (s.supersededAt == 0 || k.w.now.Sub(s.supersededAt) <= maxPlanLag) {
 			l = append(l, s)
 		}
 	}
@@ -239,51 +239,51 @@
 }
 
 // dropped tells whether every plan of a name was surely not taken.
-func (k *Checker) dropped(name string) bool {
+func (k *Checker) planRejected(name string) bool {
 	for _, s := range k.states {
-		if s.put && s.plan.Name == name && s.lost == 0 {
+		if s.isPlan && s.plan.Name == name && s.rejectedAt == 0 {
 			return false
 		}
 	}
 	return name != ""
 }
 
-func (k *Checker) allows(s *state, a standin.Ask) bool {
+func (k *Checker) allows(s *desiredState, a standin.Ask) bool {
 	_, why := s.plan.Match(a.Call.Query(a.Route))
 	return why == failure.None
 }
 
 // look holds the routers and the core against what operators were told.
-func (k *Checker) look() {
+func (k *Checker) checkNow() {
 	w := k.w
 	for _, p := range w.Routers() {
 		c := p.core.(*router.Core)
 		gen, e, held := c.Rules(p.tick(w.now))
-		was := k.epochs[p.name]
-		if k.lives[p.name] != p.life {
-			k.lives[p.name], was = p.life, [2]uint64{}
+		was := k.routerEpochs[p.name]
+		if k.routerLives[p.name] != p.life {
+			k.routerLives[p.name], was = p.life, [2]uint64{}
 		}
 		if gen < was[0] || gen == was[0] && uint64(e) < was[1] {
 			k.bad("%s slipped back from epoch %d to %d", p.name, was[1], e)
 		}
-		k.epochs[p.name] = [2]uint64{gen, uint64(e)}
-		if held && w.now >= p.froze && !k.loose {
+		k.routerEpochs[p.name] = [2]uint64{gen, uint64(e)}
+		if held && w.now >= p.frozenUntil && !k.disksLost {
 			for _, s := range k.states {
-				if s.told != 0 && s.epoch > e {
-					lag := w.now.Sub(s.told)
+				if s.confirmedAt != 0 && s.epoch > e {
+					lag := w.now.Sub(s.confirmedAt)
 					k.Seen.PlanLag = max(k.Seen.PlanLag, lag)
-					if lag > boundPlan {
+					if lag > maxPlanLag {
 						k.bad("%s routes under epoch %d, %v after %d was told", p.name, e, lag, s.epoch)
 					}
 				}
 			}
-			if n := c.PlanName(); k.dropped(n) {
+			if n := c.PlanName(); k.planRejected(n) {
 				k.bad("%s rules by plan %q, which was dropped", p.name, n)
 			}
 		}
 	}
 	if w.host != nil {
-		k.lookHosted()
+		k.checkHosted()
 	}
 	var own []string
 	for _, p := range w.controllers() {
@@ -295,14 +295,14 @@
 		k.bad("two own the duty: %v", own)
 	}
 	if len(own) == 1 {
-		k.Seen.lastOwner = w.now
-	} else if k.Seen.lastOwner != 0 {
-		k.Seen.NoOwner = max(k.Seen.NoOwner, w.now.Sub(k.Seen.lastOwner))
+		k.Seen.lastOwnerAt = w.now
+	} else if k.Seen.lastOwnerAt != 0 {
+		k.Seen.NoOwner = max(k.Seen.NoOwner, w.now.Sub(k.Seen.lastOwnerAt))
 	}
 }
 
 // ordered looks at an order as the server took it.
-func (k *Checker) ordered(s *proc, o protocol.Order, from string, r protocol.Report, was map[ident.Key]protocol.Held) {
+func (k *Checker) checkOrder(s *proc, o protocol.Order, from string, r protocol.Report, was map[ident.Key]protocol.Held) {
 	if o.Op != "" {
 		k.w.tracef("%s: duty %d/%d tells %s to %s %s (%d): %q", from, o.Duty, o.Num, s.name, o.Op, o.Key, o.Size, r.Drop)
 	}
@@ -320,15 +320,15 @@
 	_, had := was[o.Key]
 	switch {
 	case o.Op == "unload" && r.Drop == failure.Busy:
-		for id, f := range k.w.flows {
-			key := ident.KeyOf(f.l.Work.Base, f.l.Work.Extra)
-			if id.server == s.name && id.life == s.life && (key == o.Key || key.Base() == o.Key) && !f.dead && k.w.now.Sub(f.born) > 1e9 {
+		for id, f := range k.w.attempts {
+			key := ident.KeyOf(f.launch.Work.Base, f.launch.Work.Extra)
+			if id.server == s.name && id.life == s.life && (key == o.Key || key.Base() == o.Key) && !f.closed && k.w.now.Sub(f.arrivedAt) > 1e9 {
 				k.bad("%s was told to unload %s while work was under way", s.name, o.Key)
 				break
 			}
 		}
 	case o.Op == "unload" && r.Drop == failure.None && had:
-		k.unload[at] = k.w.now
+		k.unloadedAt[at] = k.w.now
 		k.Seen.Unloads++
 		for _, p := range k.w.Routers() {
 			if p.core.(*router.Core).Promises(p.tick(k.w.now), o.Key, s.server, r.Inc) {
@@ -336,93 +336,93 @@
 			}
 		}
 	case o.Op == "load" && r.Drop == failure.None:
-		delete(k.unload, at)
+		delete(k.unloadedAt, at)
 	}
 }
 
 // place is where a request ran, and where its router's entry then said that the key was.
-type place struct {
+type runPlace struct {
 	server string
 	life   int
-	known  string
+	knownReplicas  string
 }
 
 // tried is one go as it was begun.
-type tried struct {
+type launchRecord struct {
 	at    clock.Tick
 	first bool
 }
 
 // launched looks at a go as it is begun: its connection counts, if it comes about or not.
-func (k *Checker) launched(c *call) {
+func (k *Checker) countLaunch(c *call) {
 	if c == nil {
 		return
 	}
-	if !c.held {
-		c.tries++
-		k.goes = append(k.goes, tried{k.w.now, c.tries == 1 && !c.repeat})
+	if !c.heldBack {
+		c.launches++
+		k.launches = append(k.launches, launchRecord{k.w.now, c.launches == 1 && !c.repeat})
 	}
-	c.held = false
+	c.heldBack = false
 }
 
 // windows holds goes that are no first ones against the first ones that earned them: in no 10 s
 // may they pass a fifth of the first goes of these and of the 5 s before. Where hardly anything is
 // asked, one or two are no crowd.
-func (k *Checker) windows() {
+func (k *Checker) checkRetryWindows() {
 	a, b, more, base, plain := 0, 0, 0, 0, 0
-	for i, x := range k.goes {
+	for i, x := range k.launches {
 		if x.first {
 			base++
 			plain++
 		} else {
 			more++
 		}
-		for ; x.at.Sub(k.goes[a].at) > 10e9; a++ {
-			if k.goes[a].first {
+		for ; x.at.Sub(k.launches[a].at) > 10e9; a++ {
+			if k.launches[a].first {
 				plain--
 			} else {
 				more--
 			}
 		}
-		for ; x.at.Sub(k.goes[b].at) > 15e9; b++ {
-			if k.goes[b].first {
+		for ; x.at.Sub(k.launches[b].at) > 15e9; b++ {
+			if k.launches[b].first {
 				base--
 			}
 		}
-		if more > 3 && float64(more) > boundShare*float64(base) {
+		if more > 3 && float64(more) > maxRetryShare*float64(base) {
 			k.bad("%d retries in 10 s, to %d first goes in 15 s (at %.1f s)", more, base, float64(x.at)/1e9)
 			return
 		}
 		if plain >= 50 && i > 0 {
-			k.Seen.Window = max(k.Seen.Window, float64(more)/float64(plain))
+			k.Seen.WorstRetryShare = max(k.Seen.WorstRetryShare, float64(more)/float64(plain))
 		}
 	}
 }
 
 // sent looks at a go at the moment of sending.
-func (k *Checker) sent(f *flow, s *proc) {
-	c, w := f.c, k.w
+func (k *Checker) checkSent(f *attempt, s *proc) {
+	c, w := f.call, k.w
 	if c == nil {
 		k.bad("a go for no request")
 		return
 	}
 	c.sends++
 	if c.sends == 1 {
-		c.first = w.now
+		c.firstSentAt = w.now
 		k.Seen.Firsts++
 	} else {
 		k.Seen.Retries++
 	}
-	key := ident.KeyOf(f.l.Work.Base, f.l.Work.Extra)
-	if t, ok := k.unload[s.name+"|"+string(key)]; ok && f.l.Work.Inc != 0 && t <= w.now && w.host == nil && s.core.(*standin.Server).Holds()[key].Key == "" {
+	key := ident.KeyOf(f.launch.Work.Base, f.launch.Work.Extra)
+	if t, ok := k.unloadedAt[s.name+"|"+string(key)]; ok && f.launch.Work.Inc != 0 && t <= w.now && w.host == nil && s.core.(*standin.Server).Holds()[key].Key == "" {
 		k.bad("%s sent %s to %s after it was unloaded", c.router, key, s.name)
 	}
-	k.arrived(f, s)
+	k.checkArrival(f, s)
 }
 
 // arrived looks at a go as it is sent, and again as its server takes it in.
-func (k *Checker) arrived(f *flow, s *proc) {
-	c, w := f.c, k.w
+func (k *Checker) checkArrival(f *attempt, s *proc) {
+	c, w := f.call, k.w
 	if t, ok := k.gone[s.name]; ok {
 		lag := w.now.Sub(t)
 		k.Seen.GoneLag = max(k.Seen.GoneLag, lag)
@@ -430,37 +430,37 @@
 			k.bad("%s got new work from %s, %v after it was leaving or gone", s.name, c.router, lag)
 		}
 	}
-	if k.loose {
+	if k.disksLost {
 		return
 	}
 	if w.host != nil {
 		return // it is held against what the server makes of it
 	}
-	if since := k.emptied(s.zone); since != 0 {
+	if since := k.emptySince(s.zone); since != 0 {
 		lag := w.now.Sub(since)
 		k.Seen.ZoneLag = max(k.Seen.ZoneLag, lag)
-		if lag > boundZone {
+		if lag > maxZoneLag {
 			k.bad("%s in emptied zone %s got new work, %v after", s.name, s.zone, lag)
 		}
 	}
 	ok := false
-	for _, st := range k.ruling() {
+	for _, st := range k.possiblyInForce() {
 		ok = ok || k.allows(st, c.ask)
 	}
 	if !ok {
-		k.bad("%s sent %s %s, which no plan allows", c.router, c.ask.Route, ident.KeyOf(f.l.Work.Base, f.l.Work.Extra))
+		k.bad("%s sent %s %s, which no plan allows", c.router, c.ask.Route, ident.KeyOf(f.launch.Work.Base, f.launch.Work.Extra))
 	}
 }
 
 // emptied tells since when a zone is surely empty; zero if it may not be. A change whose
 // fate was never told may have refilled it.
-func (k *Checker) emptied(z ident.Zone) clock.Tick {
-	var l []*state
+func (k *Checker) emptySince(z ident.Zone) clock.Tick {
+	var l []*desiredState
 	n := k.newest(k.w.now)
 	for _, s := range k.states {
-		if s.told != 0 {
+		if s.confirmedAt != 0 {
 			l = append(l, s)
-		} else if s.lost == 0 && !s.put {
+		} else if s.rejectedAt == 0 && !s.isPlan {
 			return 0
 		}
 	}
@@ -468,70 +468,70 @@
 		return 0
 	}
 	sort.Slice(l, func(i, j int) bool { return l[i].epoch > l[j].epoch })
-	since := n.told
+	since := n.confirmedAt
 	for _, s := range l {
 		if !s.empty[z] {
 			break
 		}
-		since = s.told
+		since = s.confirmedAt
 	}
 	return since
 }
 
 // ran looks at a go that a server took in.
-func (k *Checker) ran(f *flow, s *proc) {
-	id := f.l.Work.ID
-	k.ranID[id]++
-	was := k.ranAt[id]
-	known := fmt.Sprint(f.router.core.(*router.Core).Places(ident.KeyOf(f.l.Work.Base, f.l.Work.Extra)))
-	k.ranAt[id] = place{s.name, s.life, known}
-	f.c.ran++
+func (k *Checker) checkRun(f *attempt, s *proc) {
+	id := f.launch.Work.ID
+	k.runCounts[id]++
+	was := k.lastRuns[id]
+	known := fmt.Sprint(f.router.core.(*router.Core).Places(ident.KeyOf(f.launch.Work.Base, f.launch.Work.Extra)))
+	k.lastRuns[id] = runPlace{s.name, s.life, known}
+	f.call.runs++
 	if k.w.host != nil {
-		k.meant(f, s)
-		if k.ranID[id] > 1 && !again(f.c.ask) {
-			k.bad("%s may not be repeated and ran %d times, at %v and %s", id, k.ranID[id], was, s.name)
+		k.checkAllowed(f, s)
+		if k.runCounts[id] > 1 && !isRepeatable(f.call.ask) {
+			k.bad("%s may not be repeated and ran %d times, at %v and %s", id, k.runCounts[id], was, s.name)
 		}
-	} else if f.l.Work.Once && k.ranID[id] > 1 {
-		if !f.c.asked2 || was.server == s.name && was.life == s.life || was.known == known && f.c.missed[was.server] < 2 {
-			k.bad("%s may not be repeated and ran %d times, at %v and %s", id, k.ranID[id], was, s.name)
+	} else if f.launch.Work.Once && k.runCounts[id] > 1 {
+		if !f.call.callerRepeat || was.server == s.name && was.life == s.life || was.knownReplicas == known && f.call.unreached[was.server] < 2 {
+			k.bad("%s may not be repeated and ran %d times, at %v and %s", id, k.runCounts[id], was, s.name)
 		}
-		k.Seen.Ran2++
+		k.Seen.RepeatedRuns++
 	}
-	k.arrived(f, s)
-	if c := f.c; c.over && failure.Receipts[failure.Kind(c.kind)].Dropped {
-		k.bad("%s was dropped as %s and ran", id, c.kind)
+	k.checkArrival(f, s)
+	if c := f.call; c.finished && failure.Receipts[failure.Kind(c.outcome)].Dropped {
+		k.bad("%s was dropped as %s and ran", id, c.outcome)
 	}
 }
 
-func (k *Checker) receipt(who string, r router.Receipt) {
-	c := k.open[r.Ref]
-	if c == nil || c.over {
+func (k *Checker) checkReceipt(who string, r router.Receipt) {
+	c := k.openCalls[r.Ref]
+	if c == nil || c.finished {
 		k.bad("%s answered twice", who)
 		return
 	}
-	c.over, c.kind = true, string(r.Kind)
+	c.finished, c.outcome = true, string(r.Kind)
 	switch r.Kind {
 	case failure.Repeated:
-		k.Seen.Known2++
+		k.Seen.RefusedRepeats++
 	case failure.Unclear, failure.Cut:
-		k.again(c)
+		k.maybeRepeat(c)
 	}
 	k.w.tracef("%s: %s is told %s", who, c.ask.Call.ID, r.Kind)
 	a := failure.Receipts[r.Kind]
-	if a.Dropped && c.ran > 0 {
+	if a.Dropped && c.runs > 0 {
 		k.bad("%s was dropped as %s but had run", c.ask.Call.ID, r.Kind)
 	}
-	if slices.Contains(denials, r.Kind) && !k.loose {
+	if slices.Contains(denials, r.Kind) && !k.disksLost {
 		all := true
-		for _, s := range k.ruling() {
+		for _, s := range k.possiblyInForce() {
 			all = all && k.allows(s, c.ask)
 		}
 		if all {
 			k.bad("%s is allowed and was turned away as %s", c.ask.Call.ID, r.Kind)
 		}
 	}
-	if (r.Kind == failure.Expired || r.Kind == failure.Full || r.Kind == failure.NotReady) && k.needless(who, c) {
-		k.Seen.Needless++
+	if (r.Kind == failure.Expired || r.Kind == failure.Full || r.Kind == failure.NotReady) && k.couldBeServed(who, c) {
+		k.Seen.NeedlessDrops++
 	}
 	if a.Dropped && r.Back == 0 && a.Status == 503 {
 		k.bad("a drop did not say when to come back")
@@ -544,64 +544,64 @@
 	}
 }
 
-func (k *Checker) event(f *flow, e standin.Event) {
-	c := f.c
-	if c.over {
+func (k *Checker) checkEvent(f *attempt, e standin.Event) {
+	c := f.call
+	if c.finished {
 		k.bad("%s got an event after its end", c.ask.Call.ID)
 		return
 	}
-	if c.n == 0 {
-		c.server, c.run = e.Server, e.Go
+	if c.eventCount == 0 {
+		c.server, c.runID = e.Server, e.Go
 	}
-	if why := standin.CheckEvent(c.ask, e, c.n, c.server, c.run); why != "" {
+	if why := standin.CheckEvent(c.ask, e, c.eventCount, c.server, c.runID); why != "" {
 		k.bad("%s: %s", c.ask.Call.ID, why)
 	}
-	c.n++
+	c.eventCount++
 	k.Seen.Events++
 }
 
-func (k *Checker) done(f *flow) {
-	f.c.over = true
+func (k *Checker) finishCall(f *attempt) {
+	f.call.finished = true
 	k.Seen.Answered++
-	if k.healed != 0 && k.Seen.Back == 0 && k.w.now >= k.healed {
-		k.Seen.Back = k.w.now.Sub(k.healed) + 1
+	if k.healed != 0 && k.Seen.Recovery == 0 && k.w.now >= k.healed {
+		k.Seen.Recovery = k.w.now.Sub(k.healed) + 1
 	}
 }
 
-func (k *Checker) routerGone(name string) {
+func (k *Checker) routerStopped(name string) {
 	for _, c := range k.calls {
-		if c.router == name && !c.over {
-			c.over, c.kind = true, "router broke off"
-			k.again(c)
+		if c.router == name && !c.finished {
+			c.finished, c.outcome = true, "router broke off"
+			k.maybeRepeat(c)
 		}
 	}
 }
 
 // again lets a caller whose request broke ask once more under the same id, at any router,
 // though it may have run: some say that they do, some do not.
-func (k *Checker) again(c *call) {
-	if c.ask.Call.Again || c.asked2 || k.w.Again == 0 || k.w.rand.Float64() >= k.w.Again {
+func (k *Checker) maybeRepeat(c *call) {
+	if c.ask.Call.Again || c.callerRepeat || k.w.Again == 0 || k.w.rand.Float64() >= k.w.Again {
 		return
 	}
 	n := c.ask
 	n.Call.Repeat = k.w.rand.IntN(2) == 0
-	k.Seen.Asked2++
-	k.w.After(clock.Span(k.w.rand.Int64N(800e6)), func() { k.w.Ask(n, n.Call.Repeat); k.calls[len(k.calls)-1].asked2 = true })
+	k.Seen.CallerRepeats++
+	k.w.After(clock.Span(k.w.rand.Int64N(800e6)), func() { k.w.Ask(n, n.Call.Repeat); k.calls[len(k.calls)-1].callerRepeat = true })
 }
 
 // needless tells whether a request is dropped that could have been served just then: its router
 // holds its link, and a healthy server that it reaches has held the key for long and has room.
-func (k *Checker) needless(who string, c *call) bool {
+func (k *Checker) couldBeServed(who string, c *call) bool {
 	w := k.w
 	p := w.procs[who]
-	if _, _, held := p.core.(*router.Core).Rules(p.tick(w.now)); !held || w.now < p.froze {
+	if _, _, held := p.core.(*router.Core).Rules(p.tick(w.now)); !held || w.now < p.frozenUntil {
 		return false
 	}
 	key := ident.KeyOf(c.ask.Call.Base, c.ask.Call.Extra)
 	for _, n := range w.order {
 		s := w.procs[n]
 		v, ok := s.core.(*standin.Server)
-		if !ok || !s.up || w.now < s.froze || k.emptied(s.zone) != 0 || w.cuts[[2]string{p.box, s.box}] || w.cuts[[2]string{s.box, p.box}] {
+		if !ok || !s.up || w.now < s.frozenUntil || k.emptySince(s.zone) != 0 || w.cuts[[2]string{p.box, s.box}] || w.cuts[[2]string{s.box, p.box}] {
 			continue
 		}
 		if _, gone := k.gone[n]; gone {
@@ -624,58 +624,58 @@
 func (k *Checker) Finish() Seen {
 	s := &k.Seen
 	for _, c := range k.calls {
-		if d := c.first.Sub(c.at); c.first != 0 && d > 250e6 {
-			s.Held++
-			s.HeldFor += d
+		if d := c.firstSentAt.Sub(c.askedAt); c.firstSentAt != 0 && d > 250e6 {
+			s.Waited++
+			s.WaitTime += d
 		}
 		switch {
-		case !c.over && k.w.now.Sub(c.at) > 45e9:
+		case !c.finished && k.w.now.Sub(c.askedAt) > 45e9:
 			k.bad("%s never got its final answer", c.ask.Call.ID)
-		case c.over && c.kind != "":
-			s.Kinds[c.kind]++
+		case c.finished && c.outcome != "":
+			s.Kinds[c.outcome]++
 			switch {
-			case c.kind == string(failure.Unclear):
+			case c.outcome == string(failure.Unclear):
 				s.Unclear++
-			case c.kind == string(failure.Cut):
+			case c.outcome == string(failure.Cut):
 				s.Cut++
-			case failure.Receipts[failure.Kind(c.kind)].Dropped:
+			case failure.Receipts[failure.Kind(c.outcome)].Dropped:
 				s.Dropped++
 			default:
-				s.Broke++
+				s.Broken++
 			}
 		}
 	}
-	if n := float64(s.Retries); k.w.host == nil && n > boundShare*float64(s.Firsts) {
+	if n := float64(s.Retries); k.w.host == nil && n > maxRetryShare*float64(s.Firsts) {
 		k.bad("%d retries to %d first goes", s.Retries, s.Firsts)
 	}
 	// What callers themselves repeat comes out of the same allowance: routers let in only so many.
 	in := 0
 	for _, c := range k.calls {
-		if c.repeat && c.kind != string(failure.Spent) && c.sends > 0 {
+		if c.repeat && c.outcome != string(failure.Spent) && c.sends > 0 {
 			in++
 		}
 	}
-	if n := float64(s.Retries + in); k.w.host == nil && n > boundShare*float64(s.Firsts) {
+	if n := float64(s.Retries + in); k.w.host == nil && n > maxRetryShare*float64(s.Firsts) {
 		k.bad("%d retries and repeats to %d first goes", s.Retries+in, s.Firsts)
 	}
 	if k.w.host != nil {
-		k.finishHosted()
+		k.checkHostedRun()
 	} else {
-		k.windows()
+		k.checkRetryWindows()
 	}
 	// What is dropped must follow from the servers and the room that a scene leaves.
-	if float64(s.Needless) > 0.01*float64(s.Asked) && !k.loose {
-		k.bad("%d of %d requests were dropped though a server could have served them", s.Needless, s.Asked)
+	if float64(s.NeedlessDrops) > 0.01*float64(s.Asked) && !k.disksLost {
+		k.bad("%d of %d requests were dropped though a server could have served them", s.NeedlessDrops, s.Asked)
 	}
-	k.finishHistory()
+	k.checkHistory()
 	// Every epoch is one change: more epochs than changes means that one was redone.
 	most := ident.Epoch(0)
 	for _, x := range k.states {
-		if x.lost == 0 {
+		if x.rejectedAt == 0 {
 			most = max(most+1, x.number)
 		}
 	}
-	if n := k.newest(k.w.now); n != nil && !k.loose && n.epoch > most {
+	if n := k.newest(k.w.now); n != nil && !k.disksLost && n.epoch > most {
 		k.bad("epoch %d was reached by %d changes", n.epoch, most)
 	}
 	st := k.w.store.Counts()
@@ -683,23 +683,23 @@
 	if st.Over > 0 {
 		k.bad("loads outran the store: %d pulls beyond its budget", st.Over)
 	}
-	k.sumCounts()
-	if k.healed != 0 && (s.Back == 0 || s.Back > boundCold) {
-		k.bad("service came back %v after the outage", s.Back)
+	k.addProcessCounts()
+	if k.healed != 0 && (s.Recovery == 0 || s.Recovery > maxRecovery) {
+		k.bad("service came back %v after the outage", s.Recovery)
 	}
 	return *s
 }
 
 // sumCounts adds up what the processes counted themselves.
-func (k *Checker) sumCounts() {
+func (k *Checker) addProcessCounts() {
 	s := &k.Seen
 	for _, n := range k.w.order {
 		switch c := k.w.procs[n].core.(type) {
 		case *standin.Server:
 			t := c.Counts()
-			s.Cold = max(s.Cold, t.PeakCold)
+			s.PeakCold = max(s.PeakCold, t.PeakCold)
 			s.Prompt += t.PromptBytes
-			s.Late += t.DropKinds[failure.Late]
+			s.RefusedLate += t.DropKinds[failure.Late]
 			s.Reused += t.Reused
 			if t.PeakCold > k.w.o.Slots {
 				k.bad("%s was flooded while cold: %d at once on %d slots", n, t.PeakCold, k.w.o.Slots)
@@ -711,14 +711,14 @@
 			t := c.Counts()
 			s.Hits += t.Hits
 			s.Lookups += t.Lookups
-			s.Sames += t.Sames
+			s.Unchanged += t.Sames
 		case *controller.Core:
 			t := c.Counts()
 			s.Breaks += t.Breaks
 			s.Acks += t.Acks
 			s.Lapses += t.Lapses
 			s.Reigns += t.Reigns
-			s.Odd += t.Odd
+			s.OddReports += t.Odd
 		}
 	}
 }
@@ -734,6 +734,6 @@
 		l[i] = fmt.Sprintf("%s %d", k, s.Kinds[k])
 	}
 	return fmt.Sprintf("asked %d answered %d dropped %d unclear %d cut %d broke %d | firsts %d retries %d repeats %d | plan %v gone %v zone %v back %v no-owner %v | hits %d lookups %d breaks %d acks %d lapses %d unloads %d cold %d reigns %d | window %.3f late %d again %d/%d/%d | moves %d held %d for %v pulls %d needless %d operations %d [%s]",
-		s.Asked, s.Answered, s.Dropped, s.Unclear, s.Cut, s.Broke, s.Firsts, s.Retries, s.Repeats, s.PlanLag, s.GoneLag, s.ZoneLag, s.Back, s.NoOwner,
-		s.Hits, s.Lookups, s.Breaks, s.Acks, s.Lapses, s.Unloads, s.Cold, s.Reigns, s.Window, s.Late, s.Asked2, s.Known2, s.Ran2, s.Moves, s.Held, s.HeldFor.Round(1e8), s.Pulls, s.Needless, s.Operations, strings.Join(l, ", "))
+		s.Asked, s.Answered, s.Dropped, s.Unclear, s.Cut, s.Broken, s.Firsts, s.Retries, s.Repeats, s.PlanLag, s.GoneLag, s.ZoneLag, s.Recovery, s.NoOwner,
+		s.Hits, s.Lookups, s.Breaks, s.Acks, s.Lapses, s.Unloads, s.PeakCold, s.Reigns, s.WorstRetryShare, s.RefusedLate, s.CallerRepeats, s.RefusedRepeats, s.RepeatedRuns, s.Moves, s.Waited, s.WaitTime.Round(1e8), s.Pulls, s.NeedlessDrops, s.Operations, strings.Join(l, ", "))
 }
--- a/internal/simulator/deployment.go
+++ b/internal/simulator/deployment.go
@@ -17,7 +17,7 @@
 	Nodes   int
 	Losses  int
 	Regions int
-	Between clock.Span // from one region to another, one way
+	RegionDelay clock.Span // from one region to another, one way
 	Zones   int
 	ByZone  bool // those that are lost at once are all of one zone
 }
@@ -29,7 +29,7 @@
 func drawDeployment(seed uint64) *Deployment {
 	draw := rand.New(rand.NewPCG(seed, 7))
 	d := &Deployment{Nodes: []int{3, 5, 7}[draw.IntN(3)], Zones: 3, Regions: 1 + draw.IntN(3)}
-	d.Between = clock.Span(5e6 + draw.Int64N(30e6))
+	d.RegionDelay = clock.Span(5e6 + draw.Int64N(30e6))
 	d.Losses = 1
 	if d.Nodes >= 5 {
 		d.Losses = 1 + draw.IntN(2)
@@ -53,7 +53,7 @@
 	if d.ByZone {
 		kind = "machines of a zone"
 	}
-	return fmt.Sprintf("%d core nodes in %d regions, %v apart, %d %s may be lost", d.Nodes, d.Regions, d.Between, d.Losses, kind)
+	return fmt.Sprintf("%d core nodes in %d regions, %v apart, %d %s may be lost", d.Nodes, d.Regions, d.RegionDelay, d.Losses, kind)
 }
 
 // seat is the place of one core node in a deployment; nodes in it follow one another.
@@ -72,7 +72,7 @@
 	*Deployment
 	seats   []*seat
 	stopped []*seat        // stopped for good, which count as lost beside the seats
-	named   int            // nodes named so far
+	nodesNamed   int            // nodes named so far
 	region  map[string]int // of each machine
 	changed clock.Tick     // when a core node last started, stopped or was cut off
 	started map[string]clock.Tick
@@ -80,7 +80,7 @@
 }
 
 // controller sets the options of a core node as the hosted program does.
-func (d *Deployment) controller(o *controller.Options, timing controller.Timing) {
+func (d *Deployment) setControllerOptions(o *controller.Options, timing controller.Timing) {
 	o.Duty, o.Round, o.Tenure, o.Warm, o.Voters = timing.Duty(), timing.Duty()/4, timing.Tenure, true, 2*d.Losses+1
 	o.Regions = map[ident.Zone]string{}
 	for i := range d.Zones {
@@ -94,7 +94,7 @@
 func (d *Deployment) regionOf(zone int) int { return zone % d.Regions }
 
 // layCore lays out a deployment's core nodes.
-func (w *World) layCore(d *Deployment) {
+func (w *World) addCoreNodes(d *Deployment) {
 	w.core = &coreFleet{Deployment: d, region: map[string]int{}, started: map[string]clock.Tick{}, removed: map[string]clock.Tick{}}
 	seeds := w.seeds()
 	for i := range d.Nodes {
@@ -106,18 +106,18 @@
 // seatNode adds a new core node, which is not started yet, in a seat.
 func (w *World) seatNode(s *seat, seeds []protocol.Sibling) {
 	f := w.core
-	f.named++
-	s.node = fmt.Sprintf("controller-%d", f.named)
+	f.nodesNamed++
+	s.node = fmt.Sprintf("controller-%d", f.nodesNamed)
 	f.region[s.node] = f.regionOf(int(s.zone[len(s.zone)-1] - 'a'))
 	w.addController(s.node, s.zone, seeds)
 }
 
 // distance is how much longer a message takes between machines of two regions.
-func (w *World) distance(a, b string) clock.Span {
+func (w *World) regionDelay(a, b string) clock.Span {
 	if w.core == nil || w.core.region[a] == w.core.region[b] {
 		return 0
 	}
-	return w.core.Between
+	return w.core.RegionDelay
 }
 
 // remove forgets a process that is gone for good.
@@ -156,7 +156,7 @@
 	for _, o := range p.core.Step(p.tick(w.now), controller.Admin{Op: "nodes", Token: token}) {
 		r, ok := o.(controller.Receipt)
 		if !ok || r.Token != token {
-			w.act(p, o)
+			w.handleOutput(p, o)
 			continue
 		}
 		voters, _ = r.View["voters"].([]protocol.Voter)
@@ -174,7 +174,7 @@
 }
 
 // coreStopped notes that a core node stops.
-func (w *World) coreStopped(name string) {
+func (w *World) noteCoreStop(name string) {
 	if w.core != nil && strings.HasPrefix(name, "controller-") {
 		w.core.changed = w.now
 	}
--- a/internal/simulator/edits_test.go
+++ b/internal/simulator/edits_test.go
@@ -14,14 +14,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-var edits = flag.Int("edits", 0, "try every n-th small edit over the safety code, and list what no test saw")
+var editStep = flag.Int("edits", 0, "try every n-th small edit over the safety code, and list what no test saw")
 
-var condition = regexp.MustCompile(`(?m)^(\t+(?:\} else )?if (?:[^;{}\n]*; )?)([^;{}\n]+)( \{)$`)
+var conditionPattern = regexp.MustCompile(`(?m)^(\t+(?:\} else )?if (?:[^;{}\n]*; )?)([^;{}\n]+)( \{)$`)
 
 // Every condition of the safety code is turned round, one at a time, and the tables and some
 // scenes are run on the result. What survives is printed; it takes long, so it is asked for.
 func TestEdits(t *testing.T) {
-	if *edits == 0 {
+	if *editStep == 0 {
 		t.Skip("asked for with -edits N")
 	}
 	type try struct {
@@ -36,7 +36,7 @@
 		b, err := os.ReadFile(filepath.Join("..", "..", f))
 		require.NoError(t, err)
 		s := string(b)
-		for _, m := range condition.FindAllStringSubmatchIndex(s, -1) {
+		for _, m := range conditionPattern.FindAllStringSubmatchIndex(s, -1) {
 			tries = append(tries, try{f, s[m[4]:m[5]], 1 + strings.Count(s[:m[0]], "\n"), s[:m[4]] + "!(" + s[m[4]:m[5]] + ")" + s[m[5]:]})
 		}
 	}
@@ -46,7 +46,7 @@
 	var mu sync.Mutex
 	slot := make(chan struct{}, 6)
 	seen, tried := map[string]int{}, 0
-	for i := 0; i < len(tries); i += *edits {
+	for i := 0; i < len(tries); i += *editStep {
 		x := tries[i]
 		slot <- struct{}{}
 		all.Add(1)
--- a/internal/simulator/history.go
+++ b/internal/simulator/history.go
@@ -11,7 +11,7 @@
 )
 
 // historyTime bounds the check of a run's history, on the wall clock.
-const historyTime = 60 * time.Second
+const historyCheckTimeout = 60 * time.Second
 
 // historyKinds tells which operators' requests are operations of the plan register.
 var historyKinds = map[string]history.Kind{
@@ -20,7 +20,7 @@
 }
 
 // record notes an operator's request in the history, and gives what takes its answer.
-func (w *World) record(node string, a controller.Admin) func(controller.Receipt) {
+func (w *World) recordOperation(node string, a controller.Admin) func(controller.Receipt) {
 	kind, ok := historyKinds[a.Op]
 	if !ok {
 		return func(controller.Receipt) {}
@@ -47,14 +47,14 @@
 }
 
 // finishHistory holds all that operators and readers saw against one register.
-func (k *Checker) finishHistory() {
+func (k *Checker) checkHistory() {
 	operations := k.history.History()
-	if k.loose { // what was confirmed before the disks were lost may be gone
-		operations = history.Before(operations, int64(k.looseAt))
+	if k.disksLost { // what was confirmed before the disks were lost may be gone
+		operations = history.Before(operations, int64(k.disksLostAt))
 	}
-	result := history.Check(operations, mergeBytes, historyTime)
+	result := history.Check(operations, mergePatch, historyCheckTimeout)
 	k.Seen.Operations = result.Operations
-	k.Bad = k.Bad[:min(len(k.Bad), mostBad-1)] // what it finds is told, however much else was
+	k.Bad = k.Bad[:min(len(k.Bad), maxViolations-1)] // what it finds is told, however much else was
 	switch result.Verdict {
 	case history.Violated:
 		k.bad("operators' history fits no order: %s", result.Why)
@@ -64,14 +64,14 @@
 }
 
 // mergeBytes merges a patch as core nodes do.
-func mergeBytes(plan, patch []byte) ([]byte, bool) {
+func mergePatch(plan, patch []byte) ([]byte, bool) {
 	merged, err := jsonpatch.MergePatch(plan, patch)
 	return merged, err == nil
 }
 
 // loosen notes that every core disk is lost from now on.
 func (k *Checker) loosen() {
-	if !k.loose {
-		k.loose, k.looseAt = true, k.w.now
+	if !k.disksLost {
+		k.disksLost, k.disksLostAt = true, k.w.now
 	}
 }
--- a/internal/simulator/hosted.go
+++ b/internal/simulator/hosted.go
@@ -20,16 +20,16 @@
 	Timing    controller.Timing
 	Batch     int        // batch servers
 	Plain     int        // servers of the plain service
-	Contact   clock.Span // a machine without trouble for so long is in touch
+	ContactTime   clock.Span // a machine without trouble for so long is in touch
 	Tenure    clock.Span // owners may not take turns at a server within it
 	Reuse     clock.Span // an address is used again after so long
-	Thaw      clock.Span // orders that arrive so soon after trouble ended are not counted
+	ThawAllowance      clock.Span // orders that arrive so soon after trouble ended are not counted
 	ReportLag clock.Span
 	LateOdds  float64 // that an announcement comes again, late
-	LateBy    clock.Span
+	MaxAnnouncementDelay    clock.Span
 	OrderLoss float64 // that the answer to an order gets lost, or an order comes late
 	OrderGone float64 // that an order gets lost before it comes
-	Lend      float64 // arrivals beyond the first that the fleet may come to in ten seconds, whatever is asked
+	RetryMargin      float64 // arrivals beyond the first that the fleet may come to in ten seconds, whatever is asked
 	Shift     clock.Span
 	Nameless  float64  // of the requests to servers with models, the part that names none
 	Keys      []string // that callers show, by turns; none if it is empty
@@ -39,58 +39,58 @@
 func HostedDefaults() *Hosted {
 	return &Hosted{
 		Timing: controller.Timing{Apply: 2000e6, Drain: 2000e6, CatchUp: 4000e6, Period: 1200e6, Rate: 5e9},
-		Batch:  8, Plain: 4, Contact: 3000e6, Tenure: 3000e6, Reuse: 2000e6, Thaw: 300e6, ReportLag: 200e6, Lend: 58, LateBy: 3e9,
+		Batch:  8, Plain: 4, ContactTime: 3000e6, Tenure: 3000e6, Reuse: 2000e6, ThawAllowance: 300e6, ReportLag: 200e6, RetryMargin: 58, MaxAnnouncementDelay: 3e9,
 	}
 }
 
-func (h *Hosted) controller(o *controller.Options, joined bool) {
+func (h *Hosted) setControllerOptions(o *controller.Options, joined bool) {
 	o.Hold, o.Spare, o.Silence, o.Rate, o.Tenure = h.Timing.Hold(), h.Timing.Spare(), h.Timing.Silence(), h.Timing.Rate, h.Tenure
-	o.Read, o.Enrolled, o.Unfenced, o.Joined, o.Platform = (&fleetplan.Memo{Read: ReadSheet}).Plan, true, true, joined, ""
+	o.Read, o.Enrolled, o.Unfenced, o.Joined, o.Platform = (&fleetplan.Memo{Read: ReadHostedPlan}).Plan, true, true, joined, ""
 }
 
-func (h *hosting) router(o *router.Options, z ident.Zone) {
+func (h *hosting) setRouterOptions(o *router.Options, z ident.Zone) {
 	x := h.w.o.Hosted
-	o.Read, o.Zone, o.Free, o.Guards, o.Lend, o.Window, o.Share = ReadSheet, z, true, true, x.Lend*0.6, 10e9, 0.16
-	o.LendAgain, o.Save = x.Lend*0.4, 2500e6
+	o.Read, o.Zone, o.Free, o.Guards, o.Lend, o.Window, o.Share = ReadHostedPlan, z, true, true, x.RetryMargin*0.6, 10e9, 0.16
+	o.LendAgain, o.Save = x.RetryMargin*0.4, 2500e6
 }
 
-func (w *World) read(raw []byte) (*fleetplan.Plan, fleetplan.Faults) {
+func (w *World) parsePlan(raw []byte) (*fleetplan.Plan, fleetplan.Faults) {
 	if w.o.Hosted != nil {
-		return ReadSheet(raw)
+		return ReadHostedPlan(raw)
 	}
 	return fleetplan.ReadPlan(raw)
 }
 
-type worker interface{ Counts() standin.ServerTally }
+type workCounter interface{ Counts() standin.ServerTally }
 
 // machine is where servers of one service start, one after another; its disk stays.
 type machine struct {
-	n       int
+	index       int
 	box     string
 	zone    ident.Zone
 	service string
 	disk    map[ident.Key]bool
 	addr    string
 	life    int
-	now     *announcing
+	now     *announcedServer
 }
 
 // announcing is one life of a server that announces itself.
-type announcing struct {
+type announcedServer struct {
 	protocol.Beacon
 	on     *machine
-	p      *proc
-	said   clock.Tick // since when it says that it is leaving
+	proc      *proc
+	leavingSince   clock.Tick // since when it says that it is leaving
 	acked  clock.Tick // when that was first acknowledged
-	sure   clock.Tick // when it was, by a core node in touch
-	heard  bool       // and when it heard of it
+	leaveAckedInTouchAt   clock.Tick // when it was, by a core node in touch
+	leaveAckReceived  bool       // and when it heard of it
 	ending bool
 	ended  bool
 }
 
-type loading struct {
+type storeLoad struct {
 	at      clock.Tick
-	counted bool
+	coreWasStable bool
 }
 
 // hosting is the platform side of a world of announced servers.
@@ -99,85 +99,85 @@
 	plan     *fleetplan.Plan
 	machines []*machine
 	addrs    map[string]*proc
-	of       map[string]*announcing // by process
-	words    map[uint64]func(node *proc, ok bool)
-	word     uint64
-	loads    int // under way from the store
-	began    []loading
-	free     []string // addresses that may be used again
-	used     int
+	byProcess       map[string]*announcedServer // by process
+	pendingAnnouncements    map[uint64]func(node *proc, ok bool)
+	lastAnnouncement     uint64
+	activeLoads    int // under way from the store
+	storeLoads    []storeLoad
+	freeAddrs     []string // addresses that may be used again
+	addrCount     int
 }
 
 func newHosting(w *World) *hosting {
-	h := &hosting{w: w, plan: w.plan, addrs: map[string]*proc{}, of: map[string]*announcing{}, words: map[uint64]func(*proc, bool){}}
+	h := &hosting{w: w, plan: w.plan, addrs: map[string]*proc{}, byProcess: map[string]*announcedServer{}, pendingAnnouncements: map[uint64]func(*proc, bool){}}
 	zones := []ident.Zone{"za", "zb", "zc"}
 	for i := range w.o.Hosted.Batch + w.o.Hosted.Plain {
-		m := &machine{n: i, box: fmt.Sprintf("machine-%d", i+1), zone: zones[i%3], service: "chat", disk: map[ident.Key]bool{}}
+		m := &machine{index: i, box: fmt.Sprintf("machine-%d", i+1), zone: zones[i%3], service: "chat", disk: map[ident.Key]bool{}}
 		if i >= w.o.Hosted.Batch {
 			m.service = "plain"
 		}
 		h.machines = append(h.machines, m)
-		w.After(clock.Span(w.rand.Int64N(1e9)), func() { h.start(m, h.initial(m)) })
+		w.After(clock.Span(w.rand.Int64N(1e9)), func() { h.startServer(m, h.initialModels(m)) })
 	}
 	return h
 }
 
 // initial places the busiest models on many servers and each other one on one, as room permits.
-func (h *hosting) initial(m *machine) (l []ident.Key) {
+func (h *hosting) initialModels(m *machine) (l []ident.Key) {
 	v := h.plan.Services[m.service]
 	if v.Plain {
 		return nil
 	}
 	room := v.Room
 	add := func(i int) {
-		k := ident.Key(base(i)).In(m.service)
+		k := ident.Key(baseName(i)).In(m.service)
 		if x, ok := h.plan.Models[k]; ok && x.Size <= room {
 			room -= x.Size
 			l = append(l, k)
 		}
 	}
-	add(m.n % 2)
-	for i := 2 + m.n; i < len(h.plan.Models); i += h.w.o.Hosted.Batch {
+	add(m.index % 2)
+	for i := 2 + m.index; i < len(h.plan.Models); i += h.w.o.Hosted.Batch {
 		add(i)
 	}
 	return l
 }
 
 // address gives a server that starts an address, now and then one that another had.
-func (h *hosting) address() string {
-	if n := len(h.free); n > 0 && h.w.rand.IntN(2) == 0 {
-		a := h.free[0]
-		h.free = h.free[1:]
+func (h *hosting) newAddress() string {
+	if n := len(h.freeAddrs); n > 0 && h.w.rand.IntN(2) == 0 {
+		a := h.freeAddrs[0]
+		h.freeAddrs = h.freeAddrs[1:]
 		return a
 	}
-	h.used++
-	return fmt.Sprintf("address-%d", h.used)
+	h.addrCount++
+	return fmt.Sprintf("address-%d", h.addrCount)
 }
 
 // start begins a new life of a server on a machine, with an id of its own.
-func (h *hosting) start(m *machine, held []ident.Key) {
+func (h *hosting) startServer(m *machine, held []ident.Key) {
 	w := h.w
 	m.life++
-	m.addr = h.address()
-	name := fmt.Sprintf("server-%d.%d", m.n+1, m.life)
+	m.addr = h.newAddress()
+	name := fmt.Sprintf("server-%d.%d", m.index+1, m.life)
 	v := h.plan.Services[m.service]
-	skew, rate := w.clock()
-	p := &proc{name: name, box: m.box, zone: m.zone, beat: 10e6, skew: skew, rate: rate, server: ident.Server(name)}
-	p.made = func() core {
+	skew, rate := w.randomClock()
+	p := &proc{name: name, box: m.box, zone: m.zone, tickInterval: 10e6, clockOffset: skew, clockRate: rate, server: ident.Server(name)}
+	p.newCore = func() processCore {
 		return standin.NewBatch(standin.BatchOptions{ID: p.server, Service: m.service, Plain: v.Plain, Slots: v.Slots, Room: v.Room, Places: v.Places,
-			Lag: w.o.Hosted.ReportLag, Held: held, Disk: m.disk, Weight: func(k ident.Key) int { return h.plan.Models[k].Size }, Load: h.load})
+			Lag: w.o.Hosted.ReportLag, Held: held, Disk: m.disk, Weight: func(k ident.Key) int { return h.plan.Models[k].Size }, Load: h.loadTime})
 	}
-	a := &announcing{Beacon: protocol.Beacon{Listed: protocol.Listed{ID: p.server, Addr: m.addr, Zone: m.zone, State: "live", Service: m.service, Slots: v.Slots}}, on: m, p: p}
+	a := &announcedServer{Beacon: protocol.Beacon{Listed: protocol.Listed{ID: p.server, Addr: m.addr, Zone: m.zone, State: "live", Service: m.service, Slots: v.Slots}}, on: m, proc: p}
 	m.now = a
 	h.addrs[m.addr] = p
-	h.of[name] = a
-	w.add(p)
+	h.byProcess[name] = a
+	w.addProcess(p)
 	w.Start(name)
-	h.beat(a)
+	h.announcePeriodically(a)
 }
 
 // load tells how long a load takes; those from the store are counted.
-func (h *hosting) load(k ident.Key, disk bool) clock.Span {
+func (h *hosting) loadTime(k ident.Key, disk bool) clock.Span {
 	if k.IsAdapter() {
 		return 20e6
 	}
@@ -185,41 +185,41 @@
 	if disk {
 		return d / 4
 	}
-	h.began = append(h.began, loading{h.w.now, h.w.settled()})
-	h.loads++
-	h.w.Check.ceiling()
-	if h.loads > 3 {
-		d = d * clock.Span(h.loads) / 3
+	h.storeLoads = append(h.storeLoads, storeLoad{h.w.now, h.w.coreStable()})
+	h.activeLoads++
+	h.w.Check.checkStoreRate()
+	if h.activeLoads > 3 {
+		d = d * clock.Span(h.activeLoads) / 3
 	}
-	h.w.After(d, func() { h.loads-- })
+	h.w.After(d, func() { h.activeLoads-- })
 	return d
 }
 
-func (h *hosting) loaded(p *proc, v standin.LoadDone) { h.w.tracef("%s: %s is loaded", p.name, v.Key) }
+func (h *hosting) noteLoaded(p *proc, v standin.LoadDone) { h.w.tracef("%s: %s is loaded", p.name, v.Key) }
 
 // beat announces a server every while.
-func (h *hosting) beat(a *announcing) {
+func (h *hosting) announcePeriodically(a *announcedServer) {
 	w := h.w
-	if !a.p.up || a.ended {
+	if !a.proc.up || a.ended {
 		return
 	}
 	if a.State == "live" {
 		h.announce(a, 3, func(bool) {})
 	} else if !a.ending {
-		h.announce(a, 2, func(ok bool) { h.farewell(a, ok) })
+		h.announce(a, 2, func(ok bool) { h.noteLeaveAck(a, ok) })
 	}
-	w.After(w.o.Hosted.Timing.Period*9/10+clock.Span(w.rand.Int64N(int64(w.o.Hosted.Timing.Period/5))), func() { h.beat(a) })
+	w.After(w.o.Hosted.Timing.Period*9/10+clock.Span(w.rand.Int64N(int64(w.o.Hosted.Timing.Period/5))), func() { h.announcePeriodically(a) })
 }
 
 // announce says a server's word to one core node after another until one acknowledges it.
-func (h *hosting) announce(a *announcing, tries int, then func(ok bool)) {
+func (h *hosting) announce(a *announcedServer, tries int, then func(ok bool)) {
 	w := h.w
-	if !a.p.up {
+	if !a.proc.up {
 		return
 	}
 	a.Count++
 	b := a.Beacon
-	if v, ok := a.p.core.(*standin.Batch); ok {
+	if v, ok := a.proc.core.(*standin.Batch); ok {
 		b.Held = v.Keys()
 	}
 	var nodes []string
@@ -242,26 +242,26 @@
 		then(ok)
 	}
 	w.After(1e9, func() { end(false) })
-	h.tell(a, to, b, end)
+	h.sendAnnouncement(a, to, b, end)
 	if w.rand.Float64() < w.o.Hosted.LateOdds {
 		late := w.procs[nodes[w.rand.IntN(len(nodes))]]
-		w.After(clock.Span(w.rand.Int64N(int64(w.o.Hosted.LateBy))), func() { h.tell(a, late, b, func(bool) {}) })
+		w.After(clock.Span(w.rand.Int64N(int64(w.o.Hosted.MaxAnnouncementDelay))), func() { h.sendAnnouncement(a, late, b, func(bool) {}) })
 	}
 }
 
-func (h *hosting) tell(a *announcing, to *proc, b protocol.Beacon, end func(ok bool)) {
+func (h *hosting) sendAnnouncement(a *announcedServer, to *proc, b protocol.Beacon, end func(ok bool)) {
 	w := h.w
-	h.word++
-	token := h.word
-	h.words[token] = func(node *proc, ok bool) {
+	h.lastAnnouncement++
+	token := h.lastAnnouncement
+	h.pendingAnnouncements[token] = func(node *proc, ok bool) {
 		if ok && b.State != "live" {
 			if a.acked == 0 {
 				a.acked = w.now
 			}
-			if a.sure == 0 && w.inTouch(node) {
-				a.sure = w.now
+			if a.leaveAckedInTouchAt == 0 && w.inTouch(node) {
+				a.leaveAckedInTouchAt = w.now
 			}
-			w.tracef("%s: %s is acknowledged as %s (in touch: %v)", node.name, a.ID, b.State, a.sure != 0)
+			w.tracef("%s: %s is acknowledged as %s (in touch: %v)", node.name, a.ID, b.State, a.leaveAckedInTouchAt != 0)
 		}
 		if w.cuts[[2]string{to.box, a.on.box}] {
 			return
@@ -280,9 +280,9 @@
 	})
 }
 
-func (h *hosting) announced(p *proc, v controller.Announced) {
-	if f := h.words[v.Token]; f != nil {
-		delete(h.words, v.Token)
+func (h *hosting) announcementAnswered(p *proc, v controller.Announced) {
+	if f := h.pendingAnnouncements[v.Token]; f != nil {
+		delete(h.pendingAnnouncements, v.Token)
 		f(p, v.OK)
 	}
 }
@@ -290,27 +290,27 @@
 // leave makes a server say that it is leaving; with a span left it is gone after that, whatever it runs.
 func (h *hosting) leave(m *machine, left clock.Span, again clock.Span) {
 	w, a := h.w, m.now
-	if a == nil || !a.p.up || a.State != "live" {
+	if a == nil || !a.proc.up || a.State != "live" {
 		return
 	}
-	a.State, a.Left, a.said = "leaving", left, w.now
+	a.State, a.Left, a.leavingSince = "leaving", left, w.now
 	w.tracef("%s leaves (%v left)", a.ID, left)
 	if left > 0 {
-		w.After(left, func() { h.end(a, again) })
+		w.After(left, func() { h.endServer(a, again) })
 	}
 	w.After(6e9, func() { // it ends all the same
 		if !a.ending {
-			h.end(a, again)
+			h.endServer(a, again)
 		}
 	})
 	a.on.now = a
-	h.announce(a, 5, func(ok bool) { h.farewell(a, ok) })
+	h.announce(a, 5, func(ok bool) { h.noteLeaveAck(a, ok) })
 	var look func()
 	look = func() { // it goes on for a while after it heard the acknowledgement
 		if a.ended || left > 0 {
 			return
 		}
-		if !a.heard {
+		if !a.leaveAckReceived {
 			w.After(20e6, look)
 			return
 		}
@@ -321,50 +321,50 @@
 			a.ending = true
 			a.State = "gone"
 			h.announce(a, 2, func(bool) {})
-			w.After(300e6, func() { h.end(a, again) })
+			w.After(300e6, func() { h.endServer(a, again) })
 		})
 	}
 	look()
 }
 
-func (h *hosting) farewell(a *announcing, ok bool) {
+func (h *hosting) noteLeaveAck(a *announcedServer, ok bool) {
 	if ok {
-		a.heard = true
+		a.leaveAckReceived = true
 	}
 }
 
 // end ends a server; another one starts on its machine after a while, empty and under a new id.
-func (h *hosting) end(a *announcing, again clock.Span) {
+func (h *hosting) endServer(a *announcedServer, again clock.Span) {
 	if a.ended {
 		return
 	}
 	a.ending, a.ended = true, true
 	w := h.w
-	w.Kill(a.p.name)
+	w.Kill(a.proc.name)
 	addr := a.Addr
-	w.After(w.o.Hosted.Reuse, func() { h.free = append(h.free, addr) })
+	w.After(w.o.Hosted.Reuse, func() { h.freeAddrs = append(h.freeAddrs, addr) })
 	if again > 0 {
-		w.After(again, func() { h.start(a.on, nil) })
+		w.After(again, func() { h.startServer(a.on, nil) })
 	}
 }
 
 // crash ends a server without a word.
 func (h *hosting) crash(m *machine, again clock.Span) {
-	if m.now != nil && m.now.p.up && !m.now.ended {
+	if m.now != nil && m.now.proc.up && !m.now.ended {
 		h.w.tracef("%s crashes", m.now.ID)
-		h.end(m.now, again)
+		h.endServer(m.now, again)
 	}
 }
 
 // ask carries an order, or a question, to a server.
-func (h *hosting) ask(p *proc, a protocol.Ask, tell func(ok bool, code int, b []byte)) {
+func (h *hosting) deliverAsk(p *proc, a protocol.Ask, tell func(ok bool, code int, b []byte)) {
 	w := h.w
 	o, ok := a.Body.(protocol.Order)
 	if !ok || a.Path != "/orders" {
 		return
 	}
 	at := w.now
-	s := w.at(a.Addr)
+	s := w.procAt(a.Addr)
 	if s == nil || w.cuts[[2]string{p.box, s.box}] {
 		return
 	}
@@ -383,7 +383,7 @@
 		d += clock.Span(100e6 + w.rand.Int64N(450e6)) // it comes late
 	}
 	w.After(d, func() {
-		s := w.at(a.Addr)
+		s := w.procAt(a.Addr)
 		if s == nil || !s.up {
 			w.After(w.delay(), func() { tell(false, 0, nil) })
 			return
@@ -399,11 +399,11 @@
 		for _, x := range v.Step(s.tick(w.now), standin.BatchOrder{Order: o}) {
 			r, ok := x.(standin.BatchAnswer)
 			if !ok {
-				w.act(s, x)
+				w.handleOutput(s, x)
 				continue
 			}
 			if o.Op != "" {
-				w.Check.orderedBatch(p, s, o, r)
+				w.Check.checkHostedOrder(p, s, o, r)
 			}
 			if lost == 2 || w.cuts[[2]string{s.box, p.box}] {
 				continue
@@ -418,7 +418,7 @@
 }
 
 // at finds what listens at an address.
-func (w *World) at(addr string) *proc {
+func (w *World) procAt(addr string) *proc {
 	if w.host != nil {
 		if p := w.host.addrs[addr]; p != nil {
 			return p
@@ -428,7 +428,7 @@
 }
 
 // again tells whether a request of these scenes may run more than once.
-func again(a standin.Ask) bool { return strings.Contains(a.Route, "/idem/") }
+func isRepeatable(a standin.Ask) bool { return strings.Contains(a.Route, "/idem/") }
 
 // mix draws the requests of a scene.
 func (w *World) mix() func() standin.Ask {
@@ -465,7 +465,7 @@
 			bases += b2i(!k.IsAdapter())
 		}
 		i := min(w.rand.IntN(bases), w.rand.IntN(bases), w.rand.IntN(bases))
-		c.Base = base((i + 5*at) % bases)
+		c.Base = baseName((i + 5*at) % bases)
 		if w.rand.IntN(4) == 0 {
 			c.Extra = fmt.Sprintf("a%d", 1+w.rand.IntN(2))
 		}
@@ -482,52 +482,52 @@
 }
 
 // harm is when machines and links between them were last in trouble.
-type harm struct {
-	box  map[string]clock.Tick
-	pair map[[2]string]clock.Tick
-	core clock.Tick
-	thaw map[string]clock.Tick // when machines were thawed, or will be
+type disruptions struct {
+	machines  map[string]clock.Tick
+	links map[[2]string]clock.Tick
+	coreAt clock.Tick
+	thawedAt map[string]clock.Tick // when machines were thawed, or will be
 }
 
-func newHarm() harm {
-	return harm{box: map[string]clock.Tick{}, thaw: map[string]clock.Tick{}, pair: map[[2]string]clock.Tick{}}
+func newDisruptions() disruptions {
+	return disruptions{machines: map[string]clock.Tick{}, thawedAt: map[string]clock.Tick{}, links: map[[2]string]clock.Tick{}}
 }
 
 func isCore(box string) bool { return strings.HasPrefix(box, "controller-") }
 
 // upset notes trouble on a machine.
-func (w *World) upset(box string) { w.trouble(box, w.now) }
+func (w *World) noteTrouble(box string) { w.noteTroubleAt(box, w.now) }
 
 // thaws notes that a machine is frozen until a moment.
-func (w *World) thaws(box string, at clock.Tick) {
-	w.harm.thaw[box] = at
-	w.trouble(box, at)
+func (w *World) noteFreeze(box string, at clock.Tick) {
+	w.disruptions.thawedAt[box] = at
+	w.noteTroubleAt(box, at)
 }
 
-func (w *World) trouble(box string, at clock.Tick) {
-	w.harm.box[box] = max(w.harm.box[box], at)
+func (w *World) noteTroubleAt(box string, at clock.Tick) {
+	w.disruptions.machines[box] = max(w.disruptions.machines[box], at)
 	if isCore(box) {
-		w.harm.core = max(w.harm.core, at)
+		w.disruptions.coreAt = max(w.disruptions.coreAt, at)
 	}
 }
 
 // parted notes trouble on a link.
-func (w *World) parted(a, b string) {
-	w.harm.pair[[2]string{a, b}], w.harm.pair[[2]string{b, a}] = w.now, w.now
+func (w *World) noteLinkTrouble(a, b string) {
+	w.disruptions.links[[2]string{a, b}], w.disruptions.links[[2]string{b, a}] = w.now, w.now
 	if isCore(a) {
-		w.harm.box[b] = max(w.harm.box[b], w.now)
+		w.disruptions.machines[b] = max(w.disruptions.machines[b], w.now)
 	}
 	if isCore(b) {
-		w.harm.box[a] = max(w.harm.box[a], w.now)
+		w.disruptions.machines[a] = max(w.disruptions.machines[a], w.now)
 	}
 	if isCore(a) && isCore(b) {
-		w.harm.core = max(w.harm.core, w.now)
+		w.disruptions.coreAt = max(w.disruptions.coreAt, w.now)
 	}
 }
 
 // settled tells whether the core was without trouble for a while.
-func (w *World) settled() bool {
-	if w.o.Hosted == nil || w.now.Sub(w.harm.core) < w.o.Hosted.Contact {
+func (w *World) coreStable() bool {
+	if w.o.Hosted == nil || w.now.Sub(w.disruptions.coreAt) < w.o.Hosted.ContactTime {
 		return false
 	}
 	up := w.controllers()
@@ -548,7 +548,7 @@
 
 // inTouch tells whether a process's machine was without trouble for a while, and the core with it.
 func (w *World) inTouch(p *proc) bool {
-	if !p.up || w.now.Sub(w.harm.box[p.box]) < w.o.Hosted.Contact || !w.settled() {
+	if !p.up || w.now.Sub(w.disruptions.machines[p.box]) < w.o.Hosted.ContactTime || !w.coreStable() {
 		return false
 	}
 	for c := range w.cuts {
@@ -560,18 +560,18 @@
 }
 
 // linked tells whether the link between two machines was without trouble for a span.
-func (w *World) linked(a, b string, s clock.Span) bool {
+func (w *World) linkStable(a, b string, s clock.Span) bool {
 	if w.cuts[[2]string{a, b}] || w.cuts[[2]string{b, a}] {
 		return false
 	}
-	t, ok := w.harm.pair[[2]string{a, b}]
+	t, ok := w.disruptions.links[[2]string{a, b}]
 	return !ok || w.now.Sub(t) >= s
 }
 
 // live lists the machines whose servers are up and say that they stay.
-func (h *hosting) live() (l []*machine) {
+func (h *hosting) liveMachines() (l []*machine) {
 	for _, m := range h.machines {
-		if m.now != nil && m.now.p.up && m.now.State == "live" {
+		if m.now != nil && m.now.proc.up && m.now.State == "live" {
 			l = append(l, m)
 		}
 	}
@@ -579,7 +579,7 @@
 }
 
 func (h *hosting) some() *machine {
-	if l := h.live(); len(l) > 0 {
+	if l := h.liveMachines(); len(l) > 0 {
 		return l[h.w.rand.IntN(len(l))]
 	}
 	return h.machines[0]
--- a/internal/simulator/hosted_test.go
+++ b/internal/simulator/hosted_test.go
@@ -13,12 +13,12 @@
 
 // A plan for announced servers with a route to nowhere is none.
 func TestReadSheet(t *testing.T) {
-	p, f := ReadSheet(hostedPlan())
+	p, f := ReadHostedPlan(hostedPlan())
 	require.Nil(t, f)
 	require.NotNil(t, p.Find("a.example", "/plain/once/x"))
-	_, f = ReadSheet([]byte(`{"services":{},"routes":[{"host":"a","prefix":"/","service":"none"}]}`))
+	_, f = ReadHostedPlan([]byte(`{"services":{},"routes":[{"host":"a","prefix":"/","service":"none"}]}`))
 	require.Len(t, f, 1)
-	_, f = ReadSheet([]byte(`{`))
+	_, f = ReadHostedPlan([]byte(`{`))
 	require.Len(t, f, 1)
 }
 
@@ -41,7 +41,7 @@
 		s := w.procs["server-1.1"]
 		for i, x := range c.orders {
 			w.now = sec(10 + float64(i))
-			w.Check.orderedBatch(w.procs["controller-"+string(rune('0'+x[0]))], s, protocol.Order{Op: "load", Duty: ident.Duty(x[1])}, standin.BatchAnswer{Code: 409})
+			w.Check.checkHostedOrder(w.procs["controller-"+string(rune('0'+x[0]))], s, protocol.Order{Op: "load", Duty: ident.Duty(x[1])}, standin.BatchAnswer{Code: 409})
 		}
 		if c.sees == "" {
 			require.Empty(t, w.Check.Bad)
@@ -52,10 +52,10 @@
 	}
 }
 
-func init() { bites = append(bites, hostedBites...) }
+func init() { bites = append(bites, hostedGuardCases...) }
 
 // The same with servers that announce themselves and check no fence.
-var hostedBites = []bite{
+var hostedGuardCases = []bite{
 	{"announced: order while the duty's hold lasts", "announced-split", "of duty|ordered by", []edit{
 		{"internal/controller/duty.go", "if c.duty.mine && c.now > c.duty.until(c).Add(lapseSpans*c.o.Duty) {", "if false {"},
 		{"internal/controller/duty.go", "return c.duty.mine && c.now <= c.duty.until(c) }", "return c.duty.mine }"},
--- a/internal/simulator/measure.go
+++ b/internal/simulator/measure.go
@@ -64,7 +64,7 @@
 
 	p("callback state of one router at the owner")
 	for _, n := range []int{500, 2000, 8000} {
-		p("  %4d callbacks: %.0f bytes each", n, weigh(n))
+		p("  %4d callbacks: %.0f bytes each", n, callbackBytes(n))
 	}
 
 	p("prefix reuse (scene calm, 60 tenants, 64 parts cached at a server)")
@@ -75,7 +75,7 @@
 	}{{"all shared parts", false, 0}, {"the leading part", false, 1}, {"none", true, 0}} {
 		for _, scene := range []string{"calm", "storm", "servers"} {
 			l, _ := run(scene, func(o *Options) { o.Router.Plain, o.Router.Heads, o.Tenants = c.plain, c.heads, 60 })
-			p("  affinity by %-17s %-8s %.1f in 100 prompt bytes reused, answered %.4f", c.name, scene, 100*sum(l, func(s Seen) float64 { return float64(s.Reused) })/sum(l, func(s Seen) float64 { return float64(s.Prompt) }), share(l))
+			p("  affinity by %-17s %-8s %.1f in 100 prompt bytes reused, answered %.4f", c.name, scene, 100*sum(l, func(s Seen) float64 { return float64(s.Reused) })/sum(l, func(s Seen) float64 { return float64(s.Prompt) }), answeredShare(l))
 		}
 	}
 
@@ -83,8 +83,8 @@
 	for _, scene := range []string{"calm", "roll", "zones", "windows", "servers", "zone-loss", "return", "mixed"} {
 		l, _ := run(scene, nil)
 		p("  %-10s %.1f moves, %.1f pulls a run; %.2f in 100 waited, %.2f s each", scene, sum(l, func(s Seen) float64 { return float64(s.Moves) })/float64(len(l)),
-			sum(l, func(s Seen) float64 { return float64(s.Pulls) })/float64(len(l)), 100*sum(l, func(s Seen) float64 { return float64(s.Held) })/sum(l, asked),
-			sum(l, func(s Seen) float64 { return s.HeldFor.Seconds() })/max(1, sum(l, func(s Seen) float64 { return float64(s.Held) })))
+			sum(l, func(s Seen) float64 { return float64(s.Pulls) })/float64(len(l)), 100*sum(l, func(s Seen) float64 { return float64(s.Waited) })/sum(l, asked),
+			sum(l, func(s Seen) float64 { return s.WaitTime.Seconds() })/max(1, sum(l, func(s Seen) float64 { return float64(s.Waited) })))
 	}
 
 	p("goes that were no first ones, worst 10 s with 50 first goes, in 100")
@@ -92,7 +92,7 @@
 		l, _ := run(scene, nil)
 		top := 0.0
 		for _, s := range l {
-			top = max(top, s.Window)
+			top = max(top, s.WorstRetryShare)
 		}
 		p("  %-10s %.1f", scene, 100*top)
 	}
@@ -102,7 +102,7 @@
 	p("  without an owner after it is killed, frozen or cut off: %v", worst(l, func(s Seen) clock.Span { return s.NoOwner }))
 	for _, c := range []string{"power", "blackout", "ruin"} {
 		l, _ = run(c, nil)
-		p("  first answer after %-9s %v", c+":", worst(l, func(s Seen) clock.Span { return s.Back }))
+		p("  first answer after %-9s %v", c+":", worst(l, func(s Seen) clock.Span { return s.Recovery }))
 	}
 
 	p("the hold's length (scenes grow and moves-owner)")
@@ -114,17 +114,17 @@
 		f, _ := run("fence", set)
 		lag := func(s Seen) clock.Span { return s.PlanLag }
 		p("  hold %-5v worst plan lag %v in grow, %v in fence; answered %.4f of grow, %.4f of moves-owner, %.4f of moves-cut", h,
-			worst(a, lag).Round(1e6), worst(f, lag).Round(1e6), share(a), share(b), share(k))
+			worst(a, lag).Round(1e6), worst(f, lag).Round(1e6), answeredShare(a), answeredShare(b), answeredShare(k))
 	}
 	p("renewals (scene calm)")
 	for _, k := range []clock.Span{200e6, 400e6, 800e6} {
-		l, ws := run("calm", func(o *Options) { o.Keep = k })
-		c, _ := run("moves-cut", func(o *Options) { o.Keep = k })
+		l, ws := run("calm", func(o *Options) { o.RenewInterval = k })
+		c, _ := run("moves-cut", func(o *Options) { o.RenewInterval = k })
 		n := 0
 		for _, w := range ws {
-			n += w.mails["Renew"]
+			n += w.messageCounts["Renew"]
 		}
-		p("  every %-5v %.3f renewals for each request; answered %.4f of calm, %.4f of moves-cut", k, float64(n)/sum(l, asked), share(l), share(c))
+		p("  every %-5v %.3f renewals for each request; answered %.4f of calm, %.4f of moves-cut", k, float64(n)/sum(l, asked), answeredShare(l), answeredShare(c))
 	}
 
 	p("cache size of a router (scene moves)")
@@ -133,9 +133,9 @@
 		k := sum(l, func(s Seen) float64 { return float64(s.Lookups) })
 		r := 0
 		for _, w := range ws {
-			r += w.mails["Removal"]
+			r += w.messageCounts["Removal"]
 		}
-		p("  %3d entries: %.3f lookups and %.4f batches of removals for each request, answered %.4f", n, k/sum(l, asked), float64(r)/sum(l, asked), share(l))
+		p("  %3d entries: %.3f lookups and %.4f batches of removals for each request, answered %.4f", n, k/sum(l, asked), float64(r)/sum(l, asked), answeredShare(l))
 	}
 
 	p("ramp of cold replicas (scene crowd)")
@@ -143,36 +143,36 @@
 		l, _ := run("crowd", func(o *Options) { o.Router.Ramp = r })
 		cold := 0
 		for _, s := range l {
-			cold = max(cold, s.Cold)
+			cold = max(cold, s.PeakCold)
 		}
-		p("  ramp %-4v most at once on a server in its first second %3d, answered %.4f", r.Round(1e9), cold, share(l))
+		p("  ramp %-4v most at once on a server in its first second %3d, answered %.4f", r.Round(1e9), cold, answeredShare(l))
 	}
 
 	p("burden of the control plane as the plan grows (scene calm)")
 	for _, n := range []int{1, 4, 16} {
 		x := o
-		x.Plan = Times(o.Plan, n)
+		x.Plan = MultiplyPlan(o.Plan, n)
 		s, _ := Find("calm")
 		w, seen := s.Run(x)
 		all := 0
-		for _, c := range w.mails {
+		for _, c := range w.messageCounts {
 			all += c
 		}
 		p("  %2d times today's plan (%d bytes): %.2f messages and %.3f lookups for each request, answered %.4f", n, len(x.Plan), float64(all)/float64(seen.Asked), float64(seen.Lookups)/float64(seen.Asked), float64(seen.Answered)/float64(seen.Asked))
 		if n == 1 {
 			var names []string
-			for k := range w.mails {
+			for k := range w.messageCounts {
 				names = append(names, k)
 			}
-			sort.Slice(names, func(i, j int) bool { return w.mails[names[i]] > w.mails[names[j]] })
+			sort.Slice(names, func(i, j int) bool { return w.messageCounts[names[i]] > w.messageCounts[names[j]] })
 			for _, k := range names[:6] {
-				p("     %-10s %d", k, w.mails[k])
+				p("     %-10s %d", k, w.messageCounts[k])
 			}
 		}
 	}
 }
 
-func share(l []Seen) float64 {
+func answeredShare(l []Seen) float64 {
 	a, n := 0, 0
 	for _, s := range l {
 		a += s.Answered
@@ -182,7 +182,7 @@
 }
 
 // weigh tells the memory that an owner keeps for each of a router's callbacks.
-func weigh(n int) float64 {
+func callbackBytes(n int) float64 {
 	me := protocol.Sibling{ID: "a", Addr: "a"}
 	c := controller.New(controller.Options{Me: me, Inc: 1, Rand: rand.New(rand.NewPCG(1, 1)), Most: 1 << 20})
 	return controller.Weigh(c, n, func() uint64 {
@@ -195,7 +195,7 @@
 
 // Times makes a plan several times as large: every model, adapter, service and route again
 // under other names, none of the copies kept ready.
-func Times(raw []byte, n int) []byte {
+func MultiplyPlan(raw []byte, n int) []byte {
 	var m map[string]map[string]any
 	var whole map[string]any
 	if err := json.Unmarshal(raw, &whole); err != nil {
@@ -224,7 +224,7 @@
 		add := map[string]map[string]any{"models": {}, "adapters": {}, "services": {}, "routes": {}}
 		for kind, t := range m {
 			for k, v := range t {
-				if len(k) > 3 && containsTag(k) {
+				if len(k) > 3 && hasCopyTag(k) {
 					continue
 				}
 				c := copyOf(v)
@@ -252,7 +252,7 @@
 	return b
 }
 
-func containsTag(s string) bool {
+func hasCopyTag(s string) bool {
 	for i := 0; i+2 < len(s); i++ {
 		if s[i] == '-' && s[i+1] == 'x' && s[i+2] >= '0' && s[i+2] <= '9' {
 			return true
--- a/internal/simulator/sheet.go
+++ b/internal/simulator/sheet.go
@@ -13,7 +13,7 @@
 // sheet is a plan for announced servers, as these scenes write it down.
 type sheet struct {
 	Name     string                  `json:"name"`
-	Services map[string]sheetService `json:"services"`
+	Services map[string]planService `json:"services"`
 	Routes   []sheetRoute            `json:"routes"`
 	Tenants  []sheetTenant           `json:"tenants,omitempty"` // absent where nobody wants a key
 }
@@ -25,7 +25,7 @@
 	Precedence int      `json:"precedence"`
 }
 
-type sheetService struct {
+type planService struct {
 	Plain    bool    `json:"plain,omitempty"`
 	Slots    int     `json:"slots"`
 	Room     int     `json:"room,omitempty"`
@@ -52,7 +52,7 @@
 const adapterSize = 1
 
 // base names a service's n-th base model. Every third is large.
-func base(n int) string { return fmt.Sprintf("m%02d", n) }
+func baseName(n int) string { return fmt.Sprintf("m%02d", n) }
 
 func baseSize(n int) int { return 10 + 10*b2i(n%3 == 0) }
 
@@ -64,7 +64,7 @@
 }
 
 // ReadSheet reads a plan for announced servers.
-func ReadSheet(raw []byte) (*fleetplan.Plan, fleetplan.Faults) {
+func ReadHostedPlan(raw []byte) (*fleetplan.Plan, fleetplan.Faults) {
 	var s sheet
 	if err := json.Unmarshal(raw, &s); err != nil {
 		return nil, fleetplan.Faults{{Path: "$", Why: err.Error()}}
@@ -75,11 +75,11 @@
 		v := s.Services[n]
 		x := fleetplan.Service{Keys: map[ident.Key]bool{}, Plain: v.Plain, Slots: v.Slots, Room: v.Room, Places: v.Places, Loads: v.Loads}
 		for i := range v.Bases {
-			k := ident.Key(base(i)).In(n)
+			k := ident.Key(baseName(i)).In(n)
 			x.Keys[k] = true
 			p.Models[k] = fleetplan.Model{Key: k, Size: baseSize(i), Most: 1000, Load: clock.Span(v.LoadMs) * 1e6}
 			for a := range v.Adapters {
-				e := ident.KeyOf(base(i), fmt.Sprintf("a%d", a+1)).In(n)
+				e := ident.KeyOf(baseName(i), fmt.Sprintf("a%d", a+1)).In(n)
 				x.Keys[e] = true
 				p.Models[e] = fleetplan.Model{Key: e, Size: adapterSize, Most: 1000}
 			}
@@ -97,13 +97,13 @@
 			ModelOptional: r.ModelOptional, Unkeyed: r.Unkeyed, Class: fleetplan.Class{Value: r.Value, Wait: clock.Span(r.WaitMs) * 1e6}}
 	}
 	if s.Tenants != nil {
-		return p, s.setTenants(p)
+		return p, s.applyTenants(p)
 	}
 	return p, nil
 }
 
 // setTenants gives a plan its tenants.
-func (s sheet) setTenants(p *fleetplan.Plan) fleetplan.Faults {
+func (s sheet) applyTenants(p *fleetplan.Plan) fleetplan.Faults {
 	t := fleetplan.NewTenants()
 	for i, tenant := range s.Tenants {
 		t.Add(fleetplan.Tenant{Name: tenant.Name, Precedence: tenant.Precedence})
@@ -137,7 +137,7 @@
 
 func firstSheet(loads float64) sheet {
 	return sheet{Name: "first",
-		Services: map[string]sheetService{
+		Services: map[string]planService{
 			"chat":  {Slots: 16, Room: 60, Places: 3, Loads: loads, Bases: 18, Adapters: 2, LoadMs: 1500},
 			"plain": {Plain: true, Slots: 8},
 		},
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func fleet(t *testing.T, name string, seed uint64) Options {
+func fleetOptions(t *testing.T, name string, seed uint64) Options {
 	t.Helper()
 	raw, err := os.ReadFile("../../examples/" + name + ".json")
 	require.NoError(t, err)
@@ -22,7 +22,7 @@
 		}
 		t.Run(s.Name, func(t *testing.T) {
 			t.Parallel()
-			w, seen := s.Run(fleet(t, []string{"corrib", "padana"}[i%2], uint64(300+i)))
+			w, seen := s.Run(fleetOptions(t, []string{"corrib", "padana"}[i%2], uint64(300+i)))
 			require.Empty(t, w.Check.Bad, "replay: go run ./cmd/simulator --scene %s --fleet %s --seed %d --trace", s.Name, []string{"corrib", "padana"}[i%2], 300+i)
 			require.NotZero(t, seen.Answered)
 		})
@@ -32,9 +32,9 @@
 // The same seed gives the same trace, to the last step.
 func TestSameSeedSameTrace(t *testing.T) {
 	s, _ := Find("medley")
-	a, _ := s.Run(fleet(t, "corrib", 7))
-	b, _ := s.Run(fleet(t, "corrib", 7))
-	c, _ := s.Run(fleet(t, "corrib", 8))
+	a, _ := s.Run(fleetOptions(t, "corrib", 7))
+	b, _ := s.Run(fleetOptions(t, "corrib", 7))
+	c, _ := s.Run(fleetOptions(t, "corrib", 8))
 	require.Equal(t, a.Hash(), b.Hash())
 	require.NotEqual(t, a.Hash(), c.Hash())
 }
@@ -47,7 +47,7 @@
 	}
 	s, _ := Find("moves-cut")
 	for seed := uint64(1); seed <= 20; seed++ {
-		o := fleet(t, "corrib", seed)
+		o := fleetOptions(t, "corrib", seed)
 		o.Rates = 0.6
 		if w, _ := s.Run(o); len(w.Check.Bad) > 0 {
 			t.Log(seed, w.Check.Bad[0])
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -40,13 +40,13 @@
 	Far        clock.Span // between machines, more or less
 	Loss       float64
 	Twice      float64
-	Keep       clock.Span // of agents
+	RenewInterval       clock.Span // of agents
 	Room       int
 	Slots      int
-	Rate       float64 // of the store
+	StoreRate       float64 // of the store
 	Tenants    int     // of callers
 	Mixed      bool    // servers differ in room, slots and speed
-	Fill       int     // prompt bytes that a server's step can prefill
+	PrefillBytes       int     // prompt bytes that a server's step can prefill
 	Rates      float64 // how far the rates of any two machines' clocks may differ
 	Core       *Deployment
 	Hosted     *Hosted // servers announce themselves and check no fence, if set
@@ -59,22 +59,22 @@
 	do  func()
 }
 
-type events []event
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventQueue) Pop() any {
 	o := *e
 	x := o[len(o)-1]
 	*e = o[:len(o)-1]
 	return x
 }
 
-type core interface {
+type processCore interface {
 	Step(now clock.Tick, in any) []any
 }
 
@@ -83,33 +83,33 @@
 	name   string
 	box    string // its machine
 	zone   ident.Zone
-	beat   clock.Span
-	core   core
+	tickInterval   clock.Span
+	core   processCore
 	up     bool
 	life   int
-	froze  clock.Tick
+	frozenUntil  clock.Tick
 	busy   clock.Tick // with a configuration, where processes are slow
 	plans  uint64     // that it has taken in
-	skew   clock.Tick
-	rate   float64
+	clockOffset   clock.Tick
+	clockRate   float64
 	wall   time.Duration // how far its wall clock is off
-	disk   *plate
-	made   func() core
-	mark   uint64 // digest of its name, for the trace's hash
+	disk   *simulatedDisk
+	newCore   func() processCore
+	nameDigest   uint64 // digest of its name, for the trace's hash
 	server ident.Server
-	leaves bool // no new callers come to it: it stops as planned
+	draining bool // no new callers come to it: it stops as planned
 }
 
 func (p *proc) tick(now clock.Tick) clock.Tick {
-	return p.skew + clock.Tick(float64(now)*p.rate)
+	return p.clockOffset + clock.Tick(float64(now)*p.clockRate)
 }
 
 // plate is a disk: what is synced stays, what is not goes with the power.
-type plate struct {
+type simulatedDisk struct {
 	safe  map[string][]byte
 	late  clock.Span
 	stall clock.Tick
-	last  clock.Tick
+	lastSync  clock.Tick
 }
 
 // World is one run.
@@ -117,7 +117,7 @@
 	o      Options
 	now    clock.Tick
 	seq    uint64
-	q      events
+	queue      eventQueue
 	rand   *rand.Rand
 	procs  map[string]*proc
 	order  []string
@@ -125,22 +125,22 @@
 	plat   *standin.Platform
 	platUp bool
 	store  *standin.Store
-	asks   map[askKey]func(ok bool, code int, body []byte)
-	pulls  map[uint64]func()
-	pull   uint64
-	puller map[uint64]askKey
-	flows  map[flowKey]*flow
-	serial uint64
+	pendingAsks   map[askKey]func(ok bool, code int, body []byte)
+	pendingPulls  map[uint64]func()
+	lastPull   uint64
+	pullOrigins map[uint64]askKey
+	attempts  map[attemptKey]*attempt
+	lastToken uint64
 	hash   uint64
-	mails  map[string]int        // messages between machines, by kind
+	messageCounts  map[string]int        // messages between machines, by kind
 	links  map[string]clock.Tick // until when each link is taken, where links are narrow
 	Check  *Checker
 	plan   *fleetplan.Plan
-	admins map[uint64]func(controller.Receipt)
+	pendingAdmin map[uint64]func(controller.Receipt)
 	admin  uint64
 	host   *hosting
 	core   *coreFleet
-	harm   harm
+	disruptions   disruptions
 	// Lag is a pause between a router's last check and the send, drawn with chance LagOdds.
 	LagOdds float64
 	Lag     clock.Span
@@ -164,48 +164,48 @@
 }
 
 type askKey struct {
-	who   string
+	process   string
 	life  int
 	token uint64
 }
 
-type flowKey struct {
+type attemptKey struct {
 	server string
 	life   int
 	token  uint64
 }
 
 // flow is one go on the wire.
-type flow struct {
+type attempt struct {
 	router *proc
 	life   int
-	l      router.Launch
-	c      *call
-	n      int
-	last   clock.Tick
-	born   clock.Tick
-	open   clock.Tick // when the server accepted its connection
-	dead   bool
-	bent   bool // one of its events was mangled
+	launch      router.Launch
+	call      *call
+	eventCount      int
+	lastArrival   clock.Tick
+	arrivedAt   clock.Tick
+	acceptedAt   clock.Tick // when the server accepted its connection
+	closed   bool
+	mangled   bool // one of its events was mangled
 }
 
 // call is one request as its caller sees it.
 type call struct {
 	ask    standin.Ask
 	router string
-	at     clock.Tick
-	n      int
+	askedAt     clock.Tick
+	eventCount      int
 	server ident.Server
-	run    string
-	over   bool
-	kind   string
+	runID    string
+	finished   bool
+	outcome   string
 	sends  int
-	tries  int
-	missed map[string]int // servers that were not reached
-	first  clock.Tick     // when it was first sent
-	ran    int
-	held   bool // its last go was held back, and reached nobody
-	asked2 bool // its caller asks again, after a break
+	launches  int
+	unreached map[string]int // servers that were not reached
+	firstSentAt  clock.Tick     // when it was first sent
+	runs    int
+	heldBack   bool // its last go was held back, and reached nobody
+	callerRepeat bool // its caller asks again, after a break
 	repeat bool
 	ref    router.Ref
 }
@@ -213,23 +213,23 @@
 // New lays out a world: three core nodes, router pairs, servers, a store and a platform.
 func New(o Options) *World {
 	generic.SetDefault(&o.Room, 80)
-	generic.SetDefault(&o.Rate, 60)
+	generic.SetDefault(&o.StoreRate, 60)
 	generic.SetDefault(&o.Slots, 16)
 	generic.SetDefault(&o.Rates, 0.016)
 	w := &World{o: o, rand: rand.New(rand.NewPCG(o.Seed, 99)), procs: map[string]*proc{}, cuts: map[[2]string]bool{},
-		asks: map[askKey]func(bool, int, []byte){}, pulls: map[uint64]func(){}, puller: map[uint64]askKey{}, mails: map[string]int{}, links: map[string]clock.Tick{}, flows: map[flowKey]*flow{}, admins: map[uint64]func(controller.Receipt){}, platUp: true}
-	w.plan, _ = w.read(o.Plan)
+		pendingAsks: map[askKey]func(bool, int, []byte){}, pendingPulls: map[uint64]func(){}, pullOrigins: map[uint64]askKey{}, messageCounts: map[string]int{}, links: map[string]clock.Tick{}, attempts: map[attemptKey]*attempt{}, pendingAdmin: map[uint64]func(controller.Receipt){}, platUp: true}
+	w.plan, _ = w.parsePlan(o.Plan)
 	w.Check = newChecker(w)
-	w.harm = newHarm()
+	w.disruptions = newDisruptions()
 	loads := 2
 	if w.plan != nil {
 		loads = w.plan.Loads
 	}
-	w.store = standin.NewStore(o.Rate, loads)
+	w.store = standin.NewStore(o.StoreRate, loads)
 	zones := []ident.Zone{"za", "zb", "zc"}
 	seeds := w.seeds()
 	if o.Core != nil {
-		w.layCore(o.Core)
+		w.addCoreNodes(o.Core)
 	} else {
 		for i := range 3 {
 			w.addController(fmt.Sprintf("controller-%d", i+1), zones[i], seeds)
@@ -250,11 +250,11 @@
 	for i := range o.Routers {
 		w.addRouter(fmt.Sprint(i+1), zones[i%3])
 	}
-	w.add(&proc{name: "store", box: "store", beat: 10e6, rate: 1, made: func() core { return w.store }})
+	w.addProcess(&proc{name: "store", box: "store", tickInterval: 10e6, clockRate: 1, newCore: func() processCore { return w.store }})
 	for _, n := range append([]string{}, w.order...) {
 		w.Start(n)
 	}
-	w.After(100e6, w.watch)
+	w.After(100e6, w.checkPeriodically)
 	return w
 }
 
@@ -262,17 +262,17 @@
 func (w *World) addRouter(n string, z ident.Zone) {
 	box := "router-" + n
 	a, l := "agent-"+n, "router-"+n
-	skew, rate := w.clock()
-	w.add(&proc{name: a, box: box, zone: z, beat: 20e6, skew: skew, rate: rate, made: func() core {
-		return agent.New(agent.Options{Me: protocol.Sibling{ID: ident.Node(a), Addr: a}, Zone: z, Inc: w.inc(a), Life: ident.Inc(w.now) + 1, Seeds: w.seeds(),
-			Router: protocol.Sibling{ID: ident.Node(l), Addr: l}, Rand: w.chance(a), Keep: w.o.Keep})
+	skew, rate := w.randomClock()
+	w.addProcess(&proc{name: a, box: box, zone: z, tickInterval: 20e6, clockOffset: skew, clockRate: rate, newCore: func() processCore {
+		return agent.New(agent.Options{Me: protocol.Sibling{ID: ident.Node(a), Addr: a}, Zone: z, Inc: w.incarnation(a), Life: ident.Inc(w.now) + 1, Seeds: w.seeds(),
+			Router: protocol.Sibling{ID: ident.Node(l), Addr: l}, Rand: w.randomFor(a), Keep: w.o.RenewInterval})
 	}})
-	w.add(&proc{name: l, box: box, zone: z, beat: 20e6, skew: skew, rate: rate, made: func() core {
+	w.addProcess(&proc{name: l, box: box, zone: z, tickInterval: 20e6, clockOffset: skew, clockRate: rate, newCore: func() processCore {
 		lo := w.o.Router
 		if w.host != nil {
-			w.host.router(&lo, z)
+			w.host.setRouterOptions(&lo, z)
 		}
-		lo.Me, lo.Agent, lo.Inc = protocol.Sibling{ID: ident.Node(l), Addr: l}, protocol.Sibling{ID: ident.Node(a), Addr: a}, w.inc(l)
+		lo.Me, lo.Agent, lo.Inc = protocol.Sibling{ID: ident.Node(l), Addr: l}, protocol.Sibling{ID: ident.Node(a), Addr: a}, w.incarnation(l)
 		lo.Restarted = w.host != nil && w.now > 0
 		return router.New(lo)
 	}})
@@ -291,33 +291,33 @@
 	return l
 }
 
-func (w *World) clock() (clock.Tick, float64) {
+func (w *World) randomClock() (clock.Tick, float64) {
 	return clock.Tick(w.rand.Int64N(1e15)), 1 + (w.rand.Float64()-0.5)*w.o.Rates
 }
 
-func (w *World) chance(name string) *rand.Rand {
+func (w *World) randomFor(name string) *rand.Rand {
 	h := fnv.New64a()
 	fmt.Fprint(h, name, w.procs[name].life)
 	return rand.New(rand.NewPCG(w.o.Seed, h.Sum64()))
 }
 
 // inc gives a process life its incarnation; later lives have higher ones.
-func (w *World) inc(name string) ident.Inc {
+func (w *World) incarnation(name string) ident.Inc {
 	// As drawn from a wall clock, which may have been set back.
 	at := uint64(int64(w.now) + int64(w.procs[name].wall) + 4e12)
 	return ident.Inc(at>>10<<10+uint64(len(w.order)*64)) + ident.Inc(w.procs[name].life) + 1
 }
 
 func (w *World) addController(name string, z ident.Zone, seeds []protocol.Sibling) {
-	skew, rate := w.clock()
-	w.add(&proc{name: name, box: name, zone: z, beat: 20e6, skew: skew, rate: rate, disk: &plate{safe: map[string][]byte{}, late: 2e6}, made: func() core {
+	skew, rate := w.randomClock()
+	w.addProcess(&proc{name: name, box: name, zone: z, tickInterval: 20e6, clockOffset: skew, clockRate: rate, disk: &simulatedDisk{safe: map[string][]byte{}, late: 2e6}, newCore: func() processCore {
 		ao := w.o.Controller
-		ao.Me, ao.Zone, ao.Inc, ao.Seeds, ao.Platform, ao.Rand = protocol.Sibling{ID: ident.Node(name), Addr: name}, z, w.inc(name), seeds, "platform", w.chance(name)
+		ao.Me, ao.Zone, ao.Inc, ao.Seeds, ao.Platform, ao.Rand = protocol.Sibling{ID: ident.Node(name), Addr: name}, z, w.incarnation(name), seeds, "platform", w.randomFor(name)
 		if w.o.Hosted != nil {
-			w.o.Hosted.controller(&ao, w.procs[name].life > 1 || w.now > 1e9)
+			w.o.Hosted.setControllerOptions(&ao, w.procs[name].life > 1 || w.now > 1e9)
 		}
 		if w.o.Core != nil {
-			w.o.Core.controller(&ao, w.o.Hosted.Timing)
+			w.o.Core.setControllerOptions(&ao, w.o.Hosted.Timing)
 		}
 		ao.Wall = func() time.Time { return dawn.Add(time.Duration(w.now) + w.procs[name].wall) }
 		return controller.New(ao)
@@ -325,30 +325,30 @@
 }
 
 func (w *World) addServer(name string, z ident.Zone) {
-	skew, rate := w.clock()
-	w.add(&proc{name: name, box: name, zone: z, beat: 20e6, skew: skew, rate: rate, server: ident.Server(name), made: func() core {
-		s := standin.ServerOptions{ID: ident.Server(name), Inc: w.inc(name), Room: w.room(name), Slots: w.o.Slots, Store: "store", Fill: w.o.Fill}
+	skew, rate := w.randomClock()
+	w.addProcess(&proc{name: name, box: name, zone: z, tickInterval: 20e6, clockOffset: skew, clockRate: rate, server: ident.Server(name), newCore: func() processCore {
+		s := standin.ServerOptions{ID: ident.Server(name), Inc: w.incarnation(name), Room: w.room(name), Slots: w.o.Slots, Store: "store", Fill: w.o.PrefillBytes}
 		if w.o.Mixed {
-			s.Slots, s.Step = w.o.Slots*w.part(name)/4, 80e6/clock.Span(w.part(name))
+			s.Slots, s.Step = w.o.Slots*w.sizeQuarters(name)/4, 80e6/clock.Span(w.sizeQuarters(name))
 		}
 		return standin.NewServer(s)
 	}})
 }
 
 // part tells how large and fast a server is, in quarters, where they differ: old ones and new ones.
-func (w *World) part(name string) int { return 2 + 2*(int(name[len(name)-1])%3) }
+func (w *World) sizeQuarters(name string) int { return 2 + 2*(int(name[len(name)-1])%3) }
 
 func (w *World) room(name string) int {
 	if w.o.Mixed {
-		return w.o.Room * (5 + w.part(name)) / 9
+		return w.o.Room * (5 + w.sizeQuarters(name)) / 9
 	}
 	return w.o.Room
 }
 
-func (w *World) add(p *proc) {
+func (w *World) addProcess(p *proc) {
 	h := fnv.New64a()
 	fmt.Fprint(h, p.name)
-	p.mark = h.Sum64()
+	p.nameDigest = h.Sum64()
 	w.procs[p.name] = p
 	w.order = append(w.order, p.name)
 }
@@ -356,7 +356,7 @@
 // At runs a step at a moment.
 func (w *World) At(t clock.Tick, do func()) {
 	w.seq++
-	heap.Push(&w.q, event{max(t, w.now), w.seq, do})
+	heap.Push(&w.queue, event{max(t, w.now), w.seq, do})
 }
 
 // After runs a step after a span.
@@ -364,8 +364,8 @@
 
 // Run turns the world until a moment.
 func (w *World) Run(until clock.Span) {
-	for len(w.q) > 0 && w.q[0].at <= clock.Tick(until) {
-		e := heap.Pop(&w.q).(event)
+	for len(w.queue) > 0 && w.queue[0].at <= clock.Tick(until) {
+		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
 		e.do()
 	}
@@ -391,12 +391,12 @@
 	if p.up {
 		return
 	}
-	p.up, p.froze, p.busy, p.plans, p.leaves = true, 0, 0, 0, false
+	p.up, p.frozenUntil, p.busy, p.plans, p.draining = true, 0, 0, 0, false
 	p.life++
-	p.core = p.made()
+	p.core = p.newCore()
 	w.tracef("start %s", name)
 	w.coreStarted(name)
-	w.upset(p.box)
+	w.noteTrouble(p.box)
 	life := p.life
 	if p.disk != nil {
 		m := map[string][]byte{}
@@ -410,14 +410,14 @@
 		if !p.up || p.life != life {
 			return
 		}
-		if until := max(p.froze, p.busy); w.now < until {
+		if until := max(p.frozenUntil, p.busy); w.now < until {
 			w.At(until, beat)
 			return
 		}
 		w.step(p, life, protocol.Beat{})
-		w.After(p.beat, beat)
+		w.After(p.tickInterval, beat)
 	}
-	w.After(clock.Span(w.rand.Int64N(int64(p.beat))), beat)
+	w.After(clock.Span(w.rand.Int64N(int64(p.tickInterval))), beat)
 }
 
 // Kill ends a process at once; what its disk had not synced is gone.
@@ -427,32 +427,32 @@
 		return
 	}
 	w.tracef("kill %s", name)
-	w.coreStopped(name)
-	w.upset(p.box)
+	w.noteCoreStop(name)
+	w.noteTrouble(p.box)
 	p.up = false
 	if _, ok := p.core.(*router.Core); ok {
-		w.Check.routerGone(name)
+		w.Check.routerStopped(name)
 	}
-	for k := range w.asks {
-		if k.who == name {
-			delete(w.asks, k)
+	for k := range w.pendingAsks {
+		if k.process == name {
+			delete(w.pendingAsks, k)
 		}
 	}
 	if p.server != "" {
-		w.After(w.delay(), func() { w.unpull(name, p.life) })
+		w.After(w.delay(), func() { w.endPulls(name, p.life) })
 	}
-	for _, k := range w.flowKeys() {
-		f := w.flows[k]
+	for _, k := range w.sortedAttemptKeys() {
+		f := w.attempts[k]
 		if k.server == name && k.life == p.life {
-			delete(w.flows, k)
-			if !f.dead {
-				f.dead = true
-				w.After(w.delay(), func() { w.ended(f, router.Lost, "") })
+			delete(w.attempts, k)
+			if !f.closed {
+				f.closed = true
+				w.After(w.delay(), func() { w.endAttempt(f, router.Lost, "") })
 			}
 		}
 		if f.router == p {
-			delete(w.flows, k)
-			f.dead = true
+			delete(w.attempts, k)
+			f.closed = true
 			if s := w.procs[k.server]; s.up && s.life == k.life {
 				w.step(s, s.life, standin.WorkQuit{Token: k.token})
 			}
@@ -461,19 +461,19 @@
 }
 
 // unpull ends the pulls of a server that is gone, as its broken connections do.
-func (w *World) unpull(name string, life int) {
+func (w *World) endPulls(name string, life int) {
 	st := w.procs["store"]
-	for t := uint64(1); t <= w.pull; t++ {
-		if k, ok := w.puller[t]; ok && k.who == name && k.life <= life && w.pulls[t] != nil {
-			delete(w.pulls, t)
+	for t := uint64(1); t <= w.lastPull; t++ {
+		if k, ok := w.pullOrigins[t]; ok && k.process == name && k.life <= life && w.pendingPulls[t] != nil {
+			delete(w.pendingPulls, t)
 			w.step(st, st.life, standin.PullQuit{Token: t})
 		}
 	}
 }
 
-func (w *World) flowKeys() []flowKey {
-	l := make([]flowKey, 0, len(w.flows))
-	for k := range w.flows {
+func (w *World) sortedAttemptKeys() []attemptKey {
+	l := make([]attemptKey, 0, len(w.attempts))
+	for k := range w.attempts {
 		l = append(l, k)
 	}
 	sort.Slice(l, func(i, j int) bool {
@@ -492,10 +492,10 @@
 // Drain stops a router as planned, and starts it anew: no new callers come, and what is under way ends.
 func (w *World) Drain(name string) {
 	p := w.procs[name]
-	if !p.up || p.leaves {
+	if !p.up || p.draining {
 		return
 	}
-	p.leaves = true
+	p.draining = true
 	w.tracef("drain %s", name)
 	life := p.life
 	var look func()
@@ -504,7 +504,7 @@
 			return
 		}
 		for _, c := range w.Check.calls {
-			if c.router == name && !c.over {
+			if c.router == name && !c.finished {
 				w.After(50e6, look)
 				return
 			}
@@ -524,8 +524,8 @@
 // Freeze stops a process for a while; what reaches it meanwhile waits.
 func (w *World) Freeze(name string, s clock.Span) {
 	w.tracef("freeze %s %v", name, s)
-	w.procs[name].froze = w.now.Add(s)
-	w.thaws(w.procs[name].box, w.now.Add(s))
+	w.procs[name].frozenUntil = w.now.Add(s)
+	w.noteFreeze(w.procs[name].box, w.now.Add(s))
 }
 
 // Wipe takes away what a node's disk had.
@@ -541,7 +541,7 @@
 	if both {
 		w.cuts[[2]string{b, a}] = true
 	}
-	w.parted(a, b)
+	w.noteLinkTrouble(a, b)
 }
 
 // Part cuts a set of machines off from all others.
@@ -550,7 +550,7 @@
 		for _, b := range w.boxes() {
 			if set[a] != set[b] {
 				w.cuts[[2]string{a, b}] = true
-				w.parted(a, b)
+				w.noteLinkTrouble(a, b)
 			}
 		}
 	}
@@ -561,7 +561,7 @@
 func (w *World) Heal() {
 	w.tracef("heal")
 	for c := range w.cuts {
-		w.parted(c[0], c[1])
+		w.noteLinkTrouble(c[0], c[1])
 	}
 	w.cuts = map[[2]string]bool{}
 }
@@ -579,7 +579,7 @@
 }
 
 // cut tells whether nothing gets from one machine to another.
-func (w *World) cut(from, to string) bool { return w.cuts[[2]string{from, to}] }
+func (w *World) isCut(from, to string) bool { return w.cuts[[2]string{from, to}] }
 
 func (w *World) delay() clock.Span {
 	d := clock.Span(100e3 + w.rand.Int64N(900e3))
@@ -597,15 +597,15 @@
 	if !p.up || p.life != life {
 		return
 	}
-	if until := max(p.froze, p.busy); w.now < until {
+	if until := max(p.frozenUntil, p.busy); w.now < until {
 		w.At(until, func() { w.step(p, life, in) })
 		return
 	}
 	outs := w.stepCore(p, in)
 	w.keepBusy(p, in)
-	w.hash = (w.hash ^ uint64(w.now) ^ p.mark ^ uint64(len(outs))<<56) * 1099511628211
+	w.hash = (w.hash ^ uint64(w.now) ^ p.nameDigest ^ uint64(len(outs))<<56) * 1099511628211
 	for _, o := range outs {
-		w.act(p, o)
+		w.handleOutput(p, o)
 	}
 }
 
@@ -623,10 +623,10 @@
 	return p.core.Step(p.tick(w.now), in)
 }
 
-func (w *World) act(p *proc, o any) {
+func (w *World) handleOutput(p *proc, o any) {
 	switch v := o.(type) {
 	case protocol.Env:
-		w.mail(p, v)
+		w.send(p, v)
 	case protocol.Save:
 		w.save(p, v)
 	case protocol.Compute:
@@ -638,21 +638,21 @@
 	case router.Launch:
 		w.launch(p, v)
 	case router.Receipt:
-		w.Check.receipt(p.name, v)
+		w.Check.checkReceipt(p.name, v)
 	case controller.Announced:
-		w.host.announced(p, v)
+		w.host.announcementAnswered(p, v)
 	case standin.LoadDone:
-		w.host.loaded(p, v)
+		w.host.noteLoaded(p, v)
 	case standin.WorkDrop, standin.Event, standin.OrderOut:
-		w.served(p, o)
+		w.deliverOutput(p, o)
 	case standin.PullOut:
-		if f := w.pulls[v.Token]; f != nil {
-			delete(w.pulls, v.Token)
+		if f := w.pendingPulls[v.Token]; f != nil {
+			delete(w.pendingPulls, v.Token)
 			f()
 		}
 	case controller.Receipt:
-		if f := w.admins[v.Token]; f != nil {
-			delete(w.admins, v.Token)
+		if f := w.pendingAdmin[v.Token]; f != nil {
+			delete(w.pendingAdmin, v.Token)
 			if w.ReplyLoss > 0 && w.rand.Float64() < w.ReplyLoss {
 				w.tracef("%s: a reply to an operator is lost", p.name)
 				return
@@ -660,7 +660,7 @@
 			w.After(w.delay(), func() { f(v) })
 		}
 	case protocol.Note:
-		w.tracef("%s: %s%s", p.name, v.Text, fieldsOf(v))
+		w.tracef("%s: %s%s", p.name, v.Text, formatFields(v))
 		if v.Text == "voter set changed" {
 			w.Check.Seen.Admits++
 		}
@@ -672,22 +672,22 @@
 	}
 }
 
-func (w *World) mail(p *proc, e protocol.Env) {
+func (w *World) send(p *proc, e protocol.Env) {
 	to := w.procs[e.Hop().Addr]
 	if to == nil {
 		return
 	}
 	local := p.box == to.box
 	if !local {
-		w.mails[protocol.Kind(e.Body)]++
-		if w.cut(p.box, to.box) || w.rand.Float64() < w.o.Loss {
+		w.messageCounts[protocol.Kind(e.Body)]++
+		if w.isCut(p.box, to.box) || w.rand.Float64() < w.o.Loss {
 			return
 		}
 		if w.rand.Float64() < w.o.Twice {
 			w.After(w.delay()+clock.Span(w.rand.Int64N(300e6)), func() { w.step(to, to.life, e) })
 		}
 	}
-	d := w.delay() + w.distance(p.box, to.box)
+	d := w.delay() + w.regionDelay(p.box, to.box)
 	if local {
 		d = 50e3
 	} else {
@@ -698,8 +698,8 @@
 
 func (w *World) save(p *proc, s protocol.Save) {
 	d := p.disk
-	at := max(w.now.Add(d.late/2+clock.Span(w.rand.Int64N(int64(d.late)))), d.last, d.stall)
-	d.last = at
+	at := max(w.now.Add(d.late/2+clock.Span(w.rand.Int64N(int64(d.late)))), d.lastSync, d.stall)
+	d.lastSync = at
 	life := p.life
 	w.At(at, func() {
 		if !p.up || p.life != life {
@@ -715,20 +715,20 @@
 func (w *World) ask(p *proc, a protocol.Ask) {
 	k := askKey{p.name, p.life, a.Token}
 	tell := func(ok bool, code int, b []byte) {
-		f := w.asks[k]
+		f := w.pendingAsks[k]
 		if f == nil {
 			return
 		}
 		f(ok, code, b)
 	}
 	life := p.life
-	w.asks[k] = func(ok bool, code int, b []byte) {
-		delete(w.asks, k)
+	w.pendingAsks[k] = func(ok bool, code int, b []byte) {
+		delete(w.pendingAsks, k)
 		w.step(p, life, protocol.Told{Token: a.Token, OK: ok, Code: code, Body: b})
 	}
 	w.After(a.Wait, func() { tell(false, 0, nil) })
 	if w.host != nil {
-		w.host.ask(p, a, tell)
+		w.host.deliverAsk(p, a, tell)
 		return
 	}
 	box := a.Addr
@@ -758,10 +758,10 @@
 				back(b)
 			}
 		case "/pull":
-			w.pull++
-			t := w.pull
-			w.pulls[t] = func() { back([]byte("{}")) }
-			w.puller[t] = askKey{p.name, life, a.Token}
+			w.lastPull++
+			t := w.lastPull
+			w.pendingPulls[t] = func() { back([]byte("{}")) }
+			w.pullOrigins[t] = askKey{p.name, life, a.Token}
 			st := w.procs["store"]
 			w.step(st, st.life, standin.PullIn{Token: t, Pull: a.Body.(standin.Pull)})
 		case "/orders":
@@ -770,25 +770,25 @@
 				w.After(w.delay(), func() { tell(false, 0, nil) })
 				return
 			}
-			w.order1(s, s.life, a.Body.(protocol.Order), p.name, back)
+			w.deliverOrder(s, s.life, a.Body.(protocol.Order), p.name, back)
 		}
 	})
 }
 
 // order1 hands an order to a server, which answers at once unless it is frozen.
-func (w *World) order1(s *proc, life int, o protocol.Order, from string, back func([]byte)) {
+func (w *World) deliverOrder(s *proc, life int, o protocol.Order, from string, back func([]byte)) {
 	if !s.up || s.life != life {
 		return
 	}
-	if w.now < s.froze {
-		w.At(s.froze, func() { w.order1(s, life, o, from, back) })
+	if w.now < s.frozenUntil {
+		w.At(s.frozenUntil, func() { w.deliverOrder(s, life, o, from, back) })
 		return
 	}
 	v := s.core.(*standin.Server)
 	was := v.Holds()
 	for _, x := range v.Step(s.tick(w.now), standin.OrderIn{Order: o}) {
 		if r, ok := x.(standin.OrderOut); ok {
-			w.Check.ordered(s, o, from, r.Report, was)
+			w.Check.checkOrder(s, o, from, r.Report, was)
 			if w.Bend != nil {
 				r.Report = w.Bend(r.Report)
 			}
@@ -796,7 +796,7 @@
 			back(b)
 			continue
 		}
-		w.act(s, x)
+		w.handleOutput(s, x)
 	}
 }
 
@@ -807,31 +807,31 @@
 	var l []*proc
 	for _, n := range w.order {
 		p := w.procs[n]
-		if _, ok := p.core.(*router.Core); ok && p.up && !p.leaves && w.now >= p.froze && !w.cuts[[2]string{"platform", p.box}] {
+		if _, ok := p.core.(*router.Core); ok && p.up && !p.draining && w.now >= p.frozenUntil && !w.cuts[[2]string{"platform", p.box}] {
 			l = append(l, p)
 		}
 	}
-	c := &call{ask: a, at: w.now, repeat: repeat}
-	w.Check.asked(c)
+	c := &call{ask: a, askedAt: w.now, repeat: repeat}
+	w.Check.addCall(c)
 	if len(l) == 0 {
-		c.over, c.kind = true, "no router"
+		c.finished, c.outcome = true, "no router"
 		return
 	}
 	p := l[w.rand.IntN(len(l))]
-	w.serial++
-	ref := router.Ref(w.serial)
+	w.lastToken++
+	ref := router.Ref(w.lastToken)
 	c.router, c.ref = p.name, ref
-	w.Check.open[ref] = c
+	w.Check.openCalls[ref] = c
 	w.step(p, p.life, router.Call{Ref: ref, Route: a.Route, Call: a.Call})
 }
 
 func (w *World) launch(p *proc, v router.Launch) {
-	c := w.Check.open[v.Ref]
-	f := &flow{router: p, life: p.life, l: v, c: c}
-	w.Check.launched(c)
-	s := w.at(v.Addr)
+	c := w.Check.openCalls[v.Ref]
+	f := &attempt{router: p, life: p.life, launch: v, call: c}
+	w.Check.countLaunch(c)
+	s := w.procAt(v.Addr)
 	if s == nil || w.cuts[[2]string{p.box, s.box}] || w.cuts[[2]string{s.box, p.box}] {
-		w.After(500e6, func() { w.ended(f, router.Unsent, "") })
+		w.After(500e6, func() { w.endAttempt(f, router.Unsent, "") })
 		return
 	}
 	d := w.delay()
@@ -840,107 +840,107 @@
 	}
 	w.After(d, func() {
 		if !s.up {
-			w.ended(f, router.Unsent, "")
+			w.endAttempt(f, router.Unsent, "")
 			return
 		}
-		f.open = w.now
-		w.emit(f, s, s.life)
+		f.acceptedAt = w.now
+		w.sendAttempt(f, s, s.life)
 	})
 }
 
 // emit is the moment of sending: the router checks once more, then the work is on its way.
-func (w *World) emit(f *flow, s *proc, life int) {
+func (w *World) sendAttempt(f *attempt, s *proc, life int) {
 	p := f.router
 	if !p.up || p.life != f.life {
 		return
 	}
-	if w.now < p.froze {
-		w.At(p.froze, func() { w.emit(f, s, life) })
+	if w.now < p.frozenUntil {
+		w.At(p.frozenUntil, func() { w.sendAttempt(f, s, life) })
 		return
 	}
-	if !p.core.(*router.Core).MaySend(p.tick(w.now), f.l.Ref, f.l.N) {
-		f.c.held = true
-		w.ended(f, router.Kept, "")
+	if !p.core.(*router.Core).MaySend(p.tick(w.now), f.launch.Ref, f.launch.N) {
+		f.call.heldBack = true
+		w.endAttempt(f, router.Kept, "")
 		return
 	}
-	w.Check.sent(f, s)
+	w.Check.checkSent(f, s)
 	d := w.delay()
 	if w.LagOdds > 0 && w.rand.Float64() < w.LagOdds {
 		d += clock.Span(w.rand.Int64N(int64(w.Lag)))
 	}
-	w.After(d, func() { w.land(f, s, life) })
+	w.After(d, func() { w.deliverAttempt(f, s, life) })
 }
 
-func (w *World) land(f *flow, s *proc, life int) {
+func (w *World) deliverAttempt(f *attempt, s *proc, life int) {
 	if !f.router.up || f.router.life != f.life {
 		return
 	}
 	if !s.up || s.life != life {
-		w.After(w.delay(), func() { w.ended(f, router.Lost, "") })
+		w.After(w.delay(), func() { w.endAttempt(f, router.Lost, "") })
 		return
 	}
 	if w.cuts[[2]string{f.router.box, s.box}] {
-		w.After(10e9, func() { w.ended(f, router.Lost, "") })
+		w.After(10e9, func() { w.endAttempt(f, router.Lost, "") })
 		return
 	}
-	if w.now < s.froze {
-		w.At(s.froze, func() { w.land(f, s, life) })
+	if w.now < s.frozenUntil {
+		w.At(s.frozenUntil, func() { w.deliverAttempt(f, s, life) })
 		return
 	}
-	w.serial++
-	k := flowKey{s.name, s.life, w.serial}
-	w.flows[k] = f
-	f.last, f.born = w.now, w.now
-	w.idle(f, w.now)
-	n := s.core.(worker).Counts().Works
-	if w.host != nil && f.l.Server != s.server { // another server is meant: this one refuses
-		f.dead = true
-		delete(w.flows, k)
-		w.After(w.delay(), func() { w.ended(f, router.Dropped, failure.Mismatch) })
+	w.lastToken++
+	k := attemptKey{s.name, s.life, w.lastToken}
+	w.attempts[k] = f
+	f.lastArrival, f.arrivedAt = w.now, w.now
+	w.watchIdle(f, w.now)
+	n := s.core.(workCounter).Counts().Works
+	if w.host != nil && f.launch.Server != s.server { // another server is meant: this one refuses
+		f.closed = true
+		delete(w.attempts, k)
+		w.After(w.delay(), func() { w.endAttempt(f, router.Dropped, failure.Mismatch) })
 		return
 	}
-	w.step(s, s.life, standin.WorkIn{Token: k.token, Work: f.l.Work, Since: s.tick(f.open)})
+	w.step(s, s.life, standin.WorkIn{Token: k.token, Work: f.launch.Work, Since: s.tick(f.acceptedAt)})
 	if w.host != nil {
-		w.Check.reached(f, s)
+		w.Check.checkReached(f, s)
 	}
-	if s.core.(worker).Counts().Works > n {
-		w.Check.ran(f, s)
+	if s.core.(workCounter).Counts().Works > n {
+		w.Check.checkRun(f, s)
 		if w.ResetOdds > 0 && w.rand.Float64() < w.ResetOdds {
-			f.dead = true
-			delete(w.flows, k)
+			f.closed = true
+			delete(w.attempts, k)
 			w.step(s, s.life, standin.WorkQuit{Token: k.token})
-			w.After(w.delay(), func() { w.ended(f, router.Lost, "") })
+			w.After(w.delay(), func() { w.endAttempt(f, router.Lost, "") })
 		}
 	}
 }
 
 // idle gives a stream up that has been silent for long, as the router's shell does.
-func (w *World) idle(f *flow, at clock.Tick) {
+func (w *World) watchIdle(f *attempt, at clock.Tick) {
 	w.At(at.Add(10e9), func() {
-		if f.dead || f.c == nil || f.c.over {
+		if f.closed || f.call == nil || f.call.finished {
 			return
 		}
-		if f.last > at {
-			w.idle(f, f.last)
+		if f.lastArrival > at {
+			w.watchIdle(f, f.lastArrival)
 			return
 		}
-		f.dead = true
-		w.ended(f, router.Lost, "")
+		f.closed = true
+		w.endAttempt(f, router.Lost, "")
 	})
 }
 
-func (w *World) ended(f *flow, how router.End, k failure.Kind) {
-	if how == router.Unsent && f.c != nil {
-		if f.c.missed == nil {
-			f.c.missed = map[string]int{}
+func (w *World) endAttempt(f *attempt, how router.End, k failure.Kind) {
+	if how == router.Unsent && f.call != nil {
+		if f.call.unreached == nil {
+			f.call.unreached = map[string]int{}
 		}
-		f.c.missed[f.l.Addr]++
+		f.call.unreached[f.launch.Addr]++
 	}
-	w.step(f.router, f.life, router.Ended{Ref: f.l.Ref, N: f.l.N, How: how, Kind: k})
+	w.step(f.router, f.life, router.Ended{Ref: f.launch.Ref, N: f.launch.N, How: how, Kind: k})
 }
 
 // served carries what a server says back to the router.
-func (w *World) served(s *proc, o any) {
+func (w *World) deliverOutput(s *proc, o any) {
 	var t uint64
 	switch v := o.(type) {
 	case standin.WorkDrop:
@@ -948,47 +948,47 @@
 	case standin.Event:
 		t = v.Token
 	}
-	k := flowKey{s.name, s.life, t}
-	f := w.flows[k]
-	if f == nil || f.dead {
+	k := attemptKey{s.name, s.life, t}
+	f := w.attempts[k]
+	if f == nil || f.closed {
 		return
 	}
 	if w.cuts[[2]string{s.box, f.router.box}] {
-		f.dead = true // the stream is broken; the router finds out by its silence
-		delete(w.flows, k)
-		w.After(10e9, func() { w.ended(f, router.Lost, "") })
+		f.closed = true // the stream is broken; the router finds out by its silence
+		delete(w.attempts, k)
+		w.After(10e9, func() { w.endAttempt(f, router.Lost, "") })
 		return
 	}
-	at := max(w.now.Add(w.delay()), f.last)
-	f.last = at
+	at := max(w.now.Add(w.delay()), f.lastArrival)
+	f.lastArrival = at
 	switch v := o.(type) {
 	case standin.WorkDrop:
-		delete(w.flows, k)
-		w.At(at, func() { w.ended(f, router.Dropped, v.Kind) })
+		delete(w.attempts, k)
+		w.At(at, func() { w.endAttempt(f, router.Dropped, v.Kind) })
 	case standin.Event:
 		if v.Done {
-			delete(w.flows, k)
+			delete(w.attempts, k)
 		}
-		w.At(at, func() { w.heard(f, v) })
+		w.At(at, func() { w.deliverEvent(f, v) })
 	}
 }
 
-func (w *World) heard(f *flow, v standin.Event) {
+func (w *World) deliverEvent(f *attempt, v standin.Event) {
 	p := f.router
-	if !p.up || p.life != f.life || f.dead {
+	if !p.up || p.life != f.life || f.closed {
 		return
 	}
-	if w.now < p.froze {
-		w.At(p.froze, func() { w.heard(f, v) })
+	if w.now < p.frozenUntil {
+		w.At(p.frozenUntil, func() { w.deliverEvent(f, v) })
 		return
 	}
-	if w.Mangle > 0 && !f.bent && w.rand.Float64() < w.Mangle {
-		f.bent = true // once: a server that lies twice over can make any number fit
+	if w.Mangle > 0 && !f.mangled && w.rand.Float64() < w.Mangle {
+		f.mangled = true // once: a server that lies twice over can make any number fit
 		switch w.rand.IntN(6) {
 		case 0:
 			return // it is lost
 		case 1:
-			w.After(1e6, func() { w.heard(f, v) }) // it comes twice
+			w.After(1e6, func() { w.deliverEvent(f, v) }) // it comes twice
 		case 2:
 			v.N += w.rand.IntN(3) - 1
 		case 3:
@@ -1000,20 +1000,20 @@
 		}
 	}
 	x := router.Line{N: v.N, Go: v.Go, Server: v.Server, Done: v.Done}
-	if !x.Follows(f.l, f.n) {
-		f.dead = true
-		w.ended(f, router.Lost, "")
+	if !x.Follows(f.launch, f.eventCount) {
+		f.closed = true
+		w.endAttempt(f, router.Lost, "")
 		return
 	}
-	if f.n == 0 {
-		w.step(p, p.life, router.Begun{Ref: f.l.Ref, N: f.l.N})
+	if f.eventCount == 0 {
+		w.step(p, p.life, router.Begun{Ref: f.launch.Ref, N: f.launch.N})
 	}
-	f.n++
-	w.Check.event(f, v)
+	f.eventCount++
+	w.Check.checkEvent(f, v)
 	if v.Done {
-		f.dead = true
-		w.ended(f, router.Done, "")
-		w.Check.done(f)
+		f.closed = true
+		w.endAttempt(f, router.Done, "")
+		w.Check.finishCall(f)
 	}
 }
 
@@ -1022,7 +1022,7 @@
 	w.admin++
 	a.Token = w.admin
 	done := false
-	heard := w.record(node, a)
+	heard := w.recordOperation(node, a)
 	once := func(r controller.Receipt) {
 		if !done {
 			done = true
@@ -1030,10 +1030,10 @@
 			then(r)
 		}
 	}
-	w.admins[a.Token] = once
+	w.pendingAdmin[a.Token] = once
 	p := w.procs[node]
 	w.After(6e9, func() {
-		delete(w.admins, a.Token)
+		delete(w.pendingAdmin, a.Token)
 		once(controller.Receipt{Kind: failure.Unclear})
 	})
 	w.After(w.delay(), func() {
@@ -1065,13 +1065,13 @@
 }
 
 // watch looks around a hundred times a second.
-func (w *World) watch() {
-	w.Check.look()
-	w.After(10e6, w.watch)
+func (w *World) checkPeriodically() {
+	w.Check.checkNow()
+	w.After(10e6, w.checkPeriodically)
 }
 
 // fieldsOf writes the fields of a log line for the trace.
-func fieldsOf(n protocol.Note) string {
+func formatFields(n protocol.Note) string {
 	var b strings.Builder
 	for _, f := range n.Fields {
 		fmt.Fprintf(&b, " %s=%v", f.Name, f.Value)
