--- a/cmd/simulator/main.go
+++ b/cmd/simulator/main.go
@@ -1,4 +1,4 @@
-// Command simulator runs scenes of the simulator from seeds.
+// Command simulator runs the simulator's scenes with given seeds.
 package main
 
 import (
@@ -15,16 +15,16 @@
 
 func main() {
 	var s struct {
-		Scene   string `help:"Scene to run, or all." default:"all"`
-		Fleet   string `help:"Which fleet: corrib or padana." enum:"corrib,padana" default:"corrib"`
+		Scene   string `help:"Scene to run, or all for every scene." default:"all"`
+		Fleet   string `help:"Fleet to simulate: corrib or padana." enum:"corrib,padana" default:"corrib"`
 		Seed    uint64 `help:"First seed." default:"1"`
-		Seeds   int    `help:"How many seeds." default:"1"`
+		Seeds   int    `help:"Number of consecutive seeds." default:"1"`
 		Trace   bool   `help:"Print the trace."`
-		Measure bool   `help:"Measure what docs/measurements.md reports, instead."`
-		List    bool   `help:"Only list the scenes."`
-		Plans   string `help:"Folder of the example plans." default:"examples" type:"path"`
+		Measure bool   `help:"Print the measurements for docs/measurements.md instead of running scenes."`
+		List    bool   `help:"List the scenes and exit."`
+		Plans   string `help:"Directory of the example plans." default:"examples" type:"path"`
 	}
-	kong.Parse(&s, kong.Name("simulator"), kong.Description("simulator runs the real cores through virtual time, from seeds."))
+	kong.Parse(&s, kong.Name("simulator"), kong.Description("simulator runs the state machines of all programs in virtual time, deterministically from seeds."))
 	if s.List {
 		for _, c := range simulator.Scenes {
 			fmt.Printf("%-12s %s\n", c.Name, c.About)
@@ -41,7 +41,7 @@
 		return
 	}
 	if _, ok := simulator.Find(s.Scene); !ok && s.Scene != "all" || s.Seeds < 1 {
-		fmt.Fprintln(os.Stderr, "simulator: no such scene, or no seed; --list names the scenes")
+		fmt.Fprintln(os.Stderr, "simulator: unknown scene, or --seeds is below 1; --list prints the scenes")
 		os.Exit(2)
 	}
 	pass, fail := 0, 0
--- a/internal/simulator/bites_test.go
+++ b/internal/simulator/bites_test.go
@@ -20,7 +20,7 @@
 // bite is a guard that is broken, the scene that must show it, and what a checker says then.
 type bite struct {
 	guard, scene, expect string
-	edits              []edit
+	edits                []edit
 }
 
 // Bites: each guard is broken from outside, by an edit of the sources at build time, and a
--- a/internal/simulator/check.go
+++ b/internal/simulator/check.go
@@ -18,78 +18,78 @@
 	"tidedeck/internal/standin"
 )
 
-// Bounds that the checkers hold the fleet to.
+// Limits that the checkers enforce.
 const (
-	maxPlanLag  = 2100e6
-	boundGone  = 3100e6
-	maxZoneLag  = 5000e6
-	maxRecovery  = 12000e6
+	maxPlanLag    = 2100e6
+	boundGone     = 3100e6
+	maxZoneLag    = 5000e6
+	maxRecovery   = 12000e6
 	maxRetryShare = 0.2
 )
 
-// mostBad is how many violations of one run are told.
+// maxViolations limits how many violations a run reports.
 const maxViolations = 50
 
-// state is one desired state as operators know it.
+// desiredState is a requested change of the desired state, as known to the operator who sent it.
 type desiredState struct {
-	epoch ident.Epoch
-	raw   []byte
-	plan  *fleetplan.Plan
-	empty map[ident.Zone]bool
-	isPlan   bool
-	sentAt  clock.Tick
-	confirmedAt  clock.Tick // zero while it is not known to be taken
-	rejectedAt  clock.Tick // when it was surely not taken
-	supersededAt  clock.Tick // when a newer one was told
+	epoch        ident.Epoch
+	raw          []byte
+	plan         *fleetplan.Plan
+	empty        map[ident.Zone]bool
+	isPlan       bool
+	sentAt       clock.Tick
+	confirmedAt  clock.Tick // when it was confirmed; zero before that
+	rejectedAt   clock.Tick // when it was definitively rejected; zero before that
+	supersededAt clock.Tick // when a newer plan was confirmed; zero before that
 
-	number, base ident.Epoch // that the operator gave it, and that it goes on
+	number, base ident.Epoch // epoch number chosen by the operator, and the epoch that the change builds on
 }
 
-// Checker watches a world from outside and says what must never be seen.
+// Checker observes a world from outside and records violations of the system's guarantees.
 type Checker struct {
-	w       *World
+	w            *World
 	openCalls    map[router.Ref]*call
-	calls   []*call
-	Bad     []string
-	states  []*desiredState
-	runCounts   map[string]int
-	lastRuns   map[string]runPlace
-	launches    []launchRecord
-	routerEpochs  map[string][2]uint64
-	routerLives   map[string]int
-	duties  map[ident.Duty]string
-	gone    map[string]clock.Tick // servers that are leaving, gone or dark, since when
-	unloadedAt  map[string]clock.Tick
-	Seen    Seen
-	healed  clock.Tick
-	batch   hostedRecords
-	disksLost   bool // all core disks were lost: what was confirmed may be gone
-	disksLostAt clock.Tick
-	history history.Recorder // what operators and readers saw
-}
-
-// Seen is what a run measured.
+	calls        []*call
+	Bad          []string
+	states       []*desiredState
+	runCounts    map[string]int
+	lastRuns     map[string]runPlace
+	launches     []launchRecord
+	routerEpochs map[string][2]uint64
+	routerLives  map[string]int
+	duties       map[ident.Duty]string
+	gone         map[string]clock.Tick // when servers began to leave, stopped or became unreachable
+	unloadedAt   map[string]clock.Tick
+	Seen         Seen
+	healed       clock.Tick
+	batch        hostedRecords
+	disksLost    bool // all core disks were lost, so confirmed changes may be gone
+	disksLostAt  clock.Tick
+	history      history.Recorder // operations of operators and readers
+}
+
+// Seen holds the measurements of a run.
 type Seen struct {
-	Asked, Answered, Dropped, Unclear, Cut, Broken, Events int
-	Firsts, Retries, Repeats                              int
-	CallerRepeats, RefusedRepeats, RepeatedRuns                                  int     // asked again after a break; refused as repeated; ran again, where the server that had run it was gone or another was nearer by then
-	WorstRetryShare                                                float64 // worst share of goes that were no first ones, in 10 s
-	Admits                                                int     // changes of the voter set
-	NeedlessDrops                                              int     // dropped though, as they were, a server had long held the key and had room
-	RefusedLate                                                  uint64  // refused by servers as sent too late
-	Kinds                                                 map[string]int
-	PlanLag, GoneLag, ZoneLag                             clock.Span // worst
-	Recovery                                                  clock.Span // from the healing to the first answer
-	NoOwner                                               clock.Span // longest time without an owner
-	PeakCold                                                  int
-	Hits, Lookups, Unchanged, Breaks, Acks, Lapses, Unloads   uint64
-	Prompt, Reused                                        uint64
-	Pulls, Reigns, Moves, OddReports                             uint64
-	Orders, OrdersRefused                                        int        // orders taken and turned away by servers that check no fence
-	PeakStoreLoads                                                 int        // most loads from the store that began in 5 s
+	Asked, Answered, Dropped, Unclear, Cut, Broken, Events  int
+	Firsts, Retries, Repeats                                int
+	CallerRepeats, RefusedRepeats, RepeatedRuns             int     // callers' repeats of interrupted requests; repeats refused as such; repeats that ran again because the first server was gone or the router's known replicas had changed
+	WorstRetryShare                                         float64 // highest ratio of retries and repeats to first attempts within 10 s
+	Admits                                                  int     // changes of the voter set
+	NeedlessDrops                                           int     // dropped although a server had held the model for more than 6 s and had free slots
+	RefusedLate                                             uint64  // refused by servers because they were sent too late
+	Kinds                                                   map[string]int
+	PlanLag, GoneLag, ZoneLag                               clock.Span // maximum
+	Recovery                                                clock.Span // from the end of the outage to the first answer
+	NoOwner                                                 clock.Span // longest time without a placement owner
+	PeakCold                                                int
+	Hits, Lookups, Unchanged, Breaks, Acks, Lapses, Unloads uint64
+	Prompt, Reused                                          uint64
+	Pulls, Reigns, Moves, OddReports                        uint64
+	Orders, OrdersRefused                                   int        // orders accepted and refused by servers that do not check fencing numbers
+	PeakStoreLoads                                          int        // maximum number of loads from the store that began within 5 s
 	Waited                                                  int        // requests that waited for more than 250 ms
-	WaitTime                                               clock.Span // and for how long, in all
-	Operations                                            int        // of operators and readers, in the history
+	WaitTime                                                clock.Span // total waiting time of these requests
+	Operations                                              int        // operations of operators and readers in the history
 	lastOwnerAt                                             clock.Tick
 }
 
@@ -99,6 +99,7 @@
 		Seen: Seen{Kinds: map[string]int{}}}
 }
 
+// violationf records a violation.
 func (k *Checker) bad(form string, a ...any) {
 	s := fmt.Sprintf("%.3fs %s", float64(k.w.now)/1e9, fmt.Sprintf(form, a...))
 	k.w.tracef("BAD %s", s)
@@ -115,18 +116,17 @@
 	}
 }
 
-// Operators.
-
-// PutPlan hands a plan over and keeps the operator's books.
+// PutPlan submits a plan and tracks its outcome.
 func (w *World) PutPlan(node string, raw []byte, expect ident.Epoch, any bool, then func(controller.Receipt)) {
 	w.change(node, controller.Admin{Op: "put", Raw: raw, Expect: expect, Any: any, Change: fmt.Sprintf("put-%d", w.admin+1)}, then)
 }
 
-// Zone empties or refills a zone.
+// Zone submits a change that empties or refills a zone.
 func (w *World) Zone(node, op string, z ident.Zone, then func(controller.Receipt)) {
 	w.change(node, controller.Admin{Op: op, Zone: z, Any: true, Change: fmt.Sprintf("%s-%d", op, w.admin+1)}, then)
 }
 
+// submitChange submits an operator's change, repeats it while its outcome is unknown, and checks the outcome.
 func (w *World) change(node string, a controller.Admin, then func(controller.Receipt)) {
 	k := w.Check
 	s := &desiredState{sentAt: w.now, raw: a.Raw, isPlan: a.Op == "put", empty: map[ident.Zone]bool{}, number: a.Number, base: a.Expect}
@@ -135,42 +135,42 @@
 	}
 	k.states = append(k.states, s)
 	tries := 0
-	var settle func(r controller.Receipt)
-	settle = func(r controller.Receipt) {
-		// A change whose outcome is not known is asked for again under its id, elsewhere.
+	var onReceipt func(r controller.Receipt)
+	onReceipt = func(r controller.Receipt) {
+		// A change with an unknown outcome is repeated under the same ID at another node.
 		if r.Kind == failure.Unclear && tries < 4 {
 			tries++
-			w.After(200e6, func() { w.Admin(w.some("controller-"), a, settle) })
+			w.After(200e6, func() { w.Admin(w.some("controller-"), a, onReceipt) })
 			return
 		}
 		if tries > 0 && r.Kind != failure.None {
-			r.Kind = failure.Unclear // an earlier try may have been taken
+			r.Kind = failure.Unclear // an earlier attempt may have been accepted
 		}
 		w.tracef("operator: %s at %s: %q epoch %d", a.Op, node, r.Kind, r.Epoch)
 		switch {
 		case r.Kind == failure.None:
 			s.epoch, s.confirmedAt = r.Epoch, w.now
 			if a.Number != 0 && r.Epoch != a.Number {
-				k.bad("a change of number %d was taken as %d", a.Number, r.Epoch)
+				k.bad("a change of number %d was applied as epoch %d", a.Number, r.Epoch)
 			}
 			if a.Number == 0 && !a.Any && r.Epoch != a.Expect+1 {
-				k.bad("a change that expected epoch %d was taken as %d", a.Expect, r.Epoch)
+				k.bad("a change that expected epoch %d was applied as epoch %d", a.Expect, r.Epoch)
 			}
-			for _, z := range r.Empty {
-				s.empty[z] = true
+			for _, zone := range r.Empty {
+				s.empty[zone] = true
 			}
-			for _, o := range k.states {
-				if o == s || o.confirmedAt == 0 {
+			for _, other := range k.states {
+				if other == s || other.confirmedAt == 0 {
 					continue
 				}
-				if o.epoch == s.epoch && !k.disksLost {
+				if other.epoch == s.epoch && !k.disksLost {
 					k.bad("epoch %d was told twice", s.epoch)
 				}
-				// A plan is over once a newer plan is told, whichever was told first.
+				// A plan is superseded once a newer plan is confirmed, in whichever order the confirmations arrive.
 				switch {
-				case o.epoch < s.epoch && s.isPlan && o.supersededAt == 0:
-					o.supersededAt = w.now
-				case o.epoch > s.epoch && o.isPlan && s.supersededAt == 0:
+				case other.epoch < s.epoch && s.isPlan && other.supersededAt == 0:
+					other.supersededAt = w.now
+				case other.epoch > s.epoch && other.isPlan && s.supersededAt == 0:
 					s.supersededAt = w.now
 				}
 			}
@@ -181,30 +181,30 @@
 			then(r)
 		}
 	}
-	w.Admin(node, a, settle)
+	w.Admin(node, a, onReceipt)
 }
 
-// Read reads the plan back and checks that it is the newest, to the byte.
+// Read reads the plan and checks that it is byte for byte the newest confirmed one.
 func (w *World) Read(node string, then func(controller.Receipt)) {
 	k, at := w.Check, w.now
 	w.Admin(node, controller.Admin{Op: "get"}, func(r controller.Receipt) {
 		if r.Kind == failure.None && !k.disksLost {
-			want := k.newest(at)
-			if want != nil && r.Epoch < want.epoch {
-				k.bad("read gave epoch %d after %d was told as taken", r.Epoch, want.epoch)
+			confirmed := k.newest(at)
+			if confirmed != nil && r.Epoch < confirmed.epoch {
+				k.bad("read gave epoch %d after epoch %d was confirmed", r.Epoch, confirmed.epoch)
 			}
-			// It must be the newest plan told up to that epoch, or one whose fate was never told.
+			// The plan must be the newest one confirmed up to that epoch, or one whose outcome is unknown.
 			var last *desiredState
-			fits := false
+			matches := false
 			for _, s := range k.states {
 				if s.isPlan && s.confirmedAt != 0 && s.epoch <= r.Epoch && (last == nil || s.epoch > last.epoch) {
 					last = s
 				}
 				if s.isPlan && s.confirmedAt == 0 && s.rejectedAt == 0 && bytes.Equal(s.raw, r.Plan) {
-					fits = true
+					matches = true
 				}
 			}
-			if !fits && (last == nil && len(r.Plan) > 0 || last != nil && !bytes.Equal(last.raw, r.Plan)) {
+			if !matches && (last == nil && len(r.Plan) > 0 || last != nil && !bytes.Equal(last.raw, r.Plan)) {
 				k.bad("read under epoch %d gave bytes that were not sent for it", r.Epoch)
 			}
 		}
@@ -214,7 +214,7 @@
 	})
 }
 
-// newest is the newest state told as taken by a moment.
+// latestConfirmed returns the newest change confirmed by the given time, or nil.
 func (k *Checker) newest(at clock.Tick) *desiredState {
 	var n *desiredState
 	for _, s := range k.states {
@@ -225,10 +225,10 @@
 	return n
 }
 
-// denials are the kinds that say that the plan does not allow a request.
+// denialKinds are the failure kinds of requests that the plan does not allow.
 var denials = []failure.Kind{failure.NoRoute, failure.NoModel, failure.NoKind, failure.NoKey}
 
-// ruling lists the states that may rule somewhere at this moment.
+// possiblyInForce returns the plans that may be in force at some router now.
 func (k *Checker) possiblyInForce() (l []*desiredState) {
 	for _, s := range k.states {
 		if s.isPlan && s.rejectedAt == 0 && s.sentAt <= k.w.now && (s.supersededAt == 0 || k.w.now.Sub(s.supersededAt) <= maxPlanLag) {
@@ -238,7 +238,7 @@
 	return l
 }
 
-// dropped tells whether every plan of a name was surely not taken.
+// planRejected reports whether all plans of a name were definitively rejected.
 func (k *Checker) planRejected(name string) bool {
 	for _, s := range k.states {
 		if s.isPlan && s.plan.Name == name && s.rejectedAt == 0 {
@@ -248,61 +248,63 @@
 	return name != ""
 }
 
+// allows reports whether a plan allows a request.
 func (k *Checker) allows(s *desiredState, a standin.Ask) bool {
 	_, why := s.plan.Match(a.Call.Query(a.Route))
 	return why == failure.None
 }
 
-// look holds the routers and the core against what operators were told.
+// checkNow compares the routers' epochs and plans with what operators were told, and checks that the core has at
+// most one owner.
 func (k *Checker) checkNow() {
 	w := k.w
 	for _, p := range w.Routers() {
-		c := p.core.(*router.Core)
-		gen, e, held := c.Rules(p.tick(w.now))
-		was := k.routerEpochs[p.name]
+		core := p.core.(*router.Core)
+		gen, epoch, held := core.Rules(p.tick(w.now))
+		previous := k.routerEpochs[p.name]
 		if k.routerLives[p.name] != p.life {
-			k.routerLives[p.name], was = p.life, [2]uint64{}
+			k.routerLives[p.name], previous = p.life, [2]uint64{}
 		}
-		if gen < was[0] || gen == was[0] && uint64(e) < was[1] {
-			k.bad("%s slipped back from epoch %d to %d", p.name, was[1], e)
+		if gen < previous[0] || gen == previous[0] && uint64(epoch) < previous[1] {
+			k.bad("%s slipped back from epoch %d to %d", p.name, previous[1], epoch)
 		}
-		k.routerEpochs[p.name] = [2]uint64{gen, uint64(e)}
+		k.routerEpochs[p.name] = [2]uint64{gen, uint64(epoch)}
 		if held && w.now >= p.frozenUntil && !k.disksLost {
 			for _, s := range k.states {
-				if s.confirmedAt != 0 && s.epoch > e {
+				if s.confirmedAt != 0 && s.epoch > epoch {
 					lag := w.now.Sub(s.confirmedAt)
 					k.Seen.PlanLag = max(k.Seen.PlanLag, lag)
 					if lag > maxPlanLag {
-						k.bad("%s routes under epoch %d, %v after %d was told", p.name, e, lag, s.epoch)
+						k.bad("%s routes under epoch %d, %v after epoch %d was confirmed", p.name, epoch, lag, s.epoch)
 					}
 				}
 			}
-			if n := c.PlanName(); k.planRejected(n) {
-				k.bad("%s rules by plan %q, which was dropped", p.name, n)
+			if name := core.PlanName(); k.planRejected(name) {
+				k.bad("%s applies plan %q, which was rejected", p.name, name)
 			}
 		}
 	}
 	if w.host != nil {
 		k.checkHosted()
 	}
-	var own []string
+	var owners []string
 	for _, p := range w.controllers() {
 		if _, ok := p.core.(*controller.Core).Owns(p.tick(w.now)); ok {
-			own = append(own, p.name)
+			owners = append(owners, p.name)
 		}
 	}
-	if len(own) > 1 {
-		k.bad("two own the duty: %v", own)
+	if len(owners) > 1 {
+		k.bad("two own the duty: %v", owners)
 	}
-	if len(own) == 1 {
+	if len(owners) == 1 {
 		k.Seen.lastOwnerAt = w.now
 	} else if k.Seen.lastOwnerAt != 0 {
 		k.Seen.NoOwner = max(k.Seen.NoOwner, w.now.Sub(k.Seen.lastOwnerAt))
 	}
 }
 
-// ordered looks at an order as the server took it.
-func (k *Checker) checkOrder(s *proc, o protocol.Order, from string, r protocol.Report, was map[ident.Key]protocol.Held) {
+// checkOrder checks an order and the server's reply to it.
+func (k *Checker) checkOrder(s *proc, o protocol.Order, from string, r protocol.Report, heldBefore map[ident.Key]protocol.Held) {
 	if o.Op != "" {
 		k.w.tracef("%s: duty %d/%d tells %s to %s %s (%d): %q", from, o.Duty, o.Num, s.name, o.Op, o.Key, o.Size, r.Drop)
 	}
@@ -316,8 +318,8 @@
 	if r.Drop == failure.NoRoom {
 		k.bad("%s was ordered past its room", s.name)
 	}
-	at := s.name + "|" + string(o.Key)
-	_, had := was[o.Key]
+	loadKey := s.name + "|" + string(o.Key)
+	_, wasHeld := heldBefore[o.Key]
 	switch {
 	case o.Op == "unload" && r.Drop == failure.Busy:
 		for id, f := range k.w.attempts {
@@ -327,8 +329,8 @@
 				break
 			}
 		}
-	case o.Op == "unload" && r.Drop == failure.None && had:
-		k.unloadedAt[at] = k.w.now
+	case o.Op == "unload" && r.Drop == failure.None && wasHeld:
+		k.unloadedAt[loadKey] = k.w.now
 		k.Seen.Unloads++
 		for _, p := range k.w.Routers() {
 			if p.core.(*router.Core).Promises(p.tick(k.w.now), o.Key, s.server, r.Inc) {
@@ -336,24 +338,24 @@
 			}
 		}
 	case o.Op == "load" && r.Drop == failure.None:
-		delete(k.unloadedAt, at)
+		delete(k.unloadedAt, loadKey)
 	}
 }
 
-// place is where a request ran, and where its router's entry then said that the key was.
+// runPlace records where a request ran and the replicas that its router knew of at that time.
 type runPlace struct {
-	server string
-	life   int
-	knownReplicas  string
+	server        string
+	life          int
+	knownReplicas string
 }
 
-// tried is one go as it was begun.
+// launchRecord is one started attempt.
 type launchRecord struct {
 	at    clock.Tick
 	first bool
 }
 
-// launched looks at a go as it is begun: its connection counts, if it comes about or not.
+// countLaunch counts an attempt when it starts, whether or not its connection succeeds.
 func (k *Checker) countLaunch(c *call) {
 	if c == nil {
 		return
@@ -365,45 +367,45 @@
 	c.heldBack = false
 }
 
-// windows holds goes that are no first ones against the first ones that earned them: in no 10 s
-// may they pass a fifth of the first goes of these and of the 5 s before. Where hardly anything is
-// asked, one or two are no crowd.
+// checkRetryWindows compares retries with the first attempts that earn their allowance: in any 10 s window,
+// retries may not exceed a fifth of the first attempts of the window and the 5 s before. Up to three
+// retries are always allowed, so that low traffic causes no violation.
 func (k *Checker) checkRetryWindows() {
-	a, b, more, base, plain := 0, 0, 0, 0, 0
+	start10s, start15s, retries, firsts15s, firsts10s := 0, 0, 0, 0, 0
 	for i, x := range k.launches {
 		if x.first {
-			base++
-			plain++
+			firsts15s++
+			firsts10s++
 		} else {
-			more++
+			retries++
 		}
-		for ; x.at.Sub(k.launches[a].at) > 10e9; a++ {
-			if k.launches[a].first {
-				plain--
+		for ; x.at.Sub(k.launches[start10s].at) > 10e9; start10s++ {
+			if k.launches[start10s].first {
+				firsts10s--
 			} else {
-				more--
+				retries--
 			}
 		}
-		for ; x.at.Sub(k.launches[b].at) > 15e9; b++ {
-			if k.launches[b].first {
-				base--
+		for ; x.at.Sub(k.launches[start15s].at) > 15e9; start15s++ {
+			if k.launches[start15s].first {
+				firsts15s--
 			}
 		}
-		if more > 3 && float64(more) > maxRetryShare*float64(base) {
-			k.bad("%d retries in 10 s, to %d first goes in 15 s (at %.1f s)", more, base, float64(x.at)/1e9)
+		if retries > 3 && float64(retries) > maxRetryShare*float64(firsts15s) {
+			k.bad("%d retries in 10 s, to %d first goes in 15 s (at %.1f s)", retries, firsts15s, float64(x.at)/1e9)
 			return
 		}
-		if plain >= 50 && i > 0 {
-			k.Seen.WorstRetryShare = max(k.Seen.WorstRetryShare, float64(more)/float64(plain))
+		if firsts10s >= 50 && i > 0 {
+			k.Seen.WorstRetryShare = max(k.Seen.WorstRetryShare, float64(retries)/float64(firsts10s))
 		}
 	}
 }
 
-// sent looks at a go at the moment of sending.
+// checkSent checks an attempt when its router sends it.
 func (k *Checker) checkSent(f *attempt, s *proc) {
 	c, w := f.call, k.w
 	if c == nil {
-		k.bad("a go for no request")
+		k.bad("an attempt without a request")
 		return
 	}
 	c.sends++
@@ -420,7 +422,7 @@
 	k.checkArrival(f, s)
 }
 
-// arrived looks at a go as it is sent, and again as its server takes it in.
+// checkArrival checks an attempt when it is sent, and again when its server accepts it.
 func (k *Checker) checkArrival(f *attempt, s *proc) {
 	c, w := f.call, k.w
 	if t, ok := k.gone[s.name]; ok {
@@ -434,7 +436,7 @@
 		return
 	}
 	if w.host != nil {
-		return // it is held against what the server makes of it
+		return // hosted servers refuse what is not theirs, so only what they run is checked
 	}
 	if since := k.emptySince(s.zone); since != 0 {
 		lag := w.now.Sub(since)
@@ -452,24 +454,24 @@
 	}
 }
 
-// emptied tells since when a zone is surely empty; zero if it may not be. A change whose
-// fate was never told may have refilled it.
+// emptySince returns the time since which a zone is certainly emptied, or zero if it may not be. A change
+// with an unknown outcome may have refilled the zone.
 func (k *Checker) emptySince(z ident.Zone) clock.Tick {
-	var l []*desiredState
-	n := k.newest(k.w.now)
+	var confirmed []*desiredState
+	latest := k.newest(k.w.now)
 	for _, s := range k.states {
 		if s.confirmedAt != 0 {
-			l = append(l, s)
+			confirmed = append(confirmed, s)
 		} else if s.rejectedAt == 0 && !s.isPlan {
 			return 0
 		}
 	}
-	if n == nil || !n.empty[z] {
+	if latest == nil || !latest.empty[z] {
 		return 0
 	}
-	sort.Slice(l, func(i, j int) bool { return l[i].epoch > l[j].epoch })
-	since := n.confirmedAt
-	for _, s := range l {
+	sort.Slice(confirmed, func(i, j int) bool { return confirmed[i].epoch > confirmed[j].epoch })
+	since := latest.confirmedAt
+	for _, s := range confirmed {
 		if !s.empty[z] {
 			break
 		}
@@ -478,22 +480,22 @@
 	return since
 }
 
-// ran looks at a go that a server took in.
+// checkRun checks an attempt that a server has accepted to run.
 func (k *Checker) checkRun(f *attempt, s *proc) {
 	id := f.launch.Work.ID
 	k.runCounts[id]++
-	was := k.lastRuns[id]
+	lastRun := k.lastRuns[id]
 	known := fmt.Sprint(f.router.core.(*router.Core).Places(ident.KeyOf(f.launch.Work.Base, f.launch.Work.Extra)))
 	k.lastRuns[id] = runPlace{s.name, s.life, known}
 	f.call.runs++
 	if k.w.host != nil {
 		k.checkAllowed(f, s)
 		if k.runCounts[id] > 1 && !isRepeatable(f.call.ask) {
-			k.bad("%s may not be repeated and ran %d times, at %v and %s", id, k.runCounts[id], was, s.name)
+			k.bad("%s may not be repeated and ran %d times, at %v and %s", id, k.runCounts[id], lastRun, s.name)
 		}
 	} else if f.launch.Work.Once && k.runCounts[id] > 1 {
-		if !f.call.callerRepeat || was.server == s.name && was.life == s.life || was.knownReplicas == known && f.call.unreached[was.server] < 2 {
-			k.bad("%s may not be repeated and ran %d times, at %v and %s", id, k.runCounts[id], was, s.name)
+		if !f.call.callerRepeat || lastRun.server == s.name && lastRun.life == s.life || lastRun.knownReplicas == known && f.call.unreached[lastRun.server] < 2 {
+			k.bad("%s may not be repeated and ran %d times, at %v and %s", id, k.runCounts[id], lastRun, s.name)
 		}
 		k.Seen.RepeatedRuns++
 	}
@@ -503,10 +505,11 @@
 	}
 }
 
-func (k *Checker) checkReceipt(who string, r router.Receipt) {
+// checkReceipt checks a router's final answer to a request that failed.
+func (k *Checker) checkReceipt(routerName string, r router.Receipt) {
 	c := k.openCalls[r.Ref]
 	if c == nil || c.finished {
-		k.bad("%s answered twice", who)
+		k.bad("%s answered twice", routerName)
 		return
 	}
 	c.finished, c.outcome = true, string(r.Kind)
@@ -516,34 +519,35 @@
 	case failure.Unclear, failure.Cut:
 		k.maybeRepeat(c)
 	}
-	k.w.tracef("%s: %s is told %s", who, c.ask.Call.ID, r.Kind)
-	a := failure.Receipts[r.Kind]
-	if a.Dropped && c.runs > 0 {
+	k.w.tracef("%s: %s is told %s", routerName, c.ask.Call.ID, r.Kind)
+	receipt := failure.Receipts[r.Kind]
+	if receipt.Dropped && c.runs > 0 {
 		k.bad("%s was dropped as %s but had run", c.ask.Call.ID, r.Kind)
 	}
 	if slices.Contains(denials, r.Kind) && !k.disksLost {
-		all := true
+		allowedByAll := true
 		for _, s := range k.possiblyInForce() {
-			all = all && k.allows(s, c.ask)
+			allowedByAll = allowedByAll && k.allows(s, c.ask)
 		}
-		if all {
-			k.bad("%s is allowed and was turned away as %s", c.ask.Call.ID, r.Kind)
+		if allowedByAll {
+			k.bad("%s is allowed but was turned away as %s", c.ask.Call.ID, r.Kind)
 		}
 	}
-	if (r.Kind == failure.Expired || r.Kind == failure.Full || r.Kind == failure.NotReady) && k.couldBeServed(who, c) {
+	if (r.Kind == failure.Expired || r.Kind == failure.Full || r.Kind == failure.NotReady) && k.couldBeServed(routerName, c) {
 		k.Seen.NeedlessDrops++
 	}
-	if a.Dropped && r.Back == 0 && a.Status == 503 {
-		k.bad("a drop did not say when to come back")
+	if receipt.Dropped && r.Back == 0 && receipt.Status == 503 {
+		k.bad("a dropped request got no Retry-After time")
 	}
 	if r.Back > 0 && c.ask.Call.Again && !c.repeat && k.w.rand.IntN(8) == 0 {
-		n := c.ask
-		n.Call.ID += "-r"
-		n.Call.Repeat = true
-		k.w.After(r.Back, func() { k.w.Ask(n, true) })
+		next := c.ask
+		next.Call.ID += "-r"
+		next.Call.Repeat = true
+		k.w.After(r.Back, func() { k.w.Ask(next, true) })
 	}
 }
 
+// checkEvent checks one event of an answer.
 func (k *Checker) checkEvent(f *attempt, e standin.Event) {
 	c := f.call
 	if c.finished {
@@ -560,6 +564,7 @@
 	k.Seen.Events++
 }
 
+// finishCall records a complete answer.
 func (k *Checker) finishCall(f *attempt) {
 	f.call.finished = true
 	k.Seen.Answered++
@@ -568,6 +573,7 @@
 	}
 }
 
+// routerStopped ends the open requests of a router that stopped.
 func (k *Checker) routerStopped(name string) {
 	for _, c := range k.calls {
 		if c.router == name && !c.finished {
@@ -577,50 +583,50 @@
 	}
 }
 
-// again lets a caller whose request broke ask once more under the same id, at any router,
-// though it may have run: some say that they do, some do not.
+// maybeRepeat lets some callers repeat an interrupted request once under the same ID, at any router, although the
+// request may have run. About half of them mark the request as a repeat.
 func (k *Checker) maybeRepeat(c *call) {
 	if c.ask.Call.Again || c.callerRepeat || k.w.Again == 0 || k.w.rand.Float64() >= k.w.Again {
 		return
 	}
-	n := c.ask
-	n.Call.Repeat = k.w.rand.IntN(2) == 0
+	next := c.ask
+	next.Call.Repeat = k.w.rand.IntN(2) == 0
 	k.Seen.CallerRepeats++
-	k.w.After(clock.Span(k.w.rand.Int64N(800e6)), func() { k.w.Ask(n, n.Call.Repeat); k.calls[len(k.calls)-1].callerRepeat = true })
+	k.w.After(clock.Span(k.w.rand.Int64N(800e6)), func() { k.w.Ask(next, next.Call.Repeat); k.calls[len(k.calls)-1].callerRepeat = true })
 }
 
-// needless tells whether a request is dropped that could have been served just then: its router
-// holds its link, and a healthy server that it reaches has held the key for long and has room.
-func (k *Checker) couldBeServed(who string, c *call) bool {
+// couldBeServed reports whether a request that is dropped could have been served: its router has a valid lease, and
+// a reachable healthy server has held the model for more than 6 s and has at least half of its slots free.
+func (k *Checker) couldBeServed(routerName string, c *call) bool {
 	w := k.w
-	p := w.procs[who]
+	p := w.procs[routerName]
 	if _, _, held := p.core.(*router.Core).Rules(p.tick(w.now)); !held || w.now < p.frozenUntil {
 		return false
 	}
 	key := ident.KeyOf(c.ask.Call.Base, c.ask.Call.Extra)
 	for _, n := range w.order {
 		s := w.procs[n]
-		v, ok := s.core.(*standin.Server)
+		server, ok := s.core.(*standin.Server)
 		if !ok || !s.up || w.now < s.frozenUntil || k.emptySince(s.zone) != 0 || w.cuts[[2]string{p.box, s.box}] || w.cuts[[2]string{s.box, p.box}] {
 			continue
 		}
 		if _, gone := k.gone[n]; gone {
 			continue
 		}
-		if age, ok := v.Since(key); ok && age > 6e9 && v.Active() < w.o.Slots/2 {
+		if age, ok := server.Since(key); ok && age > 6e9 && server.Active() < w.o.Slots/2 {
 			return true
 		}
 	}
 	return false
 }
 
-// Fault notes that a server is leaving, gone or dark from now on.
+// Fault records that a server is leaving, stopped or unreachable from now on.
 func (k *Checker) Fault(server string) { k.gone[server] = k.w.now }
 
-// Mend notes that it is back.
+// Mend records that a server is available again.
 func (k *Checker) Mend(server string) { delete(k.gone, server) }
 
-// Finish draws up what a run saw, and the lines that hold for a run as a whole.
+// Finish checks the conditions on the run as a whole and returns its measurements.
 func (k *Checker) Finish() Seen {
 	s := &k.Seen
 	for _, c := range k.calls {
@@ -630,7 +636,7 @@
 		}
 		switch {
 		case !c.finished && k.w.now.Sub(c.askedAt) > 45e9:
-			k.bad("%s never got its final answer", c.ask.Call.ID)
+			k.bad("%s got no final answer within 45 s", c.ask.Call.ID)
 		case c.finished && c.outcome != "":
 			s.Kinds[c.outcome]++
 			switch {
@@ -648,40 +654,40 @@
 	if n := float64(s.Retries); k.w.host == nil && n > maxRetryShare*float64(s.Firsts) {
 		k.bad("%d retries to %d first goes", s.Retries, s.Firsts)
 	}
-	// What callers themselves repeat comes out of the same allowance: routers let in only so many.
-	in := 0
+	// Callers' repeats count against the same allowance, since routers admit only a limited number.
+	admittedRepeats := 0
 	for _, c := range k.calls {
 		if c.repeat && c.outcome != string(failure.Spent) && c.sends > 0 {
-			in++
+			admittedRepeats++
 		}
 	}
-	if n := float64(s.Retries + in); k.w.host == nil && n > maxRetryShare*float64(s.Firsts) {
-		k.bad("%d retries and repeats to %d first goes", s.Retries+in, s.Firsts)
+	if n := float64(s.Retries + admittedRepeats); k.w.host == nil && n > maxRetryShare*float64(s.Firsts) {
+		k.bad("%d retries and repeats to %d first goes", s.Retries+admittedRepeats, s.Firsts)
 	}
 	if k.w.host != nil {
 		k.checkHostedRun()
 	} else {
 		k.checkRetryWindows()
 	}
-	// What is dropped must follow from the servers and the room that a scene leaves.
+	// Requests may be dropped only for lack of available servers or capacity.
 	if float64(s.NeedlessDrops) > 0.01*float64(s.Asked) && !k.disksLost {
 		k.bad("%d of %d requests were dropped though a server could have served them", s.NeedlessDrops, s.Asked)
 	}
 	k.checkHistory()
-	// Every epoch is one change: more epochs than changes means that one was redone.
-	most := ident.Epoch(0)
+	// Each epoch is one change. More epochs than changes mean that a change was applied twice.
+	maxEpoch := ident.Epoch(0)
 	for _, x := range k.states {
 		if x.rejectedAt == 0 {
-			most = max(most+1, x.number)
+			maxEpoch = max(maxEpoch+1, x.number)
 		}
 	}
-	if n := k.newest(k.w.now); n != nil && !k.disksLost && n.epoch > most {
-		k.bad("epoch %d was reached by %d changes", n.epoch, most)
+	if n := k.newest(k.w.now); n != nil && !k.disksLost && n.epoch > maxEpoch {
+		k.bad("epoch %d was reached by %d changes", n.epoch, maxEpoch)
 	}
-	st := k.w.store.Counts()
-	s.Pulls = st.Pulls
-	if st.Over > 0 {
-		k.bad("loads outran the store: %d pulls beyond its budget", st.Over)
+	storeCounts := k.w.store.Counts()
+	s.Pulls = storeCounts.Pulls
+	if storeCounts.Over > 0 {
+		k.bad("loads outran the store: %d pulls exceeded its budget", storeCounts.Over)
 	}
 	k.addProcessCounts()
 	if k.healed != 0 && (s.Recovery == 0 || s.Recovery > maxRecovery) {
@@ -690,7 +696,7 @@
 	return *s
 }
 
-// sumCounts adds up what the processes counted themselves.
+// addProcessCounts adds the processes' own counters to the measurements and checks their limits.
 func (k *Checker) addProcessCounts() {
 	s := &k.Seen
 	for _, n := range k.w.order {
@@ -705,7 +711,7 @@
 				k.bad("%s was flooded while cold: %d at once on %d slots", n, t.PeakCold, k.w.o.Slots)
 			}
 			if c.Used() > k.w.room(n) {
-				k.bad("%s holds more than its room", n)
+				k.bad("%s uses more memory than it has", n)
 			}
 		case *router.Core:
 			t := c.Counts()
@@ -723,7 +729,7 @@
 	}
 }
 
-// String gives the seen figures in a line.
+// String formats the measurements as one line.
 func (s Seen) String() string {
 	var l []string
 	for k := range s.Kinds {
--- a/internal/simulator/deployment.go
+++ b/internal/simulator/deployment.go
@@ -12,20 +12,20 @@
 	"tidedeck/internal/protocol"
 )
 
-// Deployment is where a world's core nodes are, and how many of them may be lost at once.
+// Deployment describes where a world's core nodes run and how many may fail at the same time.
 type Deployment struct {
-	Nodes   int
-	Losses  int
-	Regions int
-	RegionDelay clock.Span // from one region to another, one way
-	Zones   int
-	ByZone  bool // those that are lost at once are all of one zone
+	Nodes       int
+	Losses      int
+	Regions     int
+	RegionDelay clock.Span // extra one-way delay between regions
+	Zones       int
+	ByZone      bool // nodes that fail at the same time are all in one zone
 }
 
-// formingSeats is how many core nodes a core forms of; further ones join it.
+// initialCoreNodes is the number of core nodes that form the initial core. Further nodes join later.
 const formingSeats = 3
 
-// drawDeployment draws a deployment from a seed. Zones are spread over the regions, nodes over the zones.
+// randomDeployment returns a random deployment. Zones are spread over the regions, and nodes over the zones.
 func drawDeployment(seed uint64) *Deployment {
 	draw := rand.New(rand.NewPCG(seed, 7))
 	d := &Deployment{Nodes: []int{3, 5, 7}[draw.IntN(3)], Zones: 3, Regions: 1 + draw.IntN(3)}
@@ -41,7 +41,7 @@
 	return d
 }
 
-// fiveVoters is a deployment that bears the loss of any two of its five core nodes.
+// fiveNodeDeployment returns a deployment of five core nodes that tolerates the loss of any two.
 func fiveVoters(seed uint64) *Deployment {
 	d := drawDeployment(seed)
 	d.Nodes, d.Losses, d.ByZone = 5, 2, false
@@ -56,30 +56,30 @@
 	return fmt.Sprintf("%d core nodes in %d regions, %v apart, %d %s may be lost", d.Nodes, d.Regions, d.RegionDelay, d.Losses, kind)
 }
 
-// seat is the place of one core node in a deployment; nodes in it follow one another.
+// seat is the position of a core node in a deployment. A replacement node takes over its predecessor's seat.
 type seat struct {
 	node      string
 	zone      ident.Zone
-	lostUntil clock.Tick // until when it counts as lost
-	replacing bool       // a new node is there for it, and the old one not stopped yet
+	lostUntil clock.Tick // time until which the node counts as lost
+	replacing bool       // the replacement has started, and the old node has not stopped yet
 }
 
-// stillDown is the end of a loss that has not ended yet.
+// noEnd marks a loss whose end is not known yet.
 const stillDown = clock.Tick(math.MaxInt64)
 
-// coreFleet is the core nodes of a world with a deployment.
+// coreFleet holds the core nodes of a world with a deployment.
 type coreFleet struct {
 	*Deployment
-	seats   []*seat
-	stopped []*seat        // stopped for good, which count as lost beside the seats
-	nodesNamed   int            // nodes named so far
-	region  map[string]int // of each machine
-	changed clock.Tick     // when a core node last started, stopped or was cut off
-	started map[string]clock.Tick
-	removed map[string]clock.Tick // when nodes were gone for good
+	seats      []*seat
+	stopped    []*seat        // nodes stopped for good, which count as lost in addition to the seats
+	nodesNamed int            // number of node names used so far
+	region     map[string]int // by machine name
+	changed    clock.Tick     // when a core node last started, stopped or was disconnected
+	started    map[string]clock.Tick
+	removed    map[string]clock.Tick // when nodes were removed for good
 }
 
-// controller sets the options of a core node as the hosted program does.
+// setControllerOptions sets the options of a core node as the hosted program does.
 func (d *Deployment) setControllerOptions(o *controller.Options, timing controller.Timing) {
 	o.Duty, o.Round, o.Tenure, o.Warm, o.Voters = timing.Duty(), timing.Duty()/4, timing.Tenure, true, 2*d.Losses+1
 	o.Regions = map[ident.Zone]string{}
@@ -90,10 +90,10 @@
 
 func zoneName(i int) ident.Zone { return ident.Zone(fmt.Sprintf("z%c", 'a'+i)) }
 
-// regionOf tells in which region a zone is.
+// regionOf returns the region of a zone.
 func (d *Deployment) regionOf(zone int) int { return zone % d.Regions }
 
-// layCore lays out a deployment's core nodes.
+// addCoreNodes creates a deployment's core nodes.
 func (w *World) addCoreNodes(d *Deployment) {
 	w.core = &coreFleet{Deployment: d, region: map[string]int{}, started: map[string]clock.Tick{}, removed: map[string]clock.Tick{}}
 	seeds := w.seeds()
@@ -103,7 +103,7 @@
 	}
 }
 
-// seatNode adds a new core node, which is not started yet, in a seat.
+// addNodeToSeat adds a new core node to a seat without starting it.
 func (w *World) seatNode(s *seat, seeds []protocol.Sibling) {
 	f := w.core
 	f.nodesNamed++
@@ -112,7 +112,7 @@
 	w.addController(s.node, s.zone, seeds)
 }
 
-// distance is how much longer a message takes between machines of two regions.
+// regionDelay returns the extra delay of a message between two machines.
 func (w *World) regionDelay(a, b string) clock.Span {
 	if w.core == nil || w.core.region[a] == w.core.region[b] {
 		return 0
@@ -120,7 +120,7 @@
 	return w.core.RegionDelay
 }
 
-// remove forgets a process that is gone for good.
+// removeProcess removes a process for good.
 func (w *World) remove(name string) {
 	w.Kill(name)
 	w.core.removed[name] = w.now
@@ -133,7 +133,7 @@
 	}
 }
 
-// upSeeds are the addresses of the core nodes that are up.
+// runningSeeds returns the addresses of the running core nodes.
 func (w *World) upSeeds() (l []protocol.Sibling) {
 	for _, p := range w.controllers() {
 		l = append(l, protocol.Sibling{Addr: p.name})
@@ -141,7 +141,7 @@
 	return l
 }
 
-// someUp draws a core node that is up.
+// randomRunningNode returns a random running core node, or any core node if none is running.
 func (w *World) someUp() string {
 	l := w.controllers()
 	if len(l) == 0 {
@@ -150,7 +150,7 @@
 	return l[w.rand.IntN(len(l))].name
 }
 
-// voterSets gives the voter set that a core node knows, and the one that it is leaving.
+// voterSets returns the voter set that a core node knows, and the prior set during a joint configuration.
 func (w *World) voterSets(p *proc) (voters, prior []protocol.Voter) {
 	const token = 1 << 61
 	for _, o := range p.core.Step(p.tick(w.now), controller.Admin{Op: "nodes", Token: token}) {
@@ -165,7 +165,7 @@
 	return voters, prior
 }
 
-// coreStarted notes that a core node starts.
+// noteCoreStart records the start of a core node.
 func (w *World) coreStarted(name string) {
 	if w.core != nil && strings.HasPrefix(name, "controller-") {
 		w.core.changed = w.now
@@ -173,7 +173,7 @@
 	}
 }
 
-// coreStopped notes that a core node stops.
+// noteCoreStop records the stop of a core node.
 func (w *World) noteCoreStop(name string) {
 	if w.core != nil && strings.HasPrefix(name, "controller-") {
 		w.core.changed = w.now
--- a/internal/simulator/history.go
+++ b/internal/simulator/history.go
@@ -10,16 +10,16 @@
 	"tidedeck/internal/history"
 )
 
-// historyTime bounds the check of a run's history, on the wall clock.
+// historyCheckTimeout limits the wall-clock time for checking a run's history.
 const historyCheckTimeout = 60 * time.Second
 
-// historyKinds tells which operators' requests are operations of the plan register.
+// historyKinds maps operators' requests to operations on the plan register.
 var historyKinds = map[string]history.Kind{
 	"put": history.Put, "patch": history.Patch, "get": history.Read,
 	"empty": history.Touch, "refill": history.Touch, "windows": history.Touch,
 }
 
-// record notes an operator's request in the history, and gives what takes its answer.
+// recordOperation records an operator's request in the history and returns a function that records its reply.
 func (w *World) recordOperation(node string, a controller.Admin) func(controller.Receipt) {
 	kind, ok := historyKinds[a.Op]
 	if !ok {
@@ -40,36 +40,36 @@
 			pending.Invalid(at)
 		case r.Kind == failure.Unclear:
 			pending.Unclear()
-		default: // not ready, or full: nothing was begun
+		default: // not ready or full: the request was not started
 			pending.Dropped()
 		}
 	}
 }
 
-// finishHistory holds all that operators and readers saw against one register.
+// checkHistory checks that all that operators and readers observed is consistent with a single register.
 func (k *Checker) checkHistory() {
 	operations := k.history.History()
-	if k.disksLost { // what was confirmed before the disks were lost may be gone
+	if k.disksLost { // changes confirmed before the disks were lost may be gone
 		operations = history.Before(operations, int64(k.disksLostAt))
 	}
 	result := history.Check(operations, mergePatch, historyCheckTimeout)
 	k.Seen.Operations = result.Operations
-	k.Bad = k.Bad[:min(len(k.Bad), maxViolations-1)] // what it finds is told, however much else was
+	k.Bad = k.Bad[:min(len(k.Bad), maxViolations-1)] // leaves space for this check's result
 	switch result.Verdict {
 	case history.Violated:
-		k.bad("operators' history fits no order: %s", result.Why)
+		k.bad("operators' history is not linearizable: %s", result.Why)
 	case history.Unknown:
-		k.bad("operators' history is not checked: %s", result.Why)
+		k.bad("operators' history could not be checked: %s", result.Why)
 	}
 }
 
-// mergeBytes merges a patch as core nodes do.
+// mergePatch applies a JSON merge patch as core nodes do.
 func mergePatch(plan, patch []byte) ([]byte, bool) {
 	merged, err := jsonpatch.MergePatch(plan, patch)
 	return merged, err == nil
 }
 
-// loosen notes that every core disk is lost from now on.
+// markDisksLost records that all core disks are lost from now on.
 func (k *Checker) loosen() {
 	if !k.disksLost {
 		k.disksLost, k.disksLostAt = true, k.w.now
--- a/internal/simulator/hosted.go
+++ b/internal/simulator/hosted.go
@@ -15,27 +15,28 @@
 	"tidedeck/internal/standin"
 )
 
-// Hosted is the mode in which servers announce themselves to the core and check no fence.
+// Hosted configures the mode in which servers announce themselves to the core and do not check fencing
+// numbers.
 type Hosted struct {
-	Timing    controller.Timing
-	Batch     int        // batch servers
-	Plain     int        // servers of the plain service
-	ContactTime   clock.Span // a machine without trouble for so long is in touch
-	Tenure    clock.Span // owners may not take turns at a server within it
-	Reuse     clock.Span // an address is used again after so long
-	ThawAllowance      clock.Span // orders that arrive so soon after trouble ended are not counted
-	ReportLag clock.Span
-	LateOdds  float64 // that an announcement comes again, late
-	MaxAnnouncementDelay    clock.Span
-	OrderLoss float64 // that the answer to an order gets lost, or an order comes late
-	OrderGone float64 // that an order gets lost before it comes
-	RetryMargin      float64 // arrivals beyond the first that the fleet may come to in ten seconds, whatever is asked
-	Shift     clock.Span
-	Nameless  float64  // of the requests to servers with models, the part that names none
-	Keys      []string // that callers show, by turns; none if it is empty
-}
-
-// HostedDefaults are what a deployment asks for as a rule.
+	Timing               controller.Timing
+	Batch                int        // number of batch servers
+	Plain                int        // number of servers of the plain service
+	ContactTime          clock.Span // time without faults after which a machine counts as connected
+	Tenure               clock.Span // within this time, no owner may order a server again after another owner has
+	Reuse                clock.Span // time after which an address may be reused
+	ThawAllowance        clock.Span // orders that arrive within this time after a fault ended are not checked
+	ReportLag            clock.Span
+	LateOdds             float64 // probability that an announcement arrives a second time, late
+	MaxAnnouncementDelay clock.Span
+	OrderLoss            float64 // probability that the answer to an order is lost or the order arrives late
+	OrderGone            float64 // probability that an order is lost
+	RetryMargin          float64 // retries and repeats that the fleet may send within 10 s regardless of traffic
+	Shift                clock.Span
+	Nameless             float64  // share of requests to servers with models that name no model
+	Keys                 []string // credentials that callers use at random; if empty, they use none
+}
+
+// HostedDefaults returns the usual settings of a deployment.
 func HostedDefaults() *Hosted {
 	return &Hosted{
 		Timing: controller.Timing{Apply: 2000e6, Drain: 2000e6, CatchUp: 4000e6, Period: 1200e6, Rate: 5e9},
@@ -43,17 +44,20 @@
 	}
 }
 
+// setControllerOptions sets the options of a core node.
 func (h *Hosted) setControllerOptions(o *controller.Options, joined bool) {
 	o.Hold, o.Spare, o.Silence, o.Rate, o.Tenure = h.Timing.Hold(), h.Timing.Spare(), h.Timing.Silence(), h.Timing.Rate, h.Tenure
 	o.Read, o.Enrolled, o.Unfenced, o.Joined, o.Platform = (&fleetplan.Memo{Read: ReadHostedPlan}).Plan, true, true, joined, ""
 }
 
+// setRouterOptions sets the options of a router.
 func (h *hosting) setRouterOptions(o *router.Options, z ident.Zone) {
 	x := h.w.o.Hosted
 	o.Read, o.Zone, o.Free, o.Guards, o.Lend, o.Window, o.Share = ReadHostedPlan, z, true, true, x.RetryMargin*0.6, 10e9, 0.16
 	o.LendAgain, o.Save = x.RetryMargin*0.4, 2500e6
 }
 
+// parsePlan parses a plan in the format of the world's mode.
 func (w *World) parsePlan(raw []byte) (*fleetplan.Plan, fleetplan.Faults) {
 	if w.o.Hosted != nil {
 		return ReadHostedPlan(raw)
@@ -61,11 +65,12 @@
 	return fleetplan.ReadPlan(raw)
 }
 
+// workCounter is implemented by all simulated servers.
 type workCounter interface{ Counts() standin.ServerTally }
 
-// machine is where servers of one service start, one after another; its disk stays.
+// machine runs servers of one service, one at a time. Its disk outlives them.
 type machine struct {
-	index       int
+	index   int
 	box     string
 	zone    ident.Zone
 	service string
@@ -75,37 +80,38 @@
 	now     *announcedServer
 }
 
-// announcing is one life of a server that announces itself.
+// announcedServer is one life of a server that announces itself.
 type announcedServer struct {
 	protocol.Beacon
-	on     *machine
-	proc      *proc
-	leavingSince   clock.Tick // since when it says that it is leaving
-	acked  clock.Tick // when that was first acknowledged
-	leaveAckedInTouchAt   clock.Tick // when it was, by a core node in touch
-	leaveAckReceived  bool       // and when it heard of it
-	ending bool
-	ended  bool
+	on                  *machine
+	proc                *proc
+	leavingSince        clock.Tick // when the server began to announce that it is leaving
+	acked               clock.Tick // when a core node first acknowledged this
+	leaveAckedInTouchAt clock.Tick // when a connected core node first acknowledged this
+	leaveAckReceived    bool       // the server has received the acknowledgement
+	ending              bool
+	ended               bool
 }
 
+// storeLoad is a load from the model store.
 type storeLoad struct {
-	at      clock.Tick
+	at            clock.Tick
 	coreWasStable bool
 }
 
-// hosting is the platform side of a world of announced servers.
+// hosting simulates the platform in a world of announced servers.
 type hosting struct {
-	w        *World
-	plan     *fleetplan.Plan
-	machines []*machine
-	addrs    map[string]*proc
-	byProcess       map[string]*announcedServer // by process
-	pendingAnnouncements    map[uint64]func(node *proc, ok bool)
+	w                    *World
+	plan                 *fleetplan.Plan
+	machines             []*machine
+	addrs                map[string]*proc
+	byProcess            map[string]*announcedServer // by process name
+	pendingAnnouncements map[uint64]func(node *proc, ok bool)
 	lastAnnouncement     uint64
-	activeLoads    int // under way from the store
-	storeLoads    []storeLoad
-	freeAddrs     []string // addresses that may be used again
-	addrCount     int
+	activeLoads          int // loads from the store in progress
+	storeLoads           []storeLoad
+	freeAddrs            []string // addresses that may be reused
+	addrCount            int
 }
 
 func newHosting(w *World) *hosting {
@@ -122,52 +128,53 @@
 	return h
 }
 
-// initial places the busiest models on many servers and each other one on one, as room permits.
-func (h *hosting) initialModels(m *machine) (l []ident.Key) {
-	v := h.plan.Services[m.service]
-	if v.Plain {
+// initialModels returns the models that a machine's first server holds: one of the two busiest, and every other model
+// on one server, as far as its memory permits.
+func (h *hosting) initialModels(m *machine) (models []ident.Key) {
+	service := h.plan.Services[m.service]
+	if service.Plain {
 		return nil
 	}
-	room := v.Room
+	room := service.Room
 	add := func(i int) {
 		k := ident.Key(baseName(i)).In(m.service)
 		if x, ok := h.plan.Models[k]; ok && x.Size <= room {
 			room -= x.Size
-			l = append(l, k)
+			models = append(models, k)
 		}
 	}
 	add(m.index % 2)
 	for i := 2 + m.index; i < len(h.plan.Models); i += h.w.o.Hosted.Batch {
 		add(i)
 	}
-	return l
+	return models
 }
 
-// address gives a server that starts an address, now and then one that another had.
+// newAddress returns an address for a new server. Half of the time it reuses one if any is free.
 func (h *hosting) newAddress() string {
 	if n := len(h.freeAddrs); n > 0 && h.w.rand.IntN(2) == 0 {
-		a := h.freeAddrs[0]
+		addr := h.freeAddrs[0]
 		h.freeAddrs = h.freeAddrs[1:]
-		return a
+		return addr
 	}
 	h.addrCount++
 	return fmt.Sprintf("address-%d", h.addrCount)
 }
 
-// start begins a new life of a server on a machine, with an id of its own.
+// startServer starts a new server with a new ID on a machine.
 func (h *hosting) startServer(m *machine, held []ident.Key) {
 	w := h.w
 	m.life++
 	m.addr = h.newAddress()
 	name := fmt.Sprintf("server-%d.%d", m.index+1, m.life)
-	v := h.plan.Services[m.service]
+	service := h.plan.Services[m.service]
 	skew, rate := w.randomClock()
 	p := &proc{name: name, box: m.box, zone: m.zone, tickInterval: 10e6, clockOffset: skew, clockRate: rate, server: ident.Server(name)}
 	p.newCore = func() processCore {
-		return standin.NewBatch(standin.BatchOptions{ID: p.server, Service: m.service, Plain: v.Plain, Slots: v.Slots, Room: v.Room, Places: v.Places,
+		return standin.NewBatch(standin.BatchOptions{ID: p.server, Service: m.service, Plain: service.Plain, Slots: service.Slots, Room: service.Room, Places: service.Places,
 			Lag: w.o.Hosted.ReportLag, Held: held, Disk: m.disk, Weight: func(k ident.Key) int { return h.plan.Models[k].Size }, Load: h.loadTime})
 	}
-	a := &announcedServer{Beacon: protocol.Beacon{Listed: protocol.Listed{ID: p.server, Addr: m.addr, Zone: m.zone, State: "live", Service: m.service, Slots: v.Slots}}, on: m, proc: p}
+	a := &announcedServer{Beacon: protocol.Beacon{Listed: protocol.Listed{ID: p.server, Addr: m.addr, Zone: m.zone, State: "live", Service: m.service, Slots: service.Slots}}, on: m, proc: p}
 	m.now = a
 	h.addrs[m.addr] = p
 	h.byProcess[name] = a
@@ -176,7 +183,7 @@
 	h.announcePeriodically(a)
 }
 
-// load tells how long a load takes; those from the store are counted.
+// loadTime returns how long a load takes, and records loads from the store, which slow each other down.
 func (h *hosting) loadTime(k ident.Key, disk bool) clock.Span {
 	if k.IsAdapter() {
 		return 20e6
@@ -195,9 +202,11 @@
 	return d
 }
 
-func (h *hosting) noteLoaded(p *proc, v standin.LoadDone) { h.w.tracef("%s: %s is loaded", p.name, v.Key) }
+func (h *hosting) noteLoaded(p *proc, v standin.LoadDone) {
+	h.w.tracef("%s: %s is loaded", p.name, v.Key)
+}
 
-// beat announces a server every while.
+// announcePeriodically announces a server at intervals until it ends.
 func (h *hosting) announcePeriodically(a *announcedServer) {
 	w := h.w
 	if !a.proc.up || a.ended {
@@ -211,7 +220,8 @@
 	w.After(w.o.Hosted.Timing.Period*9/10+clock.Span(w.rand.Int64N(int64(w.o.Hosted.Timing.Period/5))), func() { h.announcePeriodically(a) })
 }
 
-// announce says a server's word to one core node after another until one acknowledges it.
+// announce sends a server's announcement to random core nodes, one at a time, until one acknowledges it or all tries
+// are used.
 func (h *hosting) announce(a *announcedServer, tries int, then func(ok bool)) {
 	w := h.w
 	if !a.proc.up {
@@ -230,7 +240,7 @@
 	}
 	to := w.procs[nodes[w.rand.IntN(len(nodes))]]
 	done := false
-	end := func(ok bool) {
+	finish := func(ok bool) {
 		if done {
 			return
 		}
@@ -241,15 +251,16 @@
 		}
 		then(ok)
 	}
-	w.After(1e9, func() { end(false) })
-	h.sendAnnouncement(a, to, b, end)
+	w.After(1e9, func() { finish(false) })
+	h.sendAnnouncement(a, to, b, finish)
 	if w.rand.Float64() < w.o.Hosted.LateOdds {
 		late := w.procs[nodes[w.rand.IntN(len(nodes))]]
 		w.After(clock.Span(w.rand.Int64N(int64(w.o.Hosted.MaxAnnouncementDelay))), func() { h.sendAnnouncement(a, late, b, func(bool) {}) })
 	}
 }
 
-func (h *hosting) sendAnnouncement(a *announcedServer, to *proc, b protocol.Beacon, end func(ok bool)) {
+// sendAnnouncement sends an announcement to one core node.
+func (h *hosting) sendAnnouncement(a *announcedServer, to *proc, b protocol.Beacon, finish func(ok bool)) {
 	w := h.w
 	h.lastAnnouncement++
 	token := h.lastAnnouncement
@@ -266,14 +277,14 @@
 		if w.cuts[[2]string{to.box, a.on.box}] {
 			return
 		}
-		w.After(w.delay(), func() { end(ok) })
+		w.After(w.delay(), func() { finish(ok) })
 	}
 	if w.cuts[[2]string{a.on.box, to.box}] || w.rand.Float64() < w.o.Loss {
 		return
 	}
 	w.After(w.delay(), func() {
 		if !to.up {
-			w.After(w.delay(), func() { end(false) })
+			w.After(w.delay(), func() { finish(false) })
 			return
 		}
 		w.step(to, to.life, controller.Announce{Token: token, Beacon: b})
@@ -287,7 +298,8 @@
 	}
 }
 
-// leave makes a server say that it is leaving; with a span left it is gone after that, whatever it runs.
+// startLeaving makes a server announce that it is leaving. If left is positive, the server ends after that time
+// even if it still runs requests.
 func (h *hosting) leave(m *machine, left clock.Span, again clock.Span) {
 	w, a := h.w, m.now
 	if a == nil || !a.proc.up || a.State != "live" {
@@ -298,20 +310,20 @@
 	if left > 0 {
 		w.After(left, func() { h.endServer(a, again) })
 	}
-	w.After(6e9, func() { // it ends all the same
+	w.After(6e9, func() { // end even without an acknowledgement
 		if !a.ending {
 			h.endServer(a, again)
 		}
 	})
 	a.on.now = a
 	h.announce(a, 5, func(ok bool) { h.noteLeaveAck(a, ok) })
-	var look func()
-	look = func() { // it goes on for a while after it heard the acknowledgement
+	var waitForAck func()
+	waitForAck = func() { // keep serving for a while after the acknowledgement
 		if a.ended || left > 0 {
 			return
 		}
 		if !a.leaveAckReceived {
-			w.After(20e6, look)
+			w.After(20e6, waitForAck)
 			return
 		}
 		w.After(w.o.Hosted.Timing.Drain+300e6, func() {
@@ -324,7 +336,7 @@
 			w.After(300e6, func() { h.endServer(a, again) })
 		})
 	}
-	look()
+	waitForAck()
 }
 
 func (h *hosting) noteLeaveAck(a *announcedServer, ok bool) {
@@ -333,7 +345,8 @@
 	}
 }
 
-// end ends a server; another one starts on its machine after a while, empty and under a new id.
+// endServer ends a server. If again is positive, a server without models and with a new ID starts on its machine after
+// that time.
 func (h *hosting) endServer(a *announcedServer, again clock.Span) {
 	if a.ended {
 		return
@@ -348,7 +361,7 @@
 	}
 }
 
-// crash ends a server without a word.
+// crashServer ends a server without an announcement.
 func (h *hosting) crash(m *machine, again clock.Span) {
 	if m.now != nil && m.now.proc.up && !m.now.ended {
 		h.w.tracef("%s crashes", m.now.ID)
@@ -356,14 +369,14 @@
 	}
 }
 
-// ask carries an order, or a question, to a server.
-func (h *hosting) deliverAsk(p *proc, a protocol.Ask, tell func(ok bool, code int, b []byte)) {
+// deliverAsk delivers an order or a request for a report to a server.
+func (h *hosting) deliverAsk(p *proc, a protocol.Ask, reply func(ok bool, code int, b []byte)) {
 	w := h.w
 	o, ok := a.Body.(protocol.Order)
 	if !ok || a.Path != "/orders" {
 		return
 	}
-	at := w.now
+	sentAt := w.now
 	s := w.procAt(a.Addr)
 	if s == nil || w.cuts[[2]string{p.box, s.box}] {
 		return
@@ -378,22 +391,22 @@
 	if lost == 1 {
 		return
 	}
-	d := w.delay()
+	delay := w.delay()
 	if lost == 3 {
-		d += clock.Span(100e6 + w.rand.Int64N(450e6)) // it comes late
+		delay += clock.Span(100e6 + w.rand.Int64N(450e6)) // the order arrives late
 	}
-	w.After(d, func() {
+	w.After(delay, func() {
 		s := w.procAt(a.Addr)
 		if s == nil || !s.up {
-			w.After(w.delay(), func() { tell(false, 0, nil) })
+			w.After(w.delay(), func() { reply(false, 0, nil) })
 			return
 		}
-		if w.now.Sub(at) > a.Wait {
-			return // its connection was closed
+		if w.now.Sub(sentAt) > a.Wait {
+			return // the sender has closed the connection
 		}
 		v := s.core.(*standin.Batch)
-		if a.Server != s.server && o.Op != "" { // reports are given whoever is asked for one
-			w.After(w.delay(), func() { tell(true, http.StatusMisdirectedRequest, nil) })
+		if a.Server != s.server && o.Op != "" { // servers answer requests for a report even if addressed to another server
+			w.After(w.delay(), func() { reply(true, http.StatusMisdirectedRequest, nil) })
 			return
 		}
 		for _, x := range v.Step(s.tick(w.now), standin.BatchOrder{Order: o}) {
@@ -412,12 +425,12 @@
 			if r.Code != http.StatusOK || o.Op != "" {
 				b = nil
 			}
-			w.After(w.delay(), func() { tell(true, r.Code, b) })
+			w.After(w.delay(), func() { reply(true, r.Code, b) })
 		}
 	})
 }
 
-// at finds what listens at an address.
+// procAt returns the process that listens at an address, or nil.
 func (w *World) procAt(addr string) *proc {
 	if w.host != nil {
 		if p := w.host.addrs[addr]; p != nil {
@@ -427,10 +440,10 @@
 	return w.procs[addr]
 }
 
-// again tells whether a request of these scenes may run more than once.
+// isRepeatable reports whether a request may run more than once.
 func isRepeatable(a standin.Ask) bool { return strings.Contains(a.Route, "/idem/") }
 
-// mix draws the requests of a scene.
+// requestSource returns a generator of random requests.
 func (w *World) mix() func() standin.Ask {
 	if w.host == nil {
 		m := standin.NewMix(w.plan, w.o.Seed)
@@ -442,7 +455,7 @@
 		n++
 		at := 0
 		if s := w.o.Hosted.Shift; s > 0 {
-			at = int(clock.Span(w.now) / s) // which models are asked for moves
+			at = int(clock.Span(w.now) / s) // the popular models change over time
 		}
 		a := standin.Ask{Route: []string{"/flow/x", "/idem/x", "/once/x", "/plain/idem/x", "/plain/once/x"}[w.rand.IntN(5)]}
 		c := &a.Call
@@ -476,34 +489,36 @@
 	}
 }
 
-// PutNumber hands a plan over that goes on another, under a number that the operator gives.
+// PutNumber submits a plan that builds on epoch on, under an epoch number chosen by the operator.
 func (w *World) PutNumber(node string, raw []byte, on, number ident.Epoch, then func(controller.Receipt)) {
 	w.change(node, controller.Admin{Op: "put", Raw: raw, Expect: on, Number: number, Change: fmt.Sprintf("put-%d-%d-%d", on, number, w.admin+1)}, then)
 }
 
-// harm is when machines and links between them were last in trouble.
+// disruptions records the latest faults of machines and of the links between them.
 type disruptions struct {
-	machines  map[string]clock.Tick
-	links map[[2]string]clock.Tick
-	coreAt clock.Tick
-	thawedAt map[string]clock.Tick // when machines were thawed, or will be
+	machines map[string]clock.Tick
+	links    map[[2]string]clock.Tick
+	coreAt   clock.Tick
+	thawedAt map[string]clock.Tick // when frozen machines resume, or resumed
 }
 
 func newDisruptions() disruptions {
 	return disruptions{machines: map[string]clock.Tick{}, thawedAt: map[string]clock.Tick{}, links: map[[2]string]clock.Tick{}}
 }
 
+// isCore reports whether a machine runs a core node.
 func isCore(box string) bool { return strings.HasPrefix(box, "controller-") }
 
-// upset notes trouble on a machine.
+// noteTrouble records a fault of a machine now.
 func (w *World) noteTrouble(box string) { w.noteTroubleAt(box, w.now) }
 
-// thaws notes that a machine is frozen until a moment.
+// noteFreeze records that a machine is frozen until the given time.
 func (w *World) noteFreeze(box string, at clock.Tick) {
 	w.disruptions.thawedAt[box] = at
 	w.noteTroubleAt(box, at)
 }
 
+// noteTroubleAt records a fault of a machine that lasts until the given time.
 func (w *World) noteTroubleAt(box string, at clock.Tick) {
 	w.disruptions.machines[box] = max(w.disruptions.machines[box], at)
 	if isCore(box) {
@@ -511,7 +526,7 @@
 	}
 }
 
-// parted notes trouble on a link.
+// noteLinkTrouble records a fault of a link now.
 func (w *World) noteLinkTrouble(a, b string) {
 	w.disruptions.links[[2]string{a, b}], w.disruptions.links[[2]string{b, a}] = w.now, w.now
 	if isCore(a) {
@@ -525,17 +540,18 @@
 	}
 }
 
-// settled tells whether the core was without trouble for a while.
+// coreStable reports whether a majority of the core is running and the core has been without faults for the contact
+// time.
 func (w *World) coreStable() bool {
 	if w.o.Hosted == nil || w.now.Sub(w.disruptions.coreAt) < w.o.Hosted.ContactTime {
 		return false
 	}
 	up := w.controllers()
-	all := 0
+	total := 0
 	for _, n := range w.order {
-		all += b2i(strings.HasPrefix(n, "controller-"))
+		total += b2i(strings.HasPrefix(n, "controller-"))
 	}
-	if 2*len(up) <= all {
+	if 2*len(up) <= total {
 		return false
 	}
 	for c := range w.cuts {
@@ -546,7 +562,8 @@
 	return true
 }
 
-// inTouch tells whether a process's machine was without trouble for a while, and the core with it.
+// inTouch reports whether both the core and a process's machine and links to the core have been without faults for
+// the contact time.
 func (w *World) inTouch(p *proc) bool {
 	if !p.up || w.now.Sub(w.disruptions.machines[p.box]) < w.o.Hosted.ContactTime || !w.coreStable() {
 		return false
@@ -559,7 +576,7 @@
 	return true
 }
 
-// linked tells whether the link between two machines was without trouble for a span.
+// linkStable reports whether the link between two machines has been without faults for the given time.
 func (w *World) linkStable(a, b string, s clock.Span) bool {
 	if w.cuts[[2]string{a, b}] || w.cuts[[2]string{b, a}] {
 		return false
@@ -568,7 +585,7 @@
 	return !ok || w.now.Sub(t) >= s
 }
 
-// live lists the machines whose servers are up and say that they stay.
+// liveMachines returns the machines whose servers are running and not leaving.
 func (h *hosting) liveMachines() (l []*machine) {
 	for _, m := range h.machines {
 		if m.now != nil && m.now.proc.up && m.now.State == "live" {
@@ -578,6 +595,7 @@
 	return l
 }
 
+// randomMachine returns a random machine with a live server, or the first machine if there is none.
 func (h *hosting) some() *machine {
 	if l := h.liveMachines(); len(l) > 0 {
 		return l[h.w.rand.IntN(len(l))]
--- a/internal/simulator/hosted_check.go
+++ b/internal/simulator/hosted_check.go
@@ -13,91 +13,91 @@
 	"tidedeck/internal/standin"
 )
 
-// handed is one order as it reached a server.
+// orderRecord records the arrival of an order at a server.
 type orderRecord struct {
 	at   clock.Tick
 	from string
 }
 
-// batchBooks is what the checkers keep of announced servers.
+// hostedRecords holds the checkers' records on announced servers.
 type hostedRecords struct {
-	owners map[ident.Duty]string
-	highestDuty   map[string]ident.Duty
-	orders  map[string][]orderRecord
-	arrivals  map[string][]launchRecord // by service
-	checkedAt clock.Tick
-	reported  map[string]bool
+	owners      map[ident.Duty]string
+	highestDuty map[string]ident.Duty
+	orders      map[string][]orderRecord
+	arrivals    map[string][]launchRecord // by service
+	checkedAt   clock.Tick
+	reported    map[string]bool
 }
 
 func newHostedRecords() hostedRecords {
 	return hostedRecords{owners: map[ident.Duty]string{}, highestDuty: map[string]ident.Duty{}, orders: map[string][]orderRecord{}, arrivals: map[string][]launchRecord{}, reported: map[string]bool{}}
 }
 
-// orderedBatch looks at an order as it reached a server that checks no fence.
+// checkHostedOrder checks an order on arrival at a server that does not check fencing numbers.
 func (k *Checker) checkHostedOrder(p, s *proc, o protocol.Order, r standin.BatchAnswer) {
-	w, b := k.w, &k.batch
+	w, records := k.w, &k.batch
 	w.tracef("%s: duty %d tells %s to %s %s (expects %d): %d", p.name, o.Duty, s.name, o.Op, o.Key, o.Expected, r.Code)
 	if r.Over {
 		k.bad("%s was ordered past its room or places by %s", s.name, o.Key)
 	}
 	if r.Code == 400 {
-		k.bad("%s was given an order that is none: %s %s", s.name, o.Op, o.Key)
+		k.bad("%s got an invalid order: %s %s", s.name, o.Op, o.Key)
 	}
 	if r.Code == 202 {
 		k.Seen.Orders++
 		if o.Op == "unload" {
 			k.Seen.Unloads++
-			for _, l := range w.Routers() {
-				if l.core.(*router.Core).Promises(l.tick(w.now), o.Key, s.server, 0) {
-					k.bad("%s was told to unload %s while %s held a promise on it", s.name, o.Key, l.name)
+			for _, orders := range w.Routers() {
+				if orders.core.(*router.Core).Promises(orders.tick(w.now), o.Key, s.server, 0) {
+					k.bad("%s was told to unload %s while %s held a promise on it", s.name, o.Key, orders.name)
 				}
 			}
 		}
 	} else {
 		k.Seen.OrdersRefused++
 	}
-	if was, ok := b.owners[o.Duty]; ok && was != p.name {
-		k.bad("two controllers, %s and %s, order under duty %d", was, p.name, o.Duty)
+	if owner, ok := records.owners[o.Duty]; ok && owner != p.name {
+		k.bad("two controllers, %s and %s, order under duty %d", owner, p.name, o.Duty)
 	}
-	b.owners[o.Duty] = p.name
+	records.owners[o.Duty] = p.name
 	if t, ok := w.disruptions.thawedAt[p.box]; ok && w.now.Sub(t) < w.o.Hosted.ThawAllowance || !w.linkStable(p.box, s.box, w.o.Hosted.ThawAllowance) {
-		return // what trouble held up is not counted
-	}
-	if o.Duty < b.highestDuty[s.name] {
-		k.bad("%s was given an order of duty %d after one of %d", s.name, o.Duty, b.highestDuty[s.name])
-	}
-	b.highestDuty[s.name] = max(b.highestDuty[s.name], o.Duty)
-	l := b.orders[s.name]
-	other := false
-	for i := len(l) - 1; i >= 0 && w.now.Sub(l[i].at) < w.o.Hosted.Tenure; i-- {
-		if l[i].from != p.name {
-			other = true
-		} else if other {
+		return // orders delayed by faults are not checked
+	}
+	if o.Duty < records.highestDuty[s.name] {
+		k.bad("%s was given an order of duty %d after one of %d", s.name, o.Duty, records.highestDuty[s.name])
+	}
+	records.highestDuty[s.name] = max(records.highestDuty[s.name], o.Duty)
+	orders := records.orders[s.name]
+	otherBetween := false
+	for i := len(orders) - 1; i >= 0 && w.now.Sub(orders[i].at) < w.o.Hosted.Tenure; i-- {
+		if orders[i].from != p.name {
+			otherBetween = true
+		} else if otherBetween {
 			k.bad("%s was ordered by %s, by another and by %s again within %v", s.name, p.name, p.name, w.o.Hosted.Tenure)
 			break
 		}
 	}
-	b.orders[s.name] = append(l, orderRecord{w.now, p.name})
+	records.orders[s.name] = append(orders, orderRecord{w.now, p.name})
 }
 
-// ceiling holds the loads that began at the store against its rate.
+// checkStoreRate checks that loads from the store begin no faster than its rate allows.
 func (k *Checker) checkStoreRate() {
-	h := k.w.host
+	hosted := k.w.host
 	rate := 0.0
-	for _, v := range h.plan.Services {
+	for _, v := range hosted.plan.Services {
 		rate += v.Loads
 	}
-	n := 0
-	for i := len(h.storeLoads) - 1; i >= 0 && k.w.now.Sub(h.storeLoads[i].at) <= 5e9; i-- {
-		n += b2i(h.storeLoads[i].coreWasStable)
+	begun := 0
+	for i := len(hosted.storeLoads) - 1; i >= 0 && k.w.now.Sub(hosted.storeLoads[i].at) <= 5e9; i-- {
+		begun += b2i(hosted.storeLoads[i].coreWasStable)
 	}
-	k.Seen.PeakStoreLoads = max(k.Seen.PeakStoreLoads, n)
-	if float64(n) > rate*5*1.1+3 {
-		k.bad("%d loads from the store began in 5 s, which bears %.1f a second", n, rate)
+	k.Seen.PeakStoreLoads = max(k.Seen.PeakStoreLoads, begun)
+	if float64(begun) > rate*5*1.1+3 {
+		k.bad("%d loads from the store began in 5 s, though it allows %.1f per second", begun, rate)
 	}
 }
 
-// reached looks at a request as it reached an announced server that did not refuse it as not its.
+// checkReached checks a request that reached the announced server that it is addressed to.
 func (k *Checker) checkReached(f *attempt, s *proc) {
 	w := k.w
 	a := w.host.byProcess[s.name]
@@ -117,7 +117,7 @@
 	}
 }
 
-// meant looks at whether a plan that may be in force at a router allows what it sends, and there.
+// checkAllowed checks that a plan that may be in force at a router allows the request at this server.
 func (k *Checker) checkAllowed(f *attempt, s *proc) {
 	c, w := f.call, k.w
 	touch := w.inTouch(f.router)
@@ -138,7 +138,7 @@
 		ident.KeyOf(f.launch.Work.Base, f.launch.Work.Extra), f.launch.Work.Tenant, f.launch.Keyed, s.name)
 }
 
-// lookHosted holds the owner's view against what servers were told, and routers in touch against
+// checkHosted compares the owner's view with what servers were told, and the epochs of connected routers with
 // what operators were told.
 func (k *Checker) checkHosted() {
 	w := k.w
@@ -152,13 +152,13 @@
 		}
 		r := p.core.(*router.Core)
 		if !r.Routes(p.tick(w.now)) {
-			continue // it sends nothing, by whatever it has
+			continue // does not route, so its epoch does not matter
 		}
 		_, e, _ := r.Rules(p.tick(w.now))
 		for _, s := range k.states {
 			if s.confirmedAt != 0 && s.epoch > e && w.now.Sub(s.confirmedAt) > w.o.Hosted.Timing.Apply && !k.batch.reported[fmt.Sprint(p.name, s.epoch)] {
 				k.batch.reported[fmt.Sprint(p.name, s.epoch)] = true
-				k.bad("%s routes under epoch %d, %v after %d was told", p.name, e, w.now.Sub(s.confirmedAt), s.epoch)
+				k.bad("%s routes under epoch %d, %v after epoch %d was confirmed", p.name, e, w.now.Sub(s.confirmedAt), s.epoch)
 			}
 		}
 	}
@@ -180,11 +180,12 @@
 		a := w.host.byProcess[id]
 		if a.leavingSince != 0 && a.acked == 0 && a.proc.up && w.now.Sub(a.leavingSince) > 4e9 && w.now.Sub(w.disruptions.coreAt) > 4e9+w.o.Hosted.ContactTime && w.coreStable() && !k.batch.reported[id] {
 			k.batch.reported[id] = true
-			k.bad("%s said that it leaves and was not acknowledged", id)
+			k.bad("%s announced that it leaves and was not acknowledged", id)
 		}
 	}
 }
 
+// checkServersView checks that an owner does not consider servers live that were acknowledged as leaving.
 func (k *Checker) checkServersView(p *proc, r controller.Receipt) {
 	l, _ := r.View["servers"].([]map[string]any)
 	for _, x := range l {
@@ -197,43 +198,45 @@
 	}
 }
 
-// finishHosted holds what arrived beyond the first against what was asked, at each service by itself, and changes against each other.
+// checkHostedRun checks each service's retries against its first attempts, and that no two changes on the same epoch
+// were both accepted.
 func (k *Checker) checkHostedRun() {
 	for _, service := range generic.SortedKeys(k.batch.arrivals) {
 		k.checkRetryBudget(service, k.batch.arrivals[service])
 	}
-	on := map[ident.Epoch]string{}
+	byBase := map[ident.Epoch]string{}
 	for _, s := range k.states {
 		if s.number == 0 || s.confirmedAt == 0 {
 			continue
 		}
-		if was, ok := on[s.base]; ok && was != string(s.raw) {
+		if other, ok := byBase[s.base]; ok && other != string(s.raw) {
 			k.bad("two changes that go on epoch %d were both taken", s.base)
 		}
-		on[s.base] = string(s.raw)
+		byBase[s.base] = string(s.raw)
 	}
 }
 
-// budget looks at the arrivals at one service.
-func (k *Checker) checkRetryBudget(service string, l []launchRecord) {
-	most := k.w.o.Hosted.RetryMargin
-	a, more, base := 0, 0, 0
-	for _, x := range l {
+// checkRetryBudget checks the arrivals at one service: within any 10 s, retries and repeats may not exceed a fifth of
+// the first attempts plus the retry margin.
+func (k *Checker) checkRetryBudget(service string, arrivals []launchRecord) {
+	margin := k.w.o.Hosted.RetryMargin
+	start, retries, firsts := 0, 0, 0
+	for _, x := range arrivals {
 		if x.first {
-			base++
+			firsts++
 		} else {
-			more++
+			retries++
 		}
-		for ; x.at.Sub(l[a].at) > 10e9; a++ {
-			if l[a].first {
-				base--
+		for ; x.at.Sub(arrivals[start].at) > 10e9; start++ {
+			if arrivals[start].first {
+				firsts--
 			} else {
-				more--
+				retries--
 			}
 		}
-		k.Seen.WorstRetryShare = max(k.Seen.WorstRetryShare, float64(more)/float64(max(1, base)))
-		if float64(more) > maxRetryShare*float64(base)+most {
-			k.bad("%d arrivals beyond the first at %s in 10 s, to %d first ones (at %.1f s)", more, service, base, float64(x.at)/1e9)
+		k.Seen.WorstRetryShare = max(k.Seen.WorstRetryShare, float64(retries)/float64(max(1, firsts)))
+		if float64(retries) > maxRetryShare*float64(firsts)+margin {
+			k.bad("%d retries and repeats at %s in 10 s, to %d first attempts (at %.1f s)", retries, service, firsts, float64(x.at)/1e9)
 			return
 		}
 	}
--- a/internal/simulator/sheet.go
+++ b/internal/simulator/hosted_plan.go
@@ -10,15 +10,15 @@
 	"tidedeck/internal/ident"
 )
 
-// sheet is a plan for announced servers, as these scenes write it down.
+// planSheet is the JSON format of plans for announced servers in the simulator's scenes.
 type sheet struct {
-	Name     string                  `json:"name"`
+	Name     string                 `json:"name"`
 	Services map[string]planService `json:"services"`
-	Routes   []sheetRoute            `json:"routes"`
-	Tenants  []sheetTenant           `json:"tenants,omitempty"` // absent where nobody wants a key
+	Routes   []sheetRoute           `json:"routes"`
+	Tenants  []sheetTenant          `json:"tenants,omitempty"` // absent if requests need no credential
 }
 
-// sheetTenant is a tenant of a plan and its keys.
+// planTenant is a tenant and its keys.
 type sheetTenant struct {
 	Name       string   `json:"name"`
 	Keys       []string `json:"keys"`
@@ -51,9 +51,10 @@
 
 const adapterSize = 1
 
-// base names a service's n-th base model. Every third is large.
+// baseName returns the name of a service's n-th base model.
 func baseName(n int) string { return fmt.Sprintf("m%02d", n) }
 
+// baseSize returns the size of a service's n-th base model. Every third model is large.
 func baseSize(n int) int { return 10 + 10*b2i(n%3 == 0) }
 
 func b2i(b bool) int {
@@ -63,7 +64,7 @@
 	return 0
 }
 
-// ReadSheet reads a plan for announced servers.
+// ReadHostedPlan parses a plan for announced servers.
 func ReadHostedPlan(raw []byte) (*fleetplan.Plan, fleetplan.Faults) {
 	var s sheet
 	if err := json.Unmarshal(raw, &s); err != nil {
@@ -88,7 +89,7 @@
 	}
 	for i, r := range s.Routes {
 		if _, ok := p.Services[r.Service]; !ok {
-			return nil, fleetplan.Faults{{Path: fmt.Sprintf("routes[%d]", i), Why: "no service is called " + r.Service}}
+			return nil, fleetplan.Faults{{Path: fmt.Sprintf("routes[%d]", i), Why: "unknown service " + r.Service}}
 		}
 		if p.Hosts[r.Host] == nil {
 			p.Hosts[r.Host] = map[string]*fleetplan.Route{}
@@ -102,7 +103,7 @@
 	return p, nil
 }
 
-// setTenants gives a plan its tenants.
+// applyTenants sets the tenants of a plan.
 func (s sheet) applyTenants(p *fleetplan.Plan) fleetplan.Faults {
 	t := fleetplan.NewTenants()
 	for i, tenant := range s.Tenants {
@@ -117,13 +118,13 @@
 	return nil
 }
 
-// hostedPlan is the first plan of these scenes.
+// hostedPlan returns the initial plan of scenes with announced servers.
 func hostedPlan() []byte { return storePlan(1) }
 
-// storePlan is the same with a store that admits so many loads a second.
+// planWithStoreRate returns the initial plan with a store that admits the given number of loads per second.
 func storePlan(loads float64) []byte { return writeSheet(firstSheet(loads)) }
 
-// namelessPlan is the first plan with routes to the servers with models whose requests may name none.
+// planWithOptionalModel returns the initial plan with additional routes for requests that name no model.
 func namelessPlan() []byte {
 	s := firstSheet(1)
 	for _, r := range s.Routes {
--- a/internal/simulator/measure.go
+++ b/internal/simulator/measure.go
@@ -13,9 +13,10 @@
 	"tidedeck/internal/protocol"
 )
 
-// Measure runs what docs/measurements.md reports: counts, ratios and virtual times only.
+// Measure runs the measurements reported in docs/measurements.md and prints them. All figures are counts,
+// ratios or virtual times.
 func Measure(out io.Writer, o Options, seeds int) {
-	p := func(form string, a ...any) { _, _ = fmt.Fprintf(out, form+"\n", a...) }
+	printf := func(form string, a ...any) { _, _ = fmt.Fprintf(out, form+"\n", a...) }
 	run := func(scene string, set func(o *Options)) (all []Seen, ws []*World) {
 		s, _ := Find(scene)
 		for i := range seeds {
@@ -43,31 +44,31 @@
 	}
 	asked := func(s Seen) float64 { return float64(s.Asked) }
 
-	p("callbacks against a check on every use (scene calm, %d seeds)", seeds)
+	printf("callbacks against a check on every use (scene calm, %d seeds)", seeds)
 	for _, c := range []struct {
 		name  string
 		check bool
 	}{{"callbacks", false}, {"check on every use", true}} {
 		l, _ := run("calm", func(o *Options) { o.Router.Check = c.check })
 		n := sum(l, func(s Seen) float64 { return float64(s.Lookups) })
-		p("  %-20s %6.0f lookups for %6.0f requests: %.3f each", c.name, n, sum(l, asked), n/sum(l, asked))
+		printf("  %-20s %6.0f lookups for %6.0f requests: %.3f each", c.name, n, sum(l, asked), n/sum(l, asked))
 	}
 
-	p("breaks for each unload (scene moves)")
+	printf("breaks for each unload (scene moves)")
 	l, _ := run("moves", nil)
-	u := sum(l, func(s Seen) float64 { return float64(s.Unloads) })
-	p("  %.0f unloads, %.2f breaks, %.2f acknowledged and %.2f lapsed for each; breaks for loads are among them", u,
-		sum(l, func(s Seen) float64 { return float64(s.Breaks) })/u, sum(l, func(s Seen) float64 { return float64(s.Acks) })/u, sum(l, func(s Seen) float64 { return float64(s.Lapses) })/u)
+	unloads := sum(l, func(s Seen) float64 { return float64(s.Unloads) })
+	printf("  %.0f unloads, %.2f breaks, %.2f acknowledged and %.2f lapsed for each; breaks for loads are among them", unloads,
+		sum(l, func(s Seen) float64 { return float64(s.Breaks) })/unloads, sum(l, func(s Seen) float64 { return float64(s.Acks) })/unloads, sum(l, func(s Seen) float64 { return float64(s.Lapses) })/unloads)
 	l, _ = run("moves-cut", nil)
-	p("  with routers frozen and cut off: %.0f breaks, %.0f acknowledged, %.0f links lapsed with something owed",
+	printf("  with routers frozen and cut off: %.0f breaks, %.0f acknowledged, %.0f links lapsed with something owed",
 		sum(l, func(s Seen) float64 { return float64(s.Breaks) }), sum(l, func(s Seen) float64 { return float64(s.Acks) }), sum(l, func(s Seen) float64 { return float64(s.Lapses) }))
 
-	p("callback state of one router at the owner")
+	printf("callback state of one router at the owner")
 	for _, n := range []int{500, 2000, 8000} {
-		p("  %4d callbacks: %.0f bytes each", n, callbackBytes(n))
+		printf("  %4d callbacks: %.0f bytes each", n, callbackBytes(n))
 	}
 
-	p("prefix reuse (scene calm, 60 tenants, 64 parts cached at a server)")
+	printf("prefix reuse (scene calm, 60 tenants, 64 parts cached at a server)")
 	for _, c := range []struct {
 		name  string
 		plain bool
@@ -75,37 +76,37 @@
 	}{{"all shared parts", false, 0}, {"the leading part", false, 1}, {"none", true, 0}} {
 		for _, scene := range []string{"calm", "storm", "servers"} {
 			l, _ := run(scene, func(o *Options) { o.Router.Plain, o.Router.Heads, o.Tenants = c.plain, c.heads, 60 })
-			p("  affinity by %-17s %-8s %.1f in 100 prompt bytes reused, answered %.4f", c.name, scene, 100*sum(l, func(s Seen) float64 { return float64(s.Reused) })/sum(l, func(s Seen) float64 { return float64(s.Prompt) }), answeredShare(l))
+			printf("  affinity by %-17s %-8s %.1f in 100 prompt bytes reused, answered %.4f", c.name, scene, 100*sum(l, func(s Seen) float64 { return float64(s.Reused) })/sum(l, func(s Seen) float64 { return float64(s.Prompt) }), answeredShare(l))
 		}
 	}
 
-	p("moves, and requests that waited for more than 250 ms")
+	printf("moves, and requests that waited for more than 250 ms")
 	for _, scene := range []string{"calm", "roll", "zones", "windows", "servers", "zone-loss", "return", "mixed"} {
 		l, _ := run(scene, nil)
-		p("  %-10s %.1f moves, %.1f pulls a run; %.2f in 100 waited, %.2f s each", scene, sum(l, func(s Seen) float64 { return float64(s.Moves) })/float64(len(l)),
+		printf("  %-10s %.1f moves, %.1f pulls a run; %.2f in 100 waited, %.2f s each", scene, sum(l, func(s Seen) float64 { return float64(s.Moves) })/float64(len(l)),
 			sum(l, func(s Seen) float64 { return float64(s.Pulls) })/float64(len(l)), 100*sum(l, func(s Seen) float64 { return float64(s.Waited) })/sum(l, asked),
 			sum(l, func(s Seen) float64 { return s.WaitTime.Seconds() })/max(1, sum(l, func(s Seen) float64 { return float64(s.Waited) })))
 	}
 
-	p("goes that were no first ones, worst 10 s with 50 first goes, in 100")
+	printf("retries and repeats per 100 first attempts, highest in any 10 s with at least 50 first attempts")
 	for _, scene := range []string{"flap", "storm", "dead", "again", "zone-each", "medley"} {
 		l, _ := run(scene, nil)
 		top := 0.0
 		for _, s := range l {
 			top = max(top, s.WorstRetryShare)
 		}
-		p("  %-10s %.1f", scene, 100*top)
+		printf("  %-10s %.1f", scene, 100*top)
 	}
 
-	p("takeover and recovery, worst of the seeds")
+	printf("takeover and recovery, worst of the seeds")
 	l, _ = run("moves-owner", nil)
-	p("  without an owner after it is killed, frozen or cut off: %v", worst(l, func(s Seen) clock.Span { return s.NoOwner }))
+	printf("  without an owner after it is killed, frozen or cut off: %v", worst(l, func(s Seen) clock.Span { return s.NoOwner }))
 	for _, c := range []string{"power", "blackout", "ruin"} {
 		l, _ = run(c, nil)
-		p("  first answer after %-9s %v", c+":", worst(l, func(s Seen) clock.Span { return s.Recovery }))
+		printf("  first answer after %-9s %v", c+":", worst(l, func(s Seen) clock.Span { return s.Recovery }))
 	}
 
-	p("the hold's length (scenes grow and moves-owner)")
+	printf("length of the hold (scenes grow and moves-owner)")
 	for _, h := range []clock.Span{1e9, 1500e6, 2e9, 3e9, 4e9} {
 		set := func(o *Options) { o.Controller.Hold = h }
 		a, _ := run("grow", set)
@@ -113,10 +114,10 @@
 		k, _ := run("moves-cut", set)
 		f, _ := run("fence", set)
 		lag := func(s Seen) clock.Span { return s.PlanLag }
-		p("  hold %-5v worst plan lag %v in grow, %v in fence; answered %.4f of grow, %.4f of moves-owner, %.4f of moves-cut", h,
+		printf("  hold %-5v worst plan lag %v in grow, %v in fence; answered %.4f of grow, %.4f of moves-owner, %.4f of moves-cut", h,
 			worst(a, lag).Round(1e6), worst(f, lag).Round(1e6), answeredShare(a), answeredShare(b), answeredShare(k))
 	}
-	p("renewals (scene calm)")
+	printf("renewals (scene calm)")
 	for _, k := range []clock.Span{200e6, 400e6, 800e6} {
 		l, ws := run("calm", func(o *Options) { o.RenewInterval = k })
 		c, _ := run("moves-cut", func(o *Options) { o.RenewInterval = k })
@@ -124,10 +125,10 @@
 		for _, w := range ws {
 			n += w.messageCounts["Renew"]
 		}
-		p("  every %-5v %.3f renewals for each request; answered %.4f of calm, %.4f of moves-cut", k, float64(n)/sum(l, asked), answeredShare(l), answeredShare(c))
+		printf("  every %-5v %.3f renewals for each request; answered %.4f of calm, %.4f of moves-cut", k, float64(n)/sum(l, asked), answeredShare(l), answeredShare(c))
 	}
 
-	p("cache size of a router (scene moves)")
+	printf("cache size of a router (scene moves)")
 	for _, n := range []int{4, 8, 16, 32, 64, 512} {
 		l, ws := run("moves", func(o *Options) { o.Router.Cache = n })
 		k := sum(l, func(s Seen) float64 { return float64(s.Lookups) })
@@ -135,20 +136,20 @@
 		for _, w := range ws {
 			r += w.messageCounts["Removal"]
 		}
-		p("  %3d entries: %.3f lookups and %.4f batches of removals for each request, answered %.4f", n, k/sum(l, asked), float64(r)/sum(l, asked), answeredShare(l))
+		printf("  %3d entries: %.3f lookups and %.4f batches of removals for each request, answered %.4f", n, k/sum(l, asked), float64(r)/sum(l, asked), answeredShare(l))
 	}
 
-	p("ramp of cold replicas (scene crowd)")
+	printf("ramp of cold replicas (scene crowd)")
 	for _, r := range []clock.Span{1, 1e9, 2e9, 4e9, 8e9} {
 		l, _ := run("crowd", func(o *Options) { o.Router.Ramp = r })
 		cold := 0
 		for _, s := range l {
 			cold = max(cold, s.PeakCold)
 		}
-		p("  ramp %-4v most at once on a server in its first second %3d, answered %.4f", r.Round(1e9), cold, answeredShare(l))
+		printf("  ramp %-4v most at once on a server in its first second %3d, answered %.4f", r.Round(1e9), cold, answeredShare(l))
 	}
 
-	p("burden of the control plane as the plan grows (scene calm)")
+	printf("load on the control plane as the plan grows (scene calm)")
 	for _, n := range []int{1, 4, 16} {
 		x := o
 		x.Plan = MultiplyPlan(o.Plan, n)
@@ -158,7 +159,7 @@
 		for _, c := range w.messageCounts {
 			all += c
 		}
-		p("  %2d times today's plan (%d bytes): %.2f messages and %.3f lookups for each request, answered %.4f", n, len(x.Plan), float64(all)/float64(seen.Asked), float64(seen.Lookups)/float64(seen.Asked), float64(seen.Answered)/float64(seen.Asked))
+		printf("  %2d times today's plan (%d bytes): %.2f messages and %.3f lookups for each request, answered %.4f", n, len(x.Plan), float64(all)/float64(seen.Asked), float64(seen.Lookups)/float64(seen.Asked), float64(seen.Answered)/float64(seen.Asked))
 		if n == 1 {
 			var names []string
 			for k := range w.messageCounts {
@@ -166,12 +167,13 @@
 			}
 			sort.Slice(names, func(i, j int) bool { return w.messageCounts[names[i]] > w.messageCounts[names[j]] })
 			for _, k := range names[:6] {
-				p("     %-10s %d", k, w.messageCounts[k])
+				printf("     %-10s %d", k, w.messageCounts[k])
 			}
 		}
 	}
 }
 
+// answeredShare returns the share of requests that were answered.
 func answeredShare(l []Seen) float64 {
 	a, n := 0, 0
 	for _, s := range l {
@@ -181,7 +183,7 @@
 	return float64(a) / float64(n)
 }
 
-// weigh tells the memory that an owner keeps for each of a router's callbacks.
+// callbackBytes returns the memory in bytes that an owner uses per callback of a router.
 func callbackBytes(n int) float64 {
 	me := protocol.Sibling{ID: "a", Addr: "a"}
 	c := controller.New(controller.Options{Me: me, Inc: 1, Rand: rand.New(rand.NewPCG(1, 1)), Most: 1 << 20})
@@ -193,17 +195,17 @@
 	})
 }
 
-// Times makes a plan several times as large: every model, adapter, service and route again
-// under other names, none of the copies kept ready.
+// MultiplyPlan returns a plan n times as large: it copies every model, adapter, service and route under other names.
+// The copies have no floor.
 func MultiplyPlan(raw []byte, n int) []byte {
-	var m map[string]map[string]any
-	var whole map[string]any
-	if err := json.Unmarshal(raw, &whole); err != nil {
+	var sections map[string]map[string]any
+	var plan map[string]any
+	if err := json.Unmarshal(raw, &plan); err != nil {
 		panic(err)
 	}
-	m = map[string]map[string]any{}
+	sections = map[string]map[string]any{}
 	for _, k := range []string{"models", "adapters", "services", "routes"} {
-		m[k] = whole[k].(map[string]any)
+		sections[k] = plan[k].(map[string]any)
 	}
 	copyOf := func(v any) map[string]any {
 		c := map[string]any{}
@@ -215,14 +217,14 @@
 	}
 	for i := 1; i < n; i++ {
 		tag := fmt.Sprintf("-x%d", i)
-		rename := func(l any) (o []any) {
-			for _, x := range l.([]any) {
+		rename := func(names any) (o []any) {
+			for _, x := range names.([]any) {
 				o = append(o, x.(string)+tag)
 			}
 			return o
 		}
-		add := map[string]map[string]any{"models": {}, "adapters": {}, "services": {}, "routes": {}}
-		for kind, t := range m {
+		copies := map[string]map[string]any{"models": {}, "adapters": {}, "services": {}, "routes": {}}
+		for kind, t := range sections {
 			for k, v := range t {
 				if len(k) > 3 && hasCopyTag(k) {
 					continue
@@ -236,22 +238,23 @@
 				case "routes":
 					c["service"] = c["service"].(string) + tag
 				}
-				add[kind][k+tag] = c
+				copies[kind][k+tag] = c
 			}
 		}
-		for kind, t := range add {
+		for kind, t := range copies {
 			for k, v := range t {
-				m[kind][k] = v
+				sections[kind][k] = v
 			}
 		}
 	}
-	b, err := json.Marshal(whole)
+	b, err := json.Marshal(plan)
 	if err != nil {
 		panic(err)
 	}
 	return b
 }
 
+// hasCopyTag reports whether a name is that of a copy made by MultiplyPlan.
 func hasCopyTag(s string) bool {
 	for i := 0; i+2 < len(s); i++ {
 		if s[i] == '-' && s[i+1] == 'x' && s[i+2] >= '0' && s[i+2] <= '9' {
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -1,6 +1,7 @@
-// Package simulator turns the real cores of every program through virtual time: from a seed,
-// over a faulty network, on faulty disks and drifting clocks, with checkers that watch what
-// callers, servers, the store, the platform and operators see.
+// Package simulator runs the state machines of all programs in virtual time. Each run is
+// deterministic for a given seed and simulates a faulty network, faulty disks and drifting clocks,
+// while checkers compare what callers, servers, the model store, the platform and operators observe
+// against the system's guarantees.
 package simulator
 
 import (
@@ -22,37 +23,38 @@
 	"tidedeck/internal/generic"
 	"tidedeck/internal/ident"
 	"tidedeck/internal/invariant"
-	_ "tidedeck/internal/invariant/strict" // a run fails at a violated invariant
+	_ "tidedeck/internal/invariant/strict" // makes violated invariants fail the run
 	"tidedeck/internal/protocol"
 	"tidedeck/internal/router"
 	"tidedeck/internal/standin"
 )
 
-// Options of a world.
+// Options configures a World.
 type Options struct {
-	Seed       uint64
-	Routers    int
-	Servers    int
-	Plan       []byte
-	Trace      io.Writer
-	Controller controller.Options // guards and spans; the rest is filled in
-	Router     router.Options
-	Far        clock.Span // between machines, more or less
-	Loss       float64
-	Twice      float64
-	RenewInterval       clock.Span // of agents
-	Room       int
-	Slots      int
-	StoreRate       float64 // of the store
-	Tenants    int     // of callers
-	Mixed      bool    // servers differ in room, slots and speed
-	PrefillBytes       int     // prompt bytes that a server's step can prefill
-	Rates      float64 // how far the rates of any two machines' clocks may differ
-	Core       *Deployment
-	Hosted     *Hosted // servers announce themselves and check no fence, if set
-	Narrow     *Narrow // what links carry and processes can do, if it is bounded
+	Seed          uint64
+	Routers       int
+	Servers       int
+	Plan          []byte
+	Trace         io.Writer
+	Controller    controller.Options // limits and durations; New fills in the rest
+	Router        router.Options
+	Far           clock.Span // mean extra latency between machines
+	Loss          float64
+	Twice         float64
+	RenewInterval clock.Span // interval at which agents renew their sessions
+	Room          int
+	Slots         int
+	StoreRate     float64 // bandwidth of the model store
+	Tenants       int     // number of tenants among callers; 0 uses the request generator's default
+	Mixed         bool    // servers differ in memory, slots and speed
+	PrefillBytes  int     // prompt bytes that a server prefills per step
+	Rates         float64 // maximum difference between the clock rates of two machines
+	Core          *Deployment
+	Hosted        *Hosted // if set, servers announce themselves and do not check fencing numbers
+	Narrow        *Narrow // if set, limits link bandwidth and processing speed
 }
 
+// event is a step scheduled for a point in virtual time; seq orders events of the same time.
 type event struct {
 	at  clock.Tick
 	seq uint64
@@ -78,139 +80,143 @@
 	Step(now clock.Tick, in any) []any
 }
 
-// proc is one process, on a machine with a clock of its own.
+// proc is a process. Processes on the same machine share its clock.
 type proc struct {
-	name   string
-	box    string // its machine
-	zone   ident.Zone
-	tickInterval   clock.Span
-	core   processCore
-	up     bool
-	life   int
+	name         string
+	box          string // machine that the process runs on
+	zone         ident.Zone
+	tickInterval clock.Span
+	core         processCore
+	up           bool
+	life         int
 	frozenUntil  clock.Tick
-	busy   clock.Tick // with a configuration, where processes are slow
-	plans  uint64     // that it has taken in
-	clockOffset   clock.Tick
-	clockRate   float64
-	wall   time.Duration // how far its wall clock is off
-	disk   *simulatedDisk
-	newCore   func() processCore
-	nameDigest   uint64 // digest of its name, for the trace's hash
-	server ident.Server
-	draining bool // no new callers come to it: it stops as planned
+	busy         clock.Tick // end of the time spent applying a configuration, where processing speed is limited
+	plans        uint64     // number of plans applied
+	clockOffset  clock.Tick
+	clockRate    float64
+	wall         time.Duration // error of the machine's wall clock
+	disk         *simulatedDisk
+	newCore      func() processCore
+	nameDigest   uint64 // hash of the name, mixed into the trace hash
+	server       ident.Server
+	draining     bool // the platform sends it no new callers because a planned stop is under way
 }
 
 func (p *proc) tick(now clock.Tick) clock.Tick {
 	return p.clockOffset + clock.Tick(float64(now)*p.clockRate)
 }
 
-// plate is a disk: what is synced stays, what is not goes with the power.
+// simulatedDisk keeps synced writes. A process that is killed loses the writes that are not yet synced.
 type simulatedDisk struct {
-	safe  map[string][]byte
-	late  clock.Span
-	stall clock.Tick
-	lastSync  clock.Tick
+	safe     map[string][]byte
+	late     clock.Span
+	stall    clock.Tick
+	lastSync clock.Tick
 }
 
-// World is one run.
+// World is the state of one simulation run.
 type World struct {
-	o      Options
-	now    clock.Tick
-	seq    uint64
-	queue      eventQueue
-	rand   *rand.Rand
-	procs  map[string]*proc
-	order  []string
-	cuts   map[[2]string]bool // from machine, to machine
-	plat   *standin.Platform
-	platUp bool
-	store  *standin.Store
+	o             Options
+	now           clock.Tick
+	seq           uint64
+	queue         eventQueue
+	rand          *rand.Rand
+	procs         map[string]*proc
+	order         []string
+	cuts          map[[2]string]bool // blocked directions, as [from, to] machine names
+	plat          *standin.Platform
+	platUp        bool
+	store         *standin.Store
 	pendingAsks   map[askKey]func(ok bool, code int, body []byte)
 	pendingPulls  map[uint64]func()
-	lastPull   uint64
-	pullOrigins map[uint64]askKey
-	attempts  map[attemptKey]*attempt
-	lastToken uint64
-	hash   uint64
-	messageCounts  map[string]int        // messages between machines, by kind
-	links  map[string]clock.Tick // until when each link is taken, where links are narrow
-	Check  *Checker
-	plan   *fleetplan.Plan
-	pendingAdmin map[uint64]func(controller.Receipt)
-	admin  uint64
-	host   *hosting
-	core   *coreFleet
+	lastPull      uint64
+	pullOrigins   map[uint64]askKey
+	attempts      map[attemptKey]*attempt
+	lastToken     uint64
+	hash          uint64
+	messageCounts map[string]int        // messages between machines by kind
+	links         map[string]clock.Tick // time until which each link is occupied, where bandwidth is limited
+	Check         *Checker
+	plan          *fleetplan.Plan
+	pendingAdmin  map[uint64]func(controller.Receipt)
+	admin         uint64
+	host          *hosting
+	core          *coreFleet
 	disruptions   disruptions
-	// Lag is a pause between a router's last check and the send, drawn with chance LagOdds.
+	// SendLagOdds is the probability of a pause of up to SendLag between a router's last check and the send.
 	LagOdds float64
 	Lag     clock.Span
-	// ReplyLoss is the chance that an operator's reply gets lost on its way back.
+	// ReplyLossOdds is the probability that the reply to an operator is lost.
 	ReplyLoss float64
-	// Seeds, if set, are the seeds of processes that start from now on.
+	// Seeds, if set, overrides the seed addresses of processes that start from now on.
 	Seeds []string
-	// Mangle is the chance that a server's event comes malformed, late, twice, not at all, or is another's.
+	// MangleOdds is the probability that a server's event arrives malformed, twice or not at all, or names
+	// another server or attempt.
 	Mangle float64
-	// Bend, if set, is what a server makes of its report.
+	// AlterReport, if set, alters the reports that servers send.
 	Bend func(r protocol.Report) protocol.Report
-	// Lists, if set, is what the platform makes of its list when it is asked.
+	// AlterServerList, if set, alters the server list that the platform returns.
 	Lists func(l []protocol.Listed) []protocol.Listed
-	// Again is the chance that a caller whose request broke asks again under the same id.
+	// CallerRepeatOdds is the probability that a caller repeats an interrupted request under the same ID.
 	Again float64
-	// ResetOdds is the chance that a connection breaks before the first event.
+	// ResetOdds is the probability that a connection breaks before the first event.
 	ResetOdds float64
-	// Dial is how long a connection may take to open, drawn with chance DialOdds.
+	// DialOdds is the probability that opening a connection takes up to DialDelay longer.
 	DialOdds float64
 	Dial     clock.Span
 }
 
+// askKey identifies an outstanding HTTP request of a process.
 type askKey struct {
-	process   string
-	life  int
-	token uint64
+	process string
+	life    int
+	token   uint64
 }
 
+// attemptKey identifies an attempt at a server.
 type attemptKey struct {
 	server string
 	life   int
 	token  uint64
 }
 
-// flow is one go on the wire.
+// attempt is one attempt of a request, sent by a router to a server.
 type attempt struct {
-	router *proc
-	life   int
+	router      *proc
+	life        int
 	launch      router.Launch
-	call      *call
-	eventCount      int
-	lastArrival   clock.Tick
+	call        *call
+	eventCount  int
+	lastArrival clock.Tick
 	arrivedAt   clock.Tick
-	acceptedAt   clock.Tick // when the server accepted its connection
-	closed   bool
-	mangled   bool // one of its events was mangled
+	acceptedAt  clock.Tick // when the server accepted the connection
+	closed      bool
+	mangled     bool // one of its events was altered by fault injection
 }
 
-// call is one request as its caller sees it.
+// call is a request from its caller's point of view.
 type call struct {
-	ask    standin.Ask
-	router string
-	askedAt     clock.Tick
-	eventCount      int
-	server ident.Server
-	runID    string
-	finished   bool
-	outcome   string
-	sends  int
-	launches  int
-	unreached map[string]int // servers that were not reached
-	firstSentAt  clock.Tick     // when it was first sent
-	runs    int
-	heldBack   bool // its last go was held back, and reached nobody
-	callerRepeat bool // its caller asks again, after a break
-	repeat bool
-	ref    router.Ref
+	ask          standin.Ask
+	router       string
+	askedAt      clock.Tick
+	eventCount   int
+	server       ident.Server
+	runID        string
+	finished     bool
+	outcome      string
+	sends        int
+	launches     int
+	unreached    map[string]int // failed connections by server address
+	firstSentAt  clock.Tick     // when the first attempt was sent
+	runs         int
+	heldBack     bool // the router withheld the last attempt, which reached no server
+	callerRepeat bool // the caller's repeat of an interrupted request
+	repeat       bool
+	ref          router.Ref
 }
 
-// New lays out a world: three core nodes, router pairs, servers, a store and a platform.
+// New returns a world of core nodes, routers with their agents, servers, a model store and a platform,
+// and starts all processes.
 func New(o Options) *World {
 	generic.SetDefault(&o.Room, 80)
 	generic.SetDefault(&o.StoreRate, 60)
@@ -258,23 +264,23 @@
 	return w
 }
 
-// addRouter adds a router and the agent beside it.
-func (w *World) addRouter(n string, z ident.Zone) {
-	box := "router-" + n
-	a, l := "agent-"+n, "router-"+n
+// addRouter adds a router and its agent, on the same machine.
+func (w *World) addRouter(suffix string, z ident.Zone) {
+	box := "router-" + suffix
+	agentName, routerName := "agent-"+suffix, "router-"+suffix
 	skew, rate := w.randomClock()
-	w.addProcess(&proc{name: a, box: box, zone: z, tickInterval: 20e6, clockOffset: skew, clockRate: rate, newCore: func() processCore {
-		return agent.New(agent.Options{Me: protocol.Sibling{ID: ident.Node(a), Addr: a}, Zone: z, Inc: w.incarnation(a), Life: ident.Inc(w.now) + 1, Seeds: w.seeds(),
-			Router: protocol.Sibling{ID: ident.Node(l), Addr: l}, Rand: w.randomFor(a), Keep: w.o.RenewInterval})
+	w.addProcess(&proc{name: agentName, box: box, zone: z, tickInterval: 20e6, clockOffset: skew, clockRate: rate, newCore: func() processCore {
+		return agent.New(agent.Options{Me: protocol.Sibling{ID: ident.Node(agentName), Addr: agentName}, Zone: z, Inc: w.incarnation(agentName), Life: ident.Inc(w.now) + 1, Seeds: w.seeds(),
+			Router: protocol.Sibling{ID: ident.Node(routerName), Addr: routerName}, Rand: w.randomFor(agentName), Keep: w.o.RenewInterval})
 	}})
-	w.addProcess(&proc{name: l, box: box, zone: z, tickInterval: 20e6, clockOffset: skew, clockRate: rate, newCore: func() processCore {
-		lo := w.o.Router
+	w.addProcess(&proc{name: routerName, box: box, zone: z, tickInterval: 20e6, clockOffset: skew, clockRate: rate, newCore: func() processCore {
+		options := w.o.Router
 		if w.host != nil {
-			w.host.setRouterOptions(&lo, z)
+			w.host.setRouterOptions(&options, z)
 		}
-		lo.Me, lo.Agent, lo.Inc = protocol.Sibling{ID: ident.Node(l), Addr: l}, protocol.Sibling{ID: ident.Node(a), Addr: a}, w.incarnation(l)
-		lo.Restarted = w.host != nil && w.now > 0
-		return router.New(lo)
+		options.Me, options.Agent, options.Inc = protocol.Sibling{ID: ident.Node(routerName), Addr: routerName}, protocol.Sibling{ID: ident.Node(agentName), Addr: agentName}, w.incarnation(routerName)
+		options.Restarted = w.host != nil && w.now > 0
+		return router.New(options)
 	}})
 }
 
@@ -291,19 +297,21 @@
 	return l
 }
 
+// randomClock returns a random clock offset and rate.
 func (w *World) randomClock() (clock.Tick, float64) {
 	return clock.Tick(w.rand.Int64N(1e15)), 1 + (w.rand.Float64()-0.5)*w.o.Rates
 }
 
+// randomFor returns the random source of a process for its current life.
 func (w *World) randomFor(name string) *rand.Rand {
 	h := fnv.New64a()
 	fmt.Fprint(h, name, w.procs[name].life)
 	return rand.New(rand.NewPCG(w.o.Seed, h.Sum64()))
 }
 
-// inc gives a process life its incarnation; later lives have higher ones.
+// incarnation returns the incarnation number of a process's current life. Later lives get higher numbers.
 func (w *World) incarnation(name string) ident.Inc {
-	// As drawn from a wall clock, which may have been set back.
+	// Derived from the wall clock, as in production; the clock may have been set back.
 	at := uint64(int64(w.now) + int64(w.procs[name].wall) + 4e12)
 	return ident.Inc(at>>10<<10+uint64(len(w.order)*64)) + ident.Inc(w.procs[name].life) + 1
 }
@@ -311,16 +319,16 @@
 func (w *World) addController(name string, z ident.Zone, seeds []protocol.Sibling) {
 	skew, rate := w.randomClock()
 	w.addProcess(&proc{name: name, box: name, zone: z, tickInterval: 20e6, clockOffset: skew, clockRate: rate, disk: &simulatedDisk{safe: map[string][]byte{}, late: 2e6}, newCore: func() processCore {
-		ao := w.o.Controller
-		ao.Me, ao.Zone, ao.Inc, ao.Seeds, ao.Platform, ao.Rand = protocol.Sibling{ID: ident.Node(name), Addr: name}, z, w.incarnation(name), seeds, "platform", w.randomFor(name)
+		options := w.o.Controller
+		options.Me, options.Zone, options.Inc, options.Seeds, options.Platform, options.Rand = protocol.Sibling{ID: ident.Node(name), Addr: name}, z, w.incarnation(name), seeds, "platform", w.randomFor(name)
 		if w.o.Hosted != nil {
-			w.o.Hosted.setControllerOptions(&ao, w.procs[name].life > 1 || w.now > 1e9)
+			w.o.Hosted.setControllerOptions(&options, w.procs[name].life > 1 || w.now > 1e9)
 		}
 		if w.o.Core != nil {
-			w.o.Core.setControllerOptions(&ao, w.o.Hosted.Timing)
+			w.o.Core.setControllerOptions(&options, w.o.Hosted.Timing)
 		}
-		ao.Wall = func() time.Time { return dawn.Add(time.Duration(w.now) + w.procs[name].wall) }
-		return controller.New(ao)
+		options.Wall = func() time.Time { return dawn.Add(time.Duration(w.now) + w.procs[name].wall) }
+		return controller.New(options)
 	}})
 }
 
@@ -335,7 +343,8 @@
 	}})
 }
 
-// part tells how large and fast a server is, in quarters, where they differ: old ones and new ones.
+// sizeQuarters returns a server's size and speed in quarters of the standard server, for worlds that mix server
+// generations.
 func (w *World) sizeQuarters(name string) int { return 2 + 2*(int(name[len(name)-1])%3) }
 
 func (w *World) room(name string) int {
@@ -353,16 +362,16 @@
 	w.order = append(w.order, p.name)
 }
 
-// At runs a step at a moment.
+// At schedules do for time t, or for now if t has passed.
 func (w *World) At(t clock.Tick, do func()) {
 	w.seq++
 	heap.Push(&w.queue, event{max(t, w.now), w.seq, do})
 }
 
-// After runs a step after a span.
+// After schedules do to run after a delay.
 func (w *World) After(s clock.Span, do func()) { w.At(w.now.Add(s), do) }
 
-// Run turns the world until a moment.
+// Run processes all events up to the given time since the start.
 func (w *World) Run(until clock.Span) {
 	for len(w.queue) > 0 && w.queue[0].at <= clock.Tick(until) {
 		e := heap.Pop(&w.queue).(event)
@@ -382,10 +391,10 @@
 	}
 }
 
-// Hash digests the whole trace: the same seed gives the same one.
+// Hash returns a hash of the whole trace. Runs with the same seed and options have the same hash.
 func (w *World) Hash() uint64 { return w.hash }
 
-// Start starts a process in a new life.
+// Start starts a process in a new life, unless it is running.
 func (w *World) Start(name string) {
 	p := w.procs[name]
 	if p.up {
@@ -420,7 +429,7 @@
 	w.After(clock.Span(w.rand.Int64N(int64(p.tickInterval))), beat)
 }
 
-// Kill ends a process at once; what its disk had not synced is gone.
+// Kill ends a process at once. Writes that its disk has not synced are lost.
 func (w *World) Kill(name string) {
 	p := w.procs[name]
 	if !p.up {
@@ -460,7 +469,7 @@
 	}
 }
 
-// unpull ends the pulls of a server that is gone, as its broken connections do.
+// endPulls cancels the store downloads of a stopped server, as the loss of its connections does.
 func (w *World) endPulls(name string, life int) {
 	st := w.procs["store"]
 	for t := uint64(1); t <= w.lastPull; t++ {
@@ -482,14 +491,14 @@
 	return l
 }
 
-// Stop ends a process as planned: it hears of it first.
+// Stop ends a process as planned: the process is notified 100 ms before it is killed.
 func (w *World) Stop(name string) {
 	p := w.procs[name]
 	w.step(p, p.life, protocol.Stop{})
 	w.After(100e6, func() { w.Kill(name) })
 }
 
-// Drain stops a router as planned, and starts it anew: no new callers come, and what is under way ends.
+// Drain restarts a router as planned: it gets no new callers and stops once its requests have ended.
 func (w *World) Drain(name string) {
 	p := w.procs[name]
 	if !p.up || p.draining {
@@ -498,43 +507,43 @@
 	p.draining = true
 	w.tracef("drain %s", name)
 	life := p.life
-	var look func()
-	look = func() {
+	var poll func()
+	poll = func() {
 		if !p.up || p.life != life {
 			return
 		}
 		for _, c := range w.Check.calls {
 			if c.router == name && !c.finished {
-				w.After(50e6, look)
+				w.After(50e6, poll)
 				return
 			}
 		}
 		w.Kill(name)
 		w.After(300e6, func() { w.Start(name) })
 	}
-	w.After(50e6, look)
+	w.After(50e6, poll)
 }
 
-// Restart kills a process and starts it anew.
+// Restart kills a process and starts it again after a delay.
 func (w *World) Restart(name string, after clock.Span) {
 	w.Kill(name)
 	w.After(after, func() { w.Start(name) })
 }
 
-// Freeze stops a process for a while; what reaches it meanwhile waits.
+// Freeze suspends a process for a while. Inputs that arrive meanwhile wait until it resumes.
 func (w *World) Freeze(name string, s clock.Span) {
 	w.tracef("freeze %s %v", name, s)
 	w.procs[name].frozenUntil = w.now.Add(s)
 	w.noteFreeze(w.procs[name].box, w.now.Add(s))
 }
 
-// Wipe takes away what a node's disk had.
+// Wipe erases a node's disk.
 func (w *World) Wipe(name string) {
 	w.tracef("wipe %s", name)
 	w.procs[name].disk.safe = map[string][]byte{}
 }
 
-// Cut stops all that goes from one machine to another; heal undoes it.
+// Cut blocks traffic from machine a to machine b, and back if both is set, until Heal.
 func (w *World) Cut(a, b string, both bool) {
 	w.tracef("cut %s %s %v", a, b, both)
 	w.cuts[[2]string{a, b}] = true
@@ -544,7 +553,7 @@
 	w.noteLinkTrouble(a, b)
 }
 
-// Part cuts a set of machines off from all others.
+// Part separates a set of machines from all others until Heal.
 func (w *World) Part(set map[string]bool) {
 	for _, a := range w.boxes() {
 		for _, b := range w.boxes() {
@@ -557,7 +566,7 @@
 	w.tracef("part %v", len(set))
 }
 
-// Heal undoes every cut.
+// Heal removes all cuts and partitions.
 func (w *World) Heal() {
 	w.tracef("heal")
 	for c := range w.cuts {
@@ -578,7 +587,7 @@
 	return l
 }
 
-// cut tells whether nothing gets from one machine to another.
+// isCut reports whether traffic from one machine to another is blocked.
 func (w *World) isCut(from, to string) bool { return w.cuts[[2]string{from, to}] }
 
 func (w *World) delay() clock.Span {
@@ -592,7 +601,7 @@
 	return d
 }
 
-// step gives a process an input; one that is frozen takes it when it wakes.
+// step passes an input to a process, or defers it while the process is frozen or busy.
 func (w *World) step(p *proc, life int, in any) {
 	if !p.up || p.life != life {
 		return
@@ -609,7 +618,7 @@
 	}
 }
 
-// stepCore gives a core its input; an invariant that it violates fails the run.
+// stepCore passes an input to a process's state machine and records a violated invariant as a failure.
 func (w *World) stepCore(p *proc, in any) []any {
 	defer func() {
 		switch v := recover().(type) {
@@ -623,6 +632,7 @@
 	return p.core.Step(p.tick(w.now), in)
 }
 
+// handleOutput carries out one output of a process's state machine.
 func (w *World) handleOutput(p *proc, o any) {
 	switch v := o.(type) {
 	case protocol.Env:
@@ -703,7 +713,7 @@
 	life := p.life
 	w.At(at, func() {
 		if !p.up || p.life != life {
-			return // the power went before the sync
+			return // the process ended before the sync
 		}
 		for k, v := range s.Puts {
 			d.safe[k] = v
@@ -714,7 +724,7 @@
 
 func (w *World) ask(p *proc, a protocol.Ask) {
 	k := askKey{p.name, p.life, a.Token}
-	tell := func(ok bool, code int, b []byte) {
+	answer := func(ok bool, code int, b []byte) {
 		f := w.pendingAsks[k]
 		if f == nil {
 			return
@@ -726,25 +736,25 @@
 		delete(w.pendingAsks, k)
 		w.step(p, life, protocol.Told{Token: a.Token, OK: ok, Code: code, Body: b})
 	}
-	w.After(a.Wait, func() { tell(false, 0, nil) })
+	w.After(a.Wait, func() { answer(false, 0, nil) })
 	if w.host != nil {
-		w.host.deliverAsk(p, a, tell)
+		w.host.deliverAsk(p, a, answer)
 		return
 	}
 	box := a.Addr
-	lost := func(from, to string) bool { return w.cuts[[2]string{from, to}] }
-	if lost(p.box, box) {
+	blocked := func(from, to string) bool { return w.cuts[[2]string{from, to}] }
+	if blocked(p.box, box) {
 		return
 	}
-	back := func(b []byte) {
-		if lost(box, p.box) {
+	respond := func(b []byte) {
+		if blocked(box, p.box) {
 			return
 		}
-		w.After(w.delay(), func() { tell(true, 200, b) })
+		w.After(w.delay(), func() { answer(true, 200, b) })
 	}
 	d := w.delay()
 	if w.rand.Float64() < w.o.Loss {
-		d += clock.Span(w.rand.Int64N(2e9)) // comes late, perhaps after the asker gave up
+		d += clock.Span(w.rand.Int64N(2e9)) // arrives late, perhaps after the sender has given up
 	}
 	w.After(d, func() {
 		switch a.Path {
@@ -755,54 +765,52 @@
 					l = w.Lists(l)
 				}
 				b, _ := json.Marshal(l)
-				back(b)
+				respond(b)
 			}
 		case "/pull":
 			w.lastPull++
 			t := w.lastPull
-			w.pendingPulls[t] = func() { back([]byte("{}")) }
+			w.pendingPulls[t] = func() { respond([]byte("{}")) }
 			w.pullOrigins[t] = askKey{p.name, life, a.Token}
 			st := w.procs["store"]
 			w.step(st, st.life, standin.PullIn{Token: t, Pull: a.Body.(standin.Pull)})
 		case "/orders":
 			s := w.procs[a.Addr]
 			if s == nil || !s.up {
-				w.After(w.delay(), func() { tell(false, 0, nil) })
+				w.After(w.delay(), func() { answer(false, 0, nil) })
 				return
 			}
-			w.deliverOrder(s, s.life, a.Body.(protocol.Order), p.name, back)
+			w.deliverOrder(s, s.life, a.Body.(protocol.Order), p.name, respond)
 		}
 	})
 }
 
-// order1 hands an order to a server, which answers at once unless it is frozen.
-func (w *World) deliverOrder(s *proc, life int, o protocol.Order, from string, back func([]byte)) {
+// deliverOrder delivers an order to a server, which answers at once unless it is frozen.
+func (w *World) deliverOrder(s *proc, life int, o protocol.Order, from string, respond func([]byte)) {
 	if !s.up || s.life != life {
 		return
 	}
 	if w.now < s.frozenUntil {
-		w.At(s.frozenUntil, func() { w.deliverOrder(s, life, o, from, back) })
+		w.At(s.frozenUntil, func() { w.deliverOrder(s, life, o, from, respond) })
 		return
 	}
 	v := s.core.(*standin.Server)
-	was := v.Holds()
+	heldBefore := v.Holds()
 	for _, x := range v.Step(s.tick(w.now), standin.OrderIn{Order: o}) {
 		if r, ok := x.(standin.OrderOut); ok {
-			w.Check.checkOrder(s, o, from, r.Report, was)
+			w.Check.checkOrder(s, o, from, r.Report, heldBefore)
 			if w.Bend != nil {
 				r.Report = w.Bend(r.Report)
 			}
 			b, _ := json.Marshal(r.Report)
-			back(b)
+			respond(b)
 			continue
 		}
 		w.handleOutput(s, x)
 	}
 }
 
-// Requests on the wire.
-
-// Ask sends a caller's request to a router that is up, as the platform would hand it out.
+// Ask sends a caller's request to a random available router, as the platform's load balancer does.
 func (w *World) Ask(a standin.Ask, repeat bool) {
 	var l []*proc
 	for _, n := range w.order {
@@ -848,7 +856,7 @@
 	})
 }
 
-// emit is the moment of sending: the router checks once more, then the work is on its way.
+// sendAttempt runs when the connection is open: the router checks once more whether it may send, and then sends.
 func (w *World) sendAttempt(f *attempt, s *proc, life int) {
 	p := f.router
 	if !p.up || p.life != f.life {
@@ -871,6 +879,7 @@
 	w.After(d, func() { w.deliverAttempt(f, s, life) })
 }
 
+// deliverAttempt delivers an attempt to its server.
 func (w *World) deliverAttempt(f *attempt, s *proc, life int) {
 	if !f.router.up || f.router.life != f.life {
 		return
@@ -892,8 +901,8 @@
 	w.attempts[k] = f
 	f.lastArrival, f.arrivedAt = w.now, w.now
 	w.watchIdle(f, w.now)
-	n := s.core.(workCounter).Counts().Works
-	if w.host != nil && f.launch.Server != s.server { // another server is meant: this one refuses
+	worksBefore := s.core.(workCounter).Counts().Works
+	if w.host != nil && f.launch.Server != s.server { // addressed to another server, so this one refuses it
 		f.closed = true
 		delete(w.attempts, k)
 		w.After(w.delay(), func() { w.endAttempt(f, router.Dropped, failure.Mismatch) })
@@ -903,7 +912,7 @@
 	if w.host != nil {
 		w.Check.checkReached(f, s)
 	}
-	if s.core.(workCounter).Counts().Works > n {
+	if s.core.(workCounter).Counts().Works > worksBefore {
 		w.Check.checkRun(f, s)
 		if w.ResetOdds > 0 && w.rand.Float64() < w.ResetOdds {
 			f.closed = true
@@ -914,7 +923,7 @@
 	}
 }
 
-// idle gives a stream up that has been silent for long, as the router's shell does.
+// watchIdle ends a stream that has been silent for 10 s, as the router's I/O layer does.
 func (w *World) watchIdle(f *attempt, at clock.Tick) {
 	w.At(at.Add(10e9), func() {
 		if f.closed || f.call == nil || f.call.finished {
@@ -929,6 +938,7 @@
 	})
 }
 
+// endAttempt reports the end of an attempt to its router.
 func (w *World) endAttempt(f *attempt, how router.End, k failure.Kind) {
 	if how == router.Unsent && f.call != nil {
 		if f.call.unreached == nil {
@@ -939,7 +949,7 @@
 	w.step(f.router, f.life, router.Ended{Ref: f.launch.Ref, N: f.launch.N, How: how, Kind: k})
 }
 
-// served carries what a server says back to the router.
+// deliverOutput carries a server's answer back to the router.
 func (w *World) deliverOutput(s *proc, o any) {
 	var t uint64
 	switch v := o.(type) {
@@ -954,7 +964,7 @@
 		return
 	}
 	if w.cuts[[2]string{s.box, f.router.box}] {
-		f.closed = true // the stream is broken; the router finds out by its silence
+		f.closed = true // the stream is broken, which the router detects only by a timeout
 		delete(w.attempts, k)
 		w.After(10e9, func() { w.endAttempt(f, router.Lost, "") })
 		return
@@ -973,6 +983,7 @@
 	}
 }
 
+// deliverEvent delivers one event of an answer to the router, altered if fault injection says so.
 func (w *World) deliverEvent(f *attempt, v standin.Event) {
 	p := f.router
 	if !p.up || p.life != f.life || f.closed {
@@ -983,12 +994,12 @@
 		return
 	}
 	if w.Mangle > 0 && !f.mangled && w.rand.Float64() < w.Mangle {
-		f.mangled = true // once: a server that lies twice over can make any number fit
+		f.mangled = true // at most once per attempt: two alterations could cancel out, so that the event number fits again
 		switch w.rand.IntN(6) {
 		case 0:
-			return // it is lost
+			return // lost
 		case 1:
-			w.After(1e6, func() { w.deliverEvent(f, v) }) // it comes twice
+			w.After(1e6, func() { w.deliverEvent(f, v) }) // delivered twice
 		case 2:
 			v.N += w.rand.IntN(3) - 1
 		case 3:
@@ -996,7 +1007,7 @@
 		case 4:
 			v.Server = ident.Server(w.some("server-"))
 		case 5:
-			v.Go, v.Text, v.Done = "", "", w.rand.IntN(2) == 0 // not JSON, or another's
+			v.Go, v.Text, v.Done = "", "", w.rand.IntN(2) == 0 // not JSON, or of another attempt
 		}
 	}
 	x := router.Line{N: v.N, Go: v.Go, Server: v.Server, Done: v.Done}
@@ -1017,35 +1028,35 @@
 	}
 }
 
-// Admin sends an operator's request to a core node; the answer may get lost.
+// Admin sends an operator's request to a core node. The outcome is Unclear if no reply arrives within 6 s.
 func (w *World) Admin(node string, a controller.Admin, then func(controller.Receipt)) {
 	w.admin++
 	a.Token = w.admin
 	done := false
-	heard := w.recordOperation(node, a)
-	once := func(r controller.Receipt) {
+	recordReply := w.recordOperation(node, a)
+	finish := func(r controller.Receipt) {
 		if !done {
 			done = true
-			heard(r)
+			recordReply(r)
 			then(r)
 		}
 	}
-	w.pendingAdmin[a.Token] = once
+	w.pendingAdmin[a.Token] = finish
 	p := w.procs[node]
 	w.After(6e9, func() {
 		delete(w.pendingAdmin, a.Token)
-		once(controller.Receipt{Kind: failure.Unclear})
+		finish(controller.Receipt{Kind: failure.Unclear})
 	})
 	w.After(w.delay(), func() {
 		if !p.up {
-			once(controller.Receipt{Kind: failure.NotReady, Why: "unreached"})
+			finish(controller.Receipt{Kind: failure.NotReady, Why: "unreached"})
 			return
 		}
 		w.step(p, p.life, a)
 	})
 }
 
-// Routers lists the routers that are up.
+// Routers returns the running routers.
 func (w *World) Routers() (l []*proc) {
 	for _, n := range w.order {
 		if strings.HasPrefix(n, "router-") && w.procs[n].up {
@@ -1055,6 +1066,7 @@
 	return l
 }
 
+// controllers returns the running core nodes.
 func (w *World) controllers() (l []*proc) {
 	for _, n := range w.order {
 		if strings.HasPrefix(n, "controller-") && w.procs[n].up {
@@ -1064,13 +1076,13 @@
 	return l
 }
 
-// watch looks around a hundred times a second.
+// checkPeriodically runs the periodic checks 100 times per simulated second.
 func (w *World) checkPeriodically() {
 	w.Check.checkNow()
 	w.After(10e6, w.checkPeriodically)
 }
 
-// fieldsOf writes the fields of a log line for the trace.
+// formatFields formats the fields of a log line for the trace.
 func formatFields(n protocol.Note) string {
 	var b strings.Builder
 	for _, f := range n.Fields {
