--- a/internal/simulator/check.go
+++ b/internal/simulator/check.go
@@ -70,23 +70,25 @@
 
 // Seen holds the measurements of a run.
 type Seen struct {
-	Asked, Answered, Dropped, Unclear, Cut, Broken, Events  int
-	Firsts, Retries, Repeats                                int
-	CallerRepeats, RefusedRepeats, RepeatedRuns             int     // callers' repeats of interrupted requests; repeats refused as such; repeats that ran again because the first server was gone or the router's known replicas had changed
-	WorstRetryShare                                         float64 // highest ratio of retries and repeats to first attempts within 10 s
+	Asked, Answered, Dropped, Unclear, Cut, Broken, Events int
+	FirstAttempts, Retries, Repeats                        int
+	// Callers' repeats of interrupted requests; repeats that routers refused as such; and repeats that ran again,
+	// because the first server was gone or the router's known replicas had changed.
+	CallerRepeats, RefusedRepeats, RepeatedRuns             int
+	WorstRetryShare                                         float64 // highest share of retries and repeats in 10 s
 	Admits                                                  int     // changes of the voter set
-	NeedlessDrops                                           int     // dropped although a server had held the model for more than 6 s and had free slots
+	NeedlessDrops                                           int     // dropped although a server could have served them
 	RefusedLate                                             uint64  // refused by servers because they were sent too late
 	Kinds                                                   map[string]int
-	PlanLag, GoneLag, ZoneLag                               clock.Span // maximum
+	PlanLag, GoneLag, ZoneLag                               clock.Span // longest delays observed
 	Recovery                                                clock.Span // from the end of the outage to the first answer
 	NoOwner                                                 clock.Span // longest time without a placement owner
 	PeakCold                                                int
 	Hits, Lookups, Unchanged, Breaks, Acks, Lapses, Unloads uint64
 	Prompt, Reused                                          uint64
-	Pulls, Reigns, Moves, OddReports                        uint64
-	Orders, OrdersRefused                                   int        // orders accepted and refused by servers that do not check fencing numbers
-	PeakStoreLoads                                          int        // maximum number of loads from the store that began within 5 s
+	Pulls, OwnerTerms, Moves, OddReports                    uint64
+	Orders, OrdersRefused                                   int        // orders to servers that do not check fencing numbers
+	PeakStoreLoads                                          int        // most loads from the store begun in 5 s
 	Waited                                                  int        // requests that waited for more than 250 ms
 	WaitTime                                                clock.Span // total waiting time of these requests
 	Operations                                              int        // operations of operators and readers in the history
@@ -411,7 +413,7 @@
 	c.sends++
 	if c.sends == 1 {
 		c.firstSentAt = w.now
-		k.Seen.Firsts++
+		k.Seen.FirstAttempts++
 	} else {
 		k.Seen.Retries++
 	}
@@ -651,8 +653,8 @@
 			}
 		}
 	}
-	if n := float64(s.Retries); k.w.host == nil && n > maxRetryShare*float64(s.Firsts) {
-		k.bad("%d retries to %d first attempts", s.Retries, s.Firsts)
+	if n := float64(s.Retries); k.w.host == nil && n > maxRetryShare*float64(s.FirstAttempts) {
+		k.bad("%d retries to %d first attempts", s.Retries, s.FirstAttempts)
 	}
 	// Callers' repeats count against the same allowance, since routers admit only a limited number.
 	admittedRepeats := 0
@@ -661,8 +663,8 @@
 			admittedRepeats++
 		}
 	}
-	if n := float64(s.Retries + admittedRepeats); k.w.host == nil && n > maxRetryShare*float64(s.Firsts) {
-		k.bad("%d retries and repeats to %d first attempts", s.Retries+admittedRepeats, s.Firsts)
+	if n := float64(s.Retries + admittedRepeats); k.w.host == nil && n > maxRetryShare*float64(s.FirstAttempts) {
+		k.bad("%d retries and repeats to %d first attempts", s.Retries+admittedRepeats, s.FirstAttempts)
 	}
 	if k.w.host != nil {
 		k.checkHostedRun()
@@ -723,7 +725,7 @@
 			s.Breaks += t.Breaks
 			s.Acks += t.Acks
 			s.Lapses += t.Lapses
-			s.Reigns += t.Reigns
+			s.OwnerTerms += t.Reigns
 			s.OddReports += t.Odd
 		}
 	}
@@ -740,6 +742,6 @@
 		l[i] = fmt.Sprintf("%s %d", k, s.Kinds[k])
 	}
 	return fmt.Sprintf("asked %d answered %d dropped %d unclear %d cut %d broke %d | firsts %d retries %d repeats %d | plan %v gone %v zone %v back %v no-owner %v | hits %d lookups %d breaks %d acks %d lapses %d unloads %d cold %d reigns %d | window %.3f late %d again %d/%d/%d | moves %d held %d for %v pulls %d needless %d operations %d [%s]",
-		s.Asked, s.Answered, s.Dropped, s.Unclear, s.Cut, s.Broken, s.Firsts, s.Retries, s.Repeats, s.PlanLag, s.GoneLag, s.ZoneLag, s.Recovery, s.NoOwner,
-		s.Hits, s.Lookups, s.Breaks, s.Acks, s.Lapses, s.Unloads, s.PeakCold, s.Reigns, s.WorstRetryShare, s.RefusedLate, s.CallerRepeats, s.RefusedRepeats, s.RepeatedRuns, s.Moves, s.Waited, s.WaitTime.Round(1e8), s.Pulls, s.NeedlessDrops, s.Operations, strings.Join(l, ", "))
+		s.Asked, s.Answered, s.Dropped, s.Unclear, s.Cut, s.Broken, s.FirstAttempts, s.Retries, s.Repeats, s.PlanLag, s.GoneLag, s.ZoneLag, s.Recovery, s.NoOwner,
+		s.Hits, s.Lookups, s.Breaks, s.Acks, s.Lapses, s.Unloads, s.PeakCold, s.OwnerTerms, s.WorstRetryShare, s.RefusedLate, s.CallerRepeats, s.RefusedRepeats, s.RepeatedRuns, s.Moves, s.Waited, s.WaitTime.Round(1e8), s.Pulls, s.NeedlessDrops, s.Operations, strings.Join(l, ", "))
 }
