--- a/internal/simulator/bites_test.go
+++ b/internal/simulator/bites_test.go
@@ -20,8 +20,8 @@
 // guardCase is a guard that edits disable, the scene that must reveal this, and the expected checker messages,
 // separated by |.
 type bite struct {
-	guard, scene, expect string
-	edits                []edit
+	name, scene, expect string
+	edits               []edit
 }
 
 // guardCases lists the guards of the safety code. Edits of the sources at build time disable each guard, and a checker
@@ -116,7 +116,7 @@
 		t.Skip("runs without the race detector")
 	}
 	for _, b := range bites {
-		t.Run(strings.ReplaceAll(b.guard, " ", "-"), func(t *testing.T) {
+		t.Run(strings.ReplaceAll(b.name, " ", "-"), func(t *testing.T) {
 			t.Parallel()
 			s, ok := Find(b.scene)
 			require.True(t, ok)
--- a/internal/simulator/check.go
+++ b/internal/simulator/check.go
@@ -57,7 +57,7 @@
 	launches     []launchRecord
 	routerEpochs map[string][2]uint64
 	routerLives  map[string]int
-	duties       map[ident.Duty]string
+	dutyOwners   map[ident.Duty]string
 	gone         map[string]clock.Tick // when servers began to leave, stopped or became unreachable
 	unloadedAt   map[string]clock.Tick
 	Seen         Seen
@@ -97,7 +97,7 @@
 
 func newChecker(w *World) *Checker {
 	return &Checker{w: w, openCalls: map[router.Ref]*call{}, runCounts: map[string]int{}, lastRuns: map[string]runPlace{}, routerEpochs: map[string][2]uint64{}, routerLives: map[string]int{},
-		duties: map[ident.Duty]string{}, gone: map[string]clock.Tick{}, unloadedAt: map[string]clock.Tick{}, batch: newHostedRecords(),
+		dutyOwners: map[ident.Duty]string{}, gone: map[string]clock.Tick{}, unloadedAt: map[string]clock.Tick{}, batch: newHostedRecords(),
 		Seen: Seen{Kinds: map[string]int{}}}
 }
 
@@ -313,10 +313,10 @@
 	if r.Drop == failure.Stale {
 		return
 	}
-	if d, ok := k.duties[o.Duty]; ok && d != from {
+	if d, ok := k.dutyOwners[o.Duty]; ok && d != from {
 		k.bad("two controllers, %s and %s, order under duty %d", d, from, o.Duty)
 	}
-	k.duties[o.Duty] = from
+	k.dutyOwners[o.Duty] = from
 	if r.Drop == failure.NoRoom {
 		k.bad("%s was ordered past its room", s.name)
 	}
--- a/internal/simulator/hosted.go
+++ b/internal/simulator/hosted.go
@@ -52,7 +52,7 @@
 
 // setRouterOptions sets the options of a router.
 func (h *hosting) setRouterOptions(o *router.Options, z ident.Zone) {
-	x := h.w.o.Hosted
+	x := h.world.o.Hosted
 	o.Read, o.Zone, o.Free, o.Guards, o.Lend, o.Window, o.Share = ReadHostedPlan, z, true, true, x.RetryMargin*0.6, 10e9, 0.16
 	o.LendAgain, o.Save = x.RetryMargin*0.4, 2500e6
 }
@@ -83,7 +83,7 @@
 // announcedServer is one life of a server that announces itself.
 type announcedServer struct {
 	protocol.Beacon
-	on                  *machine
+	machine             *machine
 	proc                *proc
 	leavingSince        clock.Tick // when the server began to announce that it is leaving
 	acked               clock.Tick // when a core node first acknowledged this
@@ -101,7 +101,7 @@
 
 // hosting simulates the platform in a world of announced servers.
 type hosting struct {
-	w                    *World
+	world                *World
 	plan                 *fleetplan.Plan
 	machines             []*machine
 	addrs                map[string]*proc
@@ -115,7 +115,7 @@
 }
 
 func newHosting(w *World) *hosting {
-	h := &hosting{w: w, plan: w.plan, addrs: map[string]*proc{}, byProcess: map[string]*announcedServer{}, pendingAnnouncements: map[uint64]func(*proc, bool){}}
+	h := &hosting{world: w, plan: w.plan, addrs: map[string]*proc{}, byProcess: map[string]*announcedServer{}, pendingAnnouncements: map[uint64]func(*proc, bool){}}
 	zones := []ident.Zone{"za", "zb", "zc"}
 	for i := range w.o.Hosted.Batch + w.o.Hosted.Plain {
 		m := &machine{index: i, box: fmt.Sprintf("machine-%d", i+1), zone: zones[i%3], service: "chat", disk: map[ident.Key]bool{}}
@@ -144,7 +144,7 @@
 		}
 	}
 	add(m.index % 2)
-	for i := 2 + m.index; i < len(h.plan.Models); i += h.w.o.Hosted.Batch {
+	for i := 2 + m.index; i < len(h.plan.Models); i += h.world.o.Hosted.Batch {
 		add(i)
 	}
 	return models
@@ -152,7 +152,7 @@
 
 // newAddress returns an address for a new server. Half of the time it reuses one if any is free.
 func (h *hosting) newAddress() string {
-	if n := len(h.freeAddrs); n > 0 && h.w.rand.IntN(2) == 0 {
+	if n := len(h.freeAddrs); n > 0 && h.world.rand.IntN(2) == 0 {
 		addr := h.freeAddrs[0]
 		h.freeAddrs = h.freeAddrs[1:]
 		return addr
@@ -163,7 +163,7 @@
 
 // startServer starts a new server with a new ID on a machine.
 func (h *hosting) startServer(m *machine, held []ident.Key) {
-	w := h.w
+	w := h.world
 	m.life++
 	m.addr = h.newAddress()
 	name := fmt.Sprintf("server-%d.%d", m.index+1, m.life)
@@ -174,7 +174,7 @@
 		return standin.NewBatch(standin.BatchOptions{ID: p.server, Service: m.service, Plain: service.Plain, Slots: service.Slots, Room: service.Room, Places: service.Places,
 			Lag: w.o.Hosted.ReportLag, Held: held, Disk: m.disk, Weight: func(k ident.Key) int { return h.plan.Models[k].Size }, Load: h.loadTime})
 	}
-	a := &announcedServer{Beacon: protocol.Beacon{Listed: protocol.Listed{ID: p.server, Addr: m.addr, Zone: m.zone, State: "live", Service: m.service, Slots: service.Slots}}, on: m, proc: p}
+	a := &announcedServer{Beacon: protocol.Beacon{Listed: protocol.Listed{ID: p.server, Addr: m.addr, Zone: m.zone, State: "live", Service: m.service, Slots: service.Slots}}, machine: m, proc: p}
 	m.now = a
 	h.addrs[m.addr] = p
 	h.byProcess[name] = a
@@ -192,23 +192,23 @@
 	if disk {
 		return d / 4
 	}
-	h.storeLoads = append(h.storeLoads, storeLoad{h.w.now, h.w.coreStable()})
+	h.storeLoads = append(h.storeLoads, storeLoad{h.world.now, h.world.coreStable()})
 	h.activeLoads++
-	h.w.Check.checkStoreRate()
+	h.world.Check.checkStoreRate()
 	if h.activeLoads > 3 {
 		d = d * clock.Span(h.activeLoads) / 3
 	}
-	h.w.After(d, func() { h.activeLoads-- })
+	h.world.After(d, func() { h.activeLoads-- })
 	return d
 }
 
 func (h *hosting) noteLoaded(p *proc, v standin.LoadDone) {
-	h.w.tracef("%s: %s is loaded", p.name, v.Key)
+	h.world.tracef("%s: %s is loaded", p.name, v.Key)
 }
 
 // announcePeriodically announces a server at intervals until it ends.
 func (h *hosting) announcePeriodically(a *announcedServer) {
-	w := h.w
+	w := h.world
 	if !a.proc.up || a.ended {
 		return
 	}
@@ -223,7 +223,7 @@
 // announce sends a server's announcement to random core nodes, one at a time, until one acknowledges it or all tries
 // are used.
 func (h *hosting) announce(a *announcedServer, tries int, then func(ok bool)) {
-	w := h.w
+	w := h.world
 	if !a.proc.up {
 		return
 	}
@@ -261,7 +261,7 @@
 
 // sendAnnouncement sends an announcement to one core node.
 func (h *hosting) sendAnnouncement(a *announcedServer, to *proc, b protocol.Beacon, finish func(ok bool)) {
-	w := h.w
+	w := h.world
 	h.lastAnnouncement++
 	token := h.lastAnnouncement
 	h.pendingAnnouncements[token] = func(node *proc, ok bool) {
@@ -274,12 +274,12 @@
 			}
 			w.tracef("%s: %s is acknowledged as %s (in touch: %v)", node.name, a.ID, b.State, a.leaveAckedInTouchAt != 0)
 		}
-		if w.cuts[[2]string{to.box, a.on.box}] {
+		if w.cuts[[2]string{to.box, a.machine.box}] {
 			return
 		}
 		w.After(w.delay(), func() { finish(ok) })
 	}
-	if w.cuts[[2]string{a.on.box, to.box}] || w.rand.Float64() < w.o.Loss {
+	if w.cuts[[2]string{a.machine.box, to.box}] || w.rand.Float64() < w.o.Loss {
 		return
 	}
 	w.After(w.delay(), func() {
@@ -301,7 +301,7 @@
 // startLeaving makes a server announce that it is leaving. If left is positive, the server ends after that time
 // even if it still runs requests.
 func (h *hosting) leave(m *machine, left clock.Span, again clock.Span) {
-	w, a := h.w, m.now
+	w, a := h.world, m.now
 	if a == nil || !a.proc.up || a.State != "live" {
 		return
 	}
@@ -315,7 +315,7 @@
 			h.endServer(a, again)
 		}
 	})
-	a.on.now = a
+	a.machine.now = a
 	h.announce(a, 5, func(ok bool) { h.noteLeaveAck(a, ok) })
 	var waitForAck func()
 	waitForAck = func() { // keep serving for a while after the acknowledgement
@@ -352,26 +352,26 @@
 		return
 	}
 	a.ending, a.ended = true, true
-	w := h.w
+	w := h.world
 	w.Kill(a.proc.name)
 	addr := a.Addr
 	w.After(w.o.Hosted.Reuse, func() { h.freeAddrs = append(h.freeAddrs, addr) })
 	if again > 0 {
-		w.After(again, func() { h.startServer(a.on, nil) })
+		w.After(again, func() { h.startServer(a.machine, nil) })
 	}
 }
 
 // crashServer ends a server without an announcement.
 func (h *hosting) crash(m *machine, again clock.Span) {
 	if m.now != nil && m.now.proc.up && !m.now.ended {
-		h.w.tracef("%s crashes", m.now.ID)
+		h.world.tracef("%s crashes", m.now.ID)
 		h.endServer(m.now, again)
 	}
 }
 
 // deliverAsk delivers an order or a request for a report to a server.
 func (h *hosting) deliverAsk(p *proc, a protocol.Ask, reply func(ok bool, code int, b []byte)) {
-	w := h.w
+	w := h.world
 	o, ok := a.Body.(protocol.Order)
 	if !ok || a.Path != "/orders" {
 		return
@@ -598,7 +598,7 @@
 // randomMachine returns a random machine with a live server, or the first machine if there is none.
 func (h *hosting) some() *machine {
 	if l := h.liveMachines(); len(l) > 0 {
-		return l[h.w.rand.IntN(len(l))]
+		return l[h.world.rand.IntN(len(l))]
 	}
 	return h.machines[0]
 }
