--- a/internal/simulator/edits_test.go
+++ b/internal/simulator/edits_test.go
@@ -14,15 +14,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-var edits = flag.Int("edits", 0, "try every n-th small edit over the safety code, and list what no test saw")
+var editStep = flag.Int("edits", 0, "negate every n-th condition of the safety code and list the edits that no test detects")
 
-var condition = regexp.MustCompile(`(?m)^(\t+(?:\} else )?if (?:[^;{}\n]*; )?)([^;{}\n]+)( \{)$`)
+var conditionPattern = regexp.MustCompile(`(?m)^(\t+(?:\} else )?if (?:[^;{}\n]*; )?)([^;{}\n]+)( \{)$`)
 
-// Every condition of the safety code is turned round, one at a time, and the tables and some
-// scenes are run on the result. What survives is printed; it takes long, so it is asked for.
+// TestEdits negates the conditions of the safety code one at a time, runs the package's tests and some scenes on each
+// result, and prints the edits that nothing detects. It takes long, so it runs only with -edits.
 func TestEdits(t *testing.T) {
-	if *edits == 0 {
-		t.Skip("asked for with -edits N")
+	if *editStep == 0 {
+		t.Skip("runs only with -edits N")
 	}
 	type try struct {
 		file, line string
@@ -36,7 +36,7 @@
 		b, err := os.ReadFile(filepath.Join("..", "..", f))
 		require.NoError(t, err)
 		s := string(b)
-		for _, m := range condition.FindAllStringSubmatchIndex(s, -1) {
+		for _, m := range conditionPattern.FindAllStringSubmatchIndex(s, -1) {
 			tries = append(tries, try{f, s[m[4]:m[5]], 1 + strings.Count(s[:m[0]], "\n"), s[:m[4]] + "!(" + s[m[4]:m[5]] + ")" + s[m[5]:]})
 		}
 	}
@@ -46,7 +46,7 @@
 	var mu sync.Mutex
 	slot := make(chan struct{}, 6)
 	seen, tried := map[string]int{}, 0
-	for i := 0; i < len(tries); i += *edits {
+	for i := 0; i < len(tries); i += *editStep {
 		x := tries[i]
 		slot <- struct{}{}
 		all.Add(1)
@@ -79,11 +79,11 @@
 			defer mu.Unlock()
 			tried++
 			if by == "" {
-				t.Logf("not seen: %s:%d if !(%s)", x.file, x.at, x.line)
+				t.Logf("not detected: %s:%d if !(%s)", x.file, x.at, x.line)
 			}
 			seen[strings.Fields(by + " nothing")[0]]++
 		}()
 	}
 	all.Wait()
-	t.Logf("%d of %d conditions tried: %v", tried, len(tries), seen)
+	t.Logf("%d of %d conditions tested, by what detected them: %v", tried, len(tries), seen)
 }
--- a/internal/simulator/hosted.go
+++ b/internal/simulator/hosted.go
@@ -15,169 +15,176 @@
 	"tidedeck/internal/standin"
 )
 
-// Hosted is the mode in which servers announce themselves to the core and check no fence.
+// Hosted configures the mode in which servers announce themselves to the core and do not check fencing
+// numbers.
 type Hosted struct {
-	Timing    controller.Timing
-	Batch     int        // batch servers
-	Plain     int        // servers of the plain service
-	Contact   clock.Span // a machine without trouble for so long is in touch
-	Tenure    clock.Span // owners may not take turns at a server within it
-	Reuse     clock.Span // an address is used again after so long
-	Thaw      clock.Span // orders that arrive so soon after trouble ended are not counted
-	ReportLag clock.Span
-	LateOdds  float64 // that an announcement comes again, late
-	LateBy    clock.Span
-	OrderLoss float64 // that the answer to an order gets lost, or an order comes late
-	OrderGone float64 // that an order gets lost before it comes
-	Lend      float64 // arrivals beyond the first that the fleet may come to in ten seconds, whatever is asked
-	Shift     clock.Span
-	Nameless  float64  // of the requests to servers with models, the part that names none
-	Keys      []string // that callers show, by turns; none if it is empty
-}
-
-// HostedDefaults are what a deployment asks for as a rule.
+	Timing               controller.Timing
+	Batch                int        // number of batch servers
+	Plain                int        // number of servers of the plain service
+	ContactTime          clock.Span // time without faults after which a machine counts as connected
+	Tenure               clock.Span // within this time, no owner may order a server again after another owner has
+	Reuse                clock.Span // time after which an address may be reused
+	ThawAllowance        clock.Span // orders that arrive within this time after a fault ended are not checked
+	ReportLag            clock.Span
+	LateOdds             float64 // probability that an announcement arrives a second time, late
+	MaxAnnouncementDelay clock.Span
+	OrderLoss            float64 // probability that the answer to an order is lost or the order arrives late
+	OrderGone            float64 // probability that an order is lost
+	RetryMargin          float64 // retries and repeats that the fleet may send within 10 s regardless of traffic
+	Shift                clock.Span
+	Nameless             float64  // share of requests to servers with models that name no model
+	Keys                 []string // credentials that callers use at random; if empty, they use none
+}
+
+// HostedDefaults returns the usual settings of a deployment.
 func HostedDefaults() *Hosted {
 	return &Hosted{
 		Timing: controller.Timing{Apply: 2000e6, Drain: 2000e6, CatchUp: 4000e6, Period: 1200e6, Rate: 5e9},
-		Batch:  8, Plain: 4, Contact: 3000e6, Tenure: 3000e6, Reuse: 2000e6, Thaw: 300e6, ReportLag: 200e6, Lend: 58, LateBy: 3e9,
+		Batch:  8, Plain: 4, ContactTime: 3000e6, Tenure: 3000e6, Reuse: 2000e6, ThawAllowance: 300e6, ReportLag: 200e6, RetryMargin: 58, MaxAnnouncementDelay: 3e9,
 	}
 }
 
-func (h *Hosted) controller(o *controller.Options, joined bool) {
+// setControllerOptions sets the options of a core node.
+func (h *Hosted) setControllerOptions(o *controller.Options, joined bool) {
 	o.Hold, o.Spare, o.Silence, o.Rate, o.Tenure = h.Timing.Hold(), h.Timing.Spare(), h.Timing.Silence(), h.Timing.Rate, h.Tenure
-	o.Read, o.Enrolled, o.Unfenced, o.Joined, o.Platform = (&fleetplan.Memo{Read: ReadSheet}).Plan, true, true, joined, ""
+	o.Read, o.Enrolled, o.Unfenced, o.Joined, o.Platform = (&fleetplan.Memo{Read: ReadHostedPlan}).Plan, true, true, joined, ""
 }
 
-func (h *hosting) router(o *router.Options, z ident.Zone) {
-	x := h.w.o.Hosted
-	o.Read, o.Zone, o.Free, o.Guards, o.Lend, o.Window, o.Share = ReadSheet, z, true, true, x.Lend*0.6, 10e9, 0.16
-	o.LendAgain, o.Save = x.Lend*0.4, 2500e6
+// setRouterOptions sets the options of a router.
+func (h *hosting) setRouterOptions(o *router.Options, z ident.Zone) {
+	x := h.world.o.Hosted
+	o.Read, o.Zone, o.Free, o.Guards, o.Lend, o.Window, o.Share = ReadHostedPlan, z, true, true, x.RetryMargin*0.6, 10e9, 0.16
+	o.LendAgain, o.Save = x.RetryMargin*0.4, 2500e6
 }
 
-func (w *World) read(raw []byte) (*fleetplan.Plan, fleetplan.Faults) {
+// parsePlan parses a plan in the format of the world's mode.
+func (w *World) parsePlan(raw []byte) (*fleetplan.Plan, fleetplan.Faults) {
 	if w.o.Hosted != nil {
-		return ReadSheet(raw)
+		return ReadHostedPlan(raw)
 	}
 	return fleetplan.ReadPlan(raw)
 }
 
-type worker interface{ Counts() standin.ServerTally }
+// workCounter is implemented by all simulated servers.
+type workCounter interface{ Counts() standin.ServerTally }
 
-// machine is where servers of one service start, one after another; its disk stays.
+// machine runs servers of one service, one at a time. Its disk outlives them.
 type machine struct {
-	n       int
+	index   int
 	box     string
 	zone    ident.Zone
 	service string
 	disk    map[ident.Key]bool
 	addr    string
 	life    int
-	now     *announcing
+	now     *announcedServer
 }
 
-// announcing is one life of a server that announces itself.
-type announcing struct {
+// announcedServer is one life of a server that announces itself.
+type announcedServer struct {
 	protocol.Beacon
-	on     *machine
-	p      *proc
-	said   clock.Tick // since when it says that it is leaving
-	acked  clock.Tick // when that was first acknowledged
-	sure   clock.Tick // when it was, by a core node in touch
-	heard  bool       // and when it heard of it
-	ending bool
-	ended  bool
+	machine             *machine
+	proc                *proc
+	leavingSince        clock.Tick // when the server began to announce that it is leaving
+	acked               clock.Tick // when a core node first acknowledged this
+	leaveAckedInTouchAt clock.Tick // when a connected core node first acknowledged this
+	leaveAckReceived    bool       // the server has received the acknowledgement
+	ending              bool
+	ended               bool
 }
 
-type loading struct {
-	at      clock.Tick
-	counted bool
+// storeLoad is a load from the model store.
+type storeLoad struct {
+	at            clock.Tick
+	coreWasStable bool
 }
 
-// hosting is the platform side of a world of announced servers.
+// hosting simulates the platform in a world of announced servers.
 type hosting struct {
-	w        *World
-	plan     *fleetplan.Plan
-	machines []*machine
-	addrs    map[string]*proc
-	of       map[string]*announcing // by process
-	words    map[uint64]func(node *proc, ok bool)
-	word     uint64
-	loads    int // under way from the store
-	began    []loading
-	free     []string // addresses that may be used again
-	used     int
+	world                *World
+	plan                 *fleetplan.Plan
+	machines             []*machine
+	addrs                map[string]*proc
+	byProcess            map[string]*announcedServer // by process name
+	pendingAnnouncements map[uint64]func(node *proc, ok bool)
+	lastAnnouncement     uint64
+	activeLoads          int // loads from the store in progress
+	storeLoads           []storeLoad
+	freeAddrs            []string // addresses that may be reused
+	addrCount            int
 }
 
 func newHosting(w *World) *hosting {
-	h := &hosting{w: w, plan: w.plan, addrs: map[string]*proc{}, of: map[string]*announcing{}, words: map[uint64]func(*proc, bool){}}
+	h := &hosting{world: w, plan: w.plan, addrs: map[string]*proc{}, byProcess: map[string]*announcedServer{}, pendingAnnouncements: map[uint64]func(*proc, bool){}}
 	zones := []ident.Zone{"za", "zb", "zc"}
 	for i := range w.o.Hosted.Batch + w.o.Hosted.Plain {
-		m := &machine{n: i, box: fmt.Sprintf("machine-%d", i+1), zone: zones[i%3], service: "chat", disk: map[ident.Key]bool{}}
+		m := &machine{index: i, box: fmt.Sprintf("machine-%d", i+1), zone: zones[i%3], service: "chat", disk: map[ident.Key]bool{}}
 		if i >= w.o.Hosted.Batch {
 			m.service = "plain"
 		}
 		h.machines = append(h.machines, m)
-		w.After(clock.Span(w.rand.Int64N(1e9)), func() { h.start(m, h.initial(m)) })
+		w.After(clock.Span(w.rand.Int64N(1e9)), func() { h.startServer(m, h.initialModels(m)) })
 	}
 	return h
 }
 
-// initial places the busiest models on many servers and each other one on one, as room permits.
-func (h *hosting) initial(m *machine) (l []ident.Key) {
-	v := h.plan.Services[m.service]
-	if v.Plain {
+// initialModels returns the models that a machine's first server holds: one of the two busiest, and every other model
+// on one server, as far as its memory permits.
+func (h *hosting) initialModels(m *machine) (models []ident.Key) {
+	service := h.plan.Services[m.service]
+	if service.Plain {
 		return nil
 	}
-	room := v.Room
+	room := service.Room
 	add := func(i int) {
-		k := ident.Key(base(i)).In(m.service)
+		k := ident.Key(baseName(i)).In(m.service)
 		if x, ok := h.plan.Models[k]; ok && x.Size <= room {
 			room -= x.Size
-			l = append(l, k)
+			models = append(models, k)
 		}
 	}
-	add(m.n % 2)
-	for i := 2 + m.n; i < len(h.plan.Models); i += h.w.o.Hosted.Batch {
+	add(m.index % 2)
+	for i := 2 + m.index; i < len(h.plan.Models); i += h.world.o.Hosted.Batch {
 		add(i)
 	}
-	return l
+	return models
 }
 
-// address gives a server that starts an address, now and then one that another had.
-func (h *hosting) address() string {
-	if n := len(h.free); n > 0 && h.w.rand.IntN(2) == 0 {
-		a := h.free[0]
-		h.free = h.free[1:]
-		return a
+// newAddress returns an address for a new server. Half of the time it reuses one if any is free.
+func (h *hosting) newAddress() string {
+	if n := len(h.freeAddrs); n > 0 && h.world.rand.IntN(2) == 0 {
+		addr := h.freeAddrs[0]
+		h.freeAddrs = h.freeAddrs[1:]
+		return addr
 	}
-	h.used++
-	return fmt.Sprintf("address-%d", h.used)
+	h.addrCount++
+	return fmt.Sprintf("address-%d", h.addrCount)
 }
 
-// start begins a new life of a server on a machine, with an id of its own.
-func (h *hosting) start(m *machine, held []ident.Key) {
-	w := h.w
+// startServer starts a new server with a new ID on a machine.
+func (h *hosting) startServer(m *machine, held []ident.Key) {
+	w := h.world
 	m.life++
-	m.addr = h.address()
-	name := fmt.Sprintf("server-%d.%d", m.n+1, m.life)
-	v := h.plan.Services[m.service]
-	skew, rate := w.clock()
-	p := &proc{name: name, box: m.box, zone: m.zone, beat: 10e6, skew: skew, rate: rate, server: ident.Server(name)}
-	p.made = func() core {
-		return standin.NewBatch(standin.BatchOptions{ID: p.server, Service: m.service, Plain: v.Plain, Slots: v.Slots, Room: v.Room, Places: v.Places,
-			Lag: w.o.Hosted.ReportLag, Held: held, Disk: m.disk, Weight: func(k ident.Key) int { return h.plan.Models[k].Size }, Load: h.load})
-	}
-	a := &announcing{Beacon: protocol.Beacon{Listed: protocol.Listed{ID: p.server, Addr: m.addr, Zone: m.zone, State: "live", Service: m.service, Slots: v.Slots}}, on: m, p: p}
+	m.addr = h.newAddress()
+	name := fmt.Sprintf("server-%d.%d", m.index+1, m.life)
+	service := h.plan.Services[m.service]
+	skew, rate := w.randomClock()
+	p := &proc{name: name, box: m.box, zone: m.zone, tickInterval: 10e6, clockOffset: skew, clockRate: rate, server: ident.Server(name)}
+	p.newCore = func() processCore {
+		return standin.NewBatch(standin.BatchOptions{ID: p.server, Service: m.service, Plain: service.Plain, Slots: service.Slots, Room: service.Room, Places: service.Places,
+			Lag: w.o.Hosted.ReportLag, Held: held, Disk: m.disk, Weight: func(k ident.Key) int { return h.plan.Models[k].Size }, Load: h.loadTime})
+	}
+	a := &announcedServer{Beacon: protocol.Beacon{Listed: protocol.Listed{ID: p.server, Addr: m.addr, Zone: m.zone, State: "live", Service: m.service, Slots: service.Slots}}, machine: m, proc: p}
 	m.now = a
 	h.addrs[m.addr] = p
-	h.of[name] = a
-	w.add(p)
+	h.byProcess[name] = a
+	w.addProcess(p)
 	w.Start(name)
-	h.beat(a)
+	h.announcePeriodically(a)
 }
 
-// load tells how long a load takes; those from the store are counted.
-func (h *hosting) load(k ident.Key, disk bool) clock.Span {
+// loadTime returns how long a load takes, and records loads from the store, which slow each other down.
+func (h *hosting) loadTime(k ident.Key, disk bool) clock.Span {
 	if k.IsAdapter() {
 		return 20e6
 	}
@@ -185,41 +192,44 @@
 	if disk {
 		return d / 4
 	}
-	h.began = append(h.began, loading{h.w.now, h.w.settled()})
-	h.loads++
-	h.w.Check.ceiling()
-	if h.loads > 3 {
-		d = d * clock.Span(h.loads) / 3
+	h.storeLoads = append(h.storeLoads, storeLoad{h.world.now, h.world.coreStable()})
+	h.activeLoads++
+	h.world.Check.checkStoreRate()
+	if h.activeLoads > 3 {
+		d = d * clock.Span(h.activeLoads) / 3
 	}
-	h.w.After(d, func() { h.loads-- })
+	h.world.After(d, func() { h.activeLoads-- })
 	return d
 }
 
-func (h *hosting) loaded(p *proc, v standin.LoadDone) { h.w.tracef("%s: %s is loaded", p.name, v.Key) }
+func (h *hosting) noteLoaded(p *proc, v standin.LoadDone) {
+	h.world.tracef("%s: %s is loaded", p.name, v.Key)
+}
 
-// beat announces a server every while.
-func (h *hosting) beat(a *announcing) {
-	w := h.w
-	if !a.p.up || a.ended {
+// announcePeriodically announces a server at intervals until it ends.
+func (h *hosting) announcePeriodically(a *announcedServer) {
+	w := h.world
+	if !a.proc.up || a.ended {
 		return
 	}
 	if a.State == "live" {
 		h.announce(a, 3, func(bool) {})
 	} else if !a.ending {
-		h.announce(a, 2, func(ok bool) { h.farewell(a, ok) })
+		h.announce(a, 2, func(ok bool) { h.noteLeaveAck(a, ok) })
 	}
-	w.After(w.o.Hosted.Timing.Period*9/10+clock.Span(w.rand.Int64N(int64(w.o.Hosted.Timing.Period/5))), func() { h.beat(a) })
+	w.After(w.o.Hosted.Timing.Period*9/10+clock.Span(w.rand.Int64N(int64(w.o.Hosted.Timing.Period/5))), func() { h.announcePeriodically(a) })
 }
 
-// announce says a server's word to one core node after another until one acknowledges it.
-func (h *hosting) announce(a *announcing, tries int, then func(ok bool)) {
-	w := h.w
-	if !a.p.up {
+// announce sends a server's announcement to random core nodes, one at a time, until one acknowledges it or all tries
+// are used.
+func (h *hosting) announce(a *announcedServer, tries int, then func(ok bool)) {
+	w := h.world
+	if !a.proc.up {
 		return
 	}
 	a.Count++
 	b := a.Beacon
-	if v, ok := a.p.core.(*standin.Batch); ok {
+	if v, ok := a.proc.core.(*standin.Batch); ok {
 		b.Held = v.Keys()
 	}
 	var nodes []string
@@ -230,7 +240,7 @@
 	}
 	to := w.procs[nodes[w.rand.IntN(len(nodes))]]
 	done := false
-	end := func(ok bool) {
+	finish := func(ok bool) {
 		if done {
 			return
 		}
@@ -241,77 +251,79 @@
 		}
 		then(ok)
 	}
-	w.After(1e9, func() { end(false) })
-	h.tell(a, to, b, end)
+	w.After(1e9, func() { finish(false) })
+	h.sendAnnouncement(a, to, b, finish)
 	if w.rand.Float64() < w.o.Hosted.LateOdds {
 		late := w.procs[nodes[w.rand.IntN(len(nodes))]]
-		w.After(clock.Span(w.rand.Int64N(int64(w.o.Hosted.LateBy))), func() { h.tell(a, late, b, func(bool) {}) })
+		w.After(clock.Span(w.rand.Int64N(int64(w.o.Hosted.MaxAnnouncementDelay))), func() { h.sendAnnouncement(a, late, b, func(bool) {}) })
 	}
 }
 
-func (h *hosting) tell(a *announcing, to *proc, b protocol.Beacon, end func(ok bool)) {
-	w := h.w
-	h.word++
-	token := h.word
-	h.words[token] = func(node *proc, ok bool) {
+// sendAnnouncement sends an announcement to one core node.
+func (h *hosting) sendAnnouncement(a *announcedServer, to *proc, b protocol.Beacon, finish func(ok bool)) {
+	w := h.world
+	h.lastAnnouncement++
+	token := h.lastAnnouncement
+	h.pendingAnnouncements[token] = func(node *proc, ok bool) {
 		if ok && b.State != "live" {
 			if a.acked == 0 {
 				a.acked = w.now
 			}
-			if a.sure == 0 && w.inTouch(node) {
-				a.sure = w.now
+			if a.leaveAckedInTouchAt == 0 && w.inTouch(node) {
+				a.leaveAckedInTouchAt = w.now
 			}
-			w.tracef("%s: %s is acknowledged as %s (in touch: %v)", node.name, a.ID, b.State, a.sure != 0)
+			w.tracef("%s: %s is acknowledged as %s (in touch: %v)", node.name, a.ID, b.State, a.leaveAckedInTouchAt != 0)
 		}
-		if w.cuts[[2]string{to.box, a.on.box}] {
+		if w.cuts[[2]string{to.box, a.machine.box}] {
 			return
 		}
-		w.After(w.delay(), func() { end(ok) })
+		w.After(w.delay(), func() { finish(ok) })
 	}
-	if w.cuts[[2]string{a.on.box, to.box}] || w.rand.Float64() < w.o.Loss {
+	if w.cuts[[2]string{a.machine.box, to.box}] || w.rand.Float64() < w.o.Loss {
 		return
 	}
 	w.After(w.delay(), func() {
 		if !to.up {
-			w.After(w.delay(), func() { end(false) })
+			w.After(w.delay(), func() { finish(false) })
 			return
 		}
 		w.step(to, to.life, controller.Announce{Token: token, Beacon: b})
 	})
 }
 
-func (h *hosting) announced(p *proc, v controller.Announced) {
-	if f := h.words[v.Token]; f != nil {
-		delete(h.words, v.Token)
+func (h *hosting) announcementAnswered(p *proc, v controller.Announced) {
+	if f := h.pendingAnnouncements[v.Token]; f != nil {
+		delete(h.pendingAnnouncements, v.Token)
 		f(p, v.OK)
 	}
 }
 
-// leave makes a server say that it is leaving; with a span left it is gone after that, whatever it runs.
+// startLeaving makes a server announce that it is leaving. If left is positive, the server ends after that time
+// even if it still runs requests.
 func (h *hosting) leave(m *machine, left clock.Span, again clock.Span) {
-	w, a := h.w, m.now
-	if a == nil || !a.p.up || a.State != "live" {
+	w, a := h.world, m.now
+	if a == nil || !a.proc.up || a.State != "live" {
 		return
 	}
-	a.State, a.Left, a.said = "leaving", left, w.now
+	a.State, a.Left, a.leavingSince = "leaving", left, w.now
 	w.tracef("%s leaves (%v left)", a.ID, left)
 	if left > 0 {
-		w.After(left, func() { h.end(a, again) })
+		w.After(left, func() { h.endServer(a, again) })
 	}
-	w.After(6e9, func() { // it ends all the same
+	w.After(6e9, func() { // end even without an acknowledgement
 		if !a.ending {
-			h.end(a, again)
+			h.endServer(a, again)
 		}
 	})
-	a.on.now = a
-	h.announce(a, 5, func(ok bool) { h.farewell(a, ok) })
-	var look func()
-	look = func() { // it goes on for a while after it heard the acknowledgement
+	a.machine.now = a
+	h.announce(a, 5, func(ok bool) { h.noteLeaveAck(a, ok) })
+	var waitForAck func()
+	waitForAck = func() { // keep serving for a while after the acknowledgement
 		if a.ended || left > 0 {
 			return
 		}
-		if !a.heard {
-			w.After(20e6, look)
+		if !a.leaveAckReceived {
+			w.After(20e6, waitForAck)
 			return
 		}
 		w.After(w.o.Hosted.Timing.Drain+300e6, func() {
@@ -321,50 +333,51 @@
 			a.ending = true
 			a.State = "gone"
 			h.announce(a, 2, func(bool) {})
-			w.After(300e6, func() { h.end(a, again) })
+			w.After(300e6, func() { h.endServer(a, again) })
 		})
 	}
-	look()
+	waitForAck()
 }
 
-func (h *hosting) farewell(a *announcing, ok bool) {
+func (h *hosting) noteLeaveAck(a *announcedServer, ok bool) {
 	if ok {
-		a.heard = true
+		a.leaveAckReceived = true
 	}
 }
 
-// end ends a server; another one starts on its machine after a while, empty and under a new id.
-func (h *hosting) end(a *announcing, again clock.Span) {
+// endServer ends a server. If again is positive, a server without models and with a new ID starts on its machine after
+// that time.
+func (h *hosting) endServer(a *announcedServer, again clock.Span) {
 	if a.ended {
 		return
 	}
 	a.ending, a.ended = true, true
-	w := h.w
-	w.Kill(a.p.name)
+	w := h.world
+	w.Kill(a.proc.name)
 	addr := a.Addr
-	w.After(w.o.Hosted.Reuse, func() { h.free = append(h.free, addr) })
+	w.After(w.o.Hosted.Reuse, func() { h.freeAddrs = append(h.freeAddrs, addr) })
 	if again > 0 {
-		w.After(again, func() { h.start(a.on, nil) })
+		w.After(again, func() { h.startServer(a.machine, nil) })
 	}
 }
 
-// crash ends a server without a word.
+// crashServer ends a server without an announcement.
 func (h *hosting) crash(m *machine, again clock.Span) {
-	if m.now != nil && m.now.p.up && !m.now.ended {
-		h.w.tracef("%s crashes", m.now.ID)
-		h.end(m.now, again)
+	if m.now != nil && m.now.proc.up && !m.now.ended {
+		h.world.tracef("%s crashes", m.now.ID)
+		h.endServer(m.now, again)
 	}
 }
 
-// ask carries an order, or a question, to a server.
-func (h *hosting) ask(p *proc, a protocol.Ask, tell func(ok bool, code int, b []byte)) {
-	w := h.w
+// deliverAsk delivers an order or a request for a report to a server.
+func (h *hosting) deliverAsk(p *proc, a protocol.Ask, reply func(ok bool, code int, b []byte)) {
+	w := h.world
 	o, ok := a.Body.(protocol.Order)
 	if !ok || a.Path != "/orders" {
 		return
 	}
-	at := w.now
-	s := w.at(a.Addr)
+	sentAt := w.now
+	s := w.procAt(a.Addr)
 	if s == nil || w.cuts[[2]string{p.box, s.box}] {
 		return
 	}
@@ -378,32 +391,32 @@
 	if lost == 1 {
 		return
 	}
-	d := w.delay()
+	delay := w.delay()
 	if lost == 3 {
-		d += clock.Span(100e6 + w.rand.Int64N(450e6)) // it comes late
+		delay += clock.Span(100e6 + w.rand.Int64N(450e6)) // the order arrives late
 	}
-	w.After(d, func() {
-		s := w.at(a.Addr)
+	w.After(delay, func() {
+		s := w.procAt(a.Addr)
 		if s == nil || !s.up {
-			w.After(w.delay(), func() { tell(false, 0, nil) })
+			w.After(w.delay(), func() { reply(false, 0, nil) })
 			return
 		}
-		if w.now.Sub(at) > a.Wait {
-			return // its connection was closed
+		if w.now.Sub(sentAt) > a.Wait {
+			return // the sender has closed the connection
 		}
 		v := s.core.(*standin.Batch)
-		if a.Server != s.server && o.Op != "" { // reports are given whoever is asked for one
-			w.After(w.delay(), func() { tell(true, http.StatusMisdirectedRequest, nil) })
+		if a.Server != s.server && o.Op != "" { // servers answer requests for a report even if addressed to another server
+			w.After(w.delay(), func() { reply(true, http.StatusMisdirectedRequest, nil) })
 			return
 		}
 		for _, x := range v.Step(s.tick(w.now), standin.BatchOrder{Order: o}) {
 			r, ok := x.(standin.BatchAnswer)
 			if !ok {
-				w.act(s, x)
+				w.handleOutput(s, x)
 				continue
 			}
 			if o.Op != "" {
-				w.Check.orderedBatch(p, s, o, r)
+				w.Check.checkHostedOrder(p, s, o, r)
 			}
 			if lost == 2 || w.cuts[[2]string{s.box, p.box}] {
 				continue
@@ -412,13 +425,13 @@
 			if r.Code != http.StatusOK || o.Op != "" {
 				b = nil
 			}
-			w.After(w.delay(), func() { tell(true, r.Code, b) })
+			w.After(w.delay(), func() { reply(true, r.Code, b) })
 		}
 	})
 }
 
-// at finds what listens at an address.
-func (w *World) at(addr string) *proc {
+// procAt returns the process that listens at an address, or nil.
+func (w *World) procAt(addr string) *proc {
 	if w.host != nil {
 		if p := w.host.addrs[addr]; p != nil {
 			return p
@@ -427,10 +440,10 @@
 	return w.procs[addr]
 }
 
-// again tells whether a request of these scenes may run more than once.
-func again(a standin.Ask) bool { return strings.Contains(a.Route, "/idem/") }
+// isRepeatable reports whether a request may run more than once.
+func isRepeatable(a standin.Ask) bool { return strings.Contains(a.Route, "/idem/") }
 
-// mix draws the requests of a scene.
+// requestSource returns a generator of random requests.
 func (w *World) mix() func() standin.Ask {
 	if w.host == nil {
 		m := standin.NewMix(w.plan, w.o.Seed)
@@ -442,7 +455,7 @@
 		n++
 		at := 0
 		if s := w.o.Hosted.Shift; s > 0 {
-			at = int(clock.Span(w.now) / s) // which models are asked for moves
+			at = int(clock.Span(w.now) / s) // the popular models change over time
 		}
 		a := standin.Ask{Route: []string{"/flow/x", "/idem/x", "/once/x", "/plain/idem/x", "/plain/once/x"}[w.rand.IntN(5)]}
 		c := &a.Call
@@ -465,7 +478,7 @@
 			bases += b2i(!k.IsAdapter())
 		}
 		i := min(w.rand.IntN(bases), w.rand.IntN(bases), w.rand.IntN(bases))
-		c.Base = base((i + 5*at) % bases)
+		c.Base = baseName((i + 5*at) % bases)
 		if w.rand.IntN(4) == 0 {
 			c.Extra = fmt.Sprintf("a%d", 1+w.rand.IntN(2))
 		}
@@ -476,66 +489,69 @@
 	}
 }
 
-// PutNumber hands a plan over that goes on another, under a number that the operator gives.
+// PutNumber submits a plan that builds on epoch on, under an epoch number chosen by the operator.
 func (w *World) PutNumber(node string, raw []byte, on, number ident.Epoch, then func(controller.Receipt)) {
 	w.change(node, controller.Admin{Op: "put", Raw: raw, Expect: on, Number: number, Change: fmt.Sprintf("put-%d-%d-%d", on, number, w.admin+1)}, then)
 }
 
-// harm is when machines and links between them were last in trouble.
-type harm struct {
-	box  map[string]clock.Tick
-	pair map[[2]string]clock.Tick
-	core clock.Tick
-	thaw map[string]clock.Tick // when machines were thawed, or will be
+// disruptions records the latest faults of machines and of the links between them.
+type disruptions struct {
+	machines map[string]clock.Tick
+	links    map[[2]string]clock.Tick
+	coreAt   clock.Tick
+	thawedAt map[string]clock.Tick // when frozen machines resume, or resumed
 }
 
-func newHarm() harm {
-	return harm{box: map[string]clock.Tick{}, thaw: map[string]clock.Tick{}, pair: map[[2]string]clock.Tick{}}
+func newDisruptions() disruptions {
+	return disruptions{machines: map[string]clock.Tick{}, thawedAt: map[string]clock.Tick{}, links: map[[2]string]clock.Tick{}}
 }
 
+// isCore reports whether a machine runs a core node.
 func isCore(box string) bool { return strings.HasPrefix(box, "controller-") }
 
-// upset notes trouble on a machine.
-func (w *World) upset(box string) { w.trouble(box, w.now) }
+// noteTrouble records a fault of a machine now.
+func (w *World) noteTrouble(box string) { w.noteTroubleAt(box, w.now) }
 
-// thaws notes that a machine is frozen until a moment.
-func (w *World) thaws(box string, at clock.Tick) {
-	w.harm.thaw[box] = at
-	w.trouble(box, at)
+// noteFreeze records that a machine is frozen until the given time.
+func (w *World) noteFreeze(box string, at clock.Tick) {
+	w.disruptions.thawedAt[box] = at
+	w.noteTroubleAt(box, at)
 }
 
-func (w *World) trouble(box string, at clock.Tick) {
-	w.harm.box[box] = max(w.harm.box[box], at)
+// noteTroubleAt records a fault of a machine that lasts until the given time.
+func (w *World) noteTroubleAt(box string, at clock.Tick) {
+	w.disruptions.machines[box] = max(w.disruptions.machines[box], at)
 	if isCore(box) {
-		w.harm.core = max(w.harm.core, at)
+		w.disruptions.coreAt = max(w.disruptions.coreAt, at)
 	}
 }
 
-// parted notes trouble on a link.
-func (w *World) parted(a, b string) {
-	w.harm.pair[[2]string{a, b}], w.harm.pair[[2]string{b, a}] = w.now, w.now
+// noteLinkTrouble records a fault of a link now.
+func (w *World) noteLinkTrouble(a, b string) {
+	w.disruptions.links[[2]string{a, b}], w.disruptions.links[[2]string{b, a}] = w.now, w.now
 	if isCore(a) {
-		w.harm.box[b] = max(w.harm.box[b], w.now)
+		w.disruptions.machines[b] = max(w.disruptions.machines[b], w.now)
 	}
 	if isCore(b) {
-		w.harm.box[a] = max(w.harm.box[a], w.now)
+		w.disruptions.machines[a] = max(w.disruptions.machines[a], w.now)
 	}
 	if isCore(a) && isCore(b) {
-		w.harm.core = max(w.harm.core, w.now)
+		w.disruptions.coreAt = max(w.disruptions.coreAt, w.now)
 	}
 }
 
-// settled tells whether the core was without trouble for a while.
-func (w *World) settled() bool {
-	if w.o.Hosted == nil || w.now.Sub(w.harm.core) < w.o.Hosted.Contact {
+// coreStable reports whether a majority of the core is running and the core has been without faults for the contact
+// time.
+func (w *World) coreStable() bool {
+	if w.o.Hosted == nil || w.now.Sub(w.disruptions.coreAt) < w.o.Hosted.ContactTime {
 		return false
 	}
 	up := w.controllers()
-	all := 0
+	total := 0
 	for _, n := range w.order {
-		all += b2i(strings.HasPrefix(n, "controller-"))
+		total += b2i(strings.HasPrefix(n, "controller-"))
 	}
-	if 2*len(up) <= all {
+	if 2*len(up) <= total {
 		return false
 	}
 	for c := range w.cuts {
@@ -546,9 +562,10 @@
 	return true
 }
 
-// inTouch tells whether a process's machine was without trouble for a while, and the core with it.
+// inTouch reports whether both the core and a process's machine and links to the core have been without faults for
+// the contact time.
 func (w *World) inTouch(p *proc) bool {
-	if !p.up || w.now.Sub(w.harm.box[p.box]) < w.o.Hosted.Contact || !w.settled() {
+	if !p.up || w.now.Sub(w.disruptions.machines[p.box]) < w.o.Hosted.ContactTime || !w.coreStable() {
 		return false
 	}
 	for c := range w.cuts {
@@ -559,28 +576,29 @@
 	return true
 }
 
-// linked tells whether the link between two machines was without trouble for a span.
-func (w *World) linked(a, b string, s clock.Span) bool {
+// linkStable reports whether the link between two machines has been without faults for the given time.
+func (w *World) linkStable(a, b string, s clock.Span) bool {
 	if w.cuts[[2]string{a, b}] || w.cuts[[2]string{b, a}] {
 		return false
 	}
-	t, ok := w.harm.pair[[2]string{a, b}]
+	t, ok := w.disruptions.links[[2]string{a, b}]
 	return !ok || w.now.Sub(t) >= s
 }
 
-// live lists the machines whose servers are up and say that they stay.
-func (h *hosting) live() (l []*machine) {
+// liveMachines returns the machines whose servers are running and not leaving.
+func (h *hosting) liveMachines() (l []*machine) {
 	for _, m := range h.machines {
-		if m.now != nil && m.now.p.up && m.now.State == "live" {
+		if m.now != nil && m.now.proc.up && m.now.State == "live" {
 			l = append(l, m)
 		}
 	}
 	return l
 }
 
+// randomMachine returns a random machine with a live server, or the first machine if there is none.
 func (h *hosting) some() *machine {
-	if l := h.live(); len(l) > 0 {
-		return l[h.w.rand.IntN(len(l))]
+	if l := h.liveMachines(); len(l) > 0 {
+		return l[h.world.rand.IntN(len(l))]
 	}
 	return h.machines[0]
 }
--- a/internal/simulator/sheet.go
+++ b/internal/simulator/hosted_plan.go
@@ -10,22 +10,22 @@
 	"tidedeck/internal/ident"
 )
 
-// sheet is a plan for announced servers, as these scenes write it down.
+// planSheet is the JSON format of plans for announced servers in the simulator's scenes.
 type sheet struct {
-	Name     string                  `json:"name"`
-	Services map[string]sheetService `json:"services"`
-	Routes   []sheetRoute            `json:"routes"`
-	Tenants  []sheetTenant           `json:"tenants,omitempty"` // absent where nobody wants a key
+	Name     string                 `json:"name"`
+	Services map[string]planService `json:"services"`
+	Routes   []sheetRoute           `json:"routes"`
+	Tenants  []sheetTenant          `json:"tenants,omitempty"` // absent if requests need no credential
 }
 
-// sheetTenant is a tenant of a plan and its keys.
+// planTenant is a tenant and its keys.
 type sheetTenant struct {
 	Name       string   `json:"name"`
 	Keys       []string `json:"keys"`
 	Precedence int      `json:"precedence"`
 }
 
-type sheetService struct {
+type planService struct {
 	Plain    bool    `json:"plain,omitempty"`
 	Slots    int     `json:"slots"`
 	Room     int     `json:"room,omitempty"`
@@ -51,9 +51,10 @@
 
 const adapterSize = 1
 
-// base names a service's n-th base model. Every third is large.
-func base(n int) string { return fmt.Sprintf("m%02d", n) }
+// baseName returns the name of a service's n-th base model.
+func baseName(n int) string { return fmt.Sprintf("m%02d", n) }
 
+// baseSize returns the size of a service's n-th base model. Every third model is large.
 func baseSize(n int) int { return 10 + 10*b2i(n%3 == 0) }
 
 func b2i(b bool) int {
@@ -63,8 +64,8 @@
 	return 0
 }
 
-// ReadSheet reads a plan for announced servers.
-func ReadSheet(raw []byte) (*fleetplan.Plan, fleetplan.Faults) {
+// ReadHostedPlan parses a plan for announced servers.
+func ReadHostedPlan(raw []byte) (*fleetplan.Plan, fleetplan.Faults) {
 	var s sheet
 	if err := json.Unmarshal(raw, &s); err != nil {
 		return nil, fleetplan.Faults{{Path: "$", Why: err.Error()}}
@@ -75,11 +76,11 @@
 		v := s.Services[n]
 		x := fleetplan.Service{Keys: map[ident.Key]bool{}, Plain: v.Plain, Slots: v.Slots, Room: v.Room, Places: v.Places, Loads: v.Loads}
 		for i := range v.Bases {
-			k := ident.Key(base(i)).In(n)
+			k := ident.Key(baseName(i)).In(n)
 			x.Keys[k] = true
 			p.Models[k] = fleetplan.Model{Key: k, Size: baseSize(i), Most: 1000, Load: clock.Span(v.LoadMs) * 1e6}
 			for a := range v.Adapters {
-				e := ident.KeyOf(base(i), fmt.Sprintf("a%d", a+1)).In(n)
+				e := ident.KeyOf(baseName(i), fmt.Sprintf("a%d", a+1)).In(n)
 				x.Keys[e] = true
 				p.Models[e] = fleetplan.Model{Key: e, Size: adapterSize, Most: 1000}
 			}
@@ -88,7 +89,7 @@
 	}
 	for i, r := range s.Routes {
 		if _, ok := p.Services[r.Service]; !ok {
-			return nil, fleetplan.Faults{{Path: fmt.Sprintf("routes[%d]", i), Why: "no service is called " + r.Service}}
+			return nil, fleetplan.Faults{{Path: fmt.Sprintf("routes[%d]", i), Why: "unknown service " + r.Service}}
 		}
 		if p.Hosts[r.Host] == nil {
 			p.Hosts[r.Host] = map[string]*fleetplan.Route{}
@@ -97,13 +98,13 @@
 			ModelOptional: r.ModelOptional, Unkeyed: r.Unkeyed, Class: fleetplan.Class{Value: r.Value, Wait: clock.Span(r.WaitMs) * 1e6}}
 	}
 	if s.Tenants != nil {
-		return p, s.setTenants(p)
+		return p, s.applyTenants(p)
 	}
 	return p, nil
 }
 
-// setTenants gives a plan its tenants.
-func (s sheet) setTenants(p *fleetplan.Plan) fleetplan.Faults {
+// applyTenants sets the tenants of a plan.
+func (s sheet) applyTenants(p *fleetplan.Plan) fleetplan.Faults {
 	t := fleetplan.NewTenants()
 	for i, tenant := range s.Tenants {
 		t.Add(fleetplan.Tenant{Name: tenant.Name, Precedence: tenant.Precedence})
@@ -117,13 +118,13 @@
 	return nil
 }
 
-// hostedPlan is the first plan of these scenes.
+// hostedPlan returns the initial plan of scenes with announced servers.
 func hostedPlan() []byte { return storePlan(1) }
 
-// storePlan is the same with a store that admits so many loads a second.
+// planWithStoreRate returns the initial plan with a store that admits the given number of loads per second.
 func storePlan(loads float64) []byte { return writeSheet(firstSheet(loads)) }
 
-// namelessPlan is the first plan with routes to the servers with models whose requests may name none.
+// planWithOptionalModel returns the initial plan with additional routes for requests that name no model.
 func namelessPlan() []byte {
 	s := firstSheet(1)
 	for _, r := range s.Routes {
@@ -137,7 +138,7 @@
 
 func firstSheet(loads float64) sheet {
 	return sheet{Name: "first",
-		Services: map[string]sheetService{
+		Services: map[string]planService{
 			"chat":  {Slots: 16, Room: 60, Places: 3, Loads: loads, Bases: 18, Adapters: 2, LoadMs: 1500},
 			"plain": {Plain: true, Slots: 8},
 		},
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -1,6 +1,7 @@
-// Package simulator turns the real cores of every program through virtual time: from a seed,
-// over a faulty network, on faulty disks and drifting clocks, with checkers that watch what
-// callers, servers, the store, the platform and operators see.
+// Package simulator runs the state machines of all programs in virtual time. Each run is
+// deterministic for a given seed and simulates a faulty network, faulty disks and drifting clocks,
+// while checkers compare what callers, servers, the model store, the platform and operators observe
+// against the system's guarantees.
 package simulator
 
 import (
@@ -22,214 +23,219 @@
 	"tidedeck/internal/generic"
 	"tidedeck/internal/ident"
 	"tidedeck/internal/invariant"
-	_ "tidedeck/internal/invariant/strict" // a run fails at a violated invariant
+	_ "tidedeck/internal/invariant/strict" // makes violated invariants fail the run
 	"tidedeck/internal/protocol"
 	"tidedeck/internal/router"
 	"tidedeck/internal/standin"
 )
 
-// Options of a world.
+// Options configures a World.
 type Options struct {
-	Seed       uint64
-	Routers    int
-	Servers    int
-	Plan       []byte
-	Trace      io.Writer
-	Controller controller.Options // guards and spans; the rest is filled in
-	Router     router.Options
-	Far        clock.Span // between machines, more or less
-	Loss       float64
-	Twice      float64
-	Keep       clock.Span // of agents
-	Room       int
-	Slots      int
-	Rate       float64 // of the store
-	Tenants    int     // of callers
-	Mixed      bool    // servers differ in room, slots and speed
-	Fill       int     // prompt bytes that a server's step can prefill
-	Rates      float64 // how far the rates of any two machines' clocks may differ
-	Core       *Deployment
-	Hosted     *Hosted // servers announce themselves and check no fence, if set
-	Narrow     *Narrow // what links carry and processes can do, if it is bounded
+	Seed          uint64
+	Routers       int
+	Servers       int
+	Plan          []byte
+	Trace         io.Writer
+	Controller    controller.Options // limits and durations; New fills in the rest
+	Router        router.Options
+	Far           clock.Span // mean extra latency between machines
+	Loss          float64
+	Twice         float64
+	RenewInterval clock.Span // interval at which agents renew their sessions
+	Room          int
+	Slots         int
+	StoreRate     float64 // bandwidth of the model store
+	Tenants       int     // number of tenants among callers; 0 uses the request generator's default
+	Mixed         bool    // servers differ in memory, slots and speed
+	PrefillBytes  int     // prompt bytes that a server prefills per step
+	Rates         float64 // maximum difference between the clock rates of two machines
+	Core          *Deployment
+	Hosted        *Hosted // if set, servers announce themselves and do not check fencing numbers
+	Narrow        *Narrow // if set, limits link bandwidth and processing speed
 }
 
+// event is a step scheduled for a point in virtual time; seq orders events of the same time.
 type event struct {
 	at  clock.Tick
 	seq uint64
 	do  func()
 }
 
-type events []event
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventQueue) Pop() any {
 	o := *e
 	x := o[len(o)-1]
 	*e = o[:len(o)-1]
 	return x
 }
 
-type core interface {
+type processCore interface {
 	Step(now clock.Tick, in any) []any
 }
 
-// proc is one process, on a machine with a clock of its own.
+// proc is a process. Processes on the same machine share its clock.
 type proc struct {
-	name   string
-	box    string // its machine
-	zone   ident.Zone
-	beat   clock.Span
-	core   core
-	up     bool
-	life   int
-	froze  clock.Tick
-	busy   clock.Tick // with a configuration, where processes are slow
-	plans  uint64     // that it has taken in
-	skew   clock.Tick
-	rate   float64
-	wall   time.Duration // how far its wall clock is off
-	disk   *plate
-	made   func() core
-	mark   uint64 // digest of its name, for the trace's hash
-	server ident.Server
-	leaves bool // no new callers come to it: it stops as planned
+	name         string
+	box          string // machine that the process runs on
+	zone         ident.Zone
+	tickInterval clock.Span
+	core         processCore
+	up           bool
+	life         int
+	frozenUntil  clock.Tick
+	busy         clock.Tick // end of the time spent applying a configuration, where processing speed is limited
+	plans        uint64     // number of plans applied
+	clockOffset  clock.Tick
+	clockRate    float64
+	wall         time.Duration // error of the machine's wall clock
+	disk         *simulatedDisk
+	newCore      func() processCore
+	nameDigest   uint64 // hash of the name, mixed into the trace hash
+	server       ident.Server
+	draining     bool // the platform sends it no new callers because a planned stop is under way
 }
 
 func (p *proc) tick(now clock.Tick) clock.Tick {
-	return p.skew + clock.Tick(float64(now)*p.rate)
+	return p.clockOffset + clock.Tick(float64(now)*p.clockRate)
 }
 
-// plate is a disk: what is synced stays, what is not goes with the power.
-type plate struct {
-	safe  map[string][]byte
-	late  clock.Span
-	stall clock.Tick
-	last  clock.Tick
+// simulatedDisk keeps synced writes. A process that is killed loses the writes that are not yet synced.
+type simulatedDisk struct {
+	safe     map[string][]byte
+	late     clock.Span
+	stall    clock.Tick
+	lastSync clock.Tick
 }
 
-// World is one run.
+// World is the state of one simulation run.
 type World struct {
-	o      Options
-	now    clock.Tick
-	seq    uint64
-	q      events
-	rand   *rand.Rand
-	procs  map[string]*proc
-	order  []string
-	cuts   map[[2]string]bool // from machine, to machine
-	plat   *standin.Platform
-	platUp bool
-	store  *standin.Store
-	asks   map[askKey]func(ok bool, code int, body []byte)
-	pulls  map[uint64]func()
-	pull   uint64
-	puller map[uint64]askKey
-	flows  map[flowKey]*flow
-	serial uint64
-	hash   uint64
-	mails  map[string]int        // messages between machines, by kind
-	links  map[string]clock.Tick // until when each link is taken, where links are narrow
-	Check  *Checker
-	plan   *fleetplan.Plan
-	admins map[uint64]func(controller.Receipt)
-	admin  uint64
-	host   *hosting
-	core   *coreFleet
-	harm   harm
-	// Lag is a pause between a router's last check and the send, drawn with chance LagOdds.
+	o             Options
+	now           clock.Tick
+	seq           uint64
+	queue         eventQueue
+	rand          *rand.Rand
+	procs         map[string]*proc
+	order         []string
+	cuts          map[[2]string]bool // blocked directions, as [from, to] machine names
+	plat          *standin.Platform
+	platUp        bool
+	store         *standin.Store
+	pendingAsks   map[askKey]func(ok bool, code int, body []byte)
+	pendingPulls  map[uint64]func()
+	lastPull      uint64
+	pullOrigins   map[uint64]askKey
+	attempts      map[attemptKey]*attempt
+	lastToken     uint64
+	hash          uint64
+	messageCounts map[string]int        // messages between machines by kind
+	links         map[string]clock.Tick // time until which each link is occupied, where bandwidth is limited
+	Check         *Checker
+	plan          *fleetplan.Plan
+	pendingAdmin  map[uint64]func(controller.Receipt)
+	admin         uint64
+	host          *hosting
+	core          *coreFleet
+	disruptions   disruptions
+	// SendLagOdds is the probability of a pause of up to SendLag between a router's last check and the send.
 	LagOdds float64
 	Lag     clock.Span
-	// ReplyLoss is the chance that an operator's reply gets lost on its way back.
+	// ReplyLossOdds is the probability that the reply to an operator is lost.
 	ReplyLoss float64
-	// Seeds, if set, are the seeds of processes that start from now on.
+	// Seeds, if set, overrides the seed addresses of processes that start from now on.
 	Seeds []string
-	// Mangle is the chance that a server's event comes malformed, late, twice, not at all, or is another's.
+	// MangleOdds is the probability that a server's event arrives malformed, twice or not at all, or names
+	// another server or attempt.
 	Mangle float64
-	// Bend, if set, is what a server makes of its report.
+	// AlterReport, if set, alters the reports that servers send.
 	Bend func(r protocol.Report) protocol.Report
-	// Lists, if set, is what the platform makes of its list when it is asked.
+	// AlterServerList, if set, alters the server list that the platform returns.
 	Lists func(l []protocol.Listed) []protocol.Listed
-	// Again is the chance that a caller whose request broke asks again under the same id.
+	// CallerRepeatOdds is the probability that a caller repeats an interrupted request under the same ID.
 	Again float64
-	// ResetOdds is the chance that a connection breaks before the first event.
+	// ResetOdds is the probability that a connection breaks before the first event.
 	ResetOdds float64
-	// Dial is how long a connection may take to open, drawn with chance DialOdds.
+	// DialOdds is the probability that opening a connection takes up to DialDelay longer.
 	DialOdds float64
 	Dial     clock.Span
 }
 
+// askKey identifies an outstanding HTTP request of a process.
 type askKey struct {
-	who   string
-	life  int
-	token uint64
+	process string
+	life    int
+	token   uint64
 }
 
-type flowKey struct {
+// attemptKey identifies an attempt at a server.
+type attemptKey struct {
 	server string
 	life   int
 	token  uint64
 }
 
-// flow is one go on the wire.
-type flow struct {
-	router *proc
-	life   int
-	l      router.Launch
-	c      *call
-	n      int
-	last   clock.Tick
-	born   clock.Tick
-	open   clock.Tick // when the server accepted its connection
-	dead   bool
-	bent   bool // one of its events was mangled
+// attempt is one attempt of a request, sent by a router to a server.
+type attempt struct {
+	router      *proc
+	life        int
+	launch      router.Launch
+	call        *call
+	eventCount  int
+	lastArrival clock.Tick
+	arrivedAt   clock.Tick
+	acceptedAt  clock.Tick // when the server accepted the connection
+	closed      bool
+	mangled     bool // one of its events was altered by fault injection
 }
 
-// call is one request as its caller sees it.
+// call is a request from its caller's point of view.
 type call struct {
-	ask    standin.Ask
-	router string
-	at     clock.Tick
-	n      int
-	server ident.Server
-	run    string
-	over   bool
-	kind   string
-	sends  int
-	tries  int
-	missed map[string]int // servers that were not reached
-	first  clock.Tick     // when it was first sent
-	ran    int
-	held   bool // its last go was held back, and reached nobody
-	asked2 bool // its caller asks again, after a break
-	repeat bool
-	ref    router.Ref
+	ask          standin.Ask
+	router       string
+	askedAt      clock.Tick
+	eventCount   int
+	server       ident.Server
+	runID        string
+	finished     bool
+	outcome      string
+	sends        int
+	launches     int
+	unreached    map[string]int // failed connections by server address
+	firstSentAt  clock.Tick     // when the first attempt was sent
+	runs         int
+	heldBack     bool // the router withheld the last attempt, which reached no server
+	callerRepeat bool // the caller's repeat of an interrupted request
+	repeat       bool
+	ref          router.Ref
 }
 
-// New lays out a world: three core nodes, router pairs, servers, a store and a platform.
+// New returns a world of core nodes, routers with their agents, servers, a model store and a platform,
+// and starts all processes.
 func New(o Options) *World {
 	generic.SetDefault(&o.Room, 80)
-	generic.SetDefault(&o.Rate, 60)
+	generic.SetDefault(&o.StoreRate, 60)
 	generic.SetDefault(&o.Slots, 16)
 	generic.SetDefault(&o.Rates, 0.016)
 	w := &World{o: o, rand: rand.New(rand.NewPCG(o.Seed, 99)), procs: map[string]*proc{}, cuts: map[[2]string]bool{},
-		asks: map[askKey]func(bool, int, []byte){}, pulls: map[uint64]func(){}, puller: map[uint64]askKey{}, mails: map[string]int{}, links: map[string]clock.Tick{}, flows: map[flowKey]*flow{}, admins: map[uint64]func(controller.Receipt){}, platUp: true}
-	w.plan, _ = w.read(o.Plan)
+		pendingAsks: map[askKey]func(bool, int, []byte){}, pendingPulls: map[uint64]func(){}, pullOrigins: map[uint64]askKey{}, messageCounts: map[string]int{}, links: map[string]clock.Tick{}, attempts: map[attemptKey]*attempt{}, pendingAdmin: map[uint64]func(controller.Receipt){}, platUp: true}
+	w.plan, _ = w.parsePlan(o.Plan)
 	w.Check = newChecker(w)
-	w.harm = newHarm()
+	w.disruptions = newDisruptions()
 	loads := 2
 	if w.plan != nil {
 		loads = w.plan.Loads
 	}
-	w.store = standin.NewStore(o.Rate, loads)
+	w.store = standin.NewStore(o.StoreRate, loads)
 	zones := []ident.Zone{"za", "zb", "zc"}
 	seeds := w.seeds()
 	if o.Core != nil {
-		w.layCore(o.Core)
+		w.addCoreNodes(o.Core)
 	} else {
 		for i := range 3 {
 			w.addController(fmt.Sprintf("controller-%d", i+1), zones[i], seeds)
@@ -250,31 +256,31 @@
 	for i := range o.Routers {
 		w.addRouter(fmt.Sprint(i+1), zones[i%3])
 	}
-	w.add(&proc{name: "store", box: "store", beat: 10e6, rate: 1, made: func() core { return w.store }})
+	w.addProcess(&proc{name: "store", box: "store", tickInterval: 10e6, clockRate: 1, newCore: func() processCore { return w.store }})
 	for _, n := range append([]string{}, w.order...) {
 		w.Start(n)
 	}
-	w.After(100e6, w.watch)
+	w.After(100e6, w.checkPeriodically)
 	return w
 }
 
-// addRouter adds a router and the agent beside it.
-func (w *World) addRouter(n string, z ident.Zone) {
-	box := "router-" + n
-	a, l := "agent-"+n, "router-"+n
-	skew, rate := w.clock()
-	w.add(&proc{name: a, box: box, zone: z, beat: 20e6, skew: skew, rate: rate, made: func() core {
-		return agent.New(agent.Options{Me: protocol.Sibling{ID: ident.Node(a), Addr: a}, Zone: z, Inc: w.inc(a), Life: ident.Inc(w.now) + 1, Seeds: w.seeds(),
-			Router: protocol.Sibling{ID: ident.Node(l), Addr: l}, Rand: w.chance(a), Keep: w.o.Keep})
+// addRouter adds a router and its agent, on the same machine.
+func (w *World) addRouter(suffix string, z ident.Zone) {
+	box := "router-" + suffix
+	agentName, routerName := "agent-"+suffix, "router-"+suffix
+	skew, rate := w.randomClock()
+	w.addProcess(&proc{name: agentName, box: box, zone: z, tickInterval: 20e6, clockOffset: skew, clockRate: rate, newCore: func() processCore {
+		return agent.New(agent.Options{Me: protocol.Sibling{ID: ident.Node(agentName), Addr: agentName}, Zone: z, Inc: w.incarnation(agentName), Life: ident.Inc(w.now) + 1, Seeds: w.seeds(),
+			Router: protocol.Sibling{ID: ident.Node(routerName), Addr: routerName}, Rand: w.randomFor(agentName), Keep: w.o.RenewInterval})
 	}})
-	w.add(&proc{name: l, box: box, zone: z, beat: 20e6, skew: skew, rate: rate, made: func() core {
-		lo := w.o.Router
+	w.addProcess(&proc{name: routerName, box: box, zone: z, tickInterval: 20e6, clockOffset: skew, clockRate: rate, newCore: func() processCore {
+		options := w.o.Router
 		if w.host != nil {
-			w.host.router(&lo, z)
+			w.host.setRouterOptions(&options, z)
 		}
-		lo.Me, lo.Agent, lo.Inc = protocol.Sibling{ID: ident.Node(l), Addr: l}, protocol.Sibling{ID: ident.Node(a), Addr: a}, w.inc(l)
-		lo.Restarted = w.host != nil && w.now > 0
-		return router.New(lo)
+		options.Me, options.Agent, options.Inc = protocol.Sibling{ID: ident.Node(routerName), Addr: routerName}, protocol.Sibling{ID: ident.Node(agentName), Addr: agentName}, w.incarnation(routerName)
+		options.Restarted = w.host != nil && w.now > 0
+		return router.New(options)
 	}})
 }
 
@@ -291,81 +297,84 @@
 	return l
 }
 
-func (w *World) clock() (clock.Tick, float64) {
+// randomClock returns a random clock offset and rate.
+func (w *World) randomClock() (clock.Tick, float64) {
 	return clock.Tick(w.rand.Int64N(1e15)), 1 + (w.rand.Float64()-0.5)*w.o.Rates
 }
 
-func (w *World) chance(name string) *rand.Rand {
+// randomFor returns the random source of a process for its current life.
+func (w *World) randomFor(name string) *rand.Rand {
 	h := fnv.New64a()
 	fmt.Fprint(h, name, w.procs[name].life)
 	return rand.New(rand.NewPCG(w.o.Seed, h.Sum64()))
 }
 
-// inc gives a process life its incarnation; later lives have higher ones.
-func (w *World) inc(name string) ident.Inc {
-	// As drawn from a wall clock, which may have been set back.
+// incarnation returns the incarnation number of a process's current life. Later lives get higher numbers.
+func (w *World) incarnation(name string) ident.Inc {
+	// Derived from the wall clock, as in production; the clock may have been set back.
 	at := uint64(int64(w.now) + int64(w.procs[name].wall) + 4e12)
 	return ident.Inc(at>>10<<10+uint64(len(w.order)*64)) + ident.Inc(w.procs[name].life) + 1
 }
 
 func (w *World) addController(name string, z ident.Zone, seeds []protocol.Sibling) {
-	skew, rate := w.clock()
-	w.add(&proc{name: name, box: name, zone: z, beat: 20e6, skew: skew, rate: rate, disk: &plate{safe: map[string][]byte{}, late: 2e6}, made: func() core {
-		ao := w.o.Controller
-		ao.Me, ao.Zone, ao.Inc, ao.Seeds, ao.Platform, ao.Rand = protocol.Sibling{ID: ident.Node(name), Addr: name}, z, w.inc(name), seeds, "platform", w.chance(name)
+	skew, rate := w.randomClock()
+	w.addProcess(&proc{name: name, box: name, zone: z, tickInterval: 20e6, clockOffset: skew, clockRate: rate, disk: &simulatedDisk{safe: map[string][]byte{}, late: 2e6}, newCore: func() processCore {
+		options := w.o.Controller
+		options.Me, options.Zone, options.Inc, options.Seeds, options.Platform, options.Rand = protocol.Sibling{ID: ident.Node(name), Addr: name}, z, w.incarnation(name), seeds, "platform", w.randomFor(name)
 		if w.o.Hosted != nil {
-			w.o.Hosted.controller(&ao, w.procs[name].life > 1 || w.now > 1e9)
+			w.o.Hosted.setControllerOptions(&options, w.procs[name].life > 1 || w.now > 1e9)
 		}
 		if w.o.Core != nil {
-			w.o.Core.controller(&ao, w.o.Hosted.Timing)
+			w.o.Core.setControllerOptions(&options, w.o.Hosted.Timing)
 		}
-		ao.Wall = func() time.Time { return dawn.Add(time.Duration(w.now) + w.procs[name].wall) }
-		return controller.New(ao)
+		options.Wall = func() time.Time { return dawn.Add(time.Duration(w.now) + w.procs[name].wall) }
+		return controller.New(options)
 	}})
 }
 
 func (w *World) addServer(name string, z ident.Zone) {
-	skew, rate := w.clock()
-	w.add(&proc{name: name, box: name, zone: z, beat: 20e6, skew: skew, rate: rate, server: ident.Server(name), made: func() core {
-		s := standin.ServerOptions{ID: ident.Server(name), Inc: w.inc(name), Room: w.room(name), Slots: w.o.Slots, Store: "store", Fill: w.o.Fill}
+	skew, rate := w.randomClock()
+	w.addProcess(&proc{name: name, box: name, zone: z, tickInterval: 20e6, clockOffset: skew, clockRate: rate, server: ident.Server(name), newCore: func() processCore {
+		s := standin.ServerOptions{ID: ident.Server(name), Inc: w.incarnation(name), Room: w.room(name), Slots: w.o.Slots, Store: "store", Fill: w.o.PrefillBytes}
 		if w.o.Mixed {
-			s.Slots, s.Step = w.o.Slots*w.part(name)/4, 80e6/clock.Span(w.part(name))
+			s.Slots, s.Step = w.o.Slots*w.sizeQuarters(name)/4, 80e6/clock.Span(w.sizeQuarters(name))
 		}
 		return standin.NewServer(s)
 	}})
 }
 
-// part tells how large and fast a server is, in quarters, where they differ: old ones and new ones.
-func (w *World) part(name string) int { return 2 + 2*(int(name[len(name)-1])%3) }
+// sizeQuarters returns a server's size and speed in quarters of the standard server, for worlds that mix server
+// generations.
+func (w *World) sizeQuarters(name string) int { return 2 + 2*(int(name[len(name)-1])%3) }
 
 func (w *World) room(name string) int {
 	if w.o.Mixed {
-		return w.o.Room * (5 + w.part(name)) / 9
+		return w.o.Room * (5 + w.sizeQuarters(name)) / 9
 	}
 	return w.o.Room
 }
 
-func (w *World) add(p *proc) {
+func (w *World) addProcess(p *proc) {
 	h := fnv.New64a()
 	fmt.Fprint(h, p.name)
-	p.mark = h.Sum64()
+	p.nameDigest = h.Sum64()
 	w.procs[p.name] = p
 	w.order = append(w.order, p.name)
 }
 
-// At runs a step at a moment.
+// At schedules do for time t, or for now if t has passed.
 func (w *World) At(t clock.Tick, do func()) {
 	w.seq++
-	heap.Push(&w.q, event{max(t, w.now), w.seq, do})
+	heap.Push(&w.queue, event{max(t, w.now), w.seq, do})
 }
 
-// After runs a step after a span.
+// After schedules do to run after a delay.
 func (w *World) After(s clock.Span, do func()) { w.At(w.now.Add(s), do) }
 
-// Run turns the world until a moment.
+// Run processes all events up to the given time since the start.
 func (w *World) Run(until clock.Span) {
-	for len(w.q) > 0 && w.q[0].at <= clock.Tick(until) {
-		e := heap.Pop(&w.q).(event)
+	for len(w.queue) > 0 && w.queue[0].at <= clock.Tick(until) {
+		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
 		e.do()
 	}
@@ -382,21 +391,21 @@
 	}
 }
 
-// Hash digests the whole trace: the same seed gives the same one.
+// Hash returns a hash of the whole trace. Runs with the same seed and options have the same hash.
 func (w *World) Hash() uint64 { return w.hash }
 
-// Start starts a process in a new life.
+// Start starts a process in a new life, unless it is running.
 func (w *World) Start(name string) {
 	p := w.procs[name]
 	if p.up {
 		return
 	}
-	p.up, p.froze, p.busy, p.plans, p.leaves = true, 0, 0, 0, false
+	p.up, p.frozenUntil, p.busy, p.plans, p.draining = true, 0, 0, 0, false
 	p.life++
-	p.core = p.made()
+	p.core = p.newCore()
 	w.tracef("start %s", name)
 	w.coreStarted(name)
-	w.upset(p.box)
+	w.noteTrouble(p.box)
 	life := p.life
 	if p.disk != nil {
 		m := map[string][]byte{}
@@ -410,49 +419,49 @@
 		if !p.up || p.life != life {
 			return
 		}
-		if until := max(p.froze, p.busy); w.now < until {
+		if until := max(p.frozenUntil, p.busy); w.now < until {
 			w.At(until, beat)
 			return
 		}
 		w.step(p, life, protocol.Beat{})
-		w.After(p.beat, beat)
+		w.After(p.tickInterval, beat)
 	}
-	w.After(clock.Span(w.rand.Int64N(int64(p.beat))), beat)
+	w.After(clock.Span(w.rand.Int64N(int64(p.tickInterval))), beat)
 }
 
-// Kill ends a process at once; what its disk had not synced is gone.
+// Kill ends a process at once. Writes that its disk has not synced are lost.
 func (w *World) Kill(name string) {
 	p := w.procs[name]
 	if !p.up {
 		return
 	}
 	w.tracef("kill %s", name)
-	w.coreStopped(name)
-	w.upset(p.box)
+	w.noteCoreStop(name)
+	w.noteTrouble(p.box)
 	p.up = false
 	if _, ok := p.core.(*router.Core); ok {
-		w.Check.routerGone(name)
+		w.Check.routerStopped(name)
 	}
-	for k := range w.asks {
-		if k.who == name {
-			delete(w.asks, k)
+	for k := range w.pendingAsks {
+		if k.process == name {
+			delete(w.pendingAsks, k)
 		}
 	}
 	if p.server != "" {
-		w.After(w.delay(), func() { w.unpull(name, p.life) })
+		w.After(w.delay(), func() { w.endPulls(name, p.life) })
 	}
-	for _, k := range w.flowKeys() {
-		f := w.flows[k]
+	for _, k := range w.sortedAttemptKeys() {
+		f := w.attempts[k]
 		if k.server == name && k.life == p.life {
-			delete(w.flows, k)
-			if !f.dead {
-				f.dead = true
-				w.After(w.delay(), func() { w.ended(f, router.Lost, "") })
+			delete(w.attempts, k)
+			if !f.closed {
+				f.closed = true
+				w.After(w.delay(), func() { w.endAttempt(f, router.Lost, "") })
 			}
 		}
 		if f.router == p {
-			delete(w.flows, k)
-			f.dead = true
+			delete(w.attempts, k)
+			f.closed = true
 			if s := w.procs[k.server]; s.up && s.life == k.life {
 				w.step(s, s.life, standin.WorkQuit{Token: k.token})
 			}
@@ -460,20 +469,20 @@
 	}
 }
 
-// unpull ends the pulls of a server that is gone, as its broken connections do.
-func (w *World) unpull(name string, life int) {
+// endPulls cancels the store downloads of a stopped server, as the loss of its connections does.
+func (w *World) endPulls(name string, life int) {
 	st := w.procs["store"]
-	for t := uint64(1); t <= w.pull; t++ {
-		if k, ok := w.puller[t]; ok && k.who == name && k.life <= life && w.pulls[t] != nil {
-			delete(w.pulls, t)
+	for t := uint64(1); t <= w.lastPull; t++ {
+		if k, ok := w.pullOrigins[t]; ok && k.process == name && k.life <= life && w.pendingPulls[t] != nil {
+			delete(w.pendingPulls, t)
 			w.step(st, st.life, standin.PullQuit{Token: t})
 		}
 	}
 }
 
-func (w *World) flowKeys() []flowKey {
-	l := make([]flowKey, 0, len(w.flows))
-	for k := range w.flows {
+func (w *World) sortedAttemptKeys() []attemptKey {
+	l := make([]attemptKey, 0, len(w.attempts))
+	for k := range w.attempts {
 		l = append(l, k)
 	}
 	sort.Slice(l, func(i, j int) bool {
@@ -482,86 +491,86 @@
 	return l
 }
 
-// Stop ends a process as planned: it hears of it first.
+// Stop ends a process as planned: the process is notified 100 ms before it is killed.
 func (w *World) Stop(name string) {
 	p := w.procs[name]
 	w.step(p, p.life, protocol.Stop{})
 	w.After(100e6, func() { w.Kill(name) })
 }
 
-// Drain stops a router as planned, and starts it anew: no new callers come, and what is under way ends.
+// Drain restarts a router as planned: it gets no new callers and stops once its requests have ended.
 func (w *World) Drain(name string) {
 	p := w.procs[name]
-	if !p.up || p.leaves {
+	if !p.up || p.draining {
 		return
 	}
-	p.leaves = true
+	p.draining = true
 	w.tracef("drain %s", name)
 	life := p.life
-	var look func()
-	look = func() {
+	var poll func()
+	poll = func() {
 		if !p.up || p.life != life {
 			return
 		}
 		for _, c := range w.Check.calls {
-			if c.router == name && !c.over {
-				w.After(50e6, look)
+			if c.router == name && !c.finished {
+				w.After(50e6, poll)
 				return
 			}
 		}
 		w.Kill(name)
 		w.After(300e6, func() { w.Start(name) })
 	}
-	w.After(50e6, look)
+	w.After(50e6, poll)
 }
 
-// Restart kills a process and starts it anew.
+// Restart kills a process and starts it again after a delay.
 func (w *World) Restart(name string, after clock.Span) {
 	w.Kill(name)
 	w.After(after, func() { w.Start(name) })
 }
 
-// Freeze stops a process for a while; what reaches it meanwhile waits.
+// Freeze suspends a process for a while. Inputs that arrive meanwhile wait until it resumes.
 func (w *World) Freeze(name string, s clock.Span) {
 	w.tracef("freeze %s %v", name, s)
-	w.procs[name].froze = w.now.Add(s)
-	w.thaws(w.procs[name].box, w.now.Add(s))
+	w.procs[name].frozenUntil = w.now.Add(s)
+	w.noteFreeze(w.procs[name].box, w.now.Add(s))
 }
 
-// Wipe takes away what a node's disk had.
+// Wipe erases a node's disk.
 func (w *World) Wipe(name string) {
 	w.tracef("wipe %s", name)
 	w.procs[name].disk.safe = map[string][]byte{}
 }
 
-// Cut stops all that goes from one machine to another; heal undoes it.
+// Cut blocks traffic from machine a to machine b, and back if both is set, until Heal.
 func (w *World) Cut(a, b string, both bool) {
 	w.tracef("cut %s %s %v", a, b, both)
 	w.cuts[[2]string{a, b}] = true
 	if both {
 		w.cuts[[2]string{b, a}] = true
 	}
-	w.parted(a, b)
+	w.noteLinkTrouble(a, b)
 }
 
-// Part cuts a set of machines off from all others.
+// Part separates a set of machines from all others until Heal.
 func (w *World) Part(set map[string]bool) {
 	for _, a := range w.boxes() {
 		for _, b := range w.boxes() {
 			if set[a] != set[b] {
 				w.cuts[[2]string{a, b}] = true
-				w.parted(a, b)
+				w.noteLinkTrouble(a, b)
 			}
 		}
 	}
 	w.tracef("part %v", len(set))
 }
 
-// Heal undoes every cut.
+// Heal removes all cuts and partitions.
 func (w *World) Heal() {
 	w.tracef("heal")
 	for c := range w.cuts {
-		w.parted(c[0], c[1])
+		w.noteLinkTrouble(c[0], c[1])
 	}
 	w.cuts = map[[2]string]bool{}
 }
@@ -578,8 +587,8 @@
 	return l
 }
 
-// cut tells whether nothing gets from one machine to another.
-func (w *World) cut(from, to string) bool { return w.cuts[[2]string{from, to}] }
+// isCut reports whether traffic from one machine to another is blocked.
+func (w *World) isCut(from, to string) bool { return w.cuts[[2]string{from, to}] }
 
 func (w *World) delay() clock.Span {
 	d := clock.Span(100e3 + w.rand.Int64N(900e3))
@@ -592,24 +601,24 @@
 	return d
 }
 
-// step gives a process an input; one that is frozen takes it when it wakes.
+// step passes an input to a process, or defers it while the process is frozen or busy.
 func (w *World) step(p *proc, life int, in any) {
 	if !p.up || p.life != life {
 		return
 	}
-	if until := max(p.froze, p.busy); w.now < until {
+	if until := max(p.frozenUntil, p.busy); w.now < until {
 		w.At(until, func() { w.step(p, life, in) })
 		return
 	}
 	outs := w.stepCore(p, in)
 	w.keepBusy(p, in)
-	w.hash = (w.hash ^ uint64(w.now) ^ p.mark ^ uint64(len(outs))<<56) * 1099511628211
+	w.hash = (w.hash ^ uint64(w.now) ^ p.nameDigest ^ uint64(len(outs))<<56) * 1099511628211
 	for _, o := range outs {
-		w.act(p, o)
+		w.handleOutput(p, o)
 	}
 }
 
-// stepCore gives a core its input; an invariant that it violates fails the run.
+// stepCore passes an input to a process's state machine and records a violated invariant as a failure.
 func (w *World) stepCore(p *proc, in any) []any {
 	defer func() {
 		switch v := recover().(type) {
@@ -623,10 +632,11 @@
 	return p.core.Step(p.tick(w.now), in)
 }
 
-func (w *World) act(p *proc, o any) {
+// handleOutput carries out one output of a process's state machine.
+func (w *World) handleOutput(p *proc, o any) {
 	switch v := o.(type) {
 	case protocol.Env:
-		w.mail(p, v)
+		w.send(p, v)
 	case protocol.Save:
 		w.save(p, v)
 	case protocol.Compute:
@@ -638,21 +648,21 @@
 	case router.Launch:
 		w.launch(p, v)
 	case router.Receipt:
-		w.Check.receipt(p.name, v)
+		w.Check.checkReceipt(p.name, v)
 	case controller.Announced:
-		w.host.announced(p, v)
+		w.host.announcementAnswered(p, v)
 	case standin.LoadDone:
-		w.host.loaded(p, v)
+		w.host.noteLoaded(p, v)
 	case standin.WorkDrop, standin.Event, standin.OrderOut:
-		w.served(p, o)
+		w.deliverOutput(p, o)
 	case standin.PullOut:
-		if f := w.pulls[v.Token]; f != nil {
-			delete(w.pulls, v.Token)
+		if f := w.pendingPulls[v.Token]; f != nil {
+			delete(w.pendingPulls, v.Token)
 			f()
 		}
 	case controller.Receipt:
-		if f := w.admins[v.Token]; f != nil {
-			delete(w.admins, v.Token)
+		if f := w.pendingAdmin[v.Token]; f != nil {
+			delete(w.pendingAdmin, v.Token)
 			if w.ReplyLoss > 0 && w.rand.Float64() < w.ReplyLoss {
 				w.tracef("%s: a reply to an operator is lost", p.name)
 				return
@@ -660,7 +670,7 @@
 			w.After(w.delay(), func() { f(v) })
 		}
 	case protocol.Note:
-		w.tracef("%s: %s%s", p.name, v.Text, fieldsOf(v))
+		w.tracef("%s: %s%s", p.name, v.Text, formatFields(v))
 		if v.Text == "voter set changed" {
 			w.Check.Seen.Admits++
 		}
@@ -668,26 +678,26 @@
 			w.Check.Seen.Moves++
 		}
 	case protocol.Oops:
-		w.tracef("%s: oops: %s", p.name, v.Text)
+		w.tracef("%s: error: %s", p.name, v.Text)
 	}
 }
 
-func (w *World) mail(p *proc, e protocol.Env) {
+func (w *World) send(p *proc, e protocol.Env) {
 	to := w.procs[e.Hop().Addr]
 	if to == nil {
 		return
 	}
 	local := p.box == to.box
 	if !local {
-		w.mails[protocol.Kind(e.Body)]++
-		if w.cut(p.box, to.box) || w.rand.Float64() < w.o.Loss {
+		w.messageCounts[protocol.Kind(e.Body)]++
+		if w.isCut(p.box, to.box) || w.rand.Float64() < w.o.Loss {
 			return
 		}
 		if w.rand.Float64() < w.o.Twice {
 			w.After(w.delay()+clock.Span(w.rand.Int64N(300e6)), func() { w.step(to, to.life, e) })
 		}
 	}
-	d := w.delay() + w.distance(p.box, to.box)
+	d := w.delay() + w.regionDelay(p.box, to.box)
 	if local {
 		d = 50e3
 	} else {
@@ -698,12 +708,12 @@
 
 func (w *World) save(p *proc, s protocol.Save) {
 	d := p.disk
-	at := max(w.now.Add(d.late/2+clock.Span(w.rand.Int64N(int64(d.late)))), d.last, d.stall)
-	d.last = at
+	at := max(w.now.Add(d.late/2+clock.Span(w.rand.Int64N(int64(d.late)))), d.lastSync, d.stall)
+	d.lastSync = at
 	life := p.life
 	w.At(at, func() {
 		if !p.up || p.life != life {
-			return // the power went before the sync
+			return // the process ended before the sync
 		}
 		for k, v := range s.Puts {
 			d.safe[k] = v
@@ -714,37 +724,37 @@
 
 func (w *World) ask(p *proc, a protocol.Ask) {
 	k := askKey{p.name, p.life, a.Token}
-	tell := func(ok bool, code int, b []byte) {
-		f := w.asks[k]
+	answer := func(ok bool, code int, b []byte) {
+		f := w.pendingAsks[k]
 		if f == nil {
 			return
 		}
 		f(ok, code, b)
 	}
 	life := p.life
-	w.asks[k] = func(ok bool, code int, b []byte) {
-		delete(w.asks, k)
+	w.pendingAsks[k] = func(ok bool, code int, b []byte) {
+		delete(w.pendingAsks, k)
 		w.step(p, life, protocol.Told{Token: a.Token, OK: ok, Code: code, Body: b})
 	}
-	w.After(a.Wait, func() { tell(false, 0, nil) })
+	w.After(a.Wait, func() { answer(false, 0, nil) })
 	if w.host != nil {
-		w.host.ask(p, a, tell)
+		w.host.deliverAsk(p, a, answer)
 		return
 	}
 	box := a.Addr
-	lost := func(from, to string) bool { return w.cuts[[2]string{from, to}] }
-	if lost(p.box, box) {
+	blocked := func(from, to string) bool { return w.cuts[[2]string{from, to}] }
+	if blocked(p.box, box) {
 		return
 	}
-	back := func(b []byte) {
-		if lost(box, p.box) {
+	respond := func(b []byte) {
+		if blocked(box, p.box) {
 			return
 		}
-		w.After(w.delay(), func() { tell(true, 200, b) })
+		w.After(w.delay(), func() { answer(true, 200, b) })
 	}
 	d := w.delay()
 	if w.rand.Float64() < w.o.Loss {
-		d += clock.Span(w.rand.Int64N(2e9)) // comes late, perhaps after the asker gave up
+		d += clock.Span(w.rand.Int64N(2e9)) // arrives late, perhaps after the sender has given up
 	}
 	w.After(d, func() {
 		switch a.Path {
@@ -755,83 +765,81 @@
 					l = w.Lists(l)
 				}
 				b, _ := json.Marshal(l)
-				back(b)
+				respond(b)
 			}
 		case "/pull":
-			w.pull++
-			t := w.pull
-			w.pulls[t] = func() { back([]byte("{}")) }
-			w.puller[t] = askKey{p.name, life, a.Token}
+			w.lastPull++
+			t := w.lastPull
+			w.pendingPulls[t] = func() { respond([]byte("{}")) }
+			w.pullOrigins[t] = askKey{p.name, life, a.Token}
 			st := w.procs["store"]
 			w.step(st, st.life, standin.PullIn{Token: t, Pull: a.Body.(standin.Pull)})
 		case "/orders":
 			s := w.procs[a.Addr]
 			if s == nil || !s.up {
-				w.After(w.delay(), func() { tell(false, 0, nil) })
+				w.After(w.delay(), func() { answer(false, 0, nil) })
 				return
 			}
-			w.order1(s, s.life, a.Body.(protocol.Order), p.name, back)
+			w.deliverOrder(s, s.life, a.Body.(protocol.Order), p.name, respond)
 		}
 	})
 }
 
-// order1 hands an order to a server, which answers at once unless it is frozen.
-func (w *World) order1(s *proc, life int, o protocol.Order, from string, back func([]byte)) {
+// deliverOrder delivers an order to a server, which answers at once unless it is frozen.
+func (w *World) deliverOrder(s *proc, life int, o protocol.Order, from string, respond func([]byte)) {
 	if !s.up || s.life != life {
 		return
 	}
-	if w.now < s.froze {
-		w.At(s.froze, func() { w.order1(s, life, o, from, back) })
+	if w.now < s.frozenUntil {
+		w.At(s.frozenUntil, func() { w.deliverOrder(s, life, o, from, respond) })
 		return
 	}
 	v := s.core.(*standin.Server)
-	was := v.Holds()
+	heldBefore := v.Holds()
 	for _, x := range v.Step(s.tick(w.now), standin.OrderIn{Order: o}) {
 		if r, ok := x.(standin.OrderOut); ok {
-			w.Check.ordered(s, o, from, r.Report, was)
+			w.Check.checkOrder(s, o, from, r.Report, heldBefore)
 			if w.Bend != nil {
 				r.Report = w.Bend(r.Report)
 			}
 			b, _ := json.Marshal(r.Report)
-			back(b)
+			respond(b)
 			continue
 		}
-		w.act(s, x)
+		w.handleOutput(s, x)
 	}
 }
 
-// Requests on the wire.
-
-// Ask sends a caller's request to a router that is up, as the platform would hand it out.
+// Ask sends a caller's request to a random available router, as the platform's load balancer does.
 func (w *World) Ask(a standin.Ask, repeat bool) {
 	var l []*proc
 	for _, n := range w.order {
 		p := w.procs[n]
-		if _, ok := p.core.(*router.Core); ok && p.up && !p.leaves && w.now >= p.froze && !w.cuts[[2]string{"platform", p.box}] {
+		if _, ok := p.core.(*router.Core); ok && p.up && !p.draining && w.now >= p.frozenUntil && !w.cuts[[2]string{"platform", p.box}] {
 			l = append(l, p)
 		}
 	}
-	c := &call{ask: a, at: w.now, repeat: repeat}
-	w.Check.asked(c)
+	c := &call{ask: a, askedAt: w.now, repeat: repeat}
+	w.Check.addCall(c)
 	if len(l) == 0 {
-		c.over, c.kind = true, "no router"
+		c.finished, c.outcome = true, "no router"
 		return
 	}
 	p := l[w.rand.IntN(len(l))]
-	w.serial++
-	ref := router.Ref(w.serial)
+	w.lastToken++
+	ref := router.Ref(w.lastToken)
 	c.router, c.ref = p.name, ref
-	w.Check.open[ref] = c
+	w.Check.openCalls[ref] = c
 	w.step(p, p.life, router.Call{Ref: ref, Route: a.Route, Call: a.Call})
 }
 
 func (w *World) launch(p *proc, v router.Launch) {
-	c := w.Check.open[v.Ref]
-	f := &flow{router: p, life: p.life, l: v, c: c}
-	w.Check.launched(c)
-	s := w.at(v.Addr)
+	c := w.Check.openCalls[v.Ref]
+	f := &attempt{router: p, life: p.life, launch: v, call: c}
+	w.Check.countLaunch(c)
+	s := w.procAt(v.Addr)
 	if s == nil || w.cuts[[2]string{p.box, s.box}] || w.cuts[[2]string{s.box, p.box}] {
-		w.After(500e6, func() { w.ended(f, router.Unsent, "") })
+		w.After(500e6, func() { w.endAttempt(f, router.Unsent, "") })
 		return
 	}
 	d := w.delay()
@@ -840,107 +848,109 @@
 	}
 	w.After(d, func() {
 		if !s.up {
-			w.ended(f, router.Unsent, "")
+			w.endAttempt(f, router.Unsent, "")
 			return
 		}
-		f.open = w.now
-		w.emit(f, s, s.life)
+		f.acceptedAt = w.now
+		w.sendAttempt(f, s, s.life)
 	})
 }
 
-// emit is the moment of sending: the router checks once more, then the work is on its way.
-func (w *World) emit(f *flow, s *proc, life int) {
+// sendAttempt runs when the connection is open: the router checks once more whether it may send, and then sends.
+func (w *World) sendAttempt(f *attempt, s *proc, life int) {
 	p := f.router
 	if !p.up || p.life != f.life {
 		return
 	}
-	if w.now < p.froze {
-		w.At(p.froze, func() { w.emit(f, s, life) })
+	if w.now < p.frozenUntil {
+		w.At(p.frozenUntil, func() { w.sendAttempt(f, s, life) })
 		return
 	}
-	if !p.core.(*router.Core).MaySend(p.tick(w.now), f.l.Ref, f.l.N) {
-		f.c.held = true
-		w.ended(f, router.Kept, "")
+	if !p.core.(*router.Core).MaySend(p.tick(w.now), f.launch.Ref, f.launch.N) {
+		f.call.heldBack = true
+		w.endAttempt(f, router.Kept, "")
 		return
 	}
-	w.Check.sent(f, s)
+	w.Check.checkSent(f, s)
 	d := w.delay()
 	if w.LagOdds > 0 && w.rand.Float64() < w.LagOdds {
 		d += clock.Span(w.rand.Int64N(int64(w.Lag)))
 	}
-	w.After(d, func() { w.land(f, s, life) })
+	w.After(d, func() { w.deliverAttempt(f, s, life) })
 }
 
-func (w *World) land(f *flow, s *proc, life int) {
+// deliverAttempt delivers an attempt to its server.
+func (w *World) deliverAttempt(f *attempt, s *proc, life int) {
 	if !f.router.up || f.router.life != f.life {
 		return
 	}
 	if !s.up || s.life != life {
-		w.After(w.delay(), func() { w.ended(f, router.Lost, "") })
+		w.After(w.delay(), func() { w.endAttempt(f, router.Lost, "") })
 		return
 	}
 	if w.cuts[[2]string{f.router.box, s.box}] {
-		w.After(10e9, func() { w.ended(f, router.Lost, "") })
+		w.After(10e9, func() { w.endAttempt(f, router.Lost, "") })
 		return
 	}
-	if w.now < s.froze {
-		w.At(s.froze, func() { w.land(f, s, life) })
+	if w.now < s.frozenUntil {
+		w.At(s.frozenUntil, func() { w.deliverAttempt(f, s, life) })
 		return
 	}
-	w.serial++
-	k := flowKey{s.name, s.life, w.serial}
-	w.flows[k] = f
-	f.last, f.born = w.now, w.now
-	w.idle(f, w.now)
-	n := s.core.(worker).Counts().Works
-	if w.host != nil && f.l.Server != s.server { // another server is meant: this one refuses
-		f.dead = true
-		delete(w.flows, k)
-		w.After(w.delay(), func() { w.ended(f, router.Dropped, failure.Mismatch) })
+	w.lastToken++
+	k := attemptKey{s.name, s.life, w.lastToken}
+	w.attempts[k] = f
+	f.lastArrival, f.arrivedAt = w.now, w.now
+	w.watchIdle(f, w.now)
+	worksBefore := s.core.(workCounter).Counts().Works
+	if w.host != nil && f.launch.Server != s.server { // addressed to another server, so this one refuses it
+		f.closed = true
+		delete(w.attempts, k)
+		w.After(w.delay(), func() { w.endAttempt(f, router.Dropped, failure.Mismatch) })
 		return
 	}
-	w.step(s, s.life, standin.WorkIn{Token: k.token, Work: f.l.Work, Since: s.tick(f.open)})
+	w.step(s, s.life, standin.WorkIn{Token: k.token, Work: f.launch.Work, Since: s.tick(f.acceptedAt)})
 	if w.host != nil {
-		w.Check.reached(f, s)
+		w.Check.checkReached(f, s)
 	}
-	if s.core.(worker).Counts().Works > n {
-		w.Check.ran(f, s)
+	if s.core.(workCounter).Counts().Works > worksBefore {
+		w.Check.checkRun(f, s)
 		if w.ResetOdds > 0 && w.rand.Float64() < w.ResetOdds {
-			f.dead = true
-			delete(w.flows, k)
+			f.closed = true
+			delete(w.attempts, k)
 			w.step(s, s.life, standin.WorkQuit{Token: k.token})
-			w.After(w.delay(), func() { w.ended(f, router.Lost, "") })
+			w.After(w.delay(), func() { w.endAttempt(f, router.Lost, "") })
 		}
 	}
 }
 
-// idle gives a stream up that has been silent for long, as the router's shell does.
-func (w *World) idle(f *flow, at clock.Tick) {
+// watchIdle ends a stream that has been silent for 10 s, as the router's I/O layer does.
+func (w *World) watchIdle(f *attempt, at clock.Tick) {
 	w.At(at.Add(10e9), func() {
-		if f.dead || f.c == nil || f.c.over {
+		if f.closed || f.call == nil || f.call.finished {
 			return
 		}
-		if f.last > at {
-			w.idle(f, f.last)
+		if f.lastArrival > at {
+			w.watchIdle(f, f.lastArrival)
 			return
 		}
-		f.dead = true
-		w.ended(f, router.Lost, "")
+		f.closed = true
+		w.endAttempt(f, router.Lost, "")
 	})
 }
 
-func (w *World) ended(f *flow, how router.End, k failure.Kind) {
-	if how == router.Unsent && f.c != nil {
-		if f.c.missed == nil {
-			f.c.missed = map[string]int{}
+// endAttempt reports the end of an attempt to its router.
+func (w *World) endAttempt(f *attempt, how router.End, k failure.Kind) {
+	if how == router.Unsent && f.call != nil {
+		if f.call.unreached == nil {
+			f.call.unreached = map[string]int{}
 		}
-		f.c.missed[f.l.Addr]++
+		f.call.unreached[f.launch.Addr]++
 	}
-	w.step(f.router, f.life, router.Ended{Ref: f.l.Ref, N: f.l.N, How: how, Kind: k})
+	w.step(f.router, f.life, router.Ended{Ref: f.launch.Ref, N: f.launch.N, How: how, Kind: k})
 }
 
-// served carries what a server says back to the router.
-func (w *World) served(s *proc, o any) {
+// deliverOutput carries a server's answer back to the router.
+func (w *World) deliverOutput(s *proc, o any) {
 	var t uint64
 	switch v := o.(type) {
 	case standin.WorkDrop:
@@ -948,47 +958,48 @@
 	case standin.Event:
 		t = v.Token
 	}
-	k := flowKey{s.name, s.life, t}
-	f := w.flows[k]
-	if f == nil || f.dead {
+	k := attemptKey{s.name, s.life, t}
+	f := w.attempts[k]
+	if f == nil || f.closed {
 		return
 	}
 	if w.cuts[[2]string{s.box, f.router.box}] {
-		f.dead = true // the stream is broken; the router finds out by its silence
-		delete(w.flows, k)
-		w.After(10e9, func() { w.ended(f, router.Lost, "") })
+		f.closed = true // the stream is broken, which the router detects only by a timeout
+		delete(w.attempts, k)
+		w.After(10e9, func() { w.endAttempt(f, router.Lost, "") })
 		return
 	}
-	at := max(w.now.Add(w.delay()), f.last)
-	f.last = at
+	at := max(w.now.Add(w.delay()), f.lastArrival)
+	f.lastArrival = at
 	switch v := o.(type) {
 	case standin.WorkDrop:
-		delete(w.flows, k)
-		w.At(at, func() { w.ended(f, router.Dropped, v.Kind) })
+		delete(w.attempts, k)
+		w.At(at, func() { w.endAttempt(f, router.Dropped, v.Kind) })
 	case standin.Event:
 		if v.Done {
-			delete(w.flows, k)
+			delete(w.attempts, k)
 		}
-		w.At(at, func() { w.heard(f, v) })
+		w.At(at, func() { w.deliverEvent(f, v) })
 	}
 }
 
-func (w *World) heard(f *flow, v standin.Event) {
+// deliverEvent delivers one event of an answer to the router, altered if fault injection says so.
+func (w *World) deliverEvent(f *attempt, v standin.Event) {
 	p := f.router
-	if !p.up || p.life != f.life || f.dead {
+	if !p.up || p.life != f.life || f.closed {
 		return
 	}
-	if w.now < p.froze {
-		w.At(p.froze, func() { w.heard(f, v) })
+	if w.now < p.frozenUntil {
+		w.At(p.frozenUntil, func() { w.deliverEvent(f, v) })
 		return
 	}
-	if w.Mangle > 0 && !f.bent && w.rand.Float64() < w.Mangle {
-		f.bent = true // once: a server that lies twice over can make any number fit
+	if w.Mangle > 0 && !f.mangled && w.rand.Float64() < w.Mangle {
+		f.mangled = true // at most once per attempt: two alterations could cancel out, so that the event number fits again
 		switch w.rand.IntN(6) {
 		case 0:
-			return // it is lost
+			return // lost
 		case 1:
-			w.After(1e6, func() { w.heard(f, v) }) // it comes twice
+			w.After(1e6, func() { w.deliverEvent(f, v) }) // delivered twice
 		case 2:
 			v.N += w.rand.IntN(3) - 1
 		case 3:
@@ -996,56 +1007,56 @@
 		case 4:
 			v.Server = ident.Server(w.some("server-"))
 		case 5:
-			v.Go, v.Text, v.Done = "", "", w.rand.IntN(2) == 0 // not JSON, or another's
+			v.Go, v.Text, v.Done = "", "", w.rand.IntN(2) == 0 // not JSON, or of another attempt
 		}
 	}
 	x := router.Line{N: v.N, Go: v.Go, Server: v.Server, Done: v.Done}
-	if !x.Follows(f.l, f.n) {
-		f.dead = true
-		w.ended(f, router.Lost, "")
+	if !x.Follows(f.launch, f.eventCount) {
+		f.closed = true
+		w.endAttempt(f, router.Lost, "")
 		return
 	}
-	if f.n == 0 {
-		w.step(p, p.life, router.Begun{Ref: f.l.Ref, N: f.l.N})
+	if f.eventCount == 0 {
+		w.step(p, p.life, router.Begun{Ref: f.launch.Ref, N: f.launch.N})
 	}
-	f.n++
-	w.Check.event(f, v)
+	f.eventCount++
+	w.Check.checkEvent(f, v)
 	if v.Done {
-		f.dead = true
-		w.ended(f, router.Done, "")
-		w.Check.done(f)
+		f.closed = true
+		w.endAttempt(f, router.Done, "")
+		w.Check.finishCall(f)
 	}
 }
 
-// Admin sends an operator's request to a core node; the answer may get lost.
+// Admin sends an operator's request to a core node. The outcome is Unclear if no reply arrives within 6 s.
 func (w *World) Admin(node string, a controller.Admin, then func(controller.Receipt)) {
 	w.admin++
 	a.Token = w.admin
 	done := false
-	heard := w.record(node, a)
-	once := func(r controller.Receipt) {
+	recordReply := w.recordOperation(node, a)
+	finish := func(r controller.Receipt) {
 		if !done {
 			done = true
-			heard(r)
+			recordReply(r)
 			then(r)
 		}
 	}
-	w.admins[a.Token] = once
+	w.pendingAdmin[a.Token] = finish
 	p := w.procs[node]
 	w.After(6e9, func() {
-		delete(w.admins, a.Token)
-		once(controller.Receipt{Kind: failure.Unclear})
+		delete(w.pendingAdmin, a.Token)
+		finish(controller.Receipt{Kind: failure.Unclear})
 	})
 	w.After(w.delay(), func() {
 		if !p.up {
-			once(controller.Receipt{Kind: failure.NotReady, Why: "unreached"})
+			finish(controller.Receipt{Kind: failure.NotReady, Why: "unreached"})
 			return
 		}
 		w.step(p, p.life, a)
 	})
 }
 
-// Routers lists the routers that are up.
+// Routers returns the running routers.
 func (w *World) Routers() (l []*proc) {
 	for _, n := range w.order {
 		if strings.HasPrefix(n, "router-") && w.procs[n].up {
@@ -1055,6 +1066,7 @@
 	return l
 }
 
+// controllers returns the running core nodes.
 func (w *World) controllers() (l []*proc) {
 	for _, n := range w.order {
 		if strings.HasPrefix(n, "controller-") && w.procs[n].up {
@@ -1064,14 +1076,14 @@
 	return l
 }
 
-// watch looks around a hundred times a second.
-func (w *World) watch() {
-	w.Check.look()
-	w.After(10e6, w.watch)
+// checkPeriodically runs the periodic checks 100 times per simulated second.
+func (w *World) checkPeriodically() {
+	w.Check.checkNow()
+	w.After(10e6, w.checkPeriodically)
 }
 
-// fieldsOf writes the fields of a log line for the trace.
-func fieldsOf(n protocol.Note) string {
+// formatFields formats the fields of a log line for the trace.
+func formatFields(n protocol.Note) string {
 	var b strings.Builder
 	for _, f := range n.Fields {
 		fmt.Fprintf(&b, " %s=%v", f.Name, f.Value)
