--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -1,4 +1,4 @@
-// Command agent is the agent beside a tidedeck router.
+// Command agent runs the agent beside a tidedeck router.
 package main
 
 import (
@@ -11,7 +11,7 @@
 
 func main() {
 	var s agent.Settings
-	host.Parse(&s, "agent", "agent is the agent beside a tidedeck router.", s.Check)
+	host.Parse(&s, "agent", "Runs the agent beside a tidedeck router.", s.Check)
 	if err := agent.Main(s); err != nil {
 		fmt.Fprintln(os.Stderr, "agent:", err)
 		os.Exit(1)
--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -1,4 +1,4 @@
-// Command controller is a core node of tidedeck.
+// Command controller runs a tidedeck core node.
 package main
 
 import (
@@ -6,7 +6,7 @@
 	"os"
 
 	"tidedeck/internal/controller"
-	_ "tidedeck/internal/hangup" // signals are ignored before anything else begins
+	_ "tidedeck/internal/hangup" // ignores SIGHUP before other packages are initialized
 	"tidedeck/internal/host"
 	"tidedeck/internal/protocol"
 	"tidedeck/platform"
@@ -15,9 +15,9 @@
 func main() {
 	if flags, ok := host.Hosted(os.Args[1:], "controller"); ok {
 		boot, err := platform.Load()
-		end(err)
+		exitOn(err)
 		host.Confine(boot.MemoryMB, boot.Processors)
-		end(controller.Host(controller.HostOptions{
+		exitOn(controller.Host(controller.HostOptions{
 			ID: string(boot.Node), Zone: string(boot.Zone), Regions: boot.Zones, Post: boot.Post(0), Control: boot.Controller, Admin: boot.Post(1),
 			Seeds: boot.SeedPosts(0), Follow: followSeeds, Data: boot.Data, First: boot.First, Logs: flags.Lines(), Metrics: flags.MetricsAt(boot.IP), Bind: flags.Bind, Losses: boot.Losses,
 			Dialect: controller.Dialect{Servers: platform.PathServers, Plan: platform.PathConfiguration, Beacon: platform.ReadBeacon,
@@ -28,15 +28,15 @@
 		return
 	}
 	var s controller.Settings
-	host.Parse(&s, "controller", "controller is a core node of tidedeck.", s.Check)
-	end(controller.Main(s))
+	host.Parse(&s, "controller", "Runs a tidedeck core node.", s.Check)
+	exitOn(controller.Main(s))
 }
 
 func followSeeds(step func(protocol.Reseed)) {
 	host.FollowSeeds(platform.SettingsPath(), func() ([]string, error) { return platform.LoadSeedPosts(0) }, step)
 }
 
-func end(err error) {
+func exitOn(err error) {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "controller:", err)
 		os.Exit(1)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,17 +1,17 @@
-// Package clock holds moments and lengths of time on a process's steady clock.
+// Package clock defines instants and durations on a process's monotonic clock.
 package clock
 
 import "time"
 
-// Tick is a moment on a process's own steady clock (CLOCK_BOOTTIME), in nanoseconds.
-// It is never a wall time and never compared between machines.
+// Tick is an instant on a process's monotonic clock (CLOCK_BOOTTIME), in nanoseconds. It is never a wall time, and
+// instants of different machines are never compared.
 type Tick int64
 
-// Span is a length of time.
+// Span is a duration.
 type Span = time.Duration
 
-// Add gives the moment a span after t.
+// Add returns the instant s after t.
 func (t Tick) Add(s Span) Tick { return t + Tick(s) }
 
-// Sub gives the span from u to t.
+// Sub returns the duration from u to t.
 func (t Tick) Sub(u Tick) Span { return Span(t - u) }
--- a/internal/clock/stall.go
+++ b/internal/clock/stall.go
@@ -1,12 +1,12 @@
 package clock
 
-// Stall notices that a process stood still, or ran too late to be of use: its timer comes much later than it should.
+// Stall detects that a process was stopped or starved of processor time: its timer fires much later than it should.
 type Stall struct {
-	Least Span // a gap between two beats that is worth telling of
+	Least Span // shortest gap between two timer ticks that counts as a stall
 	last  Tick
 }
 
-// Beat takes one beat of the timer. It gives the gap since the beat before, if that is a stall, and zero if not.
+// Beat records a timer tick. It returns the time since the previous tick if that is a stall, and zero otherwise.
 func (s *Stall) Beat(now Tick) Span {
 	gap := now.Sub(s.last)
 	first := s.last == 0
--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -1,4 +1,4 @@
-// Package failure holds the closed list of error kinds and the one table that maps each to an answer.
+// Package failure defines the closed set of error kinds and the table that maps each kind to an HTTP response.
 package failure
 
 import (
@@ -7,10 +7,10 @@
 	"tidedeck/internal/clock"
 )
 
-// Kind is one of the closed list of error kinds.
+// Kind is an error kind.
 type Kind string
 
-// The closed list of error kinds.
+// All error kinds.
 const (
 	None        Kind = ""
 	Malformed   Kind = "malformed"
@@ -39,20 +39,20 @@
 	Moved       Kind = "moved"
 )
 
-// Receipt says how a kind is told to the caller.
+// Receipt describes how an error kind is reported to the client.
 type Receipt struct {
 	Status  int        // HTTP status
-	Dropped bool       // the request provably never ran
-	Back    clock.Span // when to come back; zero where coming back is no use
+	Dropped bool       // the request was certainly not executed
+	Back    clock.Span // when to retry; zero if a retry is useless
 }
 
-// Receipts is the one table from kind to answer.
+// Receipts maps each error kind to its response.
 var Receipts = map[Kind]Receipt{
 	Malformed:   {400, true, 0},
 	Oversize:    {413, true, 0},
 	HeadTooLong: {431, true, 0},
 	NoRoute:     {404, true, 0},
-	NoKey:       {401, true, 0}, // the request shows no key of a tenant's
+	NoKey:       {401, true, 0}, // the request carries no tenant's key
 	NoModel:     {404, true, 0},
 	NoKind:      {400, true, 0},
 	PastDue:     {400, true, 0},
@@ -69,7 +69,7 @@
 	Mismatch:    {409, true, 0},
 	Busy:        {503, true, 500 * time.Millisecond},
 	NoRoom:      {409, true, 0},
-	Repeated:    {409, false, 0}, // it ran, or may have, when it was asked before
+	Repeated:    {409, false, 0}, // an earlier attempt was executed, or may have been
 	Late:        {503, true, 500 * time.Millisecond},
-	Moved:       {503, true, 20 * time.Millisecond}, // what was known of a server was old
+	Moved:       {503, true, 20 * time.Millisecond}, // the router's information about a server was outdated
 }
--- a/internal/generic/generic.go
+++ b/internal/generic/generic.go
@@ -1,4 +1,4 @@
-// Package generic holds the few type-parameterized helpers that several packages share.
+// Package generic contains small generic helpers that several packages share.
 package generic
 
 import (
@@ -7,21 +7,21 @@
 	"slices"
 )
 
-// SetDefault sets a field that was left at its zero value.
+// SetDefault sets *p to def if it has its zero value.
 func SetDefault[T comparable](p *T, def T) {
-	var none T
-	if *p == none {
+	var zero T
+	if *p == zero {
 		*p = def
 	}
 }
 
-// One gives 1 for true and 0 for false.
-func One(holds bool) int {
-	if holds {
+// One returns 1 for true and 0 for false.
+func One(b bool) int {
+	if b {
 		return 1
 	}
 	return 0
 }
 
-// SortedKeys lists the keys of a map in ascending order.
+// SortedKeys returns the keys of a map in ascending order.
 func SortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
--- a/internal/hangup/early.go
+++ b/internal/hangup/early.go
@@ -1,7 +1,7 @@
 package hangup
 
-// A Go program takes some milliseconds, on a slow machine tens of them, until its first init function runs. A constructor
-// runs as soon as the program is loaded; the C library hands it the program's arguments.
+// A Go program needs some milliseconds, on a slow machine tens of them, until its first init function runs. A
+// constructor runs as soon as the program is loaded; the C library passes it the program's arguments.
 
 /*
 #include <signal.h>
--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -1,6 +1,6 @@
-// Package hangup has a hosted program ignore hang-up signals from its first moment on. The signal says that the
-// settings have changed; a program that is only starting reads them anyway, and its handler is set later. It imports
-// nothing of the project, so that it comes before all that takes time to initialize.
+// Package hangup makes a hosted program ignore SIGHUP from its first moment on. The signal means that the settings
+// have changed; a starting program reads them anyway and installs its handler later. The package imports nothing of
+// the project, so that it is initialized before packages that take time to initialize.
 package hangup
 
 import (
--- a/internal/host/data_folder.go
+++ b/internal/host/data_folder.go
@@ -17,11 +17,11 @@
 	stateName     = "state"
 	markName      = "mark"
 	damagedSuffix = ".damaged-"
-	// damagedKept is how many damaged pairs of stores stay on the disk, for a person to look at.
+	// damagedKept is the number of damaged store pairs kept on the disk for inspection.
 	damagedKept = 2
 )
 
-// folderCalls are the calls that change names in the data folder and make that last.
+// folderCalls are the system calls that change names in the data folder and make the changes durable.
 type folderCalls struct {
 	rename func(from, to string) error
 	sync   func(path string) error
@@ -38,14 +38,14 @@
 	return f.Sync()
 }
 
-// dataFolder is the folder on the machine's disk that holds a core's two stores.
+// dataFolder is the folder that holds a core's two stores.
 type dataFolder struct {
 	path  string
 	calls folderCalls
 }
 
-// openDisk opens the folder's stores. Damaged ones are set aside whole and empty ones begun:
-// the node then starts a new life and must be admitted again.
+// openDisk opens the stores in a folder. Damaged stores are moved aside as a whole and empty ones created: the node
+// then starts with a new incarnation and must be admitted again.
 func openDisk(path string, fail func(error)) (*disk, map[string][]byte, bool, error) {
 	return dataFolder{path, systemCalls}.open(fail)
 }
@@ -65,7 +65,7 @@
 	}, fail)
 }
 
-// store tells how one of the stores is opened.
+// store returns the operations for opening one of the stores.
 func (f dataFolder) store(name string) storeFolder {
 	path := filepath.Join(f.path, name)
 	return storeFolder{
@@ -75,7 +75,7 @@
 				return nil, err
 			}
 			if err := f.calls.sync(f.path); err != nil {
-				_ = s.Close() // or its lock would stay
+				_ = s.Close() // releases its lock
 				return nil, err
 			}
 			return s, nil
@@ -100,12 +100,11 @@
 	return f.calls.sync(path)
 }
 
-// setAside renames both stores, and removes the oldest of those set aside earlier, so that
-// the disk does not fill up with them.
+// setAside renames both stores, and removes the oldest of those set aside earlier to keep them from filling the disk.
 //
-// The mark goes last, and only once the state's new name lasts: after a loss of power each
-// rename may be kept or lost by itself, and a state store that has lost what was confirmed
-// would pass for a sound one with no mark beside it.
+// The mark store is renamed last, after the new name of the state store is durable: a power loss may keep or undo
+// each rename separately, and a state store that has lost confirmed data would look sound without a mark store beside
+// it.
 func (f dataFolder) setAside() error {
 	numbers, err := f.damagedNumbers()
 	if err != nil {
@@ -131,7 +130,7 @@
 	return nil
 }
 
-// damagedNumbers lists the numbers of the stores set aside earlier, in rising order.
+// damagedNumbers returns the numbers of the store pairs set aside earlier, in ascending order.
 func (f dataFolder) damagedNumbers() ([]int, error) {
 	entries, err := os.ReadDir(f.path)
 	if err != nil {
@@ -152,33 +151,32 @@
 	return numbers, nil
 }
 
-// removeDamaged removes a pair that was set aside earlier; what cannot be removed stays, as
-// nothing depends on it.
+// removeDamaged removes a pair of stores set aside earlier. Errors are ignored, because nothing depends on the
+// removal.
 func (f dataFolder) removeDamaged(number int) {
 	for _, name := range []string{stateName, markName} {
 		_ = os.RemoveAll(filepath.Join(f.path, name+damagedSuffix+strconv.Itoa(number)))
 	}
 }
 
-// backoff is how long to wait between tries, at first and at most.
+// backoff is the minimum and maximum delay between retries.
 type backoff struct{ least, most time.Duration }
 
 func (b backoff) next(wait time.Duration) time.Duration {
 	return max(b.least, min(2*wait, b.most))
 }
 
-// diskBackoff is the wait between tries of a disk that refuses.
+// diskBackoff is the delay between retries of failing disk operations.
 var diskBackoff = backoff{50 * time.Millisecond, time.Second}
 
-// awaitDisk opens a disk, for as long as it takes one that is full or refuses to come back;
-// note hears of the first fault.
-func awaitDisk(ctx context.Context, b backoff, open func() (*disk, map[string][]byte, bool, error), note func(error)) (*disk, map[string][]byte, bool, error) {
+// awaitDisk opens a disk and retries while it is full or fails. note is called with the first error.
+func awaitDisk(ctx context.Context, delays backoff, open func() (*disk, map[string][]byte, bool, error), note func(error)) (*disk, map[string][]byte, bool, error) {
 	damaged := false
-	for wait := b.least; ; wait = b.next(wait) {
-		d, values, found, err := open()
-		damaged = damaged || found
+	for wait := delays.least; ; wait = delays.next(wait) {
+		opened, values, foundDamage, err := open()
+		damaged = damaged || foundDamage
 		if err == nil {
-			return d, values, damaged, nil
+			return opened, values, damaged, nil
 		}
 		if note != nil {
 			note(err)
--- a/internal/host/data_folder_test.go
+++ b/internal/host/data_folder_test.go
@@ -14,7 +14,7 @@
 
 type renamed struct{ from, to string }
 
-// cutCalls lets the power go after some of the calls, and knows which renames no sync covers.
+// cutCalls simulates a power loss after a number of calls and records the renames that no sync has made durable.
 type cutCalls struct {
 	left    int
 	pending []renamed
@@ -42,7 +42,7 @@
 	}
 }
 
-// staleFolder makes a data folder whose state store is older than what was confirmed.
+// staleFolder creates a data folder whose state store is older than the last confirmed batch.
 func staleFolder(t *testing.T) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "data")
@@ -55,37 +55,37 @@
 	return dir
 }
 
-// The power goes at each call while damaged stores are set aside, and each rename that was not
-// synced is kept or lost by itself: the older state is never taken for a sound one.
+// Power is lost at each call while damaged stores are set aside, and each unsynced rename is kept or undone
+// separately: the outdated state must never be taken for sound.
 func TestPowerGoesWhileSettingAside(t *testing.T) {
 	t.Parallel()
-	lives := 0
+	losses := 0
 	for calls, done := 0, false; !done; calls++ {
 		for lost := 0; lost < 4; lost++ {
 			dir := staleFolder(t)
-			cut := &cutCalls{left: calls}
-			d, values, damaged, err := dataFolder{dir, cut.folderCalls()}.open(func(err error) { t.Error(err) })
+			loss := &cutCalls{left: calls}
+			d, values, damaged, err := dataFolder{dir, loss.folderCalls()}.open(func(err error) { t.Error(err) })
 			if err == nil {
 				d.shut()
 				require.True(t, damaged)
 				require.Empty(t, values)
 				done = true
 			}
-			for i, r := range cut.pending {
+			for i, r := range loss.pending {
 				if lost&(1<<i) != 0 {
 					require.NoError(t, os.Rename(r.to, r.from))
 				}
 			}
 			values, _ = keep(t, dir)
 			require.Empty(t, values, "after %d calls, renames lost: %b", calls, lost)
-			lives++
+			losses++
 		}
 	}
-	t.Logf("%d losses of power", lives)
-	require.Greater(t, lives, 20)
+	t.Logf("%d power losses", losses)
+	require.Greater(t, losses, 20)
 }
 
-// Stores that are damaged again and again do not fill the disk: the last two are kept.
+// Repeatedly damaged stores must not fill the disk: only the last two pairs are kept.
 func TestDamagedStoresAreBounded(t *testing.T) {
 	t.Parallel()
 	dir := filepath.Join(t.TempDir(), "data")
@@ -101,7 +101,7 @@
 			require.Contains(t, list, filepath.Join(dir, name+damagedSuffix+strconv.Itoa(i)))
 		}
 	}
-	// Names that are not ours are left alone.
+	// Files with other names are left alone.
 	foreign := filepath.Join(dir, "state.damaged-x")
 	require.NoError(t, os.Mkdir(foreign, 0o755))
 	require.NoError(t, os.RemoveAll(filepath.Join(dir, stateName)))
@@ -109,43 +109,44 @@
 	require.DirExists(t, foreign)
 }
 
-// Each name that was made or removed without a sync of its folder is kept or lost by itself
-// when the power goes, at each call of a life: all that was confirmed is found, and no damage.
+// Power is lost at each call in the life of a disk, and each name created or removed without a sync of its folder is
+// kept or lost separately: all confirmed data must be found, without damage.
 func TestEachNameKeptOrLost(t *testing.T) {
 	t.Parallel()
 	puts, states := works(8, 60_000)
-	lives := 0
-	for at, over := 1, false; !over; at++ {
+	losses := 0
+	for at, finished := 1, false; !finished; at++ {
 		p := newPair()
-		o := p.live(t, puts, func(call int) error {
+		result := p.live(t, puts, func(call int) error {
 			if call >= at {
 				return syscall.ENODEV
 			}
 			return nil
 		})
-		require.NoError(t, o.died, "call %d", at)
-		over = o.calls < at
+		require.NoError(t, result.died, "call %d", at)
+		finished = result.calls < at
 		for seed := range uint64(6) {
-			q := pair{p.state.afterNames(seed), p.mark.afterNames(seed + 100)}
-			values, damaged := q.use(t, map[string][]byte{"later": []byte("1")})
+			found := pair{p.state.afterNames(seed), p.mark.afterNames(seed + 100)}
+			values, damaged := found.use(t, map[string][]byte{"later": []byte("1")})
 			require.False(t, damaged, "call %d, seed %d", at, seed)
-			require.True(t, same(states[o.confirmed], values) || o.confirmed < len(puts) && same(states[o.confirmed+1], values),
-				"call %d, seed %d: %d were confirmed, found is %s", at, seed, o.confirmed, values["last"])
-			values, damaged = q.after(0, "missing").use(t)
+			require.True(t, same(states[result.confirmed], values) || result.confirmed < len(puts) && same(states[result.confirmed+1], values),
+				"call %d, seed %d: %d were confirmed, found is %s", at, seed, result.confirmed, values["last"])
+			values, damaged = found.after(0, "missing").use(t)
 			require.False(t, damaged, "call %d, seed %d, second life", at, seed)
 			require.Equal(t, "1", string(values["later"]))
-			lives++
+			losses++
 		}
 	}
-	t.Logf("%d losses of power", lives)
+	t.Logf("%d power losses", losses)
 }
 
-// A value of the size of a large plan is written 2,000 times over, with lives that end in
-// between and a disk that is full for a while: the folder stays far below the disk's size.
+// A value of the size of a large plan is written 2,000 times, with restarts in between and with a disk that is
+// sometimes full: the folder must stay far smaller than the disk.
 func TestFolderStaysBounded(t *testing.T) {
 	if underRace {
-		// A write that goleveldb gives up on, as it does here on a full disk, closes the channel on which its compaction
-		// answers later; the library recovers from that send. The detector cannot know. CI runs this test whole without it.
+		// When goleveldb abandons a write, as it does here on a full disk, it closes the channel on which its
+		// compaction answers later, and recovers from the resulting panic. The race detector reports this as a race.
+		// CI runs this test in full without the detector.
 		t.Skip("runs without the race detector")
 	}
 	t.Parallel()
@@ -159,7 +160,7 @@
 		fullEvery = 1000 // calls
 		fullFor   = 20
 	)
-	p, full, largest, largestMark := newPair(), 0, 0, 0
+	p, timesFull, largest, largestMark := newPair(), 0, 0, 0
 	for done := 0; done < writes; {
 		var puts []map[string][]byte
 		for range perLife {
@@ -176,51 +177,51 @@
 		p.use(t, puts...)
 		size, ops := p.state.worked()
 		largest = max(largest, size)
-		full += ops / fullEvery
+		timesFull += ops / fullEvery
 		size, _ = p.mark.worked()
 		largestMark = max(largestMark, size)
 		p = p.after(0, "missing")
 	}
-	t.Logf("at most %d KB in the state store, %d KB in the mark store; full %d times", largest>>10, largestMark>>10, full)
-	require.Positive(t, full)
+	t.Logf("at most %d KB in the state store, %d KB in the mark store; full %d times", largest>>10, largestMark>>10, timesFull)
+	require.Positive(t, timesFull)
 	require.Less(t, largest+largestMark, bound)
 	values, damaged := p.use(t)
 	require.False(t, damaged)
 	require.Equal(t, strconv.Itoa(writes-1), string(values["promised"]))
 }
 
-// Files of a store that have each other's bytes, or none: the node starts all the same, with what was
-// confirmed or with nothing.
+// Files of a store are exchanged with each other or truncated: the node must still start, with the confirmed data or
+// with none.
 func TestExchangedFiles(t *testing.T) {
 	t.Parallel()
-	sound := newPair()
+	intact := newPair()
 	want := map[string][]byte{"vote": []byte("2"), "accepted": val(2, 300)}
-	sound.use(t, map[string][]byte{"accepted": val(3, 300_000)}, want)
-	sound = sound.after(0, "missing")
-	sound.use(t) // its journals become tables
+	intact.use(t, map[string][]byte{"accepted": val(3, 300_000)}, want)
+	intact = intact.after(0, "missing")
+	intact.use(t) // turns its journals into tables
 	check := func(p pair, what string) {
 		values, damaged := p.use(t)
 		require.True(t, damaged && len(values) == 0 || same(want, values), what)
 	}
 	for _, store := range []string{stateName, markName} {
-		pick := func(p pair) *rough { return map[string]*rough{stateName: p.state, markName: p.mark}[store] }
-		for _, one := range sortedNames(pick(sound).files) {
-			for _, other := range sortedNames(pick(sound).files) {
-				p := sound.after(0, "missing")
-				a, b := pick(p).files[one], pick(p).files[other]
-				if a == nil || b == nil {
+		chosen := func(p pair) *rough { return map[string]*rough{stateName: p.state, markName: p.mark}[store] }
+		for _, first := range sortedNames(chosen(intact).files) {
+			for _, second := range sortedNames(chosen(intact).files) {
+				p := intact.after(0, "missing")
+				x, y := chosen(p).files[first], chosen(p).files[second]
+				if x == nil || y == nil {
 					continue
 				}
-				a.data, b.data = b.data, a.data
-				a.synced, b.synced = len(a.data), len(b.data)
-				check(p, store+": "+one.String()+" and "+other.String())
+				x.data, y.data = y.data, x.data
+				x.synced, y.synced = len(x.data), len(y.data)
+				check(p, store+": "+first.String()+" and "+second.String())
 			}
 			for _, size := range []int{0, 1, 47, 48} {
-				p := sound.after(0, "missing")
-				if a := pick(p).files[one]; a != nil {
-					a.data = a.data[:min(size, len(a.data))]
-					a.synced = len(a.data)
-					check(p, store+": "+one.String()+" cut short")
+				p := intact.after(0, "missing")
+				if x := chosen(p).files[first]; x != nil {
+					x.data = x.data[:min(size, len(x.data))]
+					x.synced = len(x.data)
+					check(p, store+": "+first.String()+" cut short")
 				}
 			}
 		}
--- a/internal/host/disk.go
+++ b/internal/host/disk.go
@@ -16,37 +16,37 @@
 	"tidedeck/internal/protocol"
 )
 
-// disk keeps a core's state in one data folder. Writes are synced, in order, by a worker of
-// their own, so that a disk that stalls holds up only what must wait for it.
+// disk stores a core's state in one data folder. A separate goroutine writes and syncs in order, so that a stalled
+// disk delays only what depends on it.
 //
-// There are two stores in it. Each batch to the first carries a number and a digest of all
-// that the store then has; once it is synced the number goes to the second, and only then is
-// the batch confirmed. So a tail that a loss of power took can be told from damage: what is
-// found must fit its own digest, and be no older than what was confirmed.
+// The folder has two stores. Each batch for the state store contains its number and a digest of the store's whole
+// resulting content. Once the batch is synced, its number is written to the mark store, and only then is the batch
+// confirmed. This distinguishes a tail lost in a power failure from damage: the content found must match its own
+// digest and must not be older than the last confirmed batch.
 //
-// A write that fails is not confirmed: the stores are opened anew, as they take no more after
-// it, until the disk takes what is due. It may be found there or not; what is found must be
-// either the last state found or confirmed, or the one whose write failed.
+// A failed write is not confirmed. The stores accept no further writes after it, so they are reopened until the disk
+// accepts the pending data. The failed batch may or may not be found on the disk; the content found must be either
+// the last one found or confirmed, or that of the failed write.
 type disk struct {
 	*stores
 	folders   storeFolders
-	confirmed uint64     // the number of the last batch confirmed
-	last      seal       // the last state found or confirmed
-	attempted seal       // the state whose write was tried last
+	confirmed uint64     // number of the last confirmed batch
+	last      seal       // last content found or confirmed
+	attempted seal       // content of the last attempted write
 	mu        sync.Mutex // guards next and closed
 	next      batch
 	closed    bool
-	wake      chan struct{} // next has something
+	wake      chan struct{} // signals that next is not empty
 	quit      chan struct{} // closed with closed
 	done      func(protocol.Saved)
 	note      func(string)
-	fail      func(error) // hears of damage
+	fail      func(error) // called when damage is found
 }
 
-func newDisk(f storeFolders, s *stores, fail func(error)) *disk {
+func newDisk(folders storeFolders, s *stores, fail func(error)) *disk {
 	return &disk{
 		stores:    s,
-		folders:   f,
+		folders:   folders,
 		confirmed: s.num,
 		last:      s.seal(),
 		wake:      make(chan struct{}, 1),
@@ -56,7 +56,7 @@
 	}
 }
 
-// batch is what waits to be written: of each key the last value, and whom to tell.
+// batch holds pending writes: the last value of each key, and the tokens to confirm.
 type batch struct {
 	puts   map[string][]byte
 	tokens []uint64
@@ -80,23 +80,23 @@
 	}
 }
 
-// take moves what is queued to a batch.
-func (d *disk) take(due *batch) {
+// take moves the queued writes into a batch.
+func (d *disk) take(pending *batch) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	due.add(d.next.puts, d.next.tokens...)
+	pending.add(d.next.puts, d.next.tokens...)
 	d.next = batch{}
 }
 
-// run writes what is queued; what came meanwhile goes into one batch. What the disk refuses
-// is tried again until it is taken, or the end is asked for.
+// run writes queued data; data queued during a write forms the next batch. Failed writes are retried until they
+// succeed or close is called.
 func (d *disk) run() {
 	defer d.shut()
 	for ending := false; ; {
-		var due batch
-		d.take(&due)
-		if len(due.tokens) > 0 {
-			if !d.persist(&due) {
+		var pending batch
+		d.take(&pending)
+		if len(pending.tokens) > 0 {
+			if !d.persist(&pending) {
 				return
 			}
 			continue
@@ -112,14 +112,14 @@
 	}
 }
 
-// persist writes a batch, and what is queued while the disk refuses it, and confirms all of
-// it. It gives up at damage, and at a refusal after the end was asked for.
-func (d *disk) persist(due *batch) bool {
-	ending, wait := false, d.folders.backoff.least
-	for refusals := 0; ; refusals++ {
-		err := d.try(due.puts, refusals > 0)
+// persist writes a batch, together with data queued while the disk fails, and confirms it. It gives up on damage, and
+// on a failure after close was called.
+func (d *disk) persist(pending *batch) bool {
+	closing, wait := false, d.folders.backoff.least
+	for failures := 0; ; failures++ {
+		err := d.try(pending.puts, failures > 0)
 		if err == nil {
-			d.confirm(due, refusals)
+			d.confirm(pending, failures)
 			return true
 		}
 		if isDamage(err) {
@@ -127,34 +127,34 @@
 			d.fail(errors.Wrap(err, "disk"))
 			return false
 		}
-		if ending {
+		if closing {
 			return false
 		}
-		if refusals == 0 {
-			d.note(fmt.Sprintf("the disk refuses, and nothing is confirmed until it takes writes again: %v", err))
+		if failures == 0 {
+			d.note(fmt.Sprintf("disk writes fail; nothing is confirmed until they succeed: %v", err))
 		}
 		select {
 		case <-time.After(wait):
 		case <-d.quit:
-			ending = true // after one more try
+			closing = true // after one more attempt
 		}
 		wait = d.folders.backoff.next(wait)
-		d.take(due)
+		d.take(pending)
 	}
 }
 
-func (d *disk) confirm(due *batch, refusals int) {
-	if refusals > 0 {
-		d.note(fmt.Sprintf("the disk takes writes again, at try %d", refusals+1))
+func (d *disk) confirm(pending *batch, failures int) {
+	if failures > 0 {
+		d.note(fmt.Sprintf("disk writes succeed again after %d attempts", failures+1))
 	}
-	for _, token := range due.tokens {
+	for _, token := range pending.tokens {
 		d.done(protocol.Saved{Token: token})
 	}
 }
 
-// try writes a batch, to stores opened anew if the last try failed.
-func (d *disk) try(puts map[string][]byte, anew bool) error {
-	if anew {
+// try writes a batch, after reopening the stores if the last attempt failed.
+func (d *disk) try(puts map[string][]byte, reopenFirst bool) error {
+	if reopenFirst {
 		if err := d.reopen(); err != nil {
 			return err
 		}
@@ -162,7 +162,7 @@
 	return d.write(puts)
 }
 
-// reopen opens the stores anew and checks that nothing confirmed is gone from them.
+// reopen reopens the stores and verifies that no confirmed data is missing.
 func (d *disk) reopen() error {
 	d.shut()
 	s, err := openPair(d.folders, func(string, []byte) {})
@@ -178,21 +178,21 @@
 	return nil
 }
 
-// write syncs a batch to the state store, and then its number to the mark store.
+// write syncs a batch to the state store and then its number to the mark store.
 func (d *disk) write(puts map[string][]byte) error {
-	b := new(leveldb.Batch)
+	update := new(leveldb.Batch)
 	for key, value := range puts {
-		b.Put([]byte(key), value)
+		update.Put([]byte(key), value)
 		d.sums[key] = crc32.ChecksumIEEE(value)
 	}
 	d.num++
 	d.attempted = d.seal()
-	s, err := json.Marshal(d.attempted)
+	encoded, err := json.Marshal(d.attempted)
 	if err != nil {
 		return err
 	}
-	b.Put([]byte(sealKey), s)
-	if err := d.state.Write(b, &opt.WriteOptions{Sync: true}); err != nil {
+	update.Put([]byte(sealKey), encoded)
+	if err := d.state.Write(update, &opt.WriteOptions{Sync: true}); err != nil {
 		return err
 	}
 	number := strconv.AppendUint(nil, d.num, 10)
--- a/internal/host/durable_storage.go
+++ b/internal/host/durable_storage.go
@@ -2,15 +2,14 @@
 
 import "github.com/syndtr/goleveldb/leveldb/storage"
 
-// durableStorage is a storage whose new files have their names synced with them, and whose
-// manifest is synced before it is named the current one. goleveldb does neither by itself, so
-// that a loss of power could take a store right after it was opened, or a journal that was
-// just begun.
+// durableStorage is a storage that syncs the names of new files together with the files, and syncs a manifest before
+// making it current. goleveldb does neither, so that a power loss could destroy a store right after it was opened, or
+// a journal that was just created.
 type durableStorage struct {
 	storage.Storage
 	syncFolder func() error
-	unnamed    map[storage.FileDesc]*durableFile // manifests not yet named the current one
-	uncertain  map[storage.FileDesc]bool         // manifests whose naming failed, and which may be the current one
+	unnamed    map[storage.FileDesc]*durableFile // manifests that are not current yet
+	uncertain  map[storage.FileDesc]bool         // manifests that may be current, because making them current failed
 }
 
 func newDurableStorage(s storage.Storage, syncFolder func() error) *durableStorage {
@@ -22,26 +21,26 @@
 	}
 }
 
-// Log drops what goleveldb tells of its work: it would cost the disk writes.
+// Log discards goleveldb's log messages, which would cost disk writes.
 func (s *durableStorage) Log(string) {}
 
-// Create makes a file whose first sync also syncs the folder.
+// Create creates a file whose first sync also syncs the folder.
 func (s *durableStorage) Create(fd storage.FileDesc) (storage.Writer, error) {
 	w, err := s.Storage.Create(fd)
 	if err != nil {
 		return nil, err
 	}
-	f := &durableFile{Writer: w, syncFolder: s.syncFolder}
+	file := &durableFile{Writer: w, syncFolder: s.syncFolder}
 	if fd.Type == storage.TypeManifest {
-		s.unnamed[fd] = f
+		s.unnamed[fd] = file
 	}
-	return f, nil
+	return file, nil
 }
 
-// SetMeta names the current manifest, which must last before its name does.
+// SetMeta makes a manifest current, after the manifest itself is durable.
 func (s *durableStorage) SetMeta(fd storage.FileDesc) error {
-	if f := s.unnamed[fd]; f != nil {
-		if err := f.Sync(); err != nil {
+	if file := s.unnamed[fd]; file != nil {
+		if err := file.Sync(); err != nil {
 			return err
 		}
 		delete(s.unnamed, fd)
@@ -53,8 +52,7 @@
 	return err
 }
 
-// Remove keeps a manifest that may be the current one: goleveldb takes a naming that failed
-// for one that did nothing.
+// Remove keeps a manifest that may be current: goleveldb assumes that a failed SetMeta had no effect.
 func (s *durableStorage) Remove(fd storage.FileDesc) error {
 	if s.uncertain[fd] {
 		return nil
@@ -62,14 +60,14 @@
 	return s.Storage.Remove(fd)
 }
 
-// durableFile is a file whose name is synced with it.
+// durableFile is a file whose name is synced together with its content.
 type durableFile struct {
 	storage.Writer
 	syncFolder func() error
-	named      bool // the name lasts
+	named      bool // the name is durable
 }
 
-// Sync syncs the file and, the first time, its name.
+// Sync syncs the file and, on the first call, its name.
 func (f *durableFile) Sync() error {
 	if err := f.Writer.Sync(); err != nil || f.named {
 		return err
--- a/internal/host/fuzz_test.go
+++ b/internal/host/fuzz_test.go
@@ -17,13 +17,13 @@
 	"tidedeck/internal/protocol"
 )
 
-// FuzzDamagedStore opens stores of which one was changed by any script of cuts, flipped bytes, exchanged,
-// copied, removed and added files: what is found is what was confirmed, or they are set aside.
+// FuzzDamagedStore damages one of the stores by a script of truncated, modified, exchanged, copied, removed and added
+// files and opens both: they must contain the confirmed data or be set aside.
 func FuzzDamagedStore(f *testing.F) {
-	sound := newPair()
+	intact := newPair()
 	older := map[string][]byte{"vote": []byte("1"), "accepted": val(1, 300)}
 	newest := map[string][]byte{"vote": []byte("2"), "accepted": val(2, 300)}
-	sound.use(&testing.T{}, older, map[string][]byte{"accepted": val(3, 300_000)}, newest)
+	intact.use(&testing.T{}, older, map[string][]byte{"accepted": val(3, 300_000)}, newest)
 	for _, seed := range [][]byte{
 		{0, 0, 0, 0, 1, 7},
 		{1, 0, 1, 0, 1, 0},
@@ -37,20 +37,20 @@
 		if len(script) > 20*step {
 			return
 		}
-		p := sound.after(0, "missing")
-		hurt := p.state
+		p := intact.after(0, "missing")
+		damagedStore := p.state
 		if len(script) > 0 && script[0]%2 == 1 {
-			hurt = p.mark
+			damagedStore = p.mark
 		}
 		for len(script) >= step {
-			hurt.damage(script[1]%6, int(script[2]), int(binary.BigEndian.Uint16(script[3:5])), script[5])
+			damagedStore.damage(script[1]%6, int(script[2]), int(binary.BigEndian.Uint16(script[3:5])), script[5])
 			script = script[step:]
 		}
 		values, damaged := p.use(t, map[string][]byte{"later": []byte("1")})
 		if damaged {
-			require.Empty(t, values, "a damaged store votes for nothing")
+			require.Empty(t, values, "no data is taken from a damaged store")
 		} else {
-			require.True(t, same(newest, values), "what was confirmed is there")
+			require.True(t, same(newest, values), "the confirmed data is found")
 		}
 		values, damaged = p.after(0, "missing").use(t)
 		require.False(t, damaged)
@@ -58,49 +58,49 @@
 	})
 }
 
-// damage changes one file, picked by a number, in one of six ways.
-func (r *rough) damage(how byte, pick, at int, with byte) {
+// damage changes the file selected by pick in one of six ways.
+func (r *rough) damage(kind byte, pick, at int, param byte) {
 	names := sortedNames(r.files)
 	if len(names) == 0 {
 		return
 	}
-	fd := names[pick%len(names)]
-	file := r.files[fd]
+	name := names[pick%len(names)]
+	file := r.files[name]
 	at %= len(file.data) + 1
-	switch how {
+	switch kind {
 	case 0:
 		if at < len(file.data) {
-			file.data[at] ^= with
+			file.data[at] ^= param
 		}
 	case 1:
 		file.data = file.data[:at]
 	case 2:
-		delete(r.files, fd)
+		delete(r.files, name)
 	case 3:
-		other := names[int(with)%len(names)]
+		other := names[int(param)%len(names)]
 		file.data, r.files[other].data = r.files[other].data, file.data
 	case 4:
 		types := []storage.FileType{storage.TypeManifest, storage.TypeJournal, storage.TypeTable}
-		added := storage.FileDesc{Type: types[int(with)%len(types)], Num: int64(at % 64)}
+		added := storage.FileDesc{Type: types[int(param)%len(types)], Num: int64(at % 64)}
 		data := append([]byte{}, file.data...)
 		r.files[added] = &roughFile{data: data, synced: len(data), named: true}
 	case 5:
-		r.meta = fd
+		r.meta = name
 	}
 	for _, f := range r.files {
 		f.synced = len(f.data)
 	}
 }
 
-// FuzzPost gives the end of a stream between processes any bytes: it ends with them, and hands on only
-// envelopes that can be read.
+// FuzzPost passes arbitrary bytes to the receiving end of a stream between processes: the receiver must end with the
+// input and pass on only valid envelopes.
 func FuzzPost(f *testing.F) {
 	sent := sentBytes(f, protocol.Env{From: protocol.Sibling{ID: "a", Addr: "1"}, To: protocol.Sibling{ID: "b", Addr: "2"}, Body: protocol.Fetch{Round: 3}})
 	f.Add(sent)
 	f.Add(append(append([]byte{}, sent...), sent...))
 	f.Add(sent[:len(sent)/2])
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		near, far := net.Pipe()
+		local, remote := net.Pipe()
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
@@ -108,52 +108,52 @@
 				_, err := protocol.Pack(e)
 				require.NoError(t, err)
 			}}
-			r.receive(context.Background(), far)
+			r.receive(context.Background(), remote)
 		}()
-		go func() { _, _ = io.Copy(io.Discard, near) }()
-		_, _ = near.Write(raw)
-		_ = near.Close()
+		go func() { _, _ = io.Copy(io.Discard, local) }()
+		_, _ = local.Write(raw)
+		_ = local.Close()
 		select {
 		case <-ended:
 		case <-time.After(10 * time.Second):
-			t.Fatal("the connection is not ended")
+			t.Fatal("the connection was not closed")
 		}
 	})
 }
 
-// sentBytes gives what a process writes to a connection to send an envelope.
+// sentBytes returns the bytes that a process writes to a connection to send an envelope.
 func sentBytes(t testing.TB, e protocol.Env) []byte {
 	t.Helper()
-	near, far := net.Pipe()
+	local, remote := net.Pipe()
 	var mu sync.Mutex
 	var sent []byte
-	end := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(end)
-		b := make([]byte, 4096)
+		defer close(done)
+		buffer := make([]byte, 4096)
 		for {
-			n, err := far.Read(b)
+			n, err := remote.Read(buffer)
 			mu.Lock()
-			sent = append(sent, b[:n]...)
+			sent = append(sent, buffer[:n]...)
 			mu.Unlock()
 			if err != nil {
 				return
 			}
 		}
 	}()
-	c := drpcconn.NewWithOptions(near, drpcconn.Options{Manager: manage})
-	s, err := c.NewStream(context.Background(), rpcPost, coding{})
+	conn := drpcconn.NewWithOptions(local, drpcconn.Options{Manager: manage})
+	stream, err := conn.NewStream(context.Background(), rpcPost, coding{})
 	require.NoError(t, err)
-	require.NoError(t, s.MsgSend(&e, coding{}))
-	_ = far.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-	<-end
+	require.NoError(t, stream.MsgSend(&e, coding{}))
+	_ = remote.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
+	<-done
 	mu.Lock()
 	defer mu.Unlock()
-	_ = c.Close()
+	_ = conn.Close()
 	return append([]byte{}, sent...)
 }
 
-// FuzzSettings reads any settings file: it is refused or gives flags, and never ends the process by itself.
+// FuzzSettings reads arbitrary settings files: each must be refused or yield flags, and none may end the process.
 func FuzzSettings(f *testing.F) {
 	for _, raw := range []string{`{"listen":"127.0.0.1:1","seeds":["a","b"],"wait":3}`, `{"wait":null}`, `{"nothing":1}`, `[]`, `{`} {
 		f.Add([]byte(raw))
@@ -165,13 +165,13 @@
 			Wait   int
 			Brisk  bool
 		}
-		p, err := kong.New(&cli)
+		parser, err := kong.New(&cli)
 		require.NoError(t, err)
-		resolver, faults := readSettings(p, raw)
+		resolver, faults := readSettings(parser, raw)
 		if len(faults) > 0 {
 			return
 		}
-		kong.Resolvers(resolver).Apply(p)
-		_, _ = p.Parse(nil)
+		kong.Resolvers(resolver).Apply(parser)
+		_, _ = parser.Parse(nil)
 	})
 }
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -1,5 +1,5 @@
-// Package host holds a core to the machine: it gives it a clock, sockets, a disk, timers,
-// logs and metrics, and does what the core asks for.
+// Package host runs a core on a machine: it provides the clock, sockets, disk, timers, logs and metrics, and executes
+// the core's outputs.
 package host
 
 import (
@@ -38,7 +38,7 @@
 	"tidedeck/internal/protocol"
 )
 
-// Now reads CLOCK_BOOTTIME: it never jumps, and it goes on while the machine sleeps.
+// Now reads CLOCK_BOOTTIME, which never jumps and continues during suspend.
 func Now() clock.Tick {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
@@ -47,54 +47,54 @@
 	return clock.Tick(t.Nano())
 }
 
-// NewInc draws an incarnation: later lives on the same machine have higher ones, and two
-// machines hardly ever the same.
+// NewInc draws an incarnation. Later incarnations on the same machine are higher, and incarnations of two machines
+// are very unlikely to be equal.
 func NewInc() ident.Inc {
 	return ident.Inc(time.Now().UnixMicro())<<8&(1<<62-1) | ident.Inc(rand.Uint64()&0xff)
 }
 
-// NewRand makes a source of chance for a core.
+// NewRand returns a random source for a core.
 func NewRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// Core is what a host can hold.
+// Core is a deterministic state machine that a host can run.
 type Core interface {
 	Step(now clock.Tick, in any) []any
 }
 
-// Options of a host.
+// Options configures a Process.
 type Options struct {
 	Core   Core
-	Listen []string // for siblings
-	Told   string   // the address that siblings are told, from whose ip this process connects
-	Data   string   // data folder; empty if the process has no disk
+	Listen []string // addresses on which other processes connect
+	Told   string   // the address advertised to other processes; outgoing connections use its IP
+	Data   string   // data folder; empty for a process without a disk
 	Beat   time.Duration
 	Ring   *Ring
-	Else   func(out any)                                                   // what only the program itself can do
-	Before func(protocol.Env)                                              // looks at a message before the core does, and does not hold the core up
-	Dial   time.Duration                                                   // for a connection to come up; 500 ms, if none is said
-	Local  map[string]func(protocol.Env)                                   // cores in this very process, by the address that they are told under
-	Tell   func(context.Context, *http.Client, protocol.Ask) protocol.Told // how servers are asked, if not the product's own way
+	Else   func(out any)                                                   // executes outputs that are specific to the program
+	Before func(protocol.Env)                                              // sees each message before the core does; must not block
+	Dial   time.Duration                                                   // timeout for establishing a connection; 500 ms by default
+	Local  map[string]func(protocol.Env)                                   // cores in the same process, by advertised address
+	Tell   func(context.Context, *http.Client, protocol.Ask) protocol.Told // sends requests to servers; nil for the built-in JSON protocol
 }
 
-// Process runs one core. Its lock is taken before that of any queue and never across I/O.
+// Process runs one core. Its lock is acquired before the lock of any queue and is never held during I/O.
 type Process struct {
-	o    Options
-	mu   sync.Mutex
-	post *post
-	disk *disk
-	asks chan protocol.Ask
-	http *http.Client
-	kept *http.Client // whose connections are used again, for questions that change nothing
-	ctx  context.Context
-	stop context.CancelFunc
-	life context.Context // of the questions under way
-	end  context.CancelFunc
-	over sync.WaitGroup
+	o       Options
+	mu      sync.Mutex
+	post    *post
+	disk    *disk
+	asks    chan protocol.Ask
+	http    *http.Client
+	kept    *http.Client // reuses connections, for requests that change nothing
+	ctx     context.Context
+	stop    context.CancelFunc
+	life    context.Context // bounds the requests in progress
+	end     context.CancelFunc
+	running sync.WaitGroup
 
 	times *workTimes
 }
 
-// New makes a host; nothing runs yet.
+// New returns a Process that is not running yet.
 func New(o Options) *Process {
 	generic.SetDefault(&o.Dial, 500*time.Millisecond)
 	c := &Process{o: o, asks: make(chan protocol.Ask, 1024), times: newWorkTimes()}
@@ -106,46 +106,46 @@
 	c.http = &http.Client{
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true, Proxy: nil, DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			n, err := dial(ctx, network, addr)
-			if t, ok := n.(*net.TCPConn); ok {
-				_ = t.SetLinger(0) // what a cut holds up is not delivered after it was given up
+			conn, err := dial(ctx, network, addr)
+			if tcp, ok := conn.(*net.TCPConn); ok {
+				_ = tcp.SetLinger(0) // data delayed by a network partition must not arrive after the request was given up
 			}
-			return n, err
+			return conn, err
 		}},
 	}
-	t := c.http.Transport.(*http.Transport).Clone()
-	t.DisableKeepAlives, t.MaxIdleConnsPerHost, t.IdleConnTimeout = false, 1, 4*time.Second
-	c.kept = &http.Client{CheckRedirect: c.http.CheckRedirect, Transport: t}
+	reusing := c.http.Transport.(*http.Transport).Clone()
+	reusing.DisableKeepAlives, reusing.MaxIdleConnsPerHost, reusing.IdleConnTimeout = false, 1, 4*time.Second
+	c.kept = &http.Client{CheckRedirect: c.http.CheckRedirect, Transport: reusing}
 	return c
 }
 
-// Run opens the disk, starts listening and sets the core going.
+// Run opens the disk, starts listening and starts the core.
 func (c *Process) Run() error {
 	c.o.Ring.logViolations()
 	if c.o.Data != "" {
 		fail := func(err error) {
-			// A disk that lost what was confirmed must not vote: stop at once, and say so.
+			// A disk that lost confirmed data must not vote: exit at once and report it.
 			c.o.Ring.Oops(err.Error())
-			fmt.Fprintf(os.Stderr, "stopped, since the disk lost what was confirmed on it: %v\n", err)
+			fmt.Fprintf(os.Stderr, "exiting: the disk lost confirmed data: %v\n", err)
 			os.Exit(3)
 		}
-		d, m, harm, err := awaitDisk(c.ctx, diskBackoff, func() (*disk, map[string][]byte, bool, error) { return openDisk(c.o.Data, fail) }, func(err error) {
-			c.o.Ring.Oops("the data folder does not open, and is tried again until it does: " + err.Error())
+		opened, values, damaged, err := awaitDisk(c.ctx, diskBackoff, func() (*disk, map[string][]byte, bool, error) { return openDisk(c.o.Data, fail) }, func(err error) {
+			c.o.Ring.Oops("cannot open the data folder, retrying: " + err.Error())
 		})
 		if err != nil {
 			return err
 		}
-		if harm {
-			c.o.Ring.Oops("the data folder was damaged: it is set aside, and this node begins anew")
+		if damaged {
+			c.o.Ring.Oops("data folder damaged: moved aside, starting with an empty one")
 		}
-		d.done, d.note = func(s protocol.Saved) { c.Step(s) }, func(text string) { c.o.Ring.Info(text) }
-		c.disk = d
-		c.over.Add(1)
-		go func() { defer c.over.Done(); d.run() }()
-		c.Step(protocol.Start{Disk: m})
-	}
-	for _, a := range c.o.Listen {
-		if err := c.post.listen(a); err != nil {
+		opened.done, opened.note = func(s protocol.Saved) { c.Step(s) }, func(text string) { c.o.Ring.Info(text) }
+		c.disk = opened
+		c.running.Add(1)
+		go func() { defer c.running.Done(); opened.run() }()
+		c.Step(protocol.Start{Disk: values})
+	}
+	for _, addr := range c.o.Listen {
+		if err := c.post.listen(addr); err != nil {
 			return err
 		}
 	}
@@ -153,13 +153,13 @@
 		go c.asker()
 	}
 	go func() {
-		t := time.NewTicker(c.o.Beat)
-		defer t.Stop()
+		ticker := time.NewTicker(c.o.Beat)
+		defer ticker.Stop()
 		for {
 			select {
 			case <-c.ctx.Done():
 				return
-			case <-t.C:
+			case <-ticker.C:
 				c.Step(protocol.Beat{})
 			}
 		}
@@ -167,16 +167,16 @@
 	return nil
 }
 
-// Stop ends the core's work and closes its disk.
+// Stop stops the core and closes its disk.
 func (c *Process) Stop() {
 	c.stop()
 	if c.disk != nil {
 		c.disk.close()
 	}
-	c.over.Wait()
+	c.running.Wait()
 }
 
-// Forget ends every question under way, as a restart does.
+// Forget aborts all requests in progress, as a restart does.
 func (c *Process) Forget() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -184,10 +184,10 @@
 	c.life, c.end = context.WithCancel(c.ctx)
 }
 
-// Flush waits, for a while, until what the core has sent has left.
+// Flush waits until all queued messages are sent, for at most the given time.
 func (c *Process) Flush(most time.Duration) { c.post.flush(most) }
 
-// receive takes a message of another process.
+// receive handles a message from another process.
 func (c *Process) receive(e protocol.Env) {
 	if c.o.Before != nil {
 		c.o.Before(e)
@@ -195,39 +195,54 @@
 	c.Step(e)
 }
 
-// Step gives the core one input and does what it asks for.
+// Step passes one input to the core and executes its outputs.
 func (c *Process) Step(in any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	now, began := Now(), time.Now() // the second costs no system call
-	for _, o := range c.o.Core.Step(now, in) {
-		c.act(o)
+	now, began := Now(), time.Now() // the second needs no system call
+	for _, out := range c.o.Core.Step(now, in) {
+		c.act(out)
 	}
 	took := time.Since(began)
 	c.times.add(inputName(in), took)
 	if took > longStep {
-		c.o.Ring.Info("a step took long", protocol.Field{Name: "input", Value: inputName(in)}, protocol.Field{Name: "ms", Value: took.Milliseconds()})
+		c.o.Ring.Info("slow step", protocol.Field{Name: "input", Value: inputName(in)}, protocol.Field{Name: "ms", Value: took.Milliseconds()})
 	}
 	if fields := c.times.report(now); fields != nil {
-		c.o.Ring.Info("time at work", fields...)
+		c.o.Ring.Info("working time by kind", fields...)
 	}
 }
 
-// longStep is how long a core may take over one input before the log tells of it: all else waits meanwhile.
+// longStep is the duration above which a step is logged: the core blocks everything else meanwhile.
 const longStep = 100 * time.Millisecond
 
-// inputName names an input for the log: a message by its kind, any other by its type.
+// inputNames maps the inputs defined in protocol to their names in logs and metrics. Dashboards use these names, so an input
+// keeps its name when its type is renamed.
+var inputNames = map[reflect.Type]string{
+	reflect.TypeFor[protocol.Beat]():     "protocol.Beat",
+	reflect.TypeFor[protocol.Start]():    "protocol.Start",
+	reflect.TypeFor[protocol.Stop]():     "protocol.Stop",
+	reflect.TypeFor[protocol.Saved]():    "protocol.Saved",
+	reflect.TypeFor[protocol.Computed](): "protocol.Computed",
+	reflect.TypeFor[protocol.Told]():     "protocol.Told",
+	reflect.TypeFor[protocol.Reseed]():   "protocol.Reseed",
+}
+
+// inputName returns the name of an input in logs and metrics: the kind of a message, and the type of any other input.
 func inputName(in any) string {
 	if e, ok := in.(protocol.Env); ok {
 		return protocol.Kind(e.Body)
 	}
+	if name, ok := inputNames[reflect.TypeOf(in)]; ok {
+		return name
+	}
 	return fmt.Sprintf("%T", in)
 }
 
-// Times gives the collector of what the process spent its time on.
+// Times returns the collector of the process's working times.
 func (c *Process) Times() prometheus.Collector { return c.times }
 
-// With lets the program look at its core.
+// With calls f while the core is locked.
 func (c *Process) With(f func(now clock.Tick)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -235,26 +250,26 @@
 }
 
 func (c *Process) act(o any) {
-	switch v := o.(type) {
+	switch out := o.(type) {
 	case protocol.Env:
-		c.post.send(v)
+		c.post.send(out)
 	case protocol.Save:
-		c.disk.put(v)
+		c.disk.put(out)
 	case protocol.Compute:
 		go func() {
-			v.Run()
-			c.Step(protocol.Computed{Token: v.Token})
+			out.Run()
+			c.Step(protocol.Computed{Token: out.Token})
 		}()
 	case protocol.Ask:
 		select {
-		case c.asks <- v:
+		case c.asks <- out:
 		default:
-			go c.Step(protocol.Told{Token: v.Token})
+			go c.Step(protocol.Told{Token: out.Token})
 		}
 	case protocol.Note:
-		c.o.Ring.Info(v.Text, v.Fields...)
+		c.o.Ring.Info(out.Text, out.Fields...)
 	case protocol.Oops:
-		go c.o.Ring.Oops(v.Text)
+		go c.o.Ring.Oops(out.Text)
 	default:
 		c.o.Else(o)
 	}
@@ -265,58 +280,58 @@
 		select {
 		case <-c.ctx.Done():
 			return
-		case a := <-c.asks:
-			c.Step(c.tell(a))
+		case ask := <-c.asks:
+			c.Step(c.tell(ask))
 		}
 	}
 }
 
-func (c *Process) tell(a protocol.Ask) protocol.Told {
+func (c *Process) tell(ask protocol.Ask) protocol.Told {
 	c.mu.Lock()
 	life := c.life
 	c.mu.Unlock()
-	ctx, stop := context.WithTimeout(life, a.Wait)
+	ctx, stop := context.WithTimeout(life, ask.Wait)
 	defer stop()
-	t := protocol.Told{Token: a.Token}
-	if a.Until != 0 && Now() > a.Until {
-		return t
+	told := protocol.Told{Token: ask.Token}
+	if ask.Until != 0 && Now() > ask.Until {
+		return told
 	}
 	if c.o.Tell != nil {
-		w := c.http
-		if a.Kept {
-			w = c.kept
+		client := c.http
+		if ask.Kept {
+			client = c.kept
 		}
-		t = c.o.Tell(ctx, w, a)
-		t.Token = a.Token
-		return t
+		told = c.o.Tell(ctx, client, ask)
+		told.Token = ask.Token
+		return told
 	}
 	how, body := http.MethodGet, io.Reader(nil)
-	if a.Body != nil {
-		b, err := json.Marshal(a.Body)
+	if ask.Body != nil {
+		b, err := json.Marshal(ask.Body)
 		if err != nil {
-			return t
+			return told
 		}
 		how, body = http.MethodPost, bytes.NewReader(b)
 	}
-	r, err := http.NewRequestWithContext(ctx, how, "http://"+a.Addr+a.Path, body)
+	r, err := http.NewRequestWithContext(ctx, how, "http://"+ask.Addr+ask.Path, body)
 	if err != nil {
-		return t
+		return told
 	}
 	r.GetBody = nil
 	r.Header.Set("Content-Type", "application/json")
-	w, err := c.http.Do(r)
+	response, err := c.http.Do(r)
 	if err != nil {
-		return t
+		return told
 	}
-	defer w.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(w.Body, mostWire))
+	defer response.Body.Close()
+	b, err := io.ReadAll(io.LimitReader(response.Body, mostWire))
 	if err != nil {
-		return t
+		return told
 	}
-	return protocol.Told{Token: a.Token, OK: true, Code: w.StatusCode, Body: b}
+	return protocol.Told{Token: ask.Token, OK: true, Code: response.StatusCode, Body: b}
 }
 
-// Ring is the log: a ring in memory, written out when something goes wrong.
+// Ring is the log: a ring buffer in memory that is written out when an error occurs.
 type Ring struct {
 	mu   sync.Mutex
 	log  *logrus.Logger
@@ -326,17 +341,17 @@
 	last time.Time
 }
 
-// NewRing makes a log for one process.
+// NewRing returns a log for one process.
 func NewRing(name string, out io.Writer) *Ring {
 	return NewRingWith(RingOptions{Name: name, Out: out})
 }
 
 type nameHook string
 
-// Levels tells that every line is named.
+// Levels implements logrus.Hook for all levels.
 func (nameHook) Levels() []logrus.Level { return logrus.AllLevels }
 
-// Fire names a line.
+// Fire adds the process name to a line.
 func (h nameHook) Fire(e *logrus.Entry) error {
 	e.Data["who"] = string(h)
 	return nil
@@ -344,7 +359,7 @@
 
 type ringWriter struct{ r *Ring }
 
-// Write keeps a line.
+// Write stores a line in the ring.
 func (w ringWriter) Write(b []byte) (int, error) {
 	w.r.mu.Lock()
 	defer w.r.mu.Unlock()
@@ -353,10 +368,10 @@
 	return len(b), nil
 }
 
-// Info keeps a line, with what belongs to it.
+// Info logs a line with its fields.
 func (r *Ring) Info(s string, fields ...protocol.Field) { r.with(fields).Info(s) }
 
-// with makes an entry of fields.
+// with returns a log entry with the fields.
 func (r *Ring) with(fields []protocol.Field) *logrus.Entry {
 	values := make(logrus.Fields, len(fields))
 	for _, f := range fields {
@@ -365,7 +380,7 @@
 	return r.log.WithFields(values)
 }
 
-// Oops writes the ring out: something went wrong.
+// Oops logs an error and writes out the ring, at most once per second.
 func (r *Ring) Oops(s string) {
 	r.log.Error(s)
 	r.mu.Lock()
@@ -383,77 +398,77 @@
 	_, _ = io.WriteString(r.out, b.String())
 }
 
-// Tallies shows a struct of counts as metrics: every whole number in it is a counter, and
-// every map of them one with a label.
+// Tallies exports a struct of counts as metrics: each uint64 field is a counter, each int field a gauge, and each map
+// a counter with a label.
 type Tallies struct {
 	Name string
 	Get  func() any
 }
 
-// Describe leaves the metrics unchecked; they follow the struct.
+// Describe sends nothing, so the metrics are unchecked; they follow from the struct.
 func (t Tallies) Describe(chan<- *prometheus.Desc) {}
 
-// Collect reads the counts.
+// Collect sends the current counts.
 func (t Tallies) Collect(ch chan<- prometheus.Metric) {
-	v := reflect.ValueOf(t.Get())
-	for i := range v.NumField() {
-		f := v.Field(i)
-		n := "tidedeck_" + t.Name + "_" + strings.ToLower(v.Type().Field(i).Name)
-		switch f.Kind() {
+	counts := reflect.ValueOf(t.Get())
+	for i := range counts.NumField() {
+		field := counts.Field(i)
+		name := "tidedeck_" + t.Name + "_" + strings.ToLower(counts.Type().Field(i).Name)
+		switch field.Kind() {
 		case reflect.Uint64:
-			ch <- prometheus.MustNewConstMetric(prometheus.NewDesc(n+"_total", "Count of "+v.Type().Field(i).Name+".", nil, nil), prometheus.CounterValue, float64(f.Uint()))
+			ch <- prometheus.MustNewConstMetric(prometheus.NewDesc(name+"_total", "Count of "+counts.Type().Field(i).Name+".", nil, nil), prometheus.CounterValue, float64(field.Uint()))
 		case reflect.Int:
-			ch <- prometheus.MustNewConstMetric(prometheus.NewDesc(n, "Now: "+v.Type().Field(i).Name+".", nil, nil), prometheus.GaugeValue, float64(f.Int()))
+			ch <- prometheus.MustNewConstMetric(prometheus.NewDesc(name, "Now: "+counts.Type().Field(i).Name+".", nil, nil), prometheus.GaugeValue, float64(field.Int()))
 		case reflect.Map:
-			d := prometheus.NewDesc(n+"_total", "Count of "+v.Type().Field(i).Name+" by kind.", []string{"kind"}, nil)
-			for _, k := range f.MapKeys() {
-				ch <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(f.MapIndex(k).Uint()), k.String())
+			desc := prometheus.NewDesc(name+"_total", "Count of "+counts.Type().Field(i).Name+" by kind.", []string{"kind"}, nil)
+			for _, key := range field.MapKeys() {
+				ch <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, float64(field.MapIndex(key).Uint()), key.String())
 			}
 		}
 	}
 }
 
-// Metrics makes the handler that shows tallies and other collectors, and what the Go runtime tells.
-func Metrics(l ...prometheus.Collector) http.Handler {
-	r := prometheus.NewRegistry()
-	r.MustRegister(collectors.NewGoCollector(), invariant.Collector())
-	r.MustRegister(l...)
-	return promhttp.HandlerFor(r, promhttp.HandlerOpts{})
+// Metrics returns a handler that exports the given collectors and the metrics of the Go runtime.
+func Metrics(sources ...prometheus.Collector) http.Handler {
+	registry := prometheus.NewRegistry()
+	registry.MustRegister(collectors.NewGoCollector(), invariant.Collector())
+	registry.MustRegister(sources...)
+	return promhttp.HandlerFor(registry, promhttp.HandlerOpts{})
 }
 
-// Parse reads flags and, under --settings, a file of the same names, and checks all of it
-// before anything starts. A fault ends the process with every fault named. It gives the
-// command, where there are several.
+// Parse reads the flags and, if --settings names a file, settings of the same names from it, and checks them all
+// before anything starts. If there are faults, it reports each of them and exits. It returns the command, if there
+// are several.
 func Parse(cli any, name, about string, checks ...func() fleetplan.Faults) string {
-	p, err := kong.New(cli, kong.Name(name), kong.Description(about), kong.UsageOnError())
+	parser, err := kong.New(cli, kong.Name(name), kong.Description(about), kong.UsageOnError())
 	if err != nil {
 		panic(err)
 	}
 	args := os.Args[1:]
 	var faults fleetplan.Faults
-	if f := settingsOf(args); f != "" {
-		raw, err := os.ReadFile(f)
+	if path := settingsOf(args); path != "" {
+		raw, err := os.ReadFile(path)
 		if err != nil {
-			faults = append(faults, fleetplan.Fault{Path: f, Why: err.Error()})
+			faults = append(faults, fleetplan.Fault{Path: path, Why: err.Error()})
 		} else {
-			r, l := readSettings(p, raw)
-			faults = append(faults, l...)
-			kong.Resolvers(r).Apply(p)
+			resolver, found := readSettings(parser, raw)
+			faults = append(faults, found...)
+			kong.Resolvers(resolver).Apply(parser)
 		}
 	}
 	cmd := ""
-	k, err := p.Parse(args)
+	parsed, err := parser.Parse(args)
 	if err != nil {
 		faults = append(faults, fleetplan.Fault{Path: "flags", Why: err.Error()})
 	} else {
-		cmd = k.Command()
-		for _, f := range checks {
-			faults = append(faults, f()...)
+		cmd = parsed.Command()
+		for _, check := range checks {
+			faults = append(faults, check()...)
 		}
 	}
 	if len(faults) > 0 {
-		for _, f := range faults {
-			fmt.Fprintf(os.Stderr, "%s: %s: %s\n", name, f.Path, f.Why)
+		for _, fault := range faults {
+			fmt.Fprintf(os.Stderr, "%s: %s: %s\n", name, fault.Path, fault.Why)
 		}
 		os.Exit(2)
 	}
@@ -461,153 +476,153 @@
 }
 
 func settingsOf(args []string) string {
-	for i, a := range args {
-		if v, ok := strings.CutPrefix(a, "--settings="); ok {
-			return v
+	for i, arg := range args {
+		if value, ok := strings.CutPrefix(arg, "--settings="); ok {
+			return value
 		}
-		if a == "--settings" && i+1 < len(args) {
+		if arg == "--settings" && i+1 < len(args) {
 			return args[i+1]
 		}
 	}
 	return ""
 }
 
-func readSettings(p *kong.Kong, raw []byte) (kong.Resolver, fleetplan.Faults) {
-	pen, all := fleetplan.Open(raw)
+func readSettings(parser *kong.Kong, raw []byte) (kong.Resolver, fleetplan.Faults) {
+	root, faults := fleetplan.Open(raw)
 	var names []string
-	for _, f := range p.Model.AllFlags(true) {
-		for _, g := range f {
-			if g.Name != "help" && g.Name != "settings" {
-				names = append(names, g.Name)
+	for _, group := range parser.Model.AllFlags(true) {
+		for _, flag := range group {
+			if flag.Name != "help" && flag.Name != "settings" {
+				names = append(names, flag.Name)
 			}
 		}
 	}
-	pen.Only(names...)
-	m := map[string]any{}
-	_ = json.Unmarshal(raw, &m)
-	var r kong.ResolverFunc = func(_ *kong.Context, _ *kong.Path, f *kong.Flag) (any, error) {
-		v, ok := m[f.Name]
+	root.Only(names...)
+	values := map[string]any{}
+	_ = json.Unmarshal(raw, &values)
+	var resolver kong.ResolverFunc = func(_ *kong.Context, _ *kong.Path, flag *kong.Flag) (any, error) {
+		value, ok := values[flag.Name]
 		if !ok {
 			return nil, nil
 		}
-		if l, ok := v.([]any); ok {
-			var s []string
-			for _, x := range l {
-				s = append(s, fmt.Sprint(x))
+		if list, ok := value.([]any); ok {
+			var texts []string
+			for _, element := range list {
+				texts = append(texts, fmt.Sprint(element))
 			}
-			return strings.Join(s, ","), nil
+			return strings.Join(texts, ","), nil
 		}
-		return fmt.Sprint(v), nil
+		return fmt.Sprint(value), nil
 	}
-	return r, *all
+	return resolver, *faults
 }
 
-// Dialer connects from the ip of an address, so that others see who it is. An address that is
-// open to all, or none, leaves the choice to the machine.
-func Dialer(told string, wait time.Duration) *net.Dialer {
-	d := &net.Dialer{Timeout: wait}
-	a, err := netip.ParseAddrPort(told)
-	if err != nil || a.Addr().IsUnspecified() {
-		return d
+// Dialer returns a dialer that connects from the IP of the advertised address, so that peers see the process's
+// identity. With an unspecified or empty address the kernel chooses.
+func Dialer(advertised string, timeout time.Duration) *net.Dialer {
+	dialer := &net.Dialer{Timeout: timeout}
+	addr, err := netip.ParseAddrPort(advertised)
+	if err != nil || addr.Addr().IsUnspecified() {
+		return dialer
 	}
-	d.LocalAddr = &net.TCPAddr{IP: a.Addr().AsSlice()}
-	// The port is chosen as it connects, or ports would run out sooner.
-	d.Control = func(_, _ string, c syscall.RawConn) error {
+	dialer.LocalAddr = &net.TCPAddr{IP: addr.Addr().AsSlice()}
+	// The kernel chooses the port at connect time; choosing it at bind time would exhaust the ports sooner.
+	dialer.Control = func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { _ = unix.SetsockoptInt(int(fd), unix.SOL_IP, unix.IP_BIND_ADDRESS_NO_PORT, 1) })
 	}
-	return d
+	return dialer
 }
 
-// Bind checks where a process listens, if that is not where siblings are told, and picks it.
-func Bind(bind, told string) (string, fleetplan.Faults) {
+// Bind validates the listen address, which defaults to the advertised one, and returns it.
+func Bind(bind, advertised string) (string, fleetplan.Faults) {
 	if bind == "" {
-		return told, nil
+		return advertised, nil
 	}
 	return bind, Addr("bind", bind)
 }
 
-// Addr checks an ip:port setting.
+// Addr validates an ip:port setting.
 func Addr(path, s string) fleetplan.Faults {
 	a, err := netip.ParseAddrPort(s)
 	if err != nil || a.Port() == 0 {
-		return fleetplan.Faults{{Path: path, Why: fmt.Sprintf("wants an ip:port, has %q", s)}}
+		return fleetplan.Faults{{Path: path, Why: fmt.Sprintf("must be an ip:port address, got %q", s)}}
 	}
 	return nil
 }
 
-// Near checks an ip:port setting that must be on loopback.
+// Near validates an ip:port setting that must be a loopback address.
 func Near(path, s string) fleetplan.Faults {
 	if f := Addr(path, s); f != nil {
 		return f
 	}
 	if a, _ := netip.ParseAddrPort(s); !a.Addr().IsLoopback() {
-		return fleetplan.Faults{{Path: path, Why: fmt.Sprintf("wants an address on loopback, has %q", s)}}
+		return fleetplan.Faults{{Path: path, Why: fmt.Sprintf("must be a loopback address, got %q", s)}}
 	}
 	return nil
 }
 
-// Seeds checks the seeds: three of them, each an ip:port, none twice.
-func Seeds(l []string) (f fleetplan.Faults) {
-	if len(l) != 3 {
-		f = append(f, fleetplan.Fault{Path: "seeds", Why: fmt.Sprintf("wants three addresses, has %d", len(l))})
+// Seeds validates the seeds: three distinct ip:port addresses.
+func Seeds(addresses []string) (faults fleetplan.Faults) {
+	if len(addresses) != 3 {
+		faults = append(faults, fleetplan.Fault{Path: "seeds", Why: fmt.Sprintf("must be three addresses, got %d", len(addresses))})
 	}
 	seen := map[string]bool{}
-	for i, s := range l {
-		f = append(f, Addr(fmt.Sprintf("seeds[%d]", i), s)...)
-		if seen[s] {
-			f = append(f, fleetplan.Fault{Path: fmt.Sprintf("seeds[%d]", i), Why: "is there twice"})
+	for i, addr := range addresses {
+		faults = append(faults, Addr(fmt.Sprintf("seeds[%d]", i), addr)...)
+		if seen[addr] {
+			faults = append(faults, fleetplan.Fault{Path: fmt.Sprintf("seeds[%d]", i), Why: "duplicate address"})
 		}
-		seen[s] = true
+		seen[addr] = true
 	}
-	return f
+	return faults
 }
 
-// Siblings makes seeds into siblings; their ids are not known yet.
-func Siblings(l []string) (p []protocol.Sibling) {
-	for _, s := range l {
-		p = append(p, protocol.Sibling{Addr: s})
+// Siblings converts seed addresses to processes whose IDs are not known yet.
+func Siblings(addresses []string) (siblings []protocol.Sibling) {
+	for _, addr := range addresses {
+		siblings = append(siblings, protocol.Sibling{Addr: addr})
 	}
-	return p
+	return siblings
 }
 
-// Web serves HTTP until the process is told to stop, then lets what is under way finish.
-func Web(addr string, h http.Handler, ring *Ring, before func(), within time.Duration) error {
-	l, err := net.Listen("tcp", addr)
+// Web serves HTTP until the process receives SIGTERM or SIGINT, then waits up to within for requests in progress.
+func Web(addr string, handler http.Handler, ring *Ring, before func(), within time.Duration) error {
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return errors.Wrap(err, "listen")
 	}
-	s := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 30 * time.Second, MaxHeaderBytes: 64 << 10,
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 30 * time.Second, MaxHeaderBytes: 64 << 10,
 		ConnContext: func(ctx context.Context, _ net.Conn) context.Context { return context.WithValue(ctx, born{}, Now()) }}
-	got := make(chan os.Signal, 1)
-	signal.Notify(got, syscall.SIGTERM, syscall.SIGINT)
-	end := make(chan error, 1)
-	go func() { end <- s.Serve(l) }()
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
+	served := make(chan error, 1)
+	go func() { served <- server.Serve(listener) }()
 	select {
-	case err := <-end:
+	case err := <-served:
 		return errors.Wrap(err, "serve")
-	case <-got:
+	case <-signals:
 	}
-	ring.Info("stopping: what is under way finishes")
+	ring.Info("shutting down: waiting for requests in progress")
 	if before != nil {
 		before()
 	}
 	ctx, stop := context.WithTimeout(context.Background(), within)
 	defer stop()
-	return s.Shutdown(ctx)
+	return server.Shutdown(ctx)
 }
 
 type born struct{}
 
-// Born tells when the connection that a request came on was accepted.
+// Born returns the time at which the request's connection was accepted.
 func Born(r *http.Request) clock.Tick {
 	t, _ := r.Context().Value(born{}).(clock.Tick)
 	return t
 }
 
-// Life adds the endpoints that tell whether a process lives, and whether it can serve.
-func Life(m *flow.Mux, at string, ready func() (bool, map[string]any)) {
-	m.HandleFunc(at+"/live", func(w http.ResponseWriter, _ *http.Request) { JSON(w, http.StatusOK, map[string]bool{"live": true}) }, http.MethodGet)
-	m.HandleFunc(at+"/ready", func(w http.ResponseWriter, _ *http.Request) {
+// Life adds the liveness and readiness endpoints.
+func Life(mux *flow.Mux, prefix string, ready func() (bool, map[string]any)) {
+	mux.HandleFunc(prefix+"/live", func(w http.ResponseWriter, _ *http.Request) { JSON(w, http.StatusOK, map[string]bool{"live": true}) }, http.MethodGet)
+	mux.HandleFunc(prefix+"/ready", func(w http.ResponseWriter, _ *http.Request) {
 		ok, v := ready()
 		if v == nil {
 			v = map[string]any{}
@@ -617,51 +632,51 @@
 	}, http.MethodGet)
 }
 
-// JSON writes an answer.
+// JSON writes a JSON response.
 func JSON(w http.ResponseWriter, code int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// Body reads a request's body within a bound.
-func Body(w http.ResponseWriter, r *http.Request, most int64) ([]byte, bool) {
-	// A body that trickles in holds nobody for ever; the answer may then take as long as it must.
-	to := http.NewResponseController(w)
-	_ = to.SetReadDeadline(time.Now().Add(30 * time.Second))
-	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
-	_ = to.SetReadDeadline(time.Time{})
+// Body reads a request body of at most the given size. It writes an error response if that fails.
+func Body(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, bool) {
+	// The deadline stops a slow client from blocking the handler; writing the response has no deadline.
+	controller := http.NewResponseController(w)
+	_ = controller.SetReadDeadline(time.Now().Add(30 * time.Second))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
+	_ = controller.SetReadDeadline(time.Time{})
 	if err != nil {
-		var big *http.MaxBytesError
-		if errors.As(err, &big) {
-			Error(w, failure.Oversize, 0, fleetplan.Faults{{Path: "$", Why: fmt.Sprintf("a body has at most %d bytes", most)}})
+		var tooLarge *http.MaxBytesError
+		if errors.As(err, &tooLarge) {
+			Error(w, failure.Oversize, 0, fleetplan.Faults{{Path: "$", Why: fmt.Sprintf("body exceeds %d bytes", limit)}})
 			return nil, false
 		}
-		Error(w, failure.Malformed, 0, fleetplan.Faults{{Path: "$", Why: "the body broke off"}})
+		Error(w, failure.Malformed, 0, fleetplan.Faults{{Path: "$", Why: "incomplete body"}})
 		return nil, false
 	}
-	return b, true
+	return body, true
 }
 
-// Problem is the JSON of an error.
+// Problem is the JSON body of an error response.
 type Problem struct {
 	Kind    failure.Kind     `json:"kind"`
-	Dropped bool             `json:"dropped"` // the request provably never ran
+	Dropped bool             `json:"dropped"` // the request was certainly not executed
 	BackMs  int64            `json:"retry_after_ms,omitempty"`
 	Faults  fleetplan.Faults `json:"faults,omitempty"`
 }
 
-// Error writes the answer that the one table has for a kind.
-func Error(w http.ResponseWriter, k failure.Kind, back clock.Span, f fleetplan.Faults) {
-	a := failure.Receipts[k]
+// Error writes the error response for a kind; a nonzero back overrides the kind's Retry-After time.
+func Error(w http.ResponseWriter, kind failure.Kind, back clock.Span, faults fleetplan.Faults) {
+	response := failure.Receipts[kind]
 	if back == 0 {
-		back = a.Back
+		back = response.Back
 	}
 	if back > 0 {
 		w.Header().Set("Retry-After", fmt.Sprint(int64((back+time.Second-1)/time.Second)))
 	}
-	if a.Status == http.StatusUnauthorized {
+	if response.Status == http.StatusUnauthorized {
 		w.Header().Set("WWW-Authenticate", fleetplan.BearerScheme)
 	}
-	JSON(w, a.Status, Problem{k, a.Dropped, back.Milliseconds(), f})
+	JSON(w, response.Status, Problem{kind, response.Dropped, back.Milliseconds(), faults})
 }
--- a/internal/host/hosted.go
+++ b/internal/host/hosted.go
@@ -20,19 +20,19 @@
 	"github.com/go-faster/errors"
 )
 
-// HostedFlags are the flags of a program that runs under a hosting platform; all else comes from the
-// platform's own settings.
+// HostedFlags are the flags of a program that runs under a hosting platform; all other settings come from the
+// platform's settings file.
 type HostedFlags struct {
-	Hosted      bool   `help:"Run under a hosting platform: its settings file says all the rest." required:""`
-	LogLines    bool   `help:"Also write every log line at once, as a line of JSON."`
-	MetricsPort int    `help:"Port at the machine's address where metrics are told at /metrics, beside the one between nodes; none if 0."`
-	BindIP      string `help:"Listen at this address instead of the machine's own, where something forwards from there."`
+	Hosted      bool   `help:"Run under a hosting platform, with all other settings from its settings file." required:""`
+	LogLines    bool   `help:"Also write each log line immediately, as a line of JSON."`
+	MetricsPort int    `help:"Port at the machine's address that serves /metrics in addition to the port between nodes; 0 for none."`
+	BindIP      string `help:"Listen on this address instead of the machine's own, for use behind a forwarder."`
 }
 
-// Check names what is wrong with the flags.
+// Check returns an error if a flag is invalid.
 func (f HostedFlags) Check() error {
 	if f.MetricsPort < 0 || f.MetricsPort > math.MaxUint16 {
-		return errors.Errorf("--metrics-port wants a port, has %d", f.MetricsPort)
+		return errors.Errorf("--metrics-port must be a port number, got %d", f.MetricsPort)
 	}
 	if f.BindIP != "" {
 		if _, err := netip.ParseAddr(f.BindIP); err != nil {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// Lines gives where log lines go, if anywhere beside the ring.
+// Lines returns the writer for log lines besides the ring, or nil.
 func (f HostedFlags) Lines() io.Writer {
 	if f.LogLines {
 		return os.Stdout
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// MetricsAt gives where metrics are told on a machine; nowhere if that is not asked for.
+// MetricsAt returns the address of the metrics endpoint, or an empty string if none is configured.
 func (f HostedFlags) MetricsAt(machine string) string {
 	if f.MetricsPort == 0 {
 		return ""
@@ -58,60 +58,61 @@
 	return net.JoinHostPort(machine, strconv.Itoa(f.MetricsPort))
 }
 
-// Bind gives where to listen for what others are told to reach at an address.
-func (f HostedFlags) Bind(told string) string {
-	_, port, err := net.SplitHostPort(told)
+// Bind returns the address on which to listen for connections to an advertised address.
+func (f HostedFlags) Bind(advertised string) string {
+	_, port, err := net.SplitHostPort(advertised)
 	if f.BindIP == "" || err != nil {
-		return told
+		return advertised
 	}
 	return net.JoinHostPort(f.BindIP, port)
 }
 
-// Hosted tells whether a program is started under a hosting platform, and its flags.
-func Hosted(args []string, name string) (f HostedFlags, ok bool) {
-	for _, a := range args {
-		ok = ok || a == "--hosted"
+// Hosted returns the flags of a program started under a hosting platform; ok is false if the program was started
+// otherwise.
+func Hosted(args []string, name string) (flags HostedFlags, ok bool) {
+	for _, arg := range args {
+		ok = ok || arg == "--hosted"
 	}
 	if !ok {
-		return f, false
+		return flags, false
 	}
-	p, err := kong.New(&f, kong.Name(name), kong.UsageOnError())
+	parser, err := kong.New(&flags, kong.Name(name), kong.UsageOnError())
 	if err != nil {
 		panic(err)
 	}
-	_, err = p.Parse(args)
-	p.FatalIfErrorf(err)
-	p.FatalIfErrorf(f.Check())
-	return f, true
+	_, err = parser.Parse(args)
+	parser.FatalIfErrorf(err)
+	parser.FatalIfErrorf(flags.Check())
+	return flags, true
 }
 
-// ServeBeside serves an interface for operators at some addresses beside what a program is there for. One that
-// cannot be served is logged, and stops nothing.
+// ServeBeside serves an HTTP interface for operators at the given addresses. A failure to serve it is logged and
+// stops nothing else.
 func ServeBeside(ring *Ring, handler http.Handler, addresses ...string) (stop func()) {
 	var servers []*http.Server
 	for _, address := range addresses {
 		if address == "" {
 			continue
 		}
-		s := &http.Server{Addr: address, ReadHeaderTimeout: besideHeadWait, Handler: handler}
-		servers = append(servers, s)
+		server := &http.Server{Addr: address, ReadHeaderTimeout: besideHeadWait, Handler: handler}
+		servers = append(servers, server)
 		go func() {
-			if err := s.ListenAndServe(); err != nil && !errors.Is(err, http.ErrServerClosed) {
-				ring.Info("interface for operators not served", protocol.Field{Name: "address", Value: address}, protocol.Field{Name: "error", Value: err.Error()})
+			if err := server.ListenAndServe(); err != nil && !errors.Is(err, http.ErrServerClosed) {
+				ring.Info("cannot serve the operator interface", protocol.Field{Name: "address", Value: address}, protocol.Field{Name: "error", Value: err.Error()})
 			}
 		}()
 	}
 	return func() {
-		for _, s := range servers {
-			_ = s.Close()
+		for _, server := range servers {
+			_ = server.Close()
 		}
 	}
 }
 
-// besideHeadWait is for the head of a request to such an interface.
+// besideHeadWait is the timeout for reading a request's header on such an interface.
 const besideHeadWait = 10 * time.Second
 
-// Confine keeps the process within what its machine gives it.
+// Confine limits the process to the memory and processors that its machine provides.
 func Confine(memoryMB, processors int) {
 	if memoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryMB) << 20 * 7 / 10)
@@ -122,25 +123,25 @@
 	}
 }
 
-// settingsPoll is how often the settings file is looked at: it may change without a signal.
+// settingsPoll is the interval for checking the settings file, which may change without a signal.
 const settingsPoll = 5 * time.Second
 
-// FollowSeeds gives cores the seeds that the settings file names, whenever it has changed and when the
-// process is sent a hang-up signal. A file that cannot be read changes nothing.
+// FollowSeeds passes on the seeds listed in the settings file whenever the file has changed or the process receives
+// SIGHUP. A file that cannot be read has no effect.
 func FollowSeeds(path string, load func() ([]string, error), step func(protocol.Reseed)) {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	go func() {
-		seen := modified(path)
+		lastModified := modified(path)
 		for {
 			select {
 			case <-hangup:
 			case <-time.After(settingsPoll):
-				if now := modified(path); now == seen {
+				if current := modified(path); current == lastModified {
 					continue
 				}
 			}
-			seen = modified(path)
+			lastModified = modified(path)
 			if seeds, err := load(); err == nil && len(seeds) > 0 {
 				step(protocol.Reseed{Seeds: Siblings(seeds)})
 			}
@@ -148,7 +149,7 @@
 	}()
 }
 
-// modified tells when a file was written last; zero if that cannot be told.
+// modified returns the modification time of a file, or the zero time if it is unavailable.
 func modified(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -157,12 +158,12 @@
 	return info.ModTime()
 }
 
-// Stopping gives a channel that closes when the process is told to stop.
+// Stopping returns a channel that closes when the process receives SIGTERM or SIGINT.
 func Stopping() <-chan struct{} {
-	got, stop := make(chan os.Signal, 1), make(chan struct{})
-	signal.Notify(got, syscall.SIGTERM, syscall.SIGINT)
+	signals, stop := make(chan os.Signal, 1), make(chan struct{})
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	go func() {
-		<-got
+		<-signals
 		close(stop)
 	}()
 	return stop
--- a/internal/host/hosted_test.go
+++ b/internal/host/hosted_test.go
@@ -11,20 +11,20 @@
 	"tidedeck/internal/protocol"
 )
 
-// A hang-up signal has the seeds read anew; one that comes while the file cannot be read changes nothing.
+// SIGHUP makes the seeds be read again; a signal that arrives while the file cannot be read has no effect.
 func TestFollowSeeds(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings")
-	told := make(chan protocol.Reseed, 4)
+	changes := make(chan protocol.Reseed, 4)
 	reads := make(chan struct{}, 4)
 	FollowSeeds(path, func() ([]string, error) {
 		defer func() { reads <- struct{}{} }()
 		raw, err := os.ReadFile(path)
 		return []string{string(raw)}, err
-	}, func(r protocol.Reseed) { told <- r })
+	}, func(r protocol.Reseed) { changes <- r })
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
 	<-reads
-	require.Empty(t, told)
+	require.Empty(t, changes)
 	require.NoError(t, os.WriteFile(path, []byte("127.0.0.1:9"), 0o644))
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
-	require.Equal(t, protocol.Reseed{Seeds: []protocol.Sibling{{Addr: "127.0.0.1:9"}}}, <-told)
+	require.Equal(t, protocol.Reseed{Seeds: []protocol.Sibling{{Addr: "127.0.0.1:9"}}}, <-changes)
 }
--- a/internal/host/outbound.go
+++ b/internal/host/outbound.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// redialWait is the pause after a connection failed; what is to be sent meanwhile is let go.
+	// redialWait is the pause after a connection failed; messages sent meanwhile are dropped.
 	redialWait = 100 * time.Millisecond
-	// writeWait is how long a peer that does not read may hold a write up.
+	// writeWait is the timeout for a write to a peer that does not read.
 	writeWait = 2 * time.Second
 )
 
-// staleBefore is how much older than a peer's new inbound stream our own connection to it must be to be
-// taken for one to the peer's life before. Two peers that reconnect to each other settle at once, since
-// both connections are then younger than this.
+// staleBefore is the age difference above which an outbound connection is assumed to lead to the peer's previous
+// incarnation: the connection is that much older than the peer's newest inbound stream. Two peers that reconnect to
+// each other settle immediately, since both connections are then younger than this.
 const staleBefore = time.Second
 
-// outbound is the connection to one peer and the stream on it, dialled when something is to be sent.
+// outbound is the connection to one peer and the stream on it. It is dialled when there is a message to send.
 type outbound struct {
 	post    *post
 	to      string
@@ -33,7 +33,7 @@
 	failed  time.Time
 }
 
-// send writes an envelope. One that cannot be written is lost, as on any network.
+// send writes an envelope. An envelope that cannot be written is lost, as on any network.
 func (o *outbound) send(e protocol.Env) {
 	if o.conn != nil && o.ended() {
 		o.close()
@@ -52,8 +52,8 @@
 	}
 }
 
-// ended tells whether the connection is closed, or leads to the peer's life before: it is older than the
-// peer's newest stream to this process.
+// ended reports whether the connection is closed or leads to the peer's previous incarnation, because it is older
+// than the peer's newest stream to this process.
 func (o *outbound) ended() bool {
 	select {
 	case <-o.conn.Closed():
@@ -65,11 +65,11 @@
 
 func (o *outbound) open() error {
 	o.dialled = time.Now()
-	c, err := o.post.dial.Dial("tcp", o.to)
+	conn, err := o.post.dial.Dial("tcp", o.to)
 	if err != nil {
 		return err
 	}
-	o.conn = drpcconn.NewWithOptions(slowGuard{c}, drpcconn.Options{Manager: manage})
+	o.conn = drpcconn.NewWithOptions(slowGuard{conn}, drpcconn.Options{Manager: manage})
 	o.stream, err = o.conn.NewStream(o.post.ctx, rpcPost, coding{o.post.times})
 	return err
 }
@@ -86,10 +86,10 @@
 	o.conn, o.stream = nil, nil
 }
 
-// slowGuard is a connection whose other end may hold writes up for a while only.
+// slowGuard is a connection that bounds the time of each write.
 type slowGuard struct{ net.Conn }
 
-// Write bounds the time that a sibling may keep us from writing.
+// Write fails if the peer blocks it for longer than writeWait.
 func (c slowGuard) Write(b []byte) (int, error) {
 	_ = c.SetWriteDeadline(time.Now().Add(writeWait))
 	return c.Conn.Write(b)
--- a/internal/host/post.go
+++ b/internal/host/post.go
@@ -19,14 +19,14 @@
 const (
 	rpcPost  = "/tidedeck/post"
 	mostWire = 16 << 20
-	// idleWait is how long a line to a peer is kept with nothing to send.
+	// idleWait is how long the connection to a peer is kept without messages to send.
 	idleWait = time.Minute
 )
 
-// coding lets drpc carry our envelopes, and counts the time that this takes.
+// coding encodes and decodes envelopes for drpc and measures the time that this takes.
 type coding struct{ times *workTimes }
 
-// Marshal writes an envelope.
+// Marshal encodes an envelope.
 func (c coding) Marshal(m drpc.Message) ([]byte, error) {
 	began := time.Now()
 	b, err := protocol.Pack(*m.(*protocol.Env))
@@ -34,7 +34,7 @@
 	return b, err
 }
 
-// Unmarshal reads an envelope.
+// Unmarshal decodes an envelope.
 func (c coding) Unmarshal(b []byte, m drpc.Message) error {
 	began := time.Now()
 	e, err := protocol.Unpack(b)
@@ -47,25 +47,24 @@
 
 var manage = drpcmanager.Options{Reader: drpcwire.ReaderOptions{MaximumBufferSize: mostWire}}
 
-// unacknowledgedLimit bounds how long bytes to a peer may go unacknowledged before the connection is
-// given up and dialled anew. A machine without power, or behind a cut, says nothing: without this bound
-// its connection would wait for TCP's next retransmission, which comes as late after the machine is back
-// as it was away.
+// unacknowledgedLimit bounds how long sent data may remain unacknowledged before the connection is closed and dialled
+// again. A machine that lost power or is unreachable sends nothing: without this limit its connection would wait for
+// TCP's next retransmission, which after the machine's return takes as long again as the machine was away.
 const unacknowledgedLimit = 1500 * time.Millisecond
 
-// peerLine is what waits to be sent to one peer.
+// peerLine is the queue of messages for one peer.
 type peerLine struct {
 	queue    chan protocol.Env
-	reopened atomic.Int64 // when the peer last opened a stream to this process, in ns since the post began
+	reopened atomic.Int64 // when the peer last opened a stream to this process, in ns since the post started
 }
 
-// post carries envelopes between processes: one held stream to each sibling, a bounded queue
-// before it, and nothing that waits for a sibling that does not read.
+// post sends and receives envelopes: one persistent stream to each peer with a bounded queue in front of it. No
+// caller ever waits for a peer that does not read.
 type post struct {
-	mu    sync.Mutex // guards lines and busy; taken last of all locks
+	mu    sync.Mutex // guards lines and busy; always the last lock to be acquired
 	lines map[string]*peerLine
 	began time.Time
-	busy  int // envelopes being written
+	busy  int // number of envelopes being written
 	ctx   context.Context
 	take  func(protocol.Env)
 	dial  *net.Dialer
@@ -73,19 +72,19 @@
 	times *workTimes
 }
 
-func newPost(ctx context.Context, told string, wait time.Duration, take func(protocol.Env)) *post {
-	dialer := Dialer(told, wait)
+func newPost(ctx context.Context, advertised string, timeout time.Duration, take func(protocol.Env)) *post {
+	dialer := Dialer(advertised, timeout)
 	return &post{dial: BoundUnacknowledged(dialer, unacknowledgedLimit), lines: map[string]*peerLine{}, began: time.Now(), ctx: ctx, take: take}
 }
 
-// BoundUnacknowledged gives a copy of a dialer that sets TCP_USER_TIMEOUT on its connections: bytes that are not
-// acknowledged for so long end them.
+// BoundUnacknowledged returns a copy of a dialer that sets TCP_USER_TIMEOUT on its connections: a connection whose
+// data remains unacknowledged for that long is closed.
 func BoundUnacknowledged(dialer *net.Dialer, limit time.Duration) *net.Dialer {
 	bounded := *dialer
-	before := dialer.Control
+	inner := dialer.Control
 	bounded.Control = func(network, address string, c syscall.RawConn) error {
-		if before != nil {
-			if err := before(network, address, c); err != nil {
+		if inner != nil {
+			if err := inner(network, address, c); err != nil {
 				return err
 			}
 		}
@@ -96,17 +95,17 @@
 	return &bounded
 }
 
-// reopened notes that a peer opened a new stream to this process: it may have started anew, or come
-// back from a cut, so that an older connection to it leads nowhere.
+// reopened records that a peer opened a new stream to this process: the peer may have restarted or become reachable
+// again, so an older connection to it may be dead.
 func (p *post) reopened(addr string, at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if line := p.lines[addr]; line != nil {
-		line.reopened.Store(int64(at.Sub(p.began)))
+	if peer := p.lines[addr]; peer != nil {
+		peer.reopened.Store(int64(at.Sub(p.began)))
 	}
 }
 
-// send queues an envelope; a full queue lets go of its oldest.
+// send queues an envelope. A full queue drops its oldest envelope.
 func (p *post) send(e protocol.Env) {
 	to := e.Hop().Addr
 	if to == "" {
@@ -114,50 +113,50 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	line := p.lines[to]
-	if line == nil {
-		line = &peerLine{queue: make(chan protocol.Env, 512)}
-		p.lines[to] = line
-		go p.run(to, line)
+	peer := p.lines[to]
+	if peer == nil {
+		peer = &peerLine{queue: make(chan protocol.Env, 512)}
+		p.lines[to] = peer
+		go p.run(to, peer)
 	}
 	for {
 		select {
-		case line.queue <- e:
+		case peer.queue <- e:
 			return
 		default:
 		}
 		select {
-		case <-line.queue:
+		case <-peer.queue:
 		default:
 		}
 	}
 }
 
-// flush waits until every queue is empty and what was taken from it is written.
-func (p *post) flush(most time.Duration) {
-	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+// flush waits until all queues are empty and the messages taken from them are written, for at most the given time.
+func (p *post) flush(limit time.Duration) {
+	for deadline := time.Now().Add(limit); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		p.mu.Lock()
-		n := p.busy
-		for _, line := range p.lines {
-			n += len(line.queue)
+		pending := p.busy
+		for _, peer := range p.lines {
+			pending += len(peer.queue)
 		}
 		p.mu.Unlock()
-		if n == 0 {
+		if pending == 0 {
 			return
 		}
 	}
 }
 
-func (p *post) work(n int) {
+func (p *post) work(delta int) {
 	p.mu.Lock()
-	p.busy += n
+	p.busy += delta
 	p.mu.Unlock()
 }
 
-// run writes what is queued for one peer, until nothing has come for a while.
-func (p *post) run(to string, line *peerLine) {
-	o := &outbound{post: p, to: to, line: line}
-	defer o.close()
+// run sends the queued messages for one peer until there has been none for idleWait.
+func (p *post) run(to string, peer *peerLine) {
+	connection := &outbound{post: p, to: to, line: peer}
+	defer connection.close()
 	idle := time.NewTimer(idleWait)
 	defer idle.Stop()
 	for {
@@ -165,28 +164,28 @@
 		case <-p.ctx.Done():
 			return
 		case <-idle.C:
-			if p.forget(to, line) {
+			if p.forget(to, peer) {
 				return
 			}
 			idle.Reset(idleWait)
-		case e := <-line.queue:
+		case e := <-peer.queue:
 			idle.Reset(idleWait)
 			p.work(1)
 			if deliver := p.local[to]; deliver != nil {
 				deliver(e)
 			} else {
-				o.send(e)
+				connection.send(e)
 			}
 			p.work(-1)
 		}
 	}
 }
 
-// forget drops a line on which nothing waits, and tells whether it did.
-func (p *post) forget(to string, line *peerLine) bool {
+// forget removes an idle queue and reports whether it did; a queue that is not empty stays.
+func (p *post) forget(to string, peer *peerLine) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(line.queue) > 0 {
+	if len(peer.queue) > 0 {
 		return false
 	}
 	delete(p.lines, to)
--- a/internal/host/post_test.go
+++ b/internal/host/post_test.go
@@ -12,8 +12,8 @@
 	"tidedeck/internal/protocol"
 )
 
-// silentPeer accepts connections and never answers on them, as a machine that lost its power leaves
-// them behind; it tells of each connection that it accepted.
+// silentPeer accepts connections and never answers on them, like a machine that lost power. It returns the accepted
+// connections on a channel.
 func silentPeer(t *testing.T) (addr string, accepted <-chan net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,8 +32,8 @@
 	return listener.Addr().String(), connections
 }
 
-// A peer that opens a stream to us long after we connected to it may have started anew: what is sent to
-// it next goes over a new connection, not over one that leads to its life before.
+// A peer that opens a stream to this process long after this process connected to it may have restarted: the next
+// message must be sent over a new connection, not over one to the peer's previous incarnation.
 func TestPostDialsAgainWhenAPeerReopens(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -47,7 +47,7 @@
 	p.reopened(addr, time.Now().Add(staleBefore/2))
 	p.send(protocol.Env{To: peer, Body: protocol.Fetch{}})
 	p.flush(time.Second)
-	require.Empty(t, accepted, "a stream that was opened about when ours was says nothing")
+	require.Empty(t, accepted, "a stream opened at about the same time as the connection has no effect")
 
 	p.reopened(addr, time.Now().Add(2*staleBefore))
 	p.send(protocol.Env{To: peer, Body: protocol.Fetch{}})
@@ -55,8 +55,8 @@
 	defer second.Close()
 }
 
-// A connection whose bytes nobody acknowledges is given up within a bound, so that a machine that was
-// without power or cut off is reached again soon after it is back.
+// A connection whose data is not acknowledged is closed within a limit, so that a machine that lost power or was
+// unreachable can be reached soon after its return.
 func TestPostBoundsUnacknowledgedBytes(t *testing.T) {
 	addr, _ := silentPeer(t)
 	c, err := newPost(context.Background(), "127.0.0.1:1", time.Second, nil).dial.Dial("tcp", addr)
--- a/internal/host/race_on_test.go
+++ b/internal/host/race_on_test.go
@@ -2,5 +2,5 @@
 
 package host
 
-// underRace tells that the race detector watches this build.
+// underRace reports whether the race detector is enabled in this build.
 const underRace = true
--- a/internal/host/receive.go
+++ b/internal/host/receive.go
@@ -13,73 +13,73 @@
 )
 
 const (
-	// openWait is how long a connection may be without a stream. What comes on it before one is
-	// begun may be anything, and drpc would keep such a connection even after its other end is gone.
+	// openWait is how long a connection may have no stream. Data received before a stream is opened may be arbitrary,
+	// and drpc would keep such a connection even after the other end is gone.
 	openWait = 5 * time.Second
-	// acceptWait is the pause after a connection could not be accepted, as descriptors ran out.
+	// acceptWait is the pause after a failed accept, for example when file descriptors are exhausted.
 	acceptWait = 100 * time.Millisecond
 )
 
-// listen takes connections of other processes.
+// listen accepts connections from other processes.
 func (p *post) listen(addr string) error {
-	// Probes end what a peer that lost its power, or was cut off, has left open here.
-	listening := net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second, Count: 3}}
-	l, err := listening.Listen(p.ctx, "tcp", addr)
+	// TCP keep-alive closes connections left open by a peer that lost power or is unreachable.
+	config := net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second, Count: 3}}
+	listener, err := config.Listen(p.ctx, "tcp", addr)
 	if err != nil {
 		return errors.Wrap(err, "listen")
 	}
-	context.AfterFunc(p.ctx, func() { _ = l.Close() })
-	go p.accept(l)
+	context.AfterFunc(p.ctx, func() { _ = listener.Close() })
+	go p.accept(listener)
 	return nil
 }
 
-func (p *post) accept(l net.Listener) {
+func (p *post) accept(listener net.Listener) {
 	for p.ctx.Err() == nil {
-		c, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			time.Sleep(acceptWait)
 			continue
 		}
 		r := &receiver{take: p.take, opened: p.reopened, wait: openWait, times: p.times}
-		go r.receive(p.ctx, c)
+		go r.receive(p.ctx, conn)
 	}
 }
 
-// receiver hands on what comes on one connection.
+// receiver passes on the messages that arrive on one connection.
 type receiver struct {
 	take   func(protocol.Env)
-	opened func(from string, at time.Time) // hears of each stream with its first envelope
+	opened func(from string, at time.Time) // called for each stream with its first envelope
 	wait   time.Duration
-	expiry *time.Timer // ends the connection while it has no stream
+	expiry *time.Timer // closes the connection if it has no stream for too long
 	times  *workTimes
 }
 
-// receive reads a connection to its end.
-func (r *receiver) receive(ctx context.Context, c net.Conn) {
+// receive reads a connection until it ends.
+func (r *receiver) receive(ctx context.Context, conn net.Conn) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	r.expiry = time.AfterFunc(r.wait, cancel)
 	defer r.expiry.Stop()
-	s := drpcserver.NewWithOptions(r, drpcserver.Options{Manager: manage})
-	_ = s.ServeOne(ctx, c)
+	server := drpcserver.NewWithOptions(r, drpcserver.Options{Manager: manage})
+	_ = server.ServeOne(ctx, conn)
 }
 
-// HandleRPC reads a stream to its end.
-func (r *receiver) HandleRPC(s drpc.Stream, rpc string) error {
+// HandleRPC reads a stream until it ends.
+func (r *receiver) HandleRPC(stream drpc.Stream, rpc string) error {
 	r.expiry.Stop()
 	defer r.expiry.Reset(r.wait)
 	if rpc != rpcPost {
-		return errors.Errorf("no such call: %s", rpc)
+		return errors.Errorf("unknown RPC %q", rpc)
 	}
 	opened := time.Now()
 	for first := true; ; first = false {
-		var e protocol.Env
-		if err := s.MsgRecv(&e, coding{r.times}); err != nil {
+		var envelope protocol.Env
+		if err := stream.MsgRecv(&envelope, coding{r.times}); err != nil {
 			return nil
 		}
 		if first {
-			r.opened(e.From.Addr, opened)
+			r.opened(envelope.From.Addr, opened)
 		}
-		r.take(e)
+		r.take(envelope)
 	}
 }
--- a/internal/host/ring_json.go
+++ b/internal/host/ring_json.go
@@ -11,14 +11,14 @@
 	"tidedeck/internal/invariant"
 )
 
-// RingOptions are those of a log.
+// RingOptions configures a log.
 type RingOptions struct {
-	Name  string    // of the process, on every line
-	Out   io.Writer // gets the ring when something goes wrong
-	Lines io.Writer // gets every line at once, as JSON; nil for none
+	Name  string    // process name, added to every line
+	Out   io.Writer // receives the ring when an error occurs
+	Lines io.Writer // receives every line immediately, as JSON; nil for none
 }
 
-// NewRingWith makes a log for one process.
+// NewRingWith returns a log for one process.
 func NewRingWith(o RingOptions) *Ring {
 	r := &Ring{list: make([]string, 512), out: o.Out}
 	r.log = logrus.New()
@@ -31,17 +31,17 @@
 	return r
 }
 
-// lineHook writes every line at once; it comes after the hook that names lines.
+// lineHook writes every line immediately. It must run after the hook that adds the process name.
 type lineHook struct {
-	mu   sync.Mutex // keeps lines whole
+	mu   sync.Mutex // prevents interleaved lines
 	out  io.Writer
 	form logrus.JSONFormatter
 }
 
-// Levels tells that every line is written.
+// Levels implements logrus.Hook for all levels.
 func (h *lineHook) Levels() []logrus.Level { return logrus.AllLevels }
 
-// Fire writes a line; a log that cannot be written stops nothing.
+// Fire writes a line. Write errors are ignored.
 func (h *lineHook) Fire(e *logrus.Entry) error {
 	b, err := h.form.Format(e)
 	if err != nil {
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// logViolations has violated invariants logged, and written to the ring's output at once: the process may be
-// killed before anybody asks for its metrics. A test that watches them itself goes on doing so.
+// logViolations logs violated invariants and writes them to the ring's output immediately, because the process may be
+// killed before its metrics are read. A test that observes violations itself continues to do so.
 func (r *Ring) logViolations() {
 	invariant.ObserveByDefault(func(v invariant.Violation) {
 		go func() {
--- a/internal/host/ring_json_test.go
+++ b/internal/host/ring_json_test.go
@@ -12,36 +12,37 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Every line is written at once as JSON, whole though many write, and the ring stays a ring.
+// Every line is written immediately as one line of JSON, without interleaving of concurrent writers, and the ring
+// buffer still works.
 func TestRingLines(t *testing.T) {
 	var out, lines bytes.Buffer
-	r := NewRingWith(RingOptions{Name: "me", Out: &out, Lines: &lines})
-	r.Info("first \"line\"")
-	var one struct {
+	ring := NewRingWith(RingOptions{Name: "me", Out: &out, Lines: &lines})
+	ring.Info("first \"line\"")
+	var line struct {
 		Who, Msg, Level string
 		Time            time.Time
 	}
-	require.NoError(t, json.Unmarshal(lines.Bytes(), &one))
-	require.Equal(t, "me", one.Who)
-	require.Equal(t, "first \"line\"", one.Msg)
-	require.Equal(t, "info", one.Level)
-	require.WithinDuration(t, time.Now(), one.Time, time.Minute)
+	require.NoError(t, json.Unmarshal(lines.Bytes(), &line))
+	require.Equal(t, "me", line.Who)
+	require.Equal(t, "first \"line\"", line.Msg)
+	require.Equal(t, "info", line.Level)
+	require.WithinDuration(t, time.Now(), line.Time, time.Minute)
 	require.Zero(t, out.Len())
-	var all sync.WaitGroup
+	var writers sync.WaitGroup
 	for i := range 20 {
-		all.Go(func() {
+		writers.Go(func() {
 			for j := range 50 {
-				r.Info(fmt.Sprint(i, "-", j))
+				ring.Info(fmt.Sprint(i, "-", j))
 			}
 		})
 	}
-	all.Wait()
-	r.Oops("it broke")
+	writers.Wait()
+	ring.Oops("it broke")
 	require.Contains(t, out.String(), "it broke")
-	l := strings.Split(strings.TrimSuffix(lines.String(), "\n"), "\n")
-	require.Len(t, l, 1002)
-	for _, s := range l {
-		require.NoError(t, json.Unmarshal([]byte(s), &one), s)
+	written := strings.Split(strings.TrimSuffix(lines.String(), "\n"), "\n")
+	require.Len(t, written, 1002)
+	for _, text := range written {
+		require.NoError(t, json.Unmarshal([]byte(text), &line), text)
 	}
-	require.Equal(t, "error", one.Level)
+	require.Equal(t, "error", line.Level)
 }
--- a/internal/host/rough_test.go
+++ b/internal/host/rough_test.go
@@ -21,36 +21,36 @@
 	"tidedeck/internal/protocol"
 )
 
-// rough is a folder on a machine that fails: what is not synced goes with the power, whole
-// or in part, names too; calls fail on demand; syncs stall.
+// rough simulates a folder on an unreliable machine: unsynced data and names are lost at a power loss, entirely or in
+// part, calls fail on demand, and syncs can be blocked.
 type rough struct {
 	mu    sync.Mutex // guards all below
 	files map[storage.FileDesc]*roughFile
 	meta  storage.FileDesc
-	old   *storage.FileDesc // what meta may be again once the power went: its change was not synced
+	old   *storage.FileDesc // previous value of meta, which may reappear after a power loss because its change was not synced
 	has   bool
 	dead  bool
 	ops   int
 	fails func(op int, what string) error
-	gate  chan struct{} // syncs wait for it, if there is one
+	gate  chan struct{} // if set, syncs block until it is closed
 
-	removed map[storage.FileDesc]*roughFile // gone from the folder, which has not been synced since
-	largest int                             // most bytes that all files ever came to
+	removed map[storage.FileDesc]*roughFile // files removed since the last sync of the folder
+	largest int                             // largest total size so far
 }
 
 type roughFile struct {
 	data   []byte
 	synced int
-	named  bool // its name is in the folder for good
+	named  bool // the name is durable
 }
 
-// lateError is the fault of a call that took effect all the same.
+// lateError is the error of a call that nevertheless took effect.
 type lateError struct{ error }
 
-// Unwrap gives the fault itself.
+// Unwrap returns the underlying error.
 func (e lateError) Unwrap() error { return e.error }
 
-// refused tells that a call failed before it took effect.
+// refused reports whether a call failed without taking effect.
 func refused(err error) bool {
 	var late lateError
 	return err != nil && !errors.As(err, &late)
@@ -60,14 +60,14 @@
 	return &rough{files: map[storage.FileDesc]*roughFile{}, removed: map[storage.FileDesc]*roughFile{}}
 }
 
-// worked tells the largest size of the folder, and how many calls it took.
+// worked returns the largest total size of the folder and the number of calls.
 func (r *rough) worked() (largest, ops int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.largest, r.ops
 }
 
-// measure notes how large the folder has become.
+// measure updates the largest total size.
 func (r *rough) measure() {
 	sum := 0
 	for _, f := range r.files {
@@ -95,7 +95,7 @@
 func (r *rough) Log(string)                    {}
 func (r *rough) Close() error                  { return nil }
 
-// SetMeta makes names last, as the real one syncs the folder.
+// SetMeta makes all names durable, because the real implementation syncs the folder.
 func (r *rough) SetMeta(fd storage.FileDesc) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -228,7 +228,7 @@
 	defer w.r.mu.Unlock()
 	err := w.r.op("write")
 	if refused(err) {
-		n := len(b) / 2 // a full disk takes a part
+		n := len(b) / 2 // a full disk stores only a part
 		w.f.data = append(w.f.data, b[:n]...)
 		return n, err
 	}
@@ -285,7 +285,7 @@
 	return err
 }
 
-// loose tells how many bytes the power may take away.
+// loose returns the largest number of unsynced bytes of any file.
 func (r *rough) loose() (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -295,53 +295,53 @@
 	return n
 }
 
-// after gives the folder as it is found after the power went: of unsynced bytes the first
-// few came through, and what follows is missing, zeros or noise.
+// after returns the folder's content after a power loss: of each file's unsynced bytes the first kept ones survive,
+// and the rest is missing, zeros or noise.
 func (r *rough) after(kept int, how string) *rough {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n := newRough()
-	n.meta, n.has = r.meta, r.has
+	found := newRough()
+	found.meta, found.has = r.meta, r.has
 	if r.old != nil && kept == 0 {
-		n.meta = *r.old
+		found.meta = *r.old
 	}
-	for fd, f := range r.files {
-		if !f.named {
+	for fd, file := range r.files {
+		if !file.named {
 			continue
 		}
-		end := min(f.synced+kept, len(f.data))
-		b := append([]byte{}, f.data[:end]...)
-		for i := end; i < len(f.data) && how != "missing"; i++ {
-			c := byte(0)
+		end := min(file.synced+kept, len(file.data))
+		data := append([]byte{}, file.data[:end]...)
+		for i := end; i < len(file.data) && how != "missing"; i++ {
+			filler := byte(0)
 			if how == "noise" {
-				c = byte(i*31 + 7)
+				filler = byte(i*31 + 7)
 			}
-			b = append(b, c)
+			data = append(data, filler)
 		}
-		n.files[fd] = &roughFile{data: b, synced: len(b), named: true}
+		found.files[fd] = &roughFile{data: data, synced: len(data), named: true}
 	}
-	return n
+	return found
 }
 
-// afterNames gives the folder as it is found after the power went and each name that was made
-// or removed without a sync of the folder was kept or lost by itself.
+// afterNames returns the folder's content after a power loss in which each name created or removed without a sync of
+// the folder is kept or lost separately.
 func (r *rough) afterNames(seed uint64) *rough {
 	chance := rand.New(rand.NewPCG(seed, 1))
-	n := r.after(0, "missing")
+	found := r.after(0, "missing")
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.old != nil && chance.IntN(2) == 0 {
-		n.meta = r.meta
+		found.meta = r.meta
 	}
 	for _, unsynced := range []map[storage.FileDesc]*roughFile{r.files, r.removed} {
 		for _, fd := range sortedNames(unsynced) {
-			if n.files[fd] == nil && chance.IntN(2) == 0 {
-				b := append([]byte{}, unsynced[fd].data[:unsynced[fd].synced]...)
-				n.files[fd] = &roughFile{data: b, synced: len(b), named: true}
+			if found.files[fd] == nil && chance.IntN(2) == 0 {
+				data := append([]byte{}, unsynced[fd].data[:unsynced[fd].synced]...)
+				found.files[fd] = &roughFile{data: data, synced: len(data), named: true}
 			}
 		}
 	}
-	return n
+	return found
 }
 
 func sortedNames(files map[storage.FileDesc]*roughFile) []storage.FileDesc {
@@ -356,7 +356,7 @@
 	r.dead = true
 }
 
-// pair is the two folders of one node.
+// pair holds the two store folders of one node.
 type pair struct{ state, mark *rough }
 
 func newPair() pair { return pair{newRough(), newRough()} }
@@ -394,60 +394,60 @@
 	return pair{p.state.after(kept, how), p.mark.after(kept, how)}
 }
 
-// use opens a node's disk, saves, and leaves it as the power goes.
+// use opens a node's disk, saves the batches, and ends in a power loss.
 func (p pair) use(t *testing.T, puts ...map[string][]byte) (map[string][]byte, bool) {
 	t.Helper()
-	d, m, harm, err := openStores(p.folders(), func(err error) { t.Error(err) })
+	opened, values, damaged, err := openStores(p.folders(), func(err error) { t.Error(err) })
 	require.NoError(t, err)
 	saved := make(chan protocol.Saved, 1)
-	d.done = func(s protocol.Saved) { saved <- s }
-	end := make(chan struct{})
-	go func() { d.run(); close(end) }()
-	for i, b := range puts {
-		d.put(protocol.Save{Token: uint64(i), Puts: b})
+	opened.done = func(s protocol.Saved) { saved <- s }
+	done := make(chan struct{})
+	go func() { opened.run(); close(done) }()
+	for i, batch := range puts {
+		opened.put(protocol.Save{Token: uint64(i), Puts: batch})
 		<-saved
 	}
 	p.state.off()
 	p.mark.off()
-	d.close()
-	<-end
-	return m, harm
+	opened.close()
+	<-done
+	return values, damaged
 }
 
 func val(n, size int) []byte {
-	b := make([]byte, size)
-	for i := range b {
-		b[i] = byte(i*7 + n)
+	value := make([]byte, size)
+	for i := range value {
+		value[i] = byte(i*7 + n)
 	}
-	return b
+	return value
 }
 
-// noise is a value that no compression makes smaller.
+// noise returns an incompressible value.
 func noise(seed uint64, size int) []byte {
-	b := make([]byte, size)
-	_, _ = rand.NewChaCha8([32]byte(binary.LittleEndian.AppendUint64(make([]byte, 24), seed))).Read(b)
-	return b
+	value := make([]byte, size)
+	_, _ = rand.NewChaCha8([32]byte(binary.LittleEndian.AppendUint64(make([]byte, 24), seed))).Read(value)
+	return value
 }
 
-// Power goes while a save is on its way, at every byte of it: what was confirmed is there
-// to the byte, and the disk is not taken for a damaged one.
+// Power is lost during a save, at every byte of the write: confirmed data is found unchanged, and the disk is not
+// reported as damaged.
 func TestTornTail(t *testing.T) {
 	p := newPair()
-	d, _, _, err := openStores(p.folders(), func(error) {})
+	opened, _, _, err := openStores(p.folders(), func(error) {})
 	require.NoError(t, err)
 	saved := make(chan protocol.Saved, 8)
-	d.done = func(s protocol.Saved) { saved <- s }
-	go d.run()
-	was := map[string][]byte{"inc": []byte("7"), "accepted": val(3, 200)}
-	d.put(protocol.Save{Token: 1, Puts: was})
+	opened.done = func(s protocol.Saved) { saved <- s }
+	go opened.run()
+	confirmed := map[string][]byte{"inc": []byte("7"), "accepted": val(3, 200)}
+	opened.put(protocol.Save{Token: 1, Puts: confirmed})
 	<-saved
-	arrived := make(chan struct{}, 1)
+	written := make(chan struct{}, 1)
 	p.state.mu.Lock()
 	p.state.gate = make(chan struct{})
 	p.state.fails = func(_ int, what string) error {
 		if what == "write" {
 			select {
-			case arrived <- struct{}{}:
+			case written <- struct{}{}:
 			default:
 			}
 		}
@@ -455,181 +455,181 @@
 	}
 	p.state.mu.Unlock()
 	next := map[string][]byte{"accepted": val(4, 300), "promised": []byte("9")}
-	d.put(protocol.Save{Token: 2, Puts: next})
-	<-arrived
+	opened.put(protocol.Save{Token: 2, Puts: next})
+	<-written
 	for p.state.loose() < 300 {
-		<-arrived
+		<-written
 	}
-	require.Empty(t, saved, "a stalled disk confirms nothing")
-	all := map[string][]byte{"inc": was["inc"], "accepted": next["accepted"], "promised": next["promised"]}
+	require.Empty(t, saved, "nothing is confirmed by a stalled disk")
+	both := map[string][]byte{"inc": confirmed["inc"], "accepted": next["accepted"], "promised": next["promised"]}
 	for kept := 0; kept <= p.state.loose(); kept++ {
-		for _, how := range []string{"missing", "zeros", "noise"} {
-			m, harm := p.after(kept, how).use(t)
-			require.False(t, harm, "%d bytes kept, the rest %s", kept, how)
-			if len(m) == 3 {
-				require.Equal(t, all, m, "whole, or not at all")
+		for _, tail := range []string{"missing", "zeros", "noise"} {
+			values, damaged := p.after(kept, tail).use(t)
+			require.False(t, damaged, "%d bytes kept, the rest %s", kept, tail)
+			if len(values) == 3 {
+				require.Equal(t, both, values, "the batch is complete or absent")
 				continue
 			}
-			require.Equal(t, was, m, "%d bytes kept, the rest %s", kept, how)
+			require.Equal(t, confirmed, values, "%d bytes kept, the rest %s", kept, tail)
 		}
 	}
 	p.state.off()
 	close(p.state.gate)
 }
 
-// The power goes after each confirmation, over stores that outgrow their journals: nothing
-// confirmed is lost, though a new file's name is not in the folder for good by itself.
+// Power is lost after each confirmation, with stores large enough to rotate their journals: no confirmed data is
+// lost, although the name of a new file does not become durable by itself.
 func TestNamesLast(t *testing.T) {
 	p := newPair()
 	want := map[string][]byte{}
 	for i := range 8 {
 		k := fmt.Sprintf("k%d", i%5)
 		put := map[string][]byte{k: val(i, 700_000)}
-		m, harm := p.use(t, put)
-		require.False(t, harm)
-		require.Equal(t, want, m)
+		values, damaged := p.use(t, put)
+		require.False(t, damaged)
+		require.Equal(t, want, values)
 		want[k] = put[k]
 		p = p.after(0, "missing")
 	}
-	// In one life, too: the journal is changed while the store is open.
+	// The same within one life: the journal is rotated while the store is open.
 	var puts []map[string][]byte
 	for i := range 9 {
 		puts = append(puts, map[string][]byte{fmt.Sprintf("k%d", i%5): val(100+i, 700_000)})
 	}
 	for n := 4; n < len(puts); n++ {
-		q := newPair()
-		_, _ = q.use(t, puts[:n+1]...)
-		m, harm := q.after(0, "missing").use(t)
-		require.False(t, harm, "after %d", n)
-		require.Equal(t, puts[n][fmt.Sprintf("k%d", n%5)], m[fmt.Sprintf("k%d", n%5)], "after %d", n)
+		folders := newPair()
+		_, _ = folders.use(t, puts[:n+1]...)
+		values, damaged := folders.after(0, "missing").use(t)
+		require.False(t, damaged, "after %d", n)
+		require.Equal(t, puts[n][fmt.Sprintf("k%d", n%5)], values[fmt.Sprintf("k%d", n%5)], "after %d", n)
 	}
 }
 
-// A passing fault of the machine, at any call while the store is opened, is told and changes
-// nothing: the disk is as sound as before once the fault is over.
+// A temporary error at any call while the store is opened is reported and changes nothing: the store is intact once
+// the fault is over.
 func TestPassingFaults(t *testing.T) {
-	sound := newPair()
+	intact := newPair()
 	want := map[string][]byte{"inc": []byte("7"), "accepted": val(1, 5000)}
-	sound.use(t, want, map[string][]byte{"duty": []byte("3")})
+	intact.use(t, want, map[string][]byte{"duty": []byte("3")})
 	want["duty"] = []byte("3")
-	for _, e := range []error{syscall.EMFILE, syscall.ENOSPC, syscall.EACCES, syscall.EIO} {
-		hit := true
-		for at := 1; hit; at++ {
-			p := sound.after(0, "missing")
-			hit = false
+	for _, fault := range []error{syscall.EMFILE, syscall.ENOSPC, syscall.EACCES, syscall.EIO} {
+		failed := true
+		for at := 1; failed; at++ {
+			p := intact.after(0, "missing")
+			failed = false
 			count := 0
 			fail := func(int, string) error {
 				if count++; count >= at && count < at+3 {
-					hit = true
-					return e
+					failed = true
+					return fault
 				}
 				return nil
 			}
 			p.state.fails, p.mark.fails = fail, fail
-			d, m, harm, err := openStores(p.folders(), func(error) {})
-			require.False(t, harm, "%v at call %d", e, at)
+			opened, values, damaged, err := openStores(p.folders(), func(error) {})
+			require.False(t, damaged, "%v at call %d", fault, at)
 			if err == nil {
-				require.Equal(t, want, m)
-				d.shut()
+				require.Equal(t, want, values)
+				opened.shut()
 			}
 			p.state.fails, p.mark.fails = nil, nil
-			m, harm = p.after(0, "missing").use(t)
-			require.False(t, harm, "%v at call %d, afterwards", e, at)
-			require.Equal(t, want, m, "%v at call %d", e, at)
+			values, damaged = p.after(0, "missing").use(t)
+			require.False(t, damaged, "%v at call %d, afterwards", fault, at)
+			require.Equal(t, want, values, "%v at call %d", fault, at)
 		}
 	}
 }
 
-// A write that fails, a full disk among them, is never confirmed; the node is told, lives on,
-// and finds its store sound when it starts anew.
+// A failed write, for example on a full disk, is never confirmed; the failure is logged, the node keeps running, and
+// its store is intact after a restart.
 func TestFailedWrite(t *testing.T) {
 	for _, what := range []string{"write", "sync"} {
 		for _, on := range []string{"state", "mark"} {
 			p := newPair()
 			p.use(t, map[string][]byte{"a": []byte("1")})
 			p = p.after(0, "missing")
-			d, _, _, err := openStores(p.folders(), func(err error) { t.Error(err) })
+			opened, _, _, err := openStores(p.folders(), func(err error) { t.Error(err) })
 			require.NoError(t, err)
-			told := make(chan string, 1)
-			d.note = func(s string) { told <- s }
-			d.done = func(protocol.Saved) { t.Error("confirmed a write that failed") }
-			r := map[string]*rough{"state": p.state, "mark": p.mark}[on]
-			r.mu.Lock()
-			r.fails = func(_ int, w string) error {
-				if w == what {
+			notes := make(chan string, 1)
+			opened.note = func(s string) { notes <- s }
+			opened.done = func(protocol.Saved) { t.Error("a failed write was confirmed") }
+			folder := map[string]*rough{"state": p.state, "mark": p.mark}[on]
+			folder.mu.Lock()
+			folder.fails = func(_ int, op string) error {
+				if op == what {
 					return syscall.ENOSPC
 				}
 				return nil
 			}
-			r.mu.Unlock()
-			end := make(chan struct{})
-			go func() { d.run(); close(end) }()
-			d.put(protocol.Save{Token: 5, Puts: map[string][]byte{"a": []byte("2")}})
-			require.Contains(t, <-told, syscall.ENOSPC.Error())
+			folder.mu.Unlock()
+			done := make(chan struct{})
+			go func() { opened.run(); close(done) }()
+			opened.put(protocol.Save{Token: 5, Puts: map[string][]byte{"a": []byte("2")}})
+			require.Contains(t, <-notes, syscall.ENOSPC.Error())
 			select {
-			case <-end:
-				t.Fatal("ended by itself")
+			case <-done:
+				t.Fatal("stopped although nothing is damaged")
 			case <-time.After(20 * time.Millisecond):
 			}
-			d.close()
-			<-end
-			m, harm := p.after(1<<20, "missing").use(t)
-			require.False(t, harm, "%s of %s", what, on)
-			require.Contains(t, []string{"1", "2"}, string(m["a"]))
+			opened.close()
+			<-done
+			values, damaged := p.after(1<<20, "missing").use(t)
+			require.False(t, damaged, "%s of %s", what, on)
+			require.Contains(t, []string{"1", "2"}, string(values["a"]))
 		}
 	}
 }
 
-// Damage to what was confirmed, at any byte of any file, is seen, or harms nothing that is read.
+// Damage at any byte of any file is detected or does not affect the data read.
 func TestTrueDamage(t *testing.T) {
 	p := newPair()
 	want := map[string][]byte{"inc": []byte("7"), "accepted": val(2, 60), "duty": []byte("4")}
 	p.use(t, map[string][]byte{"inc": []byte("7"), "accepted": val(1, 60)}, map[string][]byte{"accepted": val(2, 60)}, map[string][]byte{"duty": []byte("4")})
-	seen, n := 0, 0
-	for fd, f := range p.state.after(0, "missing").files {
-		for i := range f.data {
+	detected, total := 0, 0
+	for fd, file := range p.state.after(0, "missing").files {
+		for i := range file.data {
 			for _, cut := range []bool{false, true} {
-				q := p.after(0, "missing")
-				b := q.state.files[fd]
+				folders := p.after(0, "missing")
+				damagedFile := folders.state.files[fd]
 				if cut {
-					b.data = b.data[:i]
+					damagedFile.data = damagedFile.data[:i]
 				} else {
-					b.data[i] ^= 0x41
+					damagedFile.data[i] ^= 0x41
 				}
-				n++
-				m, harm := q.use(t)
-				if harm {
-					seen++
-					require.Empty(t, m, "a damaged store votes for nothing")
+				total++
+				values, damaged := folders.use(t)
+				if damaged {
+					detected++
+					require.Empty(t, values, "no data is taken from a damaged store")
 					continue
 				}
-				require.Equal(t, want, m, "%v: byte %d, cut %v", fd, i, cut)
+				require.Equal(t, want, values, "%v: byte %d, cut %v", fd, i, cut)
 			}
 		}
 	}
-	// A block in the middle: what came before it and after it is sound.
+	// Damage in the middle of a file, with intact data before and after it.
 	p = newPair()
 	want = map[string][]byte{"inc": []byte("7"), "accepted": val(2, 40_000), "duty": val(3, 40_000)}
 	p.use(t, map[string][]byte{"accepted": want["accepted"]}, map[string][]byte{"inc": []byte("7")}, map[string][]byte{"duty": want["duty"]})
-	for fd, f := range p.state.after(0, "missing").files {
-		for i := 0; i < len(f.data); i += 1999 {
-			q := p.after(0, "missing")
-			q.state.files[fd].data[i] ^= 0x41
-			n++
-			if m, harm := q.use(t); harm {
-				seen++
-				require.Empty(t, m)
+	for fd, file := range p.state.after(0, "missing").files {
+		for i := 0; i < len(file.data); i += 1999 {
+			folders := p.after(0, "missing")
+			folders.state.files[fd].data[i] ^= 0x41
+			total++
+			if values, damaged := folders.use(t); damaged {
+				detected++
+				require.Empty(t, values)
 			} else {
-				require.Equal(t, want, m, "%v: byte %d", fd, i)
+				require.Equal(t, want, values, "%v: byte %d", fd, i)
 			}
 		}
 	}
-	t.Logf("%d of %d damages were seen, the others changed nothing that is read", seen, n)
-	require.NotZero(t, seen)
+	t.Logf("%d of %d damaged stores were detected, the others read correctly", detected, total)
+	require.NotZero(t, detected)
 	for fd := range p.state.after(0, "missing").files {
-		q := p.after(0, "missing")
-		delete(q.state.files, fd)
-		m, harm := q.use(t)
-		require.True(t, harm && len(m) == 0 || fmt.Sprint(m) == fmt.Sprint(want), "without %v", fd)
+		folders := p.after(0, "missing")
+		delete(folders.state.files, fd)
+		values, damaged := folders.use(t)
+		require.True(t, damaged && len(values) == 0 || fmt.Sprint(values) == fmt.Sprint(want), "without %v", fd)
 	}
 }
--- a/internal/host/stores.go
+++ b/internal/host/stores.go
@@ -23,44 +23,44 @@
 	markKey = "confirmed"
 )
 
-// seal is what every batch says of the whole state store: the batch's number, and a digest of
-// all that the store then has.
+// seal is part of every batch and describes the whole state store: the batch's number and a digest of the store's
+// resulting content.
 type seal struct {
 	Num uint64
 	Sum uint64
 }
 
-// storeFolder is where one store lies: how it is opened, how its folder is synced, and how it
-// is emptied of a store that was never quite begun.
+// storeFolder gives access to the folder of one store: opening it, syncing it, and clearing it after an incomplete
+// creation.
 type storeFolder struct {
 	open  func() (storage.Storage, error)
 	sync  func() error
 	reset func() error
 }
 
-// storeFolders are where both stores lie.
+// storeFolders gives access to both stores.
 type storeFolders struct {
 	state, mark storeFolder
-	setAside    func() error // puts both away, whole
+	setAside    func() error // renames both stores
 	backoff     backoff
 }
 
-// stores are both stores while they are open, and what the first has in it.
+// stores are the two open stores and a summary of the state store's content.
 type stores struct {
 	state    *leveldb.DB
 	mark     *leveldb.DB
 	storages []storage.Storage
-	num      uint64 // the number of the last batch in the state store
-	marked   uint64 // the number that the mark store has
+	num      uint64 // number of the last batch in the state store
+	marked   uint64 // number in the mark store
 	sums     map[string]uint32
 }
 
-// errDamaged says that a store is not what was confirmed.
-var errDamaged = errors.New("the store is damaged")
+// errDamaged means that a store does not contain what was confirmed.
+var errDamaged = errors.New("store is damaged")
 
-// isDamage tells damage from a passing fault of the machine, which leaves the disk as it is.
-// A file that ends too soon or is not there is damage too: goleveldb gives the storage's own error
-// for some of these, and no later try would find more.
+// isDamage distinguishes damage from a temporary fault of the machine, which leaves the disk unchanged. A truncated
+// or missing file is damage as well: goleveldb returns the storage's own error for some of these, and a retry would
+// not help.
 func isDamage(err error) bool {
 	for _, sign := range []error{errDamaged, io.EOF, io.ErrUnexpectedEOF, os.ErrNotExist} {
 		if errors.Is(err, sign) {
@@ -70,103 +70,100 @@
 	return dberrors.IsCorrupted(err)
 }
 
-// storeOptions keep what is written beside the values little: a disk that is almost full has
-// room for what must be written to open the stores, and little memory goes to files that are
-// read only then.
+// storeOptions minimize the data written in addition to the values, so that an almost full disk has room for the
+// writes needed to open the stores, and they limit the memory for files that are read only then.
 var storeOptions = opt.Options{
-	// Journals and manifests may end in what was never synced; the seal tells whether more is missing.
+	// Journals and manifests may end in unsynced data; the seal shows whether more is missing.
 	Strict:                       opt.StrictAll &^ (opt.StrictJournal | opt.StrictManifest),
 	WriteBuffer:                  256 * opt.KiB,
 	CompactionTableSize:          256 * opt.KiB,
 	CompactionTotalSize:          opt.MiB,
 	BlockCacheCapacity:           -1,
 	OpenFilesCacheCapacity:       8,
-	DisableLargeBatchTransaction: true, // which would take several syncs where a journal takes one
+	DisableLargeBatchTransaction: true, // it would need several syncs where a journal needs one
 }
 
-// openStores opens a disk, and gives the values found and whether damaged stores had to be set
-// aside for it.
-func openStores(f storeFolders, fail func(error)) (*disk, map[string][]byte, bool, error) {
+// openStores opens a disk. It returns the stored values and whether damaged stores were set aside.
+func openStores(folders storeFolders, fail func(error)) (*disk, map[string][]byte, bool, error) {
 	values := map[string][]byte{}
 	keep := func(key string, value []byte) { values[key] = append([]byte{}, value...) }
-	s, err := openPair(f, keep)
+	opened, err := openPair(folders, keep)
 	damaged := err != nil && isDamage(err)
 	if damaged {
-		if err = f.setAside(); err != nil {
-			return nil, nil, true, errors.Wrap(err, "set the damaged store aside")
+		if err = folders.setAside(); err != nil {
+			return nil, nil, true, errors.Wrap(err, "move the damaged stores aside")
 		}
 		clear(values)
-		s, err = openPair(f, keep)
+		opened, err = openPair(folders, keep)
 	}
 	if err != nil {
 		return nil, nil, damaged, errors.Wrap(err, "data folder")
 	}
-	return newDisk(f, s, fail), values, damaged, nil
+	return newDisk(folders, opened, fail), values, damaged, nil
 }
 
-// openPair opens both stores, checks them against each other, and shows each value in the
-// state store.
-func openPair(f storeFolders, each func(key string, value []byte)) (_ *stores, err error) {
-	s := &stores{sums: map[string]uint32{}}
+// openPair opens both stores, verifies them against each other, and calls each for every value in the state store.
+func openPair(folders storeFolders, each func(key string, value []byte)) (_ *stores, err error) {
+	opened := &stores{sums: map[string]uint32{}}
 	defer func() {
 		if err != nil {
-			s.shut()
+			opened.shut()
 		}
 	}()
-	if s.state, err = s.openOne(f.state); err != nil {
+	if opened.state, err = opened.openOne(folders.state); err != nil {
 		return nil, err
 	}
-	if s.mark, err = s.openOne(f.mark); err != nil {
+	if opened.mark, err = opened.openOne(folders.mark); err != nil {
 		return nil, err
 	}
-	found, err := s.readState(each)
+	found, err := opened.readState(each)
 	if err != nil {
 		return nil, err
 	}
-	if s.marked, err = readMark(s.mark); err != nil {
+	if opened.marked, err = readMark(opened.mark); err != nil {
 		return nil, err
 	}
 	if found != nil {
-		s.num = found.Num
+		opened.num = found.Num
 	}
-	if s.num < s.marked || found != nil && *found != s.seal() {
+	if opened.num < opened.marked || found != nil && *found != opened.seal() {
 		return nil, errDamaged
 	}
-	return s, nil
+	return opened, nil
 }
 
-func (s *stores) openOne(f storeFolder) (*leveldb.DB, error) {
-	files, err := f.open()
+func (s *stores) openOne(folder storeFolder) (*leveldb.DB, error) {
+	files, err := folder.open()
 	if err != nil {
 		return nil, err
 	}
 	s.storages = append(s.storages, files)
-	if err := resetUnfinished(files, f); err != nil {
+	if err := resetUnfinished(files, folder); err != nil {
 		return nil, err
 	}
-	return leveldb.Open(newDurableStorage(files, f.sync), &storeOptions)
+	return leveldb.Open(newDurableStorage(files, folder.sync), &storeOptions)
 }
 
-// resetUnfinished empties a store that has neither journals nor tables, and so never had
-// anything confirmed, if no manifest is named in it: its beginning broke off.
-func resetUnfinished(files storage.Storage, f storeFolder) error {
+// resetUnfinished clears a store that has neither journals nor tables, and so never confirmed anything, if it has no
+// current manifest: its creation was interrupted.
+func resetUnfinished(files storage.Storage, folder storeFolder) error {
 	list, err := files.List(storage.TypeJournal | storage.TypeTable)
 	if err != nil || len(list) > 0 {
 		return err
 	}
 	if _, err = files.GetMeta(); os.IsNotExist(err) || dberrors.IsCorrupted(err) {
-		return f.reset()
+		return folder.reset()
 	}
 	return err
 }
 
-// readState shows each value and gives the seal, if there is one.
+// readState calls each for every value and returns the seal, if there is one.
 func (s *stores) readState(each func(key string, value []byte)) (*seal, error) {
 	var found *seal
-	i := s.state.NewIterator(nil, &opt.ReadOptions{Strict: opt.StrictAll})
-	defer i.Release()
-	for i.Next() {
-		key, value := string(i.Key()), i.Value()
+	iterator := s.state.NewIterator(nil, &opt.ReadOptions{Strict: opt.StrictAll})
+	defer iterator.Release()
+	for iterator.Next() {
+		key, value := string(iterator.Key()), iterator.Value()
 		if key == sealKey {
 			found = new(seal)
 			if json.Unmarshal(value, found) != nil {
@@ -177,10 +174,10 @@
 		s.sums[key] = crc32.ChecksumIEEE(value)
 		each(key, value)
 	}
-	return found, i.Error()
+	return found, iterator.Error()
 }
 
-// readMark gives the number of the last batch confirmed; a new store has none.
+// readMark returns the number of the last confirmed batch, or 0 for a new store.
 func readMark(mark *leveldb.DB) (uint64, error) {
 	value, err := mark.Get([]byte(markKey), nil)
 	if errors.Is(err, leveldb.ErrNotFound) {
@@ -196,13 +193,13 @@
 	return n, nil
 }
 
-// seal says what the state store has now.
+// seal returns the seal of the state store's current content.
 func (s *stores) seal() seal {
-	h := fnv.New64a()
+	digest := fnv.New64a()
 	for _, key := range generic.SortedKeys(s.sums) {
-		fmt.Fprintf(h, "%q:%d;", key, s.sums[key])
+		fmt.Fprintf(digest, "%q:%d;", key, s.sums[key])
 	}
-	return seal{s.num, h.Sum64()}
+	return seal{s.num, digest.Sum64()}
 }
 
 func (s *stores) shut() {
--- a/internal/host/strict_test.go
+++ b/internal/host/strict_test.go
@@ -7,5 +7,5 @@
 	"tidedeck/internal/invariant/strict"
 )
 
-// A violated invariant fails the tests.
+// An invariant violation fails the tests.
 func TestMain(m *testing.M) { os.Exit(strict.Verdict(m.Run())) }
--- a/internal/host/work_times.go
+++ b/internal/host/work_times.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	// workReportEvery is how often the log tells what a process spent its time on.
+	// workReportEvery is the interval between log lines about the process's working times.
 	workReportEvery = clock.Span(2e9)
-	// workReported is how many kinds of work such a line names, those that took longest first.
+	// workReported is the number of kinds of work per log line, those with the longest times first.
 	workReported = 5
 )
 
-// Kinds of work beside the steps of a core, which are named after their inputs.
+// Kinds of work other than core steps, which are named after their inputs.
 const (
 	workRead  = "read message"
 	workWrite = "write message"
 )
 
-// workTime is how often a kind of work was done, and how long it took in all.
+// workTime is the count and total duration of one kind of work.
 type workTime struct {
 	count uint64
 	took  time.Duration
 }
 
-// workTimes sums how long a process works on what, by kind. It is wall time: where threads wait for a processor, that counts.
+// workTimes sums the durations of work by kind. Durations are wall time, so waiting for a processor counts.
 type workTimes struct {
-	mu       sync.Mutex // guards all below; taken last of all locks
+	mu       sync.Mutex // guards all fields below; always the last lock to be acquired
 	all      map[string]workTime
 	recent   map[string]workTime // since the last report
 	reported clock.Tick
@@ -43,22 +43,22 @@
 	return &workTimes{all: map[string]workTime{}, recent: map[string]workTime{}}
 }
 
-// add counts work of a kind.
+// add records work of a kind.
 func (w *workTimes) add(kind string, took time.Duration) {
 	if w == nil {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, sums := range []map[string]workTime{w.all, w.recent} {
-		sum := sums[kind]
+	for _, times := range []map[string]workTime{w.all, w.recent} {
+		sum := times[kind]
 		sum.count++
 		sum.took += took
-		sums[kind] = sum
+		times[kind] = sum
 	}
 }
 
-// report gives the fields of a log line about the time since the last one, if one is due.
+// report returns the fields of a log line about the time since the last report, or nil if none is due.
 func (w *workTimes) report(now clock.Tick) []protocol.Field {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -79,7 +79,7 @@
 	return fields
 }
 
-// longest lists the recent kinds of work, those that took longest first.
+// longest returns the recent kinds of work, those with the longest times first.
 func (w *workTimes) longest() []string {
 	kinds := make([]string, 0, len(w.recent))
 	for kind := range w.recent {
@@ -96,10 +96,10 @@
 	workCount   = prometheus.NewDesc("tidedeck_work_total", "How often a kind of work was done.", []string{"work"}, nil)
 )
 
-// Describe leaves the metrics unchecked; kinds of work come as they are met.
+// Describe sends nothing, so the metrics are unchecked: the kinds of work are not known in advance.
 func (w *workTimes) Describe(chan<- *prometheus.Desc) {}
 
-// Collect reads the sums.
+// Collect sends the current sums.
 func (w *workTimes) Collect(ch chan<- prometheus.Metric) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/ident/ident.go
+++ b/internal/ident/ident.go
@@ -3,31 +3,31 @@
 
 import "strings"
 
-// Node names one process of the system.
+// Node identifies a process of the system.
 type Node string
 
-// Server names one model server.
+// Server identifies a model server.
 type Server string
 
-// Zone names a failure zone.
+// Zone identifies a failure zone.
 type Zone string
 
-// Epoch numbers the desired states; it only rises.
+// Epoch is the version of the desired state; it only increases.
 type Epoch uint64
 
-// Duty numbers the reigns of duty owners; it only rises.
+// Duty is the number of a leadership term; it only increases.
 type Duty uint64
 
-// Inc is an incarnation: a number drawn anew by each life of a process or disk.
+// Inc is an incarnation: a number drawn at each start of a process and for each new disk.
 type Inc uint64
 
-// Mark is a digest of an entry's content; equal marks mean that nothing changed.
+// Mark is a digest of an entry's content; equal digests mean that the content is unchanged.
 type Mark uint64
 
-// Key names what a placement places: a base model, or an adapter on its base.
+// Key identifies a unit of placement: a base model, or an adapter on its base model.
 type Key string
 
-// KeyOf joins a base model and an optional adapter.
+// KeyOf returns the key of a base model or, if adapter is not empty, of an adapter on it.
 func KeyOf(base, adapter string) Key {
 	if adapter == "" {
 		return Key(base)
@@ -35,38 +35,37 @@
 	return Key(base + "+" + adapter)
 }
 
-// Base gives the key of the base model.
+// Base returns the key of the base model.
 func (k Key) Base() Key {
-	b, _, _ := strings.Cut(string(k), "+")
-	return Key(b)
+	base, _, _ := strings.Cut(string(k), "+")
+	return Key(base)
 }
 
-// In puts a key of a service's own models under the service, so that two services may each have a
-// model of that name.
+// In qualifies a model key with its service, so that two services may each have a model of the same name.
 func (k Key) In(service string) Key { return Key(service + "|" + string(k)) }
 
-// Service gives the service that a key is under, if it is under one.
+// Service returns the service that qualifies the key, or an empty string.
 func (k Key) Service() string {
-	s, _, ok := strings.Cut(string(k), "|")
+	service, _, ok := strings.Cut(string(k), "|")
 	if !ok {
 		return ""
 	}
-	return s
+	return service
 }
 
-// Name gives the key as its service calls it.
+// Name returns the key without its service, as the service itself names the model.
 func (k Key) Name() Key {
-	if _, n, ok := strings.Cut(string(k), "|"); ok {
-		return Key(n)
+	if _, name, ok := strings.Cut(string(k), "|"); ok {
+		return Key(name)
 	}
 	return k
 }
 
-// ServiceKey is the key of a service as a whole: what names no model goes to any of its servers.
+// ServiceKey returns the key of a whole service: requests that name no model may go to any of its servers.
 func ServiceKey(service string) Key { return Key("").In(service) }
 
-// Plain tells whether the key stands for a whole service, and not for one of its models.
+// Plain reports whether the key stands for a whole service rather than for one of its models.
 func (k Key) Plain() bool { return strings.HasSuffix(string(k), "|") }
 
-// IsAdapter tells whether the key names an adapter.
+// IsAdapter reports whether the key identifies an adapter.
 func (k Key) IsAdapter() bool { return strings.Contains(string(k), "+") }
--- a/internal/protocol/desired.go
+++ b/internal/protocol/desired.go
@@ -14,18 +14,18 @@
 	wirejson "github.com/go-json-experiment/json"
 )
 
-// mostDesired bounds what a desired state may come to when it is unpacked: a plan of the largest size that is
-// taken and its windows, both as base64, come to half of it.
+// mostDesired is the maximum size of a decompressed desired state. A plan of the maximum size and its windows, both
+// in base64, take half of it.
 const mostDesired = 16 << 20
 
-// Packed keeps the bytes of something that does not change and is sent to many.
+// Packed caches the encoding of an immutable value that is sent to many receivers.
 type Packed struct {
 	once  sync.Once
 	bytes []byte
 	err   error
 }
 
-// pack gives the bytes of what is sent to many, which are written once.
+// pack returns the encoding of value and computes it only once. A nil Packed caches nothing.
 func (p *Packed) pack(value any) ([]byte, error) {
 	if p == nil {
 		p = &Packed{}
@@ -34,7 +34,7 @@
 	return p.bytes, p.err
 }
 
-// MarshalJSON writes an item; what goes to many routers is written as bytes only once.
+// MarshalJSON encodes an item. A part that is sent to many routers is encoded only once.
 func (i Item) MarshalJSON() ([]byte, error) {
 	out := strconv.AppendUint([]byte(`{"n":`), i.Num, 10)
 	if i.Entry != nil {
@@ -61,9 +61,9 @@
 	return append(out, '}'), nil
 }
 
-// pack writes changes as encoding/json would, with the items' bytes as they are.
+// pack encodes the message as encoding/json would, but copies the items' encodings unchanged.
 func (n News) pack() ([]byte, error) {
-	head, err := wirejson.Marshal(struct {
+	header, err := wirejson.Marshal(struct {
 		Session Session
 		Duty    ident.Duty
 	}{n.Session, n.Duty}, wireOptions)
@@ -81,17 +81,17 @@
 		}
 		list = append(list, packed...)
 	}
-	return withMember(head, "Items", append(list, ']')), nil
+	return withMember(header, "Items", append(list, ']')), nil
 }
 
-// plainDesired has a desired state's fields and none of its methods.
+// plainDesired has the fields of Desired without its methods.
 type plainDesired Desired
 
 type squeezed struct {
 	Z []byte `json:"z"`
 }
 
-// MarshalJSON writes a desired state squeezed.
+// MarshalJSON encodes a desired state in compressed form.
 func (d Desired) MarshalJSON() ([]byte, error) {
 	raw, err := json.Marshal(plainDesired(d))
 	if err != nil {
@@ -111,7 +111,7 @@
 	return json.Marshal(squeezed{b.Bytes()})
 }
 
-// UnmarshalJSON reads a desired state, squeezed or as earlier versions wrote it.
+// UnmarshalJSON decodes a desired state, either compressed or in the plain form of earlier versions.
 func (d *Desired) UnmarshalJSON(raw []byte) error {
 	var z squeezed
 	if err := json.Unmarshal(raw, &z); err != nil {
@@ -132,23 +132,23 @@
 		return err
 	}
 	if z.Z != nil && (read.Nested != nil || bytes.Equal(bytes.TrimSpace(raw), []byte("null"))) {
-		return errors.New("unpack desired state: there is none in it")
+		return errors.New("unpack desired state: compressed data contains no desired state")
 	}
 	*d = Desired(read.plainDesired)
 	return nil
 }
 
-// unpack gives the JSON of a desired state that was squeezed, and nothing else.
+// unpack decompresses the JSON of a desired state and refuses any data after its end.
 func (z squeezed) unpack() ([]byte, error) {
-	rest := bytes.NewReader(z.Z)
-	unpacked, err := io.ReadAll(io.LimitReader(flate.NewReader(rest), mostDesired+1))
+	compressed := bytes.NewReader(z.Z)
+	unpacked, err := io.ReadAll(io.LimitReader(flate.NewReader(compressed), mostDesired+1))
 	switch {
 	case err != nil:
 		return nil, err
 	case len(unpacked) > mostDesired:
-		return nil, errors.Errorf("it comes to more than %d bytes", mostDesired)
-	case rest.Len() > 0:
-		return nil, errors.Errorf("%d bytes follow it", rest.Len())
+		return nil, errors.Errorf("decompressed size exceeds %d bytes", mostDesired)
+	case compressed.Len() > 0:
+		return nil, errors.Errorf("%d bytes after the end of the compressed data", compressed.Len())
 	}
 	return unpacked, nil
 }
--- a/internal/protocol/desired_test.go
+++ b/internal/protocol/desired_test.go
@@ -8,35 +8,35 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A desired state comes back as it was, also from what earlier versions wrote, and a large plan is
-// small on its way; an item that goes to many is the same bytes for each.
+// A desired state is unchanged by encoding and decoding, including the plain encoding of earlier versions. A large
+// plan is compressed well, and an item sent to many routers has the same bytes for each.
 func TestDesiredTravels(t *testing.T) {
-	d := Desired{Gen: 3, Epoch: 7, Plan: bytes.Repeat([]byte(`{"label":"route","host":"a.example"},`), 3000), Done: []Change{{ID: "x", Epoch: 7}}}
-	raw, err := json.Marshal(d)
+	desired := Desired{Gen: 3, Epoch: 7, Plan: bytes.Repeat([]byte(`{"label":"route","host":"a.example"},`), 3000), Done: []Change{{ID: "x", Epoch: 7}}}
+	raw, err := json.Marshal(desired)
 	require.NoError(t, err)
-	require.Less(t, len(raw), len(d.Plan)/10)
+	require.Less(t, len(raw), len(desired.Plan)/10)
 	var got Desired
 	require.NoError(t, json.Unmarshal(raw, &got))
-	require.Equal(t, d, got)
-	old, err := json.Marshal(plainDesired(d))
+	require.Equal(t, desired, got)
+	plain, err := json.Marshal(plainDesired(desired))
 	require.NoError(t, err)
 	got = Desired{}
-	require.NoError(t, json.Unmarshal(old, &got))
-	require.Equal(t, d, got)
+	require.NoError(t, json.Unmarshal(plain, &got))
+	require.Equal(t, desired, got)
 	require.Error(t, json.Unmarshal([]byte(`{"z":"AAAA"}`), &got))
 
-	share := &Packed{}
-	one, err := Pack(Env{Body: News{Items: []Item{{Num: 1, Desired: &d, Packed: share}}}})
+	shared := &Packed{}
+	first, err := Pack(Env{Body: News{Items: []Item{{Num: 1, Desired: &desired, Packed: shared}}}})
 	require.NoError(t, err)
-	two, err := Pack(Env{Body: News{Items: []Item{{Num: 1, Desired: &d, Packed: share}}}})
+	second, err := Pack(Env{Body: News{Items: []Item{{Num: 1, Desired: &desired, Packed: shared}}}})
 	require.NoError(t, err)
-	require.Equal(t, one, two)
-	e, err := Unpack(one)
+	require.Equal(t, first, second)
+	e, err := Unpack(first)
 	require.NoError(t, err)
-	require.Equal(t, d, *e.Body.(News).Items[0].Desired)
-	two, err = Pack(Env{Body: News{Items: []Item{{Num: 4, Break: "k"}, {Num: 5}}}})
+	require.Equal(t, desired, *e.Body.(News).Items[0].Desired)
+	second, err = Pack(Env{Body: News{Items: []Item{{Num: 4, Break: "k"}, {Num: 5}}}})
 	require.NoError(t, err)
-	e, err = Unpack(two)
+	e, err = Unpack(second)
 	require.NoError(t, err)
 	require.Equal(t, []Item{{Num: 4, Break: "k"}, {Num: 5}}, e.Body.(News).Items)
 }
--- a/internal/protocol/fuzz_test.go
+++ b/internal/protocol/fuzz_test.go
@@ -13,28 +13,29 @@
 	"tidedeck/internal/ident"
 )
 
-// examples are envelopes with something in each part that has a form of its own.
+// examples returns envelopes that contain each part with a custom encoding.
 func examples() []Env {
-	me, you, by := Sibling{"a", "1"}, Sibling{"b", "2"}, Sibling{"c", "3"}
+	self, peer, relay := Sibling{"a", "1"}, Sibling{"b", "2"}, Sibling{"c", "3"}
 	session := Session{Node: "a", Agent: 1, Router: 2, N: 3}
-	d := &Desired{Gen: 2, Epoch: 3, Plan: []byte("{ }\n"), Voters: []Voter{{Sibling: me, Inc: 9}}}
-	line := Member{Sibling: you, Role: "agent", Zone: "z", Inc: 7, Life: "alive"}
+	desired := &Desired{Gen: 2, Epoch: 3, Plan: []byte("{ }\n"), Voters: []Voter{{Sibling: self, Inc: 9}}}
+	member := Member{Sibling: peer, Role: "agent", Zone: "z", Inc: 7, Life: "alive"}
 	var all []Env
 	for _, body := range []any{
-		Probe{Seq: 1, News: []Member{line}},
-		ProbeFor{Seq: 2, Target: you, News: []Member{line}},
-		Accept{Round: 1, Ballot: Ballot{N: 1, By: "a"}, Value: *d},
-		Value{Round: 1, Value: d},
-		News{Session: session, Items: []Item{{Num: 1, Desired: d}, {Num: 2, Break: "k"}, {Num: 3, Entry: &Entry{Key: "k", Replicas: []Replica{{Server: "s"}}}}}},
+		Probe{Seq: 1, News: []Member{member}},
+		ProbeFor{Seq: 2, Target: peer, News: []Member{member}},
+		Accept{Round: 1, Ballot: Ballot{N: 1, By: "a"}, Value: *desired},
+		Value{Round: 1, Value: desired},
+		News{Session: session, Items: []Item{{Num: 1, Desired: desired}, {Num: 2, Break: "k"}, {Num: 3, Entry: &Entry{Key: "k", Replicas: []Replica{{Server: "s"}}}}}},
 		Renew{Session: session, Burden: map[ident.Key]Burden{"k": {Came: 1, Load: 0.5}}},
 		Beacons{List: []Beacon{{Listed: Listed{ID: "s", Addr: "4", State: "live"}, Held: []ident.Key{"k"}}}},
 	} {
-		all = append(all, Env{From: me, To: you, By: by, Body: body})
+		all = append(all, Env{From: self, To: peer, By: relay, Body: body})
 	}
 	return all
 }
 
-// FuzzUnpack reads envelopes: what is read can be written, and says the same when read again.
+// FuzzUnpack decodes arbitrary envelopes: whatever can be decoded can be encoded, and decodes to the same value
+// again.
 func FuzzUnpack(f *testing.F) {
 	for _, e := range examples() {
 		raw, err := Pack(e)
@@ -55,11 +56,11 @@
 		require.Len(t, second, len(first))
 		last, err := Unpack(second)
 		require.NoError(t, err)
-		require.Equal(t, again, last) // the members of maps come in any order
+		require.Equal(t, again, last) // map members are written in arbitrary order
 	})
 }
 
-// FuzzDesired reads desired states from what they unpack to, and from any bytes.
+// FuzzDesired decodes desired states both from arbitrary compressed content and from arbitrary bytes.
 func FuzzDesired(f *testing.F) {
 	for _, raw := range []string{`{"gen":1,"epoch":2,"plan":"e30=","voters":[{"id":"a"}]}`, `{}`, `null`, `{"z":"AAAA"}`, `[`} {
 		f.Add([]byte(raw))
@@ -81,7 +82,7 @@
 	})
 }
 
-// squeeze writes bytes as a desired state is written, with something after their end.
+// squeeze compresses bytes as in the encoding of a desired state, followed by other bytes.
 func squeeze(t testing.TB, raw, after []byte) []byte {
 	t.Helper()
 	var b bytes.Buffer
@@ -90,28 +91,28 @@
 	_, err = w.Write(raw)
 	require.NoError(t, err)
 	require.NoError(t, w.Close())
-	sent, err := json.Marshal(squeezed{append(b.Bytes(), after...)})
+	encoded, err := json.Marshal(squeezed{append(b.Bytes(), after...)})
 	require.NoError(t, err)
-	return sent
+	return encoded
 }
 
-// What a desired state may not be: it unpacks to more than the bound, is cut there or before, holds
-// another packed one, or is followed by something.
+// Decoding a desired state fails if the decompressed size exceeds the limit, if the compressed content is truncated
+// or is itself compressed, or if data follows it.
 func TestDesiredNonsense(t *testing.T) {
 	state := `{"gen":1,"epoch":2,"plan":"e30="}`
 	for name, c := range map[string]struct {
 		raw, after string
 		good       bool
 	}{
-		"plain":             {raw: state, good: true},
-		"at the bound":      {raw: state + strings.Repeat(" ", mostDesired-len(state)), good: true},
-		"over the bound":    {raw: state + strings.Repeat(" ", mostDesired-len(state)+1)},
-		"far over":          {raw: state + strings.Repeat(" ", 2*mostDesired)},
-		"followed by bytes": {raw: state, after: "xyz"},
-		"packed twice":      {raw: string(squeeze(t, []byte(state), nil))},
-		"cut short":         {raw: state[:20]},
-		"null":              {raw: "null"},
-		"empty":             {raw: ""},
+		"plain":              {raw: state, good: true},
+		"at the bound":       {raw: state + strings.Repeat(" ", mostDesired-len(state)), good: true},
+		"over the bound":     {raw: state + strings.Repeat(" ", mostDesired-len(state)+1)},
+		"far over the bound": {raw: state + strings.Repeat(" ", 2*mostDesired)},
+		"followed by bytes":  {raw: state, after: "xyz"},
+		"packed twice":       {raw: string(squeeze(t, []byte(state), nil))},
+		"cut short":          {raw: state[:20]},
+		"null":               {raw: "null"},
+		"empty":              {raw: ""},
 	} {
 		var d Desired
 		err := json.Unmarshal(squeeze(t, []byte(c.raw), []byte(c.after)), &d)
@@ -120,7 +121,7 @@
 	}
 }
 
-// However much a desired state would unpack to, little memory is spent on it.
+// Decoding a highly compressed desired state of excessive size uses little memory.
 func TestBombIsBounded(t *testing.T) {
 	sent := squeeze(t, bytes.Repeat([]byte(" "), 8*mostDesired), nil)
 	var before, after runtime.MemStats
--- a/internal/protocol/pack_bench_test.go
+++ b/internal/protocol/pack_bench_test.go
@@ -9,30 +9,30 @@
 	"tidedeck/internal/ident"
 )
 
-// largeRenewal is what a router reports that is asked for so many models at so many servers.
+// largeRenewal returns a router's renewal with requests for the given numbers of models and servers.
 func largeRenewal(models, servers int) Env {
-	r := Renew{Session: Session{Node: "edge-sala-verona-35", Agent: 1 << 50, Router: 1 << 51, N: 3}, Seq: 1234, Gen: 1, Epoch: 20, Heard: 815,
+	renewal := Renew{Session: Session{Node: "edge-sala-verona-35", Agent: 1 << 50, Router: 1 << 51, N: 3}, Seq: 1234, Gen: 1, Epoch: 20, Heard: 815,
 		Burden: map[ident.Key]Burden{}, Seats: map[ident.Server]int{}, Paces: map[ident.Key]float64{}}
 	for i := range models {
 		key := ident.Key(fmt.Sprintf("motore-ruoli|bada%02de49e+filo%02d0", i, i))
-		r.Burden[key] = Burden{Wait: i % 2, Work: 1, Came: 2, Top: 3, Load: 0.0123456789}
+		renewal.Burden[key] = Burden{Wait: i % 2, Work: 1, Came: 2, Top: 3, Load: 0.0123456789}
 		if i%4 == 0 {
-			r.Paces[key.Base()] = 51234.56789
+			renewal.Paces[key.Base()] = 51234.56789
 		}
 	}
 	for i := range servers {
-		r.Seats[ident.Server(fmt.Sprintf("i-b317bf%04x", i))] = 2300 + i
+		renewal.Seats[ident.Server(fmt.Sprintf("i-b317bf%04x", i))] = 2300 + i
 	}
-	return Env{From: Sibling{ID: "edge-sala-verona-35", Addr: "10.1.0.35:7100"}, To: Sibling{ID: "loop-sala-brescia-1", Addr: "10.1.64.1:7100"}, Body: r}
+	return Env{From: Sibling{ID: "edge-sala-verona-35", Addr: "10.1.0.35:7100"}, To: Sibling{ID: "loop-sala-brescia-1", Addr: "10.1.64.1:7100"}, Body: renewal}
 }
 
-// largeGrant is what an owner answers to a router that uses so many servers.
+// largeGrant returns an owner's answer to a router that uses the given number of servers.
 func largeGrant(servers int) Env {
-	g := Grant{Session: Session{Node: "edge-sala-verona-35", Agent: 1 << 50, Router: 1 << 51, N: 3}, Seq: 1234, Len: 2_000_000_000, Duty: 3, Routers: 295, Seats: map[ident.Server]int{}}
+	grant := Grant{Session: Session{Node: "edge-sala-verona-35", Agent: 1 << 50, Router: 1 << 51, N: 3}, Seq: 1234, Len: 2_000_000_000, Duty: 3, Routers: 295, Seats: map[ident.Server]int{}}
 	for i := range servers {
-		g.Seats[ident.Server(fmt.Sprintf("i-b317bf%04x", i))] = 2300 + i
+		grant.Seats[ident.Server(fmt.Sprintf("i-b317bf%04x", i))] = 2300 + i
 	}
-	return Env{From: Sibling{ID: "loop-sala-brescia-1", Addr: "10.1.64.1:7100"}, To: Sibling{ID: "edge-sala-verona-35", Addr: "10.1.0.35:7100"}, Body: g}
+	return Env{From: Sibling{ID: "loop-sala-brescia-1", Addr: "10.1.64.1:7100"}, To: Sibling{ID: "edge-sala-verona-35", Addr: "10.1.0.35:7100"}, Body: grant}
 }
 
 func BenchmarkReadRenewal(b *testing.B) {
@@ -54,7 +54,7 @@
 	}
 }
 
-// BenchmarkWriteNews is an entry that has grown, as it goes to one of many routers.
+// BenchmarkWriteNews encodes an enlarged entry for one of many routers.
 func BenchmarkWriteNews(b *testing.B) {
 	entry, packed := Entry{Key: "motore-ruoli|bada37de49e+filo770", Mark: 1 << 60}, &Packed{}
 	for i := range 6 {
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -1,5 +1,5 @@
-// Package protocol joins tidedeck's processes: the messages they send each other, and the
-// inputs and outputs through which a core without I/O meets sockets, disks and timers.
+// Package protocol defines the messages exchanged between tidedeck processes, and the inputs and outputs that connect
+// the deterministic cores to sockets, disks and timers.
 package protocol
 
 import (
@@ -17,23 +17,23 @@
 	wirejsonv1 "github.com/go-json-experiment/json/v1"
 )
 
-// Sibling is a process and where it listens.
+// Sibling identifies a process and its address.
 type Sibling struct {
 	ID   ident.Node `json:"id"`
 	Addr string     `json:"addr"`
 }
 
-// Env is one message between two processes. Via, when set, is the sibling that it is sent
-// through; By, when set, is the sibling that it came through, and the way for an answer.
+// Env is the envelope of one message between two processes. If Via is set, the message is sent through that process.
+// If By is set, the message arrived through that process, and a reply takes the same route.
 type Env struct {
 	From Sibling
 	To   Sibling
 	Via  Sibling
-	By   Sibling
+	By   Sibling `json:"By"`
 	Body any
 }
 
-// Hop tells where the envelope goes next.
+// Hop returns the process to which the envelope is sent next.
 func (e Env) Hop() Sibling {
 	if e.Via.ID != "" {
 		return e.Via
@@ -41,14 +41,14 @@
 	return e.To
 }
 
-// Carry turns an envelope that is meant for another into the one to send on.
-func (e Env) Carry(me Sibling) Env {
-	return Env{From: e.From, To: e.To, By: me, Body: e.Body}
+// Carry returns the envelope that a relay sends on to the final recipient.
+func (e Env) Carry(self Sibling) Env {
+	return Env{From: e.From, To: e.To, By: self, Body: e.Body}
 }
 
-// Reply makes the envelope that answers e the way it came.
-func (e Env) Reply(me Sibling, body any) Env {
-	return Env{From: me, To: e.From, Via: e.By, Body: body}
+// Reply returns an envelope that answers e along the route by which e arrived.
+func (e Env) Reply(self Sibling, body any) Env {
+	return Env{From: self, To: e.From, Via: e.By, Body: body}
 }
 
 type wire struct {
@@ -59,31 +59,70 @@
 	Body jsontext.Value `json:"b"`
 }
 
-// wireOptions keep the form that encoding/json gives messages; only the members of maps come in any order.
+// wireOptions reproduce the format of encoding/json, except that map members are written in arbitrary order.
 var wireOptions = wirejson.JoinOptions(
 	wirejson.FormatNilSliceAsNull(true), wirejson.FormatNilMapAsNull(true),
 	wirejsonv1.OmitEmptyWithLegacySemantics(true), wirejsonv1.FormatDurationAsNano(true),
-	jsontext.AllowInvalidUTF8(true), jsontext.AllowDuplicateNames(true), // names come from callers and servers
+	jsontext.AllowInvalidUTF8(true), jsontext.AllowDuplicateNames(true), // clients and servers choose names, which may be invalid
 )
 
-var kinds = map[string]reflect.Type{}
+// kinds maps the kind of each message, as written in the envelope, to its Go type. Processes of different versions exchange
+// these names, so a kind keeps its name when its type is renamed.
+var kinds = map[string]reflect.Type{
+	"Probe":        reflect.TypeFor[Probe](),
+	"ProbeAck":     reflect.TypeFor[ProbeAck](),
+	"ProbeFor":     reflect.TypeFor[ProbeFor](),
+	"Prepare":      reflect.TypeFor[Prepare](),
+	"Promise":      reflect.TypeFor[Promise](),
+	"Accept":       reflect.TypeFor[Accept](),
+	"Accepted":     reflect.TypeFor[Accepted](),
+	"Query":        reflect.TypeFor[Query](),
+	"State":        reflect.TypeFor[State](),
+	"Release":      reflect.TypeFor[Release](),
+	"Fetch":        reflect.TypeFor[Fetch](),
+	"Value":        reflect.TypeFor[Value](),
+	"Renew":        reflect.TypeFor[Renew](),
+	"Grant":        reflect.TypeFor[Grant](),
+	"NotOwner":     reflect.TypeFor[NotOwner](),
+	"News":         reflect.TypeFor[News](),
+	"Heard":        reflect.TypeFor[Heard](),
+	"Want":         reflect.TypeFor[Want](),
+	"Removal":      reflect.TypeFor[Removal](),
+	"Hold":         reflect.TypeFor[Hold](),
+	"Hello":        reflect.TypeFor[Hello](),
+	"Keep":         reflect.TypeFor[Keep](),
+	"Kept":         reflect.TypeFor[Kept](),
+	"Taken":        reflect.TypeFor[Taken](),
+	"Forward":      reflect.TypeFor[Forward](),
+	"Forwarded":    reflect.TypeFor[Forwarded](),
+	"Listing":      reflect.TypeFor[Listing](),
+	"Look":         reflect.TypeFor[Look](),
+	"Looked":       reflect.TypeFor[Looked](),
+	"Beacons":      reflect.TypeFor[Beacons](),
+	"BeaconsHeard": reflect.TypeFor[BeaconsHeard](),
+	"RollCall":     reflect.TypeFor[RollCall](),
+	"Roll":         reflect.TypeFor[Roll](),
+}
+
+// kindNames maps the Go type of each message to its kind.
+var kindNames = map[reflect.Type]string{}
 
 func init() {
-	for _, b := range []any{
-		Probe{}, ProbeAck{}, ProbeFor{},
-		Prepare{}, Promise{}, Accept{}, Accepted{}, Query{}, State{}, Release{}, Fetch{}, Value{},
-		Renew{}, Grant{}, NotOwner{}, News{}, Heard{}, Want{}, Removal{}, Hold{}, Hello{}, Keep{}, Kept{}, Taken{}, Forward{}, Forwarded{}, Listing{}, Look{}, Looked{},
-		Beacons{}, BeaconsHeard{}, RollCall{}, Roll{},
-	} {
-		t := reflect.TypeOf(b)
-		kinds[t.Name()] = t
+	for name, t := range kinds {
+		kindNames[t] = name
 	}
 }
 
-// Kind names a message's kind.
-func Kind(body any) string { return reflect.TypeOf(body).Name() }
+// Kind returns the name of a message's kind on the wire. A type that is not a message is named after its Go type.
+func Kind(body any) string {
+	t := reflect.TypeOf(body)
+	if name, ok := kindNames[t]; ok {
+		return name
+	}
+	return t.Name()
+}
 
-// address is an envelope without its body.
+// address is the header of an envelope, without the body.
 type address struct {
 	From Sibling  `json:"f"`
 	To   Sibling  `json:"t"`
@@ -91,25 +130,25 @@
 	Kind string   `json:"k"`
 }
 
-// Pack writes an envelope as bytes. What is written already is copied as it is: encoding/json would check and copy a
-// large configuration once more at each level, for each router.
+// Pack encodes an envelope. Parts that are already encoded are copied unchanged: encoding/json would validate and
+// copy a large configuration again at every nesting level and for every router.
 func Pack(e Env) ([]byte, error) {
 	body, err := packBody(e.Body)
 	if err != nil {
 		return nil, errors.Wrap(err, "pack body")
 	}
-	to := address{From: e.From, To: e.To, Kind: Kind(e.Body)}
+	header := address{From: e.From, To: e.To, Kind: Kind(e.Body)}
 	if e.By.ID != "" {
-		to.By = &e.By
+		header.By = &e.By
 	}
-	head, err := wirejson.Marshal(to, wireOptions)
+	encoded, err := wirejson.Marshal(header, wireOptions)
 	if err != nil {
 		return nil, err
 	}
-	return withMember(head, "b", body), nil
+	return withMember(encoded, "b", body), nil
 }
 
-// withMember adds a member to a JSON object that has some.
+// withMember appends a member to a non-empty JSON object.
 func withMember(object []byte, name string, value []byte) []byte {
 	out := make([]byte, 0, len(object)+len(name)+len(value)+len(`,"":`))
 	out = append(out, object[:len(object)-1]...)
@@ -121,13 +160,13 @@
 }
 
 func packBody(body any) ([]byte, error) {
-	if news, ok := body.(News); ok && len(news.Items) > 0 {
-		return news.pack()
+	if updates, ok := body.(News); ok && len(updates.Items) > 0 {
+		return updates.pack()
 	}
 	return wirejson.Marshal(body, wireOptions)
 }
 
-// Unpack reads an envelope; a kind of message that is not known is an error.
+// Unpack decodes an envelope. An unknown kind of message is an error.
 func Unpack(b []byte) (Env, error) {
 	var w wire
 	if err := wirejson.Unmarshal(b, &w, wireOptions); err != nil {
@@ -135,7 +174,7 @@
 	}
 	t, ok := kinds[w.Kind]
 	if !ok {
-		return Env{}, errors.Errorf("unpack: no message is called %q", w.Kind)
+		return Env{}, errors.Errorf("unpack: unknown message kind %q", w.Kind)
 	}
 	p := reflect.New(t)
 	if err := wirejson.Unmarshal(w.Body, p.Interface(), wireOptions); err != nil {
@@ -150,7 +189,7 @@
 
 // Membership.
 
-// Member is one line of membership gossip.
+// Member is the membership state of one process as spread by gossip.
 type Member struct {
 	Sibling
 	Role string     `json:"role"`
@@ -159,59 +198,59 @@
 	Life string     `json:"life"`
 }
 
-// Probe asks a sibling whether it is alive.
+// Probe asks a process whether it is alive.
 type Probe struct {
 	Seq  uint64
-	News []Member
+	News []Member `json:"News"`
 }
 
 // ProbeAck answers a Probe, or a ProbeFor on its target's behalf.
 type ProbeAck struct {
 	Seq  uint64
-	News []Member
+	News []Member `json:"News"`
 }
 
-// ProbeFor asks for a second opinion about a third process.
+// ProbeFor asks the receiver to probe Target on the sender's behalf.
 type ProbeFor struct {
 	Seq    uint64
 	Target Sibling
-	News   []Member
+	News   []Member `json:"News"`
 }
 
-// The register.
+// The replicated register.
 
-// Ballot orders the register's rounds.
+// Ballot orders the rounds of the replicated register.
 //
-// It names the life of its proposer's process: a proposer that starts again may not know which numbers it used
-// before, since its own disk may not have them, and the same ballot must never carry two values.
+// It includes the incarnation of the proposing process: a restarted proposer may not know which numbers it used
+// before, because they may not be on its disk, and one ballot must never carry two values.
 type Ballot struct {
 	N    uint64
 	By   ident.Node
-	Life ident.Inc `json:",omitempty"`
+	Life ident.Inc `json:"Life,omitempty"`
 }
 
-// Less orders ballots: by number, then by proposer, then by its life.
-func (b Ballot) Less(o Ballot) bool {
-	return cmp.Or(cmp.Compare(b.N, o.N), cmp.Compare(b.By, o.By), cmp.Compare(b.Life, o.Life)) < 0
+// Less orders ballots by number, then proposer, then the proposer's incarnation.
+func (b Ballot) Less(other Ballot) bool {
+	return cmp.Or(cmp.Compare(b.N, other.N), cmp.Compare(b.By, other.By), cmp.Compare(b.Life, other.Life)) < 0
 }
 
-// Voter is one voting core node, tied to one life of its disk.
+// Voter is a voting core node, identified together with the incarnation of its disk.
 type Voter struct {
 	Sibling
 	Zone ident.Zone `json:"zone"`
 	Inc  ident.Inc  `json:"inc"`
 }
 
-// Reseed is an input, not a message: the settings now name other seeds.
+// Reseed is an input, not a message: the settings file now lists other seeds.
 type Reseed struct{ Seeds []Sibling }
 
-// Change remembers a change that was taken, so that its repeat is answered, not redone.
+// Change records an applied change, so that a repeated request gets the same answer and is not applied again.
 type Change struct {
 	ID    string      `json:"id"`
 	Epoch ident.Epoch `json:"epoch"`
 }
 
-// Desired is the whole value of the register: the plan exactly as sent, and what goes with it.
+// Desired is the value of the replicated register: the plan exactly as submitted and its accompanying state.
 type Desired struct {
 	Gen     uint64       `json:"gen"`
 	Epoch   ident.Epoch  `json:"epoch"`
@@ -220,34 +259,34 @@
 	Windows []byte       `json:"windows,omitempty"`
 	Voters  []Voter      `json:"voters"`
 	Prior   []Voter      `json:"prior,omitempty"`
-	Shape   uint64       `json:"shape"` // numbers the voter sets
+	Shape   uint64       `json:"shape"` // number of the voter set
 	Done    []Change     `json:"done"`
 }
 
-// Newer tells whether a desired state is newer than another, if there is another.
-func (d *Desired) Newer(o *Desired) bool {
-	return o == nil || d.Gen > o.Gen || d.Gen == o.Gen && d.Epoch > o.Epoch
+// Newer reports whether d is newer than other; any state is newer than none.
+func (d *Desired) Newer(other *Desired) bool {
+	return other == nil || d.Gen > other.Gen || d.Gen == other.Gen && d.Epoch > other.Epoch
 }
 
-// Prepare opens a round. Known is the ballot of the newest value that the proposer knows to be chosen.
+// Prepare starts a round. Known is the ballot of the newest value that the proposer knows to be chosen.
 type Prepare struct {
 	Round  uint64
 	Ballot Ballot
 	Known  Ballot `json:",omitzero"`
 }
 
-// Promise answers Prepare. It has no value where the one that was accepted is the one that the proposer knows.
+// Promise answers Prepare. Value is omitted if the proposer already knows the accepted value.
 type Promise struct {
 	Round    uint64
 	OK       bool
-	Inc      ident.Inc
+	Inc      ident.Inc `json:"Inc"`
 	Promised Ballot
 	Accepted Ballot
 	Value    *Desired
 }
 
-// Accept closes a round. Who accepts it promises Next as well, so that the proposer can go on from Value without another
-// Prepare. Chosen is the ballot of the newest value that the proposer knows to be chosen.
+// Accept asks voters to accept a value. A voter that accepts it also promises Next, so that the proposer can continue
+// from Value without another Prepare. Chosen is the ballot of the newest value that the proposer knows to be chosen.
 type Accept struct {
 	Round  uint64
 	Ballot Ballot
@@ -260,63 +299,63 @@
 type Accepted struct {
 	Round    uint64
 	OK       bool
-	Inc      ident.Inc
+	Inc      ident.Inc `json:"Inc"`
 	Promised Ballot
 }
 
-// Query reads a voter's state and, with Claim, asks it for a timed hold on the duty.
+// Query reads a voter's state and, with Claim set, requests a leadership lease for the term Duty.
 type Query struct {
 	Round uint64
 	Claim bool
-	Duty  ident.Duty
+	Duty  ident.Duty `json:"Duty"`
 }
 
 // State answers Query.
 type State struct {
 	Round    uint64
-	Inc      ident.Inc
+	Inc      ident.Inc `json:"Inc"`
 	Blank    bool
 	Accepted Ballot
-	Chosen   Ballot `json:",omitzero"` // of the newest value that this node knows to be chosen
+	Chosen   Ballot `json:",omitzero"` // ballot of the newest value that this node knows to be chosen
 	Epoch    ident.Epoch
-	Shape    uint64
+	Shape    uint64 `json:"Shape"`
 	Granted  bool
-	Duty     ident.Duty // highest duty ever promised
-	Owner    Sibling    // who holds it now, if any
-	Last     ident.Node // to whom this voter gave it last
-	Prior    ident.Node // and to whom before this answer
-	Shy      bool       // it gave the duty back, and does not want it for a while
-	Leaving  bool       // it was told to stop: a spare node should take its seat
+	Duty     ident.Duty `json:"Duty"` // highest term ever promised
+	Owner    Sibling    // current holder of the leadership lease, if any
+	Last     ident.Node `json:"Last"`  // node to which this voter granted the lease last
+	Prior    ident.Node `json:"Prior"` // node to which it granted the lease before this answer
+	Shy      bool       `json:"Shy"`   // the node released its lease and declines a new one for a while
+	Leaving  bool       // the node is shutting down, and a spare node should take its seat
 }
 
-// Release gives a duty back to the voters, as its owner stops as planned, or finds that
-// Next can serve it better.
+// Release returns the leadership lease to the voters, because its owner is shutting down or has found that Next can
+// serve it better.
 type Release struct {
-	Duty ident.Duty
-	Next ident.Node
+	Duty ident.Duty `json:"Duty"`
+	Next ident.Node `json:"Next"`
 }
 
-// Listing is the server list as the duty's owner last had it; every core node keeps it.
+// Listing is the server list as the lease owner last saw it; every core node stores it.
 type Listing struct {
-	Duty ident.Duty
-	List []Listed
+	Duty ident.Duty `json:"Duty"`
+	List []Listed   `json:"List"`
 }
 
-// Look asks a sibling what it reaches of the platform and of these servers.
+// Look asks a core node whether it can reach the platform and how many of these servers it can reach.
 type Look struct {
 	Round uint64
-	List  []Listed
+	List  []Listed `json:"List"`
 }
 
 // Looked answers Look.
 type Looked struct {
 	Round    uint64
 	Platform bool
-	Servers  int
+	Servers  int `json:"Servers"`
 }
 
-// Fetch asks a core node for the newest value that it knows to be chosen, if that is as new as Ballot, and else for the one
-// that it has accepted.
+// Fetch asks a core node for the newest value that it knows to be chosen if that is at least as new as Ballot, and
+// otherwise for the value that it has accepted.
 type Fetch struct {
 	Round  uint64
 	Ballot Ballot `json:",omitzero"`
@@ -325,46 +364,47 @@
 // Value answers Fetch.
 type Value struct {
 	Round    uint64
-	Inc      ident.Inc
+	Inc      ident.Inc `json:"Inc"`
 	Accepted Ballot
 	Value    *Desired
-	Chosen   bool `json:",omitempty"` // it is known to be chosen; else it is only accepted by the sender
+	Chosen   bool `json:",omitempty"` // the value is known to be chosen; otherwise it is only accepted by the sender
 }
 
-// Taken tells the voters that a value was chosen. Who has accepted it has it already; who has not can fetch it from the
-// sender.
+// Taken announces to the voters that a value was chosen. A voter that accepted the value already has it; any other
+// can fetch it from the sender.
 type Taken struct {
 	Epoch  ident.Epoch
 	Ballot Ballot
 }
 
-// Forward hands an operator's change to the owner of the leadership lease, which proposes it. Number is the sender's own, and
-// Term the owner's: under another term the change is not taken.
+// Forward passes an operator's change to the owner of the leadership lease, which proposes it. Number is assigned by
+// the sender. Term is the owner's term: a receiver with another term refuses the change.
 type Forward struct {
 	Number   uint64
 	Term     ident.Duty
 	Op       string
 	Raw      []byte
 	Expect   ident.Epoch
-	Any      bool
-	Revision ident.Epoch // that the operator gives the change; zero counts on
-	Change   string      // id of the change
+	Any      bool        `json:"Any"`
+	Revision ident.Epoch // revision that the operator assigns to the change; zero means the next one
+	Change   string      `json:"Change"` // ID of the change
 	Zone     ident.Zone
 }
 
-// Forwarded answers Forward with what became of the change.
+// Forwarded answers Forward with the outcome of the change.
 type Forwarded struct {
 	Number   uint64
-	NotOwner bool // the receiver does not own that term, and did nothing
+	NotOwner bool // the receiver does not own that term and did nothing
 	Kind     failure.Kind
-	Why      string
+	Why      string `json:"Why"`
 	Faults   fleetplan.Faults
 	Epoch    ident.Epoch
 	Empty    []ident.Zone
-	Chosen   Ballot `json:",omitzero"` // of the newest value that the sender knows to be chosen
+	Chosen   Ballot `json:",omitzero"` // ballot of the newest value that the sender knows to be chosen
 }
 
-// Keep asks an agent for the newest desired state it holds, after a total loss.
+// Keep asks an agent for the newest desired state that it holds, for recovery after the loss of all core nodes'
+// disks.
 type Keep struct{ Round uint64 }
 
 // Kept answers Keep.
@@ -373,9 +413,10 @@
 	Value *Desired
 }
 
-// Router links.
+// Messages between routers and the core.
 
-// Session names one life of a router's link; entries live and die with it.
+// Session identifies one session of a router with the lease owner. Placement entries are valid only within their
+// session.
 type Session struct {
 	Node   ident.Node `json:"node"`
 	Agent  ident.Inc  `json:"agent"`
@@ -383,213 +424,216 @@
 	N      uint64     `json:"n"`
 }
 
-// Burden is what a router reports of one key since its last report.
+// Burden is a router's load for one key since its previous report.
 type Burden struct {
 	Wait int     `json:"w"`           // requests waiting
-	Work int     `json:"a"`           // requests under way
-	Came int     `json:"c"`           // requests that came
-	Top  int     `json:"t"`           // highest value among the waiting
-	Load float64 `json:"l,omitempty"` // seconds of a server's time that those which came take
+	Work int     `json:"a"`           // requests being processed
+	Came int     `json:"c"`           // requests that arrived
+	Top  int     `json:"t"`           // highest request value among the waiting
+	Load float64 `json:"l,omitempty"` // server time in seconds that the arrived requests need
 }
 
-// Renew asks for the session's hold to go on.
+// Renew asks the owner to extend the session's lease.
 type Renew struct {
 	Session Session
 	Seq     uint64
-	Fresh   bool // nothing was heard from an owner in this session yet
+	Fresh   bool `json:"Fresh"` // nothing has been received from an owner in this session
 	Gen     uint64
 	Epoch   ident.Epoch
-	Heard   uint64
-	Burden  map[ident.Key]Burden
-	Seats   map[ident.Server]int  // tokens that this router has under way at each server
-	Paces   map[ident.Key]float64 // the shortest time that a token was seen to take since the last renewal, in ns, by base
+	Heard   uint64                `json:"Heard"`
+	Burden  map[ident.Key]Burden  `json:"Burden"`
+	Seats   map[ident.Server]int  `json:"Seats"` // tokens that this router has in progress at each server
+	Paces   map[ident.Key]float64 `json:"Paces"` // shortest time per token, in ns, observed since the last renewal, by base model
 }
 
-// Grant extends the hold: Len counts from the moment the router sent Renew Seq. One of no length extends nothing: the
-// owner is there, and waits for this router to take in what it was sent.
+// Grant extends the lease by Len, counted from the moment at which the router sent Renew Seq. A Len of zero extends
+// nothing: the owner is available but waits for the router to apply the updates that it was sent.
 type Grant struct {
 	Session Session
 	Seq     uint64
-	Len     clock.Span
-	Duty    ident.Duty
+	Len     clock.Span `json:"Len"`
+	Duty    ident.Duty `json:"Duty"`
 	Routers int
-	Seats   map[ident.Server]int // tokens that all routers have under way at each server that this one uses
-	Paces   *Paces               // as far as they have changed
+	Seats   map[ident.Server]int `json:"Seats"` // tokens that all routers together have in progress at each server that this router uses
+	Paces   *Paces               `json:"Paces"` // only what has changed
 }
 
-// Paces tells how long servers take for a token of a prompt, in ns, as all routers together have seen it.
+// Paces gives the time in ns that servers need per prompt token, as observed by all routers together.
 type Paces struct {
-	Slowest float64 // of any base
-	Bases   map[ident.Key]float64
+	Slowest float64               // of any base model
+	Bases   map[ident.Key]float64 `json:"Bases"`
 }
 
-// NotOwner answers a router that asked a core node without the duty.
-// Gone says that the owner has let the session lapse and a new one must begin.
+// NotOwner answers a router that addressed a core node without the leadership lease. Gone means that the owner has
+// let the session expire, and the router must begin a new one.
 //
-// Majority says that a majority of the core has answered this node of late: whoever hears this is in touch with the core,
-// also while nobody can tell what is the newest.
+// Majority means that a majority of the core answered this node recently: the receiver is connected to the core even
+// while no node can tell what the newest state is.
 //
-// Fresh, where it is set, is a lease on the configuration alone, which any core node can give: a majority showed it
-// nothing newer than Gen and Epoch. A router that has that configuration may go by it for so long from the moment it
-// sent Renew Seq, to any server but those that leave.
+// Fresh, if set, is a lease on the configuration alone, which any core node can grant: a majority reported nothing
+// newer than Gen and Epoch. A router with that configuration may use it for that long after it sent Renew Seq, with
+// any server except those in Leaving.
 type NotOwner struct {
 	Session  Session
-	Hint     Sibling
-	Gone     bool
-	Cores    []Sibling
+	Hint     Sibling        `json:"Hint"`
+	Gone     bool           `json:"Gone"`
+	Cores    []Sibling      `json:"Cores"`
 	Majority bool           `json:",omitempty"`
 	Seq      uint64         `json:",omitempty"`
 	Gen      uint64         `json:",omitempty"`
 	Epoch    ident.Epoch    `json:",omitempty"`
-	Fresh    clock.Span     `json:",omitempty"`
+	Fresh    clock.Span     `json:"Fresh,omitempty"`
 	Leaving  []ident.Server `json:",omitempty"`
 }
 
-// Replica is one server that holds a key loaded and ready.
+// Replica is a server that has a key loaded and ready.
 type Replica struct {
 	Server ident.Server `json:"s"`
 	Addr   string       `json:"a"`
 	Zone   ident.Zone   `json:"z"`
 	Inc    ident.Inc    `json:"i"`
 	Slots  int          `json:"n"`
-	Warm   clock.Span   `json:"w"` // how long it had been ready when the entry was made
+	Warm   clock.Span   `json:"w"` // how long the replica had been ready when the entry was made
 }
 
-// Item is one numbered change on a router link: exactly one of its parts is set.
+// Item is one numbered update of a router's state; exactly one of Desired, Entry and Break is set.
 type Item struct {
 	Num     uint64    `json:"n"`
 	Desired *Desired  `json:"d,omitempty"`
 	Entry   *Entry    `json:"e,omitempty"`
 	Break   ident.Key `json:"b,omitempty"`
-	Packed  *Packed   `json:"-"` // the desired state or the entry as bytes, shared by all that it goes to
+	Packed  *Packed   `json:"-"` // encoding of the desired state or the entry, shared by all receivers
 }
 
-// Entry is a placement entry; its delivery places a callback on it.
+// Entry is a placement entry. Its delivery registers a callback: the owner notifies the router before the entry
+// changes.
 type Entry struct {
 	Key      ident.Key  `json:"k"`
 	Mark     ident.Mark `json:"m"`
-	Same     bool       `json:"s,omitempty"` // the holder's copy is still right
+	Same     bool       `json:"s,omitempty"` // the receiver's copy is still valid
 	Replicas []Replica  `json:"r,omitempty"`
-	Never    bool       `json:"x,omitempty"` // an empty entry that no server has room to fill
-	Soon     clock.Span `json:"o,omitempty"` // when an empty entry is likely filled, from when it was made
+	Never    bool       `json:"x,omitempty"` // the entry is empty because no server has room for the key
+	Soon     clock.Span `json:"o,omitempty"` // estimated time, from the creation of an empty entry, until it is filled
 }
 
-// News carries numbered changes in order.
+// News carries numbered updates in order.
 type News struct {
 	Session Session
-	Duty    ident.Duty
+	Duty    ident.Duty `json:"Duty"`
 	Items   []Item
 }
 
-// Heard acknowledges every change up to Num.
+// Heard acknowledges all updates up to Num.
 type Heard struct {
 	Session Session
 	Num     uint64
 }
 
-// Want asks for an entry and a callback on it; Mark is what the router still has, if anything.
+// Want requests an entry and a callback on it. Mark is the digest of the router's current copy, if it has one.
 type Want struct {
 	Session Session
 	Key     ident.Key
-	Mark    ident.Mark
+	Mark    ident.Mark `json:"Mark"`
 	Waiting int
 	Value   int
 }
 
-// Drop names an entry that a router let go, and the number of its delivery.
+// Drop identifies an entry that a router discarded and the number of its delivery.
 type Drop struct {
 	Key ident.Key
 	Num uint64
 }
 
-// Removal is a batch of entries that a router let go.
+// Removal lists entries that a router discarded.
 type Removal struct {
 	Session Session
 	Drops   []Drop
 }
 
-// Hello is router's word to its agent: which life it is in and what it has in force.
+// Hello is a router's report to its agent: its incarnation, the state in force and its load.
 type Hello struct {
-	Router  ident.Inc
+	Router  ident.Inc `json:"Router"`
 	Session Session
 	Gen     uint64
 	Epoch   ident.Epoch
-	Burden  map[ident.Key]Burden
-	Seats   map[ident.Server]int
-	Paces   map[ident.Key]float64
+	Burden  map[ident.Key]Burden  `json:"Burden"`
+	Seats   map[ident.Server]int  `json:"Seats"`
+	Paces   map[ident.Key]float64 `json:"Paces"`
 }
 
-// Hold is agent's word to its router: route under this session until the moment Until
-// on the machine's steady clock, which both share.
+// Hold is the agent's lease to its router: the router may use this session until Until on the machine's monotonic
+// clock, which both processes share.
 type Hold struct {
 	Session Session
 	Until   clock.Tick
-	Duty    ident.Duty
+	Duty    ident.Duty `json:"Duty"`
 	Routers int
-	Seats   map[ident.Server]int
-	Paces   *Paces
-	Parted  bool // no core node is heard, though each was asked: this machine is cut off
-	// Without an owner's lease the configuration may be gone by until Current, to servers that are not Leaving.
-	Current clock.Tick
+	Seats   map[ident.Server]int `json:"Seats"`
+	Paces   *Paces               `json:"Paces"`
+	Parted  bool                 `json:"Parted"` // every core node was asked and none answered: this machine is cut off
+	// Without an owner's lease the router may use the configuration until Current, with servers that are not in
+	// Leaving.
+	Current clock.Tick `json:"Current"`
 	Leaving []ident.Server
 }
 
 // Inputs and outputs of cores.
 
-// Beat is a core's timer input.
+// Beat is the periodic timer input of a core.
 type Beat struct{}
 
-// Start is a core's first input: what its disk had.
+// Start is a core's first input and carries the contents of its disk.
 type Start struct{ Disk map[string][]byte }
 
-// Stop is a core's last input before a planned stop.
+// Stop is a core's last input before a planned shutdown.
 type Stop struct{}
 
-// Save asks for a batch of keys to be written and synced, in the order asked.
+// Save requests that key-value pairs are written and synced. Saves become durable in the order of the requests.
 type Save struct {
 	Token uint64
 	Puts  map[string][]byte
 }
 
-// Saved says that a Save is durable.
+// Saved reports that a Save is durable.
 type Saved struct{ Token uint64 }
 
-// Compute asks for something to be computed beside a core, since it may take longer than a core may stand still. Run looks at
-// nothing that the core changes.
+// Compute requests that Run is executed outside the core, because it may take longer than the core may block. Run
+// accesses nothing that the core modifies.
 type Compute struct {
 	Token uint64
 	Run   func()
 }
 
-// Computed tells a core that a computation is done.
+// Computed reports to a core that a Compute has finished.
 type Computed struct{ Token uint64 }
 
-// Ask asks a model server or the platform over HTTP.
+// Ask is an HTTP request to a model server or the platform.
 type Ask struct {
 	Token uint64
 	Addr  string
-	// Server is the only one that is meant: another one may have its address by now. Empty for whoever is there.
+	// Server is the intended recipient: another server may have taken over its address. If empty, any server at the
+	// address may answer.
 	Server ident.Server
 	Path   string
 	Body   any
-	Wait   clock.Span
-	Kept   bool       // it changes nothing, so that a connection may serve it that served before
-	Until  clock.Tick // it is not sent any more after this moment, if one is set
+	Wait   clock.Span `json:"Wait"`
+	Kept   bool       `json:"Kept"`  // the request changes nothing, so a reused connection may carry it
+	Until  clock.Tick `json:"Until"` // if set, the request is not sent after this moment
 }
 
-// Told answers an Ask. OK is false when no answer came.
+// Told is the result of an Ask. OK is false if there was no answer.
 type Told struct {
 	Token  uint64
 	OK     bool
 	Code   int
-	Server ident.Server // that the answer names, if it names any
+	Server ident.Server // server named in the answer, if any
 	Body   []byte
 }
 
-// Oops says that something went wrong that is worth writing out the ring of logs for.
+// Oops reports an error that justifies writing out the log ring.
 type Oops struct{ Text string }
 
-// Note is one line for the ring of logs.
+// Note is one line for the log ring.
 type Note struct {
 	Text   string
 	Fields []Field
@@ -603,7 +647,7 @@
 
 // Servers, platform and store.
 
-// Order is what a duty owner sends to a model server; an empty Op only asks for the report.
+// Order is a command from the lease owner to a model server; an order without Op only requests the server's report.
 type Order struct {
 	Duty ident.Duty `json:"duty"`
 	Num  uint64     `json:"num"`
@@ -611,23 +655,24 @@
 	Op   string     `json:"op,omitempty"`
 	Key  ident.Key  `json:"key,omitempty"`
 	Size int        `json:"size,omitempty"`
-	// Of servers that check no fence: who orders, and how many orders they must have taken before.
+	// For servers that do not check fencing terms: the ordering node, and how many orders the server must have
+	// accepted before.
 	Owner    ident.Node `json:"owner,omitempty"`
 	Expected uint64     `json:"expected,omitempty"`
-	Confirms bool       `json:"-"` // it was taken before, and asks whether it is done
+	Confirms bool       `json:"-"` // the order was accepted before; the sender asks whether it has completed
 }
 
-// Held is one line of a server's report.
+// Held is the state of one key on a server, as in the server's report.
 type Held struct {
 	Key    ident.Key `json:"key"`
 	Size   int       `json:"size"`
 	Stage  string    `json:"stage"` // loading, ready
 	Active int       `json:"active"`
-	AgeMs  int64     `json:"age_ms"` // since it came to this stage
+	AgeMs  int64     `json:"age_ms"` // time in the current stage
 }
 
-// Report is a model server's account of itself. Of servers that check no fence, Num is how many orders
-// they have taken, and Busy says that one is still under way.
+// Report is the state of a model server as reported by the server. For servers that do not check fencing terms, Num
+// is the number of orders that they have accepted, and Busy means that one is still being executed.
 type Report struct {
 	Server ident.Server `json:"server"`
 	Inc    ident.Inc    `json:"inc"`
@@ -636,61 +681,61 @@
 	Room   int          `json:"room"`
 	Slots  int          `json:"slots"`
 	Held   []Held       `json:"held"`
-	Drop   failure.Kind `json:"drop,omitempty"` // why the order was dropped
+	Drop   failure.Kind `json:"drop,omitempty"` // reason for which the order was refused
 	Busy   bool         `json:"busy,omitempty"`
 }
 
-// Listed is one line of the platform's server list.
+// Listed is one server in the platform's server list.
 type Listed struct {
 	ID    ident.Server `json:"id"`
 	Addr  string       `json:"addr"`
 	Zone  ident.Zone   `json:"zone"`
 	State string       `json:"state"` // live, leaving, gone
-	// Of servers that announce themselves: what they belong to, and what they can do at once.
+	// For servers that announce themselves: their service and the number of requests that they process at once.
 	Service string `json:"service,omitempty"`
 	Slots   int    `json:"slots,omitempty"`
 }
 
-// Beacon is a server's own announcement of itself. Every start of a server has an id of its own;
-// Count orders its beacons, which may come late and to any core node.
+// Beacon is a server's announcement of itself. Each start of a server has its own ID. Count orders the announcements
+// of one start, which may be delayed and may arrive at any core node.
 type Beacon struct {
 	Listed
 	Count uint64      `json:"count"`
-	Left  clock.Span  `json:"left,omitempty"` // it is gone after so long, whatever it runs
-	Cold  clock.Span  `json:"cold,omitempty"` // it is slow for so long from its start
-	Held  []ident.Key `json:"held,omitempty"` // what it holds ready
+	Left  clock.Span  `json:"left,omitempty"` // the server leaves after this time, whatever it is running
+	Cold  clock.Span  `json:"cold,omitempty"` // the server is slow for this long after its start
+	Held  []ident.Key `json:"held,omitempty"` // keys that are loaded and ready
 }
 
-// Beacons carries announcements between core nodes. Mark, when set, wants an answer.
+// Beacons carries announcements between core nodes. A nonzero Mark requests an acknowledgement.
 type Beacons struct {
-	Mark uint64
-	List []Beacon
+	Mark uint64   `json:"Mark"`
+	List []Beacon `json:"List"`
 }
 
-// RollCall asks a core node for every server that it knows of, when an owner begins.
+// RollCall asks a core node for every announced server that it knows; a new lease owner sends it.
 type RollCall struct {
-	Duty ident.Duty
-	Life ident.Inc // of the asker's process
+	Duty ident.Duty `json:"Duty"`
+	Life ident.Inc  `json:"Life"` // incarnation of the asker's process
 }
 
 // Roll answers RollCall.
 type Roll struct {
-	Duty    ident.Duty
-	Life    ident.Inc // of the asker's process, as the question named it
-	Inc     ident.Inc // of the sender's disk
-	Partial bool      // the sender's disk began a new life, and it has not heard a majority's rolls yet
-	List    []Beacon
+	Duty    ident.Duty `json:"Duty"`
+	Life    ident.Inc  `json:"Life"` // incarnation of the asker's process, as in the query
+	Inc     ident.Inc  `json:"Inc"`  // incarnation of the sender's disk
+	Partial bool       // the sender's disk is new, and the sender has not yet received the registries of a majority
+	List    []Beacon   `json:"List"`
 }
 
-// BeaconsHeard answers Beacons: they are known here. Ruled says more: the sender owns the duty, and no
-// router's promise to send to any of them outlives the hold.
+// BeaconsHeard acknowledges Beacons: the sender has recorded the announcements. Ruled also means that the sender owns
+// the leadership lease, and that no router's permission to send to any of these servers outlasts its router lease.
 type BeaconsHeard struct {
-	Mark  uint64
-	Inc   ident.Inc // of the disk that knows them
-	Ruled bool
+	Mark  uint64    `json:"Mark"`
+	Inc   ident.Inc `json:"Inc"` // incarnation of the disk on which they are recorded
+	Ruled bool      `json:"Ruled"`
 }
 
-// Work is one request as it is sent to a model server.
+// Work is a request as sent to a model server.
 type Work struct {
 	Go     string    `json:"go"`
 	ID     string    `json:"id"`
@@ -700,6 +745,6 @@
 	Parts  []string  `json:"parts,omitempty"`
 	Prompt string    `json:"prompt"`
 	Max    int       `json:"max_tokens"`
-	Once   bool      `json:"once"` // may not be repeated
+	Once   bool      `json:"once"` // the request must not be executed twice
 	Tenant string    `json:"tenant,omitempty"`
 }
