--- a/internal/clock/stall.go
+++ b/internal/clock/stall.go
@@ -2,15 +2,15 @@
 
 // Stall detects that a process was stopped or starved of processor time: its timer fires much later than it should.
 type Stall struct {
-	Least Span // shortest gap between two timer ticks that counts as a stall
-	last  Tick
+	Least    Span // shortest gap between two timer ticks that counts as a stall
+	previous Tick
 }
 
 // Beat records a timer tick. It returns the time since the previous tick if that is a stall, and zero otherwise.
 func (s *Stall) Beat(now Tick) Span {
-	gap := now.Sub(s.last)
-	first := s.last == 0
-	s.last = now
+	gap := now.Sub(s.previous)
+	first := s.previous == 0
+	s.previous = now
 	if first || gap < s.Least {
 		return 0
 	}
--- a/internal/host/data_folder.go
+++ b/internal/host/data_folder.go
@@ -17,17 +17,17 @@
 	stateName     = "state"
 	markName      = "mark"
 	damagedSuffix = ".damaged-"
-	// damagedKept is the number of damaged store pairs kept on the disk for inspection.
-	damagedKept = 2
+	// maxDamagedPairs is the number of damaged store pairs kept on the disk for inspection.
+	maxDamagedPairs = 2
 )
 
-// folderCalls are the system calls that change names in the data folder and make the changes durable.
-type folderCalls struct {
+// folderSyscalls are the system calls that change names in the data folder and make the changes durable.
+type folderSyscalls struct {
 	rename func(from, to string) error
 	sync   func(path string) error
 }
 
-var systemCalls = folderCalls{rename: os.Rename, sync: syncFolder}
+var osFolderSyscalls = folderSyscalls{rename: os.Rename, sync: syncFolder}
 
 func syncFolder(path string) error {
 	f, err := os.Open(path)
@@ -41,13 +41,13 @@
 // dataFolder is the folder that holds a core's two stores.
 type dataFolder struct {
 	path  string
-	calls folderCalls
+	calls folderSyscalls
 }
 
 // openDisk opens the stores in a folder. Damaged stores are moved aside as a whole and empty ones created: the node
 // then starts with a new incarnation and must be admitted again.
 func openDisk(path string, fail func(error)) (*disk, map[string][]byte, bool, error) {
-	return dataFolder{path, systemCalls}.open(fail)
+	return dataFolder{path, osFolderSyscalls}.open(fail)
 }
 
 func (f dataFolder) open(fail func(error)) (*disk, map[string][]byte, bool, error) {
@@ -123,7 +123,7 @@
 			return err
 		}
 	}
-	for len(numbers) >= damagedKept {
+	for len(numbers) >= maxDamagedPairs {
 		f.removeDamaged(numbers[0])
 		numbers = numbers[1:]
 	}
@@ -160,10 +160,10 @@
 }
 
 // backoff is the minimum and maximum delay between retries.
-type backoff struct{ least, most time.Duration }
+type backoff struct{ min, max time.Duration }
 
 func (b backoff) next(wait time.Duration) time.Duration {
-	return max(b.least, min(2*wait, b.most))
+	return max(b.min, min(2*wait, b.max))
 }
 
 // diskBackoff is the delay between retries of failing disk operations.
@@ -172,7 +172,7 @@
 // awaitDisk opens a disk and retries while it is full or fails. note is called with the first error.
 func awaitDisk(ctx context.Context, delays backoff, open func() (*disk, map[string][]byte, bool, error), note func(error)) (*disk, map[string][]byte, bool, error) {
 	damaged := false
-	for wait := delays.least; ; wait = delays.next(wait) {
+	for wait := delays.min; ; wait = delays.next(wait) {
 		opened, values, foundDamage, err := open()
 		damaged = damaged || foundDamage
 		if err == nil {
--- a/internal/host/disk.go
+++ b/internal/host/disk.go
@@ -29,18 +29,18 @@
 // the last one found or confirmed, or that of the failed write.
 type disk struct {
 	*stores
-	folders   storeFolders
-	confirmed uint64     // number of the last confirmed batch
-	last      seal       // last content found or confirmed
-	attempted seal       // content of the last attempted write
-	mu        sync.Mutex // guards next and closed
-	next      batch
-	closed    bool
-	wake      chan struct{} // signals that next is not empty
-	quit      chan struct{} // closed with closed
-	done      func(protocol.Saved)
-	note      func(string)
-	fail      func(error) // called when damage is found
+	folders       storeFolders
+	confirmed     uint64     // number of the last confirmed batch
+	lastSeal      seal       // last content found or confirmed
+	attemptedSeal seal       // content of the last attempted write
+	mu            sync.Mutex // guards next and closed
+	queued        batch
+	closed        bool
+	wake          chan struct{} // signals that next is not empty
+	closing       chan struct{} // closed with closed
+	onSaved       func(protocol.Saved)
+	log           func(string)
+	onDamage      func(error) // called when damage is found
 }
 
 func newDisk(folders storeFolders, s *stores, fail func(error)) *disk {
@@ -48,11 +48,11 @@
 		stores:    s,
 		folders:   folders,
 		confirmed: s.num,
-		last:      s.seal(),
+		lastSeal:  s.seal(),
 		wake:      make(chan struct{}, 1),
-		quit:      make(chan struct{}),
-		note:      func(string) {},
-		fail:      fail,
+		closing:   make(chan struct{}),
+		log:       func(string) {},
+		onDamage:  fail,
 	}
 }
 
@@ -72,7 +72,7 @@
 
 func (d *disk) put(s protocol.Save) {
 	d.mu.Lock()
-	d.next.add(s.Puts, s.Token)
+	d.queued.add(s.Puts, s.Token)
 	d.mu.Unlock()
 	select {
 	case d.wake <- struct{}{}:
@@ -84,14 +84,14 @@
 func (d *disk) take(pending *batch) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	pending.add(d.next.puts, d.next.tokens...)
-	d.next = batch{}
+	pending.add(d.queued.puts, d.queued.tokens...)
+	d.queued = batch{}
 }
 
 // run writes queued data; data queued during a write forms the next batch. Failed writes are retried until they
 // succeed or close is called.
 func (d *disk) run() {
-	defer d.shut()
+	defer d.closeAll()
 	for ending := false; ; {
 		var pending batch
 		d.take(&pending)
@@ -106,7 +106,7 @@
 		}
 		select {
 		case <-d.wake:
-		case <-d.quit:
+		case <-d.closing:
 			ending = true
 		}
 	}
@@ -115,27 +115,27 @@
 // persist writes a batch, together with data queued while the disk fails, and confirms it. It gives up on damage, and
 // on a failure after close was called.
 func (d *disk) persist(pending *batch) bool {
-	closing, wait := false, d.folders.backoff.least
+	closing, wait := false, d.folders.backoff.min
 	for failures := 0; ; failures++ {
-		err := d.try(pending.puts, failures > 0)
+		err := d.attempt(pending.puts, failures > 0)
 		if err == nil {
 			d.confirm(pending, failures)
 			return true
 		}
 		if isDamage(err) {
-			d.shut()
-			d.fail(errors.Wrap(err, "disk"))
+			d.closeAll()
+			d.onDamage(errors.Wrap(err, "disk"))
 			return false
 		}
 		if closing {
 			return false
 		}
 		if failures == 0 {
-			d.note(fmt.Sprintf("disk writes fail; nothing is confirmed until they succeed: %v", err))
+			d.log(fmt.Sprintf("disk writes fail; nothing is confirmed until they succeed: %v", err))
 		}
 		select {
 		case <-time.After(wait):
-		case <-d.quit:
+		case <-d.closing:
 			closing = true // after one more attempt
 		}
 		wait = d.folders.backoff.next(wait)
@@ -145,15 +145,15 @@
 
 func (d *disk) confirm(pending *batch, failures int) {
 	if failures > 0 {
-		d.note(fmt.Sprintf("disk writes succeed again after %d attempts", failures+1))
+		d.log(fmt.Sprintf("disk writes succeed again after %d attempts", failures+1))
 	}
 	for _, token := range pending.tokens {
-		d.done(protocol.Saved{Token: token})
+		d.onSaved(protocol.Saved{Token: token})
 	}
 }
 
-// try writes a batch, after reopening the stores if the last attempt failed.
-func (d *disk) try(puts map[string][]byte, reopenFirst bool) error {
+// attempt writes a batch, after reopening the stores if the last attempt failed.
+func (d *disk) attempt(puts map[string][]byte, reopenFirst bool) error {
 	if reopenFirst {
 		if err := d.reopen(); err != nil {
 			return err
@@ -164,17 +164,17 @@
 
 // reopen reopens the stores and verifies that no confirmed data is missing.
 func (d *disk) reopen() error {
-	d.shut()
+	d.closeAll()
 	s, err := openPair(d.folders, func(string, []byte) {})
 	if err != nil {
 		return err
 	}
 	d.stores = s
 	found := s.seal()
-	if found != d.last && found != d.attempted || s.marked < d.confirmed {
+	if found != d.lastSeal && found != d.attemptedSeal || s.markNum < d.confirmed {
 		return errDamaged
 	}
-	d.last = found
+	d.lastSeal = found
 	return nil
 }
 
@@ -183,11 +183,11 @@
 	update := new(leveldb.Batch)
 	for key, value := range puts {
 		update.Put([]byte(key), value)
-		d.sums[key] = crc32.ChecksumIEEE(value)
+		d.checksums[key] = crc32.ChecksumIEEE(value)
 	}
 	d.num++
-	d.attempted = d.seal()
-	encoded, err := json.Marshal(d.attempted)
+	d.attemptedSeal = d.seal()
+	encoded, err := json.Marshal(d.attemptedSeal)
 	if err != nil {
 		return err
 	}
@@ -199,7 +199,7 @@
 	if err := d.mark.Put([]byte(markKey), number, &opt.WriteOptions{Sync: true}); err != nil {
 		return err
 	}
-	d.last, d.confirmed = d.attempted, d.num
+	d.lastSeal, d.confirmed = d.attemptedSeal, d.num
 	return nil
 }
 
@@ -208,6 +208,6 @@
 	defer d.mu.Unlock()
 	if !d.closed {
 		d.closed = true
-		close(d.quit)
+		close(d.closing)
 	}
 }
--- a/internal/host/durable_storage.go
+++ b/internal/host/durable_storage.go
@@ -7,17 +7,17 @@
 // a journal that was just created.
 type durableStorage struct {
 	storage.Storage
-	syncFolder func() error
-	unnamed    map[storage.FileDesc]*durableFile // manifests that are not current yet
-	uncertain  map[storage.FileDesc]bool         // manifests that may be current, because making them current failed
+	syncFolder   func() error
+	notCurrent   map[storage.FileDesc]*durableFile // manifests that are not current yet
+	maybeCurrent map[storage.FileDesc]bool         // manifests that may be current, because making them current failed
 }
 
 func newDurableStorage(s storage.Storage, syncFolder func() error) *durableStorage {
 	return &durableStorage{
-		Storage:    s,
-		syncFolder: syncFolder,
-		unnamed:    map[storage.FileDesc]*durableFile{},
-		uncertain:  map[storage.FileDesc]bool{},
+		Storage:      s,
+		syncFolder:   syncFolder,
+		notCurrent:   map[storage.FileDesc]*durableFile{},
+		maybeCurrent: map[storage.FileDesc]bool{},
 	}
 }
 
@@ -32,29 +32,29 @@
 	}
 	file := &durableFile{Writer: w, syncFolder: s.syncFolder}
 	if fd.Type == storage.TypeManifest {
-		s.unnamed[fd] = file
+		s.notCurrent[fd] = file
 	}
 	return file, nil
 }
 
 // SetMeta makes a manifest current, after the manifest itself is durable.
 func (s *durableStorage) SetMeta(fd storage.FileDesc) error {
-	if file := s.unnamed[fd]; file != nil {
+	if file := s.notCurrent[fd]; file != nil {
 		if err := file.Sync(); err != nil {
 			return err
 		}
-		delete(s.unnamed, fd)
+		delete(s.notCurrent, fd)
 	}
 	err := s.Storage.SetMeta(fd)
 	if err != nil {
-		s.uncertain[fd] = true
+		s.maybeCurrent[fd] = true
 	}
 	return err
 }
 
 // Remove keeps a manifest that may be current: goleveldb assumes that a failed SetMeta had no effect.
 func (s *durableStorage) Remove(fd storage.FileDesc) error {
-	if s.uncertain[fd] {
+	if s.maybeCurrent[fd] {
 		return nil
 	}
 	return s.Storage.Remove(fd)
@@ -64,17 +64,17 @@
 type durableFile struct {
 	storage.Writer
 	syncFolder func() error
-	named      bool // the name is durable
+	nameSynced bool // the name is durable
 }
 
 // Sync syncs the file and, on the first call, its name.
 func (f *durableFile) Sync() error {
-	if err := f.Writer.Sync(); err != nil || f.named {
+	if err := f.Writer.Sync(); err != nil || f.nameSynced {
 		return err
 	}
 	if err := f.syncFolder(); err != nil {
 		return err
 	}
-	f.named = true
+	f.nameSynced = true
 	return nil
 }
--- a/internal/host/fuzz_test.go
+++ b/internal/host/fuzz_test.go
@@ -20,10 +20,10 @@
 // FuzzDamagedStore damages one of the stores by a script of truncated, modified, exchanged, copied, removed and added
 // files and opens both: they must contain the confirmed data or be set aside.
 func FuzzDamagedStore(f *testing.F) {
-	intact := newPair()
-	older := map[string][]byte{"vote": []byte("1"), "accepted": val(1, 300)}
-	newest := map[string][]byte{"vote": []byte("2"), "accepted": val(2, 300)}
-	intact.use(&testing.T{}, older, map[string][]byte{"accepted": val(3, 300_000)}, newest)
+	intact := newStorePair()
+	older := map[string][]byte{"vote": []byte("1"), "accepted": testValue(1, 300)}
+	newest := map[string][]byte{"vote": []byte("2"), "accepted": testValue(2, 300)}
+	intact.saveAndPowerOff(&testing.T{}, older, map[string][]byte{"accepted": testValue(3, 300_000)}, newest)
 	for _, seed := range [][]byte{
 		{0, 0, 0, 0, 1, 7},
 		{1, 0, 1, 0, 1, 0},
@@ -37,7 +37,7 @@
 		if len(script) > 20*step {
 			return
 		}
-		p := intact.after(0, "missing")
+		p := intact.afterPowerLoss(0, "missing")
 		damagedStore := p.state
 		if len(script) > 0 && script[0]%2 == 1 {
 			damagedStore = p.mark
@@ -46,21 +46,21 @@
 			damagedStore.damage(script[1]%6, int(script[2]), int(binary.BigEndian.Uint16(script[3:5])), script[5])
 			script = script[step:]
 		}
-		values, damaged := p.use(t, map[string][]byte{"later": []byte("1")})
+		values, damaged := p.saveAndPowerOff(t, map[string][]byte{"later": []byte("1")})
 		if damaged {
 			require.Empty(t, values, "no data is taken from a damaged store")
 		} else {
-			require.True(t, same(newest, values), "the confirmed data is found")
+			require.True(t, equalValues(newest, values), "the confirmed data is found")
 		}
-		values, damaged = p.after(0, "missing").use(t)
+		values, damaged = p.afterPowerLoss(0, "missing").saveAndPowerOff(t)
 		require.False(t, damaged)
 		require.Equal(t, "1", string(values["later"]))
 	})
 }
 
 // damage changes the file selected by pick in one of six ways.
-func (r *rough) damage(kind byte, pick, at int, param byte) {
-	names := sortedNames(r.files)
+func (r *faultyFolder) damage(kind byte, pick, at int, param byte) {
+	names := sortedFiles(r.files)
 	if len(names) == 0 {
 		return
 	}
@@ -83,7 +83,7 @@
 		types := []storage.FileType{storage.TypeManifest, storage.TypeJournal, storage.TypeTable}
 		added := storage.FileDesc{Type: types[int(param)%len(types)], Num: int64(at % 64)}
 		data := append([]byte{}, file.data...)
-		r.files[added] = &roughFile{data: data, synced: len(data), named: true}
+		r.files[added] = &faultyFile{data: data, synced: len(data), nameSynced: true}
 	case 5:
 		r.meta = name
 	}
@@ -104,7 +104,7 @@
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			r := &receiver{wait: 20 * time.Millisecond, opened: func(string, time.Time) {}, take: func(e protocol.Env) {
+			r := &receiver{openTimeout: 20 * time.Millisecond, onStreamOpened: func(string, time.Time) {}, deliver: func(e protocol.Env) {
 				_, err := protocol.Pack(e)
 				require.NoError(t, err)
 			}}
@@ -141,10 +141,10 @@
 			}
 		}
 	}()
-	conn := drpcconn.NewWithOptions(local, drpcconn.Options{Manager: manage})
-	stream, err := conn.NewStream(context.Background(), rpcPost, coding{})
+	conn := drpcconn.NewWithOptions(local, drpcconn.Options{Manager: managerOptions})
+	stream, err := conn.NewStream(context.Background(), envelopeRPC, envelopeCodec{})
 	require.NoError(t, err)
-	require.NoError(t, stream.MsgSend(&e, coding{}))
+	require.NoError(t, stream.MsgSend(&e, envelopeCodec{}))
 	_ = remote.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	<-done
 	mu.Lock()
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -78,18 +78,18 @@
 
 // Process runs one core. Its lock is acquired before the lock of any queue and is never held during I/O.
 type Process struct {
-	o       Options
-	mu      sync.Mutex
-	post    *post
-	disk    *disk
-	asks    chan protocol.Ask
-	http    *http.Client
-	kept    *http.Client // reuses connections, for requests that change nothing
-	ctx     context.Context
-	stop    context.CancelFunc
-	life    context.Context // bounds the requests in progress
-	end     context.CancelFunc
-	running sync.WaitGroup
+	options       Options
+	mu            sync.Mutex
+	transport     *transport
+	disk          *disk
+	requests      chan protocol.Ask
+	client        *http.Client
+	reusingClient *http.Client // reuses connections, for requests that change nothing
+	ctx           context.Context
+	stop          context.CancelFunc
+	requestCtx    context.Context // bounds the requests in progress
+	abortRequests context.CancelFunc
+	running       sync.WaitGroup
 
 	times *workTimes
 }
@@ -97,13 +97,13 @@
 // New returns a Process that is not running yet.
 func New(o Options) *Process {
 	generic.SetDefault(&o.Dial, 500*time.Millisecond)
-	c := &Process{o: o, asks: make(chan protocol.Ask, 1024), times: newWorkTimes()}
+	c := &Process{options: o, requests: make(chan protocol.Ask, 1024), times: newWorkTimes()}
 	c.ctx, c.stop = context.WithCancel(context.Background())
-	c.life, c.end = context.WithCancel(c.ctx)
-	c.post = newPost(c.ctx, o.Told, o.Dial, c.receive)
-	c.post.local, c.post.times = o.Local, c.times
+	c.requestCtx, c.abortRequests = context.WithCancel(c.ctx)
+	c.transport = newTransport(c.ctx, o.Told, o.Dial, c.receive)
+	c.transport.localCores, c.transport.times = o.Local, c.times
 	dial := Dialer(o.Told, o.Dial).DialContext
-	c.http = &http.Client{
+	c.client = &http.Client{
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true, Proxy: nil, DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			conn, err := dial(ctx, network, addr)
@@ -113,47 +113,47 @@
 			return conn, err
 		}},
 	}
-	reusing := c.http.Transport.(*http.Transport).Clone()
+	reusing := c.client.Transport.(*http.Transport).Clone()
 	reusing.DisableKeepAlives, reusing.MaxIdleConnsPerHost, reusing.IdleConnTimeout = false, 1, 4*time.Second
-	c.kept = &http.Client{CheckRedirect: c.http.CheckRedirect, Transport: reusing}
+	c.reusingClient = &http.Client{CheckRedirect: c.client.CheckRedirect, Transport: reusing}
 	return c
 }
 
 // Run opens the disk, starts listening and starts the core.
 func (c *Process) Run() error {
-	c.o.Ring.logViolations()
-	if c.o.Data != "" {
+	c.options.Ring.logViolations()
+	if c.options.Data != "" {
 		fail := func(err error) {
 			// A disk that lost confirmed data must not vote: exit at once and report it.
-			c.o.Ring.Oops(err.Error())
+			c.options.Ring.Oops(err.Error())
 			fmt.Fprintf(os.Stderr, "exiting: the disk lost confirmed data: %v\n", err)
 			os.Exit(3)
 		}
-		opened, values, damaged, err := awaitDisk(c.ctx, diskBackoff, func() (*disk, map[string][]byte, bool, error) { return openDisk(c.o.Data, fail) }, func(err error) {
-			c.o.Ring.Oops("cannot open the data folder, retrying: " + err.Error())
+		opened, values, damaged, err := awaitDisk(c.ctx, diskBackoff, func() (*disk, map[string][]byte, bool, error) { return openDisk(c.options.Data, fail) }, func(err error) {
+			c.options.Ring.Oops("cannot open the data folder, retrying: " + err.Error())
 		})
 		if err != nil {
 			return err
 		}
 		if damaged {
-			c.o.Ring.Oops("data folder damaged: moved aside, starting with an empty one")
+			c.options.Ring.Oops("data folder damaged: moved aside, starting with an empty one")
 		}
-		opened.done, opened.note = func(s protocol.Saved) { c.Step(s) }, func(text string) { c.o.Ring.Info(text) }
+		opened.onSaved, opened.log = func(s protocol.Saved) { c.Step(s) }, func(text string) { c.options.Ring.Info(text) }
 		c.disk = opened
 		c.running.Add(1)
 		go func() { defer c.running.Done(); opened.run() }()
 		c.Step(protocol.Start{Disk: values})
 	}
-	for _, addr := range c.o.Listen {
-		if err := c.post.listen(addr); err != nil {
+	for _, addr := range c.options.Listen {
+		if err := c.transport.listen(addr); err != nil {
 			return err
 		}
 	}
 	for range 32 {
-		go c.asker()
+		go c.sendRequests()
 	}
 	go func() {
-		ticker := time.NewTicker(c.o.Beat)
+		ticker := time.NewTicker(c.options.Beat)
 		defer ticker.Stop()
 		for {
 			select {
@@ -180,17 +180,17 @@
 func (c *Process) Forget() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.end()
-	c.life, c.end = context.WithCancel(c.ctx)
+	c.abortRequests()
+	c.requestCtx, c.abortRequests = context.WithCancel(c.ctx)
 }
 
 // Flush waits until all queued messages are sent, for at most the given time.
-func (c *Process) Flush(most time.Duration) { c.post.flush(most) }
+func (c *Process) Flush(most time.Duration) { c.transport.flush(most) }
 
 // receive handles a message from another process.
 func (c *Process) receive(e protocol.Env) {
-	if c.o.Before != nil {
-		c.o.Before(e)
+	if c.options.Before != nil {
+		c.options.Before(e)
 	}
 	c.Step(e)
 }
@@ -200,21 +200,21 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now, began := Now(), time.Now() // the second needs no system call
-	for _, out := range c.o.Core.Step(now, in) {
-		c.act(out)
+	for _, out := range c.options.Core.Step(now, in) {
+		c.execute(out)
 	}
 	took := time.Since(began)
 	c.times.add(inputName(in), took)
-	if took > longStep {
-		c.o.Ring.Info("slow step", protocol.Field{Name: "input", Value: inputName(in)}, protocol.Field{Name: "ms", Value: took.Milliseconds()})
+	if took > slowStepThreshold {
+		c.options.Ring.Info("slow step", protocol.Field{Name: "input", Value: inputName(in)}, protocol.Field{Name: "ms", Value: took.Milliseconds()})
 	}
 	if fields := c.times.report(now); fields != nil {
-		c.o.Ring.Info("working time by kind", fields...)
+		c.options.Ring.Info("working time by kind", fields...)
 	}
 }
 
-// longStep is the duration above which a step is logged: the core blocks everything else meanwhile.
-const longStep = 100 * time.Millisecond
+// slowStepThreshold is the duration above which a step is logged: the core blocks everything else meanwhile.
+const slowStepThreshold = 100 * time.Millisecond
 
 // inputNames maps the inputs defined in protocol to their names in logs and metrics. Dashboards use these names, so an input
 // keeps its name when its type is renamed.
@@ -249,10 +249,10 @@
 	f(Now())
 }
 
-func (c *Process) act(o any) {
+func (c *Process) execute(o any) {
 	switch out := o.(type) {
 	case protocol.Env:
-		c.post.send(out)
+		c.transport.send(out)
 	case protocol.Save:
 		c.disk.put(out)
 	case protocol.Compute:
@@ -262,33 +262,33 @@
 		}()
 	case protocol.Ask:
 		select {
-		case c.asks <- out:
+		case c.requests <- out:
 		default:
 			go c.Step(protocol.Told{Token: out.Token})
 		}
 	case protocol.Note:
-		c.o.Ring.Info(out.Text, out.Fields...)
+		c.options.Ring.Info(out.Text, out.Fields...)
 	case protocol.Oops:
-		go c.o.Ring.Oops(out.Text)
+		go c.options.Ring.Oops(out.Text)
 	default:
-		c.o.Else(o)
+		c.options.Else(o)
 	}
 }
 
-func (c *Process) asker() {
+func (c *Process) sendRequests() {
 	for {
 		select {
 		case <-c.ctx.Done():
 			return
-		case ask := <-c.asks:
-			c.Step(c.tell(ask))
+		case ask := <-c.requests:
+			c.Step(c.sendRequest(ask))
 		}
 	}
 }
 
-func (c *Process) tell(ask protocol.Ask) protocol.Told {
+func (c *Process) sendRequest(ask protocol.Ask) protocol.Told {
 	c.mu.Lock()
-	life := c.life
+	life := c.requestCtx
 	c.mu.Unlock()
 	ctx, stop := context.WithTimeout(life, ask.Wait)
 	defer stop()
@@ -296,12 +296,12 @@
 	if ask.Until != 0 && Now() > ask.Until {
 		return told
 	}
-	if c.o.Tell != nil {
-		client := c.http
+	if c.options.Tell != nil {
+		client := c.client
 		if ask.Kept {
-			client = c.kept
+			client = c.reusingClient
 		}
-		told = c.o.Tell(ctx, client, ask)
+		told = c.options.Tell(ctx, client, ask)
 		told.Token = ask.Token
 		return told
 	}
@@ -319,12 +319,12 @@
 	}
 	r.GetBody = nil
 	r.Header.Set("Content-Type", "application/json")
-	response, err := c.http.Do(r)
+	response, err := c.client.Do(r)
 	if err != nil {
 		return told
 	}
 	defer response.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(response.Body, mostWire))
+	b, err := io.ReadAll(io.LimitReader(response.Body, maxMessageSize))
 	if err != nil {
 		return told
 	}
@@ -333,12 +333,12 @@
 
 // Ring is the log: a ring buffer in memory that is written out when an error occurs.
 type Ring struct {
-	mu   sync.Mutex
-	log  *logrus.Logger
-	list []string
-	at   int
-	out  io.Writer
-	last time.Time
+	mu       sync.Mutex
+	logger   *logrus.Logger
+	lines    []string
+	written  int
+	out      io.Writer
+	dumpedAt time.Time
 }
 
 // NewRing returns a log for one process.
@@ -357,44 +357,44 @@
 	return nil
 }
 
-type ringWriter struct{ r *Ring }
+type ringWriter struct{ ring *Ring }
 
 // Write stores a line in the ring.
 func (w ringWriter) Write(b []byte) (int, error) {
-	w.r.mu.Lock()
-	defer w.r.mu.Unlock()
-	w.r.list[w.r.at%len(w.r.list)] = string(b)
-	w.r.at++
+	w.ring.mu.Lock()
+	defer w.ring.mu.Unlock()
+	w.ring.lines[w.ring.written%len(w.ring.lines)] = string(b)
+	w.ring.written++
 	return len(b), nil
 }
 
 // Info logs a line with its fields.
-func (r *Ring) Info(s string, fields ...protocol.Field) { r.with(fields).Info(s) }
+func (r *Ring) Info(s string, fields ...protocol.Field) { r.entry(fields).Info(s) }
 
-// with returns a log entry with the fields.
-func (r *Ring) with(fields []protocol.Field) *logrus.Entry {
+// entry returns a log entry with the fields.
+func (r *Ring) entry(fields []protocol.Field) *logrus.Entry {
 	values := make(logrus.Fields, len(fields))
 	for _, f := range fields {
 		values[f.Name] = f.Value
 	}
-	return r.log.WithFields(values)
+	return r.logger.WithFields(values)
 }
 
 // Oops logs an error and writes out the ring, at most once per second.
 func (r *Ring) Oops(s string) {
-	r.log.Error(s)
+	r.logger.Error(s)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if time.Since(r.last) < time.Second {
+	if time.Since(r.dumpedAt) < time.Second {
 		return
 	}
-	r.last = time.Now()
+	r.dumpedAt = time.Now()
 	var b strings.Builder
 	b.WriteString("---- what led to it ----\n")
-	for i := max(0, r.at-len(r.list)); i < r.at; i++ {
-		b.WriteString(r.list[i%len(r.list)])
+	for i := max(0, r.written-len(r.lines)); i < r.written; i++ {
+		b.WriteString(r.lines[i%len(r.lines)])
 	}
-	r.at = 0
+	r.written = 0
 	_, _ = io.WriteString(r.out, b.String())
 }
 
@@ -446,7 +446,7 @@
 	}
 	args := os.Args[1:]
 	var faults fleetplan.Faults
-	if path := settingsOf(args); path != "" {
+	if path := settingsPath(args); path != "" {
 		raw, err := os.ReadFile(path)
 		if err != nil {
 			faults = append(faults, fleetplan.Fault{Path: path, Why: err.Error()})
@@ -475,7 +475,7 @@
 	return cmd
 }
 
-func settingsOf(args []string) string {
+func settingsPath(args []string) string {
 	for i, arg := range args {
 		if value, ok := strings.CutPrefix(arg, "--settings="); ok {
 			return value
@@ -592,7 +592,9 @@
 		return errors.Wrap(err, "listen")
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 30 * time.Second, MaxHeaderBytes: 64 << 10,
-		ConnContext: func(ctx context.Context, _ net.Conn) context.Context { return context.WithValue(ctx, born{}, Now()) }}
+		ConnContext: func(ctx context.Context, _ net.Conn) context.Context {
+			return context.WithValue(ctx, connAcceptedKey{}, Now())
+		}}
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	served := make(chan error, 1)
@@ -611,11 +613,11 @@
 	return server.Shutdown(ctx)
 }
 
-type born struct{}
+type connAcceptedKey struct{}
 
 // Born returns the time at which the request's connection was accepted.
 func Born(r *http.Request) clock.Tick {
-	t, _ := r.Context().Value(born{}).(clock.Tick)
+	t, _ := r.Context().Value(connAcceptedKey{}).(clock.Tick)
 	return t
 }
 
--- a/internal/host/host_test.go
+++ b/internal/host/host_test.go
@@ -15,12 +15,12 @@
 	"tidedeck/internal/protocol"
 )
 
-func keep(t *testing.T, dir string, puts ...protocol.Save) (map[string][]byte, bool) {
+func saveToDisk(t *testing.T, dir string, puts ...protocol.Save) (map[string][]byte, bool) {
 	t.Helper()
 	opened, values, damaged, err := openDisk(dir, func(err error) { t.Error(err) })
 	require.NoError(t, err)
 	saved := make(chan protocol.Saved, len(puts))
-	opened.done = func(s protocol.Saved) { saved <- s }
+	opened.onSaved = func(s protocol.Saved) { saved <- s }
 	done := make(chan struct{})
 	go func() { opened.run(); close(done) }()
 	for _, save := range puts {
@@ -37,10 +37,10 @@
 // Confirmed data is found again, and a damaged store is set aside as a whole instead of being read in part.
 func TestDisk(t *testing.T) {
 	dir := t.TempDir()
-	values, damaged := keep(t, dir, protocol.Save{Token: 1, Puts: map[string][]byte{"a": []byte("1"), "b": []byte("2")}}, protocol.Save{Token: 2, Puts: map[string][]byte{"a": []byte("3")}})
+	values, damaged := saveToDisk(t, dir, protocol.Save{Token: 1, Puts: map[string][]byte{"a": []byte("1"), "b": []byte("2")}}, protocol.Save{Token: 2, Puts: map[string][]byte{"a": []byte("3")}})
 	require.Empty(t, values)
 	require.False(t, damaged)
-	values, damaged = keep(t, dir)
+	values, damaged = saveToDisk(t, dir)
 	require.False(t, damaged)
 	require.Equal(t, map[string][]byte{"a": []byte("3"), "b": []byte("2")}, values)
 	files, err := filepath.Glob(filepath.Join(dir, "state", "*"))
@@ -55,13 +55,13 @@
 			}
 		}
 	}
-	values, damaged = keep(t, dir, protocol.Save{Token: 9, Puts: map[string][]byte{"c": []byte("4")}})
+	values, damaged = saveToDisk(t, dir, protocol.Save{Token: 9, Puts: map[string][]byte{"c": []byte("4")}})
 	require.True(t, damaged)
 	require.Empty(t, values)
 	setAside, err := filepath.Glob(filepath.Join(dir, "state.damaged-*"))
 	require.NoError(t, err)
 	require.Len(t, setAside, 1)
-	values, _ = keep(t, dir)
+	values, _ = saveToDisk(t, dir)
 	require.Equal(t, map[string][]byte{"c": []byte("4")}, values)
 }
 
@@ -99,7 +99,7 @@
 	}
 }
 
-type counts struct {
+type testCounts struct {
 	Goes uint64
 	Open int
 	By   map[failure.Kind]uint64
@@ -107,7 +107,7 @@
 
 func TestMetrics(t *testing.T) {
 	w := httptest.NewRecorder()
-	handler := Metrics(Tallies{Name: "x", Get: func() any { return counts{3, 4, map[failure.Kind]uint64{failure.Full: 5}} }})
+	handler := Metrics(Tallies{Name: "x", Get: func() any { return testCounts{3, 4, map[failure.Kind]uint64{failure.Full: 5}} }})
 	handler.ServeHTTP(w, httptest.NewRequest("GET", "/", nil))
 	for _, line := range []string{"tidedeck_x_goes_total 3", "tidedeck_x_open 4", `tidedeck_x_by_total{kind="full"} 5`} {
 		require.True(t, strings.Contains(w.Body.String(), line), line)
--- a/internal/host/hosted.go
+++ b/internal/host/hosted.go
@@ -94,7 +94,7 @@
 		if address == "" {
 			continue
 		}
-		server := &http.Server{Addr: address, ReadHeaderTimeout: besideHeadWait, Handler: handler}
+		server := &http.Server{Addr: address, ReadHeaderTimeout: operatorHeaderTimeout, Handler: handler}
 		servers = append(servers, server)
 		go func() {
 			if err := server.ListenAndServe(); err != nil && !errors.Is(err, http.ErrServerClosed) {
@@ -109,8 +109,8 @@
 	}
 }
 
-// besideHeadWait is the timeout for reading a request's header on such an interface.
-const besideHeadWait = 10 * time.Second
+// operatorHeaderTimeout is the timeout for reading a request's header on such an interface.
+const operatorHeaderTimeout = 10 * time.Second
 
 // Confine limits the process to the memory and processors that its machine provides.
 func Confine(memoryMB, processors int) {
@@ -123,8 +123,8 @@
 	}
 }
 
-// settingsPoll is the interval for checking the settings file, which may change without a signal.
-const settingsPoll = 5 * time.Second
+// settingsPollInterval is the interval for checking the settings file, which may change without a signal.
+const settingsPollInterval = 5 * time.Second
 
 // FollowSeeds passes on the seeds listed in the settings file whenever the file has changed or the process receives
 // SIGHUP. A file that cannot be read has no effect.
@@ -132,16 +132,16 @@
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	go func() {
-		lastModified := modified(path)
+		lastModified := modTime(path)
 		for {
 			select {
 			case <-hangup:
-			case <-time.After(settingsPoll):
-				if current := modified(path); current == lastModified {
+			case <-time.After(settingsPollInterval):
+				if current := modTime(path); current == lastModified {
 					continue
 				}
 			}
-			lastModified = modified(path)
+			lastModified = modTime(path)
 			if seeds, err := load(); err == nil && len(seeds) > 0 {
 				step(protocol.Reseed{Seeds: Siblings(seeds)})
 			}
@@ -149,8 +149,8 @@
 	}()
 }
 
-// modified returns the modification time of a file, or the zero time if it is unavailable.
-func modified(path string) time.Time {
+// modTime returns the modification time of a file, or the zero time if it is unavailable.
+func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
--- a/internal/host/input_name_test.go
+++ b/internal/host/input_name_test.go
@@ -19,11 +19,11 @@
 		"protocol.Told":     protocol.Told{},
 		"protocol.Reseed":   protocol.Reseed{},
 		"Renew":             protocol.Env{Body: protocol.Renew{}},
-		"host.input":        input{},
+		"host.unnamedInput": unnamedInput{},
 	}
 	for name, in := range names {
 		require.Equal(t, name, inputName(in))
 	}
 }
 
-type input struct{}
+type unnamedInput struct{}
--- a/internal/host/race_off_test.go
+++ b/internal/host/race_off_test.go
@@ -2,5 +2,5 @@
 
 package host
 
-// underRace reports whether the race detector is enabled in this build.
-const underRace = false
+// raceEnabled reports whether the race detector is enabled in this build.
+const raceEnabled = false
--- a/internal/host/race_on_test.go
+++ b/internal/host/race_on_test.go
@@ -2,5 +2,5 @@
 
 package host
 
-// underRace reports whether the race detector is enabled in this build.
-const underRace = true
+// raceEnabled reports whether the race detector is enabled in this build.
+const raceEnabled = true
--- a/internal/host/receive_test.go
+++ b/internal/host/receive_test.go
@@ -36,7 +36,7 @@
 			ended := make(chan struct{})
 			go func() {
 				defer close(ended)
-				r := &receiver{take: func(e protocol.Env) { received <- e }, opened: func(string, time.Time) {}, wait: 100 * time.Millisecond}
+				r := &receiver{deliver: func(e protocol.Env) { received <- e }, onStreamOpened: func(string, time.Time) {}, openTimeout: 100 * time.Millisecond}
 				r.receive(context.Background(), remote)
 			}()
 			_ = local.SetWriteDeadline(time.Now().Add(time.Second))
@@ -55,7 +55,7 @@
 }
 
 // A stream stays open without messages for longer than a connection may exist without a stream.
-func TestQuietStreamGoesOn(t *testing.T) {
+func TestIdleStreamStaysOpen(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	received := make(chan protocol.Env, 8)
@@ -68,11 +68,11 @@
 			if err != nil {
 				return
 			}
-			r := &receiver{take: func(e protocol.Env) { received <- e }, opened: func(string, time.Time) {}, wait: 50 * time.Millisecond}
+			r := &receiver{deliver: func(e protocol.Env) { received <- e }, onStreamOpened: func(string, time.Time) {}, openTimeout: 50 * time.Millisecond}
 			go r.receive(ctx, conn)
 		}
 	}()
-	sender := newPost(ctx, "", time.Second, nil)
+	sender := newTransport(ctx, "", time.Second, nil)
 	e := protocol.Env{From: protocol.Sibling{ID: "a", Addr: "1"}, To: protocol.Sibling{ID: "b", Addr: listener.Addr().String()}, Body: protocol.Fetch{Round: 3}}
 	for range 3 {
 		sender.send(e)
--- a/internal/host/ring_json.go
+++ b/internal/host/ring_json.go
@@ -20,13 +20,13 @@
 
 // NewRingWith returns a log for one process.
 func NewRingWith(o RingOptions) *Ring {
-	r := &Ring{list: make([]string, 512), out: o.Out}
-	r.log = logrus.New()
-	r.log.SetOutput(ringWriter{r})
-	r.log.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: time.RFC3339Nano})
-	r.log.AddHook(nameHook(o.Name))
+	r := &Ring{lines: make([]string, 512), out: o.Out}
+	r.logger = logrus.New()
+	r.logger.SetOutput(ringWriter{r})
+	r.logger.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: time.RFC3339Nano})
+	r.logger.AddHook(nameHook(o.Name))
 	if o.Lines != nil {
-		r.log.AddHook(&lineHook{out: o.Lines, form: logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano}})
+		r.logger.AddHook(&lineHook{out: o.Lines, form: logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano}})
 	}
 	return r
 }
@@ -58,7 +58,7 @@
 func (r *Ring) logViolations() {
 	invariant.ObserveByDefault(func(v invariant.Violation) {
 		go func() {
-			r.log.Error(v.Error())
+			r.logger.Error(v.Error())
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			_, _ = fmt.Fprintln(r.out, v.Error())
--- a/internal/host/stores.go
+++ b/internal/host/stores.go
@@ -26,8 +26,8 @@
 // seal is part of every batch and describes the whole state store: the batch's number and a digest of the store's
 // resulting content.
 type seal struct {
-	Num uint64
-	Sum uint64
+	Num    uint64
+	Digest uint64 `json:"Sum"`
 }
 
 // storeFolder gives access to the folder of one store: opening it, syncing it, and clearing it after an incomplete
@@ -47,12 +47,12 @@
 
 // stores are the two open stores and a summary of the state store's content.
 type stores struct {
-	state    *leveldb.DB
-	mark     *leveldb.DB
-	storages []storage.Storage
-	num      uint64 // number of the last batch in the state store
-	marked   uint64 // number in the mark store
-	sums     map[string]uint32
+	state     *leveldb.DB
+	mark      *leveldb.DB
+	storages  []storage.Storage
+	num       uint64 // number of the last batch in the state store
+	markNum   uint64 // number in the mark store
+	checksums map[string]uint32
 }
 
 // errDamaged means that a store does not contain what was confirmed.
@@ -104,10 +104,10 @@
 
 // openPair opens both stores, verifies them against each other, and calls each for every value in the state store.
 func openPair(folders storeFolders, each func(key string, value []byte)) (_ *stores, err error) {
-	opened := &stores{sums: map[string]uint32{}}
+	opened := &stores{checksums: map[string]uint32{}}
 	defer func() {
 		if err != nil {
-			opened.shut()
+			opened.closeAll()
 		}
 	}()
 	if opened.state, err = opened.openOne(folders.state); err != nil {
@@ -120,13 +120,13 @@
 	if err != nil {
 		return nil, err
 	}
-	if opened.marked, err = readMark(opened.mark); err != nil {
+	if opened.markNum, err = readMark(opened.mark); err != nil {
 		return nil, err
 	}
 	if found != nil {
 		opened.num = found.Num
 	}
-	if opened.num < opened.marked || found != nil && *found != opened.seal() {
+	if opened.num < opened.markNum || found != nil && *found != opened.seal() {
 		return nil, errDamaged
 	}
 	return opened, nil
@@ -171,7 +171,7 @@
 			}
 			continue
 		}
-		s.sums[key] = crc32.ChecksumIEEE(value)
+		s.checksums[key] = crc32.ChecksumIEEE(value)
 		each(key, value)
 	}
 	return found, iterator.Error()
@@ -196,13 +196,13 @@
 // seal returns the seal of the state store's current content.
 func (s *stores) seal() seal {
 	digest := fnv.New64a()
-	for _, key := range generic.SortedKeys(s.sums) {
-		fmt.Fprintf(digest, "%q:%d;", key, s.sums[key])
+	for _, key := range generic.SortedKeys(s.checksums) {
+		fmt.Fprintf(digest, "%q:%d;", key, s.checksums[key])
 	}
 	return seal{s.num, digest.Sum64()}
 }
 
-func (s *stores) shut() {
+func (s *stores) closeAll() {
 	for _, db := range []*leveldb.DB{s.state, s.mark} {
 		if db != nil {
 			_ = db.Close()
--- a/internal/host/post_test.go
+++ b/internal/host/transport_test.go
@@ -12,9 +12,9 @@
 	"tidedeck/internal/protocol"
 )
 
-// silentPeer accepts connections and never answers on them, like a machine that lost power. It returns the accepted
+// startSilentPeer accepts connections and never answers on them, like a machine that lost power. It returns the accepted
 // connections on a channel.
-func silentPeer(t *testing.T) (addr string, accepted <-chan net.Conn) {
+func startSilentPeer(t *testing.T) (addr string, accepted <-chan net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -37,19 +37,19 @@
 func TestPostDialsAgainWhenAPeerReopens(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	addr, accepted := silentPeer(t)
-	p := newPost(ctx, "", time.Second, func(protocol.Env) {})
+	addr, accepted := startSilentPeer(t)
+	p := newTransport(ctx, "", time.Second, func(protocol.Env) {})
 	peer := protocol.Sibling{ID: "b", Addr: addr}
 	p.send(protocol.Env{To: peer, Body: protocol.Fetch{}})
 	first := <-accepted
 	defer first.Close()
 
-	p.reopened(addr, time.Now().Add(staleBefore/2))
+	p.reopened(addr, time.Now().Add(staleMargin/2))
 	p.send(protocol.Env{To: peer, Body: protocol.Fetch{}})
 	p.flush(time.Second)
 	require.Empty(t, accepted, "a stream opened at about the same time as the connection has no effect")
 
-	p.reopened(addr, time.Now().Add(2*staleBefore))
+	p.reopened(addr, time.Now().Add(2*staleMargin))
 	p.send(protocol.Env{To: peer, Body: protocol.Fetch{}})
 	second := <-accepted
 	defer second.Close()
@@ -58,8 +58,8 @@
 // A connection whose data is not acknowledged is closed within a limit, so that a machine that lost power or was
 // unreachable can be reached soon after its return.
 func TestPostBoundsUnacknowledgedBytes(t *testing.T) {
-	addr, _ := silentPeer(t)
-	c, err := newPost(context.Background(), "127.0.0.1:1", time.Second, nil).dial.Dial("tcp", addr)
+	addr, _ := startSilentPeer(t)
+	c, err := newTransport(context.Background(), "127.0.0.1:1", time.Second, nil).dialer.Dial("tcp", addr)
 	require.NoError(t, err)
 	defer c.Close()
 	raw, err := c.(*net.TCPConn).SyscallConn()
--- a/internal/host/work_times.go
+++ b/internal/host/work_times.go
@@ -13,34 +13,34 @@
 )
 
 const (
-	// workReportEvery is the interval between log lines about the process's working times.
-	workReportEvery = clock.Span(2e9)
-	// workReported is the number of kinds of work per log line, those with the longest times first.
-	workReported = 5
+	// workReportInterval is the interval between log lines about the process's working times.
+	workReportInterval = clock.Span(2e9)
+	// maxReportedKinds is the number of kinds of work per log line, those with the longest times first.
+	maxReportedKinds = 5
 )
 
 // Kinds of work other than core steps, which are named after their inputs.
 const (
-	workRead  = "read message"
-	workWrite = "write message"
+	workDecode = "read message"
+	workEncode = "write message"
 )
 
 // workTime is the count and total duration of one kind of work.
 type workTime struct {
 	count uint64
-	took  time.Duration
+	total time.Duration
 }
 
 // workTimes sums the durations of work by kind. Durations are wall time, so waiting for a processor counts.
 type workTimes struct {
-	mu       sync.Mutex // guards all fields below; always the last lock to be acquired
-	all      map[string]workTime
-	recent   map[string]workTime // since the last report
-	reported clock.Tick
+	mu         sync.Mutex // guards all fields below; always the last lock to be acquired
+	totals     map[string]workTime
+	recent     map[string]workTime // since the last report
+	reportedAt clock.Tick
 }
 
 func newWorkTimes() *workTimes {
-	return &workTimes{all: map[string]workTime{}, recent: map[string]workTime{}}
+	return &workTimes{totals: map[string]workTime{}, recent: map[string]workTime{}}
 }
 
 // add records work of a kind.
@@ -50,10 +50,10 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, times := range []map[string]workTime{w.all, w.recent} {
+	for _, times := range []map[string]workTime{w.totals, w.recent} {
 		sum := times[kind]
 		sum.count++
-		sum.took += took
+		sum.total += took
 		times[kind] = sum
 	}
 }
@@ -62,20 +62,20 @@
 func (w *workTimes) report(now clock.Tick) []protocol.Field {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.reported == 0 {
-		w.reported = now
+	if w.reportedAt == 0 {
+		w.reportedAt = now
 	}
-	span := now.Sub(w.reported)
-	if span < workReportEvery || len(w.recent) == 0 {
+	span := now.Sub(w.reportedAt)
+	if span < workReportInterval || len(w.recent) == 0 {
 		return nil
 	}
 	fields := []protocol.Field{{Name: "span_ms", Value: span.Milliseconds()}}
 	kinds := w.longest()
-	for _, kind := range kinds[:min(workReported, len(kinds))] {
+	for _, kind := range kinds[:min(maxReportedKinds, len(kinds))] {
 		sum := w.recent[kind]
-		fields = append(fields, protocol.Field{Name: kind, Value: []int64{int64(sum.count), sum.took.Milliseconds()}})
+		fields = append(fields, protocol.Field{Name: kind, Value: []int64{int64(sum.count), sum.total.Milliseconds()}})
 	}
-	w.recent, w.reported = map[string]workTime{}, now
+	w.recent, w.reportedAt = map[string]workTime{}, now
 	return fields
 }
 
@@ -86,7 +86,7 @@
 		kinds = append(kinds, kind)
 	}
 	slices.SortFunc(kinds, func(a, b string) int {
-		return cmp.Or(cmp.Compare(w.recent[b].took, w.recent[a].took), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(w.recent[b].total, w.recent[a].total), cmp.Compare(a, b))
 	})
 	return kinds
 }
@@ -103,8 +103,8 @@
 func (w *workTimes) Collect(ch chan<- prometheus.Metric) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for kind, sum := range w.all {
-		ch <- prometheus.MustNewConstMetric(workSeconds, prometheus.CounterValue, sum.took.Seconds(), kind)
+	for kind, sum := range w.totals {
+		ch <- prometheus.MustNewConstMetric(workSeconds, prometheus.CounterValue, sum.total.Seconds(), kind)
 		ch <- prometheus.MustNewConstMetric(workCount, prometheus.CounterValue, float64(sum.count), kind)
 	}
 }
--- a/internal/host/refuse_test.go
+++ b/internal/host/write_failures_test.go
@@ -18,11 +18,11 @@
 	"tidedeck/internal/protocol"
 )
 
-// works returns batches large enough to rotate the journals, and the expected content after each of them.
-func works(n, size int) (puts, states []map[string][]byte) {
+// growingBatches returns batches large enough to rotate the journals, and the expected content after each of them.
+func growingBatches(n, size int) (puts, states []map[string][]byte) {
 	states = append(states, map[string][]byte{})
 	for i := range n {
-		batch := map[string][]byte{fmt.Sprintf("k%d", i%3): val(i, size+i), "last": []byte(fmt.Sprint(i))}
+		batch := map[string][]byte{fmt.Sprintf("k%d", i%3): testValue(i, size+i), "last": []byte(fmt.Sprint(i))}
 		puts = append(puts, batch)
 		all := map[string][]byte{}
 		for _, m := range []map[string][]byte{states[i], batch} {
@@ -35,7 +35,7 @@
 	return puts, states
 }
 
-func same(a, b map[string][]byte) bool {
+func equalValues(a, b map[string][]byte) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -47,30 +47,30 @@
 	return true
 }
 
-// each installs an error injection function for the calls to both folders.
-func (p pair) each(inject func(op int, what string) error) {
-	for _, folder := range []*rough{p.state, p.mark} {
+// injectErrors installs an error injection function for the calls to both folders.
+func (p storePair) injectErrors(inject func(op int, what string) error) {
+	for _, folder := range []*faultyFolder{p.state, p.mark} {
 		folder.mu.Lock()
-		folder.fails = inject
+		folder.injectError = inject
 		folder.mu.Unlock()
 	}
 }
 
-// outcome is the result of one life of a failing disk.
-type outcome struct {
+// runResult is the result of one life of a failing disk.
+type runResult struct {
 	calls     int
 	confirmed int
-	died      error
+	damage    error
 }
 
-// live opens a disk and saves the batches one after the other while calls fail, until all are confirmed, the disk
+// run opens a disk and saves the batches one after the other while calls fail, until all are confirmed, the disk
 // gives up or power is lost.
-func (p pair) live(t *testing.T, puts []map[string][]byte, fails func(call int) error) (result outcome) {
+func (p storePair) run(t *testing.T, puts []map[string][]byte, fails func(call int) error) (result runResult) {
 	t.Helper()
 	var calls, confirmed atomic.Int64
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	p.each(func(int, string) error {
+	p.injectErrors(func(int, string) error {
 		err := fails(int(calls.Add(1)))
 		if err == syscall.ENODEV {
 			stop()
@@ -84,7 +84,7 @@
 	require.False(t, damaged, "an undamaged store was set aside: %v", err)
 	if err == nil {
 		saved := make(chan protocol.Saved, len(puts))
-		opened.done = func(s protocol.Saved) { confirmed.Add(1); saved <- s }
+		opened.onSaved = func(s protocol.Saved) { confirmed.Add(1); saved <- s }
 		done := make(chan struct{})
 		go func() { opened.run(); close(done) }()
 	all:
@@ -103,7 +103,7 @@
 		<-done
 	}
 	select {
-	case result.died = <-damage:
+	case result.damage = <-damage:
 	default:
 	}
 	result.calls, result.confirmed = int(calls.Load()), int(confirmed.Load())
@@ -112,8 +112,8 @@
 
 // Each call fails in turn, alone or together with the following ones, with or without taking effect: everything is
 // confirmed in the end. If power is lost right afterwards, at least the confirmed data is found, without damage.
-func TestEachCallRefused(t *testing.T) {
-	puts, states := works(8, 60_000)
+func TestEachCallFails(t *testing.T) {
+	puts, states := growingBatches(8, 60_000)
 	for _, count := range []int{1, 4, 30} {
 		for _, afterEffect := range []bool{false, true} {
 			for _, powerLoss := range []bool{false, true} {
@@ -121,8 +121,8 @@
 					t.Parallel()
 					lives := 0
 					for at := 1; ; at++ {
-						p := newPair()
-						result := p.live(t, puts, func(call int) error {
+						p := newStorePair()
+						result := p.run(t, puts, func(call int) error {
 							switch {
 							case call < at:
 								return nil
@@ -131,18 +131,18 @@
 							case call >= at+count:
 								return nil
 							case afterEffect:
-								return lateError{syscall.ENOSPC}
+								return effectiveError{syscall.ENOSPC}
 							}
 							return syscall.ENOSPC
 						})
-						require.NoError(t, result.died, "from call %d", at)
+						require.NoError(t, result.damage, "from call %d", at)
 						if !powerLoss {
 							require.Equal(t, len(puts), result.confirmed, "from call %d", at)
 						}
 						for kept, tail := range map[int]string{0: "missing", 100: "noise", 1 << 20: "missing"} {
-							values, damaged := p.after(kept, tail).use(t)
+							values, damaged := p.afterPowerLoss(kept, tail).saveAndPowerOff(t)
 							require.False(t, damaged, "from call %d, %d kept", at, kept)
-							require.True(t, same(states[result.confirmed], values) || result.confirmed < len(puts) && same(states[result.confirmed+1], values),
+							require.True(t, equalValues(states[result.confirmed], values) || result.confirmed < len(puts) && equalValues(states[result.confirmed+1], values),
 								"from call %d, %d kept: %d were confirmed, found is %s", at, kept, result.confirmed, values["last"])
 						}
 						if lives++; result.calls < at {
@@ -157,8 +157,8 @@
 }
 
 // Two calls fail, the second during the recovery from the first, optionally followed by a power loss.
-func TestTwoCallsRefused(t *testing.T) {
-	puts, states := works(3, 300)
+func TestTwoCallsFail(t *testing.T) {
+	puts, states := growingBatches(3, 300)
 	for _, afterEffect := range []bool{false, true} {
 		for _, powerLoss := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%v/%v", afterEffect, powerLoss), func(t *testing.T) {
@@ -166,26 +166,26 @@
 				lives, last := 0, 1
 				for at := 1; at <= last; at++ {
 					for gap := 1; gap <= 32; gap++ {
-						p := newPair()
-						result := p.live(t, puts, func(call int) error {
+						p := newStorePair()
+						result := p.run(t, puts, func(call int) error {
 							switch {
 							case powerLoss && call > at+gap:
 								return syscall.ENODEV
 							case call != at && call != at+gap:
 								return nil
 							case afterEffect:
-								return lateError{syscall.ENOSPC}
+								return effectiveError{syscall.ENOSPC}
 							}
 							return syscall.ENOSPC
 						})
-						require.NoError(t, result.died, "calls %d and %d", at, at+gap)
+						require.NoError(t, result.damage, "calls %d and %d", at, at+gap)
 						if !powerLoss {
 							require.Equal(t, len(puts), result.confirmed, "calls %d and %d", at, at+gap)
 						}
 						for _, kept := range []int{0, 1 << 20} {
-							values, damaged := p.after(kept, "missing").use(t)
+							values, damaged := p.afterPowerLoss(kept, "missing").saveAndPowerOff(t)
 							require.False(t, damaged, "calls %d and %d, %d kept", at, at+gap, kept)
-							require.True(t, same(states[result.confirmed], values) || result.confirmed < len(puts) && same(states[result.confirmed+1], values),
+							require.True(t, equalValues(states[result.confirmed], values) || result.confirmed < len(puts) && equalValues(states[result.confirmed+1], values),
 								"calls %d and %d, %d kept: %d were confirmed, found is %s", at, at+gap, kept, result.confirmed, values["last"])
 						}
 						lives++
@@ -199,21 +199,21 @@
 }
 
 // A write that reached only the state store is found on reopening, and then the next write fails as well.
-func TestFoundThenRefused(t *testing.T) {
+func TestWriteFoundThenNextFails(t *testing.T) {
 	for at := 1; at <= 10; at++ {
-		p := newPair()
+		p := newStorePair()
 		opened, _, _, err := openStores(p.folders(), func(err error) { t.Error(at, err) })
 		require.NoError(t, err)
 		saved := make(chan protocol.Saved, 1)
-		opened.done = func(s protocol.Saved) { saved <- s }
+		opened.onSaved = func(s protocol.Saved) { saved <- s }
 		var marks, writes atomic.Int64
-		p.mark.fails = func(_ int, op string) error {
+		p.mark.injectError = func(_ int, op string) error {
 			if op == "write" && marks.Add(1) == 1 {
 				return syscall.ENOSPC
 			}
 			return nil
 		}
-		p.state.fails = func(_ int, op string) error {
+		p.state.injectError = func(_ int, op string) error {
 			if op == "write" && marks.Load() > 0 && writes.Add(1) == int64(at) {
 				return syscall.ENOSPC
 			}
@@ -229,7 +229,7 @@
 		}
 		opened.close()
 		<-done
-		values, damaged := p.after(0, "missing").use(t)
+		values, damaged := p.afterPowerLoss(0, "missing").saveAndPowerOff(t)
 		require.False(t, damaged)
 		require.Equal(t, "1", string(values["a"]))
 	}
@@ -237,18 +237,18 @@
 
 // A disk fails all writes for a while: nothing is confirmed meanwhile, everything is confirmed in order afterwards,
 // and the node keeps running.
-func TestRefusesForAWhile(t *testing.T) {
+func TestTemporaryWriteFailures(t *testing.T) {
 	for _, on := range []string{"state", "mark", "both"} {
 		for _, what := range []string{"write", "sync", "create", "every"} {
 			t.Run(on+"/"+what, func(t *testing.T) {
 				t.Parallel()
-				p := newPair()
+				p := newStorePair()
 				opened, _, _, err := openStores(p.folders(), func(err error) { t.Error(err) })
 				require.NoError(t, err)
 				var notes atomic.Int64
-				opened.note = func(string) { notes.Add(1) }
+				opened.log = func(string) { notes.Add(1) }
 				saved := make(chan protocol.Saved, 2000)
-				opened.done = func(s protocol.Saved) { saved <- s }
+				opened.onSaved = func(s protocol.Saved) { saved <- s }
 				done := make(chan struct{})
 				go func() { opened.run(); close(done) }()
 				opened.put(protocol.Save{Token: 0, Puts: map[string][]byte{"a": []byte("0")}})
@@ -261,25 +261,25 @@
 					}
 					return nil
 				}
-				for name, folder := range map[string]*rough{"state": p.state, "mark": p.mark} {
+				for name, folder := range map[string]*faultyFolder{"state": p.state, "mark": p.mark} {
 					if on == name || on == "both" {
 						folder.mu.Lock()
-						folder.fails = refuse
+						folder.injectError = refuse
 						folder.mu.Unlock()
 					}
 				}
 				for i := 1; i <= 1000; i++ {
-					opened.put(protocol.Save{Token: uint64(i), Puts: map[string][]byte{"a": val(i, 20_000), fmt.Sprintf("k%d", i%5): val(i, 3000)}})
+					opened.put(protocol.Save{Token: uint64(i), Puts: map[string][]byte{"a": testValue(i, 20_000), fmt.Sprintf("k%d", i%5): testValue(i, 3000)}})
 					if i%200 == 0 {
 						time.Sleep(10 * time.Millisecond)
 					}
 				}
 				require.Empty(t, saved, "nothing is confirmed while writes fail")
 				opened.mu.Lock()
-				require.LessOrEqual(t, len(opened.next.puts), 6, "the queue is bounded: a later value replaces an earlier one")
+				require.LessOrEqual(t, len(opened.queued.puts), 6, "the queue is bounded: a later value replaces an earlier one")
 				opened.mu.Unlock()
 				for _, kept := range []int{0, 1 << 20} {
-					values, damaged := p.after(kept, "missing").use(t)
+					values, damaged := p.afterPowerLoss(kept, "missing").saveAndPowerOff(t)
 					require.False(t, damaged)
 					require.Contains(t, values, "a", "the confirmed data is found")
 				}
@@ -288,9 +288,9 @@
 					require.Equal(t, uint64(i), (<-saved).Token, "in order")
 				}
 				require.EqualValues(t, 2, notes.Load(), "one log line at the first failure and one at the recovery")
-				values, damaged := p.after(0, "missing").use(t)
+				values, damaged := p.afterPowerLoss(0, "missing").saveAndPowerOff(t)
 				require.False(t, damaged)
-				require.Equal(t, val(1000, 20_000), values["a"])
+				require.Equal(t, testValue(1000, 20_000), values["a"])
 				require.Len(t, values, 6)
 				opened.close()
 				<-done
@@ -302,16 +302,16 @@
 // A process started on a full disk begins to serve once there is room, and does not mistake the errors for damage.
 func TestFullAtStart(t *testing.T) {
 	for _, hasData := range []bool{false, true} {
-		p := newPair()
+		p := newStorePair()
 		want := map[string][]byte{}
 		if hasData {
-			want = map[string][]byte{"a": val(1, 9000)}
-			p.use(t, want)
-			p = p.after(0, "missing")
+			want = map[string][]byte{"a": testValue(1, 9000)}
+			p.saveAndPowerOff(t, want)
+			p = p.afterPowerLoss(0, "missing")
 		}
 		var full atomic.Bool
 		full.Store(true)
-		p.each(func(_ int, op string) error {
+		p.injectErrors(func(_ int, op string) error {
 			if full.Load() && (op == "write" || op == "create" || op == "sync" || op == "meta" || op == "remove" || op == "sync folder") {
 				return syscall.ENOSPC
 			}
@@ -328,7 +328,7 @@
 			if opened, values, damaged, err = awaitDisk(context.Background(), backoff{time.Millisecond, 4 * time.Millisecond}, func() (*disk, map[string][]byte, bool, error) {
 				return openStores(p.folders(), func(err error) { t.Error(err) })
 			}, func(error) { reports.Add(1) }); err == nil {
-				opened.shut()
+				opened.closeAll()
 			}
 		}()
 		select {
@@ -349,11 +349,11 @@
 		if n++; n < 3 {
 			return nil, nil, n == 1, syscall.ENOSPC
 		}
-		return openStores(newPair().folders(), func(error) {})
+		return openStores(newStorePair().folders(), func(error) {})
 	}, func(error) {})
 	require.NoError(t, err)
 	require.True(t, damaged)
-	opened.shut()
+	opened.closeAll()
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
 	_, _, _, err = awaitDisk(ctx, backoff{time.Hour, time.Hour}, func() (*disk, map[string][]byte, bool, error) {
@@ -363,17 +363,17 @@
 }
 
 // A stalled disk confirms nothing and blocks no caller; saves requested meanwhile are confirmed afterwards.
-func TestStall(t *testing.T) {
-	p := newPair()
+func TestStalledDisk(t *testing.T) {
+	p := newStorePair()
 	opened, _, _, err := openStores(p.folders(), func(err error) { t.Error(err) })
 	require.NoError(t, err)
 	saved := make(chan protocol.Saved, 100)
-	opened.done = func(s protocol.Saved) { saved <- s }
+	opened.onSaved = func(s protocol.Saved) { saved <- s }
 	done := make(chan struct{})
 	go func() { opened.run(); close(done) }()
 	gate := make(chan struct{})
 	p.state.mu.Lock()
-	p.state.gate = gate
+	p.state.syncGate = gate
 	p.state.mu.Unlock()
 	for i := range 100 {
 		opened.put(protocol.Save{Token: uint64(i), Puts: map[string][]byte{"a": []byte(fmt.Sprint(i))}})
@@ -381,7 +381,7 @@
 	time.Sleep(30 * time.Millisecond)
 	require.Empty(t, saved)
 	p.state.mu.Lock()
-	p.state.gate = nil
+	p.state.syncGate = nil
 	p.state.mu.Unlock()
 	close(gate)
 	for i := range 100 {
@@ -389,45 +389,45 @@
 	}
 	opened.close()
 	<-done
-	values, damaged := p.after(0, "missing").use(t)
+	values, damaged := p.afterPowerLoss(0, "missing").saveAndPowerOff(t)
 	require.False(t, damaged)
 	require.Equal(t, "99", string(values["a"]))
 }
 
 // Confirmed data is missing when the stores are reopened: the damage is reported, and nothing more is confirmed.
 func TestDamagedWhileRunning(t *testing.T) {
-	other := newPair()
-	other.use(t, map[string][]byte{"a": []byte("1")}, map[string][]byte{"a": []byte("5")})
-	for name, damage := range map[string]func(p, before pair){
-		"another": func(p, _ pair) {
-			replaced := other.state.after(0, "missing")
+	other := newStorePair()
+	other.saveAndPowerOff(t, map[string][]byte{"a": []byte("1")}, map[string][]byte{"a": []byte("5")})
+	for name, damage := range map[string]func(p, before storePair){
+		"another": func(p, _ storePair) {
+			replaced := other.state.afterPowerLoss(0, "missing")
 			p.state.files, p.state.meta = replaced.files, replaced.meta
 		},
-		"emptied":  func(p, _ pair) { p.state.files, p.state.has = map[storage.FileDesc]*roughFile{}, false },
-		"set back": func(p, before pair) { p.state.files, p.state.meta = before.state.files, before.state.meta },
-		"both set back": func(p, before pair) {
+		"emptied":  func(p, _ storePair) { p.state.files, p.state.hasMeta = map[storage.FileDesc]*faultyFile{}, false },
+		"set back": func(p, before storePair) { p.state.files, p.state.meta = before.state.files, before.state.meta },
+		"both set back": func(p, before storePair) {
 			p.state.files, p.state.meta = before.state.files, before.state.meta
 			p.mark.files, p.mark.meta = before.mark.files, before.mark.meta
 		},
-		"mark set back": func(p, before pair) { p.mark.files, p.mark.meta = before.mark.files, before.mark.meta },
+		"mark set back": func(p, before storePair) { p.mark.files, p.mark.meta = before.mark.files, before.mark.meta },
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPair()
+			p := newStorePair()
 			reported := make(chan error, 1)
 			opened, _, _, err := openStores(p.folders(), func(err error) { reported <- err })
 			require.NoError(t, err)
 			saved := make(chan protocol.Saved, 8)
-			opened.done = func(s protocol.Saved) { saved <- s }
+			opened.onSaved = func(s protocol.Saved) { saved <- s }
 			done := make(chan struct{})
 			go func() { opened.run(); close(done) }()
 			opened.put(protocol.Save{Token: 1, Puts: map[string][]byte{"a": []byte("1")}})
 			<-saved
-			before := p.after(0, "missing")
+			before := p.afterPowerLoss(0, "missing")
 			opened.put(protocol.Save{Token: 2, Puts: map[string][]byte{"a": []byte("2")}})
 			<-saved
 			var once sync.Once
 			p.state.mu.Lock()
-			p.state.fails = func(_ int, op string) (err error) {
+			p.state.injectError = func(_ int, op string) (err error) {
 				if op == "sync" {
 					once.Do(func() {
 						damage(p, before)
@@ -451,15 +451,15 @@
 }
 
 // Closing a disk does not wait for writes that keep failing.
-func TestEndWhileRefused(t *testing.T) {
-	p := newPair()
+func TestCloseWhileFailing(t *testing.T) {
+	p := newStorePair()
 	folders := p.folders()
 	folders.backoff = backoff{time.Hour, time.Hour}
 	opened, _, _, err := openStores(folders, func(err error) { t.Error(err) })
 	require.NoError(t, err)
-	opened.done = func(protocol.Saved) { t.Error("confirmed") }
+	opened.onSaved = func(protocol.Saved) { t.Error("confirmed") }
 	failed := make(chan struct{}, 100)
-	p.each(func(_ int, op string) error {
+	p.injectErrors(func(_ int, op string) error {
 		if op == "write" {
 			failed <- struct{}{}
 			return syscall.ENOSPC
@@ -480,16 +480,16 @@
 
 // A value of 4 MiB is stored repeatedly and correctly.
 func TestLargeValue(t *testing.T) {
-	p := newPair()
+	p := newStorePair()
 	var puts []map[string][]byte
 	for i := range 12 {
-		puts = append(puts, map[string][]byte{"big": val(i, 4<<20), "small": []byte(fmt.Sprint(i))})
+		puts = append(puts, map[string][]byte{"big": testValue(i, 4<<20), "small": []byte(fmt.Sprint(i))})
 	}
-	_, damaged := p.use(t, puts...)
+	_, damaged := p.saveAndPowerOff(t, puts...)
 	require.False(t, damaged)
-	values, damaged := p.after(0, "missing").use(t)
+	values, damaged := p.afterPowerLoss(0, "missing").saveAndPowerOff(t)
 	require.False(t, damaged)
-	require.True(t, same(puts[len(puts)-1], values))
+	require.True(t, equalValues(puts[len(puts)-1], values))
 }
 
 // Journals stay small, so that a full disk leaves room for the writes needed to recover.
@@ -498,12 +498,12 @@
 	opened, _, _, err := openDisk(dir, func(err error) { t.Error(err) })
 	require.NoError(t, err)
 	saved := make(chan protocol.Saved, 1)
-	opened.done = func(s protocol.Saved) { saved <- s }
+	opened.onSaved = func(s protocol.Saved) { saved <- s }
 	done := make(chan struct{})
 	go func() { opened.run(); close(done) }()
 	largest := int64(0)
 	for i := range 200 {
-		opened.put(protocol.Save{Token: uint64(i), Puts: map[string][]byte{"a": val(i, 20_000)}})
+		opened.put(protocol.Save{Token: uint64(i), Puts: map[string][]byte{"a": testValue(i, 20_000)}})
 		<-saved
 		sum := int64(0)
 		files, err := filepath.Glob(filepath.Join(dir, "*", "*"))
@@ -522,18 +522,18 @@
 }
 
 // A store whose creation was interrupted on a full disk is created again and is not reported as damaged.
-func TestBrokenBeginning(t *testing.T) {
+func TestInterruptedCreation(t *testing.T) {
 	dir := t.TempDir()
 	for _, name := range []string{"state", "mark"} {
 		require.NoError(t, os.MkdirAll(filepath.Join(dir, name), 0o755))
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name, "CURRENT.1"), nil, 0o644))
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name, "MANIFEST-000001"), []byte("half"), 0o644))
 	}
-	values, damaged := keep(t, dir, protocol.Save{Token: 1, Puts: map[string][]byte{"a": []byte("1")}})
+	values, damaged := saveToDisk(t, dir, protocol.Save{Token: 1, Puts: map[string][]byte{"a": []byte("1")}})
 	require.False(t, damaged)
 	require.Empty(t, values)
 	// Once data was confirmed, missing files are damage.
 	require.NoError(t, os.RemoveAll(filepath.Join(dir, "state")))
-	_, damaged = keep(t, dir)
+	_, damaged = saveToDisk(t, dir)
 	require.True(t, damaged)
 }
--- a/internal/protocol/desired.go
+++ b/internal/protocol/desired.go
@@ -14,31 +14,31 @@
 	wirejson "github.com/go-json-experiment/json"
 )
 
-// mostDesired is the maximum size of a decompressed desired state. A plan of the maximum size and its windows, both
+// maxDesiredSize is the maximum size of a decompressed desired state. A plan of the maximum size and its windows, both
 // in base64, take half of it.
-const mostDesired = 16 << 20
+const maxDesiredSize = 16 << 20
 
 // Packed caches the encoding of an immutable value that is sent to many receivers.
 type Packed struct {
-	once  sync.Once
-	bytes []byte
-	err   error
+	once    sync.Once
+	encoded []byte
+	err     error
 }
 
-// pack returns the encoding of value and computes it only once. A nil Packed caches nothing.
-func (p *Packed) pack(value any) ([]byte, error) {
+// encode returns the encoding of value and computes it only once. A nil Packed caches nothing.
+func (p *Packed) encode(value any) ([]byte, error) {
 	if p == nil {
 		p = &Packed{}
 	}
-	p.once.Do(func() { p.bytes, p.err = wirejson.Marshal(value, wireOptions) })
-	return p.bytes, p.err
+	p.once.Do(func() { p.encoded, p.err = wirejson.Marshal(value, wireOptions) })
+	return p.encoded, p.err
 }
 
 // MarshalJSON encodes an item. A part that is sent to many routers is encoded only once.
 func (i Item) MarshalJSON() ([]byte, error) {
 	out := strconv.AppendUint([]byte(`{"n":`), i.Num, 10)
 	if i.Entry != nil {
-		entry, err := i.Packed.pack(i.Entry)
+		entry, err := i.Packed.encode(i.Entry)
 		if err != nil {
 			return nil, err
 		}
@@ -52,7 +52,7 @@
 		out = append(append(out, `,"b":`...), key...)
 	}
 	if i.Desired != nil {
-		desired, err := i.Packed.pack(i.Desired)
+		desired, err := i.Packed.encode(i.Desired)
 		if err != nil {
 			return nil, err
 		}
@@ -61,8 +61,8 @@
 	return append(out, '}'), nil
 }
 
-// pack encodes the message as encoding/json would, but copies the items' encodings unchanged.
-func (n News) pack() ([]byte, error) {
+// encode encodes the message as encoding/json would, but copies the items' encodings unchanged.
+func (n News) encode() ([]byte, error) {
 	header, err := wirejson.Marshal(struct {
 		Session Session
 		Duty    ident.Duty
@@ -87,8 +87,8 @@
 // plainDesired has the fields of Desired without its methods.
 type plainDesired Desired
 
-type squeezed struct {
-	Z []byte `json:"z"`
+type compressedDesired struct {
+	Data []byte `json:"z"`
 }
 
 // MarshalJSON encodes a desired state in compressed form.
@@ -108,17 +108,17 @@
 	if err := w.Close(); err != nil {
 		return nil, err
 	}
-	return json.Marshal(squeezed{b.Bytes()})
+	return json.Marshal(compressedDesired{b.Bytes()})
 }
 
 // UnmarshalJSON decodes a desired state, either compressed or in the plain form of earlier versions.
 func (d *Desired) UnmarshalJSON(raw []byte) error {
-	var z squeezed
+	var z compressedDesired
 	if err := json.Unmarshal(raw, &z); err != nil {
 		return err
 	}
-	if z.Z != nil {
-		unpacked, err := z.unpack()
+	if z.Data != nil {
+		unpacked, err := z.decompress()
 		if err != nil {
 			return errors.Wrap(err, "unpack desired state")
 		}
@@ -131,22 +131,22 @@
 	if err := json.Unmarshal(raw, &read); err != nil {
 		return err
 	}
-	if z.Z != nil && (read.Nested != nil || bytes.Equal(bytes.TrimSpace(raw), []byte("null"))) {
+	if z.Data != nil && (read.Nested != nil || bytes.Equal(bytes.TrimSpace(raw), []byte("null"))) {
 		return errors.New("unpack desired state: compressed data contains no desired state")
 	}
 	*d = Desired(read.plainDesired)
 	return nil
 }
 
-// unpack decompresses the JSON of a desired state and refuses any data after its end.
-func (z squeezed) unpack() ([]byte, error) {
-	compressed := bytes.NewReader(z.Z)
-	unpacked, err := io.ReadAll(io.LimitReader(flate.NewReader(compressed), mostDesired+1))
+// decompress decompresses the JSON of a desired state and refuses any data after its end.
+func (z compressedDesired) decompress() ([]byte, error) {
+	compressed := bytes.NewReader(z.Data)
+	unpacked, err := io.ReadAll(io.LimitReader(flate.NewReader(compressed), maxDesiredSize+1))
 	switch {
 	case err != nil:
 		return nil, err
-	case len(unpacked) > mostDesired:
-		return nil, errors.Errorf("decompressed size exceeds %d bytes", mostDesired)
+	case len(unpacked) > maxDesiredSize:
+		return nil, errors.Errorf("decompressed size exceeds %d bytes", maxDesiredSize)
 	case compressed.Len() > 0:
 		return nil, errors.Errorf("%d bytes after the end of the compressed data", compressed.Len())
 	}
--- a/internal/protocol/desired_test.go
+++ b/internal/protocol/desired_test.go
@@ -10,7 +10,7 @@
 
 // A desired state is unchanged by encoding and decoding, including the plain encoding of earlier versions. A large
 // plan is compressed well, and an item sent to many routers has the same bytes for each.
-func TestDesiredTravels(t *testing.T) {
+func TestDesiredEncoding(t *testing.T) {
 	desired := Desired{Gen: 3, Epoch: 7, Plan: bytes.Repeat([]byte(`{"label":"route","host":"a.example"},`), 3000), Done: []Change{{ID: "x", Epoch: 7}}}
 	raw, err := json.Marshal(desired)
 	require.NoError(t, err)
--- a/internal/protocol/fuzz_test.go
+++ b/internal/protocol/fuzz_test.go
@@ -66,7 +66,7 @@
 		f.Add([]byte(raw))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		for _, sent := range [][]byte{raw, squeeze(t, raw, nil)} {
+		for _, sent := range [][]byte{raw, compressDesired(t, raw, nil)} {
 			var d Desired
 			if json.Unmarshal(sent, &d) != nil {
 				continue
@@ -82,8 +82,8 @@
 	})
 }
 
-// squeeze compresses bytes as in the encoding of a desired state, followed by other bytes.
-func squeeze(t testing.TB, raw, after []byte) []byte {
+// compressDesired compresses bytes as in the encoding of a desired state, followed by other bytes.
+func compressDesired(t testing.TB, raw, after []byte) []byte {
 	t.Helper()
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, flate.BestSpeed)
@@ -91,39 +91,39 @@
 	_, err = w.Write(raw)
 	require.NoError(t, err)
 	require.NoError(t, w.Close())
-	encoded, err := json.Marshal(squeezed{append(b.Bytes(), after...)})
+	encoded, err := json.Marshal(compressedDesired{append(b.Bytes(), after...)})
 	require.NoError(t, err)
 	return encoded
 }
 
 // Decoding a desired state fails if the decompressed size exceeds the limit, if the compressed content is truncated
 // or is itself compressed, or if data follows it.
-func TestDesiredNonsense(t *testing.T) {
+func TestDesiredInvalid(t *testing.T) {
 	state := `{"gen":1,"epoch":2,"plan":"e30="}`
 	for name, c := range map[string]struct {
 		raw, after string
 		good       bool
 	}{
 		"plain":              {raw: state, good: true},
-		"at the bound":       {raw: state + strings.Repeat(" ", mostDesired-len(state)), good: true},
-		"over the bound":     {raw: state + strings.Repeat(" ", mostDesired-len(state)+1)},
-		"far over the bound": {raw: state + strings.Repeat(" ", 2*mostDesired)},
+		"at the bound":       {raw: state + strings.Repeat(" ", maxDesiredSize-len(state)), good: true},
+		"over the bound":     {raw: state + strings.Repeat(" ", maxDesiredSize-len(state)+1)},
+		"far over the bound": {raw: state + strings.Repeat(" ", 2*maxDesiredSize)},
 		"followed by bytes":  {raw: state, after: "xyz"},
-		"packed twice":       {raw: string(squeeze(t, []byte(state), nil))},
+		"packed twice":       {raw: string(compressDesired(t, []byte(state), nil))},
 		"cut short":          {raw: state[:20]},
 		"null":               {raw: "null"},
 		"empty":              {raw: ""},
 	} {
 		var d Desired
-		err := json.Unmarshal(squeeze(t, []byte(c.raw), []byte(c.after)), &d)
+		err := json.Unmarshal(compressDesired(t, []byte(c.raw), []byte(c.after)), &d)
 		require.Equal(t, c.good, err == nil, "%s: %v", name, err)
 		require.Equal(t, c.good, d.Gen == 1, name)
 	}
 }
 
 // Decoding a highly compressed desired state of excessive size uses little memory.
-func TestBombIsBounded(t *testing.T) {
-	sent := squeeze(t, bytes.Repeat([]byte(" "), 8*mostDesired), nil)
+func TestDecompressionBombUsesLittleMemory(t *testing.T) {
+	sent := compressDesired(t, bytes.Repeat([]byte(" "), 8*maxDesiredSize), nil)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	var d Desired
@@ -131,5 +131,5 @@
 	runtime.ReadMemStats(&after)
 	allocated := after.TotalAlloc - before.TotalAlloc
 	t.Logf("%d bytes sent, %d allocated", len(sent), allocated)
-	require.Less(t, allocated, uint64(6*mostDesired))
+	require.Less(t, allocated, uint64(6*maxDesiredSize))
 }
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -51,7 +51,7 @@
 	return Env{From: self, To: e.From, Via: e.By, Body: body}
 }
 
-type wire struct {
+type wireEnvelope struct {
 	From Sibling        `json:"f"`
 	To   Sibling        `json:"t"`
 	By   *Sibling       `json:"v,omitempty"`
@@ -122,8 +122,8 @@
 	return t.Name()
 }
 
-// address is the header of an envelope, without the body.
-type address struct {
+// envelopeHeader is the header of an envelope, without the body.
+type envelopeHeader struct {
 	From Sibling  `json:"f"`
 	To   Sibling  `json:"t"`
 	By   *Sibling `json:"v,omitempty"`
@@ -133,11 +133,11 @@
 // Pack encodes an envelope. Parts that are already encoded are copied unchanged: encoding/json would validate and
 // copy a large configuration again at every nesting level and for every router.
 func Pack(e Env) ([]byte, error) {
-	body, err := packBody(e.Body)
+	body, err := encodeBody(e.Body)
 	if err != nil {
 		return nil, errors.Wrap(err, "pack body")
 	}
-	header := address{From: e.From, To: e.To, Kind: Kind(e.Body)}
+	header := envelopeHeader{From: e.From, To: e.To, Kind: Kind(e.Body)}
 	if e.By.ID != "" {
 		header.By = &e.By
 	}
@@ -159,16 +159,16 @@
 	return append(out, '}')
 }
 
-func packBody(body any) ([]byte, error) {
+func encodeBody(body any) ([]byte, error) {
 	if updates, ok := body.(News); ok && len(updates.Items) > 0 {
-		return updates.pack()
+		return updates.encode()
 	}
 	return wirejson.Marshal(body, wireOptions)
 }
 
 // Unpack decodes an envelope. An unknown kind of message is an error.
 func Unpack(b []byte) (Env, error) {
-	var w wire
+	var w wireEnvelope
 	if err := wirejson.Unmarshal(b, &w, wireOptions); err != nil {
 		return Env{}, errors.Wrap(err, "unpack envelope")
 	}
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -73,7 +73,7 @@
 	require.Equal(t, "int", Kind(1))
 }
 
-func TestUnpackBad(t *testing.T) {
+func TestUnpackInvalid(t *testing.T) {
 	for _, raw := range []string{``, `{`, `{"k":"Nothing","b":{}}`, `{"k":"News","b":7}`, `[]`} {
 		_, err := Unpack([]byte(raw))
 		require.Error(t, err, raw)
@@ -94,7 +94,7 @@
 }
 
 // An invalid name chosen by a client or server must not prevent the whole message from being sent.
-func TestNamesThatAreNoTextDoNotSpoilAMessage(t *testing.T) {
+func TestInvalidNamesDoNotPreventSending(t *testing.T) {
 	bodies := []any{
 		Want{Key: "llm|\xff\xfe"},
 		Renew{Burden: map[ident.Key]Burden{"llm|\xff": {Wait: 1}, "llm|\xfe": {Wait: 1}, "llm|m": {Wait: 2}}},
