--- a/internal/host/ring_json.go
+++ b/internal/host/ring_json.go
@@ -11,37 +11,37 @@
 	"tidedeck/internal/invariant"
 )
 
-// RingOptions are those of a log.
+// RingOptions configures a log.
 type RingOptions struct {
-	Name  string    // of the process, on every line
-	Out   io.Writer // gets the ring when something goes wrong
-	Lines io.Writer // gets every line at once, as JSON; nil for none
+	Name  string    // process name, added to every line
+	Out   io.Writer // receives the ring when an error occurs
+	Lines io.Writer // receives every line immediately, as JSON; nil for none
 }
 
-// NewRingWith makes a log for one process.
+// NewRingWith returns a log for one process.
 func NewRingWith(o RingOptions) *Ring {
-	r := &Ring{list: make([]string, 512), out: o.Out}
-	r.log = logrus.New()
-	r.log.SetOutput(ringWriter{r})
-	r.log.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: time.RFC3339Nano})
-	r.log.AddHook(nameHook(o.Name))
+	r := &Ring{lines: make([]string, 512), out: o.Out}
+	r.logger = logrus.New()
+	r.logger.SetOutput(ringWriter{r})
+	r.logger.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: time.RFC3339Nano})
+	r.logger.AddHook(nameHook(o.Name))
 	if o.Lines != nil {
-		r.log.AddHook(&lineHook{out: o.Lines, form: logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano}})
+		r.logger.AddHook(&lineHook{out: o.Lines, form: logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano}})
 	}
 	return r
 }
 
-// lineHook writes every line at once; it comes after the hook that names lines.
+// lineHook writes every line immediately. It must run after the hook that adds the process name.
 type lineHook struct {
-	mu   sync.Mutex // keeps lines whole
+	mu   sync.Mutex // prevents interleaved lines
 	out  io.Writer
 	form logrus.JSONFormatter
 }
 
-// Levels tells that every line is written.
+// Levels implements logrus.Hook for all levels.
 func (h *lineHook) Levels() []logrus.Level { return logrus.AllLevels }
 
-// Fire writes a line; a log that cannot be written stops nothing.
+// Fire writes a line. Write errors are ignored.
 func (h *lineHook) Fire(e *logrus.Entry) error {
 	b, err := h.form.Format(e)
 	if err != nil {
@@ -53,12 +53,12 @@
 	return nil
 }
 
-// logViolations has violated invariants logged, and written to the ring's output at once: the process may be
-// killed before anybody asks for its metrics. A test that watches them itself goes on doing so.
+// logViolations logs violated invariants and writes them to the ring's output immediately, because the process may be
+// killed before its metrics are read. A test that observes violations itself continues to do so.
 func (r *Ring) logViolations() {
 	invariant.ObserveByDefault(func(v invariant.Violation) {
 		go func() {
-			r.log.Error(v.Error())
+			r.logger.Error(v.Error())
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			_, _ = fmt.Fprintln(r.out, v.Error())
--- a/internal/host/work_times.go
+++ b/internal/host/work_times.go
@@ -13,80 +13,80 @@
 )
 
 const (
-	// workReportEvery is how often the log tells what a process spent its time on.
-	workReportEvery = clock.Span(2e9)
-	// workReported is how many kinds of work such a line names, those that took longest first.
-	workReported = 5
+	// workReportInterval is the interval between log lines about the process's working times.
+	workReportInterval = clock.Span(2e9)
+	// maxReportedKinds is the number of kinds of work per log line, those with the longest times first.
+	maxReportedKinds = 5
 )
 
-// Kinds of work beside the steps of a core, which are named after their inputs.
+// Kinds of work other than core steps, which are named after their inputs.
 const (
-	workRead  = "read message"
-	workWrite = "write message"
+	workDecode = "read message"
+	workEncode = "write message"
 )
 
-// workTime is how often a kind of work was done, and how long it took in all.
+// workTime is the count and total duration of one kind of work.
 type workTime struct {
 	count uint64
-	took  time.Duration
+	total time.Duration
 }
 
-// workTimes sums how long a process works on what, by kind. It is wall time: where threads wait for a processor, that counts.
+// workTimes sums the durations of work by kind. Durations are wall time, so waiting for a processor counts.
 type workTimes struct {
-	mu       sync.Mutex // guards all below; taken last of all locks
-	all      map[string]workTime
-	recent   map[string]workTime // since the last report
-	reported clock.Tick
+	mu         sync.Mutex // guards all fields below; always the last lock to be acquired
+	totals     map[string]workTime
+	recent     map[string]workTime // since the last report
+	reportedAt clock.Tick
 }
 
 func newWorkTimes() *workTimes {
-	return &workTimes{all: map[string]workTime{}, recent: map[string]workTime{}}
+	return &workTimes{totals: map[string]workTime{}, recent: map[string]workTime{}}
 }
 
-// add counts work of a kind.
+// add records work of a kind.
 func (w *workTimes) add(kind string, took time.Duration) {
 	if w == nil {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, sums := range []map[string]workTime{w.all, w.recent} {
-		sum := sums[kind]
+	for _, times := range []map[string]workTime{w.totals, w.recent} {
+		sum := times[kind]
 		sum.count++
-		sum.took += took
-		sums[kind] = sum
+		sum.total += took
+		times[kind] = sum
 	}
 }
 
-// report gives the fields of a log line about the time since the last one, if one is due.
+// report returns the fields of a log line about the time since the last report, or nil if none is due.
 func (w *workTimes) report(now clock.Tick) []protocol.Field {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.reported == 0 {
-		w.reported = now
+	if w.reportedAt == 0 {
+		w.reportedAt = now
 	}
-	span := now.Sub(w.reported)
-	if span < workReportEvery || len(w.recent) == 0 {
+	span := now.Sub(w.reportedAt)
+	if span < workReportInterval || len(w.recent) == 0 {
 		return nil
 	}
 	fields := []protocol.Field{{Name: "span_ms", Value: span.Milliseconds()}}
 	kinds := w.longest()
-	for _, kind := range kinds[:min(workReported, len(kinds))] {
+	for _, kind := range kinds[:min(maxReportedKinds, len(kinds))] {
 		sum := w.recent[kind]
-		fields = append(fields, protocol.Field{Name: kind, Value: []int64{int64(sum.count), sum.took.Milliseconds()}})
+		fields = append(fields, protocol.Field{Name: kind, Value: []int64{int64(sum.count), sum.total.Milliseconds()}})
 	}
-	w.recent, w.reported = map[string]workTime{}, now
+	w.recent, w.reportedAt = map[string]workTime{}, now
 	return fields
 }
 
-// longest lists the recent kinds of work, those that took longest first.
+// longest returns the recent kinds of work, those with the longest times first.
 func (w *workTimes) longest() []string {
 	kinds := make([]string, 0, len(w.recent))
 	for kind := range w.recent {
 		kinds = append(kinds, kind)
 	}
 	slices.SortFunc(kinds, func(a, b string) int {
-		return cmp.Or(cmp.Compare(w.recent[b].took, w.recent[a].took), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(w.recent[b].total, w.recent[a].total), cmp.Compare(a, b))
 	})
 	return kinds
 }
@@ -96,15 +96,15 @@
 	workCount   = prometheus.NewDesc("tidedeck_work_total", "How often a kind of work was done.", []string{"work"}, nil)
 )
 
-// Describe leaves the metrics unchecked; kinds of work come as they are met.
+// Describe sends nothing, so the metrics are unchecked: the kinds of work are not known in advance.
 func (w *workTimes) Describe(chan<- *prometheus.Desc) {}
 
-// Collect reads the sums.
+// Collect sends the current sums.
 func (w *workTimes) Collect(ch chan<- prometheus.Metric) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for kind, sum := range w.all {
-		ch <- prometheus.MustNewConstMetric(workSeconds, prometheus.CounterValue, sum.took.Seconds(), kind)
+	for kind, sum := range w.totals {
+		ch <- prometheus.MustNewConstMetric(workSeconds, prometheus.CounterValue, sum.total.Seconds(), kind)
 		ch <- prometheus.MustNewConstMetric(workCount, prometheus.CounterValue, float64(sum.count), kind)
 	}
 }
