--- a/cmd/soak/memory_test.go
+++ b/cmd/soak/memory_test.go
@@ -11,10 +11,10 @@
 	"tidedeck/internal/soak"
 )
 
-// Samples that were written are no error, and a file that cannot be made is one.
+// writeSamples writes one CSV line per sample, and returns an error if it cannot create the file.
 func TestWriteSamples(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "memory.csv")
-	require.NoError(t, writeSamples(path, []soak.MemorySample{{At: 2e9, Machine: "core-1", Process: 7, Peak: 20, Now: 19.5, Changes: 3}}))
+	require.NoError(t, writeSamples(path, []soak.MemorySample{{At: 2e9, Machine: "core-1", Process: 7, PeakMB: 20, ResidentMB: 19.5, Changes: 3}}))
 	raw, err := os.ReadFile(path)
 	require.NoError(t, err)
 	lines := strings.Split(strings.TrimSpace(string(raw)), "\n")
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -19,147 +19,148 @@
 	"tidedeck/platform/peer"
 )
 
-// front is the platform before the routers: it asks each whether it is ready, once a second, and a router that
-// misses twice gets no new connections until it answers again.
-type front struct {
-	fleet *fleet
-	mu    sync.Mutex // guards miss
-	miss  map[string]int
+// loadBalancer stands in for the platform's load balancer. It probes the readiness of each router once a second;
+// a router that fails two probes in a row gets no new connections until a probe succeeds.
+type loadBalancer struct {
+	fleet        *fleet
+	mu           sync.Mutex // guards failedChecks
+	failedChecks map[string]int
 }
 
 const (
-	readyPeriod = time.Second
-	mostMisses  = 2
+	readinessInterval = time.Second
+	maxFailedChecks   = 2
 )
 
-func (f *front) watch(ctx context.Context) {
-	client := &http.Client{Timeout: readyPeriod, Transport: &http.Transport{DisableKeepAlives: true}}
+func (b *loadBalancer) pollReadiness(ctx context.Context) {
+	client := &http.Client{Timeout: readinessInterval, Transport: &http.Transport{DisableKeepAlives: true}}
 	for ctx.Err() == nil {
-		for _, m := range f.fleet.of(routerRole) {
+		for _, m := range b.fleet.withRole(routerRole) {
 			go func() {
-				answer, err := client.Get("http://" + at(m.told, portReadiness) + peer.PathReadiness)
-				ready := err == nil && answer.StatusCode == http.StatusOK
+				response, err := client.Get("http://" + hostPort(m.advertisedIP, portReadiness) + peer.PathReadiness)
+				ready := err == nil && response.StatusCode == http.StatusOK
 				if err == nil {
-					_ = answer.Body.Close()
+					_ = response.Body.Close()
 				}
-				f.mu.Lock()
-				defer f.mu.Unlock()
-				if f.miss[m.told]++; ready {
-					f.miss[m.told] = 0
+				b.mu.Lock()
+				defer b.mu.Unlock()
+				if b.failedChecks[m.advertisedIP]++; ready {
+					b.failedChecks[m.advertisedIP] = 0
 				}
 			}()
 		}
-		wait(ctx, readyPeriod)
+		sleep(ctx, readinessInterval)
 	}
 }
 
-// pick gives a router for a new connection: any of those that are in, or of all if fewer than half are.
-func (f *front) pick(random *rand.Rand) string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	var in, all []string
-	for _, m := range f.fleet.of(routerRole) {
-		all = append(all, m.told)
-		if f.miss[m.told] < mostMisses {
-			in = append(in, m.told)
+// pickRouter picks a random ready router for a new connection. If fewer than half of the routers are ready, it picks
+// from all of them.
+func (b *loadBalancer) pickRouter(random *rand.Rand) string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	var ready, all []string
+	for _, m := range b.fleet.withRole(routerRole) {
+		all = append(all, m.advertisedIP)
+		if b.failedChecks[m.advertisedIP] < maxFailedChecks {
+			ready = append(ready, m.advertisedIP)
 		}
 	}
-	if 2*len(in) < len(all) {
-		in = all
+	if 2*len(ready) < len(all) {
+		ready = all
 	}
-	return in[random.IntN(len(in))]
+	return ready[random.IntN(len(ready))]
 }
 
-// caller sends one request after another, each with an id of its own, and checks every answer to the byte.
+// caller sends one request at a time, each with a unique id, and checks every answer byte by byte.
 type caller struct {
-	run    *soakRun
-	number int
-	random *rand.Rand
-	sent   int
+	run       *soakRun
+	number    int
+	random    *rand.Rand
+	sentCount int
 
-	steady bool // it shows the key that stays only
+	fixedKeyOnly bool // requests carry fixedKey only
 
-	conn   net.Conn
-	reader *bufio.Reader
-	router string
-	used   int
+	conn           net.Conn
+	reader         *bufio.Reader
+	router         string
+	requestsOnConn int
 }
 
-func (c *caller) hangUp() {
+func (c *caller) closeConn() {
 	if c.conn != nil {
 		_ = c.conn.Close()
 	}
-	c.conn, c.reader, c.used = nil, nil, 0
+	c.conn, c.reader, c.requestsOnConn = nil, nil, 0
 }
 
-// rest is how long a caller waits between two requests.
-const rest = 30 * time.Millisecond
+// meanRequestPause is the mean pause between two requests of a caller.
+const meanRequestPause = 30 * time.Millisecond
 
 func (c *caller) loop(ctx context.Context) {
-	defer c.hangUp()
+	defer c.closeConn()
 	for ctx.Err() == nil {
-		c.one()
-		wait(ctx, rest/2+time.Duration(c.random.Int64N(int64(rest))))
+		c.sendOne()
+		sleep(ctx, meanRequestPause/2+time.Duration(c.random.Int64N(int64(meanRequestPause))))
 	}
 }
 
-// connect gives a connection: the one that there is, or a new one.
+// connect reuses the open connection or opens a new one.
 func (c *caller) connect() error {
 	if c.conn != nil {
 		return nil
 	}
-	c.router = c.run.front.pick(c.random)
-	conn, err := net.DialTimeout("tcp", at(c.router, portIngress), time.Second)
+	c.router = c.run.loadBalancer.pickRouter(c.random)
+	conn, err := net.DialTimeout("tcp", hostPort(c.router, portIngress), time.Second)
 	if err != nil {
 		return err
 	}
-	c.conn, c.reader, c.used = conn, bufio.NewReader(conn), 0
+	c.conn, c.reader, c.requestsOnConn = conn, bufio.NewReader(conn), 0
 	return nil
 }
 
-// request is what is sent in one try.
+// request is one request and how the caller behaves while sending it.
 type request struct {
-	*try
-	model      string
-	ownName    bool // it gives a tenant's name of its own
-	content    []byte
-	slow       bool // its body comes in pieces
-	leaves     time.Duration
-	halfClosed bool // the caller ends its sending side at once
+	*requestRecord
+	model        string
+	claimsTenant bool // sends a tenant name header itself
+	content      []byte
+	slowBody     bool // sends the body in pieces
+	abortAfter   time.Duration
+	halfCloses   bool // closes the sending side right after the request
 }
 
-var modesOf = map[string]string{
+var modeByPath = map[string]string{
 	pathIdempotent: peer.Idempotent, pathEffectful: peer.Effectful, pathResumable: peer.Continuous, pathStream: peer.Effectful,
 	pathPlain: peer.Idempotent, pathMoving: peer.Effectful,
 }
 
-// Shares of requests at which callers misbehave, while they do.
+// Shares of requests with each kind of misbehaviour while callers misbehave, and sizes and times of requests.
 const (
-	leavingShare    = 0.1
-	halfCloseShare  = 0.05
-	slowBodyShare   = 0.05
-	longBodyShare   = 0.04
-	freshShare      = 0.15 // of requests that go on a new connection
-	longBody        = 200 << 10
-	leavingLatest   = 150 * time.Millisecond
-	answerPatience  = time.Second
-	pathCount       = 6
-	shortBodyBytes  = 64
-	slowPieces      = 4
-	slowPause       = 40 * time.Millisecond
-	promptTokens    = 100
-	answerTokens    = 8
-	connectionLimit = 40 // requests on one connection
+	abortShare         = 0.1
+	halfCloseShare     = 0.05
+	slowBodyShare      = 0.05
+	longBodyShare      = 0.04
+	newConnShare       = 0.15 // of requests that open a new connection
+	longBodyBytes      = 200 << 10
+	maxAbortDelay      = 150 * time.Millisecond
+	answerSlack        = time.Second
+	pathCount          = 6
+	shortBodyBytes     = 64
+	slowBodyPieces     = 4
+	slowBodyPause      = 40 * time.Millisecond
+	promptTokens       = 100
+	answerTokens       = 8
+	maxRequestsPerConn = 40
 )
 
-func (c *caller) draw() request {
+func (c *caller) randomRequest() request {
 	paths := [pathCount]string{pathIdempotent, pathEffectful, pathResumable, pathStream, pathPlain, pathMoving}
 	path := paths[c.random.IntN(len(paths))]
-	c.sent++
-	q := request{try: &try{id: fmt.Sprintf("c%d-%d-%d", c.run.options.Seed, c.number, c.sent), method: http.MethodPost, mode: modesOf[path], path: path, key: steadyKey}}
-	if !c.steady {
-		q.key = drawKey(c.random)
-		q.ownName = c.random.Float64() < ownNameShare
+	c.sentCount++
+	q := request{requestRecord: &requestRecord{id: fmt.Sprintf("c%d-%d-%d", c.run.options.Seed, c.number, c.sentCount), method: http.MethodPost, mode: modeByPath[path], path: path, key: fixedKey}}
+	if !c.fixedKeyOnly {
+		q.key = randomKey(c.random)
+		q.claimsTenant = c.random.Float64() < claimedTenantShare
 	}
 	q.target = path + strconv.Itoa(c.random.IntN(100)) + "?q=" + q.id
 	if path != pathPlain && path != pathMoving {
@@ -167,18 +168,18 @@
 	}
 	size := shortBodyBytes
 	if c.random.Float64() < longBodyShare {
-		size = longBody
+		size = longBodyBytes
 	}
 	q.content = []byte(strings.Repeat(q.id+";", size/len(q.id)+1))
 	q.body = digest(q.content)
-	if c.run.callersRude.Load() {
-		switch dice := c.random.Float64(); {
-		case dice < leavingShare:
-			q.leaves = 1 + time.Duration(c.random.Int64N(int64(leavingLatest)))
-		case dice < leavingShare+halfCloseShare:
-			q.halfClosed = true
-		case dice < leavingShare+halfCloseShare+slowBodyShare:
-			q.slow = true
+	if c.run.callersMisbehave.Load() {
+		switch roll := c.random.Float64(); {
+		case roll < abortShare:
+			q.abortAfter = 1 + time.Duration(c.random.Int64N(int64(maxAbortDelay)))
+		case roll < abortShare+halfCloseShare:
+			q.halfCloses = true
+		case roll < abortShare+halfCloseShare+slowBodyShare:
+			q.slowBody = true
 		}
 	}
 	return q
@@ -186,52 +187,52 @@
 
 func modelName(i int) string { return fmt.Sprintf("model-%d", i) }
 
-// clings tells whether a caller uses its connection until it ends, whatever is said on it but that it closes.
-func (c *caller) clings() bool { return c.number%clingingEvery == 0 }
+// keepsConn reports whether the caller keeps using its connection until an answer says that the connection closes.
+func (c *caller) keepsConn() bool { return c.number%keepConnEvery == 0 }
 
-// clingingEvery is how many callers there are to one that clings to its connection.
-const clingingEvery = 3
+// keepConnEvery makes one in so many callers keep its connection.
+const keepConnEvery = 3
 
-func (c *caller) one() {
-	if !c.clings() && (c.random.Float64() < freshShare || c.used >= connectionLimit) {
-		c.hangUp()
+func (c *caller) sendOne() {
+	if !c.keepsConn() && (c.random.Float64() < newConnShare || c.requestsOnConn >= maxRequestsPerConn) {
+		c.closeConn()
 	}
-	q := c.draw()
+	q := c.randomRequest()
 	if err := c.connect(); err != nil {
-		c.hangUp()
-		wait(context.Background(), 50*time.Millisecond)
+		c.closeConn()
+		sleep(context.Background(), 50*time.Millisecond)
 		return
 	}
-	q.router, q.sent, q.reused = c.router, time.Now(), c.used > 0
-	c.used++
-	c.run.judge.asked(q.try)
+	q.router, q.sentAt, q.reusedConn = c.router, time.Now(), c.requestsOnConn > 0
+	c.requestsOnConn++
+	c.run.checker.requestSent(q.requestRecord)
 	if err := c.write(q); err != nil {
-		c.run.judge.ended(q.try, broken, 0, "write: "+err.Error())
-		c.hangUp()
+		c.run.checker.requestEnded(q.requestRecord, broken, 0, "write: "+err.Error())
+		c.closeConn()
 		return
 	}
-	if q.leaves > 0 {
+	if q.abortAfter > 0 {
 		conn := c.conn
-		stop := time.AfterFunc(q.leaves, func() { _ = conn.Close() })
+		stop := time.AfterFunc(q.abortAfter, func() { _ = conn.Close() })
 		defer stop.Stop()
 	}
 	result, status, detail := c.read(q)
-	if q.leaves > 0 || q.halfClosed {
-		if result != served && result != refused && result != denied {
-			result = left
+	if q.abortAfter > 0 || q.halfCloses {
+		if result != served && result != refused && result != unauthorized {
+			result = callerLeft
 		}
 	}
-	c.run.judge.ended(q.try, result, status, detail)
-	if result != served && result != refused && result != failed && result != denied || q.leaves > 0 || q.halfClosed {
-		c.hangUp()
+	c.run.checker.requestEnded(q.requestRecord, result, status, detail)
+	if result != served && result != refused && result != failed && result != unauthorized || q.abortAfter > 0 || q.halfCloses {
+		c.closeConn()
 	}
 }
 
 func (c *caller) write(q request) error {
-	_ = c.conn.SetDeadline(time.Now().Add(horizonSpan + answerPatience))
+	_ = c.conn.SetDeadline(time.Now().Add(requestTimeout + answerSlack))
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\nContent-Length: %d\r\n", q.method, q.target, callersHost,
-		peer.HeaderID, q.id, peer.HeaderLeft, horizonSpan.Milliseconds(), len(q.content))
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\nContent-Length: %d\r\n", q.method, q.target, requestHost,
+		peer.HeaderID, q.id, peer.HeaderLeft, requestTimeout.Milliseconds(), len(q.content))
 	if q.model != "" {
 		fmt.Fprintf(&b, "%s: %s\r\n%s: %s\r\n%s: %s:%d\r\n", peer.HeaderModel, q.model, peer.HeaderTokens, peer.Tokens(promptTokens, answerTokens),
 			peer.HeaderParts, q.body, promptTokens)
@@ -239,14 +240,14 @@
 	if q.key != "" {
 		fmt.Fprintf(&b, "%s: %s\r\n", peer.HeaderKey, peer.Bearer(q.key))
 	}
-	if q.ownName {
-		fmt.Fprintf(&b, "%s: %s\r\n", peer.HeaderTenant, steadyTenant)
+	if q.claimsTenant {
+		fmt.Fprintf(&b, "%s: %s\r\n", peer.HeaderTenant, fixedTenant)
 	}
 	b.WriteString("\r\n")
-	if !q.slow {
+	if !q.slowBody {
 		b.Write(q.content)
 		_, err := c.conn.Write(b.Bytes())
-		if err == nil && q.halfClosed {
+		if err == nil && q.halfCloses {
 			err = c.conn.(*net.TCPConn).CloseWrite()
 		}
 		return err
@@ -254,91 +255,91 @@
 	if _, err := c.conn.Write(b.Bytes()); err != nil {
 		return err
 	}
-	piece := len(q.content)/slowPieces + 1
-	for rest := q.content; len(rest) > 0; {
-		n := min(piece, len(rest))
-		if _, err := c.conn.Write(rest[:n]); err != nil {
+	piece := len(q.content)/slowBodyPieces + 1
+	for unsent := q.content; len(unsent) > 0; {
+		size := min(piece, len(unsent))
+		if _, err := c.conn.Write(unsent[:size]); err != nil {
 			return err
 		}
-		rest = rest[n:]
-		time.Sleep(slowPause)
+		unsent = unsent[size:]
+		time.Sleep(slowBodyPause)
 	}
 	return nil
 }
 
-// read takes the answer and checks that it is wholly a server's own, and to this request.
+// read reads the answer and checks that it comes from one server and belongs to this request.
 func (c *caller) read(q request) (outcome, int, string) {
-	a, err := http.ReadResponse(c.reader, &http.Request{Method: q.method})
+	response, err := http.ReadResponse(c.reader, &http.Request{Method: q.method})
 	if err != nil {
 		return broken, 0, "head: " + err.Error()
 	}
-	defer a.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(a.Body, 1<<20))
-	if a.Close {
-		defer c.hangUp()
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, 1<<20))
+	if response.Close {
+		defer c.closeConn()
 	}
 	if err != nil {
-		if wrong := c.checkPieces(q, a, body, false); wrong != nil {
-			c.run.judge.violate("MIXED", "%s: %v", q.id, wrong)
+		if mismatch := c.checkEvents(q, response, body, false); mismatch != nil {
+			c.run.checker.violate("MIXED", "%s: %v", q.id, mismatch)
 		}
-		return broken, a.StatusCode, "body: " + err.Error()
+		return broken, response.StatusCode, "body: " + err.Error()
 	}
 	switch {
-	case a.StatusCode/100 == 2:
-		if wrong := c.check(q, a, body); wrong != nil {
-			c.run.judge.violate("MIXED", "%s: %v", q.id, wrong)
+	case response.StatusCode/100 == 2:
+		if mismatch := c.checkSuccess(q, response, body); mismatch != nil {
+			c.run.checker.violate("MIXED", "%s: %v", q.id, mismatch)
 		}
-		return served, a.StatusCode, a.Header.Get(peer.HeaderSeal)
-	case a.StatusCode == http.StatusRequestTimeout, a.StatusCode == http.StatusMisdirectedRequest,
-		a.StatusCode == http.StatusTooManyRequests, a.StatusCode == http.StatusServiceUnavailable:
-		return refused, a.StatusCode, string(body)
-	case a.StatusCode == http.StatusUnauthorized:
-		return denied, a.StatusCode, string(body)
-	case a.StatusCode/100 == 4 || a.StatusCode/100 == 3:
-		c.run.judge.violate("DENIED", "%s for %s was told %d: %s", q.id, q.target, a.StatusCode, body)
-	}
-	return failed, a.StatusCode, string(body)
+		return served, response.StatusCode, response.Header.Get(peer.HeaderSeal)
+	case response.StatusCode == http.StatusRequestTimeout, response.StatusCode == http.StatusMisdirectedRequest,
+		response.StatusCode == http.StatusTooManyRequests, response.StatusCode == http.StatusServiceUnavailable:
+		return refused, response.StatusCode, string(body)
+	case response.StatusCode == http.StatusUnauthorized:
+		return unauthorized, response.StatusCode, string(body)
+	case response.StatusCode/100 == 4 || response.StatusCode/100 == 3:
+		c.run.checker.violate("DENIED", "%s for %s got status %d: %s", q.id, q.target, response.StatusCode, body)
+	}
+	return failed, response.StatusCode, string(body)
 }
 
-// check holds a whole success against what the server that sealed it would say.
-func (c *caller) check(q request, a *http.Response, body []byte) error {
-	if id := a.Header.Get(peer.HeaderID); id != q.id {
-		return errors.Errorf("the answer is to %q", id)
+// checkSuccess compares a complete success with the answer that the server named in its seal would give.
+func (c *caller) checkSuccess(q request, response *http.Response, body []byte) error {
+	if id := response.Header.Get(peer.HeaderID); id != q.id {
+		return errors.Errorf("answer belongs to request %q", id)
 	}
-	seal, ok := strings.CutPrefix(a.Header.Get(peer.HeaderSeal), "seal.")
-	server, ok2 := strings.CutSuffix(seal, "."+q.id)
-	if !ok || !ok2 {
-		return errors.Errorf("the seal is %q", a.Header.Get(peer.HeaderSeal))
+	seal, okSeal := strings.CutPrefix(response.Header.Get(peer.HeaderSeal), "seal.")
+	server, okServer := strings.CutSuffix(seal, "."+q.id)
+	if !okSeal || !okServer {
+		return errors.Errorf("unexpected seal %q", response.Header.Get(peer.HeaderSeal))
 	}
 	if q.path == pathResumable || q.path == pathStream {
-		return c.checkPieces(q, a, body, true)
+		return c.checkEvents(q, response, body, true)
 	}
 	if string(body) != answerText(q.id, server) {
-		return errors.Errorf("the body is %q", body)
+		return errors.Errorf("unexpected body %q", body)
 	}
 	return nil
 }
 
-// checkPieces looks at the events of a stream: they follow each other, and a whole stream has all of them.
-func (c *caller) checkPieces(q request, a *http.Response, body []byte, whole bool) error {
-	if a.StatusCode != http.StatusOK || q.path != pathResumable && q.path != pathStream {
+// checkEvents checks that the events of a stream are consecutive, and that a complete stream contains all of them.
+func (c *caller) checkEvents(q request, response *http.Response, body []byte, complete bool) error {
+	if response.StatusCode != http.StatusOK || q.path != pathResumable && q.path != pathStream {
 		return nil
 	}
 	events := strings.SplitAfter(string(body), "\n\n")
-	n := uint64(0)
+	last := uint64(0)
 	for _, event := range events {
-		want := peer.Event(n+1, eventText(q.id, n+1))
+		want := peer.Event(last+1, eventText(q.id, last+1))
 		switch {
 		case event == "":
 		case event == want:
-			n++
-		case !whole && strings.HasPrefix(want, event) || !whole && n == eventCount:
+			last++
+		case !complete && strings.HasPrefix(want, event) || !complete && last == eventCount:
 		default:
-			return errors.Errorf("event %d is %q", n+1, event)
+			return errors.Errorf("unexpected event %d: %q", last+1, event)
 		}
 	}
-	if whole && n != eventCount {
-		return errors.Errorf("the stream ends after event %d of %d", n, eventCount)
+	if complete && last != eventCount {
+		return errors.Errorf("stream ended after event %d of %d", last, eventCount)
 	}
 	return nil
 }
--- a/internal/soak/keys.go
+++ b/internal/soak/keys.go
@@ -7,53 +7,53 @@
 	"tidedeck/platform/peer"
 )
 
-// Callers show keys of tenants. One key is a tenant's at all times; one is moved between two tenants and taken away by the
-// configuration; one is nobody's. The route of the plain service wants no key.
+// Callers authenticate with tenant keys. fixedKey always belongs to fixedTenant. Configurations assign movingKey to one of
+// two tenants or to none. unknownKey belongs to no tenant. The route of the plain service needs no key.
 
 const (
-	steadyKey  = "soak-key-that-stays"
+	fixedKey   = "soak-key-that-stays"
 	movingKey  = "soak-key-that-moves"
-	nobodysKey = "soak-key-of-nobody"
+	unknownKey = "soak-key-of-nobody"
 
-	steadyTenant = "stays"
+	fixedTenant = "stays"
 )
 
-var secretKeys = []string{steadyKey, movingKey, nobodysKey}
+var secretKeys = []string{fixedKey, movingKey, unknownKey}
 
 var movingTenants = []string{"left", "right"}
 
-// Shares of requests by the key that callers show; the rest show the one that stays.
+// Shares of requests by the key that they carry; the other requests carry fixedKey.
 const (
-	movingKeyShare  = 0.15
-	nobodysKeyShare = 0.03
-	noKeyShare      = 0.02
-	ownNameShare    = 0.05 // of requests in which a caller gives a tenant's name of its own
+	movingKeyShare     = 0.15
+	unknownKeyShare    = 0.03
+	noKeyShare         = 0.02
+	claimedTenantShare = 0.05 // of requests with a tenant name header set by the caller
 )
 
-// drawKey draws the key that a request shows; none is the empty one.
-func drawKey(random *rand.Rand) string {
-	switch dice := random.Float64(); {
-	case dice < movingKeyShare:
+// randomKey draws the key of a request; the empty string stands for no key.
+func randomKey(random *rand.Rand) string {
+	switch roll := random.Float64(); {
+	case roll < movingKeyShare:
 		return movingKey
-	case dice < movingKeyShare+nobodysKeyShare:
-		return nobodysKey
-	case dice < movingKeyShare+nobodysKeyShare+noKeyShare:
+	case roll < movingKeyShare+unknownKeyShare:
+		return unknownKey
+	case roll < movingKeyShare+unknownKeyShare+noKeyShare:
 		return ""
 	}
-	return steadyKey
+	return fixedKey
 }
 
-// wantsKey tells whether a path's requests need a tenant's key.
-func wantsKey(path string) bool { return path != pathPlain }
+// needsKey reports whether requests for a path need a tenant key.
+func needsKey(path string) bool { return path != pathPlain }
 
-// drawHolder draws whose the moving key is: one of two tenants, or nobody.
-func drawHolder(random *rand.Rand) string {
+// randomHolder draws the tenant that holds movingKey; the empty string stands for none.
+func randomHolder(random *rand.Rand) string {
 	return append(movingTenants, "")[random.IntN(len(movingTenants)+1)]
 }
 
-// tenantsOf lists the tenants of a configuration under which the moving key is one's, or nobody's.
+// tenantsOf lists the tenants of a configuration in which holder, if not empty, holds movingKey.
 func tenantsOf(holder string) []peer.Tenant {
-	l := []peer.Tenant{{Label: steadyTenant, Keys: []string{steadyKey}}}
+	l := []peer.Tenant{{Label: fixedTenant, Keys: []string{fixedKey}}}
 	for i, name := range movingTenants {
 		keys := []string{"soak-spare-key-" + name}
 		if name == holder {
@@ -64,55 +64,56 @@
 	return l
 }
 
-// sharedKey makes tenants invalid: two of them have one key.
-func sharedKey(l []peer.Tenant) {
-	l[len(l)-1].Keys = append(l[len(l)-1].Keys, steadyKey)
+// addDuplicateKey makes a list of tenants invalid by giving two of them the same key.
+func addDuplicateKey(l []peer.Tenant) {
+	l[len(l)-1].Keys = append(l[len(l)-1].Keys, fixedKey)
 }
 
-// holders tells whose a key may be when a request is handled: by any configuration that may have been taken by then, and, where
-// times are bounded, that none which was acknowledged too long ago has followed.
-func (l *ledger) holders(key string, sent, handled time.Time, bounded bool) map[string]bool {
+// possibleHolders returns the tenants that may hold a key when a request is handled, with the empty string for none. It
+// considers every configuration that may be in force at that time. If bounded is set, configurations that were superseded
+// by one acknowledged more than applyLimit before the request was sent are excluded.
+func (h *changeHistory) possibleHolders(key string, sent, handled time.Time, bounded bool) map[string]bool {
 	switch key {
-	case steadyKey:
-		return map[string]bool{steadyTenant: true}
+	case fixedKey:
+		return map[string]bool{fixedTenant: true}
 	case movingKey:
 	default:
 		return map[string]bool{"": true}
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	least := uint64(0)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	oldest := uint64(0)
 	if bounded {
-		least = l.leastLocked(sent)
+		oldest = h.oldestInForceLocked(sent)
 	}
-	may := map[string]bool{}
-	for _, c := range l.changes {
-		if c.revision >= least && c.mayRule(handled) {
-			may[c.holder] = true
+	possible := map[string]bool{}
+	for _, c := range h.changes {
+		if c.revision >= oldest && c.mayBeInForce(handled) {
+			possible[c.keyHolder] = true
 		}
 	}
-	return may
+	return possible
 }
 
-// judgeKeys holds one request against whose it was, and whether it was to run at all.
-func (j *judge) judgeKeys(t *try, bounded bool) {
-	keyed := wantsKey(t.path)
-	for _, r := range j.runs[t.id] {
-		holders := j.ledger.holders(t.key, t.sent, r.at, bounded)
+// checkKeys checks that a request was executed only if its key allows that, and for the tenant that holds the key.
+func (c *checker) checkKeys(q *requestRecord, bounded bool) {
+	keyNeeded := needsKey(q.path)
+	for _, e := range c.executions[q.id] {
+		holders := c.history.possibleHolders(q.key, q.sentAt, e.startedAt, bounded)
 		switch {
-		case r.tenant == "" && keyed:
-			j.violateLocked("ROUTE", "%s of %s ran at %s for no tenant", t.id, t.target, r.server)
-		case !holders[r.tenant]:
-			j.violateLocked("UNASKED", "%s with the key %q ran at %s for %q, and may be one of %v", t.id, t.key, r.server, r.tenant, holders)
+		case e.tenant == "" && keyNeeded:
+			c.violateLocked("ROUTE", "%s of %s was executed at %s for no tenant", q.id, q.target, e.server)
+		case !holders[e.tenant]:
+			c.violateLocked("UNASKED", "%s with key %q was executed at %s for tenant %q, possible tenants %v", q.id, q.key, e.server, e.tenant, holders)
 		}
 	}
-	if t.result != denied {
+	if q.result != unauthorized {
 		return
 	}
-	if n := len(j.runs[t.id]); n > 0 {
-		j.violateLocked("REFUSED", "%s was told that its key is unknown, and ran %d times", t.id, n)
+	if n := len(c.executions[q.id]); n > 0 {
+		c.violateLocked("REFUSED", "%s was refused for an unknown key but executed %d times", q.id, n)
 	}
-	if !keyed || !j.ledger.holders(t.key, t.sent, t.over, bounded)[""] {
-		j.violateLocked("DENIED", "%s with the key %q for %s was told that it has none: %s", t.id, t.key, t.target, t.detail)
+	if !keyNeeded || !c.history.possibleHolders(q.key, q.sentAt, q.endedAt, bounded)[""] {
+		c.violateLocked("DENIED", "%s with key %q for %s was refused for a missing or unknown key: %s", q.id, q.key, q.target, q.detail)
 	}
 }
--- a/internal/soak/machine.go
+++ b/internal/soak/machine.go
@@ -19,24 +19,24 @@
 	"tidedeck/platform/peer"
 )
 
-// Ports are alike on all machines.
+// Ports are the same on all machines.
 const (
 	portIngress   = 8144
 	portReadiness = 8140
 	portControl   = 8146
-	portFirst     = 7660
-	portLast      = 7675
+	firstPeerPort = 7660
+	lastPeerPort  = 7675
 	portMetrics   = 9464
 	portServer    = 8080
 
-	nodePorts    = 4    // of those between nodes that are used
-	portReserved = 7650 // by which a run has its network to itself
-	memoryMb     = 284
-	firstNetwork = 40 // second byte of the first network's addresses; each has two
-	lastNetwork  = 250
+	usedPeerPorts   = 4    // ports between nodes that are used
+	networkLockPort = 7650 // a listener on this port reserves a network for one run
+	memoryMb        = 284
+	firstNetwork    = 40 // second byte of the addresses of the first network; each network takes two values
+	lastNetwork     = 250
 )
 
-// role is what a machine runs.
+// role is the program that a machine runs.
 type role string
 
 const (
@@ -44,53 +44,53 @@
 	controllerRole role = "controller"
 )
 
-// machine is one machine of the fleet with its one process. Others reach it at told, through links that can
-// be cut; the process listens at bind.
+// machine is one simulated machine of the fleet, which runs one process. Other machines reach it at advertisedIP, through
+// links that can be cut; the process listens at bindIP.
 type machine struct {
-	name, zone string
-	role       role
-	told, bind string
-	folder     string
-	first      bool // the whole system starts for the first time
-
-	mu       sync.Mutex // guards the rest
-	cmd      *exec.Cmd
-	ended    chan struct{} // closed when the process is gone
-	expected bool          // its end was asked for
-	peakKb   int
-	starts   int
+	name, zone           string
+	role                 role
+	advertisedIP, bindIP string
+	folder               string
+	firstBoot            bool // the deployment starts for the first time
+
+	mu           sync.Mutex // guards the rest
+	cmd          *exec.Cmd
+	exited       chan struct{} // closed when the process has exited
+	exitExpected bool          // the soak caused or requested the exit
+	peakKb       int
+	starts       int
 }
 
-// fleet is every machine of one run, on addresses of its own.
+// fleet is the set of machines of one run. Each run has its own network of loopback addresses.
 type fleet struct {
 	programs string
 	folder   string
-	network  int          // second byte of its addresses; the next one is its too
-	reserved net.Listener // held while the run has its network
+	network  int          // second byte of the advertised addresses; bound addresses have the next value
+	reserved net.Listener // open while the run uses its network
 	links    *localfleet.Relays
 	machines []*machine
-	judge    *judge
+	checker  *checker
 	bounds   peer.Bounds
 }
 
-func newFleet(o Options, j *judge) (*fleet, error) {
-	f := &fleet{programs: o.Programs, folder: o.Folder, links: localfleet.NewRelays(), judge: j, bounds: bounds}
+func newFleet(o Options, c *checker) (*fleet, error) {
+	f := &fleet{programs: o.Programs, folder: o.Folder, links: localfleet.NewRelays(), checker: c, bounds: deploymentBounds}
 	if err := f.reserve(); err != nil {
 		return nil, err
 	}
 	for i := range o.Cores {
-		f.add(fmt.Sprintf("core-%d", i+1), controllerRole, i)
+		f.addMachine(fmt.Sprintf("core-%d", i+1), controllerRole, i)
 	}
 	for i := range o.Routers {
-		f.add(fmt.Sprintf("edge-%d", i+1), routerRole, i)
+		f.addMachine(fmt.Sprintf("edge-%d", i+1), routerRole, i)
 	}
 	return f, nil
 }
 
-// reserve finds a network of loopback addresses that no other run on this machine has.
+// reserve reserves a network of loopback addresses that no other run on this machine uses.
 func (f *fleet) reserve() error {
 	for f.network = firstNetwork; f.network <= lastNetwork; f.network += 2 {
-		l, err := net.Listen("tcp", at(fmt.Sprintf("127.%d.0.1", f.network), portReserved))
+		l, err := net.Listen("tcp", hostPort(fmt.Sprintf("127.%d.0.1", f.network), networkLockPort))
 		if err == nil {
 			f.reserved = l
 			return nil
@@ -99,20 +99,20 @@
 	return errors.New("no network of loopback addresses is free")
 }
 
-// address gives the told and the bound address of the machine at a place.
-func (f *fleet) address(place int) (told, bind string) {
-	return fmt.Sprintf("127.%d.1.%d", f.network, place+1), fmt.Sprintf("127.%d.1.%d", f.network+1, place+1)
+// addresses returns the advertised and the bound address of the machine with the given index.
+func (f *fleet) addresses(index int) (advertised, bound string) {
+	return fmt.Sprintf("127.%d.1.%d", f.network, index+1), fmt.Sprintf("127.%d.1.%d", f.network+1, index+1)
 }
 
-func (f *fleet) add(name string, r role, place int) {
-	told, bind := f.address(len(f.machines))
+func (f *fleet) addMachine(name string, r role, index int) {
+	advertised, bound := f.addresses(len(f.machines))
 	f.machines = append(f.machines, &machine{
-		name: name, role: r, zone: zones[place%len(zones)], told: told, bind: bind,
-		folder: filepath.Join(f.folder, name), first: true,
+		name: name, role: r, zone: zones[index%len(zones)], advertisedIP: advertised, bindIP: bound,
+		folder: filepath.Join(f.folder, name), firstBoot: true,
 	})
 }
 
-func (f *fleet) of(r role) (l []*machine) {
+func (f *fleet) withRole(r role) (l []*machine) {
 	for _, m := range f.machines {
 		if m.role == r {
 			l = append(l, m)
@@ -121,49 +121,49 @@
 	return l
 }
 
-// open lays the links before every port of a machine.
-func (f *fleet) open(m *machine) error {
+// openLinks opens a link in front of every port of a machine.
+func (f *fleet) openLinks(m *machine) error {
 	ports := []int{portMetrics}
 	if m.role == routerRole {
 		ports = append(ports, portIngress, portReadiness)
 	} else {
 		ports = append(ports, portControl)
 	}
-	for i := range nodePorts {
-		ports = append(ports, portFirst+i)
+	for i := range usedPeerPorts {
+		ports = append(ports, firstPeerPort+i)
 	}
 	for _, port := range ports {
-		if err := f.links.Open(at(m.told, port), at(m.bind, port)); err != nil {
+		if err := f.links.Open(hostPort(m.advertisedIP, port), hostPort(m.bindIP, port)); err != nil {
 			return errors.Wrapf(err, "link of %s", m.name)
 		}
 	}
 	return nil
 }
 
-func at(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
+func hostPort(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
 
-// settings writes the file that a machine's process is started with.
-func (f *fleet) settings(m *machine) (path string, err error) {
+// writeSettings writes the settings file of a machine's process.
+func (f *fleet) writeSettings(m *machine) (path string, err error) {
 	s := peer.Settings{
-		Node: m.name, Role: string(m.role), Class: "edge", IP: m.told, Zone: m.zone, Region: "r", Zones: map[string]string{},
-		Bind: map[string]string{}, Ports: [2]int{portFirst, portLast}, First: m.first, PeerSource: "enrolled", EntryKind: "virtual_ip",
-		PeriodMs: int(beatPeriod.Milliseconds()), Tolerance: peer.Tolerance{Machines: 1}, Bounds: f.bounds,
+		Node: m.name, Role: string(m.role), Class: "edge", IP: m.advertisedIP, Zone: m.zone, Region: "r", Zones: map[string]string{},
+		Bind: map[string]string{}, Ports: [2]int{firstPeerPort, lastPeerPort}, First: m.firstBoot, PeerSource: "enrolled", EntryKind: "virtual_ip",
+		PeriodMs: int(announceInterval.Milliseconds()), Tolerance: peer.Tolerance{Machines: 1}, Bounds: f.bounds,
 		Constraints: peer.Constraints{CPU: 1, Processors: 2, MemoryMb: memoryMb, Descriptors: 4096, Bandwidth: 1000},
 	}
 	for _, z := range zones {
 		s.Zones[z] = "r"
 	}
-	for _, c := range f.of(controllerRole) {
-		s.Seeds = append(s.Seeds, at(c.told, portControl))
+	for _, c := range f.withRole(controllerRole) {
+		s.Seeds = append(s.Seeds, hostPort(c.advertisedIP, portControl))
 	}
 	s.Seeds = s.Seeds[:min(3, len(s.Seeds))]
 	if m.role == routerRole {
 		s.Serves = []string{peer.ServesCallers}
-		s.Bind[peer.BindIngress], s.Bind[peer.BindReadiness] = at(m.told, portIngress), at(m.told, portReadiness)
+		s.Bind[peer.BindIngress], s.Bind[peer.BindReadiness] = hostPort(m.advertisedIP, portIngress), hostPort(m.advertisedIP, portReadiness)
 	} else {
 		s.Class, s.Counted, s.Constraints.DiskMb = "loop", true, 128
 		s.Serves = []string{peer.ServesControl}
-		s.Bind[peer.BindControl] = at(m.told, portControl)
+		s.Bind[peer.BindControl] = hostPort(m.advertisedIP, portControl)
 		data := filepath.Join(m.folder, "data")
 		s.Data = &data
 		if err := os.MkdirAll(data, 0o755); err != nil {
@@ -178,26 +178,26 @@
 	return path, os.WriteFile(path, raw, 0o644)
 }
 
-// start starts a machine's process. Its log lines go on in one file over all its starts.
+// start starts a machine's process. Log lines of all its starts are appended to one file.
 func (f *fleet) start(m *machine) error {
 	if err := os.MkdirAll(m.folder, 0o755); err != nil {
 		return err
 	}
-	path, err := f.settings(m)
+	path, err := f.writeSettings(m)
 	if err != nil {
 		return errors.Wrapf(err, "settings of %s", m.name)
 	}
 	return f.launch(m, path)
 }
 
-// launch starts a machine's process with a file of settings.
+// launch starts a machine's process with a settings file.
 func (f *fleet) launch(m *machine, path string) error {
-	log, err := os.OpenFile(m.log(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	log, err := os.OpenFile(m.logPath(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	cmd := exec.Command(filepath.Join(f.programs, string(m.role)), "--hosted", "--log-lines", "--bind-ip", m.bind, "--metrics-port", strconv.Itoa(portMetrics))
+	cmd := exec.Command(filepath.Join(f.programs, string(m.role)), "--hosted", "--log-lines", "--bind-ip", m.bindIP, "--metrics-port", strconv.Itoa(portMetrics))
 	cmd.Env = []string{"PATH=" + os.Getenv("PATH"), "HOME=" + os.Getenv("HOME"), peer.Variable + "=" + path}
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -206,62 +206,62 @@
 	if err := cmd.Start(); err != nil {
 		return errors.Wrap(err, m.name)
 	}
-	m.cmd, m.ended, m.expected = cmd, make(chan struct{}), false
+	m.cmd, m.exited, m.exitExpected = cmd, make(chan struct{}), false
 	m.starts++
-	go f.await(m, cmd, m.ended)
+	go f.watchExit(m, cmd, m.exited)
 	return nil
 }
 
-// await sees a process end, and holds an end against it that nobody asked for.
-func (f *fleet) await(m *machine, cmd *exec.Cmd, ended chan struct{}) {
+// watchExit waits for a process to exit and reports a violation if the soak did not cause the exit.
+func (f *fleet) watchExit(m *machine, cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
 	m.mu.Lock()
-	expected := m.expected
+	expected := m.exitExpected
 	m.mu.Unlock()
 	if !expected {
-		f.judge.violate("OWN END", "%s ended by itself: %v", m.name, err)
+		f.checker.violate("OWN END", "%s exited unexpectedly: %v", m.name, err)
 	}
-	close(ended)
+	close(exited)
 }
 
-func (m *machine) log() string { return filepath.Join(m.folder, "log") }
+func (m *machine) logPath() string { return filepath.Join(m.folder, "log") }
 
-// signal sends a signal to the process, if there is one; ending says that it may end by it.
-func (m *machine) signal(s syscall.Signal, ending bool) {
+// signal sends a signal to the process, if it was started. mayExit marks a signal that may end the process.
+func (m *machine) signal(s syscall.Signal, mayExit bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.cmd == nil {
 		return
 	}
-	m.expected = m.expected || ending
+	m.exitExpected = m.exitExpected || mayExit
 	_ = m.cmd.Process.Signal(s)
 }
 
-// gone waits until the process has ended.
-func (m *machine) gone() {
+// waitExit waits until the process has exited.
+func (m *machine) waitExit() {
 	m.mu.Lock()
-	ended := m.ended
+	exited := m.exited
 	m.mu.Unlock()
-	if ended != nil {
-		<-ended
+	if exited != nil {
+		<-exited
 	}
 }
 
-// kill ends the process at once.
+// kill kills the process and waits for its exit.
 func (m *machine) kill() {
 	m.signal(syscall.SIGKILL, true)
-	m.gone()
+	m.waitExit()
 }
 
-// stop asks the process to stop, and ends it after the grace as the platform does. It tells whether it stopped
-// by itself.
+// stop sends SIGTERM and, like the platform, kills the process if it is still running after the grace period. It reports
+// whether the process exited within the period.
 func (m *machine) stop(grace time.Duration) bool {
 	m.signal(syscall.SIGTERM, true)
 	m.mu.Lock()
-	ended := m.ended
+	exited := m.exited
 	m.mu.Unlock()
 	select {
-	case <-ended:
+	case <-exited:
 		return true
 	case <-time.After(grace):
 		m.kill()
@@ -269,14 +269,14 @@
 	}
 }
 
-// wipe empties the machine's disk; its process is down.
+// wipe deletes the machine's data. The process must not be running.
 func (m *machine) wipe() error {
-	m.first = false
+	m.firstBoot = false
 	return os.RemoveAll(filepath.Join(m.folder, "data"))
 }
 
-// peak gives the most memory that the process had, in kB, so far.
-func (m *machine) peak() int {
+// peakMemory returns the peak memory of the machine's processes so far, in kB.
+func (m *machine) peakMemory() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.cmd != nil {
@@ -285,22 +285,22 @@
 	return m.peakKb
 }
 
-// memoryOf reads a line of a process's memory from the kernel, in kB; zero if the process is gone.
-func memoryOf(process int, line string) (kb int) {
-	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", process))
+// memoryOf reads a memory figure in kB from /proc/PID/status; zero if the process has exited.
+func memoryOf(pid int, field string) (kb int) {
+	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
 	}
-	for text := range strings.Lines(string(raw)) {
-		if n, _ := fmt.Sscanf(text, line+": %d kB", &kb); n == 1 {
+	for line := range strings.Lines(string(raw)) {
+		if n, _ := fmt.Sscanf(line, field+": %d kB", &kb); n == 1 {
 			return kb
 		}
 	}
 	return 0
 }
 
-// heedsHangup tells whether the process ignores the hang-up signal by now, or handles it.
-func (m *machine) heedsHangup() bool {
+// handlesHangup reports whether the process already ignores or handles SIGHUP.
+func (m *machine) handlesHangup() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.cmd == nil {
@@ -321,10 +321,10 @@
 	return false
 }
 
-// up starts all machines, in any order, within a moment.
-func (f *fleet) up() error {
+// startAll opens the links of all machines and starts their processes without waiting for any to be ready.
+func (f *fleet) startAll() error {
 	for _, m := range f.machines {
-		if err := f.open(m); err != nil {
+		if err := f.openLinks(m); err != nil {
 			return err
 		}
 	}
@@ -334,26 +334,26 @@
 		}
 	}
 	for _, m := range f.machines {
-		m.first = false // a restart is no first start
+		m.firstBoot = false // a restart is not a first start
 	}
 	return nil
 }
 
-// down ends every process at once.
-func (f *fleet) down() {
+// killAll kills every process and releases the network.
+func (f *fleet) killAll() {
 	for _, m := range f.machines {
 		m.signal(syscall.SIGCONT, false)
 		m.signal(syscall.SIGKILL, true)
 	}
 	for _, m := range f.machines {
-		m.gone()
+		m.waitExit()
 	}
 	f.links.Close()
 	_ = f.reserved.Close()
 }
 
-// part cuts two machines, or with oneWay only what goes from the first to the second, until mend is called.
-func (f *fleet) part(a, b string, oneWay bool) (mend func()) {
+// cutLink cuts the link between two machines until mend is called. With oneWay, only traffic from a to b is cut.
+func (f *fleet) cutLink(a, b string, oneWay bool) (mend func()) {
 	f.links.Cut(a, b)
 	if !oneWay {
 		f.links.Cut(b, a)
--- a/internal/soak/memory.go
+++ b/internal/soak/memory.go
@@ -7,27 +7,27 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// memoryPeriod is how often the processes' memory is looked at.
-const memoryPeriod = 500 * time.Millisecond
+// memorySampleInterval is the interval between two memory samples.
+const memorySampleInterval = 500 * time.Millisecond
 
-// MemorySample is the memory that one process has at a moment.
+// MemorySample is the memory of one process at one time.
 type MemorySample struct {
-	At      time.Duration // since the run began
-	Machine string
-	Process int     // id, a new one at each start
-	Peak    float64 // MB, the most so far
-	Now     float64 // MB, resident
-	Changes int     // acknowledged so far
+	At         time.Duration // since the run began
+	Machine    string
+	Process    int     // process id; differs after each start
+	PeakMB     float64 // peak so far
+	ResidentMB float64 // resident memory
+	Changes    int     // changes acknowledged so far
 }
 
-// watchMemory holds the memory of each process against its machine's, and tells of it.
+// watchMemory checks that no process exceeds the memory of its machine, and reports samples.
 func (r *soakRun) watchMemory(ctx context.Context) {
-	over := map[string]bool{}
-	for ; ctx.Err() == nil; wait(ctx, memoryPeriod) {
+	exceeded := map[string]bool{}
+	for ; ctx.Err() == nil; sleep(ctx, memorySampleInterval) {
 		for _, m := range r.fleet.machines {
-			if kb := m.peak(); kb > memoryMb<<10 && !over[m.name] {
-				over[m.name] = true
-				r.judge.violate("FAULT", "%s has %d MB of %d", m.name, kb>>10, memoryMb)
+			if kb := m.peakMemory(); kb > memoryMb<<10 && !exceeded[m.name] {
+				exceeded[m.name] = true
+				r.checker.violate("FAULT", "%s uses %d MB, its machine has %d MB", m.name, kb>>10, memoryMb)
 			}
 			r.sampleMemory(m)
 		}
@@ -35,16 +35,16 @@
 }
 
 func (r *soakRun) sampleMemory(m *machine) {
-	if r.options.Memory == nil {
+	if r.options.OnMemorySample == nil {
 		return
 	}
-	if process, resident := m.resident(); process != 0 {
-		r.options.Memory(MemorySample{At: time.Since(r.judge.began), Machine: m.name, Process: process, Peak: float64(m.peak()) / 1024, Now: float64(resident) / 1024, Changes: r.ledger.acknowledged()})
+	if process, resident := m.residentMemory(); process != 0 {
+		r.options.OnMemorySample(MemorySample{At: time.Since(r.checker.startedAt), Machine: m.name, Process: process, PeakMB: float64(m.peakMemory()) / 1024, ResidentMB: float64(resident) / 1024, Changes: r.history.acknowledgedCount()})
 	}
 }
 
-// resident gives the process's id and the memory that it has now, in kB; zero if it does not run.
-func (m *machine) resident() (process, kb int) {
+// residentMemory returns the id and the resident memory in kB of the running process; zeros if none is running.
+func (m *machine) residentMemory() (process, kb int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.cmd == nil {
@@ -57,54 +57,54 @@
 	return process, kb
 }
 
-// MemoryTrend is a line through the memory of one process.
+// MemoryTrend is a linear fit of the resident memory of one process.
 type MemoryTrend struct {
-	Machine string
-	Span    time.Duration // of its samples
-	Changes int           // acknowledged within it
-	Start   float64       // MB, of the line where it begins
-	PerHour float64       // MB
-	PerK    float64       // MB for a thousand changes; zero where there were none
+	Machine              string
+	Span                 time.Duration // of the fitted samples
+	Changes              int           // changes acknowledged within Span
+	StartMB              float64       // fitted value at the start of Span
+	MBPerHour            float64
+	MBPerThousandChanges float64 // zero if there were no changes
 }
 
-// mostWarmup is the beginning of a process's life that its trend leaves out: it still fills its buffers and caches.
-const mostWarmup = 2 * time.Minute
+// memoryWarmup is the time after the start of a process that its trend excludes, as its buffers and caches still fill.
+const memoryWarmup = 2 * time.Minute
 
-// MemoryTrends fits a line through the memory of each process that lived for longer than its warm-up, by least squares.
+// MemoryTrends fits a line by least squares to the memory of each process that ran for longer than memoryWarmup.
 func MemoryTrends(samples []MemorySample) (l []MemoryTrend) {
-	lives := map[int][]MemorySample{}
+	byProcess := map[int][]MemorySample{}
 	var order []int
 	for _, s := range samples {
-		if len(lives[s.Process]) == 0 {
+		if len(byProcess[s.Process]) == 0 {
 			order = append(order, s.Process)
 		}
-		lives[s.Process] = append(lives[s.Process], s)
+		byProcess[s.Process] = append(byProcess[s.Process], s)
 	}
 	for _, process := range order {
-		if t, ok := trend(lives[process]); ok {
+		if t, ok := fitTrend(byProcess[process]); ok {
 			l = append(l, t)
 		}
 	}
 	return l
 }
 
-// trend fits one process's samples, which are in order.
-func trend(life []MemorySample) (MemoryTrend, bool) {
+// fitTrend fits the samples of one process, which must be in chronological order.
+func fitTrend(samples []MemorySample) (MemoryTrend, bool) {
 	var hours, changes, mb []float64
-	for _, s := range life {
-		if s.At-life[0].At >= mostWarmup {
-			hours, changes, mb = append(hours, s.At.Hours()), append(changes, float64(s.Changes)/1000), append(mb, s.Now)
+	for _, s := range samples {
+		if s.At-samples[0].At >= memoryWarmup {
+			hours, changes, mb = append(hours, s.At.Hours()), append(changes, float64(s.Changes)/1000), append(mb, s.ResidentMB)
 		}
 	}
 	if len(mb) < 2 {
 		return MemoryTrend{}, false
 	}
 	last := len(mb) - 1
-	zero, perHour := stat.LinearRegression(hours, mb, nil, false)
-	t := MemoryTrend{Machine: life[0].Machine, Span: time.Duration((hours[last] - hours[0]) * float64(time.Hour)), Changes: int(1000 * (changes[last] - changes[0])),
-		Start: zero + perHour*hours[0], PerHour: perHour}
+	intercept, perHour := stat.LinearRegression(hours, mb, nil, false)
+	t := MemoryTrend{Machine: samples[0].Machine, Span: time.Duration((hours[last] - hours[0]) * float64(time.Hour)), Changes: int(1000 * (changes[last] - changes[0])),
+		StartMB: intercept + perHour*hours[0], MBPerHour: perHour}
 	if t.Changes > 0 {
-		_, t.PerK = stat.LinearRegression(changes, mb, nil, false)
+		_, t.MBPerThousandChanges = stat.LinearRegression(changes, mb, nil, false)
 	}
 	return t, true
 }
--- a/internal/soak/operator.go
+++ b/internal/soak/operator.go
@@ -15,145 +15,145 @@
 	"tidedeck/platform/peer"
 )
 
-// change is one order of an operator: a whole configuration, or a change of named items.
+// change is a configuration change sent by an operator: a complete configuration or a patch of named items.
 type change struct {
-	method    string
-	base      uint64
-	revision  uint64
-	raw       []byte
-	invalid   bool
-	moving    string    // the service that the moving route leads to under it
-	holder    string    // whose the moving key is under it; empty for nobody's
-	sent      time.Time // first
-	acked     time.Time // first; zero if never
-	refused   time.Time
-	wholeSize bool // what is read back under its number is raw, to the byte
+	method        string
+	base          uint64
+	revision      uint64
+	raw           []byte
+	invalid       bool
+	movingService string    // service of the moving route
+	keyHolder     string    // tenant that holds movingKey; empty for none
+	sentAt        time.Time // time of the first attempt
+	ackedAt       time.Time // time of the first acknowledgement; zero if none
+	refusedAt     time.Time
+	exact         bool // a read of this revision must return raw byte for byte
 }
 
-// same tells whether two changes are one to the system: the same order on the same version, byte for byte.
+// same reports whether the system treats two changes as one: same method, base version and bytes.
 func (c *change) same(o *change) bool {
 	return c.method == o.method && c.base == o.base && bytes.Equal(c.raw, o.raw)
 }
 
-// ledger is the history of all that operators sent and were told, held against the promises as it grows.
-type ledger struct {
-	judge *judge
+// changeHistory records the changes and reads of operators with their answers, and checks them against the guarantees.
+type changeHistory struct {
+	checker *checker
 
 	mu      sync.Mutex // guards the rest
 	changes []*change
-	newest  uint64 // acknowledged
+	newest  uint64 // newest acknowledged version
 }
 
-// begin notes a change that is about to be sent.
-func (l *ledger) begin(c *change) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	c.sent = time.Now()
-	l.changes = append(l.changes, c)
+// recordSend records a change that is about to be sent.
+func (h *changeHistory) recordSend(c *change) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	c.sentAt = time.Now()
+	h.changes = append(h.changes, c)
 }
 
-// ack notes that a change was acknowledged.
-func (l *ledger) ack(c *change) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// recordAck records that a change was acknowledged.
+func (h *changeHistory) recordAck(c *change) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	if c.invalid {
-		l.judge.violate("CONFIG", "invalid configuration %d was acknowledged", c.revision)
+		h.checker.violate("CONFIG", "invalid configuration %d was acknowledged", c.revision)
 	}
-	if !c.refused.IsZero() {
-		l.judge.violate("CONFIG", "%d on %d was refused, and is acknowledged", c.revision, c.base)
+	if !c.refusedAt.IsZero() {
+		h.checker.violate("CONFIG", "%d on %d was acknowledged after it had been refused", c.revision, c.base)
 	}
-	if c.acked.IsZero() {
-		c.acked = time.Now()
+	if c.ackedAt.IsZero() {
+		c.ackedAt = time.Now()
 	}
-	l.newest = max(l.newest, c.revision)
-	for _, o := range l.changes {
-		if o != c && !o.acked.IsZero() && o.base == c.base && !o.same(c) {
-			l.judge.violate("CONFIG", "%d and %d were both acknowledged on %d", o.revision, c.revision, c.base)
+	h.newest = max(h.newest, c.revision)
+	for _, o := range h.changes {
+		if o != c && !o.ackedAt.IsZero() && o.base == c.base && !o.same(c) {
+			h.checker.violate("CONFIG", "%d and %d were both acknowledged on %d", o.revision, c.revision, c.base)
 		}
 	}
 }
 
-// refuse notes that another version was said to be in place.
-func (l *ledger) refuse(c *change, why string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !c.acked.IsZero() {
-		l.judge.violate("CONFIG", "%d on %d was acknowledged, and its repeat is refused: %s", c.revision, c.base, why)
+// recordRefusal records that a change was refused, usually because another version was in force.
+func (h *changeHistory) recordRefusal(c *change, reason string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if !c.ackedAt.IsZero() {
+		h.checker.violate("CONFIG", "%d on %d was refused after it had been acknowledged: %s", c.revision, c.base, reason)
 	}
-	if c.refused.IsZero() {
-		c.refused = time.Now()
+	if c.refusedAt.IsZero() {
+		c.refusedAt = time.Now()
 	}
 }
 
-// floor is the newest version that was acknowledged before now: no read that begins now may show an older one.
-func (l *ledger) floor() uint64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.newest
+// newestAcknowledged returns the newest version acknowledged so far. A read that starts now must not return an older one.
+func (h *changeHistory) newestAcknowledged() uint64 {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.newest
 }
 
-// read holds what a node answered against what was known when it was asked.
-func (l *ledger) read(node string, floor uint64, raw []byte) (revision uint64) {
+// checkRead checks the answer of a node to a read. floor is the newest version acknowledged before the read.
+func (h *changeHistory) checkRead(node string, floor uint64, raw []byte) (revision uint64) {
 	var c peer.Configuration
 	if err := json.Unmarshal(raw, &c); err != nil {
-		l.judge.violate("CONFIG", "%s answers a read with what is no configuration: %v", node, err)
+		h.checker.violate("CONFIG", "%s answered a read with a malformed configuration: %v", node, err)
 		return 0
 	}
 	if c.Revision < floor {
-		l.judge.violate("CONFIG", "%s shows version %d, and %d had been acknowledged", node, c.Revision, floor)
+		h.checker.violate("CONFIG", "%s returned version %d after %d had been acknowledged", node, c.Revision, floor)
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	known := false
-	for _, o := range l.changes {
+	for _, o := range h.changes {
 		if o.revision != c.Revision {
 			continue
 		}
-		known = known || o.refused.IsZero() && !o.invalid && (!o.wholeSize || bytes.Equal(o.raw, raw))
+		known = known || o.refusedAt.IsZero() && !o.invalid && (!o.exact || bytes.Equal(o.raw, raw))
 	}
 	if !known {
-		l.judge.violate("CONFIG", "%s shows version %d, which was not sent so, or was refused", node, c.Revision)
+		h.checker.violate("CONFIG", "%s returned version %d, which differs from every change sent or was refused", node, c.Revision)
 	}
 	return c.Revision
 }
 
-// mayBeInForce tells whether a request that was sent at a time, and handled at another, may be handled by a configuration
-// under which the moving route leads to a service: one that may have been taken by then, and that no change which was
-// acknowledged longer ago than changes may take to be in force has followed.
-func (l *ledger) mayBeInForce(service string, sent, handled time.Time) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	least := l.leastLocked(sent)
-	for _, c := range l.changes {
-		if c.moving == service && c.revision >= least && c.mayRule(handled) {
+// mayBeInForce reports whether a request may be handled by a configuration whose moving route uses the service. Such a
+// configuration may have been accepted before the request was handled, and is not superseded by a change that was
+// acknowledged more than applyLimit before the request was sent.
+func (h *changeHistory) mayBeInForce(service string, sent, handled time.Time) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	oldest := h.oldestInForceLocked(sent)
+	for _, c := range h.changes {
+		if c.movingService == service && c.revision >= oldest && c.mayBeInForce(handled) {
 			return true
 		}
 	}
 	return false
 }
 
-// leastLocked is the oldest version that may still handle a request that is sent at a time.
-func (l *ledger) leastLocked(sent time.Time) (least uint64) {
-	for _, c := range l.changes {
-		if !c.acked.IsZero() && sent.Sub(c.acked) > applySpan+timeSlack {
-			least = max(least, c.revision)
+// oldestInForceLocked returns the oldest version that may still handle a request sent at a time.
+func (h *changeHistory) oldestInForceLocked(sent time.Time) (oldest uint64) {
+	for _, c := range h.changes {
+		if !c.ackedAt.IsZero() && sent.Sub(c.ackedAt) > applyLimit+timeSlack {
+			oldest = max(oldest, c.revision)
 		}
 	}
-	return least
+	return oldest
 }
 
-// mayRule tells whether a change may be in force at a time, but for newer ones.
-func (c *change) mayRule(at time.Time) bool {
-	return !c.invalid && c.refused.IsZero() && c.sent.Before(at)
+// mayBeInForce reports whether a change may be in force at a time, newer changes disregarded.
+func (c *change) mayBeInForce(at time.Time) bool {
+	return !c.invalid && c.refusedAt.IsZero() && c.sentAt.Before(at)
 }
 
-// operator sends changes, again and again until they are answered, and reads back.
+// operator sends changes, repeats each until it gets a clear answer, and reads the configuration.
 type operator struct {
-	run    *soakRun
-	number int
-	random *rand.Rand
-	client *http.Client
-	taken  []*change // acknowledged, for repeats
+	run          *soakRun
+	number       int
+	random       *rand.Rand
+	client       *http.Client
+	acknowledged []*change // changes that may be sent once more
 }
 
 func newOperator(r *soakRun, number int) *operator {
@@ -161,28 +161,28 @@
 		client: &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
-// configuration makes a whole configuration; what differs between them is the moving route, whose the moving key is, time-outs
-// and routes that nobody uses.
-func configuration(revision uint64, moving, holder string, extra int, note string) peer.Configuration {
+// newConfiguration returns a complete configuration. Configurations differ in the service of the moving route, the holder
+// of movingKey, the note and the number of routes that no caller uses.
+func newConfiguration(revision uint64, movingService, holder string, extraRoutes int, note string) peer.Configuration {
 	route := func(path, mode, service string, pinned, resumes bool) peer.Route {
-		return peer.Route{Label: "r" + path, Host: callersHost, Prefix: path, Mode: mode, HorizonMs: int(horizonSpan.Milliseconds()), SetpointMs: 800,
-			Service: service, Tries: 3, Pinned: pinned, Continue: resumes, PauseMs: 400, Unkeyed: !wantsKey(path)}
+		return peer.Route{Label: "r" + path, Host: requestHost, Prefix: path, Mode: mode, HorizonMs: int(requestTimeout.Milliseconds()), SetpointMs: 800,
+			Service: service, Tries: 3, Pinned: pinned, Continue: resumes, PauseMs: 400, Unkeyed: !needsKey(path)}
 	}
 	c := peer.Configuration{
 		Revision: revision, Note: note, Tenants: tenantsOf(holder),
 		Routes: []peer.Route{
 			route(pathIdempotent, peer.Idempotent, modelService, true, false), route(pathEffectful, peer.Effectful, modelService, true, false),
 			route(pathResumable, peer.Continuous, modelService, true, true), route(pathStream, peer.Continuous, modelService, true, false),
-			route(pathPlain, peer.Idempotent, plainService, false, false), route(pathMoving, peer.Effectful, moving, false, false),
+			route(pathPlain, peer.Idempotent, plainService, false, false), route(pathMoving, peer.Effectful, movingService, false, false),
 		},
 		Limits: peer.Limits{HeadBytes: 16384, BodyBytes: 4 << 20, HeadMs: 3000, IdleMs: 15000},
 	}
-	for i := range extra {
+	for i := range extraRoutes {
 		c.Routes = append(c.Routes, route(fmt.Sprintf("/x%d/", i), peer.Idempotent, plainService, false, false))
 	}
-	runtime := &peer.Runtime{Capacity: slotsOfModel, CacheTokens: 100_000, TokenBytes: 131072, Bandwidth: 130000, Increment: 2, WeightMb: serverMb, Deltas: 8, LoadsPerS: 3}
+	runtime := &peer.Runtime{Capacity: modelServerSlots, CacheTokens: 100_000, TokenBytes: 131072, Bandwidth: 130000, Increment: 2, WeightMb: serverMb, Deltas: 8, LoadsPerS: 3}
 	for i := range modelCount {
-		runtime.Models = append(runtime.Models, peer.ModelClass{Label: modelName(i), WeightMb: modelMb, LoadingS: loadSpan.Seconds(), DeltaMb: 40})
+		runtime.Models = append(runtime.Models, peer.ModelClass{Label: modelName(i), WeightMb: modelMb, LoadingS: loadDuration.Seconds(), DeltaMb: 40})
 	}
 	for _, s := range []string{modelService, plainService, otherService} {
 		service := peer.Service{Label: s, Probe: peer.PathHealth, Connections: 400, Protocol: "h1"}
@@ -194,40 +194,40 @@
 	return c
 }
 
-// node picks a core node's address.
-func (o *operator) node() *machine {
-	cores := o.run.fleet.of(controllerRole)
+// randomCore picks a core node.
+func (o *operator) randomCore() *machine {
+	cores := o.run.fleet.withRole(controllerRole)
 	return cores[o.random.IntN(len(cores))]
 }
 
-// draw makes a change on a version.
-func (o *operator) draw(base uint64) *change {
+// randomChange creates a random change based on a version.
+func (o *operator) randomChange(base uint64) *change {
 	revision := base + 1 + uint64(o.random.IntN(3))
 	moving := []string{plainService, otherService}[o.random.IntN(2)]
-	c := &change{method: http.MethodPut, base: base, revision: revision, moving: moving, holder: drawHolder(o.random), wholeSize: true}
+	c := &change{method: http.MethodPut, base: base, revision: revision, movingService: moving, keyHolder: randomHolder(o.random), exact: true}
 	extra := o.random.IntN(4)
-	if many := int(o.run.routes.Load()); many > 0 {
-		extra += many
+	if count := int(o.run.extraRoutes.Load()); count > 0 {
+		extra += count
 	}
-	whole := configuration(revision, moving, c.holder, extra, fmt.Sprintf("operator %d, %d", o.number, o.random.Uint32()))
-	if base == 0 && o.run.first != nil {
-		o.run.first(&whole)
+	whole := newConfiguration(revision, moving, c.keyHolder, extra, fmt.Sprintf("operator %d, %d", o.number, o.random.Uint32()))
+	if base == 0 && o.run.tuneFirst != nil {
+		o.run.tuneFirst(&whole)
 	}
-	switch dice := o.random.Float64(); {
-	case dice < invalidShare && base > 0:
+	switch roll := o.random.Float64(); {
+	case roll < invalidShare && base > 0:
 		c.invalid = true
 		if o.random.IntN(2) == 0 {
-			sharedKey(whole.Tenants)
+			addDuplicateKey(whole.Tenants)
 		} else {
 			whole.Routes[0].Service = "no-such-service"
 		}
-	case dice < invalidShare+patchShare && base > 0:
-		c.method, c.wholeSize = http.MethodPatch, false
+	case roll < invalidShare+patchShare && base > 0:
+		c.method, c.exact = http.MethodPatch, false
 		var items peer.Change
 		items.Revision = revision
 		items.Apply.Tenants = whole.Tenants[1:]
 		if c.invalid = o.random.Float64() < invalidShare; c.invalid {
-			sharedKey(items.Apply.Tenants)
+			addDuplicateKey(items.Apply.Tenants)
 		}
 		for _, r := range whole.Routes {
 			if r.Prefix == pathMoving {
@@ -241,105 +241,106 @@
 	return c
 }
 
-// Shares of an operator's orders.
+// Shares of an operator's changes.
 const (
-	invalidShare = 0.08
-	patchShare   = 0.3
-	repeatShare  = 0.15 // after an order: an earlier one, acknowledged before, comes again
-	readShare    = 0.5  // after an order: the configuration is read
-	orderWait    = 12 * time.Second
+	invalidShare  = 0.08
+	patchShare    = 0.3
+	repeatShare   = 0.15 // after a change: an acknowledged change is sent once more
+	readShare     = 0.5  // after a change: the configuration is read
+	changeTimeout = 12 * time.Second
 )
 
-// send sends a change to a node, once. It tells whether the answer was clear.
+// send sends a change to a node once. It reports whether the answer was clear: acknowledged or refused.
 func (o *operator) send(c *change, to *machine) (clear bool) {
-	q, err := http.NewRequest(c.method, "http://"+at(to.told, portControl)+peer.PathConfiguration, bytes.NewReader(c.raw))
+	request, err := http.NewRequest(c.method, "http://"+hostPort(to.advertisedIP, portControl)+peer.PathConfiguration, bytes.NewReader(c.raw))
 	if err != nil {
 		return false
 	}
-	q.Header.Set("If-Match", strconv.FormatUint(c.base, 10))
-	q.Header.Set("Content-Type", "application/json")
-	answer, err := o.client.Do(q)
+	request.Header.Set("If-Match", strconv.FormatUint(c.base, 10))
+	request.Header.Set("Content-Type", "application/json")
+	response, err := o.client.Do(request)
 	if err != nil {
 		return false
 	}
-	defer answer.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(answer.Body, 64<<10))
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, 64<<10))
 	if err != nil {
 		return false
 	}
 	switch {
-	case answer.StatusCode == http.StatusOK:
-		o.run.ledger.ack(c)
-		o.run.judge.note("operator %d: %s %d on %d taken at %s", o.number, c.method, c.revision, c.base, to.name)
+	case response.StatusCode == http.StatusOK:
+		o.run.history.recordAck(c)
+		o.run.checker.tracef("operator %d: %s %d on %d acknowledged by %s", o.number, c.method, c.revision, c.base, to.name)
 		return true
-	case answer.StatusCode == http.StatusPreconditionFailed:
-		o.run.ledger.refuse(c, string(body))
+	case response.StatusCode == http.StatusPreconditionFailed:
+		o.run.history.recordRefusal(c, string(body))
 		return true
-	case answer.StatusCode/100 == 4 && answer.StatusCode != http.StatusRequestTimeout && answer.StatusCode != http.StatusTooManyRequests:
-		// A number that is not above the one in place is refused as invalid; then the version differs as well.
-		o.run.ledger.refuse(c, string(body))
+	case response.StatusCode/100 == 4 && response.StatusCode != http.StatusRequestTimeout && response.StatusCode != http.StatusTooManyRequests:
+		// A revision that is not above the one in force is refused as invalid. The version in force then differs from the base
+		// as well.
+		o.run.history.recordRefusal(c, string(body))
 		return true
 	}
 	return false
 }
 
-// settle sends a change until it is answered, at one node after another, or for as long as operators do.
-func (o *operator) settle(ctx context.Context, c *change) {
-	o.run.ledger.begin(c)
-	for end := time.Now().Add(orderWait); time.Now().Before(end) && ctx.Err() == nil; {
-		if o.send(c, o.node()) {
-			if !c.acked.IsZero() {
-				o.taken = append(o.taken, c)
+// sendUntilAnswered sends a change to random core nodes until the answer is clear or changeTimeout has passed.
+func (o *operator) sendUntilAnswered(ctx context.Context, c *change) {
+	o.run.history.recordSend(c)
+	for end := time.Now().Add(changeTimeout); time.Now().Before(end) && ctx.Err() == nil; {
+		if o.send(c, o.randomCore()) {
+			if !c.ackedAt.IsZero() {
+				o.acknowledged = append(o.acknowledged, c)
 			}
 			return
 		}
-		wait(ctx, 50*time.Millisecond+time.Duration(o.random.Int64N(int64(150*time.Millisecond))))
+		sleep(ctx, 50*time.Millisecond+time.Duration(o.random.Int64N(int64(150*time.Millisecond))))
 	}
 }
 
-// readBack reads the configuration at a node; zero if it gives none.
-func (o *operator) readBack(m *machine) (revision uint64) {
-	floor := o.run.ledger.floor()
-	answer, err := o.client.Get("http://" + at(m.told, portControl) + peer.PathConfiguration)
+// readConfiguration reads the configuration from a node; zero if the node returns none.
+func (o *operator) readConfiguration(m *machine) (revision uint64) {
+	floor := o.run.history.newestAcknowledged()
+	response, err := o.client.Get("http://" + hostPort(m.advertisedIP, portControl) + peer.PathConfiguration)
 	if err != nil {
 		return 0
 	}
-	defer answer.Body.Close()
-	raw, err := io.ReadAll(answer.Body)
-	if err != nil || answer.StatusCode != http.StatusOK {
-		if err == nil && answer.StatusCode == http.StatusNotFound && floor > 0 {
-			o.run.judge.violate("CONFIG", "%s knows no configuration, and %d had been acknowledged", m.name, floor)
+	defer response.Body.Close()
+	raw, err := io.ReadAll(response.Body)
+	if err != nil || response.StatusCode != http.StatusOK {
+		if err == nil && response.StatusCode == http.StatusNotFound && floor > 0 {
+			o.run.checker.violate("CONFIG", "%s returned no configuration after %d had been acknowledged", m.name, floor)
 		}
 		return 0
 	}
-	return o.run.ledger.read(m.name, floor, raw)
+	return o.run.history.checkRead(m.name, floor, raw)
 }
 
-// loop makes changes until the run's troubles are over.
+// loop sends changes and reads the configuration until ctx is done.
 func (o *operator) loop(ctx context.Context) {
 	for ctx.Err() == nil {
-		base := o.readBack(o.node())
+		base := o.readConfiguration(o.randomCore())
 		if base == 0 {
-			wait(ctx, 100*time.Millisecond)
+			sleep(ctx, 100*time.Millisecond)
 			continue
 		}
-		o.settle(ctx, o.draw(base))
-		if o.random.Float64() < repeatShare && len(o.taken) > 0 {
-			o.send(o.taken[max(0, len(o.taken)-1-o.random.IntN(5))], o.node())
+		o.sendUntilAnswered(ctx, o.randomChange(base))
+		if o.random.Float64() < repeatShare && len(o.acknowledged) > 0 {
+			o.send(o.acknowledged[max(0, len(o.acknowledged)-1-o.random.IntN(5))], o.randomCore())
 		}
 		if o.random.Float64() < readShare {
-			o.readBack(o.node())
+			o.readConfiguration(o.randomCore())
 		}
-		wait(ctx, time.Duration(o.random.Int64N(int64(o.run.pace.Load()))))
+		sleep(ctx, time.Duration(o.random.Int64N(int64(o.run.maxChangePause.Load()))))
 	}
 }
 
-// acknowledged counts the changes that were acknowledged so far.
-func (l *ledger) acknowledged() (n int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, c := range l.changes {
-		if !c.acked.IsZero() {
+// acknowledgedCount counts the changes acknowledged so far.
+func (h *changeHistory) acknowledgedCount() (n int) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, c := range h.changes {
+		if !c.ackedAt.IsZero() {
 			n++
 		}
 	}
--- a/internal/soak/options.go
+++ b/internal/soak/options.go
@@ -1,7 +1,7 @@
-// Package soak runs the hosted programs as real processes on one machine, with real sockets, while troubles
-// drawn from a seed overlap: kills, stops, freezes, reloads, cuts, lost answers, lost disks, and callers, servers
-// and operators that misbehave. What callers, servers and operators see is held against the promises; the
-// invariants that run in the code are read from each process.
+// Package soak runs the hosted programs as real processes with real sockets on one machine, under overlapping failures
+// drawn from a seed: kills, stops, freezes, reloads, network cuts, lost answers, lost disks, and misbehaving callers,
+// servers and operators. It checks the observations of callers, servers and operators against the guarantees of the
+// system, and reports invariant violations from the log of each process.
 package soak
 
 import (
@@ -10,64 +10,64 @@
 	"tidedeck/platform/peer"
 )
 
-// Options of one run.
+// Options configures one run.
 type Options struct {
-	Programs string // folder with the built programs
-	Folder   string // for data, settings and logs
-	Seed     uint64
-	Cores    int
-	Routers  int
-	Servers  int           // that hold models; there are two plain ones besides for each of two services
-	Callers  int           // each with one request at a time
-	Length   time.Duration // of the troubles
-	Safety   bool          // only what holds however slow the machine is; bounds on time are left out
-	Trace    func(string)  // hears of each trouble
-	Only     []string      // kinds of trouble that come, by their names; all if none is named
-	Memory   func(MemorySample)
+	Programs        string // folder of the built programs
+	Folder          string // for data, settings and logs
+	Seed            uint64
+	Cores           int
+	Routers         int
+	Servers         int           // model servers; each of the two plain services has two more servers
+	Callers         int           // each sends one request at a time
+	TroubleDuration time.Duration // how long troubles are injected
+	SafetyOnly      bool          // skips time bounds, which a slow machine may miss
+	Trace           func(string)  // receives a line for each event
+	OnlyTroubles    []string      // names of the kinds of trouble to inject; all if empty
+	OnMemorySample  func(MemorySample)
 }
 
-// zones of a fleet.
+// Zones of a fleet.
 var zones = []string{"za", "zb", "zc"}
 
-// The deployment's bounds: those of the small sites.
+// Bounds of the deployment: those of small sites.
 const (
-	beatPeriod   = 1200 * time.Millisecond
-	contactSpan  = 3 * time.Second
-	ackSpan      = 4 * time.Second
-	catchUpSpan  = 4 * time.Second
-	drainSpan    = 2 * time.Second
-	graceSpan    = 8 * time.Second
-	applySpan    = 2 * time.Second
-	recoverySpan = 12 * time.Second
-	thawSpan     = 300 * time.Millisecond
+	announceInterval = 1200 * time.Millisecond
+	contactLimit     = 3 * time.Second
+	acknowledgeLimit = 4 * time.Second
+	convergenceLimit = 4 * time.Second
+	drainCutoff      = 2 * time.Second
+	stopGrace        = 8 * time.Second
+	applyLimit       = 2 * time.Second
+	recoveryLimit    = 12 * time.Second
+	unfreezeLimit    = 300 * time.Millisecond
 )
 
-var bounds = peer.Bounds{
-	"peerDelayS": 3, "reuseDelayS": 2, "contactMs": contactSpan.Milliseconds(), "acknowledgeMs": ackSpan.Milliseconds(), "convergenceS": catchUpSpan.Seconds(),
-	"drainCutoffMs": drainSpan.Milliseconds(), "toleranceS": graceSpan.Seconds(), "lossSlackMs": 200, "applyMs": applySpan.Milliseconds(), "reversionMs": 250,
-	"stretchMs": 5000, "retryFraction": 0.2, "retryWindowS": 10, "retryMargin": 58, "recoveryS": recoverySpan.Seconds(), "transitMs": 120,
-	"backoffS": 0, "fenceChecked": false, "tenureMs": 3000, "unfreezeMs": thawSpan.Milliseconds(), "peakWindowS": 5, "peakExcess": 1.1,
+var deploymentBounds = peer.Bounds{
+	"peerDelayS": 3, "reuseDelayS": 2, "contactMs": contactLimit.Milliseconds(), "acknowledgeMs": acknowledgeLimit.Milliseconds(), "convergenceS": convergenceLimit.Seconds(),
+	"drainCutoffMs": drainCutoff.Milliseconds(), "toleranceS": stopGrace.Seconds(), "lossSlackMs": 200, "applyMs": applyLimit.Milliseconds(), "reversionMs": 250,
+	"stretchMs": 5000, "retryFraction": 0.2, "retryWindowS": 10, "retryMargin": 58, "recoveryS": recoveryLimit.Seconds(), "transitMs": 120,
+	"backoffS": 0, "fenceChecked": false, "tenureMs": 3000, "unfreezeMs": unfreezeLimit.Milliseconds(), "peakWindowS": 5, "peakExcess": 1.1,
 }
 
-// The services and routes that callers use; every configuration has them.
+// Services and routes that callers use. Every configuration contains them.
 const (
 	modelService = "llm"
 	plainService = "web"
 	otherService = "web2"
-	callersHost  = "soak.example"
+	requestHost  = "soak.example"
 
 	pathIdempotent = "/i/"
 	pathEffectful  = "/e/"
 	pathResumable  = "/s/"
 	pathStream     = "/c/"
 	pathPlain      = "/w/"
-	pathMoving     = "/m/" // its service changes with the configuration
+	pathMoving     = "/m/" // its service differs between configurations
 
-	modelCount   = 6
-	modelMb      = 10_000
-	serverMb     = 40_000
-	slotsOfModel = 16
-	slotsOfPlain = 8
-	loadSpan     = 200 * time.Millisecond
-	horizonSpan  = 4 * time.Second
+	modelCount       = 6
+	modelMb          = 10_000
+	serverMb         = 40_000
+	modelServerSlots = 16
+	plainServerSlots = 8
+	loadDuration     = 200 * time.Millisecond
+	requestTimeout   = 4 * time.Second
 )
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -20,55 +20,55 @@
 	"tidedeck/platform/peer"
 )
 
-// soakRun is one run: a fleet, its servers, callers and operators.
+// soakRun is one run with its fleet, servers, callers and operators.
 type soakRun struct {
-	options     Options
-	judge       *judge
-	fleet       *fleet
-	front       *front
-	ledger      *ledger
-	servers     []*server
-	callersRude atomic.Bool
-	first       func(*peer.Configuration) // tunes the first configuration; nothing if nil
-	pace        atomic.Int64              // most time between two orders of an operator, in ns
-	routes      atomic.Int64              // that configurations have beside those that callers use, where many are wanted
+	options          Options
+	checker          *checker
+	fleet            *fleet
+	loadBalancer     *loadBalancer
+	history          *changeHistory
+	servers          []*server
+	callersMisbehave atomic.Bool
+	tuneFirst        func(*peer.Configuration) // adjusts the first configuration, if not nil
+	maxChangePause   atomic.Int64              // longest pause between two changes of an operator, in ns
+	extraRoutes      atomic.Int64              // unused routes added to new configurations
 }
 
-// Report is what a run came to.
+// Report is the result of a run.
 type Report struct {
 	Seed       uint64
 	Violations []string
 	Requests   Tally
 	Troubles   map[string]int
-	Changes    int // acknowledged
-	PeakMb     map[string]int
+	Changes    int // acknowledged changes
+	PeakMB     map[string]int
 }
 
-// Waits for what must come about in the end, however slow the machine is.
+// Time limits for conditions that must hold eventually, generous enough for a slow machine.
 const (
-	startWait  = 60 * time.Second
-	settleWait = 60 * time.Second
-	loadWait   = 60 * time.Second
-	tailCalls  = 150 // of the calm time at the end
+	startTimeout         = 60 * time.Second
+	settleTimeout        = 60 * time.Second
+	finalRequestsTimeout = 60 * time.Second
+	finalRequestCount    = 150 // successful requests in a row that are required after the last trouble
 )
 
-// Run plays one run. The error is one of the run itself; broken promises are in the report.
+// Run executes one run. The error is that of the run itself; violations are in the report.
 func Run(ctx context.Context, o Options) (Report, error) {
-	only, err := kindsNamed(o.Only)
+	only, err := troubleKindsByName(o.OnlyTroubles)
 	if err != nil {
 		return Report{}, err
 	}
-	j := newJudge(o)
-	r, err := newRun(o, j)
+	c := newChecker(o)
+	r, err := newRun(o, c)
 	if err != nil {
 		return Report{}, err
 	}
-	return r.play(ctx, only)
+	return r.execute(ctx, only)
 }
 
-// play brings the run's fleet up, has troubles of some kinds play, and takes all down again.
-func (r *soakRun) play(ctx context.Context, only []kind) (Report, error) {
-	defer r.fleet.down()
+// execute starts the fleet, injects troubles of the given kinds under load, and stops the fleet.
+func (r *soakRun) execute(ctx context.Context, only []troubleKind) (Report, error) {
+	defer r.fleet.killAll()
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	defer r.crashServers()
@@ -76,253 +76,254 @@
 		return Report{}, err
 	}
 	go r.watchMemory(ctx)
-	t := newTroubles(r)
+	t := newScheduler(r)
 	t.kinds = only
-	r.busy(ctx, t)
-	r.end(ctx)
-	return r.report(t), nil
+	r.runLoad(ctx, t)
+	r.finish(ctx)
+	return r.makeReport(t), nil
 }
 
-// crashServers ends every server of the run.
+// crashServers crashes every server of the run.
 func (r *soakRun) crashServers() {
 	for _, s := range r.servers {
 		s.crash()
 	}
 }
 
-// report sums the run up once it is over.
-func (r *soakRun) report(t *troubles) Report {
-	r.judge.finish()
+// makeReport runs the final checks and returns the report.
+func (r *soakRun) makeReport(t *scheduler) Report {
+	r.checker.checkAll()
 	r.readInvariants()
-	report := Report{Seed: r.options.Seed, Violations: r.judge.violations, Requests: r.judge.tally(), Troubles: t.counts, PeakMb: map[string]int{}}
+	report := Report{Seed: r.options.Seed, Violations: r.checker.violations, Requests: r.checker.tally(), Troubles: t.counts, PeakMB: map[string]int{}}
 	for _, m := range r.fleet.machines {
-		report.PeakMb[m.name] = m.peak() >> 10
+		report.PeakMB[m.name] = m.peakMemory() >> 10
 	}
-	report.Changes = r.ledger.acknowledged()
+	report.Changes = r.history.acknowledgedCount()
 	return report
 }
 
-func newRun(o Options, j *judge) (*soakRun, error) {
-	f, err := newFleet(o, j)
+func newRun(o Options, c *checker) (*soakRun, error) {
+	f, err := newFleet(o, c)
 	if err != nil {
 		return nil, err
 	}
-	r := &soakRun{options: o, judge: j, fleet: f, ledger: &ledger{judge: j}, front: &front{fleet: f, miss: map[string]int{}}}
-	j.ledger = r.ledger
-	r.pace.Store(int64(ordinaryPace))
+	r := &soakRun{options: o, checker: c, fleet: f, history: &changeHistory{checker: c}, loadBalancer: &loadBalancer{fleet: f, failedChecks: map[string]int{}}}
+	c.history = r.history
+	r.maxChangePause.Store(int64(ordinaryChangePause))
 	return r, nil
 }
 
-// start brings up the fleet, the servers and the first configuration.
+// start starts the fleet and the servers, sends the first configuration and waits until all routers are ready.
 func (r *soakRun) start(ctx context.Context) error {
-	if err := r.fleet.up(); err != nil {
+	if err := r.fleet.startAll(); err != nil {
 		return err
 	}
-	place := 0
+	index := 0
 	for i := range r.options.Servers {
-		s := newServer(r.fleet, place, modelService, r.options.Seed)
-		place++
-		if err := r.add(s, modelName(i%modelCount), modelName((i+1)%modelCount), modelName((i+2)%modelCount)); err != nil {
+		s := newServer(r.fleet, index, modelService, r.options.Seed)
+		index++
+		if err := r.addServer(s, modelName(i%modelCount), modelName((i+1)%modelCount), modelName((i+2)%modelCount)); err != nil {
 			return err
 		}
 	}
 	for _, service := range []string{plainService, plainService, otherService, otherService} {
-		s := newServer(r.fleet, place, service, r.options.Seed)
-		place++
-		if err := r.add(s); err != nil {
+		s := newServer(r.fleet, index, service, r.options.Seed)
+		index++
+		if err := r.addServer(s); err != nil {
 			return err
 		}
 	}
-	go r.front.watch(ctx)
+	go r.loadBalancer.pollReadiness(ctx)
 	first := newOperator(r, 0)
-	c := first.draw(0)
-	r.ledger.begin(c)
-	if err := until(ctx, startWait, "the first configuration is taken", func() bool { return first.send(c, first.node()) }); err != nil {
+	c := first.randomChange(0)
+	r.history.recordSend(c)
+	if err := waitUntil(ctx, startTimeout, "the first configuration is acknowledged", func() bool { return first.send(c, first.randomCore()) }); err != nil {
 		return err
 	}
-	return until(ctx, startWait, "every router is ready", r.ready)
+	return waitUntil(ctx, startTimeout, "every router is ready", r.routersReady)
 }
 
-func (r *soakRun) add(s *server, models ...string) error {
+func (r *soakRun) addServer(s *server, models ...string) error {
 	if err := r.fleet.links.Open(s.address, s.bind); err != nil {
 		return errors.Wrap(err, "link of a server")
 	}
 	r.servers = append(r.servers, s)
-	return s.begin(models...)
+	return s.start(models...)
 }
 
-func (r *soakRun) ready() bool {
+func (r *soakRun) routersReady() bool {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for _, m := range r.fleet.of(routerRole) {
-		answer, err := client.Get("http://" + at(m.told, portReadiness) + peer.PathReadiness)
+	for _, m := range r.fleet.withRole(routerRole) {
+		response, err := client.Get("http://" + hostPort(m.advertisedIP, portReadiness) + peer.PathReadiness)
 		if err != nil {
 			return false
 		}
-		_ = answer.Body.Close()
-		if answer.StatusCode != http.StatusOK {
+		_ = response.Body.Close()
+		if response.StatusCode != http.StatusOK {
 			return false
 		}
 	}
 	return true
 }
 
-// busy runs callers, operators and troubles beside each other until the troubles are over.
-func (r *soakRun) busy(ctx context.Context, t *troubles) {
+// runLoad runs callers, operators and troubles concurrently until the troubles are over.
+func (r *soakRun) runLoad(ctx context.Context, t *scheduler) {
 	ctx, stop := context.WithCancel(ctx)
-	var all sync.WaitGroup
+	var group sync.WaitGroup
 	for i := range r.options.Callers {
 		c := &caller{run: r, number: i, random: rand.New(rand.NewPCG(r.options.Seed, 1000+uint64(i)))}
-		all.Go(func() { c.loop(ctx) })
+		group.Go(func() { c.loop(ctx) })
 	}
 	for i := range operatorCount {
 		o := newOperator(r, i+1)
-		all.Go(func() { o.loop(ctx) })
+		group.Go(func() { o.loop(ctx) })
 	}
-	wait(ctx, time.Second)
-	t.play(ctx)
+	sleep(ctx, time.Second)
+	t.runTroubles(ctx)
 	stop()
-	all.Wait()
+	group.Wait()
 }
 
 const operatorCount = 3
 
-// end waits until all is well again, looks at what was acknowledged, and stops the fleet in order.
-func (r *soakRun) end(ctx context.Context) {
-	j := r.judge
-	healed := time.Now()
-	j.note("troubles are over")
-	if err := until(ctx, settleWait, "every router is ready", r.ready); err != nil {
-		j.violate("RECOVER", "%v", err)
+// finish waits for recovery, checks acknowledged changes and final requests, and stops the fleet in an orderly way.
+func (r *soakRun) finish(ctx context.Context) {
+	c := r.checker
+	endOfTroubles := time.Now()
+	c.tracef("troubles are over")
+	if err := waitUntil(ctx, settleTimeout, "every router is ready", r.routersReady); err != nil {
+		c.violate("RECOVER", "%v", err)
 		return
 	}
 	last := newOperator(r, 9)
-	r.readEverywhere(ctx, last)
-	r.changeAgain(ctx, last)
-	r.tail(ctx)
-	if took := time.Since(healed); !r.options.Safety && took > recoverySpan+settleSlack {
-		j.violate("RECOVER", "all was well again %v after the troubles", took)
+	r.readAllCores(ctx, last)
+	r.checkOneMoreChange(ctx, last)
+	r.checkFinalRequests(ctx)
+	if took := time.Since(endOfTroubles); !r.options.SafetyOnly && took > recoveryLimit+recoveryCheckSlack {
+		c.violate("RECOVER", "recovery took %v after the last trouble", took)
 	}
-	r.readEverywhere(ctx, last)
-	r.readFigures()
+	r.readAllCores(ctx, last)
+	r.checkExposedKeys()
 	r.stopAll()
 }
 
-// readFigures looks for keys in what routers and core nodes show of themselves.
-func (r *soakRun) readFigures() {
-	client := &http.Client{Timeout: ackSpan, Transport: &http.Transport{DisableKeepAlives: true}}
+// checkExposedKeys searches the metrics and request lists of routers and core nodes for tenant keys.
+func (r *soakRun) checkExposedKeys() {
+	client := &http.Client{Timeout: acknowledgeLimit, Transport: &http.Transport{DisableKeepAlives: true}}
 	for _, m := range r.fleet.machines {
 		for _, path := range []string{"/metrics", "/-/requests?last=1000"} {
-			answer, err := client.Get("http://" + at(m.told, portMetrics) + path)
+			response, err := client.Get("http://" + hostPort(m.advertisedIP, portMetrics) + path)
 			if err != nil {
-				continue // it may show nothing of the kind
+				continue // the node may not serve this path
 			}
-			text, _ := io.ReadAll(answer.Body)
-			_ = answer.Body.Close()
+			text, _ := io.ReadAll(response.Body)
+			_ = response.Body.Close()
 			for _, key := range secretKeys {
 				if strings.Contains(string(text), key) {
-					r.judge.violate("UNASKED", "%s shows a key at %s", m.name, path)
+					r.checker.violate("UNASKED", "%s exposes a key at %s", m.name, path)
 				}
 			}
 		}
 	}
 }
 
-// settleSlack is what looking at it costs.
-const settleSlack = 6 * time.Second
+// recoveryCheckSlack is the time that the recovery checks themselves take.
+const recoveryCheckSlack = 6 * time.Second
 
-// readEverywhere reads the configuration at every core node until each gives it, and then again and again for a while;
-// each must show the newest.
-func (r *soakRun) readEverywhere(ctx context.Context, o *operator) {
-	for _, m := range r.fleet.of(controllerRole) {
-		if err := until(ctx, settleWait, m.name+" shows the configuration", func() bool { return o.readBack(m) > 0 }); err != nil {
-			r.judge.violate("CONFIG", "%v", err)
+// readAllCores reads the configuration from every core node until each returns it, and then repeatedly for contactLimit.
+// Each read must return the newest acknowledged version.
+func (r *soakRun) readAllCores(ctx context.Context, o *operator) {
+	for _, m := range r.fleet.withRole(controllerRole) {
+		if err := waitUntil(ctx, settleTimeout, m.name+" returns the configuration", func() bool { return o.readConfiguration(m) > 0 }); err != nil {
+			r.checker.violate("CONFIG", "%v", err)
 		}
 	}
-	for end := time.Now().Add(contactSpan); time.Now().Before(end) && ctx.Err() == nil; wait(ctx, readPause) {
-		for _, m := range r.fleet.of(controllerRole) {
-			if o.readBack(m) == 0 && !r.options.Safety {
-				r.judge.violate("CONFIG", "%s answers no read in a calm time", m.name)
+	for end := time.Now().Add(contactLimit); time.Now().Before(end) && ctx.Err() == nil; sleep(ctx, readPause) {
+		for _, m := range r.fleet.withRole(controllerRole) {
+			if o.readConfiguration(m) == 0 && !r.options.SafetyOnly {
+				r.checker.violate("CONFIG", "%s did not answer a read after the troubles", m.name)
 			}
 		}
 	}
 }
 
-// readPause is the time between two reads of every core node.
+// readPause is the pause between two rounds of reads.
 const readPause = 100 * time.Millisecond
 
-// changeAgain wants one more change taken.
-func (r *soakRun) changeAgain(ctx context.Context, o *operator) {
-	err := until(ctx, settleWait, "a change is taken", func() bool {
-		base := o.readBack(o.node())
+// checkOneMoreChange checks that one more change is acknowledged.
+func (r *soakRun) checkOneMoreChange(ctx context.Context, o *operator) {
+	err := waitUntil(ctx, settleTimeout, "a change is acknowledged", func() bool {
+		base := o.readConfiguration(o.randomCore())
 		if base == 0 {
 			return false
 		}
-		c := o.draw(base)
+		c := o.randomChange(base)
 		if c.invalid {
 			return false
 		}
-		o.settle(ctx, c)
-		return !c.acked.IsZero()
+		o.sendUntilAnswered(ctx, c)
+		return !c.ackedAt.IsZero()
 	})
 	if err != nil {
-		r.judge.violate("RECOVER", "%v", err)
+		r.checker.violate("RECOVER", "%v", err)
 	}
 }
 
-// tail sends requests in calm times until so many in a row are served; what may be asked again must be.
-func (r *soakRun) tail(ctx context.Context) {
-	c := &caller{run: r, number: 9999, steady: true, random: rand.New(rand.NewPCG(r.options.Seed, 5))}
-	defer c.hangUp()
-	row := 0
-	err := until(ctx, loadWait, fmt.Sprintf("%d requests in a row are served", tailCalls), func() bool {
-		c.one()
-		r.judge.mu.Lock()
-		t := r.judge.tries[fmt.Sprintf("c%d-%d-%d", r.options.Seed, c.number, c.sent)]
+// checkFinalRequests sends requests after the troubles until finalRequestCount in a row are served. Routers must retry
+// requests that may be repeated.
+func (r *soakRun) checkFinalRequests(ctx context.Context) {
+	c := &caller{run: r, number: 9999, fixedKeyOnly: true, random: rand.New(rand.NewPCG(r.options.Seed, 5))}
+	defer c.closeConn()
+	streak := 0
+	err := waitUntil(ctx, finalRequestsTimeout, fmt.Sprintf("%d requests in a row are served", finalRequestCount), func() bool {
+		c.sendOne()
+		r.checker.mu.Lock()
+		t := r.checker.requests[fmt.Sprintf("c%d-%d-%d", r.options.Seed, c.number, c.sentCount)]
 		ok := t != nil && t.result == served
-		r.judge.mu.Unlock()
-		if row++; !ok {
-			row = 0
+		r.checker.mu.Unlock()
+		if streak++; !ok {
+			streak = 0
 		}
-		return row >= tailCalls
+		return streak >= finalRequestCount
 	})
 	if err != nil {
-		r.judge.violate("RECOVER", "%v", err)
+		r.checker.violate("RECOVER", "%v", err)
 	}
 }
 
-// stopAll stops every machine as planned.
+// stopAll stops every machine in an orderly way.
 func (r *soakRun) stopAll() {
-	var all sync.WaitGroup
+	var group sync.WaitGroup
 	for _, m := range r.fleet.machines {
-		all.Go(func() {
-			if !m.stop(2*graceSpan) && !r.options.Safety {
-				r.judge.violate("LOST", "%s does not stop", m.name)
+		group.Go(func() {
+			if !m.stop(2*stopGrace) && !r.options.SafetyOnly {
+				r.checker.violate("LOST", "%s did not stop within its grace period", m.name)
 			}
 		})
 	}
-	all.Wait()
+	group.Wait()
 }
 
-// readInvariants looks for violated invariants in every process's log, over all of its starts.
+// readInvariants searches the log of every machine, over all starts of its process, for violated invariants.
 func (r *soakRun) readInvariants() {
 	for _, m := range r.fleet.machines {
-		for _, line := range suspicious(m.log()) {
-			r.judge.violate("INVARIANT", "%s: %s", m.name, line)
+		for _, line := range faultLines(m.logPath()) {
+			r.checker.violate("INVARIANT", "%s: %s", m.name, line)
 		}
 	}
 }
 
-// mostLine bounds a line of a log.
-const mostLine = 1 << 20
+// maxLogLine is the buffer size for log lines.
+const maxLogLine = 1 << 20
 
-// suspicious gives the lines of a log that tell of a violated invariant, a panic or a data race, or tell a key.
-func suspicious(path string) (found []string) {
+// faultLines returns the lines of a log that report a violated invariant, a panic or a data race, or contain a key.
+func faultLines(path string) (found []string) {
 	f, err := os.Open(path)
 	if err != nil {
 		return []string{err.Error()}
 	}
 	defer f.Close()
-	lines := bufio.NewReaderSize(f, mostLine)
+	lines := bufio.NewReaderSize(f, maxLogLine)
 	for {
 		line, err := lines.ReadString('\n')
 		for _, sign := range append([]string{invariant.Sign, "panic:", "fatal error:", "WARNING: DATA RACE"}, secretKeys...) {
@@ -340,9 +341,9 @@
 	}
 }
 
-// until asks again and again until something holds, for a while at the most.
-func until(ctx context.Context, most time.Duration, what string, holds func() bool) error {
-	bounded, stop := context.WithTimeout(ctx, most)
+// waitUntil polls a condition until it holds or the time limit has passed.
+func waitUntil(ctx context.Context, limit time.Duration, condition string, holds func() bool) error {
+	bounded, stop := context.WithTimeout(ctx, limit)
 	defer stop()
-	return localfleet.Until(bounded, what, holds)
+	return localfleet.Until(bounded, condition, holds)
 }
--- a/internal/soak/trouble.go
+++ b/internal/soak/trouble.go
@@ -12,186 +12,192 @@
 	"github.com/go-faster/errors"
 )
 
-// troubles draws from a seed which troubles come, where, for how long, and which of them overlap.
-type troubles struct {
-	run    *soakRun
-	random *rand.Rand
-	kinds  []kind // that come
-	under  sync.WaitGroup
-
-	mu     sync.Mutex // guards busy and wiped
-	busy   map[string]bool
-	wiped  time.Time // since when the core is whole after the last lost disk; ahead while it is not
-	counts map[string]int
+// scheduler draws the troubles of a run from a seed: their kinds, machines and durations, and which of them overlap.
+type scheduler struct {
+	run     *soakRun
+	random  *rand.Rand
+	kinds   []troubleKind // kinds to inject
+	running sync.WaitGroup
+
+	mu             sync.Mutex // guards the fields below
+	busyMachines   map[string]bool
+	coreWholeSince time.Time // time since which the core has been complete after the last lost disk; in the future until then
+	counts         map[string]int
 }
 
-// kind is a kind of trouble. Its play begins and ends it; it runs beside others.
-type kind struct {
+// troubleKind is a kind of trouble. Its run function begins and ends one trouble and may overlap with others.
+type troubleKind struct {
 	name   string
 	weight int
-	play   func(t *troubles, ctx context.Context, span time.Duration)
+	run    func(s *scheduler, ctx context.Context, duration time.Duration)
 }
 
-var kinds = []kind{
-	{"kill a router", 3, func(t *troubles, ctx context.Context, span time.Duration) { t.kill(ctx, routerRole, 1, span/4, false) }},
-	{"kill a core node", 3, func(t *troubles, ctx context.Context, span time.Duration) {
-		t.kill(ctx, controllerRole, 1, span, false)
+var troubleKinds = []troubleKind{
+	{"kill a router", 3, func(s *scheduler, ctx context.Context, duration time.Duration) {
+		s.kill(ctx, routerRole, 1, duration/4, false)
 	}},
-	{"kill all core nodes", 2, func(t *troubles, ctx context.Context, span time.Duration) {
-		t.kill(ctx, controllerRole, 9, span/4, false)
+	{"kill a core node", 3, func(s *scheduler, ctx context.Context, duration time.Duration) {
+		s.kill(ctx, controllerRole, 1, duration, false)
 	}},
-	{"kill many routers", 1, func(t *troubles, ctx context.Context, span time.Duration) { t.kill(ctx, routerRole, 2, span/4, false) }},
-	{"lose a core node's disk", 2, func(t *troubles, ctx context.Context, span time.Duration) {
-		t.kill(ctx, controllerRole, 1, span/2, true)
+	{"kill all core nodes", 2, func(s *scheduler, ctx context.Context, duration time.Duration) {
+		s.kill(ctx, controllerRole, 9, duration/4, false)
 	}},
-	{"kill everything", 1, func(t *troubles, ctx context.Context, span time.Duration) { t.killEverything(ctx, span/4) }},
-	{"stop a router", 3, func(t *troubles, ctx context.Context, _ time.Duration) { t.restart(ctx, routerRole) }},
-	{"stop a core node", 2, func(t *troubles, ctx context.Context, _ time.Duration) { t.restart(ctx, controllerRole) }},
-	{"reload routers", 2, func(t *troubles, ctx context.Context, _ time.Duration) { t.reload(ctx) }},
-	{"freeze a router", 2, func(t *troubles, ctx context.Context, span time.Duration) { t.freeze(ctx, routerRole, span) }},
-	{"freeze a core node", 3, func(t *troubles, ctx context.Context, span time.Duration) { t.freeze(ctx, controllerRole, span) }},
-	{"cut a router off", 2, func(t *troubles, ctx context.Context, span time.Duration) { t.cutRouter(ctx, span) }},
-	{"cut a core node off", 3, func(t *troubles, ctx context.Context, span time.Duration) { t.cutCore(ctx, span, false) }},
-	{"cut a core node off one way", 2, func(t *troubles, ctx context.Context, span time.Duration) { t.cutCore(ctx, span, true) }},
-	{"break connections", 3, func(t *troubles, ctx context.Context, span time.Duration) { t.breaks(ctx, span) }},
-	{"a server crashes", 3, func(t *troubles, ctx context.Context, span time.Duration) { t.crash(ctx, span) }},
-	{"a server leaves", 3, func(t *troubles, ctx context.Context, _ time.Duration) { t.leave(ctx) }},
-	{"servers misbehave", 4, func(t *troubles, ctx context.Context, span time.Duration) { t.misbehave(ctx, span) }},
-	{"announcements come late", 2, func(t *troubles, ctx context.Context, span time.Duration) { t.lateBeats(ctx, span) }},
-	{"callers misbehave", 3, func(t *troubles, ctx context.Context, span time.Duration) { t.rudeCallers(ctx, span) }},
-	{"operators hurry", 3, func(t *troubles, ctx context.Context, span time.Duration) { t.hurry(ctx, span) }},
+	{"kill many routers", 1, func(s *scheduler, ctx context.Context, duration time.Duration) {
+		s.kill(ctx, routerRole, 2, duration/4, false)
+	}},
+	{"lose a core node's disk", 2, func(s *scheduler, ctx context.Context, duration time.Duration) {
+		s.kill(ctx, controllerRole, 1, duration/2, true)
+	}},
+	{"kill everything", 1, func(s *scheduler, ctx context.Context, duration time.Duration) { s.killEverything(ctx, duration/4) }},
+	{"stop a router", 3, func(s *scheduler, ctx context.Context, _ time.Duration) { s.restart(ctx, routerRole) }},
+	{"stop a core node", 2, func(s *scheduler, ctx context.Context, _ time.Duration) { s.restart(ctx, controllerRole) }},
+	{"reload routers", 2, func(s *scheduler, ctx context.Context, _ time.Duration) { s.reload(ctx) }},
+	{"freeze a router", 2, func(s *scheduler, ctx context.Context, duration time.Duration) { s.freeze(ctx, routerRole, duration) }},
+	{"freeze a core node", 3, func(s *scheduler, ctx context.Context, duration time.Duration) {
+		s.freeze(ctx, controllerRole, duration)
+	}},
+	{"cut a router off", 2, func(s *scheduler, ctx context.Context, duration time.Duration) { s.cutRouter(ctx, duration) }},
+	{"cut a core node off", 3, func(s *scheduler, ctx context.Context, duration time.Duration) { s.cutCore(ctx, duration, false) }},
+	{"cut a core node off one way", 2, func(s *scheduler, ctx context.Context, duration time.Duration) { s.cutCore(ctx, duration, true) }},
+	{"break connections", 3, func(s *scheduler, ctx context.Context, duration time.Duration) { s.resetConnections(ctx, duration) }},
+	{"a server crashes", 3, func(s *scheduler, ctx context.Context, duration time.Duration) { s.crash(ctx, duration) }},
+	{"a server leaves", 3, func(s *scheduler, ctx context.Context, _ time.Duration) { s.leave(ctx) }},
+	{"servers misbehave", 4, func(s *scheduler, ctx context.Context, duration time.Duration) { s.serversMisbehave(ctx, duration) }},
+	{"announcements come late", 2, func(s *scheduler, ctx context.Context, duration time.Duration) { s.resendAnnouncements(ctx, duration) }},
+	{"callers misbehave", 3, func(s *scheduler, ctx context.Context, duration time.Duration) { s.callersMisbehave(ctx, duration) }},
+	{"operators hurry", 3, func(s *scheduler, ctx context.Context, duration time.Duration) { s.frequentChanges(ctx, duration) }},
 }
 
 const (
-	mostOverlap  = 3
-	leastSpan    = 300 * time.Millisecond
-	mostSpan     = 3500 * time.Millisecond
-	mostStagger  = 900 * time.Millisecond
-	mostCalm     = 4500 * time.Millisecond
-	calmShare    = 0.6 // of rounds end with a calm time
-	wholeAgain   = catchUpSpan + 2*time.Second
-	breakPause   = 150 * time.Millisecond
-	hurriedPace  = 60 * time.Millisecond
-	ordinaryPace = 900 * time.Millisecond
-	rudeShare    = 0.3
+	maxOverlap          = 3
+	minTroubleDuration  = 300 * time.Millisecond
+	maxTroubleDuration  = 3500 * time.Millisecond
+	maxStagger          = 900 * time.Millisecond
+	maxCalm             = 4500 * time.Millisecond
+	calmShare           = 0.6 // share of rounds that end with a time without troubles
+	wipeSpacing         = convergenceLimit + 2*time.Second
+	resetPause          = 150 * time.Millisecond
+	hurriedChangePause  = 60 * time.Millisecond
+	ordinaryChangePause = 900 * time.Millisecond
+	misbehaveFaultShare = 0.3
 )
 
-func newTroubles(r *soakRun) *troubles {
-	return &troubles{run: r, random: rand.New(rand.NewPCG(r.options.Seed, 77)), busy: map[string]bool{}, counts: map[string]int{}, kinds: kinds}
+func newScheduler(r *soakRun) *scheduler {
+	return &scheduler{run: r, random: rand.New(rand.NewPCG(r.options.Seed, 77)), busyMachines: map[string]bool{}, counts: map[string]int{}, kinds: troubleKinds}
 }
 
-// play has troubles come, two or three at a time, for as long as the run is to last.
-func (t *troubles) play(ctx context.Context) {
-	for end := time.Now().Add(t.run.options.Length); time.Now().Before(end) && ctx.Err() == nil; {
-		for range 2 + t.random.IntN(mostOverlap-1) {
-			k := t.draw()
-			span := leastSpan + time.Duration(t.random.Int64N(int64(mostSpan-leastSpan)))
-			t.counts[k.name]++
-			t.under.Add(1)
+// runTroubles runs rounds of two or three overlapping troubles for Options.TroubleDuration.
+func (s *scheduler) runTroubles(ctx context.Context) {
+	for end := time.Now().Add(s.run.options.TroubleDuration); time.Now().Before(end) && ctx.Err() == nil; {
+		for range 2 + s.random.IntN(maxOverlap-1) {
+			k := s.randomKind()
+			duration := minTroubleDuration + time.Duration(s.random.Int64N(int64(maxTroubleDuration-minTroubleDuration)))
+			s.counts[k.name]++
+			s.running.Add(1)
 			go func() {
-				defer t.under.Done()
-				k.play(t, ctx, span)
+				defer s.running.Done()
+				k.run(s, ctx, duration)
 			}()
-			wait(ctx, time.Duration(t.random.Int64N(int64(mostStagger))))
+			sleep(ctx, time.Duration(s.random.Int64N(int64(maxStagger))))
 		}
-		t.under.Wait()
-		if t.random.Float64() < quickShare && len(t.run.options.Only) == 0 {
-			t.quickChanges(ctx)
+		s.running.Wait()
+		if s.random.Float64() < quickChangesShare && len(s.run.options.OnlyTroubles) == 0 {
+			s.quickChanges(ctx)
 		}
-		if t.random.Float64() < calmShare {
-			wait(ctx, time.Duration(t.random.Int64N(int64(mostCalm))))
+		if s.random.Float64() < calmShare {
+			sleep(ctx, time.Duration(s.random.Int64N(int64(maxCalm))))
 		}
 	}
-	t.under.Wait()
+	s.running.Wait()
 }
 
-func (t *troubles) draw() kind {
+func (s *scheduler) randomKind() troubleKind {
 	sum := 0
-	for _, k := range t.kinds {
+	for _, k := range s.kinds {
 		sum += k.weight
 	}
-	dice := t.random.IntN(sum)
-	for _, k := range t.kinds {
-		if dice -= k.weight; dice < 0 {
+	roll := s.random.IntN(sum)
+	for _, k := range s.kinds {
+		if roll -= k.weight; roll < 0 {
 			return k
 		}
 	}
-	return t.kinds[0]
+	return s.kinds[0]
 }
 
-// kindsNamed gives the kinds of some names; all if none is named.
-func kindsNamed(names []string) ([]kind, error) {
+// troubleKindsByName returns the kinds with the given names, or all kinds if there are no names.
+func troubleKindsByName(names []string) ([]troubleKind, error) {
 	if len(names) == 0 {
-		return kinds, nil
+		return troubleKinds, nil
 	}
-	var l []kind
+	var l []troubleKind
 	for _, name := range names {
-		i := slices.IndexFunc(kinds, func(k kind) bool { return k.name == name })
+		i := slices.IndexFunc(troubleKinds, func(k troubleKind) bool { return k.name == name })
 		if i < 0 {
-			return nil, errors.Errorf("no kind of trouble is called %q; there are: %s", name, strings.Join(KindNames(), ", "))
+			return nil, errors.Errorf("unknown kind of trouble %q; known kinds: %s", name, strings.Join(TroubleNames(), ", "))
 		}
-		l = append(l, kinds[i])
+		l = append(l, troubleKinds[i])
 	}
 	return l, nil
 }
 
-// KindNames lists the kinds of trouble.
-func KindNames() (names []string) {
-	for _, k := range kinds {
+// TroubleNames returns the names of all kinds of trouble.
+func TroubleNames() (names []string) {
+	for _, k := range troubleKinds {
 		names = append(names, k.name)
 	}
 	return names
 }
 
-// number draws a whole number below n; troubles that run beside each other draw from one source.
-func (t *troubles) number(n int) int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.random.IntN(n)
+// randomInt draws an integer below n. Concurrent troubles share one random source.
+func (s *scheduler) randomInt(n int) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.random.IntN(n)
 }
 
-// seize takes machines of a role that no other trouble has, up to a number of them.
-func (t *troubles) seize(r role, most int) (l []*machine) {
-	machines := t.run.fleet.of(r)
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for _, i := range t.random.Perm(len(machines)) {
-		if m := machines[i]; len(l) < most && !t.busy[m.name] {
-			t.busy[m.name] = true
+// acquire reserves up to limit machines of a role that no other trouble has reserved.
+func (s *scheduler) acquire(r role, limit int) (l []*machine) {
+	machines := s.run.fleet.withRole(r)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, i := range s.random.Perm(len(machines)) {
+		if m := machines[i]; len(l) < limit && !s.busyMachines[m.name] {
+			s.busyMachines[m.name] = true
 			l = append(l, m)
 		}
 	}
 	return l
 }
 
-func (t *troubles) free(l ...*machine) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (s *scheduler) release(l ...*machine) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, m := range l {
-		delete(t.busy, m.name)
+		delete(s.busyMachines, m.name)
 	}
 }
 
-// mayWipe tells whether another disk may be lost: the core is whole again since the last one was.
-func (t *troubles) mayWipe() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for _, m := range t.run.fleet.of(controllerRole) {
-		if t.busy[m.name] {
-			t.wiped = time.Now() // while any is in trouble, the core is not whole
+// canWipe reports whether another disk may be lost, which needs a core that is complete again since the last loss.
+func (s *scheduler) canWipe() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, m := range s.run.fleet.withRole(controllerRole) {
+		if s.busyMachines[m.name] {
+			s.coreWholeSince = time.Now() // the core is incomplete while any of its nodes is in trouble
 		}
 	}
-	if time.Since(t.wiped) < wholeAgain {
+	if time.Since(s.coreWholeSince) < wipeSpacing {
 		return false
 	}
-	t.wiped = time.Now().Add(time.Hour)
+	s.coreWholeSince = time.Now().Add(time.Hour)
 	return true
 }
 
-func (t *troubles) begin(what string, planned bool, l ...*machine) (end func()) {
+func (s *scheduler) beginTrouble(description string, planned bool, l ...*machine) (end func()) {
 	var ends []func()
 	for _, m := range l {
-		ends = append(ends, t.run.judge.trouble(what, m.told, planned))
+		ends = append(ends, s.run.checker.beginTrouble(description, m.advertisedIP, planned))
 	}
 	return func() {
 		for _, end := range ends {
@@ -200,219 +206,221 @@
 	}
 }
 
-// startAgain starts processes whose ends were brought about.
-func (t *troubles) startAgain(l []*machine) {
+// startMachines starts the processes of machines that the scheduler has stopped or killed.
+func (s *scheduler) startMachines(l []*machine) {
 	for _, m := range l {
-		if err := t.run.fleet.start(m); err != nil {
-			t.run.judge.violate("SOAK", "start of %s: %v", m.name, err)
+		if err := s.run.fleet.start(m); err != nil {
+			s.run.checker.violate("SOAK", "start of %s failed: %v", m.name, err)
 		}
 	}
 }
 
-func (t *troubles) kill(ctx context.Context, r role, most int, down time.Duration, wipes bool) {
-	if wipes && !t.mayWipe() {
-		wipes = false
+func (s *scheduler) kill(ctx context.Context, r role, limit int, downtime time.Duration, loseDisk bool) {
+	if loseDisk && !s.canWipe() {
+		loseDisk = false
 	}
-	l := t.seize(r, most)
-	defer t.free(l...)
-	what := "kill"
-	if wipes {
-		what = "kill and lose the disk"
+	l := s.acquire(r, limit)
+	defer s.release(l...)
+	description := "kill"
+	if loseDisk {
+		description = "kill and lose the disk"
 	}
-	end := t.begin(what, false, l...)
+	end := s.beginTrouble(description, false, l...)
 	defer end()
 	for _, m := range l {
 		m.signal(syscall.SIGKILL, true)
 	}
 	for _, m := range l {
-		m.gone()
-		if wipes {
+		m.waitExit()
+		if loseDisk {
 			if err := m.wipe(); err != nil {
-				t.run.judge.violate("SOAK", "wipe of %s: %v", m.name, err)
+				s.run.checker.violate("SOAK", "wipe of %s failed: %v", m.name, err)
 			}
 		}
 	}
-	wait(ctx, down)
-	t.startAgain(l)
-	if wipes {
-		t.mu.Lock()
-		t.wiped = time.Now()
-		t.mu.Unlock()
+	sleep(ctx, downtime)
+	s.startMachines(l)
+	if loseDisk {
+		s.mu.Lock()
+		s.coreWholeSince = time.Now()
+		s.mu.Unlock()
 	}
 }
 
-func (t *troubles) killEverything(ctx context.Context, down time.Duration) {
-	l := append(t.seize(controllerRole, 99), t.seize(routerRole, 99)...)
-	defer t.free(l...)
-	defer t.begin("kill", false, l...)()
+func (s *scheduler) killEverything(ctx context.Context, downtime time.Duration) {
+	l := append(s.acquire(controllerRole, 99), s.acquire(routerRole, 99)...)
+	defer s.release(l...)
+	defer s.beginTrouble("kill", false, l...)()
 	for _, m := range l {
 		m.signal(syscall.SIGKILL, true)
 	}
 	for _, m := range l {
-		m.gone()
+		m.waitExit()
 	}
-	wait(ctx, down)
-	t.startAgain(l)
+	sleep(ctx, downtime)
+	s.startMachines(l)
 }
 
-// restart stops a machine as planned and starts it again.
-func (t *troubles) restart(ctx context.Context, r role) {
-	l := t.seize(r, 1)
-	defer t.free(l...)
+// restart stops a machine in an orderly way and starts it again.
+func (s *scheduler) restart(ctx context.Context, r role) {
+	l := s.acquire(r, 1)
+	defer s.release(l...)
 	for _, m := range l {
-		end := t.run.judge.trouble("stop", m.told, true)
-		if !m.stop(graceSpan) {
-			t.run.judge.violate("LOST", "%s had to be killed after its grace", m.name)
+		end := s.run.checker.beginTrouble("stop", m.advertisedIP, true)
+		if !m.stop(stopGrace) {
+			s.run.checker.violate("LOST", "%s did not stop within its grace period and was killed", m.name)
 		}
-		t.startAgain([]*machine{m})
+		s.startMachines([]*machine{m})
 		end()
 	}
 }
 
-// reload sends the signal that says that the settings file has changed.
-func (t *troubles) reload(ctx context.Context) {
-	for _, m := range t.run.fleet.of(routerRole) {
-		if !m.heedsHangup() {
-			continue // it was started microseconds ago; nothing in it can keep the signal from ending it yet
+// reload sends SIGHUP, which announces a changed settings file, to all routers.
+func (s *scheduler) reload(ctx context.Context) {
+	for _, m := range s.run.fleet.withRole(routerRole) {
+		if !m.handlesHangup() {
+			continue // the process has only just started, and SIGHUP would still end it
 		}
-		end := t.run.judge.trouble("reload", m.told, true)
+		end := s.run.checker.beginTrouble("reload", m.advertisedIP, true)
 		m.signal(syscall.SIGHUP, false)
-		wait(ctx, 100*time.Millisecond)
+		sleep(ctx, 100*time.Millisecond)
 		end()
 	}
 }
 
-func (t *troubles) freeze(ctx context.Context, r role, span time.Duration) {
-	l := t.seize(r, 1)
-	defer t.free(l...)
-	defer t.begin("freeze", false, l...)()
+func (s *scheduler) freeze(ctx context.Context, r role, duration time.Duration) {
+	l := s.acquire(r, 1)
+	defer s.release(l...)
+	defer s.beginTrouble("freeze", false, l...)()
 	for _, m := range l {
 		m.signal(syscall.SIGSTOP, false)
 	}
-	wait(ctx, span)
+	sleep(ctx, duration)
 	for _, m := range l {
 		m.signal(syscall.SIGCONT, false)
 	}
 }
 
-func (t *troubles) cutRouter(ctx context.Context, span time.Duration) {
-	l := t.seize(routerRole, 1)
-	defer t.free(l...)
-	defer t.begin("cut", false, l...)()
+func (s *scheduler) cutRouter(ctx context.Context, duration time.Duration) {
+	l := s.acquire(routerRole, 1)
+	defer s.release(l...)
+	defer s.beginTrouble("cut", false, l...)()
 	for _, m := range l {
-		for _, core := range t.run.fleet.of(controllerRole) {
-			defer t.run.fleet.part(m.told, core.told, false)()
+		for _, core := range s.run.fleet.withRole(controllerRole) {
+			defer s.run.fleet.cutLink(m.advertisedIP, core.advertisedIP, false)()
 		}
 	}
-	wait(ctx, span)
+	sleep(ctx, duration)
 }
 
-// cutCore cuts a core node off from the others, or one way only; with three nodes this leaves two halves that
-// routers, servers and operators all reach.
-func (t *troubles) cutCore(ctx context.Context, span time.Duration, oneWay bool) {
-	l := t.seize(controllerRole, 1)
-	defer t.free(l...)
-	defer t.begin("cut", false, l...)()
+// cutCore cuts a core node off from the other core nodes, or only the traffic from it with oneWay. With three nodes, this
+// creates two partitions, and routers, servers and operators still reach both.
+func (s *scheduler) cutCore(ctx context.Context, duration time.Duration, oneWay bool) {
+	l := s.acquire(controllerRole, 1)
+	defer s.release(l...)
+	defer s.beginTrouble("cut", false, l...)()
 	for _, m := range l {
-		for _, other := range t.run.fleet.of(controllerRole) {
+		for _, other := range s.run.fleet.withRole(controllerRole) {
 			if other != m {
-				defer t.run.fleet.part(m.told, other.told, oneWay)()
+				defer s.run.fleet.cutLink(m.advertisedIP, other.advertisedIP, oneWay)()
 			}
 		}
 	}
-	wait(ctx, span)
+	sleep(ctx, duration)
 }
 
-// breaks resets the connections of some machine again and again, so that answers are lost.
-func (t *troubles) breaks(ctx context.Context, span time.Duration) {
-	all := t.run.fleet.machines
-	m := all[t.number(len(all))]
-	defer t.begin("reset connections", false, m)()
-	for end := time.Now().Add(span); time.Now().Before(end) && ctx.Err() == nil; {
-		t.run.fleet.links.BreakAt(m.told)
-		wait(ctx, breakPause)
+// resetConnections resets the connections of a random machine repeatedly, so that answers are lost.
+func (s *scheduler) resetConnections(ctx context.Context, duration time.Duration) {
+	all := s.run.fleet.machines
+	m := all[s.randomInt(len(all))]
+	defer s.beginTrouble("reset connections", false, m)()
+	for end := time.Now().Add(duration); time.Now().Before(end) && ctx.Err() == nil; {
+		s.run.fleet.links.BreakAt(m.advertisedIP)
+		sleep(ctx, resetPause)
 	}
 }
 
-func (t *troubles) server() *server { return t.run.servers[t.number(len(t.run.servers))] }
+func (s *scheduler) randomServer() *server { return s.run.servers[s.randomInt(len(s.run.servers))] }
 
-// alone tells whether a server of its service is up besides: not all go at once.
-func (t *troubles) alone(s *server) bool {
-	return !slices.ContainsFunc(t.run.servers, func(o *server) bool {
-		o.mu.Lock()
-		defer o.mu.Unlock()
-		return o != s && o.service == s.service && o.up && !o.leaving
+// isLastOfService reports whether no other server of the service is running. Such a server must not go down, so that the
+// service stays available.
+func (s *scheduler) isLastOfService(target *server) bool {
+	return !slices.ContainsFunc(s.run.servers, func(other *server) bool {
+		other.mu.Lock()
+		defer other.mu.Unlock()
+		return other != target && other.service == target.service && other.running && !other.leaving
 	})
 }
 
-func (t *troubles) crash(ctx context.Context, span time.Duration) {
-	s := t.server()
-	if t.alone(s) {
+func (s *scheduler) crash(ctx context.Context, duration time.Duration) {
+	target := s.randomServer()
+	if s.isLastOfService(target) {
 		return
 	}
-	defer t.run.judge.trouble("crash of "+s.name, s.ip, false)()
-	s.crash()
-	wait(ctx, span)
-	t.revive(s)
+	defer s.run.checker.beginTrouble("crash of "+target.name, target.ip, false)()
+	target.crash()
+	sleep(ctx, duration)
+	s.restartServer(target)
 }
 
-// revive begins a server's next life, empty, at the same address, unless another trouble at the same server has begun it.
-func (t *troubles) revive(s *server) {
+// restartServer starts the server's next incarnation without models at the same address, unless a concurrent trouble at the
+// same server has started it.
+func (s *scheduler) restartServer(target *server) {
 	for range 50 {
-		if err := s.begin(); err == nil || s.alive() {
+		if err := target.start(); err == nil || target.isRunning() {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.run.judge.violate("SOAK", "%s does not start again", s.name)
+	s.run.checker.violate("SOAK", "%s could not be restarted", target.name)
 }
 
-func (t *troubles) leave(ctx context.Context) {
-	s := t.server()
-	s.mu.Lock()
-	busy := !s.up || s.leaving
-	s.mu.Unlock()
-	if busy || t.alone(s) {
+func (s *scheduler) leave(ctx context.Context) {
+	target := s.randomServer()
+	target.mu.Lock()
+	busy := !target.running || target.leaving
+	target.mu.Unlock()
+	if busy || s.isLastOfService(target) {
 		return
 	}
-	t.run.judge.note("%s leaves", s.name)
-	s.leave(ctx, t.number(2) == 0)
-	wait(ctx, time.Second)
-	t.revive(s)
+	s.run.checker.tracef("%s is leaving", target.name)
+	target.leave(ctx, s.randomInt(2) == 0)
+	sleep(ctx, time.Second)
+	s.restartServer(target)
 }
 
-func (t *troubles) misbehave(ctx context.Context, span time.Duration) {
+func (s *scheduler) serversMisbehave(ctx context.Context, duration time.Duration) {
 	set := func(share float64) {
-		for _, s := range t.run.servers {
-			s.mu.Lock()
-			s.rude = share
-			s.mu.Unlock()
+		for _, target := range s.run.servers {
+			target.mu.Lock()
+			target.faultShare = share
+			target.mu.Unlock()
 		}
 	}
-	t.run.judge.note("servers misbehave")
-	set(rudeShare)
-	wait(ctx, span)
+	s.run.checker.tracef("servers misbehave")
+	set(misbehaveFaultShare)
+	sleep(ctx, duration)
 	set(0)
 }
 
-func (t *troubles) lateBeats(ctx context.Context, span time.Duration) {
-	t.run.judge.note("announcements come late")
-	for end := time.Now().Add(span); time.Now().Before(end) && ctx.Err() == nil; {
-		t.server().repeat()
-		wait(ctx, 100*time.Millisecond)
+func (s *scheduler) resendAnnouncements(ctx context.Context, duration time.Duration) {
+	s.run.checker.tracef("late announcements are sent again")
+	for end := time.Now().Add(duration); time.Now().Before(end) && ctx.Err() == nil; {
+		s.randomServer().resendAnnouncement()
+		sleep(ctx, 100*time.Millisecond)
 	}
 }
 
-func (t *troubles) rudeCallers(ctx context.Context, span time.Duration) {
-	t.run.judge.note("callers misbehave")
-	t.run.callersRude.Store(true)
-	wait(ctx, span)
-	t.run.callersRude.Store(false)
+func (s *scheduler) callersMisbehave(ctx context.Context, duration time.Duration) {
+	s.run.checker.tracef("callers misbehave")
+	s.run.callersMisbehave.Store(true)
+	sleep(ctx, duration)
+	s.run.callersMisbehave.Store(false)
 }
 
-func (t *troubles) hurry(ctx context.Context, span time.Duration) {
-	t.run.judge.note("operators hurry")
-	t.run.pace.Store(int64(hurriedPace))
-	wait(ctx, span)
-	t.run.pace.Store(int64(ordinaryPace))
+func (s *scheduler) frequentChanges(ctx context.Context, duration time.Duration) {
+	s.run.checker.tracef("operators send changes in quick succession")
+	s.run.maxChangePause.Store(int64(hurriedChangePause))
+	sleep(ctx, duration)
+	s.run.maxChangePause.Store(int64(ordinaryChangePause))
 }
--- a/internal/soak/trouble_load.go
+++ b/internal/soak/trouble_load.go
@@ -8,102 +8,108 @@
 	"golang.org/x/sys/unix"
 )
 
-// Troubles that make machines late or keep them busy, rather than end them: slow processes, narrow links, large
-// configurations, disks that refuse every write, and signals that follow each other.
+// Troubles that delay or load machines without ending their processes: slow processes, narrow links, large configurations,
+// disks that refuse writes, and sequences of signals.
 
 const (
-	slowRun      = 15 * time.Millisecond // a slowed process runs for so long,
-	slowPauses   = 4                     // and stands still for so many times as long
-	narrowBytes  = 10e6 / 8              // a second, of a narrow link
-	manyRoutes   = 1200                  // of a large configuration
-	seriesRounds = 3
-	seriesPause  = 400 * time.Millisecond
-	quickSpan    = contactSpan + 4*time.Second
-	quickPace    = 20 * time.Millisecond
-	quickShare   = 0.25 // of rounds are followed by quick changes
+	throttleRun          = 15 * time.Millisecond // length of one time slice of a throttled process
+	throttlePauses       = 4                     // length of the stop after each slice, in slices
+	narrowBytesPerSecond = 10e6 / 8              // 10 Mbit/s
+	largeRouteCount      = 1200                  // unused routes in a large configuration
+	seriesRounds         = 3
+	seriesPause          = 400 * time.Millisecond
+	quickChangesDuration = contactLimit + 4*time.Second
+	quickChangesPause    = 20 * time.Millisecond
+	quickChangesShare    = 0.25 // share of rounds that quick changes follow
 )
 
-var loadKinds = []kind{
-	{"slow a router", 3, func(t *troubles, ctx context.Context, span time.Duration) { t.slow(ctx, routerRole, span) }},
-	{"slow a core node", 2, func(t *troubles, ctx context.Context, span time.Duration) { t.slow(ctx, controllerRole, span) }},
-	{"narrow links of routers", 3, func(t *troubles, ctx context.Context, span time.Duration) { t.narrow(ctx, span) }},
-	{"large configurations", 4, func(t *troubles, ctx context.Context, span time.Duration) { t.large(ctx, span) }},
-	{"a disk refuses every write", 2, func(t *troubles, ctx context.Context, span time.Duration) { t.refuse(ctx, span) }},
-	{"signals in series", 3, func(t *troubles, ctx context.Context, _ time.Duration) { t.series(ctx) }},
+var loadTroubleKinds = []troubleKind{
+	{"slow a router", 3, func(s *scheduler, ctx context.Context, duration time.Duration) {
+		s.slowMachine(ctx, routerRole, duration)
+	}},
+	{"slow a core node", 2, func(s *scheduler, ctx context.Context, duration time.Duration) {
+		s.slowMachine(ctx, controllerRole, duration)
+	}},
+	{"narrow links of routers", 3, func(s *scheduler, ctx context.Context, duration time.Duration) { s.narrowLinks(ctx, duration) }},
+	{"large configurations", 4, func(s *scheduler, ctx context.Context, duration time.Duration) { s.largeConfigurations(ctx, duration) }},
+	{"a disk refuses every write", 2, func(s *scheduler, ctx context.Context, duration time.Duration) { s.refuseWrites(ctx, duration) }},
+	{"signals in series", 3, func(s *scheduler, ctx context.Context, _ time.Duration) { s.signalSeries(ctx) }},
 }
 
-func init() { kinds = append(kinds, loadKinds...) }
+func init() { troubleKinds = append(troubleKinds, loadTroubleKinds...) }
 
-// slow has a process run a part of the time only.
-func (t *troubles) slow(ctx context.Context, r role, span time.Duration) {
-	l := t.seize(r, 1)
-	defer t.free(l...)
-	defer t.begin("slow", false, l...)()
-	throttle(ctx, span, l)
+// slowMachine throttles the process of one machine.
+func (s *scheduler) slowMachine(ctx context.Context, r role, duration time.Duration) {
+	l := s.acquire(r, 1)
+	defer s.release(l...)
+	defer s.beginTrouble("slow", false, l...)()
+	throttle(ctx, duration, l)
 }
 
-// throttle has processes run a part of the time only.
-func throttle(ctx context.Context, span time.Duration, l []*machine) {
-	for end := time.Now().Add(span); time.Now().Before(end) && ctx.Err() == nil; {
+// throttle stops and continues processes in turn, so that they run for a part of the time only.
+func throttle(ctx context.Context, duration time.Duration, l []*machine) {
+	for end := time.Now().Add(duration); time.Now().Before(end) && ctx.Err() == nil; {
 		for _, m := range l {
 			m.signal(syscall.SIGSTOP, false)
 		}
-		wait(ctx, slowPauses*slowRun)
+		sleep(ctx, throttlePauses*throttleRun)
 		for _, m := range l {
 			m.signal(syscall.SIGCONT, false)
 		}
-		wait(ctx, slowRun)
+		sleep(ctx, throttleRun)
 	}
 }
 
-// quickChanges has operators send large configurations as fast as they are taken, at every core node, while all of these
-// are weak machines. It comes alone, for longer than a lease and than it takes to count as in touch, and is no trouble by
-// the promises: a core that is late must not be taken for one that cannot be reached.
-func (t *troubles) quickChanges(ctx context.Context) {
-	l := t.seize(controllerRole, len(t.run.fleet.of(controllerRole)))
-	defer t.free(l...)
-	t.counts["quick changes at a weak core"]++
-	t.run.judge.note("changes follow each other at a weak core")
-	t.run.routes.Store(manyRoutes)
-	defer t.run.routes.Store(0)
-	t.run.pace.Store(int64(quickPace))
-	defer t.run.pace.Store(int64(ordinaryPace))
-	throttle(ctx, quickSpan, l)
+// quickChanges makes operators send large configurations as fast as the core accepts them, to every core node, while all
+// core nodes are throttled. It runs without other troubles, for longer than a lease and than contactLimit. It is not
+// recorded as a trouble, as the guarantees still hold: a slow core must not be treated as an unreachable one.
+func (s *scheduler) quickChanges(ctx context.Context) {
+	l := s.acquire(controllerRole, len(s.run.fleet.withRole(controllerRole)))
+	defer s.release(l...)
+	s.counts["quick changes at a weak core"]++
+	s.run.checker.tracef("quick changes at a throttled core")
+	s.run.extraRoutes.Store(largeRouteCount)
+	defer s.run.extraRoutes.Store(0)
+	s.run.maxChangePause.Store(int64(quickChangesPause))
+	defer s.run.maxChangePause.Store(int64(ordinaryChangePause))
+	throttle(ctx, quickChangesDuration, l)
 }
 
-// narrow has every router's links carry little. It is no trouble by the promises: a machine may be made so.
-func (t *troubles) narrow(ctx context.Context, span time.Duration) {
-	t.run.judge.note("links of routers are narrow")
-	for _, m := range t.run.fleet.of(routerRole) {
-		t.run.fleet.links.Narrow(m.told, narrowBytes)
-		defer t.run.fleet.links.Narrow(m.told, 0)
+// narrowLinks limits the bandwidth of every router's links. It is not recorded as a trouble, as the guarantees cover
+// machines with such links.
+func (s *scheduler) narrowLinks(ctx context.Context, duration time.Duration) {
+	s.run.checker.tracef("links of routers are narrow")
+	for _, m := range s.run.fleet.withRole(routerRole) {
+		s.run.fleet.links.Narrow(m.advertisedIP, narrowBytesPerSecond)
+		defer s.run.fleet.links.Narrow(m.advertisedIP, 0)
 	}
-	wait(ctx, span)
+	sleep(ctx, duration)
 }
 
-// large has operators send configurations with many routes, fast. It is no trouble by the promises, either.
-func (t *troubles) large(ctx context.Context, span time.Duration) {
-	t.run.judge.note("configurations are large")
-	t.run.routes.Store(manyRoutes)
-	wait(ctx, span)
-	t.run.routes.Store(0)
+// largeConfigurations makes operators send configurations with many routes. It is not recorded as a trouble, as the
+// guarantees cover such configurations.
+func (s *scheduler) largeConfigurations(ctx context.Context, duration time.Duration) {
+	s.run.checker.tracef("configurations are large")
+	s.run.extraRoutes.Store(largeRouteCount)
+	sleep(ctx, duration)
+	s.run.extraRoutes.Store(0)
 }
 
-// refuse has a core node's disk refuse every write.
-func (t *troubles) refuse(ctx context.Context, span time.Duration) {
-	l := t.seize(controllerRole, 1)
-	defer t.free(l...)
-	defer t.begin("refuse writes", false, l...)()
+// refuseWrites makes a core node's writes to files fail.
+func (s *scheduler) refuseWrites(ctx context.Context, duration time.Duration) {
+	l := s.acquire(controllerRole, 1)
+	defer s.release(l...)
+	defer s.beginTrouble("refuse writes", false, l...)()
 	for _, m := range l {
 		m.limitWrites(0)
 	}
-	wait(ctx, span)
+	sleep(ctx, duration)
 	for _, m := range l {
 		m.limitWrites(unix.RLIM_INFINITY)
 	}
 }
 
-// limitWrites bounds how large files may become that the process writes.
+// limitWrites sets the maximum size of files that the process may write (RLIMIT_FSIZE).
 func (m *machine) limitWrites(bytes uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -112,17 +118,17 @@
 	}
 }
 
-// series has a router reload, stop and start again, some times in a row, while the other routers reload and changes come.
-func (t *troubles) series(ctx context.Context) {
-	t.run.pace.Store(int64(hurriedPace))
-	defer t.run.pace.Store(int64(ordinaryPace))
+// signalSeries repeatedly reloads all routers and restarts one of them while operators send changes in quick succession.
+func (s *scheduler) signalSeries(ctx context.Context) {
+	s.run.maxChangePause.Store(int64(hurriedChangePause))
+	defer s.run.maxChangePause.Store(int64(ordinaryChangePause))
 	for range seriesRounds {
 		if ctx.Err() != nil {
 			return
 		}
-		t.reload(ctx)
-		t.restart(ctx, routerRole)
-		t.reload(ctx)
-		wait(ctx, time.Duration(t.number(int(seriesPause))))
+		s.reload(ctx)
+		s.restart(ctx, routerRole)
+		s.reload(ctx)
+		sleep(ctx, time.Duration(s.randomInt(int(seriesPause))))
 	}
 }
--- a/internal/soak/trouble_test.go
+++ b/internal/soak/trouble_test.go
@@ -11,47 +11,48 @@
 	"tidedeck/internal/localfleet"
 )
 
-// loneServer is a server of the soak's own without a fleet around it.
-func loneServer(t *testing.T) (*troubles, *server) {
+// serverWithoutFleet returns a server that is not part of a running fleet, and a scheduler for it.
+func serverWithoutFleet(t *testing.T) (*scheduler, *server) {
 	t.Helper()
 	o := Options{Folder: filepath.Join(t.TempDir(), "fleet"), Seed: 1}
-	j := newJudge(o)
-	f := &fleet{links: localfleet.NewRelays(), judge: j, bounds: bounds}
+	c := newChecker(o)
+	f := &fleet{links: localfleet.NewRelays(), checker: c, bounds: deploymentBounds}
 	require.NoError(t, f.reserve())
-	f.add("core-1", controllerRole, 0) // which no process runs
-	s := newServer(f, 0, plainService, 1)
+	f.addMachine("core-1", controllerRole, 0) // without a process
+	target := newServer(f, 0, plainService, 1)
 	t.Cleanup(func() {
-		s.crash()
+		target.crash()
 		_ = f.reserved.Close()
 	})
-	return newTroubles(&soakRun{options: o, judge: j, fleet: f}), s
+	return newScheduler(&soakRun{options: o, checker: c, fleet: f}), target
 }
 
-// Two troubles that had the same server crash both begin its next life: one does, and neither is a violation.
+// Two concurrent troubles that crashed the same server both restart it. Exactly one starts the next incarnation, and neither
+// reports a violation.
 func TestReviveBesideAnother(t *testing.T) {
-	trouble, s := loneServer(t)
-	require.NoError(t, s.begin())
+	s, target := serverWithoutFleet(t)
+	require.NoError(t, target.start())
 	for range 5 {
-		s.crash()
-		lives := s.life
+		target.crash()
+		before := target.incarnations
 		var both sync.WaitGroup
 		for range 2 {
-			both.Go(func() { trouble.revive(s) })
+			both.Go(func() { s.restartServer(target) })
 		}
 		both.Wait()
-		require.True(t, s.alive())
-		require.Equal(t, lives+1, s.life)
-		require.Empty(t, trouble.run.judge.violations)
+		require.True(t, target.isRunning())
+		require.Equal(t, before+1, target.incarnations)
+		require.Empty(t, s.run.checker.violations)
 	}
 }
 
-// A server whose address another process has cannot start again, and that is told.
+// A server whose address is in use cannot be restarted, which is reported as a violation.
 func TestReviveWithoutAnAddress(t *testing.T) {
-	trouble, s := loneServer(t)
-	taken, err := net.Listen("tcp", s.bind)
+	s, target := serverWithoutFleet(t)
+	taken, err := net.Listen("tcp", target.bind)
 	require.NoError(t, err)
 	defer taken.Close()
-	trouble.revive(s)
-	require.False(t, s.alive())
-	require.Len(t, trouble.run.judge.violations, 1)
+	s.restartServer(target)
+	require.False(t, target.isRunning())
+	require.Len(t, s.run.checker.violations, 1)
 }
