--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -171,10 +171,10 @@
 	q.endedAt, q.result, q.status, q.detail = time.Now(), result, status, detail
 }
 
-func (c *checker) requestArrived(id, server, from string) {
+func (c *checker) requestArrived(id, server, router string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.arrivals = append(c.arrivals, arrival{id, server, from, time.Now()})
+	c.arrivals = append(c.arrivals, arrival{id, server, router, time.Now()})
 }
 
 func (c *checker) requestExecuted(e execution) {
@@ -183,8 +183,8 @@
 	c.executions[e.id] = append(c.executions[e.id], e)
 }
 
-// checkOrder checks an order against the orders that the server received before.
-func (c *checker) checkOrder(server, from string, o peer.Order) {
+// checkOrder checks an order against the orders that servers received before. The sender is an IP address.
+func (c *checker) checkOrder(server, sender string, o peer.Order) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if owner := c.termOwners[o.Term]; owner != "" && owner != o.Owner {
@@ -192,7 +192,7 @@
 	}
 	c.termOwners[o.Term] = o.Owner
 	seen := c.highestTerms[server]
-	if o.Term < seen.number && time.Since(c.recoveredAt[from]) > unfreezeLimit && !c.inTroubleLocked(from, time.Now()) {
+	if o.Term < seen.number && time.Since(c.recoveredAt[sender]) > unfreezeLimit && !c.inTroubleLocked(sender, time.Now()) {
 		c.violateLocked("ONE", "%s received an order of %s under term %d after term %d of %s", server, o.Owner, o.Term, seen.number, seen.owner)
 	}
 	if o.Term > seen.number {
--- a/internal/soak/memory_test.go
+++ b/internal/soak/memory_test.go
@@ -29,7 +29,8 @@
 	require.Equal(t, 28*time.Minute-10*time.Second, l[0].Span.Round(time.Second))
 }
 
-func TestKindsNamed(t *testing.T) {
+// Kinds of trouble are selected by name, and an unknown name is an error.
+func TestTroubleKindsByName(t *testing.T) {
 	all, err := troubleKindsByName(nil)
 	require.NoError(t, err)
 	require.Len(t, all, len(TroubleNames()))
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -76,11 +76,11 @@
 		return Report{}, err
 	}
 	go r.watchMemory(ctx)
-	t := newScheduler(r)
-	t.kinds = only
-	r.runLoad(ctx, t)
+	s := newScheduler(r)
+	s.kinds = only
+	r.runLoad(ctx, s)
 	r.finish(ctx)
-	return r.makeReport(t), nil
+	return r.makeReport(s), nil
 }
 
 // crashServers crashes every server of the run.
@@ -91,10 +91,10 @@
 }
 
 // makeReport runs the final checks and returns the report.
-func (r *soakRun) makeReport(t *scheduler) Report {
+func (r *soakRun) makeReport(s *scheduler) Report {
 	r.checker.checkAll()
 	r.readInvariants()
-	report := Report{Seed: r.options.Seed, Violations: r.checker.violations, Requests: r.checker.tally(), Troubles: t.counts, PeakMB: map[string]int{}}
+	report := Report{Seed: r.options.Seed, Violations: r.checker.violations, Requests: r.checker.tally(), Troubles: s.counts, PeakMB: map[string]int{}}
 	for _, m := range r.fleet.machines {
 		report.PeakMB[m.name] = m.peakMemory() >> 10
 	}
@@ -167,7 +167,7 @@
 }
 
 // runLoad runs callers, operators and troubles concurrently until the troubles are over.
-func (r *soakRun) runLoad(ctx context.Context, t *scheduler) {
+func (r *soakRun) runLoad(ctx context.Context, s *scheduler) {
 	ctx, stop := context.WithCancel(ctx)
 	var group sync.WaitGroup
 	for i := range r.options.Callers {
@@ -179,7 +179,7 @@
 		group.Go(func() { o.loop(ctx) })
 	}
 	sleep(ctx, time.Second)
-	t.runTroubles(ctx)
+	s.runTroubles(ctx)
 	stop()
 	group.Wait()
 }
@@ -278,8 +278,8 @@
 	err := waitUntil(ctx, finalRequestsTimeout, fmt.Sprintf("%d requests in a row are served", finalRequestCount), func() bool {
 		c.sendOne()
 		r.checker.mu.Lock()
-		t := r.checker.requests[fmt.Sprintf("c%d-%d-%d", r.options.Seed, c.number, c.sentCount)]
-		ok := t != nil && t.result == served
+		q := r.checker.requests[fmt.Sprintf("c%d-%d-%d", r.options.Seed, c.number, c.sentCount)]
+		ok := q != nil && q.result == served
 		r.checker.mu.Unlock()
 		if streak++; !ok {
 			streak = 0
--- a/internal/soak/trouble.go
+++ b/internal/soak/trouble.go
@@ -19,9 +19,9 @@
 	kinds   []troubleKind // kinds to inject
 	running sync.WaitGroup
 
-	mu             sync.Mutex // guards the fields below
+	mu             sync.Mutex // guards busyMachines and coreWholeSince
 	busyMachines   map[string]bool
-	coreWholeSince time.Time // time since which the core has been complete after the last lost disk; in the future until then
+	coreWholeSince time.Time // when the core became complete after the last lost disk; in the future until then
 	counts         map[string]int
 }
 
--- a/internal/soak/trouble_test.go
+++ b/internal/soak/trouble_test.go
@@ -29,7 +29,7 @@
 
 // Two concurrent troubles that crashed the same server both restart it. Exactly one starts the next incarnation, and neither
 // reports a violation.
-func TestReviveBesideAnother(t *testing.T) {
+func TestConcurrentServerRestarts(t *testing.T) {
 	s, target := serverWithoutFleet(t)
 	require.NoError(t, target.start())
 	for range 5 {
@@ -47,7 +47,7 @@
 }
 
 // A server whose address is in use cannot be restarted, which is reported as a violation.
-func TestReviveWithoutAnAddress(t *testing.T) {
+func TestServerRestartWithAddressInUse(t *testing.T) {
 	s, target := serverWithoutFleet(t)
 	taken, err := net.Listen("tcp", target.bind)
 	require.NoError(t, err)
