--- a/internal/explorer/action.go
+++ b/internal/explorer/action.go
@@ -12,42 +12,42 @@
 	"tidedeck/internal/ident"
 )
 
-// Kind names what an action does.
-type Kind string
+// ActionKind is the type of an action.
+type ActionKind string
 
-// The kinds of actions.
+// The action kinds. Their values are the first words of the lines of a written run.
 const (
-	Deliver   Kind = "deliver"      // one message arrives
-	Duplicate Kind = "duplicate"    // one message arrives, and will arrive again
-	Drop      Kind = "drop"         // one message is lost
-	Interrupt Kind = "interrupt"    // one message arrives, and its receiver loses power before its disk is synced
-	DeliverTo Kind = "deliver-to"   // all messages under way to a node arrive, in order
-	DropTo    Kind = "drop-to"      // all messages under way to a node are lost
-	BreakAt   Kind = "interrupt-at" // as deliver-to, and the node loses power before its disk is synced
-	Settle    Kind = "settle"       // messages arrive in order until none is under way
-	Tick      Kind = "tick"         // one step of time, at which every node's timer runs
-	Pass      Kind = "pass"         // several steps of time, with all messages arriving
-	Put       Kind = "put"          // an operator sends its change, or repeats it, at a node
-	Get       Kind = "get"          // an operator reads at a node
-	Crash     Kind = "crash"        // a node stops; its disk stays
-	Restart   Kind = "restart"      // a stopped node starts from its disk
-	Wipe      Kind = "wipe"         // a node's disk is emptied, and it starts anew at once
-	Lose      Kind = "lose"         // a node is lost for good, with its disk
-	Stall     Kind = "stall"        // a node's disk syncs nothing for now; a crash loses what waits
-	Unstall   Kind = "unstall"      // a stalled disk syncs what waits
-	Cut       Kind = "cut"          // a node reaches no other and none reaches it
-	Heal      Kind = "heal"         // a node that was cut off is connected again
+	Deliver     ActionKind = "deliver"      // delivers one message
+	Duplicate   ActionKind = "duplicate"    // delivers one message and leaves a copy in flight
+	Drop        ActionKind = "drop"         // loses one message
+	Interrupt   ActionKind = "interrupt"    // delivers one message; its receiver loses power before its disk is synced
+	DeliverTo   ActionKind = "deliver-to"   // delivers all messages in flight to a node, in the order of sending
+	DropTo      ActionKind = "drop-to"      // loses all messages in flight to a node
+	InterruptAt ActionKind = "interrupt-at" // as deliver-to, but the node loses power before its disk is synced
+	Settle      ActionKind = "settle"       // delivers messages in order until none is in flight
+	Tick        ActionKind = "tick"         // advances the clock by one tick, at which every node's timer runs
+	Pass        ActionKind = "pass"         // advances the clock by several ticks and delivers all messages
+	Put         ActionKind = "put"          // an operator sends or repeats its change at a node
+	Get         ActionKind = "get"          // an operator reads the plan at a node
+	Crash       ActionKind = "crash"        // stops a node; its disk is kept
+	Restart     ActionKind = "restart"      // starts a stopped node from its disk
+	Wipe        ActionKind = "wipe"         // erases a node's disk and restarts the node at once
+	Lose        ActionKind = "lose"         // removes a node permanently, with its disk
+	Stall       ActionKind = "stall"        // stops a node's disk from syncing; a crash loses the pending writes
+	Unstall     ActionKind = "unstall"      // lets a stalled disk sync its pending writes
+	Cut         ActionKind = "cut"          // isolates a node from all others in both directions
+	Heal        ActionKind = "heal"         // reconnects an isolated node
 )
 
-// Action is one step of a run. Which fields it uses follows from its kind.
+// Action is one step of a run. Its kind determines which fields are used.
 type Action struct {
-	Kind     Kind
+	Kind     ActionKind
 	Node     ident.Node
-	Message  int // number of the message, counted in the order of sending
+	Message  int // sequence number of the message, in the order of sending
 	Operator string
 }
 
-// String writes an action as ParseAction reads it.
+// String formats an action in the syntax that ParseAction accepts.
 func (a Action) String() string {
 	switch a.Kind {
 	case Deliver, Duplicate, Drop, Interrupt:
@@ -60,45 +60,45 @@
 	return fmt.Sprintf("%s %s", a.Kind, a.Node)
 }
 
-// ParseAction reads one line of a run.
+// ParseAction parses one line of a run.
 func ParseAction(line string) (Action, error) {
 	words := strings.Fields(line)
 	if len(words) == 0 {
-		return Action{}, errors.New("an action is empty")
+		return Action{}, errors.New("empty action")
 	}
-	a := Action{Kind: Kind(words[0])}
-	wants := map[Kind]int{Settle: 1, Tick: 1, Pass: 1, Put: 3}
-	want := 2
-	if n, ok := wants[a.Kind]; ok {
-		want = n
+	a := Action{Kind: ActionKind(words[0])}
+	wordCounts := map[ActionKind]int{Settle: 1, Tick: 1, Pass: 1, Put: 3}
+	wordCount := 2
+	if n, ok := wordCounts[a.Kind]; ok {
+		wordCount = n
 	}
-	if len(words) != want {
-		return a, errors.Errorf("%q: %s takes %d words", line, a.Kind, want)
+	if len(words) != wordCount {
+		return a, errors.Errorf("%q: action %s needs %d words", line, a.Kind, wordCount)
 	}
 	switch a.Kind {
 	case Settle, Tick, Pass:
 	case Deliver, Duplicate, Drop, Interrupt:
 		n, err := strconv.Atoi(words[1])
 		if err != nil {
-			return a, errors.Wrapf(err, "%q: number of the message", line)
+			return a, errors.Wrapf(err, "%q: message number", line)
 		}
 		a.Message = n
 	case Put:
 		a.Operator, a.Node = words[1], ident.Node(words[2])
-	case DeliverTo, DropTo, BreakAt, Get, Crash, Restart, Wipe, Lose, Stall, Unstall, Cut, Heal:
+	case DeliverTo, DropTo, InterruptAt, Get, Crash, Restart, Wipe, Lose, Stall, Unstall, Cut, Heal:
 		a.Node = ident.Node(words[1])
 	default:
-		return a, errors.Errorf("%q: no such action", line)
+		return a, errors.Errorf("%q: unknown action", line)
 	}
 	return a, nil
 }
 
-// ParseRun reads a run, one action a line. Empty lines and what follows a # are passed over.
+// ParseRun parses a run with one action per line. Empty lines and comments that begin with # are ignored.
 func ParseRun(r io.Reader) ([]Action, error) {
 	var run []Action
-	lines := bufio.NewScanner(r)
-	for lines.Scan() {
-		line, _, _ := strings.Cut(lines.Text(), "#")
+	scanner := bufio.NewScanner(r)
+	for scanner.Scan() {
+		line, _, _ := strings.Cut(scanner.Text(), "#")
 		if strings.TrimSpace(line) == "" {
 			continue
 		}
@@ -108,7 +108,7 @@
 		}
 		run = append(run, a)
 	}
-	if err := lines.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		return nil, errors.Wrap(err, "read run")
 	}
 	return run, nil
--- a/internal/explorer/enabled.go
+++ b/internal/explorer/enabled.go
@@ -10,255 +10,255 @@
 	"tidedeck/internal/protocol"
 )
 
-// Apply carries out one action and checks what must hold after it.
-func (w *World) Apply(a Action) error {
-	w.note("%s", a)
-	if err := w.perform(a); err != nil {
+// Apply executes one action and then checks the properties of the resulting state.
+func (c *Cluster) Apply(a Action) error {
+	c.logf("%s", a)
+	if err := c.perform(a); err != nil {
 		return err
 	}
-	w.drain()
-	w.history.watch(w)
-	w.history.checkDurable(w)
+	c.drain()
+	c.history.checkOwners(c)
+	c.history.checkDurable(c)
 	return nil
 }
 
-func (w *World) perform(a Action) error {
+func (c *Cluster) perform(a Action) error {
 	switch a.Kind {
 	case Deliver, Duplicate, Drop, Interrupt:
-		return w.performMessage(a)
+		return c.performMessage(a)
 	case Settle:
-		w.settle()
+		c.settle()
 	case Tick:
-		w.spent.Ticks++
-		w.tick()
+		c.used.Ticks++
+		c.tick()
 	case Pass:
-		w.spent.Passes++
-		w.settle()
-		w.pass(w.scenario.PassTicks)
+		c.used.Passes++
+		c.settle()
+		c.advance(c.scenario.PassTicks)
 	default:
-		n := w.node(a.Node)
+		n := c.node(a.Node)
 		if n == nil {
-			return errors.Errorf("%s: no such node", a)
+			return errors.Errorf("%s: unknown node", a)
 		}
-		return w.performAt(a, n)
+		return c.performOnNode(a, n)
 	}
 	return nil
 }
 
-func (w *World) performMessage(a Action) error {
-	m, ok := w.take(a.Message)
+func (c *Cluster) performMessage(a Action) error {
+	m, ok := c.removeInFlight(a.Message)
 	if !ok {
-		return errors.Errorf("%s: no such message is under way", a)
+		return errors.Errorf("%s: no message with this number is in flight", a)
 	}
 	switch a.Kind {
 	case Drop:
-		w.spent.Drops++
-		w.note("    %d is lost: %s", m.number, envelopeText(m.env))
+		c.used.Drops++
+		c.logf("    %d is dropped: %s", m.number, envelopeText(m.env))
 		return nil
 	case Duplicate:
-		w.spent.Duplicates++
-		w.sent++
-		w.flight = append(w.flight, message{w.sent, m.env})
+		c.used.Duplicates++
+		c.sentCount++
+		c.inFlight = append(c.inFlight, message{c.sentCount, m.env})
 	case Interrupt:
-		w.spent.Interrupts++
-		w.receiver(m).dying = true
+		c.used.Interrupts++
+		c.receiver(m).losingPower = true
 	}
-	if !w.reaches(m) {
-		return errors.Errorf("%s: its receiver is not reached", a)
+	if !c.isReachable(m) {
+		return errors.Errorf("%s: the receiver is not reachable", a)
 	}
-	w.arrive(m)
+	c.deliver(m)
 	if a.Kind == Interrupt {
-		w.stop(w.receiver(m))
+		c.stop(c.receiver(m))
 	}
 	return nil
 }
 
-func (w *World) performAt(a Action, n *node) error {
+func (c *Cluster) performOnNode(a Action, n *node) error {
 	switch a.Kind {
-	case DeliverTo, BreakAt, DropTo:
-		w.performWave(a, n)
+	case DeliverTo, InterruptAt, DropTo:
+		c.performBatch(a, n)
 		return nil
 	case Put, Get:
 		if !n.up() {
 			return errors.Errorf("%s: the node is down", a)
 		}
-		return w.ask(a, n)
+		return c.sendRequest(a, n)
 	case Crash:
-		w.spent.Crashes++
-		w.stop(n)
+		c.used.Crashes++
+		c.stop(n)
 	case Restart:
 		if n.up() || n.lost {
-			return errors.Errorf("%s: it cannot start", a)
+			return errors.Errorf("%s: the node is running or lost and cannot start", a)
 		}
-		w.boot(n)
+		c.boot(n)
 	case Wipe:
-		w.spent.Wipes++
-		w.stop(n)
+		c.used.Wipes++
+		c.stop(n)
 		n.disk, n.vote = map[string][]byte{}, controller.DurableVote{}
-		w.boot(n)
+		c.boot(n)
 	case Lose:
-		w.spent.Losses++
-		w.stop(n)
+		c.used.Losses++
+		c.stop(n)
 		n.disk, n.vote, n.lost = map[string][]byte{}, controller.DurableVote{}, true
 	case Stall:
-		w.spent.Stalls++
+		c.used.Stalls++
 		n.stalled = true
 	case Unstall:
-		w.unstall(n)
+		c.unstall(n)
 	case Cut:
-		w.spent.Cuts++
-		n.cut = true
+		c.used.Cuts++
+		n.isolated = true
 	case Heal:
-		n.cut = false
+		n.isolated = false
 	default:
-		return errors.Errorf("%s: no such action", a)
+		return errors.Errorf("%s: unknown action", a)
 	}
 	return nil
 }
 
-// unstall has a disk sync what waited, in order.
-func (w *World) unstall(n *node) {
-	waiting := n.pending
-	n.stalled, n.pending = false, nil
-	for _, s := range waiting {
-		w.sync(n, s)
+// unstall ends a disk stall and syncs the pending writes in order.
+func (c *Cluster) unstall(n *node) {
+	writes := n.pendingWrites
+	n.stalled, n.pendingWrites = false, nil
+	for _, s := range writes {
+		c.sync(n, s)
 	}
 }
 
-// stop ends a node's life; its disk keeps what was synced.
-func (w *World) stop(n *node) {
-	n.core, n.dying, n.stalled, n.pending = nil, false, false, nil
-	w.history.stopped(n)
+// stop stops a node. Its disk keeps only what was synced.
+func (c *Cluster) stop(n *node) {
+	n.core, n.losingPower, n.stalled, n.pendingWrites = nil, false, false, nil
+	c.history.nodeStopped(n)
 }
 
-// performWave delivers or loses all that is under way to a node, but not what this leads to.
-func (w *World) performWave(a Action, n *node) {
-	var wave, rest []message
-	for _, m := range w.flight {
-		if w.receiver(m) == n && (a.Kind == DropTo || w.reaches(m)) {
-			wave = append(wave, m)
+// performBatch delivers or drops all messages in flight to a node, but not messages sent in response to them.
+func (c *Cluster) performBatch(a Action, n *node) {
+	var batch, rest []message
+	for _, m := range c.inFlight {
+		if c.receiver(m) == n && (a.Kind == DropTo || c.isReachable(m)) {
+			batch = append(batch, m)
 		} else {
 			rest = append(rest, m)
 		}
 	}
-	w.flight = rest
+	c.inFlight = rest
 	switch a.Kind {
 	case DropTo:
-		w.spent.Drops++
+		c.used.Drops++
 		return
-	case BreakAt:
-		w.spent.Interrupts++
-		n.dying = true
+	case InterruptAt:
+		c.used.Interrupts++
+		n.losingPower = true
 	}
-	for _, m := range wave {
-		w.arrive(m)
+	for _, m := range batch {
+		c.deliver(m)
 	}
-	if a.Kind == BreakAt {
-		w.stop(n)
+	if a.Kind == InterruptAt {
+		c.stop(n)
 	}
 }
 
-// ask sends an operator's request to a node.
-func (w *World) ask(a Action, n *node) error {
+// sendRequest sends an operator's read or change to a node.
+func (c *Cluster) sendRequest(a Action, n *node) error {
 	if a.Kind == Get {
-		w.spent.Gets++
-		w.push(n, controller.Admin{Token: w.history.asks(request{at: n.id}), Op: "get"})
+		c.used.Gets++
+		c.enqueue(n, controller.Admin{Token: c.history.addRequest(request{node: n.id}), Op: "get"})
 		return nil
 	}
-	for _, o := range w.scenario.Operators {
+	for _, o := range c.scenario.Operators {
 		if o.Name == a.Operator {
-			w.put(n, o.Name, o.Expect, o.Number, false)
+			c.sendChange(n, o.Name, o.ExpectedEpoch, o.NewEpoch, false)
 			return nil
 		}
 	}
-	return errors.Errorf("%s: no such operator", a)
+	return errors.Errorf("%s: unknown operator", a)
 }
 
-func (w *World) put(n *node, change string, expect, number ident.Epoch, any bool) {
-	token := w.history.asks(request{at: n.id, change: change, expect: expect, any: any})
-	w.push(n, controller.Admin{
+func (c *Cluster) sendChange(n *node, change string, expect, number ident.Epoch, anyEpoch bool) {
+	token := c.history.addRequest(request{node: n.id, change: change, expectedEpoch: expect, anyEpoch: anyEpoch})
+	c.enqueue(n, controller.Admin{
 		Token: token, Op: "put", Raw: []byte(change), Change: change,
-		Expect: expect, Number: number, Any: any,
+		Expect: expect, Number: number, Any: anyEpoch,
 	})
 }
 
-// Enabled lists the actions that the scenario allows now, in a fixed order.
-func (w *World) Enabled() []Action {
+// Enabled returns the actions that the scenario allows in the current state, in a fixed order.
+func (c *Cluster) Enabled() []Action {
 	var l []Action
-	l = append(l, w.enabledDeliveries()...)
-	l = append(l, w.enabledRequests()...)
-	l = append(l, w.enabledFaults()...)
-	b := w.scenario.Budget
-	if w.spent.Ticks < b.Ticks {
+	l = append(l, c.enabledDeliveries()...)
+	l = append(l, c.enabledRequests()...)
+	l = append(l, c.enabledFaults()...)
+	b := c.scenario.Budget
+	if c.used.Ticks < b.Ticks {
 		l = append(l, Action{Kind: Tick})
 	}
-	if w.spent.Passes < b.Passes {
+	if c.used.Passes < b.Passes {
 		l = append(l, Action{Kind: Pass})
 	}
 	return l
 }
 
-func (w *World) enabledDeliveries() []Action {
+func (c *Cluster) enabledDeliveries() []Action {
 	var l []Action
-	if w.scenario.Grain == ByMessage {
-		l = w.enabledMessages()
+	if c.scenario.Granularity == ByMessage {
+		l = c.enabledMessages()
 	} else {
-		l = w.enabledWaves()
+		l = c.enabledBatches()
 	}
-	if slices.ContainsFunc(w.flight, w.reaches) {
+	if slices.ContainsFunc(c.inFlight, c.isReachable) {
 		l = append(l, Action{Kind: Settle})
 	}
 	return l
 }
 
-func (w *World) enabledMessages() []Action {
+func (c *Cluster) enabledMessages() []Action {
 	var l []Action
-	b := w.scenario.Budget
+	b := c.scenario.Budget
 	seen := map[string]bool{}
-	for _, m := range w.flight {
+	for _, m := range c.inFlight {
 		text := envelopeText(m.env)
-		if seen[text] || !w.reaches(m) || w.inert(m) {
+		if seen[text] || !c.isReachable(m) || c.isIgnored(m) {
 			continue
 		}
 		seen[text] = true
 		l = append(l, Action{Kind: Deliver, Message: m.number})
-		if w.spent.Duplicates < b.Duplicates {
+		if c.used.Duplicates < b.Duplicates {
 			l = append(l, Action{Kind: Duplicate, Message: m.number})
 		}
-		if w.spent.Drops < b.Drops {
+		if c.used.Drops < b.Drops {
 			l = append(l, Action{Kind: Drop, Message: m.number})
 		}
-		if w.spent.Interrupts < b.Interrupts && w.strikes(w.receiver(m)) {
+		if c.used.Interrupts < b.Interrupts && c.mayFail(c.receiver(m)) {
 			l = append(l, Action{Kind: Interrupt, Message: m.number})
 		}
 	}
 	return l
 }
 
-func (w *World) enabledWaves() []Action {
+func (c *Cluster) enabledBatches() []Action {
 	var l []Action
-	b := w.scenario.Budget
-	for _, n := range w.nodes {
-		live := slices.ContainsFunc(w.flight, func(m message) bool {
-			return w.receiver(m) == n && w.reaches(m) && !w.inert(m)
+	b := c.scenario.Budget
+	for _, n := range c.nodes {
+		deliverable := slices.ContainsFunc(c.inFlight, func(m message) bool {
+			return c.receiver(m) == n && c.isReachable(m) && !c.isIgnored(m)
 		})
-		if !live {
+		if !deliverable {
 			continue
 		}
 		l = append(l, Action{Kind: DeliverTo, Node: n.id})
-		if w.spent.Drops < b.Drops {
+		if c.used.Drops < b.Drops {
 			l = append(l, Action{Kind: DropTo, Node: n.id})
 		}
-		if w.spent.Interrupts < b.Interrupts && w.strikes(n) {
-			l = append(l, Action{Kind: BreakAt, Node: n.id})
+		if c.used.Interrupts < b.Interrupts && c.mayFail(n) {
+			l = append(l, Action{Kind: InterruptAt, Node: n.id})
 		}
 	}
 	return l
 }
 
-// inert tells whether a message under way is an answer that its receiver passes over.
-func (w *World) inert(m message) bool {
-	n := w.receiver(m)
+// isIgnored reports whether a message in flight is a response that its receiver would ignore.
+func (c *Cluster) isIgnored(m message) bool {
+	n := c.receiver(m)
 	if !n.up() {
 		return false
 	}
@@ -271,25 +271,25 @@
 	default:
 		return false
 	}
-	seen, current, under := n.core.Proposing()
-	return highest <= seen && (!under || current != round)
+	seen, current, proposing := n.core.Proposing()
+	return highest <= seen && (!proposing || current != round)
 }
 
-func (w *World) enabledRequests() []Action {
+func (c *Cluster) enabledRequests() []Action {
 	var l []Action
-	for _, o := range w.scenario.Operators {
-		if w.history.attempts[o.Name] >= o.Attempts {
+	for _, o := range c.scenario.Operators {
+		if c.history.attempts[o.Name] >= o.MaxAttempts {
 			continue
 		}
-		for _, id := range o.At {
-			if w.node(id).up() {
+		for _, id := range o.Nodes {
+			if c.node(id).up() {
 				l = append(l, Action{Kind: Put, Operator: o.Name, Node: id})
 			}
 		}
 	}
-	if w.spent.Gets < w.scenario.Budget.Gets {
-		for _, id := range w.scenario.GetAt {
-			if w.node(id).up() {
+	if c.used.Gets < c.scenario.Budget.Gets {
+		for _, id := range c.scenario.ReadNodes {
+			if c.node(id).up() {
 				l = append(l, Action{Kind: Get, Node: id})
 			}
 		}
@@ -297,89 +297,90 @@
 	return l
 }
 
-func (w *World) strikes(n *node) bool {
-	return len(w.scenario.Faulty) == 0 || slices.Contains(w.scenario.Faulty, n.id)
+// mayFail reports whether the scenario allows faults at a node.
+func (c *Cluster) mayFail(n *node) bool {
+	return len(c.scenario.FaultNodes) == 0 || slices.Contains(c.scenario.FaultNodes, n.id)
 }
 
-func (w *World) enabledFaults() []Action {
+func (c *Cluster) enabledFaults() []Action {
 	var l []Action
-	b := w.scenario.Budget
-	for _, n := range w.nodes {
+	b := c.scenario.Budget
+	for _, n := range c.nodes {
 		if n.lost {
 			continue
 		}
 		if !n.up() {
 			l = append(l, Action{Kind: Restart, Node: n.id})
 		}
-		if n.cut {
+		if n.isolated {
 			l = append(l, Action{Kind: Heal, Node: n.id})
 		}
 		if n.stalled {
 			l = append(l, Action{Kind: Unstall, Node: n.id})
 		}
-		if !w.strikes(n) {
+		if !c.mayFail(n) {
 			continue
 		}
-		if n.up() && w.spent.Crashes < b.Crashes {
+		if n.up() && c.used.Crashes < b.Crashes {
 			l = append(l, Action{Kind: Crash, Node: n.id})
 		}
-		if n.up() && !n.stalled && w.spent.Stalls < b.Stalls {
+		if n.up() && !n.stalled && c.used.Stalls < b.Stalls {
 			l = append(l, Action{Kind: Stall, Node: n.id})
 		}
-		if n.up() && !n.cut && w.spent.Cuts < b.Cuts {
+		if n.up() && !n.isolated && c.used.Cuts < b.Cuts {
 			l = append(l, Action{Kind: Cut, Node: n.id})
 		}
-		if !w.mayLose(n) {
+		if !c.mayLoseDisk(n) {
 			continue
 		}
-		if w.spent.Wipes < b.Wipes {
+		if c.used.Wipes < b.Wipes {
 			l = append(l, Action{Kind: Wipe, Node: n.id})
 		}
-		if w.spent.Losses < b.Losses {
+		if c.used.Losses < b.Losses {
 			l = append(l, Action{Kind: Lose, Node: n.id})
 		}
 	}
 	return l
 }
 
-// mayLose tells whether the loss of a node's disk leaves no more seats of a voter set in force dead
-// than the core is promised to bear at once.
-func (w *World) mayLose(n *node) bool {
-	if w.history.inForce == nil {
+// mayLoseDisk reports whether, after the loss of a node's disk, every voter set in use still has no more lost seats than
+// the scenario tolerates at once.
+func (c *Cluster) mayLoseDisk(n *node) bool {
+	if c.history.inForce == nil {
 		return false
 	}
 	var sets [][]protocol.Voter
-	for _, value := range append(w.acceptedOnDisks(), w.history.inForce) {
+	for _, value := range append(c.acceptedOnDisks(), c.history.inForce) {
 		sets = append(sets, value.Voters, value.Prior)
 	}
 	for _, voters := range sets {
-		dead := 0
+		lost := 0
 		for _, v := range voters {
-			if v.ID == n.id || !w.intact(v) {
-				dead++
+			if v.ID == n.id || !c.diskIntact(v) {
+				lost++
 			}
 		}
-		if dead > w.scenario.Tolerance {
+		if lost > c.scenario.MaxLostVoters {
 			return false
 		}
 	}
 	return true
 }
 
-// acceptedOnDisks lists the values on disks that are newer than the one in force: any of them may be chosen,
-// so that whoever goes on must go on with it and needs a quorum of its voter set.
-func (w *World) acceptedOnDisks() []*protocol.Desired {
+// acceptedOnDisks returns the accepted values on disks that are newer than the chosen one. Any of them may become
+// chosen; the next proposer must then adopt that value and needs a quorum of its voter set.
+func (c *Cluster) acceptedOnDisks() []*protocol.Desired {
 	var newer []*protocol.Desired
-	for _, n := range w.nodes {
-		if n.vote.Value != nil && w.history.ballot.Less(n.vote.Ballot) {
+	for _, n := range c.nodes {
+		if n.vote.Value != nil && c.history.inForceBallot.Less(n.vote.Ballot) {
 			newer = append(newer, n.vote.Value)
 		}
 	}
 	return newer
 }
 
-// intact tells whether a seat's disk is still there, whether its node is up or not.
-func (w *World) intact(v protocol.Voter) bool {
-	n := w.node(v.ID)
+// diskIntact reports whether the disk of a voter seat still exists, regardless of whether its node is up.
+func (c *Cluster) diskIntact(v protocol.Voter) bool {
+	n := c.node(v.ID)
 	return n != nil && !n.lost && n.vote.Incarnation == v.Inc
 }
--- a/internal/explorer/explorer_test.go
+++ b/internal/explorer/explorer_test.go
@@ -9,18 +9,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testStates bounds each scenario's search in tests; the command goes further.
+// testStates limits each scenario's search in tests. The command expands more states by default.
 const testStates = 200
 
-// testWalks is how many random runs each scenario is tried by in tests.
+// testWalks is the number of random runs of each scenario in tests.
 const testWalks = 60
 
 func TestMain(m *testing.M) {
-	debug.SetGCPercent(400) // each run makes much and keeps nothing
+	debug.SetGCPercent(400) // each run allocates much memory and retains none
 	os.Exit(m.Run())
 }
 
-// No run within the bounds breaks a property, and as many states are reached as the bounds allow.
+// TestScenarios checks that no run within the bounds violates a property, and that the search reaches as many states as
+// the bounds allow.
 func TestScenarios(t *testing.T) {
 	for _, s := range Scenarios {
 		t.Run(s.Name, func(t *testing.T) {
@@ -28,7 +29,7 @@
 			if testing.Short() {
 				states, depth = testStates/16, 1
 			}
-			r, err := Search(s, Bounds{States: states})
+			r, err := Search(s, SearchBounds{States: states})
 			require.NoError(t, err)
 			t.Log(r)
 			if r.Failure != nil {
@@ -40,7 +41,7 @@
 	}
 }
 
-// Random runs that are as long as their scenarios allow break no property either.
+// TestWalks checks that random runs as long as their scenarios allow violate no property.
 func TestWalks(t *testing.T) {
 	for _, s := range Scenarios {
 		t.Run(s.Name, func(t *testing.T) {
@@ -59,34 +60,35 @@
 	}
 }
 
-// Runs that once ended in a violation, each after its scenario's name.
-var mendedRuns = []struct{ what, scenario, run string }{
-	{"split claims renewed each other's refusal, so that nobody ever owned the duty", "churn",
+// regressionRuns are runs that once ended in a violation, with the fault that caused it.
+var regressionRuns = []struct{ what, scenario, run string }{
+	{"split claims renewed each other's refusal, so that no node ever owned the duty", "churn",
 		"lose d\ncrash c\ncrash a\npass\nrestart c\ntick\ncut b\npass\ncrash b\ntick"},
-	{"a spare that was lost meanwhile took the seat of a voter that was back, so that nobody made a majority", "churn",
+	{"a spare lost in the meantime took the seat of a voter that had returned, so that no majority was left", "churn",
 		"crash c\npass\ntick\nlose d\nlose e\npass\nlose f"},
 }
 
-func TestMendedRuns(t *testing.T) {
-	for _, m := range mendedRuns {
-		s, ok := Find(m.scenario)
+// TestRegressionRuns replays the regression runs with recovery and checks that they violate no property.
+func TestRegressionRuns(t *testing.T) {
+	for _, m := range regressionRuns {
+		s, ok := FindScenario(m.scenario)
 		require.True(t, ok)
 		run, err := ParseRun(strings.NewReader(m.run))
 		require.NoError(t, err)
-		start, err := NewStart(s)
+		start, err := NewInitialState(s)
 		require.NoError(t, err)
-		w, err := start.Replay(run, nil)
+		c, err := start.Replay(run, nil)
 		require.NoError(t, err)
-		require.Empty(t, w.Violation(), m.what)
-		w.Recover()
-		require.Empty(t, w.Violation(), m.what)
+		require.Empty(t, c.Violation(), m.what)
+		c.Recover()
+		require.Empty(t, c.Violation(), m.what)
 	}
 }
 
-// A run depends on its actions alone: whatever it is carried out again by comes to the same states.
+// TestReplayIsDeterministic checks that a run depends only on its actions: every replay reaches the same states.
 func TestReplayIsDeterministic(t *testing.T) {
 	for _, s := range Scenarios {
-		start, err := NewStart(s)
+		start, err := NewInitialState(s)
 		require.NoError(t, err)
 		var run []Action
 		for length := range 8 {
@@ -105,29 +107,30 @@
 	}
 }
 
-// A search comes to the same result with any number of workers.
+// TestSearchDoesNotDependOnWorkers checks that a search has the same result with any number of workers.
 func TestSearchDoesNotDependOnWorkers(t *testing.T) {
-	s, ok := Find("race")
+	s, ok := FindScenario("race")
 	require.True(t, ok)
-	one, err := Search(s, Bounds{States: 40, Workers: 1})
+	one, err := Search(s, SearchBounds{States: 40, Workers: 1})
 	require.NoError(t, err)
-	three, err := Search(s, Bounds{States: 40, Workers: 3})
+	three, err := Search(s, SearchBounds{States: 40, Workers: 3})
 	require.NoError(t, err)
 	require.Equal(t, one, three)
 }
 
-// What is printed of a run can be read again.
-func TestRunsAreReadAgain(t *testing.T) {
+// TestParseRunRoundTrip checks that ParseRun parses the printed form of a run, and that ParseAction rejects invalid
+// lines.
+func TestParseRunRoundTrip(t *testing.T) {
 	run := []Action{
 		{Kind: Put, Operator: "x", Node: "a"}, {Kind: Deliver, Message: 12}, {Kind: Interrupt, Message: 3},
-		{Kind: DeliverTo, Node: "b"}, {Kind: BreakAt, Node: "c"}, {Kind: Settle}, {Kind: Tick}, {Kind: Pass},
+		{Kind: DeliverTo, Node: "b"}, {Kind: InterruptAt, Node: "c"}, {Kind: Settle}, {Kind: Tick}, {Kind: Pass},
 		{Kind: Crash, Node: "a"}, {Kind: Restart, Node: "a"}, {Kind: Wipe, Node: "b"}, {Kind: Lose, Node: "c"},
 		{Kind: Cut, Node: "a"}, {Kind: Heal, Node: "a"}, {Kind: Get, Node: "a"},
 	}
 	var text strings.Builder
 	text.WriteString("# a run\n\n")
 	for _, a := range run {
-		text.WriteString(a.String() + " # what it does\n")
+		text.WriteString(a.String() + " # a comment\n")
 	}
 	again, err := ParseRun(strings.NewReader(text.String()))
 	require.NoError(t, err)
--- a/internal/explorer/fingerprint.go
+++ b/internal/explorer/fingerprint.go
@@ -13,28 +13,28 @@
 	"tidedeck/internal/protocol"
 )
 
-// mostAge is the age past which nothing in a core depends on how old something is: no timer of a
-// small core is longer, but for an operation's end, which is as long.
-const mostAge clock.Span = 5e9
+// maxAge is the age beyond which the behavior of a controller core no longer depends on the exact age of an event. No
+// timer of the explored clusters is longer, and the deadline of an operation is as long.
+const maxAge clock.Span = 5e9
 
-// fingerprinter writes a state in a canonical form: times are relative to now, ballots to the
-// newest one known to be chosen, and rounds to the node's own.
+// fingerprinter hashes a state in a canonical form: times are relative to the current time, ballots to
+// the newest ballot known to be chosen, and rounds to the current round of the node.
 type fingerprinter struct {
-	digest *xxhash.Digest
-	now    clock.Tick
-	base   uint64
-	buffer [8]byte
+	digest     *xxhash.Digest
+	now        clock.Tick
+	baseBallot uint64
+	buffer     [8]byte
 }
 
-// Fingerprint digests all that decides how the run can go on, and the budget that is left.
-func (w *World) Fingerprint() uint64 {
-	f := &fingerprinter{digest: xxhash.New(), now: w.now, base: w.history.ballot.N}
-	for _, n := range w.nodes {
+// Fingerprint hashes everything that determines how the run can continue, including the used budget.
+func (c *Cluster) Fingerprint() uint64 {
+	f := &fingerprinter{digest: xxhash.New(), now: c.now, baseBallot: c.history.inForceBallot.N}
+	for _, n := range c.nodes {
 		f.node(n)
 	}
-	f.flight(w)
-	f.history(&w.history)
-	f.budget(w.spent)
+	f.inFlight(c)
+	f.history(&c.history)
+	f.budget(c.used)
 	return f.digest.Sum64()
 }
 
@@ -56,13 +56,13 @@
 	}
 }
 
-// moment writes a time by its distance from now; the zero time stands for none.
-func (f *fingerprinter) moment(t clock.Tick) {
+// timestamp hashes a time as its distance from the current time. The zero time means that the time is not set.
+func (f *fingerprinter) timestamp(t clock.Tick) {
 	if t == 0 {
 		f.number(0)
 		return
 	}
-	f.number(uint64(1<<62 + int64(max(-mostAge, min(mostAge, f.now.Sub(t))))))
+	f.number(uint64(1<<62 + int64(max(-maxAge, min(maxAge, f.now.Sub(t))))))
 }
 
 func (f *fingerprinter) ballot(b protocol.Ballot) {
@@ -70,7 +70,7 @@
 		f.number(0)
 		return
 	}
-	f.number(1<<62 + b.N - f.base)
+	f.number(1<<62 + b.N - f.baseBallot)
 	f.text(string(b.By))
 	f.number(uint64(b.Life))
 }
@@ -100,7 +100,7 @@
 	}
 }
 
-func (f *fingerprinter) lives(m map[ident.Node]ident.Inc) {
+func (f *fingerprinter) incarnations(m map[ident.Node]ident.Inc) {
 	f.number(uint64(len(m)))
 	for _, id := range generic.SortedKeys(m) {
 		f.text(string(id))
@@ -108,11 +108,11 @@
 	}
 }
 
-// pending writes what waits for a stalled disk.
-func (f *fingerprinter) pending(n *node) {
+// pendingWrites hashes the writes that wait for a stalled disk.
+func (f *fingerprinter) pendingWrites(n *node) {
 	f.flag(n.stalled)
-	f.number(uint64(len(n.pending)))
-	for _, s := range n.pending {
+	f.number(uint64(len(n.pendingWrites)))
+	for _, s := range n.pendingWrites {
 		for _, key := range generic.SortedKeys(s.Puts) {
 			f.text(key)
 			f.text(string(s.Puts[key]))
@@ -122,9 +122,9 @@
 
 func (f *fingerprinter) node(n *node) {
 	f.flag(n.up())
-	f.flag(n.cut)
+	f.flag(n.isolated)
 	f.flag(n.lost)
-	f.pending(n)
+	f.pendingWrites(n)
 	f.number(uint64(n.vote.Incarnation))
 	f.ballot(n.vote.Ballot)
 	f.value(n.vote.Value)
@@ -151,19 +151,19 @@
 	f.ballot(v.Reserved)
 	f.ballot(v.Accepted)
 	f.value(v.Value)
-	f.moment(v.Started)
+	f.timestamp(v.Started)
 	f.number(uint64(v.Duty))
 	f.number(uint64(v.DurableDuty))
 	f.text(string(v.Owner))
-	f.moment(v.GrantUntil)
-	f.moment(v.Asked)
+	f.timestamp(v.GrantUntil)
+	f.timestamp(v.Asked)
 }
 
 func (f *fingerprinter) register(r controller.RegisterSnapshot) {
 	f.value(r.Known)
 	f.ballot(r.KnownBallot)
 	f.value(r.Hint)
-	f.number(r.HighestBallot - f.base)
+	f.number(r.HighestBallot - f.baseBallot)
 	f.flag(r.Operation != nil)
 	if r.Operation != nil {
 		f.operation(*r.Operation)
@@ -180,27 +180,27 @@
 			newest = i
 		}
 	}
-	f.number(uint64(newest)) // of those that a majority has answered
+	f.number(uint64(newest)) // index of the newest read that a majority has answered
 	f.ballot(r.WantedBallot)
-	f.moment(r.Wanted)
-	f.moment(r.NextQuery)
-	f.moment(r.LastMajority)
-	f.moment(r.LastAnswer)
+	f.timestamp(r.Wanted)
+	f.timestamp(r.NextQuery)
+	f.timestamp(r.LastMajority)
+	f.timestamp(r.LastAnswer)
 	f.number(uint64(len(r.Reads)))
 	for _, at := range r.Reads {
-		f.moment(at)
+		f.timestamp(at)
 	}
 	for _, s := range r.Siblings {
 		f.sibling(s)
 	}
 	for _, id := range generic.SortedKeys(r.Absent) {
 		f.text(string(id))
-		f.moment(r.Absent[id])
+		f.timestamp(r.Absent[id])
 	}
 	f.number(uint64(r.UnclearReads))
 	f.ballot(r.UnclearBallot)
-	f.moment(r.Unclear)
-	f.moment(r.Unequal)
+	f.timestamp(r.Unclear)
+	f.timestamp(r.Unequal)
 	f.ballot(r.Promised)
 	f.ballot(r.PromisedAt)
 	f.number(uint64(len(r.Forwards)))
@@ -212,7 +212,7 @@
 func (f *fingerprinter) forward(p controller.ForwardSnapshot) {
 	f.text(p.Change)
 	f.text(string(p.Owner))
-	f.moment(p.Due)
+	f.timestamp(p.Due)
 	f.flag(p.Unsettled)
 	f.flag(p.Proposed)
 	f.flag(p.Answered)
@@ -227,10 +227,10 @@
 	f.value(o.Value)
 	f.value(&o.Next)
 	f.text(o.Kind)
-	f.lives(o.Answered)
-	f.moment(o.Sent)
-	f.moment(o.Wake)
-	f.moment(o.End)
+	f.incarnations(o.Answered)
+	f.timestamp(o.Sent)
+	f.timestamp(o.Wake)
+	f.timestamp(o.End)
 	f.flag(o.Unclear)
 	f.number(uint64(min(o.Fails, 4)))
 	f.number(uint64(o.Resent))
@@ -238,12 +238,12 @@
 }
 
 func (f *fingerprinter) query(q *controller.QuerySnapshot) {
-	f.moment(q.At)
+	f.timestamp(q.At)
 	f.flag(q.Claim)
 	f.number(uint64(q.Number))
 	f.value(&q.Set)
-	f.lives(q.Answered)
-	f.lives(q.Granted)
+	f.incarnations(q.Answered)
+	f.incarnations(q.Granted)
 	f.ballot(q.Top)
 	f.number(q.Shape)
 	f.flag(q.Fetching)
@@ -256,7 +256,7 @@
 
 func (f *fingerprinter) sibling(s controller.SiblingSnapshot) {
 	f.text(string(s.ID))
-	f.moment(s.At)
+	f.timestamp(s.At)
 	f.number(uint64(s.State.Inc))
 	f.ballot(s.State.Accepted)
 	f.number(uint64(s.State.Duty))
@@ -268,25 +268,25 @@
 func (f *fingerprinter) duty(d controller.DutySnapshot) {
 	f.flag(d.Mine)
 	f.number(uint64(d.Number))
-	f.moment(d.Renewed)
+	f.timestamp(d.Renewed)
 	f.number(uint64(d.Highest))
 	f.text(string(d.Owner))
 	f.flag(d.Free)
-	f.moment(d.ShyTill)
+	f.timestamp(d.ShyTill)
 	f.text(string(d.Next))
-	f.moment(d.Left)
+	f.timestamp(d.Left)
 }
 
-// flight writes the messages under way without their order, as any may arrive first, but in the
-// order of sending where they arrive in that order.
-func (f *fingerprinter) flight(w *World) {
+// inFlight hashes the messages in flight. With delivery by message, any of them may arrive first, so their order is
+// ignored; with delivery by node, they arrive in the order of sending, which is kept.
+func (f *fingerprinter) inFlight(c *Cluster) {
 	var l []string
-	for _, m := range w.flight {
-		if !w.inert(m) {
-			l = append(l, f.envelope(w, m.env))
+	for _, m := range c.inFlight {
+		if !c.isIgnored(m) {
+			l = append(l, f.envelope(c, m.env))
 		}
 	}
-	if w.scenario.Grain == ByMessage {
+	if c.scenario.Granularity == ByMessage {
 		sort.Strings(l)
 	}
 	f.number(uint64(len(l)))
@@ -295,29 +295,30 @@
 	}
 }
 
-// envelope writes a message with the number of its round replaced by whether its sender, or the
-// asker that it answers, is still in that round.
-func (f *fingerprinter) envelope(w *World, e protocol.Env) string {
-	return envelopeText(f.relative(w, e))
+// envelope formats a message. The round number is replaced by whether the sender of the request that the message
+// carries or answers is still in that round.
+func (f *fingerprinter) envelope(c *Cluster, e protocol.Env) string {
+	return envelopeText(f.relative(c, e))
 }
 
-func (f *fingerprinter) relative(w *World, e protocol.Env) protocol.Env {
+// relative returns a message with its ballots relative to the base ballot and its round normalized.
+func (f *fingerprinter) relative(c *Cluster, e protocol.Env) protocol.Env {
 	shift := func(b protocol.Ballot) protocol.Ballot {
 		if b != (protocol.Ballot{}) {
-			b.N += 1<<32 - f.base
+			b.N += 1<<32 - f.baseBallot
 		}
 		return b
 	}
 	operation := func(id ident.Node, round uint64) uint64 {
-		if n := w.node(id); n.up() {
-			if _, current, under := n.core.Proposing(); under && current == round {
+		if n := c.node(id); n.up() {
+			if _, current, proposing := n.core.Proposing(); proposing && current == round {
 				return 1
 			}
 		}
 		return 0
 	}
 	query := func(id ident.Node, round uint64) uint64 {
-		if n := w.node(id); n.up() {
+		if n := c.node(id); n.up() {
 			return uint64(n.core.ReadIndex(round))
 		}
 		return 0
@@ -351,7 +352,7 @@
 		b.Ballot = shift(b.Ballot)
 		e.Body = b
 	case protocol.Forward:
-		b.Number = 0 // the change's own id tells it apart
+		b.Number = 0 // the change id identifies the message
 		e.Body = b
 	case protocol.Forwarded:
 		b.Number, b.Chosen = 0, shift(b.Chosen)
@@ -362,12 +363,12 @@
 
 func (f *fingerprinter) history(h *history) {
 	for _, q := range h.requests {
-		f.text(string(q.at))
+		f.text(string(q.node))
 		f.text(q.change)
 		f.number(uint64(q.outcome))
-		f.number(uint64(len(q.before)))
+		f.number(uint64(len(q.confirmedBefore)))
 	}
-	for _, change := range h.order {
+	for _, change := range h.confirmedOrder {
 		f.text(change)
 		f.number(uint64(h.confirmed[change]))
 	}
--- a/internal/explorer/guards_test.go
+++ b/internal/explorer/guards_test.go
@@ -14,18 +14,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// edit is one change of the controller's sources, made only for a build.
-type edit struct{ old, now string }
+// edit is a replacement in the controller's sources that applies only to one build.
+type edit struct{ old, new string }
 
-// brokenGuard is a guard of the core that is broken by edits, the scenario that must show it, and what
-// the violation says then.
+// brokenGuard is a safety condition of the controllers that edits disable, the scenario that must detect this, and the
+// texts, separated by |, of which the reported violation must contain one.
 type brokenGuard struct {
-	guard, scenario, sees string
-	edits                 []edit
+	guard, scenario, expects string
+	edits                    []edit
 }
 
-// guardSources are where the guards are.
-var guardSources = []string{"internal/controller", "internal/voterset"}
+// guardPackages are the packages that contain the guards.
+var guardPackages = []string{"internal/controller", "internal/voterset"}
 
 var brokenGuards = []brokenGuard{
 	{"a majority takes a change", "cut-owner", "durably holds", []edit{{"return n > len(l)/2", "return n >= len(l)/2"}}},
@@ -54,14 +54,14 @@
 		{"q.claim && voterset.Majority(q.set, q.grant)", "q.claim"}, {"inc) || !d.free {", "inc) {"}}},
 }
 
-// guardStates bounds the search for each broken guard.
-const guardStates = 1500
+// maxGuardStates limits the search for each broken guard.
+const maxGuardStates = 1500
 
-// findSource finds the one file of the guards' packages that has a text, which must stand there once.
+// findSource returns the file of the guards' packages that contains a text. The text must occur exactly once.
 func findSource(t *testing.T, root, old string) (source string) {
 	t.Helper()
 	var files []string
-	for _, folder := range guardSources {
+	for _, folder := range guardPackages {
 		l, err := filepath.Glob(filepath.Join(root, folder, "*.go"))
 		require.NoError(t, err)
 		files = append(files, l...)
@@ -78,11 +78,11 @@
 			found += n
 		}
 	}
-	require.Equal(t, 1, found, "the edit of %q matches no longer", old)
+	require.Equal(t, 1, found, "the text %q of the edit must occur exactly once", old)
 	return source
 }
 
-// buildBroken builds the explorer with a guard broken.
+// buildBroken builds the explorer with edited sources.
 func buildBroken(t *testing.T, edits []edit) string {
 	t.Helper()
 	root, err := filepath.Abs("../..")
@@ -92,7 +92,7 @@
 	for _, e := range edits {
 		source, err := filepath.Rel(root, findSource(t, root, e.old))
 		require.NoError(t, err)
-		list = append(list, overlay.Edit{File: source, Old: e.old, New: e.now})
+		list = append(list, overlay.Edit{File: source, Old: e.old, New: e.new})
 	}
 	overlayFile, err := overlay.Write(root, directory, list)
 	require.NoError(t, err)
@@ -102,8 +102,8 @@
 	return program
 }
 
-// Each guard is broken from outside, by an edit of the real sources at build time, and the explorer must
-// report a violation. TestScenarios shows that the whole sources pass the same scenarios.
+// TestBrokenGuards disables each guard by an edit of the real sources at build time and checks that the explorer
+// reports a violation. TestScenarios checks that the unmodified sources pass the same scenarios.
 func TestBrokenGuards(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs without the race detector")
@@ -111,16 +111,16 @@
 	for _, g := range brokenGuards {
 		t.Run(strings.ReplaceAll(g.guard, " ", "-"), func(t *testing.T) {
 			program := buildBroken(t, g.edits)
-			// It exits with an error where it finds a violation.
-			run := exec.Command(program, "--scenario", g.scenario, "--states", fmt.Sprint(guardStates))
+			// The explorer exits with an error when it finds a violation.
+			run := exec.Command(program, "--scenario", g.scenario, "--states", fmt.Sprint(maxGuardStates))
 			run.Env = append(os.Environ(), strict.Variable+"="+strict.Off)
 			out, _ := run.CombinedOutput()
 			t.Logf("%s", out)
 			_, violation, found := strings.Cut(string(out), "VIOLATION: ")
-			require.True(t, found, "no violation with this guard broken")
+			require.True(t, found, "no violation was reported with this guard disabled")
 			violation, _, _ = strings.Cut(violation, "\n")
 			seen := false
-			for _, s := range strings.Split(g.sees, "|") {
+			for _, s := range strings.Split(g.expects, "|") {
 				seen = seen || strings.Contains(violation, s)
 			}
 			require.True(t, seen, violation)
--- a/internal/explorer/history.go
+++ b/internal/explorer/history.go
@@ -11,57 +11,57 @@
 	"tidedeck/internal/protocol"
 )
 
-// outcome is what an operator's request came to.
+// outcome is the result of an operator's request.
 type outcome int
 
 const (
-	pending outcome = iota // no answer; perhaps there never is one
+	pending outcome = iota // not answered yet, or never
 	confirmed
-	refused // answered that it was not taken
-	unclear // answered that nobody knows
+	refused // the answer states that the change was not applied
+	unclear // the answer states that the result is not known
 )
 
-// request is what an operator asked of a node, with what had been confirmed by then.
+// request is an operator's request to a node, with the changes confirmed before it was sent.
 type request struct {
-	at      ident.Node
-	change  string // empty for a read
-	expect  ident.Epoch
-	any     bool // no epoch is expected
-	before  []string
-	floor   ident.Epoch // highest epoch that was confirmed by then
-	outcome outcome
+	node            ident.Node
+	change          string // empty for a read
+	expectedEpoch   ident.Epoch
+	anyEpoch        bool // accepts any current epoch
+	confirmedBefore []string
+	minEpoch        ident.Epoch // highest epoch confirmed before the request
+	outcome         outcome
 }
 
-// history is what the operators and an outer observer saw of a run, and what was wrong with it.
+// history records what the operators and an external observer saw of a run, and the first violation.
 type history struct {
-	requests  []request
-	attempts  map[string]int
-	confirmed map[string]ident.Epoch // changes by id
-	order     []string               // the same, in order
-	plans     map[ident.Epoch]string // of values known to be chosen, by epoch
-	inForce   *protocol.Desired      // the newest value known to be chosen
-	ballot    protocol.Ballot
-	owners    map[ident.Duty]ident.Node
-	dirty     bool // something changed that bears on what is durable
-	violation string
-	answers   []controller.Receipt // since it was last emptied
+	requests        []request
+	attempts        map[string]int
+	confirmed       map[string]ident.Epoch // epoch of each confirmed change, by change id
+	confirmedOrder  []string               // ids of the confirmed changes in the order of confirmation
+	chosenPlans     map[ident.Epoch]string // plans of values known to be chosen
+	inForce         *protocol.Desired      // the newest value known to be chosen
+	inForceBallot   protocol.Ballot
+	ownerByDuty     map[ident.Duty]ident.Node
+	durabilityDirty bool // durable state may have changed since the last check
+	violation       string
+	answers         []controller.Receipt // answers to operators
 }
 
 func newHistory() history {
 	return history{
 		attempts: map[string]int{}, confirmed: map[string]ident.Epoch{},
-		plans: map[ident.Epoch]string{}, owners: map[ident.Duty]ident.Node{},
+		chosenPlans: map[ident.Epoch]string{}, ownerByDuty: map[ident.Duty]ident.Node{},
 	}
 }
 
-// violate notes the first thing that was wrong.
-func (h *history) violate(format string, args ...any) {
+// reportViolation records a violation unless one was recorded before.
+func (h *history) reportViolation(format string, args ...any) {
 	if h.violation == "" {
 		h.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-func (h *history) highest() ident.Epoch {
+func (h *history) highestEpoch() ident.Epoch {
 	var top ident.Epoch
 	for _, e := range h.confirmed {
 		top = max(top, e)
@@ -69,9 +69,9 @@
 	return top
 }
 
-// asks notes a request and gives its token.
-func (h *history) asks(q request) uint64 {
-	q.before, q.floor = slices.Clone(h.order), h.highest()
+// addRequest records a request and returns its token.
+func (h *history) addRequest(q request) uint64 {
+	q.confirmedBefore, q.minEpoch = slices.Clone(h.confirmedOrder), h.highestEpoch()
 	h.requests = append(h.requests, q)
 	if q.change != "" {
 		h.attempts[q.change]++
@@ -79,7 +79,8 @@
 	return uint64(len(h.requests))
 }
 
-func done(d *protocol.Desired, change string) (ident.Epoch, bool) {
+// doneEpoch returns the epoch under which a value records a change as applied.
+func doneEpoch(d *protocol.Desired, change string) (ident.Epoch, bool) {
 	if d == nil {
 		return 0, false
 	}
@@ -91,12 +92,12 @@
 	return 0, false
 }
 
-// answered checks a node's answer to an operator.
-func (h *history) answered(n *node, r controller.Receipt) {
-	h.dirty = true
+// recordAnswer records and checks a node's answer to an operator.
+func (h *history) recordAnswer(n *node, r controller.Receipt) {
+	h.durabilityDirty = true
 	h.answers = append(h.answers, r)
 	q := &h.requests[r.Token-1]
-	known := h.answeredFrom(n, q)
+	known := h.answerBasis(n, q)
 	switch r.Kind {
 	case failure.None:
 		q.outcome = confirmed
@@ -113,171 +114,173 @@
 	}
 }
 
-// answeredFrom gives the value that an answer rests on: for a read what the node knows, and for a change the newest that is
-// known to be chosen anywhere, since the node that it was handed to may know more than the one that answers.
-func (h *history) answeredFrom(n *node, q *request) *protocol.Desired {
+// answerBasis returns the value that an answer is checked against. For a read, it is the value that the node knows. For
+// a change, it is the newest value known to be chosen on any node, since the node to which the change was forwarded may
+// know a newer value than the one that answers.
+func (h *history) answerBasis(n *node, q *request) *protocol.Desired {
 	ballot, known := n.core.Chosen()
-	if q.change != "" && ballot.Less(h.ballot) {
+	if q.change != "" && ballot.Less(h.inForceBallot) {
 		return h.inForce
 	}
 	return known
 }
 
-// checkValue checks that what was confirmed before a request is in the value that answers it.
+// checkValue checks that the value behind an answer contains every change confirmed before the request.
 func (h *history) checkValue(n *node, q *request, r controller.Receipt, known *protocol.Desired) {
-	for _, change := range q.before {
-		if _, ok := done(known, change); !ok {
-			h.violate("%s answered request %d from a value without change %s, which was confirmed before", n.id, r.Token, change)
+	for _, change := range q.confirmedBefore {
+		if _, ok := doneEpoch(known, change); !ok {
+			h.reportViolation("%s answered request %d from a value without change %s, which had been confirmed before the request", n.id, r.Token, change)
 		}
 	}
-	if q.change == "" && r.Epoch < q.floor {
-		h.violate("a read at %s gave epoch %d after epoch %d was confirmed", n.id, r.Epoch, q.floor)
+	if q.change == "" && r.Epoch < q.minEpoch {
+		h.reportViolation("a read at %s returned epoch %d after epoch %d was confirmed", n.id, r.Epoch, q.minEpoch)
 	}
 }
 
-// checkExpected checks that a change goes on the epoch that its operator expected.
+// checkExpected checks that a change was applied to the epoch that its operator expected.
 func (h *history) checkExpected(n *node, q *request, known *protocol.Desired) {
-	if q.any {
+	if q.anyEpoch {
 		return
 	}
-	var on ident.Epoch
+	var current ident.Epoch
 	for _, x := range known.Done {
-		if x.ID == q.change && on != q.expect {
-			h.violate("%s took change %s, which expected epoch %d, on epoch %d", n.id, q.change, q.expect, on)
+		if x.ID == q.change && current != q.expectedEpoch {
+			h.reportViolation("%s applied change %s, which expected epoch %d, to epoch %d", n.id, q.change, q.expectedEpoch, current)
 		}
-		on = x.Epoch
+		current = x.Epoch
 	}
 }
 
 func (h *history) confirm(change string, epoch ident.Epoch) {
 	if was, ok := h.confirmed[change]; ok {
 		if was != epoch {
-			h.violate("change %s was confirmed under epoch %d and under epoch %d", change, was, epoch)
+			h.reportViolation("change %s was confirmed under epoch %d and under epoch %d", change, was, epoch)
 		}
 		return
 	}
-	for _, other := range h.order {
+	for _, other := range h.confirmedOrder {
 		if h.confirmed[other] == epoch {
-			h.violate("epoch %d was confirmed for change %s and for change %s", epoch, other, change)
+			h.reportViolation("epoch %d was confirmed for change %s and for change %s", epoch, other, change)
 		}
 	}
 	h.confirmed[change] = epoch
-	h.order = append(h.order, change)
+	h.confirmedOrder = append(h.confirmedOrder, change)
 }
 
-// checkRefusal checks that a change that was taken is not refused when it is repeated.
+// checkRefusal checks that a repeat of an applied change is not refused.
 func (h *history) checkRefusal(n *node, q *request, r controller.Receipt, known *protocol.Desired) {
 	if q.change == "" || r.Kind != failure.Conflict && r.Kind != failure.Faulty {
 		return
 	}
-	_, taken := done(known, q.change)
-	if slices.Contains(q.before, q.change) || taken {
-		h.violate("%s refused change %s as %s, although it was taken", n.id, q.change, r.Kind)
+	_, taken := doneEpoch(known, q.change)
+	if slices.Contains(q.confirmedBefore, q.change) || taken {
+		h.reportViolation("%s refused change %s as %s, although it was taken", n.id, q.change, r.Kind)
 	}
 }
 
-// observe takes in what a node knows after a step, and checks it against what others knew.
-func (h *history) observe(w *World, n *node) {
+// observe records the chosen value that a node knows after a step and checks it against the values known before.
+func (h *history) observe(c *Cluster, n *node) {
 	ballot, known := n.core.Chosen()
-	h.learn(n, ballot, known)
-	h.watch(w)
+	h.recordChosen(n, ballot, known)
+	h.checkOwners(c)
 }
 
-func (h *history) learn(n *node, b protocol.Ballot, v *protocol.Desired) {
-	if v == nil || b == h.ballot && v == h.inForce {
+func (h *history) recordChosen(n *node, b protocol.Ballot, v *protocol.Desired) {
+	if v == nil || b == h.inForceBallot && v == h.inForce {
 		return
 	}
-	if plan, ok := h.plans[v.Epoch]; ok && plan != string(v.Plan) {
-		h.violate("epoch %d is chosen with plan %q and, at %s, with plan %q", v.Epoch, plan, n.id, v.Plan)
+	if plan, ok := h.chosenPlans[v.Epoch]; ok && plan != string(v.Plan) {
+		h.reportViolation("epoch %d is chosen with plan %q and, at %s, with plan %q", v.Epoch, plan, n.id, v.Plan)
 	}
-	h.plans[v.Epoch] = string(v.Plan)
-	if !h.ballot.Less(b) {
+	h.chosenPlans[v.Epoch] = string(v.Plan)
+	if !h.inForceBallot.Less(b) {
 		return
 	}
-	h.ballot, h.inForce, h.dirty = b, v, true
-	for _, change := range h.order {
-		if _, ok := done(v, change); !ok {
-			h.violate("%s knows a chosen value without change %s, which was confirmed", n.id, change)
+	h.inForceBallot, h.inForce, h.durabilityDirty = b, v, true
+	for _, change := range h.confirmedOrder {
+		if _, ok := doneEpoch(v, change); !ok {
+			h.reportViolation("%s knows a chosen value without change %s, which was confirmed", n.id, change)
 		}
 	}
 	h.checkRefused(n, v)
 }
 
-// checkRefused checks that no change was taken whose every request was refused.
+// checkRefused checks that no change is in force for which every request was refused.
 func (h *history) checkRefused(n *node, v *protocol.Desired) {
 	for _, x := range v.Done {
-		asked, all := false, true
+		requested, allRefused := false, true
 		for _, q := range h.requests {
 			if q.change == x.ID {
-				asked, all = true, all && q.outcome == refused
+				requested, allRefused = true, allRefused && q.outcome == refused
 			}
 		}
-		if asked && all {
-			h.violate("change %s is in force at %s, although every request for it was refused", x.ID, n.id)
+		if requested && allRefused {
+			h.reportViolation("change %s is in force at %s, although every request for it was refused", x.ID, n.id)
 		}
 	}
 }
 
-// watch checks that no two nodes own the duty.
-func (h *history) watch(w *World) {
+// checkOwners checks that no two nodes own the duty (the leadership lease) at the same time or under the same number.
+func (h *history) checkOwners(c *Cluster) {
 	var owner *node
-	for _, n := range w.nodes {
+	for _, n := range c.nodes {
 		if !n.up() {
 			continue
 		}
-		number, owns := n.core.Owns(w.now)
+		number, owns := n.core.Owns(c.now)
 		if !owns {
 			continue
 		}
 		if owner != nil {
-			h.violate("%s and %s own the duty at once", owner.id, n.id)
+			h.reportViolation("%s and %s own the duty at once", owner.id, n.id)
 		}
 		owner = n
-		if was, ok := h.owners[number]; ok && was != n.id {
-			h.violate("duty %d was owned by %s and by %s", number, was, n.id)
+		if was, ok := h.ownerByDuty[number]; ok && was != n.id {
+			h.reportViolation("duty %d was owned by %s and by %s", number, was, n.id)
 		}
-		h.owners[number] = n.id
+		h.ownerByDuty[number] = n.id
 	}
 }
 
-// stopped notes that a node's disk or life ended.
-func (h *history) stopped(*node) { h.dirty = true }
+// nodeStopped records that a node stopped or lost its disk.
+func (h *history) nodeStopped(*node) { h.durabilityDirty = true }
 
-// checkDurable checks that whatever quorum of the voter set in force is left finds every confirmed
-// change, and that a majority, seats whose disks are lost apart, still has them.
-func (h *history) checkDurable(w *World) {
-	if !h.dirty || h.inForce == nil {
+// checkDurable checks that every remaining quorum of the voter set in force finds all confirmed changes, and that a
+// majority still holds them on disk. Seats whose disks are lost count as holding them.
+func (h *history) checkDurable(c *Cluster) {
+	if !h.durabilityDirty || h.inForce == nil {
 		return
 	}
-	h.dirty = false
+	h.durabilityDirty = false
 	for _, set := range [][]protocol.Voter{h.inForce.Voters, h.inForce.Prior} {
-		has := 0
+		holding := 0
 		for _, v := range set {
-			if !w.intact(v) || h.complete(w.node(v.ID).vote.Value) {
-				has++
+			if !c.diskIntact(v) || h.holdsConfirmed(c.node(v.ID).vote.Value) {
+				holding++
 			}
 		}
-		if len(set) > 0 && 2*has <= len(set) {
-			h.violate("no majority of {%s} durably holds the confirmed changes %v", votersText(set), h.order)
+		if len(set) > 0 && 2*holding <= len(set) {
+			h.reportViolation("no majority of {%s} durably holds the confirmed changes %v", votersText(set), h.confirmedOrder)
 		}
 	}
-	h.checkQuorums(w)
+	h.checkQuorums(c)
 }
 
-func (h *history) complete(v *protocol.Desired) bool {
-	for _, change := range h.order {
-		if _, ok := done(v, change); !ok {
+// holdsConfirmed reports whether a value contains all confirmed changes.
+func (h *history) holdsConfirmed(v *protocol.Desired) bool {
+	for _, change := range h.confirmedOrder {
+		if _, ok := doneEpoch(v, change); !ok {
 			return false
 		}
 	}
 	return true
 }
 
-// checkQuorums tries every set of intact seats that is a quorum.
-func (h *history) checkQuorums(w *World) {
+// checkQuorums checks every quorum of intact seats: the newest value accepted there must contain all confirmed changes.
+func (h *history) checkQuorums(c *Cluster) {
 	seats := map[ident.Node]protocol.Voter{}
 	for _, v := range append(slices.Clone(h.inForce.Voters), h.inForce.Prior...) {
-		if w.intact(v) {
+		if c.diskIntact(v) {
 			seats[v.ID] = v
 		}
 	}
@@ -294,12 +297,12 @@
 		}
 		var newest controller.DurableVote
 		for _, id := range members {
-			if vote := w.node(id).vote; newest.Ballot.Less(vote.Ballot) {
+			if vote := c.node(id).vote; newest.Ballot.Less(vote.Ballot) {
 				newest = vote
 			}
 		}
-		if !h.complete(newest.Value) {
-			h.violate("the quorum %v of {%s} would go on without a confirmed change: it holds %s", members, votersText(h.inForce.Voters), valueText(newest.Value))
+		if !h.holdsConfirmed(newest.Value) {
+			h.reportViolation("the quorum %v of {%s} would go on without a confirmed change: it holds %s", members, votersText(h.inForce.Voters), valueText(newest.Value))
 		}
 	}
 }
--- /dev/null
+++ b/internal/explorer/initial_state.go
@@ -0,0 +1,137 @@
+package explorer
+
+import (
+	"maps"
+	"slices"
+
+	"github.com/go-faster/errors"
+
+	"tidedeck/internal/ident"
+)
+
+// firstChange is the change confirmed under epoch 1 in every cluster before exploration begins.
+const firstChange = "first"
+
+// Bounds of the scripted setup of the initial state, in ticks.
+const (
+	formTicks  = 40
+	electTicks = 12
+	quietTicks = 3 // after the election, so that every node learns of the owner
+)
+
+// InitialState is the state of a scenario from which each run starts.
+type InitialState struct {
+	scenario Scenario
+	nodes    []node
+}
+
+// NewInitialState forms the scenario's cluster from empty disks, confirms a first change, and keeps the disks.
+func NewInitialState(s Scenario) (*InitialState, error) {
+	c := newCluster(s)
+	for _, id := range slices.Concat(s.Voters, s.Spares) {
+		c.nodes = append(c.nodes, &node{id: id, disk: map[string][]byte{}})
+	}
+	c.deliverImmediately = true
+	for _, n := range c.nodes {
+		c.boot(n)
+		c.drain()
+	}
+	if !c.waitFor(formTicks, func() bool { return c.owner() != nil }) {
+		return nil, errors.Errorf("%s: the cluster does not form within %d ticks", s.Name, formTicks)
+	}
+	c.sendChange(c.owner(), firstChange, 0, 1, false)
+	c.drain()
+	if c.history.confirmed[firstChange] != 1 {
+		return nil, errors.Errorf("%s: the first change is not confirmed", s.Name)
+	}
+	c.advance(quietTicks)
+	if c.history.violation != "" {
+		return nil, errors.Errorf("%s: violation while the cluster forms: %s", s.Name, c.history.violation)
+	}
+	start := &InitialState{scenario: s}
+	for _, n := range c.nodes {
+		start.nodes = append(start.nodes, node{id: n.id, disk: n.disk, vote: n.vote, incarnation: n.incarnation})
+	}
+	return start, nil
+}
+
+func newCluster(s Scenario) *Cluster {
+	return &Cluster{scenario: s, now: 1e9, history: newHistory()}
+}
+
+// NewCluster starts the cluster from its disks, waits for an owner, and executes the scenario's setup.
+func (s *InitialState) NewCluster(trace func(string)) (*Cluster, error) {
+	c := newCluster(s.scenario)
+	c.options.joined, c.deliverImmediately = true, true
+	c.history.confirmed[firstChange], c.history.confirmedOrder = 1, []string{firstChange}
+	for _, n := range s.nodes {
+		n.disk = maps.Clone(n.disk)
+		c.nodes = append(c.nodes, &n)
+	}
+	for _, n := range c.nodes {
+		c.boot(n)
+		c.drain()
+	}
+	if !c.waitFor(electTicks, func() bool { return c.owner() != nil }) {
+		return nil, errors.Errorf("%s: no owner within %d ticks", s.scenario.Name, electTicks)
+	}
+	c.advance(quietTicks)
+	c.deliverImmediately = false
+	c.trace = trace
+	c.logf("setup: %s owns the duty", c.owner().id)
+	for _, a := range s.scenario.Setup {
+		if err := c.Apply(a); err != nil {
+			return nil, errors.Wrap(err, "setup")
+		}
+	}
+	c.logf("setup complete")
+	c.used = Budget{}
+	return c, nil
+}
+
+// waitFor advances the clock until a condition is met, by at most the given ticks. It reports whether it was met.
+func (c *Cluster) waitFor(ticks int, condition func() bool) bool {
+	for range ticks {
+		if condition() {
+			return true
+		}
+		c.advance(1)
+	}
+	return condition()
+}
+
+// owner returns the node that owns the duty, or nil.
+func (c *Cluster) owner() *node {
+	for _, n := range c.nodes {
+		if !n.up() {
+			continue
+		}
+		if _, owns := n.core.Owns(c.now); owns {
+			return n
+		}
+	}
+	return nil
+}
+
+// Replay executes a run from the initial state. It stops at the first violation.
+func (s *InitialState) Replay(run []Action, trace func(string)) (*Cluster, error) {
+	c, err := s.NewCluster(trace)
+	if err != nil {
+		return nil, err
+	}
+	for _, a := range run {
+		if c.Violation() != "" {
+			return c, nil
+		}
+		if err := c.Apply(a); err != nil {
+			return c, err
+		}
+	}
+	return c, nil
+}
+
+// Violation describes the first violation of the run so far, or is empty.
+func (c *Cluster) Violation() string { return c.history.violation }
+
+// ConfirmedEpoch returns the highest epoch confirmed to an operator.
+func (c *Cluster) ConfirmedEpoch() ident.Epoch { return c.history.highestEpoch() }
--- a/internal/explorer/recovery.go
+++ b/internal/explorer/recovery.go
@@ -9,97 +9,97 @@
 	"tidedeck/internal/protocol"
 )
 
-// Bounds of recovery, in steps of time: a core without faults must have an owner, have left every
-// joint voter set and take a change again by then.
+// Bounds of recovery, in ticks. Within recoverTicks after the last fault, the cluster must have an owner of the duty,
+// have left every joint voter set and accept changes again.
 const (
-	recoverTicks = 72
-	probeEvery   = 6
+	recoverTicks  = 72
+	probeInterval = 6
 )
 
-// recoveryChange is a change that an operator tries while the core recovers; it goes on any epoch.
+// recoveryChange is the id prefix of the changes that an operator sends during recovery. They expect no epoch.
 const recoveryChange = "recovery"
 
-// Recover ends all faults and lets a bounded time go by. It ends the run: a core that is not lost must
-// then make progress again, or the run is in violation.
-func (w *World) Recover() {
-	w.note("recovery: every node that is not lost is up and connected, and no more faults come")
-	w.open = true
-	for _, n := range w.nodes {
-		n.cut = false
-		w.unstall(n)
+// Recover ends all faults and advances the clock by a bounded time. It is the last step of a run. A cluster that has not
+// lost more seats than it tolerates must make progress again within this time; otherwise Recover records a violation.
+func (c *Cluster) Recover() {
+	c.logf("recovery: every node that is not lost is up and connected, and no further faults occur")
+	c.deliverImmediately = true
+	for _, n := range c.nodes {
+		n.isolated = false
+		c.unstall(n)
 		if !n.up() && !n.lost {
-			w.boot(n)
-			w.drain()
+			c.boot(n)
+			c.drain()
 		}
 	}
-	w.settle()
+	c.settle()
 	for tick := range recoverTicks {
-		w.pass(1)
-		if w.Violation() != "" {
+		c.advance(1)
+		if c.Violation() != "" {
 			return
 		}
-		if tick%probeEvery == probeEvery-1 && w.recovered(tick/probeEvery) {
-			w.history.checkDurable(w)
+		if tick%probeInterval == probeInterval-1 && c.hasRecovered(tick/probeInterval) {
+			c.history.checkDurable(c)
 			return
 		}
 	}
-	w.history.violate("the core is stuck: %s", w.predicament())
+	c.history.reportViolation("the cluster makes no progress: %s", c.stuckReason())
 }
 
-// recovered tries a change at every node that is up and tells whether the core works again.
-func (w *World) recovered(round int) bool {
-	if w.owner() == nil || len(w.history.inForce.Prior) > 0 || w.unfilled() != "" {
+// hasRecovered sends a change to every node that is up and reports whether one of them is confirmed.
+func (c *Cluster) hasRecovered(round int) bool {
+	if c.owner() == nil || len(c.history.inForce.Prior) > 0 || c.unfilledSeat() != "" {
 		return false
 	}
-	taken := false
-	for _, n := range w.nodes {
+	confirmed := false
+	for _, n := range c.nodes {
 		if !n.up() {
 			continue
 		}
 		change := fmt.Sprintf("%s-%d-%s", recoveryChange, round, n.id)
-		w.put(n, change, 0, 0, true)
-		w.drain()
-		_, ok := w.history.confirmed[change]
-		taken = taken || ok
+		c.sendChange(n, change, 0, 0, true)
+		c.drain()
+		_, ok := c.history.confirmed[change]
+		confirmed = confirmed || ok
 	}
-	return taken
+	return confirmed
 }
 
-// unfilled names a seat whose disk is lost, if there is one although its node, or a spare, could fill it.
-func (w *World) unfilled() ident.Node {
-	set := w.history.inForce.Voters
-	spare := slices.ContainsFunc(w.nodes, func(n *node) bool {
+// unfilledSeat returns the node id of a seat whose disk is lost although its node or a spare could fill it, or "".
+func (c *Cluster) unfilledSeat() ident.Node {
+	set := c.history.inForce.Voters
+	spare := slices.ContainsFunc(c.nodes, func(n *node) bool {
 		return n.up() && !slices.ContainsFunc(set, func(v protocol.Voter) bool { return v.ID == n.id })
 	})
 	for _, v := range set {
-		if !w.intact(v) && (spare || w.node(v.ID).up()) {
+		if !c.diskIntact(v) && (spare || c.node(v.ID).up()) {
 			return v.ID
 		}
 	}
 	return ""
 }
 
-// predicament tells what a stuck core lacks.
-func (w *World) predicament() string {
-	var lacks []string
-	if w.owner() == nil {
-		lacks = append(lacks, "nobody owns the duty")
+// stuckReason describes why a cluster makes no progress.
+func (c *Cluster) stuckReason() string {
+	var reasons []string
+	if c.owner() == nil {
+		reasons = append(reasons, "no node owns the duty")
 	}
-	if len(w.history.inForce.Prior) > 0 {
-		lacks = append(lacks, "the joint voter set is not left")
+	if len(c.history.inForce.Prior) > 0 {
+		reasons = append(reasons, "the joint voter set is not left")
 	}
-	if id := w.unfilled(); id != "" {
-		lacks = append(lacks, fmt.Sprintf("the seat of %s, whose disk is lost, is not filled", id))
+	if id := c.unfilledSeat(); id != "" {
+		reasons = append(reasons, fmt.Sprintf("the seat of %s, whose disk is lost, is not filled", id))
 	}
-	if len(lacks) == 0 {
-		lacks = append(lacks, "no change is taken")
+	if len(reasons) == 0 {
+		reasons = append(reasons, "no change is confirmed")
 	}
-	for _, n := range w.nodes {
+	for _, n := range c.nodes {
 		if !n.up() {
 			continue
 		}
 		r := n.core.Inspect().Register
-		lacks = append(lacks, fmt.Sprintf("%s knows %s, tries {%s}", n.id, valueText(r.Known), valueText(r.Hint)))
+		reasons = append(reasons, fmt.Sprintf("%s knows %s, proposes {%s}", n.id, valueText(r.Known), valueText(r.Hint)))
 	}
-	return strings.Join(lacks, "; ")
+	return strings.Join(reasons, "; ")
 }
--- a/internal/explorer/scenario.go
+++ b/internal/explorer/scenario.go
@@ -6,66 +6,67 @@
 	"tidedeck/internal/protocol"
 )
 
-// Grain is how finely deliveries are explored.
-type Grain int
+// Granularity determines how finely message deliveries are interleaved.
+type Granularity int
 
-// The grains.
+// The granularities.
 const (
-	ByNode    Grain = iota // all messages under way to one node arrive together
-	ByMessage              // each message arrives by itself, in any order
+	ByNode    Granularity = iota // all messages in flight to one node arrive together
+	ByMessage                    // each message arrives separately, in any order
 )
 
-// Operator sends one change, and repeats it under the same id.
+// Operator sends one change and may repeat it under the same id.
 type Operator struct {
-	Name     string
-	Expect   ident.Epoch
-	Number   ident.Epoch
-	At       []ident.Node // where it may send its change
-	Attempts int
+	Name          string
+	ExpectedEpoch ident.Epoch
+	NewEpoch      ident.Epoch
+	Nodes         []ident.Node // nodes to which the change may be sent
+	MaxAttempts   int
 }
 
-// Budget bounds how often each kind of action is taken in one run.
+// Budget limits how often each kind of action occurs in one run.
 type Budget struct {
 	Drops, Duplicates, Interrupts        int
 	Crashes, Wipes, Losses, Cuts, Stalls int
 	Gets, Ticks, Passes, Deliveries, All int
 }
 
-// Scenario is a small core, the way to its first state, and what may happen from there.
+// Scenario is a small cluster of controllers, the actions that set up its initial state, and the actions to explore.
 type Scenario struct {
-	Name  string
-	About string
+	Name        string
+	Description string
 
-	Voters    []ident.Node
-	Spares    []ident.Node
-	Tolerance int // seats of one voter set that may be lost with their disks at once
+	Voters        []ident.Node
+	Spares        []ident.Node
+	MaxLostVoters int // seats of one voter set whose disks may be lost at the same time
 
-	Held      func(protocol.Env) bool // messages whose delivery is explored; others arrive at once
-	Grain     Grain
-	PassTicks int
-	Setup     []Action // from the elected core, before exploration begins; settled by its own actions
-	Operators []Operator
-	Budget    Budget
-	Faulty    []ident.Node // nodes that faults may strike; all if empty
-	GetAt     []ident.Node
+	Intercepts  func(protocol.Env) bool // selects the messages whose delivery is explored; others arrive at once
+	Granularity Granularity
+	PassTicks   int
+	Setup       []Action // runs after the election, before exploration begins; no implicit settle follows
+	Operators   []Operator
+	Budget      Budget
+	FaultNodes  []ident.Node // nodes at which faults may occur; all if empty
+	ReadNodes   []ident.Node
 
-	Forwards bool // changes are handed to the owner of the leadership lease; else each node proposes its own
-	Depth    int
-	Recovery bool // after every state the core must be able to make progress again
+	ForwardsChanges  bool // changes are forwarded to the owner of the lease; otherwise each node proposes them
+	Depth            int
+	RequiresRecovery bool // from every state the cluster must be able to recover
 }
 
-// The times of a small core. Every timer is a multiple of a step, so that states repeat.
+// Timer settings of the explored clusters. Every timer is a multiple of a tick, so that equal states recur.
 const (
-	stepSpan  clock.Span = 250e6
-	dutySpan  clock.Span = 1000e6
-	spareSpan clock.Span = 1500e6
-	formSpan  clock.Span = 1000e6
+	tickInterval clock.Span = 250e6
+	dutyDuration clock.Span = 1000e6
+	spareTimeout clock.Span = 1500e6
+	formTimeout  clock.Span = 1000e6
 )
 
-// passTicks spans a lease of the duty with its margin, and a little more.
+// passTicks is slightly longer than the leadership lease (the duty) with its safety margin.
 const passTicks = 6
 
-func holdsRegister(e protocol.Env) bool {
+// isRegisterMessage selects the messages of the consensus protocol.
+func isRegisterMessage(e protocol.Env) bool {
 	switch e.Body.(type) {
 	case protocol.Prepare, protocol.Promise, protocol.Accept, protocol.Accepted:
 		return true
@@ -73,15 +74,17 @@
 	return false
 }
 
-func holdsRegisterAndForwards(e protocol.Env) bool {
+// isRegisterOrForwardMessage also selects forwarded changes and their answers.
+func isRegisterOrForwardMessage(e protocol.Env) bool {
 	switch e.Body.(type) {
 	case protocol.Forward, protocol.Forwarded:
 		return true
 	}
-	return holdsRegister(e)
+	return isRegisterMessage(e)
 }
 
-func holdsClaims(e protocol.Env) bool {
+// isClaimMessage selects the messages that claim, grant and release the duty.
+func isClaimMessage(e protocol.Env) bool {
 	switch b := e.Body.(type) {
 	case protocol.Query:
 		return b.Claim
@@ -93,218 +96,218 @@
 	return false
 }
 
-// holdsNothing leaves only faults and the steps of time to be explored.
-func holdsNothing(protocol.Env) bool { return false }
+// noMessage selects no message, so that only faults and ticks are explored.
+func noMessage(protocol.Env) bool { return false }
 
-func nodes(ids ...ident.Node) []ident.Node { return ids }
+func nodeIDs(ids ...ident.Node) []ident.Node { return ids }
 
-// Scenarios are all that the explorer knows, by name.
+// Scenarios lists all scenarios.
 var Scenarios = []Scenario{
 	{
-		Name: "cut-owner", About: "the owner is cut off while another change is taken elsewhere",
-		Voters: nodes("a", "b", "c"), Tolerance: 1, Held: holdsRegister, Grain: ByNode, PassTicks: passTicks,
+		Name: "cut-owner", Description: "the owner is isolated while another change is confirmed elsewhere",
+		Voters: nodeIDs("a", "b", "c"), MaxLostVoters: 1, Intercepts: isRegisterMessage, Granularity: ByNode, PassTicks: passTicks,
 		Operators: []Operator{
-			{Name: "x", Expect: 1, Number: 2, At: nodes("a"), Attempts: 1},
-			{Name: "y", Expect: 1, Number: 3, At: nodes("b"), Attempts: 2},
+			{Name: "x", ExpectedEpoch: 1, NewEpoch: 2, Nodes: nodeIDs("a"), MaxAttempts: 1},
+			{Name: "y", ExpectedEpoch: 1, NewEpoch: 3, Nodes: nodeIDs("b"), MaxAttempts: 2},
 		},
-		GetAt: nodes("a"), Faulty: nodes("a"),
+		ReadNodes: nodeIDs("a"), FaultNodes: nodeIDs("a"),
 		Budget: Budget{Cuts: 1, Ticks: 1, Passes: 1, Gets: 1},
-		Depth:  12, Recovery: true,
+		Depth:  12, RequiresRecovery: true,
 	},
 	{
-		Name: "power", About: "voters lose power between an answer and the disk, and an operator repeats its change elsewhere",
-		Voters: nodes("a", "b", "c"), Tolerance: 1, Held: holdsRegister, Grain: ByNode, PassTicks: passTicks,
+		Name: "power", Description: "voters lose power between an answer and the disk write, and an operator repeats its change at another node",
+		Voters: nodeIDs("a", "b", "c"), MaxLostVoters: 1, Intercepts: isRegisterMessage, Granularity: ByNode, PassTicks: passTicks,
 		Operators: []Operator{
-			{Name: "x", Expect: 1, Number: 2, At: nodes("a", "c"), Attempts: 2},
+			{Name: "x", ExpectedEpoch: 1, NewEpoch: 2, Nodes: nodeIDs("a", "c"), MaxAttempts: 2},
 		},
-		Faulty: nodes("a", "b"),
-		Budget: Budget{Interrupts: 1, Crashes: 1, Passes: 1},
-		Depth:  10, Recovery: true,
+		FaultNodes: nodeIDs("a", "b"),
+		Budget:     Budget{Interrupts: 1, Crashes: 1, Passes: 1},
+		Depth:      10, RequiresRecovery: true,
 	},
 	{
-		Name: "race", About: "two operators change one version, lose answers, and repeat at another node",
-		Voters: nodes("a", "b", "c"), Tolerance: 1, Held: holdsRegister, Grain: ByNode, PassTicks: passTicks,
+		Name: "race", Description: "two operators change the same version, answers are lost, and one operator repeats its change at another node",
+		Voters: nodeIDs("a", "b", "c"), MaxLostVoters: 1, Intercepts: isRegisterMessage, Granularity: ByNode, PassTicks: passTicks,
 		Operators: []Operator{
-			{Name: "x", Expect: 1, Number: 2, At: nodes("a", "c"), Attempts: 2},
-			{Name: "y", Expect: 1, Number: 2, At: nodes("b"), Attempts: 1},
+			{Name: "x", ExpectedEpoch: 1, NewEpoch: 2, Nodes: nodeIDs("a", "c"), MaxAttempts: 2},
+			{Name: "y", ExpectedEpoch: 1, NewEpoch: 2, Nodes: nodeIDs("b"), MaxAttempts: 1},
 		},
-		Faulty: nodes("a"),
-		Budget: Budget{Drops: 1, Crashes: 1, Passes: 1},
-		Depth:  12,
+		FaultNodes: nodeIDs("a"),
+		Budget:     Budget{Drops: 1, Crashes: 1, Passes: 1},
+		Depth:      12,
 	},
 	{
-		Name: "race-orders", About: "two operators change one version, and every message arrives by itself, in any order",
-		Voters: nodes("a", "b", "c"), Tolerance: 1, Held: holdsRegister, Grain: ByMessage, PassTicks: passTicks,
+		Name: "race-orders", Description: "two operators change the same version, and every message arrives separately, in any order",
+		Voters: nodeIDs("a", "b", "c"), MaxLostVoters: 1, Intercepts: isRegisterMessage, Granularity: ByMessage, PassTicks: passTicks,
 		Operators: []Operator{
-			{Name: "x", Expect: 1, Number: 2, At: nodes("a"), Attempts: 1},
-			{Name: "y", Expect: 1, Number: 2, At: nodes("b"), Attempts: 1},
+			{Name: "x", ExpectedEpoch: 1, NewEpoch: 2, Nodes: nodeIDs("a"), MaxAttempts: 1},
+			{Name: "y", ExpectedEpoch: 1, NewEpoch: 2, Nodes: nodeIDs("b"), MaxAttempts: 1},
 		},
-		Faulty: nodes("c"),
-		Budget: Budget{Duplicates: 1, Interrupts: 1, Passes: 1},
-		Depth:  14,
+		FaultNodes: nodeIDs("c"),
+		Budget:     Budget{Duplicates: 1, Interrupts: 1, Passes: 1},
+		Depth:      14,
 	},
 	{
-		Name: "forwarded", About: "changes are handed to the owner, which goes on by what a majority promised with the last one, and is cut off or lost",
-		Voters: nodes("a", "b", "c"), Tolerance: 1, Held: holdsRegisterAndForwards, Grain: ByNode, PassTicks: passTicks,
+		Name: "forwarded", Description: "changes are forwarded to the owner, which skips the prepare phase on a promise of the previous change, and is isolated or lost",
+		Voters: nodeIDs("a", "b", "c"), MaxLostVoters: 1, Intercepts: isRegisterOrForwardMessage, Granularity: ByNode, PassTicks: passTicks,
 		Setup: []Action{{Kind: Put, Operator: "w", Node: "a"}, {Kind: Settle}, {Kind: Tick}, {Kind: Settle}},
 		Operators: []Operator{
-			{Name: "w", Expect: 1, Number: 2, At: nodes("a"), Attempts: 1},
-			{Name: "x", Expect: 2, Number: 3, At: nodes("b", "c"), Attempts: 2},
-			{Name: "y", Expect: 2, Number: 4, At: nodes("c"), Attempts: 1},
+			{Name: "w", ExpectedEpoch: 1, NewEpoch: 2, Nodes: nodeIDs("a"), MaxAttempts: 1},
+			{Name: "x", ExpectedEpoch: 2, NewEpoch: 3, Nodes: nodeIDs("b", "c"), MaxAttempts: 2},
+			{Name: "y", ExpectedEpoch: 2, NewEpoch: 4, Nodes: nodeIDs("c"), MaxAttempts: 1},
 		},
-		GetAt: nodes("b"), Faulty: nodes("a"),
-		Budget:   Budget{Crashes: 1, Cuts: 1, Drops: 1, Ticks: 3, Passes: 1, Gets: 1},
-		Forwards: true,
-		Depth:    14, Recovery: true,
+		ReadNodes: nodeIDs("b"), FaultNodes: nodeIDs("a"),
+		Budget:          Budget{Crashes: 1, Cuts: 1, Drops: 1, Ticks: 3, Passes: 1, Gets: 1},
+		ForwardsChanges: true,
+		Depth:           14, RequiresRecovery: true,
 	},
 	{
-		Name: "promised", About: "a node has a majority's promise for its next change, voters have restarted, and others propose",
-		Voters: nodes("a", "b", "c"), Tolerance: 1, Held: holdsRegister, Grain: ByNode, PassTicks: passTicks,
+		Name: "promised", Description: "a node holds a majority's promise for its next change, voters have restarted, and other nodes propose",
+		Voters: nodeIDs("a", "b", "c"), MaxLostVoters: 1, Intercepts: isRegisterMessage, Granularity: ByNode, PassTicks: passTicks,
 		Setup: []Action{
 			{Kind: Put, Operator: "w", Node: "c"}, {Kind: Settle},
 			{Kind: Crash, Node: "a"}, {Kind: Restart, Node: "a"}, {Kind: Crash, Node: "b"}, {Kind: Restart, Node: "b"},
 		},
 		Operators: []Operator{
-			{Name: "w", Expect: 1, Number: 2, At: nodes("c"), Attempts: 1},
-			{Name: "x", Expect: 2, Number: 3, At: nodes("c"), Attempts: 2},
-			{Name: "y", Expect: 2, Number: 4, At: nodes("a"), Attempts: 2},
+			{Name: "w", ExpectedEpoch: 1, NewEpoch: 2, Nodes: nodeIDs("c"), MaxAttempts: 1},
+			{Name: "x", ExpectedEpoch: 2, NewEpoch: 3, Nodes: nodeIDs("c"), MaxAttempts: 2},
+			{Name: "y", ExpectedEpoch: 2, NewEpoch: 4, Nodes: nodeIDs("a"), MaxAttempts: 2},
 		},
-		Faulty: nodes("a", "b"),
-		Budget: Budget{Crashes: 1, Drops: 1, Passes: 1},
-		Depth:  14, Recovery: true,
+		FaultNodes: nodeIDs("a", "b"),
+		Budget:     Budget{Crashes: 1, Drops: 1, Passes: 1},
+		Depth:      14, RequiresRecovery: true,
 	},
 	{
-		Name: "promised-again", About: "a change under a majority's promise reaches one voter and is given up; its proposer takes another",
-		Voters: nodes("a", "b", "c"), Tolerance: 1, Held: holdsRegister, Grain: ByNode, PassTicks: passTicks,
+		Name: "promised-again", Description: "a change proposed under a majority's promise reaches one voter and is abandoned; its proposer proposes another",
+		Voters: nodeIDs("a", "b", "c"), MaxLostVoters: 1, Intercepts: isRegisterMessage, Granularity: ByNode, PassTicks: passTicks,
 		Setup: []Action{
 			{Kind: Put, Operator: "w", Node: "c"}, {Kind: Settle},
-			{Kind: Put, Operator: "x", Node: "c"}, {Kind: DeliverTo, Node: "b"}, // b alone has accepted x
+			{Kind: Put, Operator: "x", Node: "c"}, {Kind: DeliverTo, Node: "b"}, // only b has accepted x
 			{Kind: Crash, Node: "b"}, {Kind: Cut, Node: "c"}, {Kind: Pass}, {Kind: Pass}, {Kind: Pass}, {Kind: Heal, Node: "c"},
 		},
 		Operators: []Operator{
-			{Name: "w", Expect: 1, Number: 2, At: nodes("c"), Attempts: 1},
-			{Name: "x", Expect: 2, Number: 3, At: nodes("c"), Attempts: 1},
-			{Name: "y", Expect: 2, Number: 4, At: nodes("c"), Attempts: 2},
+			{Name: "w", ExpectedEpoch: 1, NewEpoch: 2, Nodes: nodeIDs("c"), MaxAttempts: 1},
+			{Name: "x", ExpectedEpoch: 2, NewEpoch: 3, Nodes: nodeIDs("c"), MaxAttempts: 1},
+			{Name: "y", ExpectedEpoch: 2, NewEpoch: 4, Nodes: nodeIDs("c"), MaxAttempts: 2},
 		},
-		Faulty: nodes("a"),
-		Budget: Budget{Crashes: 2, Drops: 1, Ticks: 2, Passes: 1},
-		Depth:  14, Recovery: true,
+		FaultNodes: nodeIDs("a"),
+		Budget:     Budget{Crashes: 2, Drops: 1, Ticks: 2, Passes: 1},
+		Depth:      14, RequiresRecovery: true,
 	},
 	{
-		Name: "stalled-proposer", About: "a proposer loses power while its disk stalls, starts again and proposes another change",
-		Voters: nodes("a", "b", "c"), Tolerance: 1, Held: holdsRegister, Grain: ByNode, PassTicks: passTicks,
+		Name: "stalled-proposer", Description: "a proposer loses power while its disk stalls, restarts and proposes another change",
+		Voters: nodeIDs("a", "b", "c"), MaxLostVoters: 1, Intercepts: isRegisterMessage, Granularity: ByNode, PassTicks: passTicks,
 		Setup: []Action{
 			{Kind: Stall, Node: "a"}, {Kind: Put, Operator: "x", Node: "a"},
 			{Kind: DeliverTo, Node: "b"}, {Kind: DeliverTo, Node: "c"}, {Kind: DeliverTo, Node: "a"},
-			{Kind: DeliverTo, Node: "b"}, {Kind: DropTo, Node: "c"}, {Kind: DropTo, Node: "a"}, // b alone has accepted x
+			{Kind: DeliverTo, Node: "b"}, {Kind: DropTo, Node: "c"}, {Kind: DropTo, Node: "a"}, // only b has accepted x
 			{Kind: Crash, Node: "a"},
 		},
 		Operators: []Operator{
-			{Name: "x", Expect: 1, Number: 2, At: nodes("a"), Attempts: 1},
-			{Name: "y", Expect: 1, Number: 3, At: nodes("a"), Attempts: 1},
+			{Name: "x", ExpectedEpoch: 1, NewEpoch: 2, Nodes: nodeIDs("a"), MaxAttempts: 1},
+			{Name: "y", ExpectedEpoch: 1, NewEpoch: 3, Nodes: nodeIDs("a"), MaxAttempts: 1},
 		},
-		Faulty: nodes("a"),
-		Budget: Budget{Stalls: 1, Crashes: 1, Drops: 2, Passes: 1},
-		Depth:  14, Recovery: true,
+		FaultNodes: nodeIDs("a"),
+		Budget:     Budget{Stalls: 1, Crashes: 1, Drops: 2, Passes: 1},
+		Depth:      14, RequiresRecovery: true,
 	},
 	{
-		Name: "late-answers", About: "a proposer starts again, and answers to its earlier life come late",
-		Voters: nodes("a", "b", "c"), Tolerance: 1, Held: holdsRegister, Grain: ByNode, PassTicks: passTicks,
+		Name: "late-answers", Description: "a proposer restarts, and answers to its previous incarnation arrive late",
+		Voters: nodeIDs("a", "b", "c"), MaxLostVoters: 1, Intercepts: isRegisterMessage, Granularity: ByNode, PassTicks: passTicks,
 		Setup: []Action{
 			{Kind: Crash, Node: "a"}, {Kind: Restart, Node: "a"}, {Kind: Tick},
-			{Kind: Put, Operator: "x", Node: "a"}, {Kind: DeliverTo, Node: "b"}, {Kind: DropTo, Node: "c"}, // the promise of b is late
+			{Kind: Put, Operator: "x", Node: "a"}, {Kind: DeliverTo, Node: "b"}, {Kind: DropTo, Node: "c"}, // the promise of b stays in flight
 			{Kind: Crash, Node: "a"},
 			{Kind: Put, Operator: "z", Node: "c"}, {Kind: DeliverTo, Node: "b"}, {Kind: DeliverTo, Node: "c"},
 			{Kind: DeliverTo, Node: "b"}, {Kind: DeliverTo, Node: "c"}, // z is confirmed
 		},
 		Operators: []Operator{
-			{Name: "x", Expect: 1, Number: 2, At: nodes("a"), Attempts: 1},
-			{Name: "y", Expect: 1, Number: 3, At: nodes("a"), Attempts: 1},
-			{Name: "z", Expect: 1, Number: 2, At: nodes("c"), Attempts: 1},
+			{Name: "x", ExpectedEpoch: 1, NewEpoch: 2, Nodes: nodeIDs("a"), MaxAttempts: 1},
+			{Name: "y", ExpectedEpoch: 1, NewEpoch: 3, Nodes: nodeIDs("a"), MaxAttempts: 1},
+			{Name: "z", ExpectedEpoch: 1, NewEpoch: 2, Nodes: nodeIDs("c"), MaxAttempts: 1},
 		},
-		Faulty: nodes("a"),
-		Budget: Budget{Crashes: 1, Drops: 1, Ticks: 3, Passes: 1},
-		Depth:  12,
+		FaultNodes: nodeIDs("a"),
+		Budget:     Budget{Crashes: 1, Drops: 1, Ticks: 3, Passes: 1},
+		Depth:      12,
 	},
 	{
-		Name: "replace", About: "a voter is lost and replaced by a spare, or wiped and admitted again, with a second loss between any two steps of time",
-		Voters: nodes("a", "b", "c"), Spares: nodes("d"), Tolerance: 1, Held: holdsNothing, Grain: ByNode, PassTicks: passTicks,
-		Operators: []Operator{{Name: "x", Expect: 1, Number: 2, At: nodes("c"), Attempts: 1}},
-		Faulty:    nodes("a", "b", "d"),
-		Budget:    Budget{Crashes: 1, Wipes: 1, Losses: 2, Cuts: 1, Ticks: 6, Passes: 3},
-		Depth:     12, Recovery: true,
+		Name: "replace", Description: "a voter is lost and replaced by a spare, or wiped and readmitted, with a second loss between any two ticks",
+		Voters: nodeIDs("a", "b", "c"), Spares: nodeIDs("d"), MaxLostVoters: 1, Intercepts: noMessage, Granularity: ByNode, PassTicks: passTicks,
+		Operators:  []Operator{{Name: "x", ExpectedEpoch: 1, NewEpoch: 2, Nodes: nodeIDs("c"), MaxAttempts: 1}},
+		FaultNodes: nodeIDs("a", "b", "d"),
+		Budget:     Budget{Crashes: 1, Wipes: 1, Losses: 2, Cuts: 1, Ticks: 6, Passes: 3},
+		Depth:      12, RequiresRecovery: true,
 	},
 	{
-		Name: "replace-orders", About: "a voter is wiped and admitted again, with a second fault between any two deliveries",
-		Voters: nodes("a", "b", "c"), Spares: nodes("d"), Tolerance: 1, Held: holdsRegister, Grain: ByNode, PassTicks: passTicks,
-		Setup:  []Action{{Kind: Wipe, Node: "b"}, {Kind: Tick}},
-		Faulty: nodes("a", "b"),
-		Budget: Budget{Crashes: 1, Wipes: 1, Losses: 1, Interrupts: 1, Ticks: 2, Passes: 2},
-		Depth:  12, Recovery: true,
+		Name: "replace-orders", Description: "a voter is wiped and readmitted, with a second fault between any two deliveries",
+		Voters: nodeIDs("a", "b", "c"), Spares: nodeIDs("d"), MaxLostVoters: 1, Intercepts: isRegisterMessage, Granularity: ByNode, PassTicks: passTicks,
+		Setup:      []Action{{Kind: Wipe, Node: "b"}, {Kind: Tick}},
+		FaultNodes: nodeIDs("a", "b"),
+		Budget:     Budget{Crashes: 1, Wipes: 1, Losses: 1, Interrupts: 1, Ticks: 2, Passes: 2},
+		Depth:      12, RequiresRecovery: true,
 	},
 	{
-		Name: "replace-five", About: "five voters, of which two may be lost at once, and a spare",
-		Voters: nodes("a", "b", "c", "d", "e"), Spares: nodes("f"), Tolerance: 2, Held: holdsNothing, Grain: ByNode, PassTicks: passTicks,
-		Faulty: nodes("a", "b", "f"),
-		Budget: Budget{Crashes: 1, Wipes: 2, Losses: 3, Cuts: 1, Ticks: 6, Passes: 3},
-		Depth:  12, Recovery: true,
+		Name: "replace-five", Description: "five voters, of which two may be lost at the same time, and a spare",
+		Voters: nodeIDs("a", "b", "c", "d", "e"), Spares: nodeIDs("f"), MaxLostVoters: 2, Intercepts: noMessage, Granularity: ByNode, PassTicks: passTicks,
+		FaultNodes: nodeIDs("a", "b", "f"),
+		Budget:     Budget{Crashes: 1, Wipes: 2, Losses: 3, Cuts: 1, Ticks: 6, Passes: 3},
+		Depth:      12, RequiresRecovery: true,
 	},
 	{
-		Name: "churn", About: "five voters and two spares, of which one after the other is lost, wiped, cut off or restarted; for random runs",
-		Voters: nodes("a", "b", "c", "d", "e"), Spares: nodes("f", "g"), Tolerance: 2, Held: holdsNothing, Grain: ByNode, PassTicks: passTicks,
+		Name: "churn", Description: "five voters and two spares that are lost, wiped, isolated or restarted one after another; for random runs",
+		Voters: nodeIDs("a", "b", "c", "d", "e"), Spares: nodeIDs("f", "g"), MaxLostVoters: 2, Intercepts: noMessage, Granularity: ByNode, PassTicks: passTicks,
 		Operators: []Operator{
-			{Name: "x", Expect: 1, Number: 2, At: nodes("a", "b", "c", "d", "e"), Attempts: 3},
-			{Name: "y", Expect: 2, Number: 3, At: nodes("c", "d", "e", "f"), Attempts: 3},
+			{Name: "x", ExpectedEpoch: 1, NewEpoch: 2, Nodes: nodeIDs("a", "b", "c", "d", "e"), MaxAttempts: 3},
+			{Name: "y", ExpectedEpoch: 2, NewEpoch: 3, Nodes: nodeIDs("c", "d", "e", "f"), MaxAttempts: 3},
 		},
 		Budget: Budget{Crashes: 4, Wipes: 3, Losses: 3, Cuts: 3, Ticks: 16, Passes: 6},
-		Depth:  28, Recovery: true,
+		Depth:  28, RequiresRecovery: true,
 	},
 	{
-		Name: "returner", About: "a voter that was away for several changes returns with its old disk, and another goes",
-		Voters: nodes("a", "b", "c"), Tolerance: 1, Held: holdsRegister, Grain: ByNode, PassTicks: passTicks,
+		Name: "returner", Description: "a voter that missed several changes returns with its old disk, and another voter is lost",
+		Voters: nodeIDs("a", "b", "c"), MaxLostVoters: 1, Intercepts: isRegisterMessage, Granularity: ByNode, PassTicks: passTicks,
 		Setup: []Action{
 			{Kind: Crash, Node: "c"},
 			{Kind: Put, Operator: "w", Node: "a"}, {Kind: Settle},
 			{Kind: Put, Operator: "x", Node: "b"}, {Kind: Settle}, {Kind: Tick}, {Kind: Settle},
 		},
 		Operators: []Operator{
-			{Name: "w", Expect: 1, Number: 2, At: nodes("c"), Attempts: 2},
-			{Name: "x", Expect: 2, Number: 3, At: nodes("c"), Attempts: 2},
-			{Name: "y", Expect: 3, Number: 4, At: nodes("c"), Attempts: 1},
+			{Name: "w", ExpectedEpoch: 1, NewEpoch: 2, Nodes: nodeIDs("c"), MaxAttempts: 2},
+			{Name: "x", ExpectedEpoch: 2, NewEpoch: 3, Nodes: nodeIDs("c"), MaxAttempts: 2},
+			{Name: "y", ExpectedEpoch: 3, NewEpoch: 4, Nodes: nodeIDs("c"), MaxAttempts: 1},
 		},
-		GetAt: nodes("c"), Faulty: nodes("a"),
+		ReadNodes: nodeIDs("c"), FaultNodes: nodeIDs("a"),
 		Budget: Budget{Crashes: 1, Losses: 1, Wipes: 1, Ticks: 1, Passes: 1, Gets: 1},
-		Depth:  10, Recovery: true,
+		Depth:  10, RequiresRecovery: true,
 	},
 	{
-		Name: "duty", About: "nodes claim the duty that its owner left by a crash, and restarts forget grants",
-		Voters: nodes("a", "b", "c", "d", "e"), Tolerance: 2, Held: holdsClaims, Grain: ByNode, PassTicks: passTicks,
+		Name: "duty", Description: "nodes claim the duty after its owner crashed, and restarted voters forget their grants",
+		Voters: nodeIDs("a", "b", "c", "d", "e"), MaxLostVoters: 2, Intercepts: isClaimMessage, Granularity: ByNode, PassTicks: passTicks,
 		Setup: []Action{
 			{Kind: Crash, Node: "a"}, {Kind: Tick}, {Kind: Settle}, {Kind: Tick}, {Kind: Settle}, {Kind: Tick}, {Kind: Settle},
 			{Kind: Tick}, {Kind: Settle}, {Kind: Tick}, {Kind: Settle},
 		},
-		Faulty: nodes("b", "d"),
-		Budget: Budget{Interrupts: 1, Crashes: 1, Cuts: 1, Ticks: 7},
-		Depth:  14,
+		FaultNodes: nodeIDs("b", "d"),
+		Budget:     Budget{Interrupts: 1, Crashes: 1, Cuts: 1, Ticks: 7},
+		Depth:      14,
 	},
 	{
-		Name: "duty-restarts", About: "the duty's owner is cut off, and the voters that granted it restart",
-		Voters: nodes("a", "b", "c"), Tolerance: 1, Held: holdsNothing, Grain: ByNode, PassTicks: passTicks,
-		Setup:  []Action{{Kind: Cut, Node: "a"}},
-		Faulty: nodes("b", "c"),
-		Budget: Budget{Crashes: 2, Ticks: 8},
-		Depth:  14, Recovery: true,
+		Name: "duty-restarts", Description: "the duty's owner is isolated, and the voters that granted the duty restart",
+		Voters: nodeIDs("a", "b", "c"), MaxLostVoters: 1, Intercepts: noMessage, Granularity: ByNode, PassTicks: passTicks,
+		Setup:      []Action{{Kind: Cut, Node: "a"}},
+		FaultNodes: nodeIDs("b", "c"),
+		Budget:     Budget{Crashes: 2, Ticks: 8},
+		Depth:      14, RequiresRecovery: true,
 	},
 	{
-		Name: "duty-takeover", About: "the duty's owner is cut off or restarts, voters restart, and others claim what its lease still covers",
-		Voters: nodes("a", "b", "c"), Tolerance: 1, Held: holdsNothing, Grain: ByNode, PassTicks: passTicks,
+		Name: "duty-takeover", Description: "the duty's owner is isolated or restarts, voters restart, and other nodes claim the duty while the lease is still valid",
+		Voters: nodeIDs("a", "b", "c"), MaxLostVoters: 1, Intercepts: noMessage, Granularity: ByNode, PassTicks: passTicks,
 		Budget: Budget{Crashes: 2, Wipes: 1, Cuts: 2, Ticks: 8},
-		Depth:  14, Recovery: true,
+		Depth:  14, RequiresRecovery: true,
 	},
 }
 
-// Find gives the scenario of a name.
-func Find(name string) (Scenario, bool) {
+// FindScenario returns the scenario with a name.
+func FindScenario(name string) (Scenario, bool) {
 	for _, s := range Scenarios {
 		if s.Name == name {
 			return s, true
--- a/internal/explorer/search.go
+++ b/internal/explorer/search.go
@@ -9,30 +9,30 @@
 	"github.com/go-faster/errors"
 )
 
-// Bounds of a search.
-type Bounds struct {
-	Depth   int // actions in a run; the scenario's own if zero
-	States  int // states expanded
-	Workers int // goroutines; as many as may run at once if zero
+// SearchBounds limits a search.
+type SearchBounds struct {
+	Depth   int // maximum actions per run; the scenario's depth if zero
+	States  int // maximum number of expanded states
+	Workers int // goroutines; GOMAXPROCS if zero
 }
 
-// Failure is a run that breaks a property.
+// Failure is a run that violates a property.
 type Failure struct {
-	Run       []Action
-	Recovered bool // it shows only when the core recovers after the run
-	Violation string
+	Run            []Action
+	DuringRecovery bool // the violation occurs in the recovery after the run
+	Violation      string
 }
 
-// Result is what a search came to.
-type Result struct {
-	States    int // distinct states that were expanded
-	Tried     int // actions that were tried from them
-	Depth     int // actions in the longest run whose state was expanded
+// SearchResult is the outcome of a search.
+type SearchResult struct {
+	States    int // distinct states expanded
+	Actions   int // actions executed from these states
+	Depth     int // length of the longest run whose final state was expanded
 	Exhausted bool
 	Failure   *Failure
 }
 
-// state is a distinct state, by the run that leads to it.
+// state is a distinct state, identified by the run that leads to it.
 type state struct {
 	parent *state
 	action Action
@@ -48,36 +48,36 @@
 	return l
 }
 
-// successor is what one action from a state leads to.
+// successor is the state after one action from another state.
 type successor struct {
 	action      Action
 	fingerprint uint64
 	violation   string
 }
 
-// expansion is a state's successors, and what recovery from it came to.
+// expansion holds the successors of a state and the result of recovery from it.
 type expansion struct {
-	successors []successor
-	stuck      string
-	err        error
+	successors        []successor
+	recoveryViolation string
+	err               error
 }
 
-// searcher walks a scenario's states breadth first.
+// searcher explores a scenario's states breadth first.
 type searcher struct {
-	start  *Start
-	bounds Bounds
+	start  *InitialState
+	bounds SearchBounds
 	seen   map[uint64]bool
-	result Result
+	result SearchResult
 }
 
-// batchPerWorker is how many states each worker expands between two merges.
+// batchPerWorker is the number of states that each worker expands between two merges.
 const batchPerWorker = 32
 
-// Search explores a scenario within bounds. Its result does not depend on the number of workers.
-func Search(s Scenario, b Bounds) (Result, error) {
-	start, err := NewStart(s)
+// Search explores a scenario within bounds. The result does not depend on the number of workers.
+func Search(s Scenario, b SearchBounds) (SearchResult, error) {
+	start, err := NewInitialState(s)
 	if err != nil {
-		return Result{}, err
+		return SearchResult{}, err
 	}
 	if b.Depth == 0 {
 		b.Depth = s.Depth
@@ -85,49 +85,49 @@
 	if b.Workers == 0 {
 		b.Workers = runtime.GOMAXPROCS(0)
 	}
-	x := &searcher{start: start, bounds: b, seen: map[uint64]bool{}}
-	err = x.search()
-	return x.result, err
+	sr := &searcher{start: start, bounds: b, seen: map[uint64]bool{}}
+	err = sr.search()
+	return sr.result, err
 }
 
-func (x *searcher) search() error {
-	w, err := x.start.World(nil)
+func (sr *searcher) search() error {
+	c, err := sr.start.NewCluster(nil)
 	if err != nil {
 		return err
 	}
-	if w.Violation() != "" {
-		x.result.Failure = &Failure{Violation: w.Violation()}
+	if c.Violation() != "" {
+		sr.result.Failure = &Failure{Violation: c.Violation()}
 		return nil
 	}
-	x.seen[w.Fingerprint()] = true
+	sr.seen[c.Fingerprint()] = true
 	level := []*state{{}}
 	for len(level) > 0 {
-		next, more, err := x.expandLevel(level)
+		next, more, err := sr.expandLevel(level)
 		if err != nil || !more {
 			return err
 		}
 		level = next
 	}
-	x.result.Exhausted = true
+	sr.result.Exhausted = true
 	return nil
 }
 
-// expandLevel expands all states of one depth. It tells whether the search goes on.
-func (x *searcher) expandLevel(level []*state) (next []*state, more bool, err error) {
-	size := batchPerWorker * x.bounds.Workers
+// expandLevel expands all states of one depth and returns their new successors. It reports whether to continue.
+func (sr *searcher) expandLevel(level []*state) (next []*state, more bool, err error) {
+	size := batchPerWorker * sr.bounds.Workers
 	for len(level) > 0 {
-		room := x.bounds.States - x.result.States
+		room := sr.bounds.States - sr.result.States
 		if room <= 0 {
 			return nil, false, nil
 		}
 		batch := level[:min(size, room, len(level))]
 		level = level[len(batch):]
-		for i, e := range x.expandAll(batch) {
+		for i, e := range sr.expandAll(batch) {
 			if e.err != nil {
 				return nil, false, e.err
 			}
-			found := x.merge(batch[i], e)
-			if x.result.Failure != nil {
+			found := sr.merge(batch[i], e)
+			if sr.result.Failure != nil {
 				return nil, false, nil
 			}
 			next = append(next, found...)
@@ -136,15 +136,15 @@
 	return next, true, nil
 }
 
-// expandAll expands states by several workers, and keeps their order.
-func (x *searcher) expandAll(batch []*state) []expansion {
+// expandAll expands states concurrently and returns the expansions in the order of the states.
+func (sr *searcher) expandAll(batch []*state) []expansion {
 	l := make([]expansion, len(batch))
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	jobs := make(chan int)
-	for range min(x.bounds.Workers, len(batch)) {
-		all.Go(func() {
+	for range min(sr.bounds.Workers, len(batch)) {
+		workers.Go(func() {
 			for i := range jobs {
-				l[i] = x.expand(batch[i])
+				l[i] = sr.expand(batch[i])
 			}
 		})
 	}
@@ -152,79 +152,79 @@
 		jobs <- i
 	}
 	close(jobs)
-	all.Wait()
+	workers.Wait()
 	return l
 }
 
-// merge notes an expansion and gives the states that were not seen before.
-func (x *searcher) merge(s *state, e expansion) []*state {
-	x.result.States++
-	x.result.Depth = max(x.result.Depth, s.depth)
-	if e.stuck != "" {
-		x.result.Failure = &Failure{Run: s.run(), Recovered: true, Violation: e.stuck}
+// merge records an expansion and returns the states not seen before.
+func (sr *searcher) merge(s *state, e expansion) []*state {
+	sr.result.States++
+	sr.result.Depth = max(sr.result.Depth, s.depth)
+	if e.recoveryViolation != "" {
+		sr.result.Failure = &Failure{Run: s.run(), DuringRecovery: true, Violation: e.recoveryViolation}
 		return nil
 	}
 	var found []*state
-	for _, c := range e.successors {
-		x.result.Tried++
-		child := &state{parent: s, action: c.action, depth: s.depth + 1}
-		if c.violation != "" {
-			x.result.Failure = &Failure{Run: child.run(), Violation: c.violation}
+	for _, next := range e.successors {
+		sr.result.Actions++
+		child := &state{parent: s, action: next.action, depth: s.depth + 1}
+		if next.violation != "" {
+			sr.result.Failure = &Failure{Run: child.run(), Violation: next.violation}
 			return nil
 		}
-		if !x.seen[c.fingerprint] {
-			x.seen[c.fingerprint] = true
+		if !sr.seen[next.fingerprint] {
+			sr.seen[next.fingerprint] = true
 			found = append(found, child)
 		}
 	}
 	return found
 }
 
-func (x *searcher) expand(s *state) (e expansion) {
+func (sr *searcher) expand(s *state) (e expansion) {
 	run := s.run()
-	w, err := x.replay(run)
+	c, err := sr.replay(run)
 	if err != nil {
 		return expansion{err: err}
 	}
 	var actions []Action
-	if s.depth < x.bounds.Depth {
-		actions = w.Enabled()
+	if s.depth < sr.bounds.Depth {
+		actions = c.Enabled()
 	}
-	if x.start.scenario.Recovery {
-		w.Recover()
-		if e.stuck = w.Violation(); e.stuck != "" {
+	if sr.start.scenario.RequiresRecovery {
+		c.Recover()
+		if e.recoveryViolation = c.Violation(); e.recoveryViolation != "" {
 			return e
 		}
 	}
 	for _, a := range actions {
-		c, err := x.replay(run)
+		child, err := sr.replay(run)
 		if err != nil {
 			return expansion{err: err}
 		}
-		if err := c.Apply(a); err != nil {
+		if err := child.Apply(a); err != nil {
 			return expansion{err: errors.Wrapf(err, "after %v", run)}
 		}
-		e.successors = append(e.successors, successor{action: a, fingerprint: c.Fingerprint(), violation: c.Violation()})
+		e.successors = append(e.successors, successor{action: a, fingerprint: child.Fingerprint(), violation: child.Violation()})
 	}
 	return e
 }
 
-func (x *searcher) replay(run []Action) (*World, error) {
-	w, err := x.start.Replay(run, nil)
-	if err == nil && w.Violation() != "" {
-		err = errors.Errorf("%v fails when it is run again: %s", run, w.Violation())
+func (sr *searcher) replay(run []Action) (*Cluster, error) {
+	c, err := sr.start.Replay(run, nil)
+	if err == nil && c.Violation() != "" {
+		err = errors.Errorf("%v: violation on replay of a run that passed before: %s", run, c.Violation())
 	}
-	return w, err
+	return c, err
 }
 
-// String sums a result up in one line.
-func (r Result) String() string {
-	end := "bounded by states"
+// String summarizes the result in one line.
+func (r SearchResult) String() string {
+	end := "state limit reached"
 	if r.Exhausted {
-		end = "all states within the depth and the budgets"
+		end = "all states within the depth and budgets explored"
 	}
 	if r.Failure != nil {
-		end = "a violation"
+		end = "violation found"
 	}
-	return fmt.Sprintf("%d states, %d actions tried, depth %d: %s", r.States, r.Tried, r.Depth, end)
+	return fmt.Sprintf("%d states, %d actions executed, depth %d: %s", r.States, r.Actions, r.Depth, end)
 }
--- a/internal/explorer/text.go
+++ b/internal/explorer/text.go
@@ -19,41 +19,41 @@
 	return strings.Join(s, " ")
 }
 
-// valueText names a value by what tells it from others.
+// valueText formats the fields that distinguish a value from others.
 func valueText(d *protocol.Desired) string {
 	if d == nil {
 		return "nothing"
 	}
-	s := fmt.Sprintf("epoch %d plan %q shape %d voters {%s}", d.Epoch, d.Plan, d.Shape, votersText(d.Voters))
+	text := fmt.Sprintf("epoch %d plan %q shape %d voters {%s}", d.Epoch, d.Plan, d.Shape, votersText(d.Voters))
 	if len(d.Prior) > 0 {
-		s += fmt.Sprintf(" after {%s}", votersText(d.Prior))
+		text += fmt.Sprintf(" after {%s}", votersText(d.Prior))
 	}
-	return s
+	return text
 }
 
 func envelopeText(e protocol.Env) string {
-	way := fmt.Sprintf("%s %s>%s", protocol.Kind(e.Body), e.From.ID, e.To.ID)
+	header := fmt.Sprintf("%s %s>%s", protocol.Kind(e.Body), e.From.ID, e.To.ID)
 	switch b := e.Body.(type) {
 	case protocol.Prepare:
-		return fmt.Sprintf("%s round %d ballot %s", way, b.Round, ballotText(b.Ballot))
+		return fmt.Sprintf("%s round %d ballot %s", header, b.Round, ballotText(b.Ballot))
 	case protocol.Promise:
-		return fmt.Sprintf("%s round %d ok %t inc %d promised %s accepted %s %s", way, b.Round, b.OK, b.Inc, ballotText(b.Promised), ballotText(b.Accepted), valueText(b.Value))
+		return fmt.Sprintf("%s round %d ok %t inc %d promised %s accepted %s %s", header, b.Round, b.OK, b.Inc, ballotText(b.Promised), ballotText(b.Accepted), valueText(b.Value))
 	case protocol.Accept:
-		return fmt.Sprintf("%s round %d ballot %s %s", way, b.Round, ballotText(b.Ballot), valueText(&b.Value))
+		return fmt.Sprintf("%s round %d ballot %s %s", header, b.Round, ballotText(b.Ballot), valueText(&b.Value))
 	case protocol.Accepted:
-		return fmt.Sprintf("%s round %d ok %t inc %d promised %s", way, b.Round, b.OK, b.Inc, ballotText(b.Promised))
+		return fmt.Sprintf("%s round %d ok %t inc %d promised %s", header, b.Round, b.OK, b.Inc, ballotText(b.Promised))
 	case protocol.Forward:
-		return fmt.Sprintf("%s term %d change %s", way, b.Term, b.Change)
+		return fmt.Sprintf("%s term %d change %s", header, b.Term, b.Change)
 	case protocol.Forwarded:
-		return fmt.Sprintf("%s not owner %t %s epoch %d", way, b.NotOwner, b.Kind, b.Epoch)
+		return fmt.Sprintf("%s not owner %t %s epoch %d", header, b.NotOwner, b.Kind, b.Epoch)
 	case protocol.Query:
-		return fmt.Sprintf("%s round %d claim %t duty %d", way, b.Round, b.Claim, b.Duty)
+		return fmt.Sprintf("%s round %d claim %t duty %d", header, b.Round, b.Claim, b.Duty)
 	case protocol.State:
-		return fmt.Sprintf("%s round %d inc %d granted %t duty %d owner %s accepted %s shape %d", way, b.Round, b.Inc, b.Granted, b.Duty, b.Owner.ID, ballotText(b.Accepted), b.Shape)
+		return fmt.Sprintf("%s round %d inc %d granted %t duty %d owner %s accepted %s shape %d", header, b.Round, b.Inc, b.Granted, b.Duty, b.Owner.ID, ballotText(b.Accepted), b.Shape)
 	case protocol.Release:
-		return fmt.Sprintf("%s duty %d next %s", way, b.Duty, b.Next)
+		return fmt.Sprintf("%s duty %d next %s", header, b.Duty, b.Next)
 	}
-	return way
+	return header
 }
 
 func receiptText(r controller.Receipt) string {
--- a/internal/explorer/walk.go
+++ b/internal/explorer/walk.go
@@ -8,39 +8,39 @@
 	"sync"
 )
 
-// WalkBounds bound a number of random runs.
+// WalkBounds limits a series of random runs.
 type WalkBounds struct {
-	Depth   int // actions in a run; the scenario's own if zero
+	Depth   int // maximum actions per run; the scenario's depth if zero
 	Walks   int
 	Seed    uint64
-	Workers int // goroutines; as many as may run at once if zero
+	Workers int // goroutines; GOMAXPROCS if zero
 }
 
-// WalkResult is what random runs came to. Its failure is the one of the first failing walk, with every
-// action taken out that the violation does not need.
+// WalkResult is the outcome of a series of random runs. Its failure is that of the first failing run, minimized by
+// removing every action that the violation does not need.
 type WalkResult struct {
 	Walks   int
 	Actions int
 	Failure *Failure
 }
 
-// String sums a result up in one line.
+// String summarizes the result in one line.
 func (r WalkResult) String() string {
 	return fmt.Sprintf("%d random runs, %d actions", r.Walks, r.Actions)
 }
 
-// walk is one random run and what it came to.
+// walk is one random run and its outcome.
 type walk struct {
-	run       []Action
-	violation string
-	recovered bool
-	err       error
+	run            []Action
+	violation      string
+	duringRecovery bool
+	err            error
 }
 
-// Walk tries long random runs of a scenario, each followed by recovery if the scenario wants it. They
-// reach depths that a search does not, but prove nothing.
+// Walk executes random runs of a scenario, each followed by recovery if the scenario requires it. Random runs reach
+// depths that an exhaustive search does not, but they prove nothing.
 func Walk(s Scenario, b WalkBounds) (WalkResult, error) {
-	start, err := NewStart(s)
+	start, err := NewInitialState(s)
 	if err != nil {
 		return WalkResult{}, err
 	}
@@ -68,12 +68,12 @@
 	return r, nil
 }
 
-func (s *Start) walkAll(b WalkBounds, first, count int) []walk {
+func (s *InitialState) walkAll(b WalkBounds, first, count int) []walk {
 	l := make([]walk, count)
 	jobs := make(chan int)
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	for range min(b.Workers, count) {
-		all.Go(func() {
+		workers.Go(func() {
 			for i := range jobs {
 				l[i] = s.walk(rand.New(rand.NewPCG(b.Seed, uint64(first+i))), b.Depth)
 			}
@@ -83,43 +83,43 @@
 		jobs <- i
 	}
 	close(jobs)
-	all.Wait()
+	workers.Wait()
 	return l
 }
 
-func (s *Start) walk(dice *rand.Rand, depth int) walk {
+func (s *InitialState) walk(random *rand.Rand, depth int) walk {
 	var x walk
-	w, err := s.World(nil)
+	c, err := s.NewCluster(nil)
 	if err != nil {
 		return walk{err: err}
 	}
-	for len(x.run) < depth && w.Violation() == "" {
-		actions := w.Enabled()
+	for len(x.run) < depth && c.Violation() == "" {
+		actions := c.Enabled()
 		if len(actions) == 0 {
 			break
 		}
-		a := actions[dice.IntN(len(actions))]
+		a := actions[random.IntN(len(actions))]
 		x.run = append(x.run, a)
-		if err := w.Apply(a); err != nil {
+		if err := c.Apply(a); err != nil {
 			return walk{err: err}
 		}
 	}
-	if w.Violation() == "" && s.scenario.Recovery {
-		x.recovered = true
-		w.Recover()
+	if c.Violation() == "" && s.scenario.RequiresRecovery {
+		x.duringRecovery = true
+		c.Recover()
 	}
-	x.violation = w.Violation()
+	x.violation = c.Violation()
 	return x
 }
 
-// shrink takes actions out of a failing run for as long as what is left is a run that fails.
-func (s *Start) shrink(x walk) *Failure {
-	f := &Failure{Run: x.run, Recovered: x.recovered, Violation: x.violation}
+// shrink removes actions from a failing run as long as the remaining run still fails.
+func (s *InitialState) shrink(x walk) *Failure {
+	f := &Failure{Run: x.run, DuringRecovery: x.duringRecovery, Violation: x.violation}
 	for smaller := true; smaller; {
 		smaller = false
 		for i := len(f.Run) - 1; i >= 0; i = min(i, len(f.Run)) - 1 {
 			run := slices.Delete(slices.Clone(f.Run), i, i+1)
-			if g := s.fails(run); g != nil {
+			if g := s.reproduce(run); g != nil {
 				f, smaller = g, true
 			}
 		}
@@ -127,26 +127,27 @@
 	return f
 }
 
-// fails carries out a run that the scenario must allow, with recovery if it wants it, and tells how it fails.
-func (s *Start) fails(run []Action) *Failure {
-	w, err := s.World(nil)
+// reproduce executes a run, with recovery if the scenario requires it, and returns its failure. It returns nil if the run
+// passes or if the scenario does not allow one of its actions.
+func (s *InitialState) reproduce(run []Action) *Failure {
+	c, err := s.NewCluster(nil)
 	if err != nil {
 		return nil
 	}
 	for i, a := range run {
-		if w.Violation() != "" {
-			return &Failure{Run: run[:i], Violation: w.Violation()}
+		if c.Violation() != "" {
+			return &Failure{Run: run[:i], Violation: c.Violation()}
 		}
-		if !slices.Contains(w.Enabled(), a) || w.Apply(a) != nil {
+		if !slices.Contains(c.Enabled(), a) || c.Apply(a) != nil {
 			return nil
 		}
 	}
-	recovered := w.Violation() == "" && s.scenario.Recovery
+	recovered := c.Violation() == "" && s.scenario.RequiresRecovery
 	if recovered {
-		w.Recover()
+		c.Recover()
 	}
-	if w.Violation() == "" {
+	if c.Violation() == "" {
 		return nil
 	}
-	return &Failure{Run: run, Recovered: recovered, Violation: w.Violation()}
+	return &Failure{Run: run, DuringRecovery: recovered, Violation: c.Violation()}
 }
--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -8,31 +8,31 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Merge applies a patch to a plan; it fails where the patch does not fit.
-type Merge func(plan, patch []byte) ([]byte, bool)
+// MergeFunc applies a patch to a plan. It returns false if the patch is not applicable.
+type MergeFunc func(plan, patch []byte) ([]byte, bool)
 
-// Verdict is what a check came to.
+// Verdict is the outcome of a check.
 type Verdict int
 
 // The verdicts.
 const (
 	Linearizable Verdict = iota
 	Violated
-	Unknown // the check ran out of time: nothing is shown
+	Unknown // the check timed out without a result
 )
 
-// Result of a check.
+// Result is the result of a check.
 type Result struct {
 	Verdict    Verdict
 	Operations int
-	Why        string // of a verdict that is not Linearizable
+	Why        string // reason for a verdict other than Linearizable
 }
 
-// mostListed is how many operations around a violation are told.
-const mostListed = 4
+// maxListed is the maximum number of operations listed with a violation.
+const maxListed = 4
 
-// Check tells whether a history is linearizable, within a time on the wall clock.
-func Check(operations []Operation, merge Merge, within time.Duration) Result {
+// Check determines whether a history is linearizable. It gives up after the given wall-clock time.
+func Check(operations []Operation, merge MergeFunc, timeout time.Duration) Result {
 	result := Result{Operations: len(operations)}
 	operations = reduce(operations)
 	input := make([]porcupine.Operation, len(operations))
@@ -40,21 +40,21 @@
 		input[i] = porcupine.Operation{ClientId: i, Input: o, Call: o.Invoke, Return: o.Return}
 	}
 	model := newRegister(merge)
-	switch porcupine.CheckOperationsTimeout(model.porcupine(), input, within) {
+	switch porcupine.CheckOperationsTimeout(model.porcupine(), input, timeout) {
 	case porcupine.Ok:
 		return result
 	case porcupine.Unknown:
-		result.Verdict, result.Why = Unknown, fmt.Sprintf("%d operations could not be checked within %v", len(operations), within)
+		result.Verdict, result.Why = Unknown, fmt.Sprintf("%d operations could not be checked within %v", len(operations), timeout)
 		return result
 	}
 	result.Verdict = Violated
-	result.Why = explain(model, input, within)
+	result.Why = explain(model, input, timeout)
 	return result
 }
 
-// explain tells which operation fits no order, after the longest order that was found.
-func explain(model *register, input []porcupine.Operation, within time.Duration) string {
-	_, info := porcupine.CheckOperationsVerbose(model.porcupine(), input, within)
+// explain describes the first operation that fits no linearization, based on the longest partial linearization found.
+func explain(model *register, input []porcupine.Operation, timeout time.Duration) string {
+	_, info := porcupine.CheckOperationsVerbose(model.porcupine(), input, timeout)
 	var longest []int
 	for _, partition := range info.PartialLinearizations() {
 		for _, order := range partition {
@@ -63,27 +63,27 @@
 			}
 		}
 	}
-	at := initial()
+	current := initial()
 	placed := map[int]bool{}
 	last := ""
 	for _, i := range longest {
 		placed[i] = true
 		op := input[i].Input.(Operation)
-		_, at = model.step(at, op)
+		_, current = model.step(current, op)
 		last = op.String()
 	}
-	var left []Operation
+	var unplaced []Operation
 	for i, o := range input {
 		if !placed[i] {
-			left = append(left, o.Input.(Operation))
+			unplaced = append(unplaced, o.Input.(Operation))
 		}
 	}
-	if len(left) == 0 {
-		return "no order fits" // the verbose check ran out of time
+	if len(unplaced) == 0 {
+		return "no order fits" // the verbose check timed out
 	}
-	sort.Slice(left, func(i, j int) bool { return left[i].Return < left[j].Return })
-	why := fmt.Sprintf("%s; no order fits beyond %d of %d operations (version %d in force, after %s)", model.fault(at, left[0]), len(longest), len(input), at.version, last)
-	for _, o := range left[:min(mostListed, len(left))] {
+	sort.Slice(unplaced, func(i, j int) bool { return unplaced[i].Return < unplaced[j].Return })
+	why := fmt.Sprintf("%s; no order fits beyond %d of %d operations (version %d in force, after %s)", model.explainMismatch(current, unplaced[0]), len(longest), len(input), current.version, last)
+	for _, o := range unplaced[:min(maxListed, len(unplaced))] {
 		why += "; " + o.String()
 	}
 	return why
--- a/internal/history/model.go
+++ b/internal/history/model.go
@@ -11,27 +11,27 @@
 type state struct {
 	version uint64
 	plan    Digest
-	done    *confirmed
+	changes *changeList
 }
 
-// confirmed is a list of the changes taken, newest first. It is shared between states.
-type confirmed struct {
-	change  string
-	version uint64
-	digest  uint64 // of the whole list
-	before  *confirmed
+// changeList is an immutable list of the confirmed changes, newest first. States share its tails.
+type changeList struct {
+	change   string
+	version  uint64
+	listHash uint64 // of the whole list
+	rest     *changeList
 }
 
-func (c *confirmed) sum() uint64 {
+func (c *changeList) hash() uint64 {
 	if c == nil {
 		return 0
 	}
-	return c.digest
+	return c.listHash
 }
 
-// find gives the version under which a change was taken.
-func (c *confirmed) find(change string) (uint64, bool) {
-	for ; c != nil && change != ""; c = c.before {
+// find returns the version under which a change was confirmed.
+func (c *changeList) find(change string) (uint64, bool) {
+	for ; c != nil && change != ""; c = c.rest {
 		if c.change == change {
 			return c.version, true
 		}
@@ -39,21 +39,21 @@
 	return 0, false
 }
 
-func (c *confirmed) with(change string, version uint64) *confirmed {
+func (c *changeList) prepend(change string, version uint64) *changeList {
 	h := fnv.New64a()
-	_, _ = fmt.Fprint(h, c.sum(), version, change)
-	return &confirmed{change: change, version: version, digest: h.Sum64(), before: c}
+	_, _ = fmt.Fprint(h, c.hash(), version, change)
+	return &changeList{change: change, version: version, listHash: h.Sum64(), rest: c}
 }
 
 func initial() state { return state{plan: DigestOf(nil)} }
 
 // register is the sequential specification of the plan register.
 type register struct {
-	merge Merge
-	plans map[Digest][]byte // bytes of the plans met so far, which patches go on
+	merge MergeFunc
+	plans map[Digest][]byte // contents of all plans seen so far, needed to apply patches
 }
 
-func newRegister(merge Merge) *register {
+func newRegister(merge MergeFunc) *register {
 	return &register{merge: merge, plans: map[Digest][]byte{DigestOf(nil): nil}}
 }
 
@@ -66,21 +66,21 @@
 		},
 		Equal: func(a, b any) bool {
 			x, y := a.(state), b.(state)
-			return x.version == y.version && x.plan == y.plan && x.done.sum() == y.done.sum()
+			return x.version == y.version && x.plan == y.plan && x.changes.hash() == y.changes.hash()
 		},
 		Hash: func(a any) uint64 {
 			x := a.(state)
-			return x.done.sum() ^ x.version
+			return x.changes.hash() ^ x.version
 		},
 	}
 }
 
-// step tells whether an operation may have had its outcome in a state, and what it leaves.
+// step reports whether an operation can have its outcome in a state, and returns the state after it.
 func (r *register) step(at state, op Operation) (bool, state) {
 	if op.Kind == Read {
-		return op.Plan == at.plan && (op.Unnumbered || op.Version == at.version), at
+		return op.Plan == at.plan && (op.VersionUnknown || op.Version == at.version), at
 	}
-	version, repeat := at.done.find(op.Change)
+	version, repeat := at.changes.find(op.Change)
 	next, applies := r.apply(at, op)
 	switch op.Outcome {
 	case Taken:
@@ -89,19 +89,19 @@
 		}
 		return applies && op.Version == next.version, next
 	case Conflict:
-		return !repeat && !op.Any && op.Expect != at.version && (op.Unnumbered || op.Version == at.version), at
+		return !repeat && !op.Any && op.Expect != at.version && (op.VersionUnknown || op.Version == at.version), at
 	case Invalid:
 		return !repeat, at
 	}
-	// An unclear change takes effect where it can. One that never does comes after all others, since it
-	// has no end.
+	// An unclear change takes effect where possible. An unclear change that never takes effect can be ordered after all
+	// other operations, since it has no return time.
 	if repeat || !applies {
 		return true, at
 	}
 	return true, next
 }
 
-// apply gives the state after a change, if it can be taken.
+// apply returns the state after a change, and whether the change can be confirmed.
 func (r *register) apply(at state, op Operation) (state, bool) {
 	next := state{version: at.version + 1, plan: at.plan}
 	if op.Number != 0 {
@@ -120,7 +120,7 @@
 		}
 		next.plan = r.intern(plan)
 	}
-	next.done = at.done.with(op.Change, next.version)
+	next.changes = at.changes.prepend(op.Change, next.version)
 	return next, true
 }
 
@@ -132,25 +132,25 @@
 	return d
 }
 
-// fault says why an operation does not fit a state.
-func (r *register) fault(at state, op Operation) string {
-	version, repeat := at.done.find(op.Change)
+// explainMismatch describes why an operation does not fit a state.
+func (r *register) explainMismatch(at state, op Operation) string {
+	version, repeat := at.changes.find(op.Change)
 	switch {
-	case op.Kind == Read && !op.Unnumbered && op.Version < at.version:
+	case op.Kind == Read && !op.VersionUnknown && op.Version < at.version:
 		return fmt.Sprintf("a stale read of version %d at %s", op.Version, op.Node)
 	case op.Kind == Read:
-		return fmt.Sprintf("a read at %s of what was not in force", op.Node)
+		return fmt.Sprintf("a read at %s of a plan that was not in force", op.Node)
 	case repeat && op.Outcome == Taken:
 		return fmt.Sprintf("change %q was confirmed as version %d and again as %d", op.Change, version, op.Version)
 	case repeat:
-		return fmt.Sprintf("change %q was taken as version %d, and its repeat refused", op.Change, version)
+		return fmt.Sprintf("change %q was confirmed as version %d, and its repeat refused", op.Change, version)
 	case op.Outcome == Taken && !op.Any && op.Expect != at.version:
-		return fmt.Sprintf("a change that goes on version %d was confirmed beside another", op.Expect)
+		return fmt.Sprintf("a change that goes on version %d was confirmed in addition to another", op.Expect)
 	case op.Outcome == Taken:
-		return fmt.Sprintf("a change was confirmed as version %d out of turn", op.Version)
+		return fmt.Sprintf("a change was confirmed as version %d out of order", op.Version)
 	}
 	if op.Expect != at.version {
-		return fmt.Sprintf("a change was refused beside version %d, which is not in force", op.Version)
+		return fmt.Sprintf("a change was refused because of version %d, which is not in force", op.Version)
 	}
-	return "a change was refused as conflicting with the version that it goes on"
+	return "a change was refused as conflicting with the version that it expected"
 }
--- a/internal/history/operation.go
+++ b/internal/history/operation.go
@@ -1,6 +1,6 @@
-// Package history records what operators and readers saw of the versioned plan register, and checks
-// that it is linearizable: that every answer fits one order of all operations, in which each takes
-// effect at one moment between its invocation and its return.
+// Package history records the operations that clients execute on the versioned plan register, and checks
+// that the recorded history is linearizable: that all answers are consistent with one total order of the
+// operations, in which each operation takes effect at one point in time between its invocation and its return.
 package history
 
 import (
@@ -10,14 +10,14 @@
 	"math"
 )
 
-// Kind is what an operation asks of the register.
+// Kind is the type of an operation on the register.
 type Kind int
 
 // The kinds of operations.
 const (
-	Put   Kind = iota // replaces the plan by the body
+	Put   Kind = iota // replaces the plan with the body
 	Patch             // merges the body into the plan
-	Touch             // changes something beside the plan, under a new version
+	Touch             // changes something other than the plan, under a new version
 	Read
 )
 
@@ -25,15 +25,15 @@
 
 func (k Kind) String() string { return kindNames[k] }
 
-// Outcome is what the client was told.
+// Outcome is the result of an operation that the client received.
 type Outcome int
 
 // The outcomes of an operation.
 const (
-	Unclear  Outcome = iota // it may take effect at any later time, or never
+	Unclear  Outcome = iota // the operation may take effect at any later time, or never
 	Taken                   // a change was confirmed
 	Conflict                // a change was refused: another version was in force
-	Invalid                 // a change was refused for what it says
+	Invalid                 // a change was refused because of its content
 	Answered                // a read was answered
 )
 
@@ -41,43 +41,43 @@
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Digest names the bytes of a plan.
+// Digest identifies the contents of a plan.
 type Digest string
 
-// digestLength is how many bytes of the hash a Digest keeps.
+// digestLength is the number of bytes of the hash in a Digest.
 const digestLength = 8
 
-// DigestOf digests a plan's bytes.
+// DigestOf returns the digest of a plan.
 func DigestOf(plan []byte) Digest {
 	sum := sha256.Sum256(plan)
 	return Digest(hex.EncodeToString(sum[:digestLength]))
 }
 
-// never is the return time of an operation whose end is not known.
-const never = math.MaxInt64
+// neverReturned is the return time of an operation whose result is not known.
+const neverReturned = math.MaxInt64
 
-// Operation is one attempt of a client at one node.
+// Operation is one request of a client to one node. Times are in nanoseconds.
 type Operation struct {
 	Kind   Kind
 	Node   string
-	Change string // id of the change; a repeat has the same
-	Expect uint64 // the version that the change goes on
-	Any    bool   // no version is expected
-	Number uint64 // the version that the client gives the change; zero counts on
+	Change string // id of the change; a repeat has the same id
+	Expect uint64 // the version that the change expects to be in force
+	Any    bool   // accepts any version
+	Number uint64 // the version that the client assigns to the change; zero means the next one
 	Body   []byte // the plan or the patch
 
-	Outcome    Outcome
-	Version    uint64 // that was told
-	Unnumbered bool   // no version was told
-	Plan       Digest // that was read
+	Outcome        Outcome
+	Version        uint64 // version in the answer
+	VersionUnknown bool   // the answer contains no version
+	Plan           Digest // digest of the plan read
 
 	Invoke, Return int64
 }
 
-// String describes an operation for people.
+// String formats an operation for messages.
 func (o Operation) String() string {
 	span := fmt.Sprintf("%.3fs..%.3fs", float64(o.Invoke)/1e9, float64(o.Return)/1e9)
-	if o.Return == never {
+	if o.Return == neverReturned {
 		span = fmt.Sprintf("%.3fs..", float64(o.Invoke)/1e9)
 	}
 	if o.Kind == Read {
--- a/internal/history/recorder.go
+++ b/internal/history/recorder.go
@@ -2,81 +2,80 @@
 
 import "sync"
 
-// Recorder collects operations as clients invoke them and hear of their outcomes. It may be used
-// from many goroutines.
+// Recorder records operations when clients invoke them and when they receive the outcomes. It is safe for concurrent use.
 type Recorder struct {
 	mu         sync.Mutex
-	operations []*Pending
+	operations []*PendingOperation
 }
 
-// Pending is an operation whose outcome is not known yet.
-type Pending struct {
+// PendingOperation is an operation whose outcome is not known yet.
+type PendingOperation struct {
 	recorder  *Recorder
 	operation Operation
-	ended     bool // no later outcome counts
-	dropped   bool // it surely had no effect, and told nothing
+	finished  bool // later outcomes are ignored
+	noEffect  bool // the operation certainly had no effect and returned no information
 }
 
-// Invoke notes that an operation begins at op.Invoke.
-func (r *Recorder) Invoke(op Operation) *Pending {
-	op.Outcome, op.Return = Unclear, never
-	p := &Pending{recorder: r, operation: op}
+// Invoke records an operation that begins at op.Invoke.
+func (r *Recorder) Invoke(op Operation) *PendingOperation {
+	op.Outcome, op.Return = Unclear, neverReturned
+	p := &PendingOperation{recorder: r, operation: op}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.operations = append(r.operations, p)
 	return p
 }
 
-func (p *Pending) end(set func(o *Operation)) {
+func (p *PendingOperation) finish(set func(o *Operation)) {
 	p.recorder.mu.Lock()
 	defer p.recorder.mu.Unlock()
-	if p.ended {
+	if p.finished {
 		return
 	}
-	p.ended = true
+	p.finished = true
 	set(&p.operation)
 }
 
-// Taken notes that a change was confirmed as a version.
-func (p *Pending) Taken(at int64, version uint64) {
-	p.end(func(o *Operation) { o.Outcome, o.Return, o.Version = Taken, at, version })
+// Taken records that a change was confirmed under a version.
+func (p *PendingOperation) Taken(at int64, version uint64) {
+	p.finish(func(o *Operation) { o.Outcome, o.Return, o.Version = Taken, at, version })
 }
 
-// Conflict notes that a change was refused because another version was in force.
-func (p *Pending) Conflict(at int64, version uint64) {
-	p.end(func(o *Operation) { o.Outcome, o.Return, o.Version = Conflict, at, version })
+// Conflict records that a change was refused because another version was in force.
+func (p *PendingOperation) Conflict(at int64, version uint64) {
+	p.finish(func(o *Operation) { o.Outcome, o.Return, o.Version = Conflict, at, version })
 }
 
-// Invalid notes that a change was refused for what it says.
-func (p *Pending) Invalid(at int64) {
-	p.end(func(o *Operation) { o.Outcome, o.Return = Invalid, at })
+// Invalid records that a change was refused because of its content.
+func (p *PendingOperation) Invalid(at int64) {
+	p.finish(func(o *Operation) { o.Outcome, o.Return = Invalid, at })
 }
 
-// Answered notes what a read gave.
-func (p *Pending) Answered(at int64, version uint64, plan []byte) {
-	p.end(func(o *Operation) { o.Outcome, o.Return, o.Version, o.Plan = Answered, at, version, DigestOf(plan) })
+// Answered records the result of a read.
+func (p *PendingOperation) Answered(at int64, version uint64, plan []byte) {
+	p.finish(func(o *Operation) { o.Outcome, o.Return, o.Version, o.Plan = Answered, at, version, DigestOf(plan) })
 }
 
-// AnsweredBytes notes what a read gave that told no version.
-func (p *Pending) AnsweredBytes(at int64, plan []byte) {
-	p.end(func(o *Operation) { o.Outcome, o.Return, o.Unnumbered, o.Plan = Answered, at, true, DigestOf(plan) })
+// AnsweredBytes records the result of a read that returned no version.
+func (p *PendingOperation) AnsweredBytes(at int64, plan []byte) {
+	p.finish(func(o *Operation) { o.Outcome, o.Return, o.VersionUnknown, o.Plan = Answered, at, true, DigestOf(plan) })
 }
 
-// Unclear notes that the client will never learn the outcome.
-func (p *Pending) Unclear() { p.end(func(*Operation) {}) }
+// Unclear records that the client will never learn the outcome.
+func (p *PendingOperation) Unclear() { p.finish(func(*Operation) {}) }
 
-// Dropped notes that the client was told that nothing happened.
-func (p *Pending) Dropped() {
-	p.end(func(*Operation) { p.dropped = true })
+// Dropped records that the client learned that the operation had no effect.
+func (p *PendingOperation) Dropped() {
+	p.finish(func(*Operation) { p.noEffect = true })
 }
 
-// History gives the operations so far: those without effect and reads without an answer are left out.
+// History returns the operations recorded so far, without those that had no effect and reads without an answer.
 func (r *Recorder) History() []Operation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var l []Operation
 	for _, p := range r.operations {
-		if p.dropped || p.operation.Kind == Read && p.operation.Outcome != Answered {
+		if p.noEffect || p.operation.Kind == Read && p.operation.Outcome != Answered {
 			continue
 		}
 		l = append(l, p.operation)
@@ -84,8 +83,8 @@
 	return l
 }
 
-// Before gives what a history tells up to a moment: later operations are left out, and changes whose
-// outcome came later are unclear.
+// Before returns the prefix of a history that was known at a point in time: operations invoked later are left out, and
+// the outcome of changes that returned later is unclear.
 func Before(operations []Operation, at int64) []Operation {
 	var l []Operation
 	for _, o := range operations {
@@ -93,7 +92,7 @@
 			continue
 		}
 		if o.Return >= at {
-			o.Outcome, o.Return, o.Version = Unclear, never, 0
+			o.Outcome, o.Return, o.Version = Unclear, neverReturned, 0
 		}
 		l = append(l, o)
 	}
--- a/internal/history/reduce.go
+++ b/internal/history/reduce.go
@@ -1,41 +1,39 @@
 package history
 
-// Unclear changes have no end, so a checker may place them anywhere, and each one doubles the orders to
-// try. Most of them are settled by what others were told. reduce takes those out; exactly the same
-// histories stay linearizable.
-
-// reduce joins unclear attempts with the confirmed attempt of the same change, and leaves out unclear
-// changes that cannot have taken effect.
+// reduce merges unclear attempts with the confirmed attempt of the same change, and removes unclear changes that cannot
+// have taken effect. Unclear changes have no return time, so the checker may place them anywhere, and each one doubles the
+// number of orders to try. The answers to other operations determine the outcome of most of them. The reduced history is
+// linearizable if and only if the original one is.
 func reduce(operations []Operation) []Operation {
-	began := map[string]int64{}   // of each change, its first attempt
-	first := map[string]int{}     // of each confirmed change, the confirmed attempt that ended first
-	leaves := map[uint64]string{} // of each version, the confirmed change that went on it
+	firstInvoke := map[string]int64{}  // first invocation of each change
+	confirmedFirst := map[string]int{} // index of the confirmed attempt of each change that returned first
+	successors := map[uint64]string{}  // the confirmed change that replaced each version
 	for i, o := range operations {
 		if o.Kind == Read || o.Change == "" {
 			continue
 		}
-		if at, ok := began[o.Change]; (!ok || o.Invoke < at) && (o.Outcome == Taken || o.Outcome == Unclear) {
-			began[o.Change] = o.Invoke
+		if at, ok := firstInvoke[o.Change]; (!ok || o.Invoke < at) && (o.Outcome == Taken || o.Outcome == Unclear) {
+			firstInvoke[o.Change] = o.Invoke
 		}
 		if o.Outcome != Taken {
 			continue
 		}
-		if j, ok := first[o.Change]; !ok || o.Return < operations[j].Return {
-			first[o.Change] = i
+		if j, ok := confirmedFirst[o.Change]; !ok || o.Return < operations[j].Return {
+			confirmedFirst[o.Change] = i
 		}
 		if !o.Any {
-			leaves[o.Expect] = o.Change
+			successors[o.Expect] = o.Change
 		}
 	}
 	var l []Operation
 	for i, o := range operations {
 		if o.Kind != Read && o.Change != "" {
-			taken, confirmed := first[o.Change]
-			if confirmed && i == taken {
-				o.Invoke = began[o.Change] // any attempt may have brought it about
+			index, confirmed := confirmedFirst[o.Change]
+			if confirmed && i == index {
+				o.Invoke = firstInvoke[o.Change] // any attempt may have taken effect
 			}
-			winner, left := leaves[o.Expect]
-			lost := !o.Any && left && winner != o.Change
+			winner, replaced := successors[o.Expect]
+			lost := !o.Any && replaced && winner != o.Change
 			if o.Outcome == Unclear && (confirmed || lost) {
 				continue
 			}
--- a/internal/overlay/overlay.go
+++ b/internal/overlay/overlay.go
@@ -1,5 +1,5 @@
-// Package overlay builds the product with edited sources, to show that a check notices when a safety
-// condition is taken out. The sources in the tree stay as they are. It is used by tests only.
+// Package overlay writes overlays for go build that replace pieces of the sources. Tests use them to verify that a check
+// fails when a safety condition is removed. The sources in the tree are not modified.
 package overlay
 
 import (
@@ -12,14 +12,14 @@
 	"github.com/go-faster/errors"
 )
 
-// Edit replaces one piece of text in one source file.
+// Edit replaces a piece of text in a source file.
 type Edit struct {
-	File string // from the root of the repository
-	Old  string // must stand in the file exactly once
+	File string // path relative to the root of the repository
+	Old  string // must occur exactly once in the file
 	New  string
 }
 
-// Write puts the edited files into a folder, and gives the name of the file that `go build -overlay` wants.
+// Write writes the edited files into a directory and returns the path of the file to pass to `go build -overlay`.
 func Write(root, dir string, edits []Edit) (string, error) {
 	texts := map[string]string{}
 	for _, e := range edits {
@@ -32,7 +32,7 @@
 			texts[path] = string(raw)
 		}
 		if n := strings.Count(texts[path], e.Old); n != 1 {
-			return "", errors.Errorf("%s: the edit of %q matches %d times, not once", e.File, e.Old, n)
+			return "", errors.Errorf("%s: the text %q of the edit occurs %d times instead of once", e.File, e.Old, n)
 		}
 		texts[path] = strings.Replace(texts[path], e.Old, e.New, 1)
 	}
--- a/internal/sourcecheck/long_functions_test.go
+++ b/internal/sourcecheck/long_functions_test.go
@@ -1,4 +1,4 @@
-// Package sourcecheck holds checks of the repository's own sources that no linter in use makes.
+// Package sourcecheck contains checks of the repository's own sources that none of the linters in use provides.
 package sourcecheck
 
 import (
@@ -19,14 +19,14 @@
 )
 
 const (
-	// maxLines is the length, from its first line to its closing brace, that a function may have.
+	// maxLines is the maximum length of a function, from its first line to its closing brace.
 	maxLines = 60
 	listFile = "testdata/long_functions.txt"
 )
 
-var update = flag.Bool("update", false, "shorten the list of long functions to what is left of it")
+var update = flag.Bool("update", false, "remove functions that are no longer too long from the list, and lower the lengths of the others")
 
-// functionLengths gives the lines of each function of the product's sources by "file function".
+// functionLengths returns the number of lines of each function outside tests, by "file function".
 func functionLengths(t *testing.T, root string) map[string]int {
 	t.Helper()
 	lengths := map[string]int{}
@@ -70,7 +70,7 @@
 	return fmt.Sprintf("%s.%s", receiver, f.Name.Name)
 }
 
-// readList reads lines of "file function lines".
+// readList reads the list, whose lines have the form "file function lines".
 func readList(t *testing.T) map[string]int {
 	t.Helper()
 	file, err := os.Open(listFile)
@@ -97,31 +97,31 @@
 	require.NoError(t, os.WriteFile(listFile, []byte(strings.Join(lines, "")), 0o644))
 }
 
-// No function is longer than the bound but those that are listed, and these do not grow. The list only
-// shrinks: a function that came under the bound has to leave it, and -update adds nothing.
+// TestLongFunctions checks that only listed functions exceed the maximum length, and that these do not grow. The list
+// only shrinks: a function that no longer exceeds the maximum must be removed, and -update adds no function.
 func TestLongFunctions(t *testing.T) {
 	lengths := functionLengths(t, filepath.Join("..", ".."))
-	require.Greater(t, len(lengths), 500, "the sources were found")
+	require.Greater(t, len(lengths), 500, "too few functions found; the sources were not read")
 	listed := readList(t)
-	left := map[string]int{}
+	remaining := map[string]int{}
 	for name, bound := range listed {
 		length := lengths[name]
 		switch {
 		case length > bound:
 			t.Errorf("%s has grown from %d lines to %d", name, bound, length)
-			left[name] = bound
+			remaining[name] = bound
 		case length > maxLines:
-			left[name] = length
+			remaining[name] = length
 		case !*update:
-			t.Errorf("%s is not longer than %d lines any more: run this test with -update", name, maxLines)
+			t.Errorf("%s no longer exceeds %d lines: run this test with -update", name, maxLines)
 		}
 	}
 	for name, length := range lengths {
 		if _, known := listed[name]; length > maxLines && !known {
-			t.Errorf("%s has %d lines, of at most %d", name, length, maxLines)
+			t.Errorf("%s has %d lines; the maximum is %d", name, length, maxLines)
 		}
 	}
 	if *update {
-		writeList(t, left)
+		writeList(t, remaining)
 	}
 }
