--- a/internal/explorer/enabled.go
+++ b/internal/explorer/enabled.go
@@ -184,35 +184,35 @@
 
 // Enabled returns the actions that the scenario allows in the current state, in a fixed order.
 func (c *Cluster) Enabled() []Action {
-	var l []Action
-	l = append(l, c.enabledDeliveries()...)
-	l = append(l, c.enabledRequests()...)
-	l = append(l, c.enabledFaults()...)
+	var actions []Action
+	actions = append(actions, c.enabledDeliveries()...)
+	actions = append(actions, c.enabledRequests()...)
+	actions = append(actions, c.enabledFaults()...)
 	b := c.scenario.Budget
 	if c.used.Ticks < b.Ticks {
-		l = append(l, Action{Kind: Tick})
+		actions = append(actions, Action{Kind: Tick})
 	}
 	if c.used.Passes < b.Passes {
-		l = append(l, Action{Kind: Pass})
+		actions = append(actions, Action{Kind: Pass})
 	}
-	return l
+	return actions
 }
 
 func (c *Cluster) enabledDeliveries() []Action {
-	var l []Action
+	var actions []Action
 	if c.scenario.Granularity == ByMessage {
-		l = c.enabledMessages()
+		actions = c.enabledMessages()
 	} else {
-		l = c.enabledBatches()
+		actions = c.enabledBatches()
 	}
 	if slices.ContainsFunc(c.inFlight, c.isReachable) {
-		l = append(l, Action{Kind: Settle})
+		actions = append(actions, Action{Kind: Settle})
 	}
-	return l
+	return actions
 }
 
 func (c *Cluster) enabledMessages() []Action {
-	var l []Action
+	var actions []Action
 	b := c.scenario.Budget
 	seen := map[string]bool{}
 	for _, m := range c.inFlight {
@@ -221,22 +221,22 @@
 			continue
 		}
 		seen[text] = true
-		l = append(l, Action{Kind: Deliver, Message: m.number})
+		actions = append(actions, Action{Kind: Deliver, Message: m.number})
 		if c.used.Duplicates < b.Duplicates {
-			l = append(l, Action{Kind: Duplicate, Message: m.number})
+			actions = append(actions, Action{Kind: Duplicate, Message: m.number})
 		}
 		if c.used.Drops < b.Drops {
-			l = append(l, Action{Kind: Drop, Message: m.number})
+			actions = append(actions, Action{Kind: Drop, Message: m.number})
 		}
 		if c.used.Interrupts < b.Interrupts && c.mayFail(c.receiver(m)) {
-			l = append(l, Action{Kind: Interrupt, Message: m.number})
+			actions = append(actions, Action{Kind: Interrupt, Message: m.number})
 		}
 	}
-	return l
+	return actions
 }
 
 func (c *Cluster) enabledBatches() []Action {
-	var l []Action
+	var actions []Action
 	b := c.scenario.Budget
 	for _, n := range c.nodes {
 		deliverable := slices.ContainsFunc(c.inFlight, func(m message) bool {
@@ -245,15 +245,15 @@
 		if !deliverable {
 			continue
 		}
-		l = append(l, Action{Kind: DeliverTo, Node: n.id})
+		actions = append(actions, Action{Kind: DeliverTo, Node: n.id})
 		if c.used.Drops < b.Drops {
-			l = append(l, Action{Kind: DropTo, Node: n.id})
+			actions = append(actions, Action{Kind: DropTo, Node: n.id})
 		}
 		if c.used.Interrupts < b.Interrupts && c.mayFail(n) {
-			l = append(l, Action{Kind: InterruptAt, Node: n.id})
+			actions = append(actions, Action{Kind: InterruptAt, Node: n.id})
 		}
 	}
-	return l
+	return actions
 }
 
 // isIgnored reports whether a message in flight is a response that its receiver would ignore.
@@ -276,25 +276,25 @@
 }
 
 func (c *Cluster) enabledRequests() []Action {
-	var l []Action
+	var actions []Action
 	for _, o := range c.scenario.Operators {
 		if c.history.attempts[o.Name] >= o.MaxAttempts {
 			continue
 		}
 		for _, id := range o.Nodes {
 			if c.node(id).up() {
-				l = append(l, Action{Kind: Put, Operator: o.Name, Node: id})
+				actions = append(actions, Action{Kind: Put, Operator: o.Name, Node: id})
 			}
 		}
 	}
 	if c.used.Gets < c.scenario.Budget.Gets {
 		for _, id := range c.scenario.ReadNodes {
 			if c.node(id).up() {
-				l = append(l, Action{Kind: Get, Node: id})
+				actions = append(actions, Action{Kind: Get, Node: id})
 			}
 		}
 	}
-	return l
+	return actions
 }
 
 // mayFail reports whether the scenario allows faults at a node.
@@ -303,44 +303,44 @@
 }
 
 func (c *Cluster) enabledFaults() []Action {
-	var l []Action
+	var actions []Action
 	b := c.scenario.Budget
 	for _, n := range c.nodes {
 		if n.lost {
 			continue
 		}
 		if !n.up() {
-			l = append(l, Action{Kind: Restart, Node: n.id})
+			actions = append(actions, Action{Kind: Restart, Node: n.id})
 		}
 		if n.isolated {
-			l = append(l, Action{Kind: Heal, Node: n.id})
+			actions = append(actions, Action{Kind: Heal, Node: n.id})
 		}
 		if n.stalled {
-			l = append(l, Action{Kind: Unstall, Node: n.id})
+			actions = append(actions, Action{Kind: Unstall, Node: n.id})
 		}
 		if !c.mayFail(n) {
 			continue
 		}
 		if n.up() && c.used.Crashes < b.Crashes {
-			l = append(l, Action{Kind: Crash, Node: n.id})
+			actions = append(actions, Action{Kind: Crash, Node: n.id})
 		}
 		if n.up() && !n.stalled && c.used.Stalls < b.Stalls {
-			l = append(l, Action{Kind: Stall, Node: n.id})
+			actions = append(actions, Action{Kind: Stall, Node: n.id})
 		}
 		if n.up() && !n.isolated && c.used.Cuts < b.Cuts {
-			l = append(l, Action{Kind: Cut, Node: n.id})
+			actions = append(actions, Action{Kind: Cut, Node: n.id})
 		}
 		if !c.mayLoseDisk(n) {
 			continue
 		}
 		if c.used.Wipes < b.Wipes {
-			l = append(l, Action{Kind: Wipe, Node: n.id})
+			actions = append(actions, Action{Kind: Wipe, Node: n.id})
 		}
 		if c.used.Losses < b.Losses {
-			l = append(l, Action{Kind: Lose, Node: n.id})
+			actions = append(actions, Action{Kind: Lose, Node: n.id})
 		}
 	}
-	return l
+	return actions
 }
 
 // mayLoseDisk reports whether, after the loss of a node's disk, every voter set in use still has no more lost seats than
--- a/internal/explorer/fingerprint.go
+++ b/internal/explorer/fingerprint.go
@@ -75,9 +75,9 @@
 	f.number(uint64(b.Life))
 }
 
-func (f *fingerprinter) voters(l []protocol.Voter) {
-	f.number(uint64(len(l)))
-	for _, v := range l {
+func (f *fingerprinter) voters(list []protocol.Voter) {
+	f.number(uint64(len(list)))
+	for _, v := range list {
 		f.text(string(v.ID))
 		f.number(uint64(v.Inc))
 	}
@@ -280,17 +280,17 @@
 // inFlight hashes the messages in flight. With delivery by message, any of them may arrive first, so their order is
 // ignored; with delivery by node, they arrive in the order of sending, which is kept.
 func (f *fingerprinter) inFlight(c *Cluster) {
-	var l []string
+	var texts []string
 	for _, m := range c.inFlight {
 		if !c.isIgnored(m) {
-			l = append(l, f.envelope(c, m.env))
+			texts = append(texts, f.envelope(c, m.env))
 		}
 	}
 	if c.scenario.Granularity == ByMessage {
-		sort.Strings(l)
+		sort.Strings(texts)
 	}
-	f.number(uint64(len(l)))
-	for _, s := range l {
+	f.number(uint64(len(texts)))
+	for _, s := range texts {
 		f.text(s)
 	}
 }
--- a/internal/explorer/search.go
+++ b/internal/explorer/search.go
@@ -40,12 +40,12 @@
 }
 
 func (s *state) run() []Action {
-	var l []Action
+	var actions []Action
 	for ; s.parent != nil; s = s.parent {
-		l = append(l, s.action)
+		actions = append(actions, s.action)
 	}
-	slices.Reverse(l)
-	return l
+	slices.Reverse(actions)
+	return actions
 }
 
 // successor is the state after one action from another state.
@@ -138,13 +138,13 @@
 
 // expandAll expands states concurrently and returns the expansions in the order of the states.
 func (sr *searcher) expandAll(batch []*state) []expansion {
-	l := make([]expansion, len(batch))
+	expansions := make([]expansion, len(batch))
 	var workers sync.WaitGroup
 	jobs := make(chan int)
 	for range min(sr.bounds.Workers, len(batch)) {
 		workers.Go(func() {
 			for i := range jobs {
-				l[i] = sr.expand(batch[i])
+				expansions[i] = sr.expand(batch[i])
 			}
 		})
 	}
@@ -153,7 +153,7 @@
 	}
 	close(jobs)
 	workers.Wait()
-	return l
+	return expansions
 }
 
 // merge records an expansion and returns the states not seen before.
--- a/internal/explorer/text.go
+++ b/internal/explorer/text.go
@@ -11,12 +11,12 @@
 
 func ballotText(b protocol.Ballot) string { return fmt.Sprintf("%d.%s", b.N, b.By) }
 
-func votersText(l []protocol.Voter) string {
-	var s []string
-	for _, v := range l {
-		s = append(s, fmt.Sprintf("%s/%d", v.ID, v.Inc))
+func votersText(voters []protocol.Voter) string {
+	var texts []string
+	for _, v := range voters {
+		texts = append(texts, fmt.Sprintf("%s/%d", v.ID, v.Inc))
 	}
-	return strings.Join(s, " ")
+	return strings.Join(texts, " ")
 }
 
 // valueText formats the fields that distinguish a value from others.
--- a/internal/explorer/walk.go
+++ b/internal/explorer/walk.go
@@ -69,58 +69,58 @@
 }
 
 func (s *InitialState) walkAll(b WalkBounds, first, count int) []walk {
-	l := make([]walk, count)
+	walks := make([]walk, count)
 	jobs := make(chan int)
 	var workers sync.WaitGroup
 	for range min(b.Workers, count) {
 		workers.Go(func() {
 			for i := range jobs {
-				l[i] = s.walk(rand.New(rand.NewPCG(b.Seed, uint64(first+i))), b.Depth)
+				walks[i] = s.walk(rand.New(rand.NewPCG(b.Seed, uint64(first+i))), b.Depth)
 			}
 		})
 	}
-	for i := range l {
+	for i := range walks {
 		jobs <- i
 	}
 	close(jobs)
 	workers.Wait()
-	return l
+	return walks
 }
 
 func (s *InitialState) walk(random *rand.Rand, depth int) walk {
-	var x walk
+	var result walk
 	c, err := s.NewCluster(nil)
 	if err != nil {
 		return walk{err: err}
 	}
-	for len(x.run) < depth && c.Violation() == "" {
+	for len(result.run) < depth && c.Violation() == "" {
 		actions := c.Enabled()
 		if len(actions) == 0 {
 			break
 		}
 		a := actions[random.IntN(len(actions))]
-		x.run = append(x.run, a)
+		result.run = append(result.run, a)
 		if err := c.Apply(a); err != nil {
 			return walk{err: err}
 		}
 	}
 	if c.Violation() == "" && s.scenario.RequiresRecovery {
-		x.duringRecovery = true
+		result.duringRecovery = true
 		c.Recover()
 	}
-	x.violation = c.Violation()
-	return x
+	result.violation = c.Violation()
+	return result
 }
 
 // shrink removes actions from a failing run as long as the remaining run still fails.
-func (s *InitialState) shrink(x walk) *Failure {
-	f := &Failure{Run: x.run, DuringRecovery: x.duringRecovery, Violation: x.violation}
+func (s *InitialState) shrink(failing walk) *Failure {
+	f := &Failure{Run: failing.run, DuringRecovery: failing.duringRecovery, Violation: failing.violation}
 	for smaller := true; smaller; {
 		smaller = false
 		for i := len(f.Run) - 1; i >= 0; i = min(i, len(f.Run)) - 1 {
 			run := slices.Delete(slices.Clone(f.Run), i, i+1)
-			if g := s.reproduce(run); g != nil {
-				f, smaller = g, true
+			if smallerFailure := s.reproduce(run); smallerFailure != nil {
+				f, smaller = smallerFailure, true
 			}
 		}
 	}
--- a/internal/history/recorder.go
+++ b/internal/history/recorder.go
@@ -73,20 +73,20 @@
 func (r *Recorder) History() []Operation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var l []Operation
+	var recorded []Operation
 	for _, p := range r.operations {
 		if p.noEffect || p.operation.Kind == Read && p.operation.Outcome != Answered {
 			continue
 		}
-		l = append(l, p.operation)
+		recorded = append(recorded, p.operation)
 	}
-	return l
+	return recorded
 }
 
 // Before returns the prefix of a history that was known at a point in time: operations invoked later are left out, and
 // the outcome of changes that returned later is unclear.
 func Before(operations []Operation, at int64) []Operation {
-	var l []Operation
+	var prefix []Operation
 	for _, o := range operations {
 		if o.Invoke >= at || o.Kind == Read && o.Return >= at {
 			continue
@@ -94,7 +94,7 @@
 		if o.Return >= at {
 			o.Outcome, o.Return, o.Version = Unclear, neverReturned, 0
 		}
-		l = append(l, o)
+		prefix = append(prefix, o)
 	}
-	return l
+	return prefix
 }
--- a/internal/history/reduce.go
+++ b/internal/history/reduce.go
@@ -25,7 +25,7 @@
 			successors[o.Expect] = o.Change
 		}
 	}
-	var l []Operation
+	var reduced []Operation
 	for i, o := range operations {
 		if o.Kind != Read && o.Change != "" {
 			index, confirmed := confirmedFirst[o.Change]
@@ -38,7 +38,7 @@
 				continue
 			}
 		}
-		l = append(l, o)
+		reduced = append(reduced, o)
 	}
-	return l
+	return reduced
 }
