--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -52,7 +52,7 @@
 	var s settings
 	command := host.Parse(&s, "experiment", "experiment compares revisions on the same days, and tells what requests were late or lost for.")
 	if strings.HasPrefix(command, "explain") {
-		if err := explain(s.Explain.Logs); err != nil {
+		if err := runExplain(s.Explain.Logs); err != nil {
 			fmt.Fprintln(os.Stderr, "experiment:", err)
 			os.Exit(exitError)
 		}
@@ -60,7 +60,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	worse, err := compare(ctx, s.Compare)
+	worse, err := runCompare(ctx, s.Compare)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "experiment:", err)
 		os.Exit(exitError)
@@ -70,7 +70,7 @@
 	}
 }
 
-func explain(logs []string) error {
+func runExplain(logs []string) error {
 	x := experiment.NewExplanation()
 	for _, path := range logs {
 		f, err := os.Open(path)
@@ -86,15 +86,15 @@
 	return x.WriteText(os.Stdout)
 }
 
-func compare(ctx context.Context, s comparison) (worse bool, err error) {
-	marks, err := experiment.ReadMarks(s.Site)
+func runCompare(ctx context.Context, s comparison) (worse bool, err error) {
+	marks, err := experiment.ReadScales(s.Site)
 	if err != nil {
 		return false, err
 	}
 	if len(s.Days) == 0 {
 		s.Days = marks.Names()
 	}
-	if !marks.Has(s.Days) {
+	if !marks.HasAll(s.Days) {
 		return false, errors.Errorf("the site's days are %s", strings.Join(marks.Names(), ", "))
 	}
 	first, second, err := s.sides()
@@ -105,11 +105,11 @@
 	for i := range s.Seeds {
 		seeds = append(seeds, s.From+uint64(i))
 	}
-	player := experiment.Player{Bench: s.Bench, Repository: s.Repository, Folder: s.Folder, Journal: s.Journal, Jobs: max(1, s.Jobs), Why: s.Why, Progress: os.Stderr}
+	player := experiment.Runner{Bench: s.Bench, Repository: s.Repository, Folder: s.Folder, Journal: s.Journal, Jobs: max(1, s.Jobs), Reason: s.Why, Progress: os.Stderr}
 	if s.NoCPU {
 		player.Options = append(player.Options, "--no-cpu")
 	}
-	pairs, playErr := player.Play(ctx, first, second, experiment.Days(s.Site, s.Days, seeds))
+	pairs, playErr := player.Run(ctx, first, second, experiment.Days(s.Site, s.Days, seeds))
 	table := experiment.Compare(first, second, marks, pairs)
 	if err := table.WriteText(os.Stdout); err != nil {
 		return false, err
--- a/cmd/localfleet/hollow.go
+++ b/cmd/localfleet/hollow.go
@@ -11,7 +11,7 @@
 )
 
 // hollow runs a fleet of real cores in this one process, in virtual time, and prints what each role costs.
-func hollow(args []string) error {
+func runHollow(args []string) error {
 	var s struct {
 		Routers  int           `help:"Routers, each with its agent." default:"9"`
 		Servers  int           `help:"Model servers." default:"13"`
@@ -45,10 +45,10 @@
 	if _, err := k.Parse(args); err != nil {
 		return err
 	}
-	h := localfleet.NewHollow(localfleet.HollowOptions{Routers: s.Routers, Servers: s.Servers, Models: s.Models, Adapters: s.Adapters, Cores: s.Cores, Services: s.Services,
-		Zones: s.Zones, Regions: s.Regions, Rate: s.Rate, Stay: s.Stay, Busy: s.Busy, Warm: s.Warm, For: s.For, Changes: s.Changes, Fails: s.Fails,
-		Restarts: s.Restarts, ZoneLost: s.Zone, Apart: s.Apart, OwnerOut: s.Owner, Seed: s.Seed})
-	if err := h.Up(); err != nil {
+	h := localfleet.NewHollow(localfleet.HollowOptions{Routers: s.Routers, Servers: s.Servers, Models: s.Models, Adapters: s.Adapters, CoreNodes: s.Cores, Services: s.Services,
+		Zones: s.Zones, Regions: s.Regions, Rate: s.Rate, RequestTime: s.Stay, Utilization: s.Busy, WarmUp: s.Warm, Duration: s.For, Changes: s.Changes, Failures: s.Fails,
+		Restarts: s.Restarts, ZoneFails: s.Zone, PartitionTime: s.Apart, OwnerFails: s.Owner, Seed: s.Seed})
+	if err := h.Start(); err != nil {
 		return err
 	}
 	at := time.Now()
@@ -60,9 +60,9 @@
 	}
 	h.Report(os.Stdout, heap, took)
 	if s.Course {
-		for i, m := range h.Marks() {
+		for i, m := range h.Samples() {
 			if i%5 == 0 {
-				fmt.Printf("%6.1fs  routers %d, with a hold %d; models with a floor and no replica %d; requests waiting %d\n", m.At.Seconds(), m.Routers, m.Held, m.Bare, m.Waiting)
+				fmt.Printf("%6.1fs  routers %d, with a hold %d; models with a floor and no replica %d; requests waiting %d\n", m.At.Seconds(), m.Routers, m.Leased, m.BelowFloor, m.Waiting)
 			}
 		}
 	}
--- a/cmd/localfleet/main.go
+++ b/cmd/localfleet/main.go
@@ -19,7 +19,7 @@
 
 func main() {
 	if len(os.Args) > 1 && os.Args[1] == "hollow" {
-		if err := hollow(os.Args[2:]); err != nil {
+		if err := runHollow(os.Args[2:]); err != nil {
 			fmt.Fprintln(os.Stderr, "localfleet:", err)
 			os.Exit(1)
 		}
@@ -68,51 +68,51 @@
 	}
 	f := localfleet.New(localfleet.Shapes[fleet], filepath.Dir(me), dir, raw)
 	if day {
-		f.Record()
+		f.RecordRequests()
 	}
-	if err := f.Up(); err != nil {
+	if err := f.StartAll(); err != nil {
 		return err
 	}
-	defer f.Down()
+	defer f.KillAll()
 	wait, quit := context.WithTimeout(ctx, 60*time.Second)
 	defer quit()
 	at := time.Now()
 	say := func(what string) { fmt.Printf("%6.2fs  %s\n", time.Since(at).Seconds(), what) }
 	say("every process is started")
 	if err := localfleet.Until(wait, "a core", func() bool {
-		return f.CoreReady("controller-1") && f.CoreReady("controller-2") && f.CoreReady("controller-3")
+		return f.CoreNodeReady("controller-1") && f.CoreNodeReady("controller-2") && f.CoreNodeReady("controller-3")
 	}); err != nil {
 		return err
 	}
 	say("the core has formed")
-	var t localfleet.Taken
+	var t localfleet.PlanReply
 	if err := localfleet.Until(wait, "the plan is taken", func() bool {
 		var code int
-		t, code, err = f.Put("controller-2", raw, "0", "first") // under one id, asking again is safe
+		t, code, err = f.PutPlan("controller-2", raw, "0", "first") // under one id, asking again is safe
 		return err == nil && code == 200
 	}); err != nil {
 		return fmt.Errorf("%w: %s %s %v", err, t.Kind, t.Why, t.Faults)
 	}
 	say(fmt.Sprintf("the plan is taken under epoch %d", t.Epoch))
-	if err := localfleet.Until(wait, "the plan everywhere", func() bool { return f.Ruled(t.Epoch, f.Routers...) }); err != nil {
+	if err := localfleet.Until(wait, "the plan everywhere", func() bool { return f.InForceAt(t.Epoch, f.RouterAddrs...) }); err != nil {
 		return err
 	}
 	say("it rules at every router")
-	if err := localfleet.Until(wait, "floors", f.Floors); err != nil {
+	if err := localfleet.Until(wait, "floors", f.FloorsMet); err != nil {
 		return err
 	}
 	say("every floor is loaded")
 	mix := standin.NewMix(q, seed)
-	r := standin.Calls(ctx, standin.CallOptions{Routers: f.Routers, Next: mix.Next, Rate: rate, Total: calls, Again: true})
+	r := standin.Calls(ctx, standin.CallOptions{Routers: f.RouterAddrs, Next: mix.Next, Rate: rate, Total: calls, Again: true})
 	say("the callers are done")
 	f.Report(os.Stdout, r)
-	for n := range f.Names {
+	for n := range f.RouterByName {
 		if day {
 			_ = f.Stop(n) // a day's last line is written at a planned stop
 		}
 	}
 	if keep {
-		fmt.Printf("\ncallers: %v\noperators: %v\ninterrupt to end\n", f.Routers, f.Admins)
+		fmt.Printf("\ncallers: %v\noperators: %v\ninterrupt to end\n", f.RouterAddrs, f.AdminAddrs)
 		<-ctx.Done()
 	}
 	if len(r.Wrong) > 0 {
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -53,35 +53,35 @@
 	First  Side   `json:"first"`
 	Second Side   `json:"second"`
 	Rows   []Row  `json:"rows"`
-	Broken []Rule `json:"broken,omitempty"`
+	Violations []Violation `json:"broken,omitempty"`
 }
 
 // Rule is a rule that was broken, or a fault, on one side of a pair.
-type Rule struct {
+type Violation struct {
 	Day  Day    `json:"played"`
 	Side string `json:"side"`
-	What string `json:"what"`
+	Description string `json:"what"`
 }
 
 // Compare makes the table of the pairs that were played on both sides.
-func Compare(first, second Side, marks Marks, pairs []Pair) Table {
+func Compare(first, second Side, marks Scales, pairs []Pair) Table {
 	t := Table{First: first, Second: second}
 	whole := slices.DeleteFunc(slices.Clone(pairs), func(p Pair) bool { return p.First == nil || p.Second == nil })
-	for _, f := range figuresOf(whole, marks) {
+	for _, f := range listFigures(whole, marks) {
 		if row, ok := f.row(whole); ok {
 			t.Rows = append(t.Rows, row)
 		}
 	}
 	for _, p := range whole {
-		t.Broken = append(t.Broken, p.First.broken(p.Day, first.Name)...)
-		t.Broken = append(t.Broken, p.Second.broken(p.Day, second.Name)...)
+		t.Violations = append(t.Violations, p.First.violations(p.Day, first.Name)...)
+		t.Violations = append(t.Violations, p.Second.violations(p.Day, second.Name)...)
 	}
 	return t
 }
 
 // Worse tells whether the second side broke a rule, or its score over all days is lower beyond its interval.
 func (t Table) Worse() bool {
-	for _, b := range t.Broken {
+	for _, b := range t.Violations {
 		if b.Side == t.Second.Name {
 			return true
 		}
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -13,18 +13,18 @@
 )
 
 // reportOf is a report with some worth.
-func reportOf(worth float64) *Report {
+func newReport(worth float64) *Report {
 	return &Report{Worth: worth, Served: 0.9, Parts: []Part{{"whole day", 0.4, worth}}, Classes: []Group{{Name: "a", Worth: &worth}}}
 }
 
-func pairsOf(differences ...float64) (pairs []Pair) {
+func newPairs(differences ...float64) (pairs []Pair) {
 	for i, d := range differences {
-		pairs = append(pairs, Pair{Day: Day{Site: "s.toml", Name: "quiet", Seed: uint64(i)}, First: reportOf(0.5), Second: reportOf(0.5 + d)})
+		pairs = append(pairs, Pair{Day: Day{Site: "s.toml", Name: "quiet", Seed: uint64(i)}, First: newReport(0.5), Second: newReport(0.5 + d)})
 	}
 	return pairs
 }
 
-var marks = Marks{"quiet": {Zero: 0.2, One: 0.7}}
+var testScales = Scales{"quiet": {Zero: 0.2, One: 0.7}}
 
 // The interval of a mean of differences is Student's.
 func TestIntervals(t *testing.T) {
@@ -40,7 +40,7 @@
 		{"three pairs", []float64{0.1, 0.2, 0.3}, 0.2, 0.2484, false},
 		{"lower, not beyond its interval", []float64{-0.3, 0.1, -0.1}, -0.1, 0.4968, false},
 	} {
-		table := Compare(Side{Name: "x"}, Side{Name: "y"}, marks, pairsOf(c.differences...))
+		table := Compare(Side{Name: "x"}, Side{Name: "y"}, testScales, newPairs(c.differences...))
 		row := table.Rows[1]
 		require.Equal(t, "worth less prices", row.Figure, c.name)
 		require.InDelta(t, c.worth, row.Difference, 1e-9, c.name)
@@ -52,11 +52,11 @@
 
 // A rule that the second side broke makes it worse, whatever its figures.
 func TestBrokenRules(t *testing.T) {
-	pairs := pairsOf(0.1, 0.1)
+	pairs := newPairs(0.1, 0.1)
 	pairs[1].First.Breaks = map[string]int{"DRAIN": 1}
-	require.False(t, Compare(Side{Name: "x"}, Side{Name: "y"}, marks, pairs).Worse())
+	require.False(t, Compare(Side{Name: "x"}, Side{Name: "y"}, testScales, pairs).Worse())
 	pairs[1].Second.Breaks = map[string]int{"DRAIN": 1}
-	table := Compare(Side{Name: "x"}, Side{Name: "y"}, marks, pairs)
+	table := Compare(Side{Name: "x"}, Side{Name: "y"}, testScales, pairs)
 	require.True(t, table.Worse())
 	var text bytes.Buffer
 	require.NoError(t, table.WriteText(&text))
@@ -65,9 +65,9 @@
 
 // Pairs that were played on one side only do not count.
 func TestHalfPairs(t *testing.T) {
-	pairs := pairsOf(0.1, 0.3)
+	pairs := newPairs(0.1, 0.3)
 	pairs[1].Second = nil
-	table := Compare(Side{Name: "x"}, Side{Name: "y"}, marks, pairs)
+	table := Compare(Side{Name: "x"}, Side{Name: "y"}, testScales, pairs)
 	require.Equal(t, 1, table.Rows[0].Pairs)
 }
 
@@ -99,11 +99,11 @@
 	folder := t.TempDir()
 	site := filepath.Join(folder, "s.toml")
 	require.NoError(t, os.WriteFile(site, []byte("[[day]]\nname = \"a\"\none = 0.7\nzero = 0.2\n[[day]]\nname = \"b\"\n"), 0o600))
-	m, err := ReadMarks(site)
+	m, err := ReadScales(site)
 	require.NoError(t, err)
 	require.InDelta(t, 0.5, m["a"].Score(0.45), 1e-9)
 	require.Equal(t, []string{"a"}, m.Names())
-	require.False(t, m.Has([]string{"b"}))
+	require.False(t, m.HasAll([]string{"b"}))
 }
 
 // benchScript stands in for the bench: it writes a report whose worth is what the sources say.
@@ -141,8 +141,8 @@
 	second := Side{Name: "second", Revision: revision, Edits: []Edit{{"worth", "0.5", "0.6"}}}
 	days := Days("s.toml", []string{"quiet", "busy"}, []uint64{1, 2})
 	for range 2 {
-		player := Player{Bench: bench, Repository: repository, Folder: filepath.Join(folder, "runs"), Journal: journal, Jobs: 2, Progress: &bytes.Buffer{}}
-		pairs, err := player.Play(ctx, first, second, days)
+		player := Runner{Bench: bench, Repository: repository, Folder: filepath.Join(folder, "runs"), Journal: journal, Jobs: 2, Progress: &bytes.Buffer{}}
+		pairs, err := player.Run(ctx, first, second, days)
 		require.NoError(t, err)
 		require.Len(t, pairs, 4)
 		for i, p := range pairs {
@@ -158,16 +158,16 @@
 	require.Len(t, entries, 8)
 
 	wrong := Side{Name: "wrong", Revision: revision, Edits: []Edit{{"worth", "0.7", "0.6"}}}
-	player := Player{Bench: bench, Repository: repository, Folder: filepath.Join(folder, "runs"), Jobs: 1, Progress: &bytes.Buffer{}}
-	_, err = player.Play(ctx, first, wrong, days[:1])
+	player := Runner{Bench: bench, Repository: repository, Folder: filepath.Join(folder, "runs"), Jobs: 1, Progress: &bytes.Buffer{}}
+	_, err = player.Run(ctx, first, wrong, days[:1])
 	require.ErrorContains(t, err, "wants once")
 }
 
 // Results are written for people, machines and as a picture.
 func TestWrite(t *testing.T) {
 	folder := t.TempDir()
-	pairs := pairsOf(0.1, 0.2)
-	table := Compare(Side{Name: "x"}, Side{Name: "y"}, marks, pairs)
+	pairs := newPairs(0.1, 0.2)
+	table := Compare(Side{Name: "x"}, Side{Name: "y"}, testScales, pairs)
 	require.NoError(t, table.WriteJSON(filepath.Join(folder, "t.json"), pairs))
 	require.NoError(t, table.WritePlot(filepath.Join(folder, "t.png"), pairs))
 	for _, name := range []string{"t.json", "t.png"} {
--- a/internal/experiment/explain.go
+++ b/internal/experiment/explain.go
@@ -20,15 +20,15 @@
 
 const (
 	causeServer = "server"  // queued or read at the server
-	causeBefore = "earlier" // attempts before the last one
-	mostLine    = 1 << 20
+	causeEarlier = "earlier" // attempts before the last one
+	maxLineBytes    = 1 << 20
 )
 
 // Loss counts the requests that have one cause.
 type Loss struct {
 	Late     bool   `json:"late"` // answered, and late
 	Cause    string `json:"cause"`
-	What     string `json:"what"` // base, adapter or service
+	Target     string `json:"what"` // base, adapter or service
 	Requests int    `json:"requests"`
 	WaitedMs int64  `json:"waited_ms"` // of that cause
 }
@@ -42,7 +42,7 @@
 // Read takes in the request traces among log lines; whatever stands before a line's JSON is skipped.
 func (x *Explanation) Read(r io.Reader) error {
 	lines := bufio.NewScanner(r)
-	lines.Buffer(make([]byte, 0, mostLine), mostLine)
+	lines.Buffer(make([]byte, 0, maxLineBytes), maxLineBytes)
 	for lines.Scan() {
 		line := lines.Bytes()
 		at := bytes.IndexByte(line, '{')
@@ -64,16 +64,16 @@
 
 // Add takes in one trace.
 func (x *Explanation) Add(t router.RequestTrace) {
-	loss := Loss{Late: t.End == router.EndedServed, What: whatOf(t)}
+	loss := Loss{Late: t.End == router.EndedServed, Target: targetOf(t)}
 	waited := int64(0)
 	if loss.Late {
-		loss.Cause, waited = longest(t)
+		loss.Cause, waited = longestWait(t)
 	} else {
-		loss.Cause = lastWord(t)
+		loss.Cause = lossCause(t)
 	}
 	sum := x.losses[loss]
 	if sum == nil {
-		sum = &Loss{Late: loss.Late, Cause: loss.Cause, What: loss.What}
+		sum = &Loss{Late: loss.Late, Cause: loss.Cause, Target: loss.Target}
 		x.losses[loss] = sum
 	}
 	sum.Requests++
@@ -81,7 +81,7 @@
 }
 
 // whatOf tells what a request asked for.
-func whatOf(t router.RequestTrace) string {
+func targetOf(t router.RequestTrace) string {
 	switch {
 	case t.Key.Plain() || t.Key == "":
 		return "service"
@@ -92,7 +92,7 @@
 }
 
 // longest gives what took most of the time until a late answer began.
-func longest(t router.RequestTrace) (cause string, ms int64) {
+func longestWait(t router.RequestTrace) (cause string, ms int64) {
 	spans := map[string]int64{}
 	atRouter := int64(0)
 	for wait, span := range t.WaitsMs {
@@ -102,7 +102,7 @@
 	if n := len(t.Attempts); n > 0 {
 		last := t.Attempts[n-1]
 		spans[causeServer] = t.FirstMs - last.AtMs
-		spans[causeBefore] = last.AtMs - atRouter
+		spans[causeEarlier] = last.AtMs - atRouter
 	}
 	for c, span := range spans {
 		if span > ms || span == ms && c < cause {
@@ -113,7 +113,7 @@
 }
 
 // lastWord tells what ended a request that no server answered.
-func lastWord(t router.RequestTrace) string {
+func lossCause(t router.RequestTrace) string {
 	words := []string{t.End, string(t.Kind)}
 	if n := len(t.Attempts); n > 0 {
 		last := t.Attempts[n-1]
@@ -140,7 +140,7 @@
 		case a.Requests != b.Requests:
 			return a.Requests > b.Requests
 		}
-		return a.Cause+a.What < b.Cause+b.What
+		return a.Cause+a.Target < b.Cause+b.Target
 	})
 	return all
 }
@@ -154,7 +154,7 @@
 		if l.Late {
 			outcome, wait = "late", fmt.Sprint(l.WaitedMs/int64(l.Requests))
 		}
-		fmt.Fprintf(tab, "%s\t%s\t%s\t%d\t%s\n", outcome, l.Cause, l.What, l.Requests, wait)
+		fmt.Fprintf(tab, "%s\t%s\t%s\t%d\t%s\n", outcome, l.Cause, l.Target, l.Requests, wait)
 	}
 	if err := tab.Flush(); err != nil {
 		return errors.Wrap(err, "write the sums")
--- a/internal/experiment/figures.go
+++ b/internal/experiment/figures.go
@@ -12,9 +12,9 @@
 
 const (
 	confidence    = 0.95
-	finestEffect  = 0.01 // of which the table says how many pairs it wants
+	targetHalfWidth  = 0.01 // of which the table says how many pairs it wants
 	overallFigure = "score"
-	windowGroups  = 2 // the worst windows that are compared
+	worstWindowCount  = 2 // the worst windows that are compared
 )
 
 // Row is one figure's differences over all pairs that have it.
@@ -25,18 +25,18 @@
 	Second     float64 `json:"second"`
 	Difference float64 `json:"difference"`
 	HalfWidth  float64 `json:"half_width"` // of the interval of the difference; 0 with a single pair
-	Wanted     int     `json:"wanted"`     // pairs until the half width is 0.01
+	PairsNeeded     int     `json:"wanted"`     // pairs until the half width is 0.01
 }
 
 // figure takes one number from a report; there may be none.
 type figure struct {
 	name string
-	take func(Day, *Report) (float64, bool)
+	value func(Day, *Report) (float64, bool)
 }
 
 // figuresOf lists the figures that the pairs have: the score over all and by day, the parts of the worth, the worth by
 // kind of request and by zone, that of the worst windows, prices, and causes of loss.
-func figuresOf(pairs []Pair, marks Marks) []figure {
+func listFigures(pairs []Pair, marks Scales) []figure {
 	score := func(d Day, r *Report) (float64, bool) {
 		m, ok := marks[d.Name]
 		return m.Score(r.Worth), ok
@@ -46,25 +46,25 @@
 		{"worth less prices", func(_ Day, r *Report) (float64, bool) { return r.Worth, true }},
 		{"served", func(_ Day, r *Report) (float64, bool) { return r.Served, true }},
 	}
-	for _, name := range namesOf(pairs, func(p Pair) []string { return []string{p.Day.Name} }) {
+	for _, name := range distinctNames(pairs, func(p Pair) []string { return []string{p.Day.Name} }) {
 		all = append(all, figure{"score of " + name, func(d Day, r *Report) (float64, bool) {
 			s, ok := score(d, r)
 			return s, ok && d.Name == name
 		}})
 	}
-	for _, name := range namesOf(pairs, func(p Pair) (l []string) { return p.First.partNames() }) {
+	for _, name := range distinctNames(pairs, func(p Pair) (l []string) { return p.First.partNames() }) {
 		all = append(all, figure{"part: " + name, func(_ Day, r *Report) (float64, bool) { return r.part(name) }})
 	}
 	all = append(all, groupFigures(pairs, "kind", func(r *Report) []Group { return r.Classes })...)
 	all = append(all, groupFigures(pairs, "zone", func(r *Report) []Group { return r.Zones })...)
 	all = append(all, figure{"worst windows", worstWindows})
-	for _, name := range namesOf(pairs, func(p Pair) []string { return p.First.priceNames() }) {
+	for _, name := range distinctNames(pairs, func(p Pair) []string { return p.First.priceNames() }) {
 		all = append(all, figure{"price: " + name, func(_ Day, r *Report) (float64, bool) { return r.price(name) }})
 	}
 	ends := func(p Pair) []string {
 		return append(generic.SortedKeys(p.First.Ends), generic.SortedKeys(p.Second.Ends)...)
 	}
-	for _, name := range namesOf(pairs, ends) {
+	for _, name := range distinctNames(pairs, ends) {
 		all = append(all, figure{"tries ended: " + name, func(_ Day, r *Report) (float64, bool) { return float64(r.Ends[name]), true }})
 	}
 	return all
@@ -72,7 +72,7 @@
 
 // groupFigures are the worths of the groups that the pairs have.
 func groupFigures(pairs []Pair, what string, groups func(*Report) []Group) (all []figure) {
-	names := namesOf(pairs, func(p Pair) (l []string) {
+	names := distinctNames(pairs, func(p Pair) (l []string) {
 		for _, g := range groups(p.First) {
 			l = append(l, g.Name)
 		}
@@ -92,7 +92,7 @@
 }
 
 // namesOf gathers names over all pairs, each once and in order.
-func namesOf(pairs []Pair, names func(Pair) []string) []string {
+func distinctNames(pairs []Pair, names func(Pair) []string) []string {
 	seen := map[string]bool{}
 	for _, p := range pairs {
 		for _, n := range names(p) {
@@ -148,15 +148,15 @@
 	if len(worths) == 0 {
 		return 0, false
 	}
-	return stat.Mean(worths[:min(windowGroups, len(worths))], nil), true
+	return stat.Mean(worths[:min(worstWindowCount, len(worths))], nil), true
 }
 
 // row compares one figure over the pairs that have it on both sides.
 func (f figure) row(pairs []Pair) (Row, bool) {
 	var first, second, differences []float64
 	for _, p := range pairs {
-		a, okA := f.take(p.Day, p.First)
-		b, okB := f.take(p.Day, p.Second)
+		a, okA := f.value(p.Day, p.First)
+		b, okB := f.value(p.Day, p.Second)
 		if okA && okB {
 			first, second, differences = append(first, a), append(second, b), append(differences, b-a)
 		}
@@ -171,7 +171,7 @@
 	if len(differences) > 1 {
 		deviation := stat.StdDev(differences, nil)
 		row.HalfWidth = halfWidth(deviation, len(differences))
-		row.Wanted = pairsFor(deviation)
+		row.PairsNeeded = pairsNeeded(deviation)
 	}
 	return row, true
 }
@@ -183,7 +183,7 @@
 }
 
 // pairsFor tells how many pairs it takes until the interval is fine enough.
-func pairsFor(deviation float64) int {
+func pairsNeeded(deviation float64) int {
 	z := distuv.UnitNormal.Quantile(0.5 + confidence/2)
-	return max(2, int(math.Ceil(math.Pow(z*deviation/finestEffect, 2))))
+	return max(2, int(math.Ceil(math.Pow(z*deviation/targetHalfWidth, 2))))
 }
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -14,13 +14,13 @@
 )
 
 // Player plays days on the bench, each in a copy of the sources of its side.
-type Player struct {
+type Runner struct {
 	Bench      string // path of the bench's program
 	Repository string
 	Folder     string // of copies, reports and logs; what is there already is not played again
 	Journal    string // folder that the journal entries of the copies are gathered in, if one is said
 	Jobs       int    // pairs at a time
-	Why        string
+	Reason        string
 	Options    []string // further options of the bench's run
 	Progress   io.Writer
 
@@ -30,7 +30,7 @@
 
 // Play plays the days on both sides, the two of a pair beside each other. A day that could not be played on a side has no
 // report there; the first such error is given beside the pairs.
-func (p *Player) Play(ctx context.Context, first, second Side, days []Day) ([]Pair, error) {
+func (p *Runner) Run(ctx context.Context, first, second Side, days []Day) ([]Pair, error) {
 	pairs := make([]Pair, len(days))
 	slots := make(chan int, p.Jobs)
 	for i := range p.Jobs {
@@ -44,7 +44,7 @@
 		go func() {
 			defer group.Done()
 			defer func() { slots <- slot }()
-			pair, err := p.pair(ctx, first, second, day, slot)
+			pair, err := p.runPair(ctx, first, second, day, slot)
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			pairs[i] = pair
@@ -67,18 +67,18 @@
 }
 
 // pair plays one day on both sides at the same time.
-func (p *Player) pair(ctx context.Context, first, second Side, day Day, slot int) (Pair, error) {
+func (p *Runner) runPair(ctx context.Context, first, second Side, day Day, slot int) (Pair, error) {
 	pair := Pair{Day: day}
 	var errs [2]error
 	var group sync.WaitGroup
 	group.Add(2)
 	go func() {
 		defer group.Done()
-		pair.First, errs[0] = p.one(ctx, first, day, slot)
+		pair.First, errs[0] = p.runDay(ctx, first, day, slot)
 	}()
 	go func() {
 		defer group.Done()
-		pair.Second, errs[1] = p.one(ctx, second, day, slot)
+		pair.Second, errs[1] = p.runDay(ctx, second, day, slot)
 	}()
 	group.Wait()
 	if errs[0] != nil {
@@ -88,25 +88,25 @@
 }
 
 // one plays a day on one side, unless there is a report of it.
-func (p *Player) one(ctx context.Context, side Side, day Day, slot int) (*Report, error) {
+func (p *Runner) runDay(ctx context.Context, side Side, day Day, slot int) (*Report, error) {
 	report := filepath.Join(p.Folder, "reports", side.Name, day.String()+".json")
 	if r, err := ReadReport(report); err == nil {
 		return r, nil
 	}
 	copyFolder := filepath.Join(p.Folder, "copies", fmt.Sprintf("%s-%d", side.Name, slot))
-	if err := p.layOut(ctx, side, copyFolder); err != nil {
+	if err := p.prepareCopy(ctx, side, copyFolder); err != nil {
 		return nil, err
 	}
 	if err := os.MkdirAll(filepath.Dir(report), 0o755); err != nil {
 		return nil, err
 	}
-	why := fmt.Sprintf("%s (%s, seed %d)", p.Why, side.Name, day.Seed)
+	why := fmt.Sprintf("%s (%s, seed %d)", p.Reason, side.Name, day.Seed)
 	arguments := append([]string{"run", day.Site, day.Name, "--seed", fmt.Sprint(day.Seed), "--report", report, "--why", why}, p.Options...)
 	out, err := run(ctx, copyFolder, p.Bench, arguments...)
 	if e := os.WriteFile(strings.TrimSuffix(report, ".json")+".txt", []byte(out), 0o644); e != nil {
 		return nil, e
 	}
-	if e := p.gather(copyFolder); e != nil {
+	if e := p.collectJournal(copyFolder); e != nil {
 		return nil, e
 	}
 	r, readErr := ReadReport(report)
@@ -117,7 +117,7 @@
 }
 
 // layOut makes a copy of the repository at a side's revision, with its edits.
-func (p *Player) layOut(ctx context.Context, side Side, folder string) error {
+func (p *Runner) prepareCopy(ctx context.Context, side Side, folder string) error {
 	done := folder + ".whole"
 	if _, err := os.Stat(done); err == nil {
 		return nil
@@ -153,7 +153,7 @@
 }
 
 // gather copies journal entries that a copy has and the journal lacks.
-func (p *Player) gather(folder string) error {
+func (p *Runner) collectJournal(folder string) error {
 	if p.Journal == "" {
 		return nil
 	}
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -36,7 +36,7 @@
 
 // UnmarshalJSON reads a part from a list of its three fields.
 func (p *Part) UnmarshalJSON(raw []byte) error {
-	return unpack(raw, &p.Name, &p.Weight, &p.Value)
+	return unmarshalList(raw, &p.Name, &p.Weight, &p.Value)
 }
 
 // MarshalJSON writes a part as it was read.
@@ -51,7 +51,7 @@
 
 // UnmarshalJSON reads a price from a list of its three fields.
 func (p *Price) UnmarshalJSON(raw []byte) error {
-	return unpack(raw, &p.Name, &p.Amount, &p.Worth)
+	return unmarshalList(raw, &p.Name, &p.Amount, &p.Worth)
 }
 
 // MarshalJSON writes a price as it was read.
@@ -60,14 +60,14 @@
 // Group is a kind of request, a zone of clients or a span of time.
 type Group struct {
 	Name   string   `json:"name"`
-	Asked  int      `json:"n"`
+	Requests  int      `json:"n"`
 	Late   int      `json:"late"`
 	Failed int      `json:"failed"`
 	Worth  *float64 `json:"worth"` // absent where nothing was owed
 }
 
 // unpack reads a JSON list of fixed length into its fields.
-func unpack(raw []byte, fields ...any) error {
+func unmarshalList(raw []byte, fields ...any) error {
 	var list []json.RawMessage
 	if err := json.Unmarshal(raw, &list); err != nil {
 		return errors.Wrap(err, "read a list")
@@ -99,53 +99,53 @@
 	return r, nil
 }
 
-func (r *Report) broken(d Day, side string) (all []Rule) {
+func (r *Report) violations(d Day, side string) (all []Violation) {
 	for _, name := range generic.SortedKeys(r.Breaks) {
-		all = append(all, Rule{Day: d, Side: side, What: name})
+		all = append(all, Violation{Day: d, Side: side, Description: name})
 	}
 	if r.Fault != nil {
-		all = append(all, Rule{Day: d, Side: side, What: "fault: " + *r.Fault})
+		all = append(all, Violation{Day: d, Side: side, Description: "fault: " + *r.Fault})
 	}
 	return all
 }
 
 // Marks are the worths that stand for a score of 0 and of 1, by day.
-type Marks map[string]Mark
+type Scales map[string]Scale
 
 // Mark is the two of one day.
-type Mark struct {
+type Scale struct {
 	Zero float64 `toml:"zero"`
 	One  float64 `toml:"one"`
 }
 
 // Score tells where a worth falls between the marks; it may lie outside of 0 to 1.
-func (m Mark) Score(worth float64) float64 { return (worth - m.Zero) / (m.One - m.Zero) }
+func (m Scale) Score(worth float64) float64 { return (worth - m.Zero) / (m.One - m.Zero) }
 
 // ReadMarks reads the marks of a site's days from its file.
-func ReadMarks(site string) (Marks, error) {
+func ReadScales(site string) (Scales, error) {
 	var file struct {
 		Day []struct {
 			Name string `toml:"name"`
-			Mark
+			Scale
 		} `toml:"day"`
 	}
 	if _, err := toml.DecodeFile(site, &file); err != nil {
 		return nil, errors.Wrap(err, site)
 	}
-	marks := Marks{}
+	marks := Scales{}
 	for _, d := range file.Day {
 		if d.One > d.Zero {
-			marks[d.Name] = d.Mark
+			marks[d.Name] = d.Scale
 		}
 	}
 	return marks, nil
 }
 
 // Names lists the days that have marks.
-func (m Marks) Names() []string { return generic.SortedKeys(m) }
+func (m Scales) Names() []string { return generic.SortedKeys(m) }
 
 // Has tells whether all of the days have marks.
-func (m Marks) Has(names []string) bool {
+func (m Scales) HasAll(names []string) bool {
 	return !slices.ContainsFunc(names, func(n string) bool { _, ok := m[n]; return !ok })
 }
 
--- a/internal/experiment/write.go
+++ b/internal/experiment/write.go
@@ -21,19 +21,19 @@
 // WriteText writes the table for people. A difference that is larger than its interval has a mark.
 func (t Table) WriteText(w io.Writer) error {
 	tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(tab, "figure\tpairs\t%s\t%s\tdifference\t+-\t\tpairs for %.2f\n", t.First.Name, t.Second.Name, finestEffect)
+	fmt.Fprintf(tab, "figure\tpairs\t%s\t%s\tdifference\t+-\t\tpairs for %.2f\n", t.First.Name, t.Second.Name, targetHalfWidth)
 	for _, r := range t.Rows {
 		mark := ""
 		if r.Pairs > 1 && (r.Difference > r.HalfWidth || -r.Difference > r.HalfWidth) {
 			mark = "*"
 		}
-		fmt.Fprintf(tab, "%s\t%d\t%.4f\t%.4f\t%+.4f\t%.4f\t%s\t%d\n", r.Figure, r.Pairs, r.First, r.Second, r.Difference, r.HalfWidth, mark, r.Wanted)
+		fmt.Fprintf(tab, "%s\t%d\t%.4f\t%.4f\t%+.4f\t%.4f\t%s\t%d\n", r.Figure, r.Pairs, r.First, r.Second, r.Difference, r.HalfWidth, mark, r.PairsNeeded)
 	}
 	if err := tab.Flush(); err != nil {
 		return errors.Wrap(err, "write the table")
 	}
-	for _, b := range t.Broken {
-		fmt.Fprintf(w, "BROKEN %s on %s: %s\n", b.Side, b.Day, b.What)
+	for _, b := range t.Violations {
+		fmt.Fprintf(w, "BROKEN %s on %s: %s\n", b.Side, b.Day, b.Description)
 	}
 	return nil
 }
--- a/internal/localfleet/fleet.go
+++ b/internal/localfleet/fleet.go
@@ -31,8 +31,8 @@
 	Servers int
 	Zones   []string
 	Room    int
-	Rate    int // of the weight store
-	Bear    int
+	StoreRate    int // of the weight store
+	MaxPulls    int
 }
 
 // Shapes of today's two deployments.
@@ -42,7 +42,7 @@
 }
 
 // Proc is one process of a fleet.
-type Proc struct {
+type Process struct {
 	Name string
 	Bin  string
 	Args []string
@@ -52,9 +52,9 @@
 }
 
 // Record makes every router record its day into the fleet's folder, each start anew.
-func (f *Fleet) Record() {
-	for n := range f.Names {
-		p := f.Procs[n]
+func (f *Fleet) RecordRequests() {
+	for n := range f.RouterByName {
+		p := f.Processes[n]
 		p.Args = append(p.Args, "--record", filepath.Join(f.Dir, n+".day"))
 	}
 }
@@ -63,37 +63,37 @@
 type Fleet struct {
 	Shape   Shape
 	Dir     string
-	Bins    string
+	BinDir    string
 	Plan    []byte
-	Procs   map[string]*Proc
-	Order   []string
+	Processes   map[string]*Process
+	StartOrder   []string
 	Seeds   []string
-	Admins  map[string]string // of core nodes
-	Routers []string          // where callers go
-	Names   map[string]string // router address by name
-	Servers map[string]string
-	Store   string
-	Home    string // the platform
-	http    *http.Client
+	AdminAddrs  map[string]string // of core nodes
+	RouterAddrs []string          // where callers go
+	RouterByName   map[string]string // router address by name
+	ServerAddrs map[string]string
+	StoreAddr   string
+	PlatformAddr    string // the platform
+	client    *http.Client
 	mu      sync.Mutex // guards used
-	used    map[int]bool
+	usedPorts    map[int]bool
 	Log     io.Writer
 	Links   *Relays           // between all machines, if the fleet has links of its own
 	IPs     map[string]string // of each machine
-	linked  bool
-	told    string // where core nodes reach the platform
+	hasLinks  bool
+	platformLinkAddr    string // where core nodes reach the platform
 }
 
 // Port finds a free port outside the range that the kernel gives out by itself.
-func (f *Fleet) Port() string { return f.PortAt("127.0.0.1") }
+func (f *Fleet) FreePort() string { return f.FreePortAt("127.0.0.1") }
 
 // PortAt finds one at an address.
-func (f *Fleet) PortAt(ip string) string {
+func (f *Fleet) FreePortAt(ip string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for {
 		p := 12000 + rand.IntN(20000)
-		if f.used[p] {
+		if f.usedPorts[p] {
 			continue
 		}
 		l, err := net.Listen("tcp", fmt.Sprintf("%s:%d", ip, p))
@@ -101,14 +101,14 @@
 			continue
 		}
 		_ = l.Close()
-		f.used[p] = true
+		f.usedPorts[p] = true
 		return fmt.Sprintf("%s:%d", ip, p)
 	}
 }
 
 // machine gives a machine its address: one of its own on loopback, where the fleet has links.
-func (f *Fleet) machine(name string) string {
-	if !f.linked {
+func (f *Fleet) machineIP(name string) string {
+	if !f.hasLinks {
 		return "127.0.0.1"
 	}
 	if f.IPs[name] == "" {
@@ -118,17 +118,17 @@
 }
 
 // ends gives where others reach a process of a machine, and where it listens itself.
-func (f *Fleet) ends(name string) (told, at string) {
-	told = f.PortAt(f.machine(name))
-	if !f.linked {
+func (f *Fleet) newAddrs(name string) (told, at string) {
+	told = f.FreePortAt(f.machineIP(name))
+	if !f.hasLinks {
 		return told, told
 	}
-	return told, f.PortAt("127.0.0.1")
+	return told, f.FreePortAt("127.0.0.1")
 }
 
 // link puts a relay before a process, which listens at an address of its own.
-func (f *Fleet) link(told, at string) {
-	if f.linked {
+func (f *Fleet) openLink(told, at string) {
+	if f.hasLinks {
 		if err := f.Links.Open(told, at); err != nil {
 			panic(err) // the port was free a moment ago
 		}
@@ -144,7 +144,7 @@
 }
 
 // Part parts a machine from all others but some.
-func (f *Fleet) Part(a string, but ...string) {
+func (f *Fleet) Isolate(a string, but ...string) {
 next:
 	for b := range f.IPs {
 		for _, x := range but {
@@ -159,73 +159,73 @@
 }
 
 // New lays out a fleet; nothing runs yet.
-func New(s Shape, bins, dir string, plan []byte) *Fleet { return lay(s, bins, dir, plan, false) }
+func New(s Shape, bins, dir string, plan []byte) *Fleet { return newFleet(s, bins, dir, plan, false) }
 
 // NewLinked lays out a fleet whose machines have addresses and links of their own.
-func NewLinked(s Shape, bins, dir string, plan []byte) *Fleet { return lay(s, bins, dir, plan, true) }
+func NewLinked(s Shape, bins, dir string, plan []byte) *Fleet { return newFleet(s, bins, dir, plan, true) }
 
-func lay(s Shape, bins, dir string, plan []byte, linked bool) *Fleet {
-	f := &Fleet{linked: linked, Links: NewRelays(), IPs: map[string]string{}, Shape: s, Dir: dir, Bins: bins, Plan: plan, Procs: map[string]*Proc{}, Admins: map[string]string{}, Names: map[string]string{},
-		Servers: map[string]string{}, used: map[int]bool{}, http: &http.Client{Timeout: 8 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
+func newFleet(s Shape, bins, dir string, plan []byte, linked bool) *Fleet {
+	f := &Fleet{hasLinks: linked, Links: NewRelays(), IPs: map[string]string{}, Shape: s, Dir: dir, BinDir: bins, Plan: plan, Processes: map[string]*Process{}, AdminAddrs: map[string]string{}, RouterByName: map[string]string{},
+		ServerAddrs: map[string]string{}, usedPorts: map[int]bool{}, client: &http.Client{Timeout: 8 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
 	zone := func(i int) string { return s.Zones[i%len(s.Zones)] }
-	f.Store = f.Port()
-	home, homeAt := f.ends("platform")
-	f.Home = homeAt
-	f.told = home
-	f.link(home, homeAt)
-	f.add("store", "standin", "store", "--listen", f.Store, "--rate", fmt.Sprint(s.Rate), "--bear", fmt.Sprint(s.Bear))
+	f.StoreAddr = f.FreePort()
+	home, homeAt := f.newAddrs("platform")
+	f.PlatformAddr = homeAt
+	f.platformLinkAddr = home
+	f.openLink(home, homeAt)
+	f.addProcess("store", "standin", "store", "--listen", f.StoreAddr, "--rate", fmt.Sprint(s.StoreRate), "--bear", fmt.Sprint(s.MaxPulls))
 	var list []string
 	for i := range s.Servers {
 		n := fmt.Sprintf("server-%d", i+1)
-		told, a := f.ends(n)
-		f.link(told, a)
-		f.Servers[n] = a
+		told, a := f.newAddrs(n)
+		f.openLink(told, a)
+		f.ServerAddrs[n] = a
 		list = append(list, fmt.Sprintf("%s=%s=%s", n, told, zone(i)))
 		// Old and new servers differ in room, slots and speed.
 		part := 3 + i%3
-		f.add(n, "standin", "server", "--id", n, "--listen", a, "--store", f.Store, "--room", fmt.Sprint(s.Room*part/4), "--slots", fmt.Sprint(4*part), "--step-ms", fmt.Sprint(80/part))
+		f.addProcess(n, "standin", "server", "--id", n, "--listen", a, "--store", f.StoreAddr, "--room", fmt.Sprint(s.Room*part/4), "--slots", fmt.Sprint(4*part), "--step-ms", fmt.Sprint(80/part))
 	}
-	f.add("platform", "standin", "platform", "--listen", f.Home, "--servers", strings.Join(list, ","))
+	f.addProcess("platform", "standin", "platform", "--listen", f.PlatformAddr, "--servers", strings.Join(list, ","))
 	for range 3 {
-		f.Seeds = append(f.Seeds, f.PortAt(f.machine(fmt.Sprintf("controller-%d", len(f.Seeds)+1))))
+		f.Seeds = append(f.Seeds, f.FreePortAt(f.machineIP(fmt.Sprintf("controller-%d", len(f.Seeds)+1))))
 	}
 	for i, a := range f.Seeds {
-		f.AddCore(fmt.Sprintf("controller-%d", i+1), a, zone(i))
+		f.AddCoreNode(fmt.Sprintf("controller-%d", i+1), a, zone(i))
 	}
 	for i := range s.Routers {
 		n := fmt.Sprint(i + 1)
-		call, ctl, near, adm := f.PortAt(f.machine("router-"+n)), f.Port(), f.Port(), f.Port()
-		link, at := f.ends("router-" + n)
-		f.link(link, at)
-		f.Routers = append(f.Routers, call)
-		f.Names["router-"+n] = call
-		f.add("agent-"+n, "agent", "--id", "agent-"+n, "--zone", zone(i), "--listen", link, "--bind", at, "--near", near, "--router", ctl, "--admin", adm, "--seeds", strings.Join(f.Seeds, ","))
-		f.add("router-"+n, "router", "--id", "router-"+n, "--listen", call, "--control", ctl, "--agent", near)
+		call, ctl, near, adm := f.FreePortAt(f.machineIP("router-"+n)), f.FreePort(), f.FreePort(), f.FreePort()
+		link, at := f.newAddrs("router-" + n)
+		f.openLink(link, at)
+		f.RouterAddrs = append(f.RouterAddrs, call)
+		f.RouterByName["router-"+n] = call
+		f.addProcess("agent-"+n, "agent", "--id", "agent-"+n, "--zone", zone(i), "--listen", link, "--bind", at, "--near", near, "--router", ctl, "--admin", adm, "--seeds", strings.Join(f.Seeds, ","))
+		f.addProcess("router-"+n, "router", "--id", "router-"+n, "--listen", call, "--control", ctl, "--agent", near)
 	}
 	return f
 }
 
 // AddCore lays out a core node.
-func (f *Fleet) AddCore(name, listen, zone string) {
-	f.Admins[name] = f.Port()
+func (f *Fleet) AddCoreNode(name, listen, zone string) {
+	f.AdminAddrs[name] = f.FreePort()
 	at := listen
-	if f.linked {
-		at = f.Port()
-		f.link(listen, at)
+	if f.hasLinks {
+		at = f.FreePort()
+		f.openLink(listen, at)
 	}
-	f.add(name, "controller", "--id", name, "--zone", zone, "--listen", listen, "--bind", at, "--admin", f.Admins[name], "--seeds", strings.Join(f.Seeds, ","),
-		"--data", filepath.Join(f.Dir, name), "--platform", f.told)
+	f.addProcess(name, "controller", "--id", name, "--zone", zone, "--listen", listen, "--bind", at, "--admin", f.AdminAddrs[name], "--seeds", strings.Join(f.Seeds, ","),
+		"--data", filepath.Join(f.Dir, name), "--platform", f.platformLinkAddr)
 }
 
-func (f *Fleet) add(name, bin string, args ...string) {
-	f.Procs[name] = &Proc{Name: name, Bin: bin, Args: args}
-	f.Order = append(f.Order, name)
+func (f *Fleet) addProcess(name, bin string, args ...string) {
+	f.Processes[name] = &Process{Name: name, Bin: bin, Args: args}
+	f.StartOrder = append(f.StartOrder, name)
 }
 
 // Start starts one process.
 func (f *Fleet) Start(name string) error {
-	p := f.Procs[name]
-	p.cmd = exec.Command(filepath.Join(f.Bins, p.Bin), p.Args...)
+	p := f.Processes[name]
+	p.cmd = exec.Command(filepath.Join(f.BinDir, p.Bin), p.Args...)
 	log, err := os.OpenFile(filepath.Join(f.Dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return errors.Wrap(err, "log")
@@ -245,11 +245,11 @@
 }
 
 // Up starts every process.
-func (f *Fleet) Up() error {
+func (f *Fleet) StartAll() error {
 	if err := os.MkdirAll(f.Dir, 0o755); err != nil {
 		return errors.Wrap(err, "folder")
 	}
-	for _, n := range f.Order {
+	for _, n := range f.StartOrder {
 		if err := f.Start(n); err != nil {
 			return err
 		}
@@ -259,7 +259,7 @@
 
 // Signal sends a signal to a process.
 func (f *Fleet) Signal(name string, s syscall.Signal) {
-	if p := f.Procs[name]; p.cmd != nil {
+	if p := f.Processes[name]; p.cmd != nil {
 		_ = p.cmd.Process.Signal(s)
 	}
 }
@@ -272,7 +272,7 @@
 
 // Wait waits until a process is gone.
 func (f *Fleet) Wait(name string) {
-	if p := f.Procs[name]; p.done != nil {
+	if p := f.Processes[name]; p.done != nil {
 		<-p.done
 	}
 }
@@ -281,16 +281,16 @@
 func (f *Fleet) Stop(name string) error {
 	f.Signal(name, syscall.SIGTERM)
 	f.Wait(name)
-	return f.Procs[name].err
+	return f.Processes[name].err
 }
 
 // Down ends every process.
-func (f *Fleet) Down() {
-	for _, n := range f.Order {
+func (f *Fleet) KillAll() {
+	for _, n := range f.StartOrder {
 		f.Signal(n, syscall.SIGCONT)
 		f.Signal(n, syscall.SIGKILL)
 	}
-	for _, n := range f.Order {
+	for _, n := range f.StartOrder {
 		f.Wait(n)
 	}
 }
@@ -307,7 +307,7 @@
 	for k, x := range head {
 		q.Header.Set(k, x)
 	}
-	w, err := f.http.Do(q)
+	w, err := f.client.Do(q)
 	if err != nil {
 		return 0, err
 	}
@@ -339,13 +339,13 @@
 }
 
 // CoreReady tells whether a core node is ready.
-func (f *Fleet) CoreReady(name string) bool {
-	c, err := f.Get(f.Admins[name]+"/ready", nil)
+func (f *Fleet) CoreNodeReady(name string) bool {
+	c, err := f.Get(f.AdminAddrs[name]+"/ready", nil)
 	return err == nil && c == 200
 }
 
 // Taken is an operator's answer.
-type Taken struct {
+type PlanReply struct {
 	Kind   string           `json:"kind"`
 	Why    string           `json:"why"`
 	Epoch  uint64           `json:"epoch"`
@@ -353,9 +353,9 @@
 }
 
 // Put hands over a plan at a core node.
-func (f *Fleet) Put(core string, plan []byte, expect, id string) (Taken, int, error) {
-	var t Taken
-	c, err := f.Do(http.MethodPut, f.Admins[core]+"/plan", map[string]string{"X-Expect-Epoch": expect, "X-Change-Id": id}, plan, &t)
+func (f *Fleet) PutPlan(core string, plan []byte, expect, id string) (PlanReply, int, error) {
+	var t PlanReply
+	c, err := f.Do(http.MethodPut, f.AdminAddrs[core]+"/plan", map[string]string{"X-Expect-Epoch": expect, "X-Change-Id": id}, plan, &t)
 	return t, c, err
 }
 
@@ -372,7 +372,7 @@
 }
 
 // Ruled tells whether every router named is ready under at least an epoch.
-func (f *Fleet) Ruled(epoch uint64, routers ...string) bool {
+func (f *Fleet) InForceAt(epoch uint64, routers ...string) bool {
 	for _, r := range routers {
 		if f.EpochAt(r) < epoch {
 			return false
@@ -383,7 +383,7 @@
 
 // Owner finds the core node that owns the duty, if any.
 func (f *Fleet) Owner() string {
-	for n, a := range f.Admins {
+	for n, a := range f.AdminAddrs {
 		var v struct {
 			View struct {
 				Owns bool `json:"owns"`
@@ -419,19 +419,19 @@
 }
 
 // Placed reads the servers from the duty's owner.
-func (f *Fleet) Placed() (v ServersView, ok bool) {
+func (f *Fleet) ReadServers() (v ServersView, ok bool) {
 	o := f.Owner()
 	if o == "" {
 		return v, false
 	}
-	c, err := f.Get(f.Admins[o]+"/servers", &v)
+	c, err := f.Get(f.AdminAddrs[o]+"/servers", &v)
 	return v, err == nil && c == 200
 }
 
 // Floors tells whether every key has its floor of ready replicas.
-func (f *Fleet) Floors() bool {
+func (f *Fleet) FloorsMet() bool {
 	p, _ := fleetplan.ReadPlan(f.Plan)
-	v, ok := f.Placed()
+	v, ok := f.ReadServers()
 	if !ok || p == nil {
 		return false
 	}
--- a/internal/localfleet/history_test.go
+++ b/internal/localfleet/history_test.go
@@ -14,28 +14,28 @@
 )
 
 // historyTime bounds the check of a history.
-const historyTime = time.Minute
+const historyCheckLimit = time.Minute
 
 // observer records what operators and readers of a fleet see.
 type observer struct {
-	rig
+	testFleet
 	recorder history.Recorder
-	began    time.Time
+	startedAt    time.Time
 }
 
 // observe begins a history of a fleet whose first plan is in force.
-func (r rig) observe() *observer {
-	o := &observer{rig: r, began: time.Now()}
+func (r testFleet) startObserver() *observer {
+	o := &observer{testFleet: r, startedAt: time.Now()}
 	o.recorder.Invoke(history.Operation{Kind: history.Put, Change: "the first plan", Body: r.Plan, Invoke: -1}).Taken(-1, 1)
 	return o
 }
 
-func (o *observer) now() int64 { return int64(time.Since(o.began)) }
+func (o *observer) now() int64 { return int64(time.Since(o.startedAt)) }
 
 // change hands over a plan, as Put does.
-func (o *observer) change(core string, plan []byte, expect uint64, id string) (Taken, int, error) {
+func (o *observer) putPlanRecorded(core string, plan []byte, expect uint64, id string) (PlanReply, int, error) {
 	pending := o.recorder.Invoke(history.Operation{Kind: history.Put, Node: core, Change: id, Expect: expect, Body: plan, Invoke: o.now()})
-	answer, code, err := o.Put(core, plan, fmt.Sprint(expect), id)
+	answer, code, err := o.PutPlan(core, plan, fmt.Sprint(expect), id)
 	kind := failure.Kind(answer.Kind)
 	switch {
 	case err != nil:
@@ -53,9 +53,9 @@
 }
 
 // read reads the plan back.
-func (o *observer) read(core string) (string, bool) {
+func (o *observer) readPlanRecorded(core string) (string, bool) {
 	pending := o.recorder.Invoke(history.Operation{Kind: history.Read, Node: core, Invoke: o.now()})
-	raw, ok := o.plan(core)
+	raw, ok := o.readPlan(core)
 	if !ok {
 		pending.Dropped()
 		return "", false
@@ -65,7 +65,7 @@
 }
 
 // readers read at every core node until they are stopped.
-func (o *observer) readers(cores ...string) (stop func()) {
+func (o *observer) startReaders(cores ...string) (stop func()) {
 	done := make(chan struct{})
 	var all sync.WaitGroup
 	for _, core := range cores {
@@ -79,7 +79,7 @@
 				case <-o.ctx.Done():
 					return
 				case <-time.After(25 * time.Millisecond):
-					o.read(core)
+					o.readPlanRecorded(core)
 				}
 			}
 		}()
@@ -96,7 +96,7 @@
 	result := history.Check(o.recorder.History(), func(plan, patch []byte) ([]byte, bool) {
 		merged, err := jsonpatch.MergePatch(plan, patch)
 		return merged, err == nil
-	}, historyTime)
+	}, historyCheckLimit)
 	require.Equal(o.t, history.Linearizable, result.Verdict, result.Why)
 	o.t.Logf("%d operations are linearizable", result.Operations)
 }
--- a/internal/localfleet/links_test.go
+++ b/internal/localfleet/links_test.go
@@ -18,7 +18,7 @@
 )
 
 // racing hands over two plans at once, each again under its id until an answer comes.
-func (o *observer) racing(n int, expect uint64) (told [2]Taken, code [2]int) {
+func (o *observer) racePlans(n int, expect uint64) (told [2]PlanReply, code [2]int) {
 	var both sync.WaitGroup
 	for i := range 2 {
 		both.Add(1)
@@ -27,7 +27,7 @@
 			raw := []byte(string(o.Plan) + strings.Repeat(" ", 1+2*n+i))
 			try := 0
 			_ = Until(o.ctx, "an answer", func() bool { // whoever gets none asks elsewhere
-				a, c, err := o.change(fmt.Sprintf("controller-%d", 1+(n+i+try)%3), raw, expect, fmt.Sprintf("race-%d-%d", n, i))
+				a, c, err := o.putPlanRecorded(fmt.Sprintf("controller-%d", 1+(n+i+try)%3), raw, expect, fmt.Sprintf("race-%d-%d", n, i))
 				told[i], code[i] = a, c
 				try++
 				return err == nil && (c == 200 || c == 409)
@@ -41,15 +41,15 @@
 // The core is split every way, one way too, while two operators race and every connection
 // breaks off now and then; one of two wins each time, and what was told is what is read.
 func TestSplits(t *testing.T) {
-	r := raiseLinked(t, "padana")
-	seen := r.observe()
-	stopReaders := seen.readers("controller-1", "controller-2", "controller-3")
+	r := startLinkedFleet(t, "padana")
+	seen := r.startObserver()
+	stopReaders := seen.startReaders("controller-1", "controller-2", "controller-3")
 	epoch := uint64(1)
 	for n, cut := range []func(){
 		func() { r.Cut("controller-1", "controller-2", true) },
-		func() { r.Part("controller-3") },
-		func() { r.Part(r.Owner(), "router-", "server-", "platform") },
-		func() { r.Links.Slow(5 * time.Millisecond) },
+		func() { r.Isolate("controller-3") },
+		func() { r.Isolate(r.Owner(), "router-", "server-", "platform") },
+		func() { r.Links.SetDelay(5 * time.Millisecond) },
 		func() { r.Cut("controller-2", "controller-1", false) },
 	} {
 		cut()
@@ -63,14 +63,14 @@
 				case <-stop:
 					return
 				case <-time.After(150 * time.Millisecond):
-					r.Links.Break()
+					r.Links.CloseConns()
 				}
 			}
 		}()
-		told, code := seen.racing(n, epoch)
+		told, code := seen.racePlans(n, epoch)
 		close(stop)
 		breaks.Wait()
-		r.Links.Heal()
+		r.Links.RestoreAll()
 		won := -1
 		for i := range 2 {
 			if code[i] == 200 {
@@ -84,12 +84,12 @@
 		want := string(r.Plan) + strings.Repeat(" ", 1+2*n+won)
 		for i := 1; i <= 3; i++ {
 			r.until("it is read back, to the byte", func() bool {
-				raw, ok := seen.read(fmt.Sprintf("controller-%d", i))
+				raw, ok := seen.readPlanRecorded(fmt.Sprintf("controller-%d", i))
 				require.True(t, !ok || raw == want, "controller-%d gives something else", i)
 				return ok
 			})
 		}
-		r.until("it rules everywhere", func() bool { return r.Ruled(epoch, r.Routers...) })
+		r.until("it rules everywhere", func() bool { return r.InForceAt(epoch, r.RouterAddrs...) })
 	}
 	stopReaders()
 	seen.check()
@@ -100,21 +100,21 @@
 // A router is cut off from all of the core, with its promises: it stops routing; meanwhile a
 // plan takes its only route's model away and the model is unloaded. Then it comes back.
 func TestCutOffRouter(t *testing.T) {
-	r := raiseLinked(t, "corrib")
-	r.Part("router-1", "server-")
-	r.until("it knows that it is cut off", func() bool { return r.EpochAt(r.Names["router-1"]) == 0 })
-	e := r.put("controller-1", []byte(string(r.Plan)+"\n"), "1", "without-it")
+	r := startLinkedFleet(t, "corrib")
+	r.Isolate("router-1", "server-")
+	r.until("it knows that it is cut off", func() bool { return r.EpochAt(r.RouterByName["router-1"]) == 0 })
+	e := r.putPlan("controller-1", []byte(string(r.Plan)+"\n"), "1", "without-it")
 	var rest []string
-	for n, a := range r.Names {
+	for n, a := range r.RouterByName {
 		if n != "router-1" {
 			rest = append(rest, a)
 		}
 	}
-	r.until("the others rule by it", func() bool { return r.Ruled(e, rest...) })
-	sends := func() float64 { return r.Metrics(r.Names["router-1"] + "/-/metrics")["tidedeck_router_firsts_total"] }
+	r.until("the others rule by it", func() bool { return r.InForceAt(e, rest...) })
+	sends := func() float64 { return r.Metrics(r.RouterByName["router-1"] + "/-/metrics")["tidedeck_router_firsts_total"] }
 	was := sends()
 	// What comes to it is held, and goes out only once its link is back.
-	m := standin.NewMix(r.q, 33)
+	m := standin.NewMix(r.parsedPlan, 33)
 	h := standin.Client()
 	rep := &standin.CallReport{Kinds: map[string]int{}, ByRouter: map[string]int{}}
 	var mu sync.Mutex
@@ -122,14 +122,14 @@
 	for range 5 {
 		a := m.Next()
 		all.Add(1)
-		go func() { defer all.Done(); standin.Call(h, r.Names["router-1"], a, rep, &mu) }()
+		go func() { defer all.Done(); standin.Call(h, r.RouterByName["router-1"], a, rep, &mu) }()
 	}
 	r.until("they wait there", func() bool {
-		return r.Metrics(r.Names["router-1"] + "/-/metrics")["tidedeck_router_waiting"] == 5
+		return r.Metrics(r.RouterByName["router-1"] + "/-/metrics")["tidedeck_router_waiting"] == 5
 	})
 	require.Equal(t, was, sends(), "nothing is sent without a hold")
-	r.Links.Heal()
-	r.until("it rules by the new plan", func() bool { return r.Ruled(e, r.Names["router-1"]) })
+	r.Links.RestoreAll()
+	r.until("it rules by the new plan", func() bool { return r.InForceAt(e, r.RouterByName["router-1"]) })
 	all.Wait()
 	require.Empty(t, rep.Wrong)
 	require.Equal(t, 5, rep.Receipts, "%v", rep.Kinds)
@@ -137,21 +137,21 @@
 
 // A whole zone is lost, the owner's, and comes back; the platform is silent meanwhile.
 func TestZoneAndPlatform(t *testing.T) {
-	r := raiseLinked(t, "padana")
+	r := startLinkedFleet(t, "padana")
 	old := r.Owner()
 	n := int(old[len(old)-1] - '0')
 	var lost []string
 	for i := 1; i <= 9; i++ {
 		for _, p := range []string{"controller", "server", "router", "agent"} {
 			name := fmt.Sprintf("%s-%d", p, i)
-			if r.Procs[name] != nil && (i-1)%3 == (n-1)%3 && (p != "controller" || i <= 3) {
+			if r.Processes[name] != nil && (i-1)%3 == (n-1)%3 && (p != "controller" || i <= 3) {
 				lost = append(lost, name)
 			}
 		}
 	}
 	r.Signal("platform", syscall.SIGSTOP)
 	var left []string
-	for name, a := range r.Names {
+	for name, a := range r.RouterByName {
 		if int(name[len(name)-1]-'0'-1)%3 != (n-1)%3 {
 			left = append(left, a)
 		}
@@ -161,7 +161,7 @@
 	}
 	r.until("another owns the duty", func() bool { o := r.Owner(); return o != "" && o != old })
 	r.until("it knows the servers, though the platform is silent", func() bool {
-		v, ok := r.Placed()
+		v, ok := r.ReadServers()
 		here := 0
 		for _, s := range v.View.Servers {
 			if s.Offered {
@@ -170,7 +170,7 @@
 		}
 		return ok && here >= 6
 	})
-	m := standin.NewMix(r.q, 35)
+	m := standin.NewMix(r.parsedPlan, 35)
 	rep := standin.Calls(r.ctx, standin.CallOptions{Routers: left, Next: m.Next, Rate: 40, Total: 120})
 	require.Empty(t, rep.Wrong)
 	require.Greater(t, rep.Receipts, rep.Sent*9/10, "%v", rep.Kinds)
@@ -178,34 +178,34 @@
 	for _, x := range lost {
 		require.NoError(t, r.Start(x))
 	}
-	r.until("all is back", func() bool { return r.Ruled(1, r.Routers...) && r.Floors() })
+	r.until("all is back", func() bool { return r.InForceAt(1, r.RouterAddrs...) && r.FloorsMet() })
 }
 
 // The owner reaches core and routers, but neither servers nor platform: another takes the duty.
 func TestBlindOwner(t *testing.T) {
-	r := raiseLinked(t, "padana")
+	r := startLinkedFleet(t, "padana")
 	old := r.Owner()
-	r.Part(old, "controller-", "router-")
+	r.Isolate(old, "controller-", "router-")
 	r.until("another owns the duty", func() bool { o := r.Owner(); return o != "" && o != old })
 	rep := r.calls(100, 50, 37, func() {})
 	require.Equal(t, rep.Sent, rep.Receipts, "%v", rep.Kinds)
-	r.Links.Heal()
+	r.Links.RestoreAll()
 }
 
 // Crowds ask for rare models at once while the store is slow; loads keep within its budget.
 func TestCrowds(t *testing.T) {
-	r := raise(t, "corrib")
-	m := standin.NewMix(r.q, 39)
+	r := startFleet(t, "corrib")
+	m := standin.NewMix(r.parsedPlan, 39)
 	a := []standin.Ask{m.Rare(), m.Rare(), m.Rare(), m.Rare()}
 	i := 0
-	rep := standin.Calls(r.ctx, standin.CallOptions{Routers: r.Routers, Rate: 200, Total: 400, Next: func() standin.Ask { i++; return m.Of(a[i%4]) }})
+	rep := standin.Calls(r.ctx, standin.CallOptions{Routers: r.RouterAddrs, Rate: 200, Total: 400, Next: func() standin.Ask { i++; return m.Of(a[i%4]) }})
 	require.Empty(t, rep.Wrong)
 	require.Greater(t, rep.Receipts, rep.Sent/2, "%v", rep.Kinds)
 	var st standin.StoreTally
-	_, err := r.Get(r.Store+"/count", &st)
+	_, err := r.Get(r.StoreAddr+"/count", &st)
 	require.NoError(t, err)
 	require.Zero(t, st.Over)
-	for n, addr := range r.Servers {
+	for n, addr := range r.ServerAddrs {
 		var c struct{ Tally standin.ServerTally }
 		_, err := r.Get(addr+"/count", &c)
 		require.NoError(t, err)
@@ -219,7 +219,7 @@
 	dir := t.TempDir()
 	out, err := exec.Command("go", "build", "-race", "-o", dir+"/", "tidedeck/cmd/...").CombinedOutput()
 	require.NoError(t, err, "%s", out)
-	r := rise(t, "padana", func(s Shape, _, d string, plan []byte) *Fleet { return New(s, dir, d, plan) })
+	r := startFleetWith(t, "padana", func(s Shape, _, d string, plan []byte) *Fleet { return New(s, dir, d, plan) })
 	rep := r.calls(200, 40, 41, func() {
 		old := r.Owner()
 		r.Kill(old)
@@ -228,19 +228,19 @@
 		r.Kill("agent-1")
 		require.NoError(t, r.Start("agent-1"))
 		r.until("the zone is emptied", func() bool {
-			c, err := r.Do("POST", r.Admins["controller-1"]+"/zones/zb/empty", map[string]string{"X-Expect-Epoch": "any", "X-Change-Id": "e"}, nil, nil)
+			c, err := r.Do("POST", r.AdminAddrs["controller-1"]+"/zones/zb/empty", map[string]string{"X-Expect-Epoch": "any", "X-Change-Id": "e"}, nil, nil)
 			return err == nil && c == 200
 		})
 		r.until("the zone is refilled", func() bool {
-			c, err := r.Do("POST", r.Admins["controller-2"]+"/zones/zb/refill", map[string]string{"X-Expect-Epoch": "any", "X-Change-Id": "f"}, nil, nil)
+			c, err := r.Do("POST", r.AdminAddrs["controller-2"]+"/zones/zb/refill", map[string]string{"X-Expect-Epoch": "any", "X-Change-Id": "f"}, nil, nil)
 			return err == nil && c == 200
 		})
 	})
 	require.Greater(t, rep.Receipts, rep.Sent/2, "%v", rep.Kinds)
 	r.until("a node is ready", func() bool {
-		return r.CoreReady("controller-1") && r.CoreReady("controller-2") && r.CoreReady("controller-3")
+		return r.CoreNodeReady("controller-1") && r.CoreNodeReady("controller-2") && r.CoreNodeReady("controller-3")
 	})
-	for _, n := range r.Order {
+	for _, n := range r.StartOrder {
 		_ = r.Stop(n) // an exit says how it went, and so does its log
 	}
 	logs, err := filepath.Glob(filepath.Join(r.Dir, "*.log"))
@@ -256,8 +256,8 @@
 // Servers, agents and core nodes are rolled as planned under long streams, while plans change:
 // nothing is cut, nothing is unclear, nobody is turned away.
 func TestRolls(t *testing.T) {
-	r := raise(t, "padana")
-	m := standin.NewMix(r.q, 43)
+	r := startFleet(t, "padana")
+	m := standin.NewMix(r.parsedPlan, 43)
 	next := func() standin.Ask {
 		a := m.Next()
 		a.Call.Max += 60
@@ -268,16 +268,16 @@
 	all.Add(1)
 	go func() {
 		defer all.Done()
-		rep = standin.Calls(r.ctx, standin.CallOptions{Routers: r.Routers, Next: next, Rate: 20, Total: 400})
+		rep = standin.Calls(r.ctx, standin.CallOptions{Routers: r.RouterAddrs, Next: next, Rate: 20, Total: 400})
 	}()
 	mark := func(s, state string) {
-		c, err := r.Do("POST", r.Home+"/servers/"+s+"/"+state, nil, nil, nil)
+		c, err := r.Do("POST", r.PlatformAddr+"/servers/"+s+"/"+state, nil, nil, nil)
 		require.NoError(t, err)
 		require.Equal(t, 200, c)
 	}
 	offered := func(id string, want bool) func() bool {
 		return func() bool {
-			v, ok := r.Placed()
+			v, ok := r.ReadServers()
 			for _, s := range v.View.Servers {
 				if s.ID == id {
 					return ok && s.Offered == want
@@ -290,11 +290,11 @@
 		s, a, n := fmt.Sprintf("server-%d", i), fmt.Sprintf("agent-%d", i), fmt.Sprintf("controller-%d", i)
 		mark(s, "leaving")
 		r.until(s+" is offered no more", offered(s, false))
-		e := r.put(fmt.Sprintf("controller-%d", 1+i%3), []byte(string(r.Plan)+strings.Repeat("\n", i)), "any", fmt.Sprint("roll-", i))
-		r.until("the plan rules everywhere", func() bool { return r.Ruled(e, r.Routers...) })
+		e := r.putPlan(fmt.Sprintf("controller-%d", 1+i%3), []byte(string(r.Plan)+strings.Repeat("\n", i)), "any", fmt.Sprint("roll-", i))
+		r.until("the plan rules everywhere", func() bool { return r.InForceAt(e, r.RouterAddrs...) })
 		r.until(s+" has nothing under way", func() bool {
 			var c struct{ Active int }
-			_, err := r.Get(r.Servers[s]+"/count", &c)
+			_, err := r.Get(r.ServerAddrs[s]+"/count", &c)
 			return err == nil && c.Active == 0
 		})
 		require.NoError(t, r.Stop(s))
@@ -303,11 +303,11 @@
 		r.until(s+" is offered again", offered(s, true))
 		require.NoError(t, r.Stop(a))
 		require.NoError(t, r.Start(a))
-		r.until("its router is back", func() bool { return r.Ruled(e, r.Names[fmt.Sprintf("router-%d", i)]) })
+		r.until("its router is back", func() bool { return r.InForceAt(e, r.RouterByName[fmt.Sprintf("router-%d", i)]) })
 		require.NoError(t, r.Stop(n))
 		r.until("somebody owns the duty", func() bool { return r.Owner() != "" })
 		require.NoError(t, r.Start(n))
-		r.until("the node is back", func() bool { return r.CoreReady(n) })
+		r.until("the node is back", func() bool { return r.CoreNodeReady(n) })
 	}
 	all.Wait()
 	require.Empty(t, rep.Wrong)
@@ -317,8 +317,8 @@
 // Callers leave halfway or never read while links to servers break: everybody else gets only
 // what is their own, and nothing of the rude ones stays under way.
 func TestRudeCallers(t *testing.T) {
-	r := raiseLinked(t, "corrib")
-	m := standin.NewMix(r.q, 47)
+	r := startLinkedFleet(t, "corrib")
+	m := standin.NewMix(r.parsedPlan, 47)
 	stop := make(chan struct{})
 	var all sync.WaitGroup
 	all.Add(1)
@@ -329,14 +329,14 @@
 			case <-stop:
 				return
 			case <-time.After(1500 * time.Millisecond):
-				r.Links.Break()
+				r.Links.CloseConns()
 			}
 		}
 	}()
 	for i := range 40 {
 		a := m.Next()
 		a.Call.ID, a.Call.Max = fmt.Sprint("rude-", i), 400
-		c, err := net.Dial("tcp", r.Routers[i%len(r.Routers)])
+		c, err := net.Dial("tcp", r.RouterAddrs[i%len(r.RouterAddrs)])
 		require.NoError(t, err)
 		b := a.Body()
 		_, err = fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: r\r\nContent-Length: %d\r\n\r\n%s", a.Route, len(b), b)
@@ -362,7 +362,7 @@
 	require.NotZero(t, rep.Receipts, "%v", rep.Kinds)
 	require.NotZero(t, rep.Kinds["cut"], "links broke under streams: %v", rep.Kinds)
 	r.until("nothing is under way", func() bool {
-		for _, a := range r.Servers {
+		for _, a := range r.ServerAddrs {
 			var c struct{ Active int }
 			if _, err := r.Get(a+"/count", &c); err != nil || c.Active > 0 {
 				return false
--- a/internal/localfleet/localfleet_test.go
+++ b/internal/localfleet/localfleet_test.go
@@ -20,7 +20,7 @@
 )
 
 // patience is no bound on the system: it only ends a test that waits for what never comes.
-const patience = 120 * time.Second
+const testTimeout = 120 * time.Second
 
 var bins string
 
@@ -43,17 +43,17 @@
 	os.Exit(code)
 }
 
-type rig struct {
+type testFleet struct {
 	*Fleet
 	t   *testing.T
 	ctx context.Context
-	q   *fleetplan.Plan
+	parsedPlan   *fleetplan.Plan
 }
 
-func raise(t *testing.T, name string) rig { return rise(t, name, New) }
+func startFleet(t *testing.T, name string) testFleet { return startFleetWith(t, name, New) }
 
 // raiseLinked raises a fleet whose machines have links that can be cut.
-func raiseLinked(t *testing.T, name string) rig { return rise(t, name, NewLinked) }
+func startLinkedFleet(t *testing.T, name string) testFleet { return startFleetWith(t, name, NewLinked) }
 
 // noViolations fails a test if any process logged that an invariant was violated.
 func noViolations(t *testing.T, folder string) {
@@ -67,7 +67,7 @@
 	}
 }
 
-func rise(t *testing.T, name string, lay func(Shape, string, string, []byte) *Fleet) rig {
+func startFleetWith(t *testing.T, name string, lay func(Shape, string, string, []byte) *Fleet) testFleet {
 	t.Helper()
 	raw, err := os.ReadFile("../../examples/" + name + ".json")
 	require.NoError(t, err)
@@ -75,40 +75,40 @@
 	raw = regexp.MustCompile(`"wait_ms": \d+`).ReplaceAll(raw, []byte(`"wait_ms": 100000`))
 	q, faults := fleetplan.ReadPlan(raw)
 	require.Nil(t, faults)
-	ctx, stop := context.WithTimeout(context.Background(), patience)
+	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(stop)
 	f := lay(Shapes[name], bins, t.TempDir(), raw)
 	t.Cleanup(f.Links.Close)
 	t.Cleanup(func() { noViolations(t, f.Dir) }) // once all processes have ended
-	for n := range f.Servers {
-		f.Procs[n].Args = append(f.Procs[n].Args, "--whole-ms", "100000") // nor on how soon it is scheduled
+	for n := range f.ServerAddrs {
+		f.Processes[n].Args = append(f.Processes[n].Args, "--whole-ms", "100000") // nor on how soon it is scheduled
 	}
-	t.Cleanup(f.Down)
-	require.NoError(t, f.Up())
-	r := rig{f, t, ctx, q}
+	t.Cleanup(f.KillAll)
+	require.NoError(t, f.StartAll())
+	r := testFleet{f, t, ctx, q}
 	r.until("the core is ready", func() bool {
-		return f.CoreReady("controller-1") && f.CoreReady("controller-2") && f.CoreReady("controller-3")
+		return f.CoreNodeReady("controller-1") && f.CoreNodeReady("controller-2") && f.CoreNodeReady("controller-3")
 	})
-	e := r.put("controller-2", raw, "0", "first")
-	r.until("the plan rules everywhere", func() bool { return f.Ruled(e, f.Routers...) })
-	r.until("floors are loaded", f.Floors)
+	e := r.putPlan("controller-2", raw, "0", "first")
+	r.until("the plan rules everywhere", func() bool { return f.InForceAt(e, f.RouterAddrs...) })
+	r.until("floors are loaded", f.FloorsMet)
 	return r
 }
 
-func (r rig) until(what string, f func() bool) {
+func (r testFleet) until(what string, f func() bool) {
 	r.t.Helper()
 	require.NoError(r.t, Until(r.ctx, what, f))
 }
 
 // calls sends requests while a step goes on, and gives what callers saw.
-func (r rig) calls(n int, rate float64, seed uint64, during func()) *standin.CallReport {
+func (r testFleet) calls(n int, rate float64, seed uint64, during func()) *standin.CallReport {
 	var all sync.WaitGroup
 	var rep *standin.CallReport
 	all.Add(1)
 	go func() {
 		defer all.Done()
-		m := standin.NewMix(r.q, seed)
-		rep = standin.Calls(r.ctx, standin.CallOptions{Routers: r.Routers, Next: m.Next, Rate: rate, Total: n})
+		m := standin.NewMix(r.parsedPlan, seed)
+		rep = standin.Calls(r.ctx, standin.CallOptions{Routers: r.RouterAddrs, Next: m.Next, Rate: rate, Total: n})
 	}()
 	during()
 	all.Wait()
@@ -117,25 +117,25 @@
 }
 
 // put hands a plan over; under one id it may be asked until an answer comes.
-func (r rig) put(core string, raw []byte, expect, id string) (epoch uint64) {
+func (r testFleet) putPlan(core string, raw []byte, expect, id string) (epoch uint64) {
 	r.t.Helper()
 	r.until("the plan is taken", func() bool {
-		a, code, err := r.Put(core, raw, expect, id)
+		a, code, err := r.PutPlan(core, raw, expect, id)
 		epoch = a.Epoch
 		return err == nil && code == 200
 	})
 	return epoch
 }
 
-func (r rig) plan(core string) (string, bool) {
+func (r testFleet) readPlan(core string) (string, bool) {
 	var b []byte
-	c, err := r.Do("GET", r.Admins[core]+"/plan", nil, nil, &b)
+	c, err := r.Do("GET", r.AdminAddrs[core]+"/plan", nil, nil, &b)
 	return string(b), err == nil && c == 200
 }
 
 // A server, a router and the duty's owner are killed under traffic; the fleet goes on.
 func TestKills(t *testing.T) {
-	r := raise(t, "corrib")
+	r := startFleet(t, "corrib")
 	rep := r.calls(1200, 100, 5, func() {
 		r.Kill("server-3")
 		r.Kill("router-2")
@@ -152,15 +152,15 @@
 		require.Zero(t, rep.Kinds[k], k)
 	}
 	require.Greater(t, rep.Receipts, rep.Sent*2/3, "%v", rep.Kinds)
-	r.until("floors are loaded again", r.Floors)
+	r.until("floors are loaded again", r.FloorsMet)
 	again := r.calls(200, 100, 6, func() {})
 	require.Equal(t, again.Sent, again.Receipts, "%v", again.Kinds)
-	r.until("the plan is read back", func() bool { raw, ok := r.plan("controller-1"); return ok && raw == string(r.Plan) })
+	r.until("the plan is read back", func() bool { raw, ok := r.readPlan("controller-1"); return ok && raw == string(r.Plan) })
 }
 
 // An owner that is stopped loses the duty; when it goes on it orders nothing.
 func TestFrozenOwner(t *testing.T) {
-	r := raise(t, "padana")
+	r := startFleet(t, "padana")
 	old := r.Owner()
 	r.Signal(old, syscall.SIGSTOP)
 	r.until("another owns the duty", func() bool { o := r.Owner(); return o != "" && o != old })
@@ -168,22 +168,22 @@
 	require.Equal(t, rep.Sent, rep.Receipts, "%v", rep.Kinds)
 	// A router that is stopped past its hold comes back suspicious of all it had.
 	r.Signal("router-1", syscall.SIGSTOP)
-	require.EqualValues(t, 2, r.put("controller-1", []byte(string(r.Plan)+"\n"), "1", "second"))
+	require.EqualValues(t, 2, r.putPlan("controller-1", []byte(string(r.Plan)+"\n"), "1", "second"))
 	var rest []string
-	for n, x := range r.Names {
+	for n, x := range r.RouterByName {
 		if n != "router-1" {
 			rest = append(rest, x)
 		}
 	}
-	r.until("the others rule by the new plan", func() bool { return r.Ruled(2, rest...) })
+	r.until("the others rule by the new plan", func() bool { return r.InForceAt(2, rest...) })
 	r.Signal("router-1", syscall.SIGCONT)
-	r.until("the stopped router too", func() bool { return r.Ruled(2, r.Routers...) })
+	r.until("the stopped router too", func() bool { return r.InForceAt(2, r.RouterAddrs...) })
 }
 
 // Routers are restarted one by one, as planned, while long answers are under way: none is cut.
 func TestRollRouters(t *testing.T) {
-	r := raise(t, "corrib")
-	m := standin.NewMix(r.q, 11)
+	r := startFleet(t, "corrib")
+	m := standin.NewMix(r.parsedPlan, 11)
 	h := standin.Client()
 	for i := 1; i <= r.Shape.Routers; i++ {
 		n := fmt.Sprintf("router-%d", i)
@@ -194,10 +194,10 @@
 			a := m.Next()
 			a.Call.Max, a.Call.Again = 60, false
 			all.Add(1)
-			go func() { defer all.Done(); standin.Call(h, r.Names[n], a, rep, &mu) }()
+			go func() { defer all.Done(); standin.Call(h, r.RouterByName[n], a, rep, &mu) }()
 		}
 		r.until("streams are under way", func() bool {
-			return r.Metrics(r.Names[n] + "/-/metrics")["tidedeck_router_firsts_total"] >= 6
+			return r.Metrics(r.RouterByName[n] + "/-/metrics")["tidedeck_router_firsts_total"] >= 6
 		})
 		require.NoError(t, r.Stop(n), "a planned stop ends well")
 		all.Wait()
@@ -205,7 +205,7 @@
 		require.Equal(t, 6, rep.Receipts, "%v", rep.Kinds)
 		require.NoError(t, r.Start(n))
 	}
-	r.until("every router is back", func() bool { return r.Ruled(1, r.Routers...) })
+	r.until("every router is back", func() bool { return r.InForceAt(1, r.RouterAddrs...) })
 	// Core nodes, too: the owner gives the duty back as it stops.
 	rep := r.calls(300, 60, 12, func() {
 		for i := 1; i <= 3; i++ {
@@ -213,7 +213,7 @@
 			require.NoError(t, r.Stop(n))
 			r.until("somebody owns the duty", func() bool { return r.Owner() != "" })
 			require.NoError(t, r.Start(n))
-			r.until("the node is back", func() bool { return r.CoreReady(n) })
+			r.until("the node is back", func() bool { return r.CoreNodeReady(n) })
 		}
 	})
 	require.Equal(t, rep.Sent, rep.Receipts, "%v", rep.Kinds)
@@ -221,12 +221,12 @@
 
 // Every process is killed at once and started again: what was confirmed is there.
 func TestAllDownAndBack(t *testing.T) {
-	r := raise(t, "padana")
+	r := startFleet(t, "padana")
 	b := []byte(string(r.Plan) + "  \n")
-	e := r.put("controller-3", b, "1", "last")
-	r.Down()
+	e := r.putPlan("controller-3", b, "1", "last")
+	r.KillAll()
 	// The power went as well: every core disk has a journal that ends in half a record.
-	for n := range r.Admins {
+	for n := range r.AdminAddrs {
 		l, err := filepath.Glob(filepath.Join(r.Dir, n, "state", "*.log"))
 		require.NoError(t, err)
 		require.NotEmpty(t, l)
@@ -236,14 +236,14 @@
 		require.NoError(t, err)
 		require.NoError(t, f.Close())
 	}
-	require.NoError(t, r.Up())
-	r.until("the core is ready", func() bool { return r.CoreReady("controller-1") })
+	require.NoError(t, r.StartAll())
+	r.until("the core is ready", func() bool { return r.CoreNodeReady("controller-1") })
 	r.until("the plan is read back", func() bool {
-		raw, ok := r.plan("controller-1")
+		raw, ok := r.readPlan("controller-1")
 		require.True(t, !ok || raw == string(b), "to the byte")
 		return ok
 	})
-	r.until("the plan rules everywhere", func() bool { return r.Ruled(e, r.Routers...) })
+	r.until("the plan rules everywhere", func() bool { return r.InForceAt(e, r.RouterAddrs...) })
 	side, err := filepath.Glob(filepath.Join(r.Dir, "controller-*", "*.damaged-*"))
 	require.NoError(t, err)
 	require.Empty(t, side, "a torn tail is no damage")
@@ -254,7 +254,7 @@
 // A core node whose data folder was emptied is admitted anew and may then be relied on;
 // one whose folder is damaged likewise.
 func TestEmptiedCore(t *testing.T) {
-	r := raise(t, "padana")
+	r := startFleet(t, "padana")
 	seat := func(id string) (inc uint64) {
 		var v struct {
 			View struct {
@@ -265,7 +265,7 @@
 				Prior []any `json:"prior"`
 			} `json:"view"`
 		}
-		if _, err := r.Get(r.Admins["controller-2"]+"/nodes", &v); err != nil || len(v.View.Prior) > 0 {
+		if _, err := r.Get(r.AdminAddrs["controller-2"]+"/nodes", &v); err != nil || len(v.View.Prior) > 0 {
 			return 0
 		}
 		for _, x := range v.View.Voters {
@@ -297,15 +297,15 @@
 		r.until(fmt.Sprintf("the emptied node is admitted, %d", i), func() bool { n := seat("controller-3"); return n != 0 && n != was })
 	}
 	r.Kill("controller-1") // now the emptied node is needed for a majority
-	r.until("a majority with the emptied node serves", func() bool { raw, _ := r.plan("controller-2"); return raw == string(r.Plan) })
+	r.until("a majority with the emptied node serves", func() bool { raw, _ := r.readPlan("controller-2"); return raw == string(r.Plan) })
 }
 
 // Servers are made to fail on demand: one goes dark, one restarts empty, one is withdrawn with
 // notice, one is slow; each is seen, offered no more, and offered again when it is back.
 func TestServerFaults(t *testing.T) {
-	r := raise(t, "padana")
+	r := startFleet(t, "padana")
 	offered := func(id string) (offered, known bool) {
-		v, ok := r.Placed()
+		v, ok := r.ReadServers()
 		for _, s := range v.View.Servers {
 			if s.ID == id {
 				offered = s.Offered
@@ -314,12 +314,12 @@
 		return offered, ok
 	}
 	fault := func(id, kind string) {
-		c, err := r.Do("POST", r.Servers[id]+"/fault/"+kind, nil, nil, nil)
+		c, err := r.Do("POST", r.ServerAddrs[id]+"/fault/"+kind, nil, nil, nil)
 		require.NoError(t, err)
 		require.Equal(t, 200, c)
 	}
 	mark := func(id, state string) {
-		c, err := r.Do("POST", r.Home+"/servers/"+id+"/"+state, nil, nil, nil)
+		c, err := r.Do("POST", r.PlatformAddr+"/servers/"+id+"/"+state, nil, nil, nil)
 		require.NoError(t, err)
 		require.Equal(t, 200, c)
 	}
@@ -340,9 +340,9 @@
 		fault("server-4", "fast")
 	})
 	require.Greater(t, rep.Receipts, rep.Sent*9/10, "%v", rep.Kinds)
-	r.until("floors are loaded", r.Floors)
+	r.until("floors are loaded", r.FloorsMet)
 	var st standin.StoreTally
-	_, err := r.Get(r.Store+"/count", &st)
+	_, err := r.Get(r.StoreAddr+"/count", &st)
 	require.NoError(t, err)
 	require.Zero(t, st.Over, "loads never outran the store")
 	// Emptying a zone takes its servers out, refilling brings them back.
@@ -351,7 +351,7 @@
 		want bool
 	}{{"empty", false}, {"refill", true}} {
 		r.until("the zone is changed", func() bool {
-			code, err := r.Do("POST", r.Admins["controller-1"]+"/zones/zb/"+c.op, map[string]string{"X-Expect-Epoch": "any", "X-Change-Id": c.op}, nil, nil)
+			code, err := r.Do("POST", r.AdminAddrs["controller-1"]+"/zones/zb/"+c.op, map[string]string{"X-Expect-Epoch": "any", "X-Change-Id": c.op}, nil, nil)
 			return err == nil && code == 200
 		})
 		until("server-2", c.want)
--- a/internal/localfleet/relay.go
+++ b/internal/localfleet/relay.go
@@ -12,11 +12,11 @@
 	mu    sync.Mutex // guards all below
 	cond  *sync.Cond
 	cuts  map[[2]string]bool // from ip, to ip
-	slow  time.Duration
+	delay  time.Duration
 	rates map[string]float64 // bytes that a machine's connections carry in a second, where that is little
 	conns map[net.Conn]bool
-	ears  []net.Listener
-	over  bool
+	listeners  []net.Listener
+	closed  bool
 }
 
 // NewRelays makes links that carry everything.
@@ -33,7 +33,7 @@
 		return err
 	}
 	r.mu.Lock()
-	r.ears = append(r.ears, l)
+	r.listeners = append(r.listeners, l)
 	r.mu.Unlock()
 	there, _, _ := net.SplitHostPort(from)
 	go func() {
@@ -42,30 +42,30 @@
 			if err != nil {
 				return
 			}
-			go r.carry(c, there, to)
+			go r.relay(c, there, to)
 		}
 	}()
 	return nil
 }
 
-func (r *Relays) keep(c net.Conn) {
+func (r *Relays) track(c net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.conns[c] = true
 }
 
-func (r *Relays) shut(c net.Conn) {
+func (r *Relays) closeConn(c net.Conn) {
 	_ = c.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.conns, c)
 }
 
-func (r *Relays) carry(c net.Conn, there, to string) {
+func (r *Relays) relay(c net.Conn, there, to string) {
 	here, _, _ := net.SplitHostPort(c.RemoteAddr().String())
-	r.keep(c)
-	defer r.shut(c)
-	if !r.pass(here, there) {
+	r.track(c)
+	defer r.closeConn(c)
+	if !r.waitOpen(here, there) {
 		return
 	}
 	// The process behind sees who it is that connects.
@@ -74,8 +74,8 @@
 	if err != nil {
 		return
 	}
-	r.keep(d)
-	defer r.shut(d)
+	r.track(d)
+	defer r.closeConn(d)
 	var both sync.WaitGroup
 	pump := func(a, b net.Conn, from, to string) {
 		defer both.Done()
@@ -84,8 +84,8 @@
 		for {
 			n, err := a.Read(buf)
 			if n > 0 {
-				time.Sleep(r.takes(n, from, to))
-				if !r.pass(from, to) {
+				time.Sleep(r.transferTime(n, from, to))
+				if !r.waitOpen(from, to) {
 					return
 				}
 				if _, err := b.Write(buf[:n]); err != nil {
@@ -104,19 +104,19 @@
 }
 
 // pass waits while a way is cut; it tells whether the links are still up.
-func (r *Relays) pass(from, to string) bool {
+func (r *Relays) waitOpen(from, to string) bool {
 	r.mu.Lock()
-	slow := r.slow
+	slow := r.delay
 	r.mu.Unlock()
 	if slow > 0 {
 		time.Sleep(slow)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for r.cuts[[2]string{from, to}] && !r.over {
+	for r.cuts[[2]string{from, to}] && !r.closed {
 		r.cond.Wait()
 	}
-	return !r.over
+	return !r.closed
 }
 
 // Cut holds back all that goes one way.
@@ -148,10 +148,10 @@
 }
 
 // Slow delays every part of what is carried.
-func (r *Relays) Slow(d time.Duration) {
+func (r *Relays) SetDelay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.slow = d
+	r.delay = d
 }
 
 // Narrow bounds what each connection from or to an address carries in a second, in bytes; zero takes the bound away.
@@ -166,7 +166,7 @@
 }
 
 // takes gives how long some bytes take from one address to another.
-func (r *Relays) takes(n int, from, to string) (span time.Duration) {
+func (r *Relays) transferTime(n int, from, to string) (span time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, ip := range []string{from, to} {
@@ -178,15 +178,15 @@
 }
 
 // Heal carries everything again.
-func (r *Relays) Heal() {
+func (r *Relays) RestoreAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cuts, r.slow = map[[2]string]bool{}, 0
+	r.cuts, r.delay = map[[2]string]bool{}, 0
 	r.cond.Broadcast()
 }
 
 // Break breaks off every connection there is.
-func (r *Relays) Break() {
+func (r *Relays) CloseConns() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
@@ -198,8 +198,8 @@
 func (r *Relays) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.over = true
-	for _, l := range r.ears {
+	r.closed = true
+	for _, l := range r.listeners {
 		_ = l.Close()
 	}
 	for c := range r.conns {
--- a/internal/localfleet/report.go
+++ b/internal/localfleet/report.go
@@ -15,7 +15,7 @@
 func (f *Fleet) Report(w io.Writer, r *standin.CallReport) {
 	p := func(form string, a ...any) { _, _ = fmt.Fprintf(w, form+"\n", a...) }
 	p("")
-	p("fleet %s: %d core nodes, %d routers with agents, %d model servers", f.Shape.Name, len(f.Admins), f.Shape.Routers, f.Shape.Servers)
+	p("fleet %s: %d core nodes, %d routers with agents, %d model servers", f.Shape.Name, len(f.AdminAddrs), f.Shape.Routers, f.Shape.Servers)
 	p("callers   sent %d, answered %d, events %d, came back when told to %d", r.Sent, r.Receipts, r.Events, r.Repeats)
 	for _, k := range generic.SortedKeys(r.Kinds) {
 		p("          %-18s %d", k, r.Kinds[k])
@@ -31,7 +31,7 @@
 	}
 	sum := map[string]float64{}
 	epochs := map[string]int{}
-	for _, a := range f.Names {
+	for _, a := range f.RouterByName {
 		m := f.Metrics(a + "/-/metrics")
 		for k, v := range m {
 			sum[k] += v
@@ -42,18 +42,18 @@
 	p("routers   first goes %.0f, retries %.0f, repeats %.0f, sends held back %.0f, requests held %.0f", l("firsts"), l("retries"), l("repeats"), l("sendsheld"), l("waited"))
 	p("          callback hits %.0f, lookups %.0f (entries fetched %.0f, found the same %.0f)", l("hits"), l("lookups"), l("fetches"), l("sames"))
 	p("          breaks taken %.0f, removals sent %.0f, made suspect %.0f", l("breaks"), l("removals"), l("suspects"))
-	p("          epochs in force: %s", list(epochs))
-	for _, n := range generic.SortedKeys(f.Admins) {
-		m := f.Metrics(f.Admins[n] + "/metrics")
+	p("          epochs in force: %s", formatCounts(epochs))
+	for _, n := range generic.SortedKeys(f.AdminAddrs) {
+		m := f.Metrics(f.AdminAddrs[n] + "/metrics")
 		a := func(k string) float64 { return m["tidedeck_controller_"+k+"_total"] }
 		p("%-9s reigns %.0f, grants %.0f, breaks %.0f, acknowledged %.0f, lapsed %.0f, loads %.0f, unloads %.0f, rounds %.0f", n, a("reigns"), a("grants"), a("breaks"), a("acks"), a("lapses"), a("loads"), a("unloads"), a("rounds"))
 	}
 	var st standin.StoreTally
-	if _, err := f.Get(f.Store+"/count", &st); err == nil {
+	if _, err := f.Get(f.StoreAddr+"/count", &st); err == nil {
 		p("store     pulls %d, most at once %d, beyond its budget %d", st.Pulls, st.Peak, st.Over)
 	}
 	works, reused, bytes, drops := uint64(0), uint64(0), uint64(0), map[string]int{}
-	for _, a := range f.Servers {
+	for _, a := range f.ServerAddrs {
 		var c struct {
 			Tally standin.ServerTally `json:"tally"`
 		}
@@ -66,10 +66,10 @@
 			}
 		}
 	}
-	p("servers   ran %d, dropped %s, prompt bytes reused %.0f in 100", works, list(drops), 100*float64(reused)/max(1, float64(bytes)))
+	p("servers   ran %d, dropped %s, prompt bytes reused %.0f in 100", works, formatCounts(drops), 100*float64(reused)/max(1, float64(bytes)))
 }
 
-func list(m map[string]int) string {
+func formatCounts(m map[string]int) string {
 	var l []string
 	for _, k := range generic.SortedKeys(m) {
 		l = append(l, fmt.Sprintf("%s: %d", k, m[k]))
