--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -50,16 +50,16 @@
 
 // Table is what an experiment found.
 type Table struct {
-	First  Side   `json:"first"`
-	Second Side   `json:"second"`
-	Rows   []Row  `json:"rows"`
+	First      Side        `json:"first"`
+	Second     Side        `json:"second"`
+	Rows       []Row       `json:"rows"`
 	Violations []Violation `json:"broken,omitempty"`
 }
 
 // Rule is a rule that was broken, or a fault, on one side of a pair.
 type Violation struct {
-	Day  Day    `json:"played"`
-	Side string `json:"side"`
+	Day         Day    `json:"played"`
+	Side        string `json:"side"`
 	Description string `json:"what"`
 }
 
--- a/internal/experiment/explain.go
+++ b/internal/experiment/explain.go
@@ -19,16 +19,16 @@
 // answered late, and what ended those that were not answered.
 
 const (
-	causeServer = "server"  // queued or read at the server
+	causeServer  = "server"  // queued or read at the server
 	causeEarlier = "earlier" // attempts before the last one
-	maxLineBytes    = 1 << 20
+	maxLineBytes = 1 << 20
 )
 
 // Loss counts the requests that have one cause.
 type Loss struct {
 	Late     bool   `json:"late"` // answered, and late
 	Cause    string `json:"cause"`
-	Target     string `json:"what"` // base, adapter or service
+	Target   string `json:"what"` // base, adapter or service
 	Requests int    `json:"requests"`
 	WaitedMs int64  `json:"waited_ms"` // of that cause
 }
--- a/internal/experiment/figures.go
+++ b/internal/experiment/figures.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	confidence    = 0.95
+	confidence       = 0.95
 	targetHalfWidth  = 0.01 // of which the table says how many pairs it wants
-	overallFigure = "score"
-	worstWindowCount  = 2 // the worst windows that are compared
+	overallFigure    = "score"
+	worstWindowCount = 2 // the worst windows that are compared
 )
 
 // Row is one figure's differences over all pairs that have it.
 type Row struct {
-	Figure     string  `json:"figure"`
-	Pairs      int     `json:"pairs"`
-	First      float64 `json:"first"` // mean
-	Second     float64 `json:"second"`
-	Difference float64 `json:"difference"`
-	HalfWidth  float64 `json:"half_width"` // of the interval of the difference; 0 with a single pair
-	PairsNeeded     int     `json:"wanted"`     // pairs until the half width is 0.01
+	Figure      string  `json:"figure"`
+	Pairs       int     `json:"pairs"`
+	First       float64 `json:"first"` // mean
+	Second      float64 `json:"second"`
+	Difference  float64 `json:"difference"`
+	HalfWidth   float64 `json:"half_width"` // of the interval of the difference; 0 with a single pair
+	PairsNeeded int     `json:"wanted"`     // pairs until the half width is 0.01
 }
 
 // figure takes one number from a report; there may be none.
 type figure struct {
-	name string
+	name  string
 	value func(Day, *Report) (float64, bool)
 }
 
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -20,7 +20,7 @@
 	Folder     string // of copies, reports and logs; what is there already is not played again
 	Journal    string // folder that the journal entries of the copies are gathered in, if one is said
 	Jobs       int    // pairs at a time
-	Reason        string
+	Reason     string
 	Options    []string // further options of the bench's run
 	Progress   io.Writer
 
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -59,11 +59,11 @@
 
 // Group is a kind of request, a zone of clients or a span of time.
 type Group struct {
-	Name   string   `json:"name"`
-	Requests  int      `json:"n"`
-	Late   int      `json:"late"`
-	Failed int      `json:"failed"`
-	Worth  *float64 `json:"worth"` // absent where nothing was owed
+	Name     string   `json:"name"`
+	Requests int      `json:"n"`
+	Late     int      `json:"late"`
+	Failed   int      `json:"failed"`
+	Worth    *float64 `json:"worth"` // absent where nothing was owed
 }
 
 // unpack reads a JSON list of fixed length into its fields.
--- a/internal/localfleet/fleet.go
+++ b/internal/localfleet/fleet.go
@@ -1,5 +1,6 @@
-// Package localfleet holds a whole fleet on one machine: it starts every program as a process of its
-// own, sends traffic, makes parts fail, and reports what callers, servers and operators saw.
+// Package localfleet runs a whole fleet on one machine. It starts every program as a process of its own, sends
+// traffic, injects failures, and reports what callers, servers and operators observed. It also runs hollow fleets: the
+// production cores in one process and in virtual time, to measure what each role costs at large sizes.
 package localfleet
 
 import (
@@ -24,24 +25,24 @@
 	"tidedeck/internal/fleetplan"
 )
 
-// Shape is the size of a fleet.
+// Shape is the size of a fleet and the capacity of its parts.
 type Shape struct {
-	Name    string
-	Routers int
-	Servers int
-	Zones   []string
-	Room    int
-	StoreRate    int // of the weight store
-	MaxPulls    int
+	Name      string
+	Routers   int
+	Servers   int
+	Zones     []string
+	Room      int
+	StoreRate int // bandwidth of the weight store
+	MaxPulls  int
 }
 
-// Shapes of today's two deployments.
+// Shapes holds the shapes of the two current deployments, by name.
 var Shapes = map[string]Shape{
 	"corrib": {"corrib", 8, 9, []string{"za", "zb", "zc"}, 80, 60, 3},
 	"padana": {"padana", 7, 9, []string{"za", "zb", "zc"}, 80, 60, 3},
 }
 
-// Proc is one process of a fleet.
+// Process is one process of a fleet.
 type Process struct {
 	Name string
 	Bin  string
@@ -51,7 +52,8 @@
 	err  error
 }
 
-// Record makes every router record its day into the fleet's folder, each start anew.
+// RecordRequests makes every router record its requests in a file in the fleet's folder; each start of a router begins
+// a new recording.
 func (f *Fleet) RecordRequests() {
 	for n := range f.RouterByName {
 		p := f.Processes[n]
@@ -59,54 +61,54 @@
 	}
 }
 
-// Fleet is a running fleet.
+// Fleet is a fleet of local processes.
 type Fleet struct {
-	Shape   Shape
-	Dir     string
-	BinDir    string
-	Plan    []byte
-	Processes   map[string]*Process
-	StartOrder   []string
-	Seeds   []string
-	AdminAddrs  map[string]string // of core nodes
-	RouterAddrs []string          // where callers go
-	RouterByName   map[string]string // router address by name
-	ServerAddrs map[string]string
-	StoreAddr   string
-	PlatformAddr    string // the platform
-	client    *http.Client
-	mu      sync.Mutex // guards used
-	usedPorts    map[int]bool
-	Log     io.Writer
-	Links   *Relays           // between all machines, if the fleet has links of its own
-	IPs     map[string]string // of each machine
-	hasLinks  bool
-	platformLinkAddr    string // where core nodes reach the platform
-}
-
-// Port finds a free port outside the range that the kernel gives out by itself.
+	Shape            Shape
+	Dir              string
+	BinDir           string
+	Plan             []byte
+	Processes        map[string]*Process
+	StartOrder       []string
+	Seeds            []string
+	AdminAddrs       map[string]string // of core nodes
+	RouterAddrs      []string          // that callers connect to
+	RouterByName     map[string]string // router address by name
+	ServerAddrs      map[string]string
+	StoreAddr        string
+	PlatformAddr     string // where the platform listens
+	client           *http.Client
+	mu               sync.Mutex // guards usedPorts
+	usedPorts        map[int]bool
+	Log              io.Writer
+	Links            *Relays           // between all machines, if hasLinks
+	IPs              map[string]string // of each machine
+	hasLinks         bool
+	platformLinkAddr string // where core nodes reach the platform
+}
+
+// FreePort returns a free loopback address with a port outside the kernel's ephemeral range.
 func (f *Fleet) FreePort() string { return f.FreePortAt("127.0.0.1") }
 
-// PortAt finds one at an address.
+// FreePortAt returns a free address of the given IP, with a port outside the kernel's ephemeral range.
 func (f *Fleet) FreePortAt(ip string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for {
-		p := 12000 + rand.IntN(20000)
-		if f.usedPorts[p] {
+		port := 12000 + rand.IntN(20000)
+		if f.usedPorts[port] {
 			continue
 		}
-		l, err := net.Listen("tcp", fmt.Sprintf("%s:%d", ip, p))
+		listener, err := net.Listen("tcp", fmt.Sprintf("%s:%d", ip, port))
 		if err != nil {
 			continue
 		}
-		_ = l.Close()
-		f.usedPorts[p] = true
-		return fmt.Sprintf("%s:%d", ip, p)
+		_ = listener.Close()
+		f.usedPorts[port] = true
+		return fmt.Sprintf("%s:%d", ip, port)
 	}
 }
 
-// machine gives a machine its address: one of its own on loopback, where the fleet has links.
+// machineIP returns the IP of a machine. In a fleet with links, each machine has a loopback IP of its own.
 func (f *Fleet) machineIP(name string) string {
 	if !f.hasLinks {
 		return "127.0.0.1"
@@ -117,25 +119,26 @@
 	return f.IPs[name]
 }
 
-// ends gives where others reach a process of a machine, and where it listens itself.
-func (f *Fleet) newAddrs(name string) (told, at string) {
-	told = f.FreePortAt(f.machineIP(name))
+// newAddrs allocates the address at which others reach a process of a machine, and the address at which the process
+// listens. The two differ in a fleet with links.
+func (f *Fleet) newAddrs(name string) (linkAddr, listenAddr string) {
+	linkAddr = f.FreePortAt(f.machineIP(name))
 	if !f.hasLinks {
-		return told, told
+		return linkAddr, linkAddr
 	}
-	return told, f.FreePortAt("127.0.0.1")
+	return linkAddr, f.FreePortAt("127.0.0.1")
 }
 
-// link puts a relay before a process, which listens at an address of its own.
-func (f *Fleet) openLink(told, at string) {
+// openLink opens a relay in front of a process, in a fleet with links.
+func (f *Fleet) openLink(linkAddr, listenAddr string) {
 	if f.hasLinks {
-		if err := f.Links.Open(told, at); err != nil {
-			panic(err) // the port was free a moment ago
+		if err := f.Links.Open(linkAddr, listenAddr); err != nil {
+			panic(err) // FreePortAt has just found the port free
 		}
 	}
 }
 
-// Cut parts two machines, or with one way only what goes from the first to the second.
+// Cut partitions two machines. With oneWay set, it blocks only the direction from a to b.
 func (f *Fleet) Cut(a, b string, oneWay bool) {
 	f.Links.Cut(f.IPs[a], f.IPs[b])
 	if !oneWay {
@@ -143,77 +146,82 @@
 	}
 }
 
-// Part parts a machine from all others but some.
-func (f *Fleet) Isolate(a string, but ...string) {
+// Isolate partitions a machine from all others, except those whose name begins with one of the given prefixes.
+func (f *Fleet) Isolate(name string, exceptPrefixes ...string) {
 next:
-	for b := range f.IPs {
-		for _, x := range but {
-			if strings.HasPrefix(b, x) {
+	for other := range f.IPs {
+		for _, prefix := range exceptPrefixes {
+			if strings.HasPrefix(other, prefix) {
 				continue next
 			}
 		}
-		if a != b {
-			f.Cut(a, b, false)
+		if name != other {
+			f.Cut(name, other, false)
 		}
 	}
 }
 
-// New lays out a fleet; nothing runs yet.
-func New(s Shape, bins, dir string, plan []byte) *Fleet { return newFleet(s, bins, dir, plan, false) }
+// New configures a fleet without starting any process.
+func New(shape Shape, binDir, dir string, plan []byte) *Fleet {
+	return newFleet(shape, binDir, dir, plan, false)
+}
 
-// NewLinked lays out a fleet whose machines have addresses and links of their own.
-func NewLinked(s Shape, bins, dir string, plan []byte) *Fleet { return newFleet(s, bins, dir, plan, true) }
+// NewLinked configures a fleet whose machines have IPs of their own and are connected by links that can be cut. It starts
+// no process.
+func NewLinked(shape Shape, binDir, dir string, plan []byte) *Fleet {
+	return newFleet(shape, binDir, dir, plan, true)
+}
 
-func newFleet(s Shape, bins, dir string, plan []byte, linked bool) *Fleet {
-	f := &Fleet{hasLinks: linked, Links: NewRelays(), IPs: map[string]string{}, Shape: s, Dir: dir, BinDir: bins, Plan: plan, Processes: map[string]*Process{}, AdminAddrs: map[string]string{}, RouterByName: map[string]string{},
+func newFleet(shape Shape, binDir, dir string, plan []byte, hasLinks bool) *Fleet {
+	f := &Fleet{hasLinks: hasLinks, Links: NewRelays(), IPs: map[string]string{}, Shape: shape, Dir: dir, BinDir: binDir, Plan: plan, Processes: map[string]*Process{}, AdminAddrs: map[string]string{}, RouterByName: map[string]string{},
 		ServerAddrs: map[string]string{}, usedPorts: map[int]bool{}, client: &http.Client{Timeout: 8 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
-	zone := func(i int) string { return s.Zones[i%len(s.Zones)] }
+	zone := func(i int) string { return shape.Zones[i%len(shape.Zones)] }
 	f.StoreAddr = f.FreePort()
-	home, homeAt := f.newAddrs("platform")
-	f.PlatformAddr = homeAt
-	f.platformLinkAddr = home
-	f.openLink(home, homeAt)
-	f.addProcess("store", "standin", "store", "--listen", f.StoreAddr, "--rate", fmt.Sprint(s.StoreRate), "--bear", fmt.Sprint(s.MaxPulls))
-	var list []string
-	for i := range s.Servers {
-		n := fmt.Sprintf("server-%d", i+1)
-		told, a := f.newAddrs(n)
-		f.openLink(told, a)
-		f.ServerAddrs[n] = a
-		list = append(list, fmt.Sprintf("%s=%s=%s", n, told, zone(i)))
-		// Old and new servers differ in room, slots and speed.
-		part := 3 + i%3
-		f.addProcess(n, "standin", "server", "--id", n, "--listen", a, "--store", f.StoreAddr, "--room", fmt.Sprint(s.Room*part/4), "--slots", fmt.Sprint(4*part), "--step-ms", fmt.Sprint(80/part))
-	}
-	f.addProcess("platform", "standin", "platform", "--listen", f.PlatformAddr, "--servers", strings.Join(list, ","))
+	platformLink, platformListen := f.newAddrs("platform")
+	f.PlatformAddr = platformListen
+	f.platformLinkAddr = platformLink
+	f.openLink(platformLink, platformListen)
+	f.addProcess("store", "standin", "store", "--listen", f.StoreAddr, "--rate", fmt.Sprint(shape.StoreRate), "--bear", fmt.Sprint(shape.MaxPulls))
+	var serverList []string
+	for i := range shape.Servers {
+		name := fmt.Sprintf("server-%d", i+1)
+		linkAddr, addr := f.newAddrs(name)
+		f.openLink(linkAddr, addr)
+		f.ServerAddrs[name] = addr
+		serverList = append(serverList, fmt.Sprintf("%s=%s=%s", name, linkAddr, zone(i)))
+		// Servers of several generations: they differ in memory, slots and speed.
+		generation := 3 + i%3
+		f.addProcess(name, "standin", "server", "--id", name, "--listen", addr, "--store", f.StoreAddr, "--room", fmt.Sprint(shape.Room*generation/4), "--slots", fmt.Sprint(4*generation), "--step-ms", fmt.Sprint(80/generation))
+	}
+	f.addProcess("platform", "standin", "platform", "--listen", f.PlatformAddr, "--servers", strings.Join(serverList, ","))
 	for range 3 {
 		f.Seeds = append(f.Seeds, f.FreePortAt(f.machineIP(fmt.Sprintf("controller-%d", len(f.Seeds)+1))))
 	}
-	for i, a := range f.Seeds {
-		f.AddCoreNode(fmt.Sprintf("controller-%d", i+1), a, zone(i))
+	for i, addr := range f.Seeds {
+		f.AddCoreNode(fmt.Sprintf("controller-%d", i+1), addr, zone(i))
 	}
-	for i := range s.Routers {
-		n := fmt.Sprint(i + 1)
-		call, ctl, near, adm := f.FreePortAt(f.machineIP("router-"+n)), f.FreePort(), f.FreePort(), f.FreePort()
-		link, at := f.newAddrs("router-" + n)
-		f.openLink(link, at)
-		f.RouterAddrs = append(f.RouterAddrs, call)
-		f.RouterByName["router-"+n] = call
-		f.addProcess("agent-"+n, "agent", "--id", "agent-"+n, "--zone", zone(i), "--listen", link, "--bind", at, "--near", near, "--router", ctl, "--admin", adm, "--seeds", strings.Join(f.Seeds, ","))
-		f.addProcess("router-"+n, "router", "--id", "router-"+n, "--listen", call, "--control", ctl, "--agent", near)
+	for i := range shape.Routers {
+		name := fmt.Sprint(i + 1)
+		callers, control, local, admin := f.FreePortAt(f.machineIP("router-"+name)), f.FreePort(), f.FreePort(), f.FreePort()
+		agentLink, agentListen := f.newAddrs("router-" + name)
+		f.openLink(agentLink, agentListen)
+		f.RouterAddrs = append(f.RouterAddrs, callers)
+		f.RouterByName["router-"+name] = callers
+		f.addProcess("agent-"+name, "agent", "--id", "agent-"+name, "--zone", zone(i), "--listen", agentLink, "--bind", agentListen, "--near", local, "--router", control, "--admin", admin, "--seeds", strings.Join(f.Seeds, ","))
+		f.addProcess("router-"+name, "router", "--id", "router-"+name, "--listen", callers, "--control", control, "--agent", local)
 	}
 	return f
 }
 
-// AddCore lays out a core node.
+// AddCoreNode configures a core node.
 func (f *Fleet) AddCoreNode(name, listen, zone string) {
 	f.AdminAddrs[name] = f.FreePort()
-	at := listen
+	bind := listen
 	if f.hasLinks {
-		at = f.FreePort()
-		f.openLink(listen, at)
+		bind = f.FreePort()
+		f.openLink(listen, bind)
 	}
-	f.addProcess(name, "controller", "--id", name, "--zone", zone, "--listen", listen, "--bind", at, "--admin", f.AdminAddrs[name], "--seeds", strings.Join(f.Seeds, ","),
+	f.addProcess(name, "controller", "--id", name, "--zone", zone, "--listen", listen, "--bind", bind, "--admin", f.AdminAddrs[name], "--seeds", strings.Join(f.Seeds, ","),
 		"--data", filepath.Join(f.Dir, name), "--platform", f.platformLinkAddr)
 }
 
@@ -224,30 +232,30 @@
 
 // Start starts one process.
 func (f *Fleet) Start(name string) error {
-	p := f.Processes[name]
-	p.cmd = exec.Command(filepath.Join(f.BinDir, p.Bin), p.Args...)
+	process := f.Processes[name]
+	process.cmd = exec.Command(filepath.Join(f.BinDir, process.Bin), process.Args...)
 	log, err := os.OpenFile(filepath.Join(f.Dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return errors.Wrap(err, "log")
+		return errors.Wrap(err, "open log file")
 	}
 	defer log.Close()
-	p.cmd.Stdout, p.cmd.Stderr = log, log
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := p.cmd.Start(); err != nil {
-		return errors.Wrap(err, name)
-	}
-	p.done = make(chan struct{})
-	go func(c *exec.Cmd, done chan struct{}) {
-		p.err = c.Wait()
+	process.cmd.Stdout, process.cmd.Stderr = log, log
+	process.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	if err := process.cmd.Start(); err != nil {
+		return errors.Wrap(err, "start "+name)
+	}
+	process.done = make(chan struct{})
+	go func(cmd *exec.Cmd, done chan struct{}) {
+		process.err = cmd.Wait()
 		close(done)
-	}(p.cmd, p.done)
+	}(process.cmd, process.done)
 	return nil
 }
 
-// Up starts every process.
+// StartAll starts every process.
 func (f *Fleet) StartAll() error {
 	if err := os.MkdirAll(f.Dir, 0o755); err != nil {
-		return errors.Wrap(err, "folder")
+		return errors.Wrap(err, "create fleet folder")
 	}
 	for _, n := range f.StartOrder {
 		if err := f.Start(n); err != nil {
@@ -264,27 +272,27 @@
 	}
 }
 
-// Kill ends a process at once and waits until it is gone.
+// Kill kills a process and waits until it has exited.
 func (f *Fleet) Kill(name string) {
 	f.Signal(name, syscall.SIGKILL)
 	f.Wait(name)
 }
 
-// Wait waits until a process is gone.
+// Wait waits until a process has exited.
 func (f *Fleet) Wait(name string) {
 	if p := f.Processes[name]; p.done != nil {
 		<-p.done
 	}
 }
 
-// Stop asks a process to stop and waits until it has.
+// Stop terminates a process gracefully, waits until it has exited, and returns its exit error.
 func (f *Fleet) Stop(name string) error {
 	f.Signal(name, syscall.SIGTERM)
 	f.Wait(name)
 	return f.Processes[name].err
 }
 
-// Down ends every process.
+// KillAll kills every process and waits until all have exited.
 func (f *Fleet) KillAll() {
 	for _, n := range f.StartOrder {
 		f.Signal(n, syscall.SIGCONT)
@@ -295,56 +303,57 @@
 	}
 }
 
-// Get reads a JSON answer and tells its status.
+// Get requests a URL, decodes the JSON response into v and returns the status code.
 func (f *Fleet) Get(url string, v any) (int, error) { return f.Do(http.MethodGet, url, nil, nil, v) }
 
-// Do sends a request and reads a JSON answer.
-func (f *Fleet) Do(how, url string, head map[string]string, body []byte, v any) (int, error) {
-	q, err := http.NewRequest(how, "http://"+url, bytes.NewReader(body))
+// Do sends a request, decodes the JSON response into v and returns the status code. If v is a *[]byte, it receives the
+// raw response instead; if v is nil, the response is discarded.
+func (f *Fleet) Do(method, url string, headers map[string]string, body []byte, v any) (int, error) {
+	request, err := http.NewRequest(method, "http://"+url, bytes.NewReader(body))
 	if err != nil {
 		return 0, err
 	}
-	for k, x := range head {
-		q.Header.Set(k, x)
+	for name, value := range headers {
+		request.Header.Set(name, value)
 	}
-	w, err := f.client.Do(q)
+	response, err := f.client.Do(request)
 	if err != nil {
 		return 0, err
 	}
-	defer w.Body.Close()
-	b, err := io.ReadAll(w.Body)
+	defer response.Body.Close()
+	raw, err := io.ReadAll(response.Body)
 	if err != nil {
-		return w.StatusCode, err
+		return response.StatusCode, err
 	}
 	if v == nil {
-		return w.StatusCode, nil
+		return response.StatusCode, nil
 	}
-	if p, ok := v.(*[]byte); ok {
-		*p = b
-		return w.StatusCode, nil
+	if target, ok := v.(*[]byte); ok {
+		*target = raw
+		return response.StatusCode, nil
 	}
-	return w.StatusCode, json.Unmarshal(b, v)
+	return response.StatusCode, json.Unmarshal(raw, v)
 }
 
-// Until asks again and again until it holds, or the context ends.
-func Until(ctx context.Context, what string, f func() bool) error {
-	for !f() {
+// WaitUntil polls a condition until it holds, and returns an error when the context ends first.
+func Until(ctx context.Context, what string, holds func() bool) error {
+	for !holds() {
 		select {
 		case <-ctx.Done():
-			return errors.Errorf("never came about: %s", what)
+			return errors.Errorf("condition not met: %s", what)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 	return nil
 }
 
-// CoreReady tells whether a core node is ready.
+// CoreNodeReady reports whether a core node is ready.
 func (f *Fleet) CoreNodeReady(name string) bool {
-	c, err := f.Get(f.AdminAddrs[name]+"/ready", nil)
-	return err == nil && c == 200
+	code, err := f.Get(f.AdminAddrs[name]+"/ready", nil)
+	return err == nil && code == 200
 }
 
-// Taken is an operator's answer.
+// PlanReply is a core node's reply to an operator who submits a plan.
 type PlanReply struct {
 	Kind   string           `json:"kind"`
 	Why    string           `json:"why"`
@@ -352,14 +361,14 @@
 	Faults fleetplan.Faults `json:"faults"`
 }
 
-// Put hands over a plan at a core node.
+// PutPlan submits a plan to a core node. A retry with the same change id is idempotent.
 func (f *Fleet) PutPlan(core string, plan []byte, expect, id string) (PlanReply, int, error) {
-	var t PlanReply
-	c, err := f.Do(http.MethodPut, f.AdminAddrs[core]+"/plan", map[string]string{"X-Expect-Epoch": expect, "X-Change-Id": id}, plan, &t)
-	return t, c, err
+	var reply PlanReply
+	code, err := f.Do(http.MethodPut, f.AdminAddrs[core]+"/plan", map[string]string{"X-Expect-Epoch": expect, "X-Change-Id": id}, plan, &reply)
+	return reply, code, err
 }
 
-// EpochAt tells the epoch that a router has in force, zero while it is not ready.
+// EpochAt returns the epoch in force at a router, zero while the router is not ready.
 func (f *Fleet) EpochAt(router string) uint64 {
 	var v struct {
 		Ready bool   `json:"ready"`
@@ -371,7 +380,7 @@
 	return v.Epoch
 }
 
-// Ruled tells whether every router named is ready under at least an epoch.
+// InForceAt reports whether each of the routers is ready with at least the given epoch in force.
 func (f *Fleet) InForceAt(epoch uint64, routers ...string) bool {
 	for _, r := range routers {
 		if f.EpochAt(r) < epoch {
@@ -381,7 +390,7 @@
 	return true
 }
 
-// Owner finds the core node that owns the duty, if any.
+// Owner returns the name of the core node that holds the leadership, or an empty string.
 func (f *Fleet) Owner() string {
 	for n, a := range f.AdminAddrs {
 		var v struct {
@@ -396,20 +405,20 @@
 	return ""
 }
 
-// ServersView is what the duty's owner tells of the servers.
+// ServersView is the leader's view of the servers.
 type ServersView struct {
 	View struct {
-		Duty    uint64 `json:"duty"`
+		Term    uint64 `json:"duty"`
 		Servers []struct {
-			ID      string `json:"id"`
-			Zone    string `json:"zone"`
-			State   string `json:"state"`
-			Dark    bool   `json:"dark"`
-			Known   bool   `json:"known"`
-			Offered bool   `json:"offered"`
-			Room    int    `json:"room"`
-			Used    int    `json:"used"`
-			Holds   []struct {
+			ID       string `json:"id"`
+			Zone     string `json:"zone"`
+			State    string `json:"state"`
+			Dark     bool   `json:"dark"`
+			Known    bool   `json:"known"`
+			Offered  bool   `json:"offered"`
+			Room     int    `json:"room"`
+			Used     int    `json:"used"`
+			Replicas []struct {
 				Key    string `json:"key"`
 				Stage  string `json:"stage"`
 				Active int    `json:"active"`
@@ -418,55 +427,55 @@
 	} `json:"view"`
 }
 
-// Placed reads the servers from the duty's owner.
+// ReadServers reads the leader's view of the servers. It reports false without a leader or a successful response.
 func (f *Fleet) ReadServers() (v ServersView, ok bool) {
-	o := f.Owner()
-	if o == "" {
+	owner := f.Owner()
+	if owner == "" {
 		return v, false
 	}
-	c, err := f.Get(f.AdminAddrs[o]+"/servers", &v)
-	return v, err == nil && c == 200
+	code, err := f.Get(f.AdminAddrs[owner]+"/servers", &v)
+	return v, err == nil && code == 200
 }
 
-// Floors tells whether every key has its floor of ready replicas.
+// FloorsMet reports whether every model has at least its floor of ready replicas at offered servers.
 func (f *Fleet) FloorsMet() bool {
-	p, _ := fleetplan.ReadPlan(f.Plan)
+	plan, _ := fleetplan.ReadPlan(f.Plan)
 	v, ok := f.ReadServers()
-	if !ok || p == nil {
+	if !ok || plan == nil {
 		return false
 	}
-	n := map[string]int{}
+	ready := map[string]int{}
 	for _, s := range v.View.Servers {
-		for _, h := range s.Holds {
-			if h.Stage == "ready" && s.Offered {
-				n[h.Key]++
+		for _, replica := range s.Replicas {
+			if replica.Stage == "ready" && s.Offered {
+				ready[replica.Key]++
 			}
 		}
 	}
-	for k, m := range p.Models {
-		if n[string(k)] < m.Floor {
+	for name, model := range plan.Models {
+		if ready[string(name)] < model.Floor {
 			return false
 		}
 	}
 	return true
 }
 
-// Metrics reads the counters of a router or core node.
+// Metrics reads the metrics of a router or core node, nil if the request fails.
 func (f *Fleet) Metrics(url string) map[string]float64 {
-	var b []byte
-	if _, err := f.Do(http.MethodGet, url, nil, nil, &b); err != nil {
+	var raw []byte
+	if _, err := f.Do(http.MethodGet, url, nil, nil, &raw); err != nil {
 		return nil
 	}
-	m := map[string]float64{}
-	for _, l := range strings.Split(string(b), "\n") {
-		var v float64
-		i := strings.LastIndex(l, " ")
-		if i < 0 || strings.HasPrefix(l, "#") {
+	values := map[string]float64{}
+	for _, line := range strings.Split(string(raw), "\n") {
+		var value float64
+		space := strings.LastIndex(line, " ")
+		if space < 0 || strings.HasPrefix(line, "#") {
 			continue
 		}
-		if _, err := fmt.Sscan(l[i+1:], &v); err == nil {
-			m[l[:i]] = v
+		if _, err := fmt.Sscan(line[space+1:], &value); err == nil {
+			values[line[:space]] = value
 		}
 	}
-	return m
+	return values
 }
--- a/internal/localfleet/history_test.go
+++ b/internal/localfleet/history_test.go
@@ -19,8 +19,8 @@
 // observer records what operators and readers of a fleet see.
 type observer struct {
 	testFleet
-	recorder history.Recorder
-	startedAt    time.Time
+	recorder  history.Recorder
+	startedAt time.Time
 }
 
 // observe begins a history of a fleet whose first plan is in force.
--- a/internal/localfleet/hollow.go
+++ b/internal/localfleet/hollow.go
@@ -21,27 +21,27 @@
 
 // HollowOptions say how large a hollow fleet is and what happens to it while it is measured.
 type HollowOptions struct {
-	Routers  int
-	Servers  int
-	Models   int
-	Adapters int
-	CoreNodes    int
-	Services int
-	Zones    int
-	Regions  int
-	Rate     float64    // requests a second at each router
-	RequestTime     clock.Span // that a request is under way
-	AdapterShare     float64    // of requests that name an adapter
-	Utilization     float64    // of the servers' time that all requests take
-	WarmUp     clock.Span // from the plan in force everywhere until the measuring begins
+	Routers       int
+	Servers       int
+	Models        int
+	Adapters      int
+	CoreNodes     int
+	Services      int
+	Zones         int
+	Regions       int
+	Rate          float64    // requests a second at each router
+	RequestTime   clock.Span // that a request is under way
+	AdapterShare  float64    // of requests that name an adapter
+	Utilization   float64    // of the servers' time that all requests take
+	WarmUp        clock.Span // from the plan in force everywhere until the measuring begins
 	Duration      clock.Span // measured
-	Changes  int        // of one item of the plan, spread over the measured time
-	Failures    int        // machines, servers and routers by their numbers, likewise
-	Restarts int        // planned, likewise
-	ZoneFails bool       // a zone goes at a third of the measured time and is back at two thirds
-	PartitionTime    clock.Span // one region is parted from the others for so long, from a third on
-	OwnerFails bool       // the duty's owner fails at a third
-	Seed     uint64
+	Changes       int        // of one item of the plan, spread over the measured time
+	Failures      int        // machines, servers and routers by their numbers, likewise
+	Restarts      int        // planned, likewise
+	ZoneFails     bool       // a zone goes at a third of the measured time and is back at two thirds
+	PartitionTime clock.Span // one region is parted from the others for so long, from a third on
+	OwnerFails    bool       // the duty's owner fails at a third
+	Seed          uint64
 }
 
 // Defaults fills what was left out.
@@ -64,13 +64,13 @@
 }
 
 const (
-	stepTime   = clock.Span(20e6) // of virtual time
-	ringSteps   = 128              // steps that a message may take
-	announcePeriod = clock.Span(1200e6)
-	seedNodes  = 3
-	serverRoom   = 200_000
-	serverPlaces = 8
-	idleAdapterShare   = 0.0003 // of requests for adapters: those that name one that is mostly idle
+	stepTime          = clock.Span(20e6) // of virtual time
+	ringSteps         = 128              // steps that a message may take
+	announcePeriod    = clock.Span(1200e6)
+	seedNodes         = 3
+	serverRoom        = 200_000
+	serverPlaces      = 8
+	idleAdapterShare  = 0.0003 // of requests for adapters: those that name one that is mostly idle
 	adaptersPerActive = 10     // one adapter in so many is not
 )
 
@@ -90,14 +90,14 @@
 
 // Load is what one kind of input or message cost one role.
 type Cost struct {
-	Inputs   int           // inputs of this kind
-	StepTime    time.Duration // processor time in the core
-	Sent    int           // messages of this kind
+	Inputs        int           // inputs of this kind
+	StepTime      time.Duration // processor time in the core
+	Sent          int           // messages of this kind
 	SentBytes     int           // their bytes
-	Received     int
-	ReceivedBytes      int
-	CodecTime    time.Duration // writing and reading messages
-	MaxBytes int
+	Received      int
+	ReceivedBytes int
+	CodecTime     time.Duration // writing and reading messages
+	MaxBytes      int
 }
 
 // LoadKey names what a Load is of.
@@ -105,26 +105,26 @@
 
 type hollowNode struct {
 	role    string
-	sibling     protocol.Sibling
+	sibling protocol.Sibling
 	zone    int
 	up      bool
-	starts    int
+	starts  int
 	core    stepper
-	partner  *hollowNode // a router's agent, an agent's router
+	partner *hollowNode // a router's agent, an agent's router
 	disk    map[string][]byte
 	traffic *traffic
 }
 
 // traffic is the synthetic demand at one router.
 type traffic struct {
-	session protocol.Session
-	replicas   map[ident.Key][]ident.Server
-	marks   map[ident.Key]ident.Mark
-	wantedAt   map[ident.Key]clock.Tick
-	stale   map[ident.Key]bool
+	session  protocol.Session
+	replicas map[ident.Key][]ident.Server
+	marks    map[ident.Key]ident.Mark
+	wantedAt map[ident.Key]clock.Tick
+	stale    map[ident.Key]bool
 	active   []activeRequest
-	waiting   map[ident.Key][]clock.Tick
-	rand    *rand.Rand
+	waiting  map[ident.Key][]clock.Tick
+	rand     *rand.Rand
 }
 
 type activeRequest struct {
@@ -134,64 +134,64 @@
 }
 
 type hollowServer struct {
-	id      ident.Server
-	addr    string
-	number  int
-	zone    int
-	service string
-	starts   int
-	up      bool
-	state   string
-	announcements   uint64
-	ordersAccepted   uint64
-	nextAnnounce    clock.Tick
-	held    map[ident.Key]int // by size
-	order   protocol.Order    // under way
+	id             ident.Server
+	addr           string
+	number         int
+	zone           int
+	service        string
+	starts         int
+	up             bool
+	state          string
+	announcements  uint64
+	ordersAccepted uint64
+	nextAnnounce   clock.Tick
+	held           map[ident.Key]int // by size
+	order          protocol.Order    // under way
 	orderDoneAt    clock.Tick
-	restartAt    clock.Tick // it starts anew then
+	restartAt      clock.Tick // it starts anew then
 }
 
 type event struct {
-	to   *hollowNode
+	to     *hollowNode
 	starts int
-	raw  []byte // of an envelope
-	kind string
-	input   any
-	run   func()
+	raw    []byte // of an envelope
+	kind   string
+	input  any
+	run    func()
 }
 
 // Hollow is a fleet of real cores in one process, in virtual time: no sockets, no callers, and model
 // servers that only beat, report and take orders.
 type Hollow struct {
-	opts       HollowOptions
-	now     clock.Tick
-	ring    [ringSteps][]event
-	nodes   []*hollowNode
-	nodeByAddr      map[string]*hollowNode
-	servers []*hollowServer
-	serverByAddr   map[string]*hollowServer
-	keys    [][]ident.Key // of each model its own key and its adapters'
-	sizes   map[ident.Key]int
-	rand    *rand.Rand
+	opts         HollowOptions
+	now          clock.Tick
+	ring         [ringSteps][]event
+	nodes        []*hollowNode
+	nodeByAddr   map[string]*hollowNode
+	servers      []*hollowServer
+	serverByAddr map[string]*hollowServer
+	keys         [][]ident.Key // of each model its own key and its adapters'
+	sizes        map[ident.Key]int
+	rand         *rand.Rand
 	partitioned  func(a, b int) bool // zones
-	token   uint64
-	onReceipt  map[uint64]func(controller.Receipt)
+	token        uint64
+	onReceipt    map[uint64]func(controller.Receipt)
 	onAnnounced  map[uint64]func(ok bool)
-	plan    []byte
-	epoch   ident.Epoch
-
-	Costs   map[CostKey]*Cost
-	SyncedBytes int // bytes that core nodes synced
-	Syncs   int
-	LogCounts   map[string]int
-	Orders  int
-	ApplyTimes []clock.Span // from a change's answer to the last live router
-	DetectionTimes  []clock.Span // from a server's failure until the owner knew
-	TermStarts  []clock.Tick
-	samples   []ServiceSample
+	plan         []byte
+	epoch        ident.Epoch
+
+	Costs          map[CostKey]*Cost
+	SyncedBytes    int // bytes that core nodes synced
+	Syncs          int
+	LogCounts      map[string]int
+	Orders         int
+	ApplyTimes     []clock.Span // from a change's answer to the last live router
+	DetectionTimes []clock.Span // from a server's failure until the owner knew
+	TermStarts     []clock.Tick
+	samples        []ServiceSample
 	measuredFrom   clock.Tick
-	pending []*pendingChange
-	undetected map[ident.Server]clock.Tick
+	pending        []*pendingChange
+	undetected     map[ident.Server]clock.Tick
 }
 
 type pendingChange struct {
@@ -201,11 +201,11 @@
 
 // Mark is the state of a hollow fleet's service at one moment.
 type ServiceSample struct {
-	At      clock.Span
-	Routers int // up
-	Leased    int // of them, those with a hold
-	BelowFloor    int // models with a floor and no ready replica at a live server
-	Waiting int // requests without a server
+	At         clock.Span
+	Routers    int // up
+	Leased     int // of them, those with a hold
+	BelowFloor int // models with a floor and no ready replica at a live server
+	Waiting    int // requests without a server
 }
 
 // NewHollow lays out a hollow fleet and starts it.
@@ -634,7 +634,9 @@
 }
 
 // active counts the adapters of a model that are asked for all the time.
-func activeAdapters(l []ident.Key) int { return (len(l) - 1 + adaptersPerActive - 1) / adaptersPerActive }
+func activeAdapters(l []ident.Key) int {
+	return (len(l) - 1 + adaptersPerActive - 1) / adaptersPerActive
+}
 
 func (h *Hollow) pickKey(r *rand.Rand) ident.Key {
 	// By the inverse of a harmonic-like distribution: the first models and adapters get most.
--- a/internal/localfleet/hollow_report.go
+++ b/internal/localfleet/hollow_report.go
@@ -15,15 +15,15 @@
 // Row is one line of a hollow run's figures: what one role, or one kind of message at it, came to in a
 // second of virtual time, for each process that has the role.
 type Row struct {
-	Role, Kind string
-	Processes      int
-	Inputs      float64 // inputs a second
-	Sent       float64
-	SentBytes        float64 // bytes a second
-	Received        float64
-	ReceivedBytes         float64
-	CPU        float64 // ms a second, in the core and in writing and reading messages
-	MaxBytes    int     // message, in bytes
+	Role, Kind    string
+	Processes     int
+	Inputs        float64 // inputs a second
+	Sent          float64
+	SentBytes     float64 // bytes a second
+	Received      float64
+	ReceivedBytes float64
+	CPU           float64 // ms a second, in the core and in writing and reading messages
+	MaxBytes      int     // message, in bytes
 }
 
 // Rows sums a measured run up, the roles' sums under the kind "all".
--- a/internal/localfleet/links_test.go
+++ b/internal/localfleet/links_test.go
@@ -111,7 +111,9 @@
 		}
 	}
 	r.until("the others rule by it", func() bool { return r.InForceAt(e, rest...) })
-	sends := func() float64 { return r.Metrics(r.RouterByName["router-1"] + "/-/metrics")["tidedeck_router_firsts_total"] }
+	sends := func() float64 {
+		return r.Metrics(r.RouterByName["router-1"] + "/-/metrics")["tidedeck_router_firsts_total"]
+	}
 	was := sends()
 	// What comes to it is held, and goes out only once its link is back.
 	m := standin.NewMix(r.parsedPlan, 33)
--- a/internal/localfleet/localfleet_test.go
+++ b/internal/localfleet/localfleet_test.go
@@ -45,9 +45,9 @@
 
 type testFleet struct {
 	*Fleet
-	t   *testing.T
-	ctx context.Context
-	parsedPlan   *fleetplan.Plan
+	t          *testing.T
+	ctx        context.Context
+	parsedPlan *fleetplan.Plan
 }
 
 func startFleet(t *testing.T, name string) testFleet { return startFleetWith(t, name, New) }
--- a/internal/localfleet/relay.go
+++ b/internal/localfleet/relay.go
@@ -6,89 +6,89 @@
 	"time"
 )
 
-// Relays are the links of a fleet: whoever connects to a process goes through one, which knows
-// both ends by their addresses and can hold back what goes one way, or both, or break it off.
+// Relays are the links of a fleet. Every connection to a process passes through a TCP relay, which identifies both ends
+// by their IPs and can block either direction, delay or throttle the data, or close the connection.
 type Relays struct {
-	mu    sync.Mutex // guards all below
-	cond  *sync.Cond
-	cuts  map[[2]string]bool // from ip, to ip
-	delay  time.Duration
-	rates map[string]float64 // bytes that a machine's connections carry in a second, where that is little
-	conns map[net.Conn]bool
-	listeners  []net.Listener
-	closed  bool
+	mu        sync.Mutex // guards the fields below
+	cond      *sync.Cond
+	cuts      map[[2]string]bool // source and destination IP
+	delay     time.Duration
+	rates     map[string]float64 // bytes per second of each connection of an IP, where limited
+	conns     map[net.Conn]bool
+	listeners []net.Listener
+	closed    bool
 }
 
-// NewRelays makes links that carry everything.
+// NewRelays returns links without restrictions.
 func NewRelays() *Relays {
 	r := &Relays{cuts: map[[2]string]bool{}, rates: map[string]float64{}, conns: map[net.Conn]bool{}}
 	r.cond = sync.NewCond(&r.mu)
 	return r
 }
 
-// Open listens at one address and carries what comes to another.
+// Open listens at one address and relays its connections to another.
 func (r *Relays) Open(from, to string) error {
-	l, err := net.Listen("tcp", from)
+	listener, err := net.Listen("tcp", from)
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
-	r.listeners = append(r.listeners, l)
+	r.listeners = append(r.listeners, listener)
 	r.mu.Unlock()
-	there, _, _ := net.SplitHostPort(from)
+	toIP, _, _ := net.SplitHostPort(from)
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go r.relay(c, there, to)
+			go r.relay(conn, toIP, to)
 		}
 	}()
 	return nil
 }
 
-func (r *Relays) track(c net.Conn) {
+func (r *Relays) track(conn net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.conns[c] = true
+	r.conns[conn] = true
 }
 
-func (r *Relays) closeConn(c net.Conn) {
-	_ = c.Close()
+func (r *Relays) closeConn(conn net.Conn) {
+	_ = conn.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.conns, c)
+	delete(r.conns, conn)
 }
 
-func (r *Relays) relay(c net.Conn, there, to string) {
-	here, _, _ := net.SplitHostPort(c.RemoteAddr().String())
-	r.track(c)
-	defer r.closeConn(c)
-	if !r.waitOpen(here, there) {
+func (r *Relays) relay(client net.Conn, toIP, to string) {
+	fromIP, _, _ := net.SplitHostPort(client.RemoteAddr().String())
+	r.track(client)
+	defer r.closeConn(client)
+	if !r.waitOpen(fromIP, toIP) {
 		return
 	}
-	// The process behind sees who it is that connects.
-	dialer := net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(here)}}
-	d, err := dialer.Dial("tcp", to)
+	// The target process sees the IP of the connecting machine.
+	dialer := net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(fromIP)}}
+	server, err := dialer.Dial("tcp", to)
 	if err != nil {
 		return
 	}
-	r.track(d)
-	defer r.closeConn(d)
-	var both sync.WaitGroup
-	pump := func(a, b net.Conn, from, to string) {
-		defer both.Done()
-		defer func() { _, _ = a.Close(), b.Close() }()
+	r.track(server)
+	defer r.closeConn(server)
+	var group sync.WaitGroup
+	forward := func(src, dst net.Conn, from, to string) {
+		defer group.Done()
+		defer func() { _, _ = src.Close(), dst.Close() }()
 		buf := make([]byte, 32<<10)
 		for {
-			n, err := a.Read(buf)
+			n, err := src.Read(buf)
 			if n > 0 {
 				time.Sleep(r.transferTime(n, from, to))
 				if !r.waitOpen(from, to) {
 					return
 				}
-				if _, err := b.Write(buf[:n]); err != nil {
+				if _, err := dst.Write(buf[:n]); err != nil {
 					return
 				}
 			}
@@ -97,19 +97,19 @@
 			}
 		}
 	}
-	both.Add(2)
-	go pump(c, d, here, there)
-	go pump(d, c, there, here)
-	both.Wait()
+	group.Add(2)
+	go forward(client, server, fromIP, toIP)
+	go forward(server, client, toIP, fromIP)
+	group.Wait()
 }
 
-// pass waits while a way is cut; it tells whether the links are still up.
+// waitOpen applies the delay, waits while a direction is cut, and reports whether the links are still open.
 func (r *Relays) waitOpen(from, to string) bool {
 	r.mu.Lock()
-	slow := r.delay
+	delay := r.delay
 	r.mu.Unlock()
-	if slow > 0 {
-		time.Sleep(slow)
+	if delay > 0 {
+		time.Sleep(delay)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,14 +119,14 @@
 	return !r.closed
 }
 
-// Cut holds back all that goes one way.
+// Cut blocks one direction. Data is held until Restore or RestoreAll.
 func (r *Relays) Cut(from, to string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cuts[[2]string{from, to}] = true
 }
 
-// Mend carries again what goes one way.
+// Restore unblocks one direction.
 func (r *Relays) Mend(from, to string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -134,7 +134,7 @@
 	r.cond.Broadcast()
 }
 
-// BreakAt breaks off every connection from or to one address.
+// CloseConnsAt closes every connection from or to an IP.
 func (r *Relays) BreakAt(ip string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -147,14 +147,14 @@
 	}
 }
 
-// Slow delays every part of what is carried.
-func (r *Relays) SetDelay(d time.Duration) {
+// SetDelay delays each relayed chunk of data.
+func (r *Relays) SetDelay(delay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.delay = d
+	r.delay = delay
 }
 
-// Narrow bounds what each connection from or to an address carries in a second, in bytes; zero takes the bound away.
+// LimitRate limits each connection from or to an IP to a number of bytes per second. Zero removes the limit.
 func (r *Relays) Narrow(ip string, bytesPerSecond float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -165,7 +165,7 @@
 	r.rates[ip] = bytesPerSecond
 }
 
-// takes gives how long some bytes take from one address to another.
+// transferTime returns how long n bytes take between two IPs under the rate limits.
 func (r *Relays) transferTime(n int, from, to string) (span time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -177,7 +177,7 @@
 	return span
 }
 
-// Heal carries everything again.
+// RestoreAll unblocks all directions and removes the delay. Rate limits stay.
 func (r *Relays) RestoreAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -185,7 +185,7 @@
 	r.cond.Broadcast()
 }
 
-// Break breaks off every connection there is.
+// CloseConns closes every connection.
 func (r *Relays) CloseConns() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -194,7 +194,7 @@
 	}
 }
 
-// Close ends the links.
+// Close closes the listeners and all connections, and releases waiting relays.
 func (r *Relays) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
