--- a/cmd/localfleet/main.go
+++ b/cmd/localfleet/main.go
@@ -1,4 +1,4 @@
-// Command localfleet runs a whole tidedeck fleet on one machine and reports what was seen.
+// Command localfleet runs a whole tidedeck fleet on one machine and reports the results.
 package main
 
 import (
@@ -25,27 +25,27 @@
 		}
 		return
 	}
-	var s struct {
-		Fleet string  `arg:"" enum:"corrib,padana" help:"Which fleet: corrib or padana."`
-		Plan  string  `help:"Plan to hand over; the fleet's example plan if none is named." type:"path"`
-		Calls int     `help:"Requests to send." default:"2000"`
-		Rate  float64 `help:"Requests a second." default:"120"`
-		Seed  uint64  `help:"Seed of the callers." default:"1"`
-		Dir   string  `help:"Folder for data and logs; a temporary one if none is named." type:"path"`
-		Day   bool    `help:"Let every router record its day, as NAME.day in the folder."`
-		Keep  bool    `help:"Leave the fleet running after the report, until interrupted."`
-	}
-	kong.Parse(&s, kong.Name("localfleet"), kong.Description("localfleet runs a whole tidedeck fleet on one machine and reports what was seen."))
-	if err := run(s.Fleet, s.Plan, s.Dir, s.Calls, s.Rate, s.Seed, s.Keep, s.Day); err != nil {
+	var flags struct {
+		Fleet string  `arg:"" enum:"corrib,padana" help:"Fleet to run: corrib or padana."`
+		Plan  string  `help:"Plan to submit. Default: the example plan of the fleet." type:"path"`
+		Calls int     `help:"Number of requests to send." default:"2000"`
+		Rate  float64 `help:"Requests per second." default:"120"`
+		Seed  uint64  `help:"Seed of the generated requests." default:"1"`
+		Dir   string  `help:"Folder for data and logs. Default: a temporary folder." type:"path"`
+		Day   bool    `help:"Let every router record its requests in NAME.day in the folder."`
+		Keep  bool    `help:"Keep the fleet running after the report until interrupted."`
+	}
+	kong.Parse(&flags, kong.Name("localfleet"), kong.Description("localfleet runs a whole tidedeck fleet on one machine and reports the results."))
+	if err := run(flags.Fleet, flags.Plan, flags.Dir, flags.Calls, flags.Rate, flags.Seed, flags.Keep, flags.Day); err != nil {
 		fmt.Fprintln(os.Stderr, "localfleet:", err)
 		os.Exit(1)
 	}
 }
 
-func run(fleet, plan, dir string, calls int, rate float64, seed uint64, keep, day bool) error {
+func run(fleet, plan, dir string, total int, rate float64, seed uint64, keep, recordRequests bool) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	me, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	q, faults := fleetplan.ReadPlan(raw)
+	parsedPlan, faults := fleetplan.ReadPlan(raw)
 	if faults != nil {
 		return faults
 	}
@@ -66,57 +66,57 @@
 		}
 		defer os.RemoveAll(dir)
 	}
-	f := localfleet.New(localfleet.Shapes[fleet], filepath.Dir(me), dir, raw)
-	if day {
-		f.RecordRequests()
+	localFleet := localfleet.New(localfleet.Shapes[fleet], filepath.Dir(executable), dir, raw)
+	if recordRequests {
+		localFleet.RecordRequests()
 	}
-	if err := f.StartAll(); err != nil {
+	if err := localFleet.StartAll(); err != nil {
 		return err
 	}
-	defer f.KillAll()
-	wait, quit := context.WithTimeout(ctx, 60*time.Second)
-	defer quit()
-	at := time.Now()
-	say := func(what string) { fmt.Printf("%6.2fs  %s\n", time.Since(at).Seconds(), what) }
-	say("every process is started")
-	if err := localfleet.Until(wait, "a core", func() bool {
-		return f.CoreNodeReady("controller-1") && f.CoreNodeReady("controller-2") && f.CoreNodeReady("controller-3")
+	defer localFleet.KillAll()
+	startCtx, cancel := context.WithTimeout(ctx, 60*time.Second)
+	defer cancel()
+	startedAt := time.Now()
+	progress := func(message string) { fmt.Printf("%6.2fs  %s\n", time.Since(startedAt).Seconds(), message) }
+	progress("all processes started")
+	if err := localfleet.Until(startCtx, "core nodes ready", func() bool {
+		return localFleet.CoreNodeReady("controller-1") && localFleet.CoreNodeReady("controller-2") && localFleet.CoreNodeReady("controller-3")
 	}); err != nil {
 		return err
 	}
-	say("the core has formed")
-	var t localfleet.PlanReply
-	if err := localfleet.Until(wait, "the plan is taken", func() bool {
+	progress("core formed")
+	var reply localfleet.PlanReply
+	if err := localfleet.Until(startCtx, "plan accepted", func() bool {
 		var code int
-		t, code, err = f.PutPlan("controller-2", raw, "0", "first") // under one id, asking again is safe
+		reply, code, err = localFleet.PutPlan("controller-2", raw, "0", "first") // retries with the same change id are idempotent
 		return err == nil && code == 200
 	}); err != nil {
-		return fmt.Errorf("%w: %s %s %v", err, t.Kind, t.Why, t.Faults)
+		return fmt.Errorf("%w: %s %s %v", err, reply.Kind, reply.Why, reply.Faults)
 	}
-	say(fmt.Sprintf("the plan is taken under epoch %d", t.Epoch))
-	if err := localfleet.Until(wait, "the plan everywhere", func() bool { return f.InForceAt(t.Epoch, f.RouterAddrs...) }); err != nil {
+	progress(fmt.Sprintf("plan accepted under epoch %d", reply.Epoch))
+	if err := localfleet.Until(startCtx, "plan in force at every router", func() bool { return localFleet.InForceAt(reply.Epoch, localFleet.RouterAddrs...) }); err != nil {
 		return err
 	}
-	say("it rules at every router")
-	if err := localfleet.Until(wait, "floors", f.FloorsMet); err != nil {
+	progress("plan in force at every router")
+	if err := localfleet.Until(startCtx, "replica floors met", localFleet.FloorsMet); err != nil {
 		return err
 	}
-	say("every floor is loaded")
-	mix := standin.NewMix(q, seed)
-	r := standin.Calls(ctx, standin.CallOptions{Routers: f.RouterAddrs, Next: mix.Next, Rate: rate, Total: calls, Again: true})
-	say("the callers are done")
-	f.Report(os.Stdout, r)
-	for n := range f.RouterByName {
-		if day {
-			_ = f.Stop(n) // a day's last line is written at a planned stop
+	progress("replica floors met")
+	mix := standin.NewMix(parsedPlan, seed)
+	report := standin.Calls(ctx, standin.CallOptions{Routers: localFleet.RouterAddrs, Next: mix.Next, Rate: rate, Total: total, Again: true})
+	progress("all requests done")
+	localFleet.Report(os.Stdout, report)
+	for name := range localFleet.RouterByName {
+		if recordRequests {
+			_ = localFleet.Stop(name) // a graceful stop writes the last line of the recording
 		}
 	}
 	if keep {
-		fmt.Printf("\ncallers: %v\noperators: %v\ninterrupt to end\n", f.RouterAddrs, f.AdminAddrs)
+		fmt.Printf("\ncallers: %v\noperators: %v\ninterrupt to stop\n", localFleet.RouterAddrs, localFleet.AdminAddrs)
 		<-ctx.Done()
 	}
-	if len(r.Wrong) > 0 {
-		return fmt.Errorf("%d wrong answers", len(r.Wrong))
+	if len(report.Wrong) > 0 {
+		return fmt.Errorf("%d wrong answers", len(report.Wrong))
 	}
 	return nil
 }
--- a/internal/localfleet/fleet.go
+++ b/internal/localfleet/fleet.go
@@ -32,8 +32,8 @@
 	Servers   int
 	Zones     []string
 	Room      int
-	StoreRate int // bandwidth of the weight store
-	MaxPulls  int
+	StoreRate int // total of the weight store, in size per second
+	MaxPulls  int // concurrent pulls that the weight store allows for
 }
 
 // Shapes holds the shapes of the two current deployments, by name.
--- a/internal/localfleet/hollow.go
+++ b/internal/localfleet/hollow.go
@@ -19,7 +19,7 @@
 	"tidedeck/internal/router"
 )
 
-// HollowOptions say how large a hollow fleet is and what happens to it while it is measured.
+// HollowOptions set the size of a hollow fleet, its load, and the changes and failures during the measurement.
 type HollowOptions struct {
 	Routers       int
 	Servers       int
@@ -29,22 +29,22 @@
 	Services      int
 	Zones         int
 	Regions       int
-	Rate          float64    // requests a second at each router
-	RequestTime   clock.Span // that a request is under way
-	AdapterShare  float64    // of requests that name an adapter
-	Utilization   float64    // of the servers' time that all requests take
-	WarmUp        clock.Span // from the plan in force everywhere until the measuring begins
-	Duration      clock.Span // measured
-	Changes       int        // of one item of the plan, spread over the measured time
-	Failures      int        // machines, servers and routers by their numbers, likewise
-	Restarts      int        // planned, likewise
-	ZoneFails     bool       // a zone goes at a third of the measured time and is back at two thirds
-	PartitionTime clock.Span // one region is parted from the others for so long, from a third on
-	OwnerFails    bool       // the duty's owner fails at a third
+	Rate          float64    // requests per second at each router
+	RequestTime   clock.Span // mean duration of a request
+	AdapterShare  float64    // fraction of requests that name an adapter
+	Utilization   float64    // fraction of the servers' time that all requests take
+	WarmUp        clock.Span // from the plan being in force everywhere until the measurement begins
+	Duration      clock.Span // of the measurement
+	Changes       int        // of one item of the plan, spread over the measurement
+	Failures      int        // of machines (servers and routers in proportion), likewise
+	Restarts      int        // planned restarts of servers, likewise
+	ZoneFails     bool       // a zone fails at one third of the measurement and recovers at two thirds
+	PartitionTime clock.Span // how long one region is partitioned from the others, from one third on
+	OwnerFails    bool       // the leader fails at one third
 	Seed          uint64
 }
 
-// Defaults fills what was left out.
+// WithDefaults returns the options with defaults for the fields that are zero.
 func (o HollowOptions) WithDefaults() HollowOptions {
 	generic.SetDefault(&o.Routers, 9)
 	generic.SetDefault(&o.Servers, 13)
@@ -65,21 +65,21 @@
 
 const (
 	stepTime          = clock.Span(20e6) // of virtual time
-	ringSteps         = 128              // steps that a message may take
+	ringSteps         = 128              // bounds the steps between scheduling and delivery
 	announcePeriod    = clock.Span(1200e6)
 	seedNodes         = 3
 	serverRoom        = 200_000
 	serverPlaces      = 8
-	idleAdapterShare  = 0.0003 // of requests for adapters: those that name one that is mostly idle
-	adaptersPerActive = 10     // one adapter in so many is not
+	idleAdapterShare  = 0.0003 // fraction of adapter requests that name an idle adapter
+	adaptersPerActive = 10     // one in this many adapters is active, the others are mostly idle
 )
 
-// threadTime tells the processor time of the thread that runs the fleet: neither other programs nor the
-// collector's own threads are in it.
+// threadCPUTime returns the processor time of the calling thread, which runs the fleet. This excludes other programs and
+// the garbage collector's own threads.
 func threadCPUTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t); err != nil {
-		panic(err) // every Linux has it
+		panic(err) // always supported on Linux
 	}
 	return time.Duration(t.Nano())
 }
@@ -88,19 +88,19 @@
 	Step(now clock.Tick, in any) []any
 }
 
-// Load is what one kind of input or message cost one role.
+// Cost is the cost of one kind of input or message to one role.
 type Cost struct {
-	Inputs        int           // inputs of this kind
+	Inputs        int
 	StepTime      time.Duration // processor time in the core
-	Sent          int           // messages of this kind
-	SentBytes     int           // their bytes
+	Sent          int           // messages
+	SentBytes     int
 	Received      int
 	ReceivedBytes int
-	CodecTime     time.Duration // writing and reading messages
-	MaxBytes      int
+	CodecTime     time.Duration // encoding and decoding messages
+	MaxBytes      int           // of one message
 }
 
-// LoadKey names what a Load is of.
+// CostKey identifies a Cost by its role and its kind of input or message.
 type CostKey struct{ Role, Kind string }
 
 type hollowNode struct {
@@ -108,9 +108,9 @@
 	sibling protocol.Sibling
 	zone    int
 	up      bool
-	starts  int
+	starts  int // invalidates events of earlier starts
 	core    stepper
-	partner *hollowNode // a router's agent, an agent's router
+	partner *hollowNode // the agent of a router, the router of an agent
 	disk    map[string][]byte
 	traffic *traffic
 }
@@ -127,12 +127,14 @@
 	rand     *rand.Rand
 }
 
+// activeRequest is a request being processed at a server.
 type activeRequest struct {
 	key    ident.Key
 	server ident.Server
 	end    clock.Tick
 }
 
+// hollowServer is a model server that announces itself, reports its state and executes orders.
 type hollowServer struct {
 	id             ident.Server
 	addr           string
@@ -145,23 +147,24 @@
 	announcements  uint64
 	ordersAccepted uint64
 	nextAnnounce   clock.Tick
-	held           map[ident.Key]int // by size
-	order          protocol.Order    // under way
+	held           map[ident.Key]int // size by key
+	order          protocol.Order    // in progress until orderDoneAt
 	orderDoneAt    clock.Tick
-	restartAt      clock.Tick // it starts anew then
+	restartAt      clock.Tick // zero if the server stays down
 }
 
+// event is the delivery of an input or a packed message to a node, or a function to run.
 type event struct {
 	to     *hollowNode
 	starts int
-	raw    []byte // of an envelope
+	raw    []byte // packed envelope
 	kind   string
 	input  any
 	run    func()
 }
 
-// Hollow is a fleet of real cores in one process, in virtual time: no sockets, no callers, and model
-// servers that only beat, report and take orders.
+// Hollow is a fleet of the production cores in one process and in virtual time. It has no sockets and no callers, and
+// its model servers only announce themselves, report and execute orders.
 type Hollow struct {
 	opts         HollowOptions
 	now          clock.Tick
@@ -170,10 +173,10 @@
 	nodeByAddr   map[string]*hollowNode
 	servers      []*hollowServer
 	serverByAddr map[string]*hollowServer
-	keys         [][]ident.Key // of each model its own key and its adapters'
+	keys         [][]ident.Key // by model: its own key, then those of its adapters
 	sizes        map[ident.Key]int
 	rand         *rand.Rand
-	partitioned  func(a, b int) bool // zones
+	partitioned  func(a, b int) bool // by zone
 	token        uint64
 	onReceipt    map[uint64]func(controller.Receipt)
 	onAnnounced  map[uint64]func(ok bool)
@@ -181,12 +184,12 @@
 	epoch        ident.Epoch
 
 	Costs          map[CostKey]*Cost
-	SyncedBytes    int // bytes that core nodes synced
+	SyncedBytes    int // bytes that core nodes synced to disk
 	Syncs          int
 	LogCounts      map[string]int
 	Orders         int
-	ApplyTimes     []clock.Span // from a change's answer to the last live router
-	DetectionTimes []clock.Span // from a server's failure until the owner knew
+	ApplyTimes     []clock.Span // from the reply to a change until in force at the last live router
+	DetectionTimes []clock.Span // from a server's failure until the leader detected it
 	TermStarts     []clock.Tick
 	samples        []ServiceSample
 	measuredFrom   clock.Tick
@@ -194,23 +197,24 @@
 	undetected     map[ident.Server]clock.Tick
 }
 
+// pendingChange is an accepted change that is not yet in force at every live router.
 type pendingChange struct {
 	epoch ident.Epoch
 	at    clock.Tick
 }
 
-// Mark is the state of a hollow fleet's service at one moment.
+// ServiceSample is the state of a hollow fleet's service at one moment.
 type ServiceSample struct {
 	At         clock.Span
 	Routers    int // up
-	Leased     int // of them, those with a hold
+	Leased     int // of them, those with a lease
 	BelowFloor int // models with a floor and no ready replica at a live server
-	Waiting    int // requests without a server
+	Waiting    int // requests waiting for a replica
 }
 
-// NewHollow lays out a hollow fleet and starts it.
-func NewHollow(o HollowOptions) *Hollow {
-	h := &Hollow{opts: o.WithDefaults(), now: 1e9, nodeByAddr: map[string]*hollowNode{}, serverByAddr: map[string]*hollowServer{}, sizes: map[ident.Key]int{},
+// NewHollow creates a hollow fleet and starts its nodes and servers.
+func NewHollow(options HollowOptions) *Hollow {
+	h := &Hollow{opts: options.WithDefaults(), now: 1e9, nodeByAddr: map[string]*hollowNode{}, serverByAddr: map[string]*hollowServer{}, sizes: map[ident.Key]int{},
 		onReceipt: map[uint64]func(controller.Receipt){}, onAnnounced: map[uint64]func(bool){}, Costs: map[CostKey]*Cost{}, LogCounts: map[string]int{},
 		partitioned: func(int, int) bool { return false }, undetected: map[ident.Server]clock.Tick{}}
 	h.rand = rand.New(rand.NewPCG(h.opts.Seed, 7))
@@ -219,34 +223,34 @@
 		h.addNode(&hollowNode{role: "core", sibling: protocol.Sibling{ID: ident.Node(fmt.Sprintf("loop-%02d", i)), Addr: fmt.Sprintf("10.1.0.%d:7000", i+1)}, zone: i * max(1, h.opts.Zones/h.opts.Regions) % h.opts.Zones, disk: map[string][]byte{}})
 	}
 	for i := range h.opts.Routers {
-		a := &hollowNode{role: "agent", sibling: protocol.Sibling{ID: ident.Node(fmt.Sprintf("edge-%04d", i)), Addr: fmt.Sprintf("10.2.%d.%d:7002", i/250, i%250+1)}, zone: i % h.opts.Zones}
-		l := &hollowNode{role: "router", sibling: protocol.Sibling{ID: "router", Addr: "router"}, zone: a.zone, partner: a}
-		a.partner = l
-		h.addNode(a)
-		h.nodes = append(h.nodes, l)
-		h.startNode(l)
+		agentNode := &hollowNode{role: "agent", sibling: protocol.Sibling{ID: ident.Node(fmt.Sprintf("edge-%04d", i)), Addr: fmt.Sprintf("10.2.%d.%d:7002", i/250, i%250+1)}, zone: i % h.opts.Zones}
+		routerNode := &hollowNode{role: "router", sibling: protocol.Sibling{ID: "router", Addr: "router"}, zone: agentNode.zone, partner: agentNode}
+		agentNode.partner = routerNode
+		h.addNode(agentNode)
+		h.nodes = append(h.nodes, routerNode)
+		h.startNode(routerNode)
 	}
 	for i := range h.opts.Servers {
-		s := &hollowServer{number: i, zone: i % h.opts.Zones, service: fmt.Sprintf("engines-%d", i%h.opts.Services), addr: fmt.Sprintf("10.3.%d.%d:9000", i/250, i%250+1)}
-		h.servers = append(h.servers, s)
-		h.serverByAddr[s.addr] = s
-		h.startServer(s)
-		s.nextAnnounce = h.now.Add(clock.Span(h.rand.Int64N(int64(announcePeriod))))
+		server := &hollowServer{number: i, zone: i % h.opts.Zones, service: fmt.Sprintf("engines-%d", i%h.opts.Services), addr: fmt.Sprintf("10.3.%d.%d:9000", i/250, i%250+1)}
+		h.servers = append(h.servers, server)
+		h.serverByAddr[server.addr] = server
+		h.startServer(server)
+		server.nextAnnounce = h.now.Add(clock.Span(h.rand.Int64N(int64(announcePeriod))))
 	}
 	h.fillServers()
 	return h
 }
 
-func (h *Hollow) addNode(n *hollowNode) {
-	h.nodes = append(h.nodes, n)
-	h.nodeByAddr[n.sibling.Addr] = n
-	h.startNode(n)
+func (h *Hollow) addNode(node *hollowNode) {
+	h.nodes = append(h.nodes, node)
+	h.nodeByAddr[node.sibling.Addr] = node
+	h.startNode(node)
 }
 
-func (h *Hollow) newRand(n *hollowNode) *rand.Rand {
-	sum := uint64(n.starts)
-	for _, b := range string(n.sibling.ID) + n.role {
-		sum = sum*131 + uint64(b)
+func (h *Hollow) newRand(node *hollowNode) *rand.Rand {
+	sum := uint64(node.starts)
+	for _, char := range string(node.sibling.ID) + node.role {
+		sum = sum*131 + uint64(char)
 	}
 	return rand.New(rand.NewPCG(h.opts.Seed, sum))
 }
@@ -255,59 +259,59 @@
 
 func (h *Hollow) region(zone int) int { return zone * h.opts.Regions / h.opts.Zones }
 
-func (h *Hollow) startNode(n *hollowNode) {
-	n.up = true
-	n.starts++
+func (h *Hollow) startNode(node *hollowNode) {
+	node.up = true
+	node.starts++
 	inc := ident.Inc(1e12 + uint64(h.now)/1e6*1e3 + uint64(len(h.nodes)))
 	var seeds []protocol.Sibling
 	for i := range min(seedNodes, h.opts.CoreNodes) {
 		seeds = append(seeds, protocol.Sibling{Addr: fmt.Sprintf("10.1.0.%d:7000", i+1)})
 	}
-	switch n.role {
+	switch node.role {
 	case "core":
-		n.core = controller.New(controller.Options{Me: n.sibling, Zone: h.zoneName(n.zone), Inc: inc, Seeds: seeds, Rand: h.newRand(n),
+		node.core = controller.New(controller.Options{Me: node.sibling, Zone: h.zoneName(node.zone), Inc: inc, Seeds: seeds, Rand: h.newRand(node),
 			Duty: 800e6, Round: 200e6, Hold: 1400e6, Spare: 1200e6, Silence: announcePeriod*3 + announcePeriod/4, Rate: 5e9,
 			Enrolled: true, Unfenced: true, Warm: true})
 		disk := map[string][]byte{}
-		for k, b := range n.disk {
-			disk[k] = b
+		for key, value := range node.disk {
+			disk[key] = value
 		}
-		h.schedule(1, event{to: n, starts: n.starts, kind: "Start", input: protocol.Start{Disk: disk}})
+		h.schedule(1, event{to: node, starts: node.starts, kind: "Start", input: protocol.Start{Disk: disk}})
 	case "agent":
-		n.core = agent.New(agent.Options{Me: n.sibling, Zone: h.zoneName(n.zone), Inc: inc, Life: inc, Seeds: seeds, Rand: h.newRand(n),
+		node.core = agent.New(agent.Options{Me: node.sibling, Zone: h.zoneName(node.zone), Inc: inc, Life: inc, Seeds: seeds, Rand: h.newRand(node),
 			Router: protocol.Sibling{ID: "router", Addr: "router"}})
 	case "router":
-		n.core = router.New(router.Options{Me: n.sibling, Inc: inc, Agent: protocol.Sibling{Addr: "agent"}, Zone: h.zoneName(n.zone), Free: true, Guards: true, Lend: 10})
-		n.traffic = &traffic{replicas: map[ident.Key][]ident.Server{}, marks: map[ident.Key]ident.Mark{}, wantedAt: map[ident.Key]clock.Tick{},
-			stale: map[ident.Key]bool{}, waiting: map[ident.Key][]clock.Tick{}, rand: h.newRand(n)}
+		node.core = router.New(router.Options{Me: node.sibling, Inc: inc, Agent: protocol.Sibling{Addr: "agent"}, Zone: h.zoneName(node.zone), Free: true, Guards: true, Lend: 10})
+		node.traffic = &traffic{replicas: map[ident.Key][]ident.Server{}, marks: map[ident.Key]ident.Mark{}, wantedAt: map[ident.Key]clock.Tick{},
+			stale: map[ident.Key]bool{}, waiting: map[ident.Key][]clock.Tick{}, rand: h.newRand(node)}
 	}
 }
 
-func (h *Hollow) schedule(steps int, m event) {
-	i := int(int64(h.now)/int64(stepTime)) + steps
-	h.ring[i%ringSteps] = append(h.ring[i%ringSteps], m)
+func (h *Hollow) schedule(steps int, e event) {
+	step := int(int64(h.now)/int64(stepTime)) + steps
+	h.ring[step%ringSteps] = append(h.ring[step%ringSteps], e)
 }
 
 func (h *Hollow) cost(role, kind string) *Cost {
-	k := CostKey{role, kind}
-	l := h.Costs[k]
-	if l == nil {
-		l = &Cost{}
-		h.Costs[k] = l
+	key := CostKey{role, kind}
+	cost := h.Costs[key]
+	if cost == nil {
+		cost = &Cost{}
+		h.Costs[key] = cost
 	}
-	return l
+	return cost
 }
 
-func (h *Hollow) roleOf(n *hollowNode) string {
-	if c, ok := n.core.(*controller.Core); ok {
+func (h *Hollow) roleOf(node *hollowNode) string {
+	if c, ok := node.core.(*controller.Core); ok {
 		if _, owns := c.Owns(h.now); owns {
 			return "owner"
 		}
 	}
-	return n.role
+	return node.role
 }
 
-// steps tells how long a message takes: one step within a region, two between regions.
+// latencySteps returns the latency of a message between two zones: one step within a region, two between regions.
 func (h *Hollow) latencySteps(a, b int) int {
 	if h.region(a) == h.region(b) {
 		return 1
@@ -315,195 +319,195 @@
 	return 2
 }
 
-func (h *Hollow) step(n *hollowNode, kind string, in any) {
-	if !n.up {
+func (h *Hollow) step(node *hollowNode, kind string, input any) {
+	if !node.up {
 		return
 	}
-	role := h.roleOf(n)
-	at := threadCPUTime()
-	out := n.core.Step(h.now, in)
-	l := h.cost(role, kind)
-	l.StepTime += threadCPUTime() - at
-	l.Inputs++
-	for _, o := range out {
-		h.handleOutput(n, role, o)
+	role := h.roleOf(node)
+	startedAt := threadCPUTime()
+	outputs := node.core.Step(h.now, input)
+	cost := h.cost(role, kind)
+	cost.StepTime += threadCPUTime() - startedAt
+	cost.Inputs++
+	for _, output := range outputs {
+		h.handleOutput(node, role, output)
 	}
 }
 
-func (h *Hollow) handleOutput(n *hollowNode, role string, o any) {
-	switch v := o.(type) {
+func (h *Hollow) handleOutput(node *hollowNode, role string, output any) {
+	switch v := output.(type) {
 	case protocol.Env:
-		h.send(n, role, v)
+		h.send(node, role, v)
 	case protocol.Save:
-		for k, b := range v.Puts {
-			n.disk[k] = b
-			h.SyncedBytes += len(b)
+		for key, value := range v.Puts {
+			node.disk[key] = value
+			h.SyncedBytes += len(value)
 		}
 		h.Syncs++
-		h.schedule(1, event{to: n, starts: n.starts, kind: "Saved", input: protocol.Saved{Token: v.Token}})
+		h.schedule(1, event{to: node, starts: node.starts, kind: "Saved", input: protocol.Saved{Token: v.Token}})
 	case protocol.Compute:
-		at := threadCPUTime()
+		startedAt := threadCPUTime()
 		v.Run()
-		h.cost(role, "Compute").StepTime += threadCPUTime() - at
-		h.schedule(1, event{to: n, starts: n.starts, kind: "Computed", input: protocol.Computed{Token: v.Token}})
+		h.cost(role, "Compute").StepTime += threadCPUTime() - startedAt
+		h.schedule(1, event{to: node, starts: node.starts, kind: "Computed", input: protocol.Computed{Token: v.Token}})
 	case protocol.Ask:
-		h.askServer(n, role, v)
+		h.askServer(node, role, v)
 	case protocol.Note:
-		if server, dark := unreachableServer(v); dark {
+		if server, ok := unreachableServer(v); ok {
 			h.recordDetection(server)
 			return
 		}
-		h.countLog(n, v.Text)
+		h.countLog(node, v.Text)
 	case protocol.Oops:
-		h.countLog(n, v.Text)
+		h.countLog(node, v.Text)
 	case controller.Receipt:
-		if f := h.onReceipt[v.Token]; f != nil {
+		if then := h.onReceipt[v.Token]; then != nil {
 			delete(h.onReceipt, v.Token)
-			f(v)
+			then(v)
 		}
 	case controller.Announced:
-		if f := h.onAnnounced[v.Token]; f != nil {
+		if then := h.onAnnounced[v.Token]; then != nil {
 			delete(h.onAnnounced, v.Token)
-			f(v.OK)
+			then(v.OK)
 		}
 	}
 }
 
-// takenForDark tells whether a log line says that a server is taken for dark, and which.
-func unreachableServer(line protocol.Note) (server ident.Server, dark bool) {
+// unreachableServer reports whether a log line says that a server does not answer, and returns the server.
+func unreachableServer(line protocol.Note) (server ident.Server, ok bool) {
 	if line.Text != "server does not answer" && line.Text != "server is silent and does not answer" {
 		return "", false
 	}
-	for _, f := range line.Fields {
-		if id, ok := f.Value.(ident.Server); ok && f.Name == "server" {
+	for _, field := range line.Fields {
+		if id, ok := field.Value.(ident.Server); ok && field.Name == "server" {
 			server = id
 		}
 	}
 	return server, server != ""
 }
 
-// sawDark notes how long after its failure a server was taken for dark.
+// recordDetection records how long after its failure a server was found unreachable.
 func (h *Hollow) recordDetection(server ident.Server) {
-	at, failed := h.undetected[server]
+	failedAt, failed := h.undetected[server]
 	if !failed {
-		h.LogCounts["a live server is taken for dark"]++
+		h.LogCounts["live server reported unreachable"]++
 		return
 	}
-	h.DetectionTimes = append(h.DetectionTimes, h.now.Sub(at))
+	h.DetectionTimes = append(h.DetectionTimes, h.now.Sub(failedAt))
 	delete(h.undetected, server)
 }
 
-func (h *Hollow) countLog(n *hollowNode, s string) {
-	w := strings.Fields(s)
-	if strings.HasPrefix(s, "duty") && strings.HasSuffix(s, "begins") {
+func (h *Hollow) countLog(node *hollowNode, text string) {
+	words := strings.Fields(text)
+	if strings.HasPrefix(text, "duty") && strings.HasSuffix(text, "begins") {
 		h.TermStarts = append(h.TermStarts, h.now)
 	}
-	for i, x := range w { // numbers and names make no kind of their own
-		if strings.ContainsAny(x, "0123456789") {
-			w[i] = "#"
+	for i, word := range words { // lines that differ only in numbers and names count as one
+		if strings.ContainsAny(word, "0123456789") {
+			words[i] = "#"
 		}
 	}
-	h.LogCounts[strings.Join(w, " ")]++
+	h.LogCounts[strings.Join(words, " ")]++
 }
 
-func (h *Hollow) send(n *hollowNode, role string, e protocol.Env) {
-	kind := protocol.Kind(e.Body)
-	if b := n.partner; b != nil && (e.To.Addr == "router" || e.To.Addr == "agent") {
-		e.Body = h.exchangeLocal(n, e.Body)
+func (h *Hollow) send(node *hollowNode, role string, env protocol.Env) {
+	kind := protocol.Kind(env.Body)
+	if partner := node.partner; partner != nil && (env.To.Addr == "router" || env.To.Addr == "agent") {
+		env.Body = h.exchangeLocal(node, env.Body)
 		h.cost(role, kind).Sent++
-		h.schedule(0, event{to: b, starts: b.starts, kind: kind, input: e})
+		h.schedule(0, event{to: partner, starts: partner.starts, kind: kind, input: env})
 		return
 	}
-	at := threadCPUTime()
-	raw, err := protocol.Pack(e)
+	startedAt := threadCPUTime()
+	raw, err := protocol.Pack(env)
 	if err != nil {
-		panic(err) // only our own types come here
-	}
-	l := h.cost(role, kind)
-	l.CodecTime += threadCPUTime() - at
-	l.Sent++
-	l.SentBytes += len(raw)
-	l.MaxBytes = max(l.MaxBytes, len(raw))
-	to := h.nodeByAddr[e.Hop().Addr]
-	if to == nil || h.partitioned(n.zone, to.zone) {
+		panic(err) // the cores send only types that Pack supports
+	}
+	cost := h.cost(role, kind)
+	cost.CodecTime += threadCPUTime() - startedAt
+	cost.Sent++
+	cost.SentBytes += len(raw)
+	cost.MaxBytes = max(cost.MaxBytes, len(raw))
+	to := h.nodeByAddr[env.Hop().Addr]
+	if to == nil || h.partitioned(node.zone, to.zone) {
 		return
 	}
-	h.schedule(h.latencySteps(n.zone, to.zone), event{to: to, starts: to.starts, kind: kind, raw: raw})
+	h.schedule(h.latencySteps(node.zone, to.zone), event{to: to, starts: to.starts, kind: kind, raw: raw})
 }
 
-func (h *Hollow) deliver(m event) {
-	if m.run != nil {
-		m.run()
+func (h *Hollow) deliver(e event) {
+	if e.run != nil {
+		e.run()
 		return
 	}
-	if !m.to.up || m.to.starts != m.starts {
+	if !e.to.up || e.to.starts != e.starts {
 		return
 	}
-	if m.raw == nil {
-		h.step(m.to, m.kind, m.input)
+	if e.raw == nil {
+		h.step(e.to, e.kind, e.input)
 		return
 	}
-	at := threadCPUTime()
-	e, err := protocol.Unpack(m.raw)
+	startedAt := threadCPUTime()
+	env, err := protocol.Unpack(e.raw)
 	if err != nil {
-		panic(err) // it was packed a moment ago
+		panic(err) // packed by send
 	}
-	l := h.cost(h.roleOf(m.to), m.kind)
-	l.CodecTime += threadCPUTime() - at
-	l.Received++
-	l.ReceivedBytes += len(m.raw)
-	h.step(m.to, m.kind, e)
+	cost := h.cost(h.roleOf(e.to), e.kind)
+	cost.CodecTime += threadCPUTime() - startedAt
+	cost.Received++
+	cost.ReceivedBytes += len(e.raw)
+	h.step(e.to, e.kind, env)
 }
 
-// ask is a question to a model server, over HTTP in a real fleet: its bytes here are the bodies'.
-func (h *Hollow) askServer(n *hollowNode, role string, a protocol.Ask) {
-	q := a.Body.(protocol.Order)
+// askServer sends a request to a model server. A real fleet uses HTTP; the bytes counted here are those of the bodies.
+func (h *Hollow) askServer(node *hollowNode, role string, ask protocol.Ask) {
+	order := ask.Body.(protocol.Order)
 	kind := "report"
-	if q.Op != "" {
+	if order.Op != "" {
 		kind = "order"
 		h.Orders++
 	}
-	l := h.cost(role, "ask "+kind)
-	l.Sent++
-	raw, _ := json.Marshal(q)
-	l.SentBytes += len(raw)
-	s := h.serverByAddr[a.Addr]
-	d := h.latencySteps(n.zone, s.zone)
-	if !s.up || s.state == "gone" || h.partitioned(n.zone, s.zone) {
-		h.schedule(int(a.Wait/stepTime), event{to: n, starts: n.starts, kind: "Told", input: protocol.Told{Token: a.Token}})
+	cost := h.cost(role, "ask "+kind)
+	cost.Sent++
+	raw, _ := json.Marshal(order)
+	cost.SentBytes += len(raw)
+	server := h.serverByAddr[ask.Addr]
+	latency := h.latencySteps(node.zone, server.zone)
+	if !server.up || server.state == "gone" || h.partitioned(node.zone, server.zone) {
+		h.schedule(int(ask.Wait/stepTime), event{to: node, starts: node.starts, kind: "Told", input: protocol.Told{Token: ask.Token}})
 		return
 	}
-	h.schedule(d, event{run: func() {
-		t := s.handleOrder(h, q)
-		t.Token = a.Token
-		l.Received++
-		l.ReceivedBytes += len(t.Body)
-		h.schedule(d, event{to: n, starts: n.starts, kind: "Told", input: t})
+	h.schedule(latency, event{run: func() {
+		told := server.handleOrder(h, order)
+		told.Token = ask.Token
+		cost.Received++
+		cost.ReceivedBytes += len(told.Body)
+		h.schedule(latency, event{to: node, starts: node.starts, kind: "Told", input: told})
 	}})
 }
 
-func (s *hollowServer) handleOrder(h *Hollow, q protocol.Order) protocol.Told {
-	if q.Op == "" {
-		r := protocol.Report{Server: s.id, Num: s.ordersAccepted, Room: serverRoom, Slots: 64, Busy: s.orderDoneAt != 0}
-		for _, k := range generic.SortedKeys(s.held) {
-			r.Held = append(r.Held, protocol.Held{Key: k, Size: s.held[k], Stage: "ready"})
+func (s *hollowServer) handleOrder(h *Hollow, order protocol.Order) protocol.Told {
+	if order.Op == "" {
+		report := protocol.Report{Server: s.id, Num: s.ordersAccepted, Room: serverRoom, Slots: 64, Busy: s.orderDoneAt != 0}
+		for _, key := range generic.SortedKeys(s.held) {
+			report.Held = append(report.Held, protocol.Held{Key: key, Size: s.held[key], Stage: "ready"})
 		}
-		raw, _ := json.Marshal(r)
+		raw, _ := json.Marshal(report)
 		return protocol.Told{OK: true, Code: 200, Body: raw}
 	}
-	if q.Expected != s.ordersAccepted || s.orderDoneAt != 0 {
+	if order.Expected != s.ordersAccepted || s.orderDoneAt != 0 {
 		return protocol.Told{OK: true, Code: 409}
 	}
-	if _, has := s.held[q.Key]; has == (q.Op == "load") {
+	if _, held := s.held[order.Key]; held == (order.Op == "load") {
 		return protocol.Told{OK: true, Code: 200}
 	}
 	s.ordersAccepted++
-	s.order = q
-	took := clock.Span(2000e6)
-	if q.Key.IsAdapter() || q.Op == "unload" {
-		took = 200e6
+	s.order = order
+	duration := clock.Span(2000e6)
+	if order.Key.IsAdapter() || order.Op == "unload" {
+		duration = 200e6
 	}
-	s.orderDoneAt = h.now.Add(took)
+	s.orderDoneAt = h.now.Add(duration)
 	return protocol.Told{OK: true, Code: 202}
 }
 
@@ -541,68 +545,69 @@
 	}
 }
 
-// announce sends a server's word to any core node that it reaches.
+// announce sends a server's announcement to a random core node. If the node cannot be reached, the server retries soon.
 func (h *Hollow) announce(s *hollowServer, then func(bool)) {
 	s.announcements++
-	b := protocol.Beacon{Listed: protocol.Listed{ID: s.id, Addr: s.addr, Zone: h.zoneName(s.zone), State: s.state, Service: s.service, Slots: 64}, Count: s.announcements, Held: generic.SortedKeys(s.held)}
-	raw, _ := json.Marshal(b)
-	n := h.nodes[h.rand.IntN(h.opts.CoreNodes)]
-	if !n.up || h.partitioned(n.zone, s.zone) {
-		s.nextAnnounce = h.now.Add(200e6) // it tries another
+	beacon := protocol.Beacon{Listed: protocol.Listed{ID: s.id, Addr: s.addr, Zone: h.zoneName(s.zone), State: s.state, Service: s.service, Slots: 64}, Count: s.announcements, Held: generic.SortedKeys(s.held)}
+	raw, _ := json.Marshal(beacon)
+	node := h.nodes[h.rand.IntN(h.opts.CoreNodes)]
+	if !node.up || h.partitioned(node.zone, s.zone) {
+		s.nextAnnounce = h.now.Add(200e6)
 		return
 	}
 	h.token++
 	if then != nil {
 		h.onAnnounced[h.token] = then
 	}
-	l := h.cost(h.roleOf(n), "Announce")
-	l.Received++
-	l.ReceivedBytes += len(raw)
-	h.schedule(h.latencySteps(s.zone, n.zone), event{to: n, starts: n.starts, kind: "Announce", input: controller.Announce{Token: h.token, Beacon: b}})
+	cost := h.cost(h.roleOf(node), "Announce")
+	cost.Received++
+	cost.ReceivedBytes += len(raw)
+	h.schedule(h.latencySteps(s.zone, node.zone), event{to: node, starts: node.starts, kind: "Announce", input: controller.Announce{Token: h.token, Beacon: beacon}})
 }
 
+// makePlan returns a plan with the configured models, adapters, services and routes, and fills keys and sizes.
 func (h *Hollow) makePlan(name string) []byte {
-	type m map[string]any
-	models, adapters, services := m{}, m{}, m{}
-	names := make([][]string, h.opts.Services)
-	extra := make([][]string, h.opts.Services)
+	type object map[string]any
+	models, adapters, services := object{}, object{}, object{}
+	modelNames := make([][]string, h.opts.Services)
+	adapterNames := make([][]string, h.opts.Services)
 	h.keys = nil
 	for i := range h.opts.Models {
-		n, g := fmt.Sprintf("model-%03d", i), i%h.opts.Services
+		model, group := fmt.Sprintf("model-%03d", i), i%h.opts.Services
 		floor := 0
 		if i < h.opts.Servers/2 {
 			floor = 1
 		}
-		models[n] = m{"size": 60_000 + 1000*(i%20), "floor": floor, "load_ms": 2000}
-		k := ident.Key(n).In(fmt.Sprintf("engines-%d", g))
-		h.keys = append(h.keys, []ident.Key{k})
-		h.sizes[k] = 60_000 + 1000*(i%20)
-		names[g] = append(names[g], n)
+		models[model] = object{"size": 60_000 + 1000*(i%20), "floor": floor, "load_ms": 2000}
+		key := ident.Key(model).In(fmt.Sprintf("engines-%d", group))
+		h.keys = append(h.keys, []ident.Key{key})
+		h.sizes[key] = 60_000 + 1000*(i%20)
+		modelNames[group] = append(modelNames[group], model)
 	}
 	for i := range h.opts.Adapters {
-		n, b := fmt.Sprintf("adapter-%04d", i), i%h.opts.Models
-		base := fmt.Sprintf("model-%03d", b)
-		adapters[n] = m{"base": base, "size": 400}
-		k := ident.KeyOf(base, n).In(fmt.Sprintf("engines-%d", b%h.opts.Services))
-		h.keys[b] = append(h.keys[b], k)
-		h.sizes[k] = 400
-		extra[b%h.opts.Services] = append(extra[b%h.opts.Services], n)
-	}
-	routes := m{}
-	for g := range h.opts.Services {
-		services[fmt.Sprintf("engines-%d", g)] = m{"models": names[g], "adapters": extra[g], "slots": 64, "tokens": 150_000, "room": serverRoom, "places": serverPlaces,
+		adapter, m := fmt.Sprintf("adapter-%04d", i), i%h.opts.Models
+		base := fmt.Sprintf("model-%03d", m)
+		adapters[adapter] = object{"base": base, "size": 400}
+		key := ident.KeyOf(base, adapter).In(fmt.Sprintf("engines-%d", m%h.opts.Services))
+		h.keys[m] = append(h.keys[m], key)
+		h.sizes[key] = 400
+		adapterNames[m%h.opts.Services] = append(adapterNames[m%h.opts.Services], adapter)
+	}
+	routes := object{}
+	for group := range h.opts.Services {
+		services[fmt.Sprintf("engines-%d", group)] = object{"models": modelNames[group], "adapters": adapterNames[group], "slots": 64, "tokens": 150_000, "room": serverRoom, "places": serverPlaces,
 			"loads_per_s": 0.002 * float64(h.opts.Servers) / float64(h.opts.Services)}
-		routes[fmt.Sprintf("route-%d", g)] = m{"host": fmt.Sprintf("notes-%d.example", g), "prefix": "/", "service": fmt.Sprintf("engines-%d", g), "mode": "continuous",
-			"resume": true, "tries": 2, "value": 1000 - g, "wait_ms": 4000}
+		routes[fmt.Sprintf("route-%d", group)] = object{"host": fmt.Sprintf("notes-%d.example", group), "prefix": "/", "service": fmt.Sprintf("engines-%d", group), "mode": "continuous",
+			"resume": true, "tries": 2, "value": 1000 - group, "wait_ms": 4000}
 	}
-	raw, err := json.Marshal(m{"name": name, "store": m{"loads": 4}, "models": models, "adapters": adapters, "kinds": m{}, "services": services, "routes": routes})
+	raw, err := json.Marshal(object{"name": name, "store": object{"loads": 4}, "models": models, "adapters": adapters, "kinds": object{}, "services": services, "routes": routes})
 	if err != nil {
-		panic(err) // plain tables only
+		panic(err) // maps, slices and scalars always marshal
 	}
 	return raw
 }
 
-// fillServers gives each server the models that a fleet in use would hold: popular ones often.
+// fillServers assigns models and adapters to the servers as in a fleet in use: popular models have more replicas.
 func (h *Hollow) fillServers() {
 	weight := func(i int) float64 { return 1 / math.Pow(float64(i+1), 1.1) }
 	next, turns := make([]float64, h.opts.Models), make([]int, h.opts.Models)
@@ -610,8 +615,8 @@
 		for range 2 {
 			best := -1
 			for i := range h.keys {
-				k := h.keys[i][0]
-				if _, has := s.held[k]; has || k.Service() != s.service {
+				key := h.keys[i][0]
+				if _, held := s.held[key]; held || key.Service() != s.service {
 					continue
 				}
 				if best < 0 || next[i] < next[best] || next[i] == next[best] && i < best {
@@ -622,71 +627,73 @@
 				break
 			}
 			next[best] += 1 / weight(best)
-			l := h.keys[best]
-			s.held[l[0]] = h.sizes[l[0]]
-			for range min(activeAdapters(l), serverPlaces/2) {
-				k := l[1+turns[best]%activeAdapters(l)]
+			keys := h.keys[best]
+			s.held[keys[0]] = h.sizes[keys[0]]
+			for range min(activeAdapters(keys), serverPlaces/2) {
+				key := keys[1+turns[best]%activeAdapters(keys)]
 				turns[best]++
-				s.held[k] = h.sizes[k]
+				s.held[key] = h.sizes[key]
 			}
 		}
 	}
 }
 
-// active counts the adapters of a model that are asked for all the time.
-func activeAdapters(l []ident.Key) int {
-	return (len(l) - 1 + adaptersPerActive - 1) / adaptersPerActive
+// activeAdapters returns how many of a model's adapters receive regular requests; keys are those of the model.
+func activeAdapters(keys []ident.Key) int {
+	return (len(keys) - 1 + adaptersPerActive - 1) / adaptersPerActive
 }
 
-func (h *Hollow) pickKey(r *rand.Rand) ident.Key {
-	// By the inverse of a harmonic-like distribution: the first models and adapters get most.
+// pickKey draws the key of a request.
+func (h *Hollow) pickKey(random *rand.Rand) ident.Key {
+	// Inverse transform of a distribution close to 1/x: the first models and adapters receive most requests.
 	pick := func(n int) int {
-		return min(n-1, int(math.Pow(float64(n)+1, r.Float64()))-1)
+		return min(n-1, int(math.Pow(float64(n)+1, random.Float64()))-1)
 	}
-	l := h.keys[pick(len(h.keys))]
+	keys := h.keys[pick(len(h.keys))]
 	switch {
-	case len(l) == 1 || r.Float64() >= h.opts.AdapterShare:
-		return l[0]
-	case r.Float64() < idleAdapterShare:
-		return l[1+r.IntN(len(l)-1)]
+	case len(keys) == 1 || random.Float64() >= h.opts.AdapterShare:
+		return keys[0]
+	case random.Float64() < idleAdapterShare:
+		return keys[1+random.IntN(len(keys)-1)]
 	default:
-		return l[1+pick(activeAdapters(l))]
+		return keys[1+pick(activeAdapters(keys))]
 	}
 }
 
-// near passes what a router and its agent tell each other, and puts the synthetic demand in.
-func (h *Hollow) exchangeLocal(n *hollowNode, body any) any {
-	switch b := body.(type) {
+// exchangeLocal processes a message between a router and its agent: it adds the synthetic demand and updates the
+// router's view of the replicas.
+func (h *Hollow) exchangeLocal(node *hollowNode, body any) any {
+	switch message := body.(type) {
 	case protocol.Hello:
-		b.Burden, b.Seats = h.demand(n)
-		return b
+		message.Burden, message.Seats = h.demand(node)
+		return message
 	case protocol.Removal:
-		for _, d := range b.Drops {
-			delete(n.traffic.replicas, d.Key)
+		for _, drop := range message.Drops {
+			delete(node.traffic.replicas, drop.Key)
 		}
 	case protocol.Hold:
-		if t := n.partner.traffic; b.Session != t.session {
-			t.session = b.Session
-			for k := range t.replicas {
-				t.stale[k] = true
+		if traffic := node.partner.traffic; message.Session != traffic.session {
+			traffic.session = message.Session
+			for key := range traffic.replicas {
+				traffic.stale[key] = true
 			}
-			t.wantedAt = map[ident.Key]clock.Tick{}
+			traffic.wantedAt = map[ident.Key]clock.Tick{}
 		}
 	case protocol.News:
-		t := n.partner.traffic
-		for _, i := range b.Items {
-			if i.Break != "" {
-				delete(t.replicas, i.Break)
+		traffic := node.partner.traffic
+		for _, item := range message.Items {
+			if item.Break != "" {
+				delete(traffic.replicas, item.Break)
 			}
-			if e := i.Entry; e != nil {
-				delete(t.wantedAt, e.Key)
-				delete(t.stale, e.Key)
-				if !e.Same {
-					t.replicas[e.Key] = nil
-					for _, r := range e.Replicas {
-						t.replicas[e.Key] = append(t.replicas[e.Key], r.Server)
+			if entry := item.Entry; entry != nil {
+				delete(traffic.wantedAt, entry.Key)
+				delete(traffic.stale, entry.Key)
+				if !entry.Same {
+					traffic.replicas[entry.Key] = nil
+					for _, replica := range entry.Replicas {
+						traffic.replicas[entry.Key] = append(traffic.replicas[entry.Key], replica.Server)
 					}
-					t.marks[e.Key] = e.Mark
+					traffic.marks[entry.Key] = entry.Mark
 				}
 			}
 		}
@@ -694,68 +701,70 @@
 	return body
 }
 
-func (h *Hollow) demand(n *hollowNode) (map[ident.Key]protocol.Burden, map[ident.Server]int) {
-	t := n.traffic
-	b := map[ident.Key]protocol.Burden{}
-	each := h.opts.Utilization * float64(h.opts.Servers) / (h.opts.Rate * float64(h.opts.Routers))
-	left := t.active[:0]
-	for _, u := range t.active {
-		if u.end > h.now {
-			left = append(left, u)
+// demand advances the synthetic requests at a router by one interval, and returns the demand by key and the load in
+// tokens by server.
+func (h *Hollow) demand(node *hollowNode) (map[ident.Key]protocol.Burden, map[ident.Server]int) {
+	traffic := node.traffic
+	burdens := map[ident.Key]protocol.Burden{}
+	loadPerRequest := h.opts.Utilization * float64(h.opts.Servers) / (h.opts.Rate * float64(h.opts.Routers))
+	active := traffic.active[:0]
+	for _, request := range traffic.active {
+		if request.end > h.now {
+			active = append(active, request)
 		}
 	}
-	t.active = left
+	traffic.active = active
 	if h.epoch > 0 {
 		mean := h.opts.Rate * 0.2
-		k := 0
-		for p, l := t.rand.Float64(), math.Exp(-mean); p > l; p *= t.rand.Float64() {
-			k++
+		arrivals := 0
+		for product, limit := traffic.rand.Float64(), math.Exp(-mean); product > limit; product *= traffic.rand.Float64() {
+			arrivals++
 		}
-		for range k {
-			key := h.pickKey(t.rand)
-			u := b[key]
-			u.Came++
-			u.Load += each
-			b[key] = u
-			t.waiting[key] = append(t.waiting[key], h.now)
+		for range arrivals {
+			key := h.pickKey(traffic.rand)
+			burden := burdens[key]
+			burden.Came++
+			burden.Load += loadPerRequest
+			burdens[key] = burden
+			traffic.waiting[key] = append(traffic.waiting[key], h.now)
 		}
 	}
-	for _, k := range generic.SortedKeys(t.waiting) {
-		l := t.waiting[k]
-		if on := t.replicas[k]; len(on) > 0 && !t.stale[k] {
-			for range l {
-				stay := clock.Span(float64(h.opts.RequestTime) * (0.5 + t.rand.Float64()))
-				t.active = append(t.active, activeRequest{k, on[t.rand.IntN(len(on))], h.now.Add(stay)})
+	for _, key := range generic.SortedKeys(traffic.waiting) {
+		waiting := traffic.waiting[key]
+		if servers := traffic.replicas[key]; len(servers) > 0 && !traffic.stale[key] {
+			for range waiting {
+				duration := clock.Span(float64(h.opts.RequestTime) * (0.5 + traffic.rand.Float64()))
+				traffic.active = append(traffic.active, activeRequest{key, servers[traffic.rand.IntN(len(servers))], h.now.Add(duration)})
 			}
-			delete(t.waiting, k)
+			delete(traffic.waiting, key)
 			continue
 		}
-		for len(l) > 0 && h.now.Sub(l[0]) > 4e9 {
-			l = l[1:]
+		for len(waiting) > 0 && h.now.Sub(waiting[0]) > 4e9 {
+			waiting = waiting[1:]
 		}
-		if t.waiting[k] = l; len(l) == 0 {
-			delete(t.waiting, k)
+		if traffic.waiting[key] = waiting; len(waiting) == 0 {
+			delete(traffic.waiting, key)
 			continue
 		}
-		u := b[k]
-		u.Wait, u.Top = len(l), 1000
-		b[k] = u
-		if at, ok := t.wantedAt[k]; (!ok || h.now.Sub(at) > 400e6) && t.session.N > 0 {
-			t.wantedAt[k] = h.now
-			w := protocol.Want{Session: t.session, Key: k, Waiting: len(l), Value: 1000}
-			if t.stale[k] {
-				w.Mark = t.marks[k]
+		burden := burdens[key]
+		burden.Wait, burden.Top = len(waiting), 1000
+		burdens[key] = burden
+		if wantedAt, ok := traffic.wantedAt[key]; (!ok || h.now.Sub(wantedAt) > 400e6) && traffic.session.N > 0 {
+			traffic.wantedAt[key] = h.now
+			want := protocol.Want{Session: traffic.session, Key: key, Waiting: len(waiting), Value: 1000}
+			if traffic.stale[key] {
+				want.Mark = traffic.marks[key]
 			}
 			h.cost("router", "Want").Sent++
-			h.schedule(0, event{to: n.partner, starts: n.partner.starts, kind: "Want", input: protocol.Env{From: n.sibling, To: n.partner.sibling, Body: w}})
+			h.schedule(0, event{to: node.partner, starts: node.partner.starts, kind: "Want", input: protocol.Env{From: node.sibling, To: node.partner.sibling, Body: want}})
 		}
 	}
 	seats := map[ident.Server]int{}
-	for _, u := range t.active {
-		x := b[u.key]
-		x.Work++
-		b[u.key] = x
-		seats[u.server] += 150
+	for _, request := range traffic.active {
+		burden := burdens[request.key]
+		burden.Work++
+		burdens[request.key] = burden
+		seats[request.server] += 150
 	}
-	return b, seats
+	return burdens, seats
 }
--- a/internal/localfleet/hollow_run.go
+++ b/internal/localfleet/hollow_run.go
@@ -12,11 +12,11 @@
 	"tidedeck/internal/router"
 )
 
-// turn moves the fleet by one step of virtual time.
+// advance runs one step of virtual time.
 func (h *Hollow) advance() {
 	i := int(int64(h.now)/int64(stepTime)) % ringSteps
 	drain := func() {
-		for j := 0; j < len(h.ring[i]); j++ { // what is delivered at once joins the end
+		for j := 0; j < len(h.ring[i]); j++ { // a delivery may append events of the same step
 			h.deliver(h.ring[i][j])
 		}
 		h.ring[i] = nil
@@ -26,7 +26,7 @@
 		h.stepServer(s)
 	}
 	for _, n := range h.nodes {
-		if n.role == "router" || h.now%(5*clock.Tick(stepTime)) != 0 { // a router's beat is 20 ms, the others' 25
+		if n.role == "router" || h.now%(5*clock.Tick(stepTime)) != 0 { // routers step every 20 ms, others every 25 ms on average
 			h.step(n, "Beat", protocol.Beat{})
 		}
 	}
@@ -35,10 +35,10 @@
 	h.now = h.now.Add(stepTime)
 }
 
-// Owner finds the core node that owns the duty.
+// Owner returns the core node that holds the leadership, nil if none does.
 func (h *Hollow) Owner() *controller.Core {
-	for _, n := range h.nodes {
-		if c, ok := n.core.(*controller.Core); ok && n.up {
+	for _, node := range h.nodes {
+		if c, ok := node.core.(*controller.Core); ok && node.up {
 			if _, owns := c.Owns(h.now); owns {
 				return c
 			}
@@ -47,38 +47,38 @@
 	return nil
 }
 
-// InForce counts the live routers that have an epoch in force and a hold.
-func (h *Hollow) InForce(e ident.Epoch) (up, held, ruled int) {
-	for _, n := range h.nodes {
-		c, ok := n.core.(*router.Core)
-		if !ok || !n.up {
+// InForce counts the live routers, those with a lease, and those that have at least an epoch in force.
+func (h *Hollow) InForce(epoch ident.Epoch) (up, leased, inForce int) {
+	for _, node := range h.nodes {
+		c, ok := node.core.(*router.Core)
+		if !ok || !node.up {
 			continue
 		}
 		up++
-		_, at, holds := c.Rules(h.now)
-		if holds {
-			held++
+		_, at, hasLease := c.Rules(h.now)
+		if hasLease {
+			leased++
 		}
-		if at >= e {
-			ruled++
+		if at >= epoch {
+			inForce++
 		}
 	}
-	return up, held, ruled
+	return up, leased, inForce
 }
 
-// Admin asks a live core node for a change as an operator would.
-func (h *Hollow) RequestChange(a controller.Admin, then func(controller.Receipt)) {
-	n := h.nodes[h.rand.IntN(h.opts.CoreNodes)]
-	for !n.up {
-		n = h.nodes[h.rand.IntN(h.opts.CoreNodes)]
+// RequestChange submits an operator's request to a random live core node; then receives the reply.
+func (h *Hollow) RequestChange(request controller.Admin, then func(controller.Receipt)) {
+	node := h.nodes[h.rand.IntN(h.opts.CoreNodes)]
+	for !node.up {
+		node = h.nodes[h.rand.IntN(h.opts.CoreNodes)]
 	}
 	h.token++
-	a.Token = h.token
-	h.onReceipt[a.Token] = then
-	l := h.cost(h.roleOf(n), "Admin")
-	l.Received++
-	l.ReceivedBytes += len(a.Raw)
-	h.schedule(1, event{to: n, starts: n.starts, kind: "Admin", input: a})
+	request.Token = h.token
+	h.onReceipt[request.Token] = then
+	cost := h.cost(h.roleOf(node), "Admin")
+	cost.Received++
+	cost.ReceivedBytes += len(request.Raw)
+	h.schedule(1, event{to: node, starts: node.starts, kind: "Admin", input: request})
 }
 
 func (h *Hollow) patchPlan(n int) {
@@ -99,29 +99,29 @@
 }
 
 func (h *Hollow) recordApplied() {
-	left := h.pending[:0]
-	for _, p := range h.pending {
-		if up, _, ruled := h.InForce(p.epoch); ruled >= up {
-			h.ApplyTimes = append(h.ApplyTimes, h.now.Sub(p.at))
+	remaining := h.pending[:0]
+	for _, change := range h.pending {
+		if up, _, inForce := h.InForce(change.epoch); inForce >= up {
+			h.ApplyTimes = append(h.ApplyTimes, h.now.Sub(change.at))
 			continue
 		}
-		left = append(left, p)
+		remaining = append(remaining, change)
 	}
-	h.pending = left
+	h.pending = remaining
 }
 
-// Up turns the fleet until a plan is in force at every router, then for the warm time. It fails when
-// that never comes about.
+// Start runs the fleet until the plan is in force at every router, then for the warm-up time. It returns an error if the
+// plan is not in force after a minute of virtual time.
 func (h *Hollow) Start() error {
-	asked := false
+	submitted := false
 	for end := h.now.Add(60e9); ; h.advance() {
 		if h.now > end {
-			return fmt.Errorf("no plan in force after a minute: %v", h.LogCounts)
+			return fmt.Errorf("plan not in force everywhere after one minute: %v", h.LogCounts)
 		}
-		if h.epoch == 0 && !asked && h.Owner() != nil {
-			asked = true
+		if h.epoch == 0 && !submitted && h.Owner() != nil {
+			submitted = true
 			h.RequestChange(controller.Admin{Op: "put", Raw: h.plan, Any: true, Change: "first"}, func(r controller.Receipt) {
-				asked = false
+				submitted = false
 				if r.Kind == failure.None {
 					h.epoch = r.Epoch
 					return
@@ -129,7 +129,7 @@
 				h.LogCounts[fmt.Sprint("plan: ", r.Kind, r.Faults)]++
 			})
 		}
-		if up, held, ruled := h.InForce(max(1, h.epoch)); h.epoch > 0 && ruled == up && held == up {
+		if up, leased, inForce := h.InForce(max(1, h.epoch)); h.epoch > 0 && inForce == up && leased == up {
 			break
 		}
 	}
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// Measure turns the fleet for the measured time, with the churn that was asked for.
+// Measure runs the fleet for the measured duration, with the configured changes and failures.
 func (h *Hollow) Measure() {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -148,33 +148,33 @@
 	h.measuredFrom = h.now
 	due := map[int][]func(){}
 	steps := int(h.opts.Duration / stepTime)
-	spread := func(n int, do func(i int)) {
+	spread := func(n int, run func(i int)) {
 		for i := range n {
 			at := steps * (2*i + 1) / (2 * n)
-			due[at] = append(due[at], func() { do(i) })
+			due[at] = append(due[at], func() { run(i) })
 		}
 	}
 	spread(h.opts.Changes, h.patchPlan)
 	spread(h.opts.Failures, h.failMachine)
 	spread(h.opts.Restarts, h.restartServer)
-	third := func(n int, do func()) { due[steps*n/3] = append(due[steps*n/3], do) }
+	atThirds := func(n int, run func()) { due[steps*n/3] = append(due[steps*n/3], run) }
 	if h.opts.ZoneFails {
-		third(1, func() { h.setZonePower(0, false) })
-		third(2, func() { h.setZonePower(0, true) })
+		atThirds(1, func() { h.setZonePower(0, false) })
+		atThirds(2, func() { h.setZonePower(0, true) })
 	}
 	if h.opts.OwnerFails {
-		third(1, h.failOwner)
+		atThirds(1, h.failOwner)
 	}
 	if h.opts.PartitionTime > 0 {
-		third(1, func() {
+		atThirds(1, func() {
 			h.partitioned = func(a, b int) bool { return (h.region(a) == 0) != (h.region(b) == 0) }
 		})
 		n := steps/3 + int(h.opts.PartitionTime/stepTime)
 		due[n] = append(due[n], func() { h.partitioned = func(int, int) bool { return false } })
 	}
 	for i := range steps {
-		for _, f := range due[i] {
-			f()
+		for _, run := range due[i] {
+			run()
 		}
 		h.advance()
 		if i%10 == 0 {
@@ -184,29 +184,29 @@
 }
 
 func (h *Hollow) sample() ServiceSample {
-	m := ServiceSample{At: h.now.Sub(h.measuredFrom)}
-	m.Routers, m.Leased, _ = h.InForce(0)
+	sample := ServiceSample{At: h.now.Sub(h.measuredFrom)}
+	sample.Routers, sample.Leased, _ = h.InForce(0)
 	ready := map[ident.Key]bool{}
 	for _, s := range h.servers {
 		if s.up && s.state == "live" {
-			for k := range s.held {
-				ready[k] = true
+			for key := range s.held {
+				ready[key] = true
 			}
 		}
 	}
 	for i := range min(h.opts.Models, h.opts.Servers/2) {
 		if !ready[h.keys[i][0]] {
-			m.BelowFloor++
+			sample.BelowFloor++
 		}
 	}
-	for _, n := range h.nodes {
-		if n.traffic != nil && n.up {
-			for _, l := range n.traffic.waiting {
-				m.Waiting += len(l)
+	for _, node := range h.nodes {
+		if node.traffic != nil && node.up {
+			for _, queue := range node.traffic.waiting {
+				sample.Waiting += len(queue)
 			}
 		}
 	}
-	return m
+	return sample
 }
 
 func (h *Hollow) failServer(s *hollowServer) {
@@ -216,25 +216,25 @@
 	}
 }
 
-func (h *Hollow) setNodePower(n *hollowNode, on bool) {
-	if on && !n.up {
-		h.startNode(n)
+func (h *Hollow) setNodePower(node *hollowNode, on bool) {
+	if on && !node.up {
+		h.startNode(node)
 	}
-	n.up = on
+	node.up = on
 }
 
-// failMachine takes the power from a server, and from a router for each of eight servers, as their numbers go.
+// failMachine fails one machine: in every eighth call a router with its agent, otherwise a server.
 func (h *Hollow) failMachine(i int) {
 	if i%8 == 7 {
-		n := h.nodes[h.opts.CoreNodes+2*((i*37)%h.opts.Routers)]
-		h.setNodePower(n, false)
-		h.setNodePower(n.partner, false)
+		node := h.nodes[h.opts.CoreNodes+2*((i*37)%h.opts.Routers)]
+		h.setNodePower(node, false)
+		h.setNodePower(node.partner, false)
 		return
 	}
 	h.failServer(h.servers[(i*101+3)%h.opts.Servers])
 }
 
-// restartServer stops a server as planned, and starts it anew under another id at the same address.
+// restartServer stops a server gracefully and restarts it under a new id at the same address.
 func (h *Hollow) restartServer(i int) {
 	s := h.servers[(i*211+7)%h.opts.Servers]
 	if !s.up || s.state != "live" {
@@ -251,9 +251,9 @@
 }
 
 func (h *Hollow) setZonePower(zone int, on bool) {
-	for _, n := range h.nodes {
-		if n.zone == zone {
-			h.setNodePower(n, on)
+	for _, node := range h.nodes {
+		if node.zone == zone {
+			h.setNodePower(node, on)
 		}
 	}
 	for _, s := range h.servers {
@@ -268,9 +268,9 @@
 }
 
 func (h *Hollow) failOwner() {
-	for _, n := range h.nodes {
-		if n.role == "core" && h.roleOf(n) == "owner" {
-			h.setNodePower(n, false)
+	for _, node := range h.nodes {
+		if node.role == "core" && h.roleOf(node) == "owner" {
+			h.setNodePower(node, false)
 			return
 		}
 	}
--- a/internal/localfleet/hollow_test.go
+++ b/internal/localfleet/hollow_test.go
@@ -62,7 +62,7 @@
 	require.Len(t, h.ApplyTimes, 2)
 	require.Empty(t, h.TermStarts)
 	require.Empty(t, h.DetectionTimes)
-	require.Zero(t, h.LogCounts["a live server is taken for dark"])
+	require.Zero(t, h.LogCounts["live server reported unreachable"])
 	for _, took := range h.ApplyTimes {
 		require.LessOrEqual(t, took, maxApplyTime)
 	}
--- a/internal/localfleet/report.go
+++ b/internal/localfleet/report.go
@@ -13,7 +13,7 @@
 
 // Report prints the results of a run: what the callers saw, and the counters of the processes.
 func (f *Fleet) Report(w io.Writer, r *standin.CallReport) {
-	printf := func(form string, controller ...any) { _, _ = fmt.Fprintf(w, form+"\n", controller...) }
+	printf := func(format string, args ...any) { _, _ = fmt.Fprintf(w, format+"\n", args...) }
 	printf("")
 	printf("fleet %s: %d core nodes, %d routers with agents, %d model servers", f.Shape.Name, len(f.AdminAddrs), f.Shape.Routers, f.Shape.Servers)
 	printf("callers   sent %d, answered %d, events %d, repeated on request %d", r.Sent, r.Receipts, r.Events, r.Repeats)
@@ -31,8 +31,8 @@
 	}
 	totals := map[string]float64{}
 	epochs := map[string]int{}
-	for _, controller := range f.RouterByName {
-		m := f.Metrics(controller + "/-/metrics")
+	for _, addr := range f.RouterByName {
+		m := f.Metrics(addr + "/-/metrics")
 		for key, v := range m {
 			totals[key] += v
 		}
@@ -53,16 +53,16 @@
 		printf("store     pulls %d, peak concurrency %d, over budget %d", store.Pulls, store.Peak, store.Over)
 	}
 	ran, reused, bytes, drops := uint64(0), uint64(0), uint64(0), map[string]int{}
-	for _, controller := range f.ServerAddrs {
+	for _, addr := range f.ServerAddrs {
 		var server struct {
 			Tally standin.ServerTally `json:"tally"`
 		}
-		if _, err := f.Get(controller+"/count", &server); err == nil {
+		if _, err := f.Get(addr+"/count", &server); err == nil {
 			ran += server.Tally.Works
 			reused += server.Tally.Reused
 			bytes += server.Tally.PromptBytes
-			for key, name := range server.Tally.DropKinds {
-				drops[string(key)] += int(name)
+			for kind, n := range server.Tally.DropKinds {
+				drops[string(kind)] += int(n)
 			}
 		}
 	}
