--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -1,5 +1,5 @@
-// Command experiment compares two revisions of the sources on the same days with the same seeds, and sums what requests
-// were late or lost for.
+// Command experiment compares two revisions of the sources on the same days with the same seeds, and sums why requests
+// were late or lost.
 package main
 
 import (
@@ -17,42 +17,42 @@
 	"tidedeck/internal/host"
 )
 
-// Exit statuses, for scripts.
+// Exit statuses.
 const (
-	exitWorse = 1 // the second side broke a rule, or its score is lower beyond its interval
+	exitWorse = 1 // the second side broke a rule, or its score is lower by more than the confidence interval
 	exitError = 2
 )
 
 type settings struct {
-	Settings string     `help:"File of settings, JSON; flags go before it." type:"path"`
-	Compare  comparison `cmd:"" help:"Play days on two revisions, or settings, and compare them pair by pair."`
+	Settings string     `help:"JSON file of settings. Flags take precedence." type:"path"`
+	Compare  comparison `cmd:"" help:"Run days on two revisions, or on one with edits, and compare them pair by pair."`
 	Explain  struct {
-		Logs []string `arg:"" help:"Files of log lines of routers." type:"existingfile"`
-	} `cmd:"" help:"Sum what requests were late or lost for, by the traces in routers' log lines."`
+		Logs []string `arg:"" help:"Log files of routers." type:"existingfile"`
+	} `cmd:"" help:"Sum why requests were late or lost, from the traces in the routers' logs."`
 }
 
 type comparison struct {
-	Bench      string   `help:"Path of the bench's program." required:"" type:"existingfile"`
-	Repository string   `help:"Repository that revisions are taken from." default:"." type:"existingdir"`
-	Folder     string   `help:"Folder for copies, reports and results; an experiment that was broken off goes on there." required:"" type:"path"`
-	Journal    string   `help:"Folder that journal entries are gathered in." type:"existingdir"`
-	Site       string   `help:"The site's file." required:"" type:"existingfile"`
-	Days       []string `help:"Days of the site; all, if none is said."`
-	Seeds      int      `help:"How many seeds." default:"8"`
-	From       uint64   `help:"The first seed." default:"1"`
+	Bench      string   `help:"Path of the bench program." required:"" type:"existingfile"`
+	Repository string   `help:"Repository of the revisions." default:"." type:"existingdir"`
+	Folder     string   `help:"Folder for copies, reports and results. An interrupted experiment resumes there." required:"" type:"path"`
+	Journal    string   `help:"Folder to collect journal entries in." type:"existingdir"`
+	Site       string   `help:"File of the site." required:"" type:"existingfile"`
+	Days       []string `help:"Days of the site. Default: all."`
+	Seeds      int      `help:"Number of seeds." default:"8"`
+	From       uint64   `help:"First seed." default:"1"`
 	First      string   `help:"Revision of the first side." required:""`
-	Second     string   `help:"Revision of the second side; the first's, if none is said."`
-	Edits      string   `help:"File of edits to the second side's sources: a JSON list of file, old and new." type:"existingfile"`
-	Jobs       int      `help:"Pairs at a time; each takes two processors." default:"2"`
-	Why        string   `help:"A line for the journal." required:""`
-	NoCPU      bool     `help:"Charge no processor time: runs mostly repeat."`
+	Second     string   `help:"Revision of the second side. Default: that of the first."`
+	Edits      string   `help:"File of edits to the second side's sources: a JSON list of objects with file, old and new." type:"existingfile"`
+	Jobs       int      `help:"Concurrent pairs. Each uses two processors." default:"2"`
+	Why        string   `help:"Reason for the experiment, for the journal." required:""`
+	NoCPU      bool     `help:"Charge no processor time, which makes runs mostly reproducible."`
 }
 
 func main() {
-	var s settings
-	command := host.Parse(&s, "experiment", "experiment compares revisions on the same days, and tells what requests were late or lost for.")
+	var flags settings
+	command := host.Parse(&flags, "experiment", "experiment compares revisions on the same days, and sums why requests were late or lost.")
 	if strings.HasPrefix(command, "explain") {
-		if err := runExplain(s.Explain.Logs); err != nil {
+		if err := runExplain(flags.Explain.Logs); err != nil {
 			fmt.Fprintln(os.Stderr, "experiment:", err)
 			os.Exit(exitError)
 		}
@@ -60,7 +60,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	worse, err := runCompare(ctx, s.Compare)
+	worse, err := runCompare(ctx, flags.Compare)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "experiment:", err)
 		os.Exit(exitError)
@@ -70,61 +70,61 @@
 	}
 }
 
-func runExplain(logs []string) error {
-	x := experiment.NewExplanation()
-	for _, path := range logs {
-		f, err := os.Open(path)
+func runExplain(paths []string) error {
+	explanation := experiment.NewExplanation()
+	for _, path := range paths {
+		file, err := os.Open(path)
 		if err != nil {
 			return err
 		}
-		err = x.Read(f)
-		f.Close()
+		err = explanation.Read(file)
+		file.Close()
 		if err != nil {
 			return errors.Wrap(err, path)
 		}
 	}
-	return x.WriteText(os.Stdout)
+	return explanation.WriteText(os.Stdout)
 }
 
-func runCompare(ctx context.Context, s comparison) (worse bool, err error) {
-	marks, err := experiment.ReadScales(s.Site)
+func runCompare(ctx context.Context, c comparison) (worse bool, err error) {
+	scales, err := experiment.ReadScales(c.Site)
 	if err != nil {
 		return false, err
 	}
-	if len(s.Days) == 0 {
-		s.Days = marks.Names()
+	if len(c.Days) == 0 {
+		c.Days = scales.Names()
 	}
-	if !marks.HasAll(s.Days) {
-		return false, errors.Errorf("the site's days are %s", strings.Join(marks.Names(), ", "))
+	if !scales.HasAll(c.Days) {
+		return false, errors.Errorf("unknown day: the days of the site are %s", strings.Join(scales.Names(), ", "))
 	}
-	first, second, err := s.sides()
+	first, second, err := c.sides()
 	if err != nil {
 		return false, err
 	}
 	var seeds []uint64
-	for i := range s.Seeds {
-		seeds = append(seeds, s.From+uint64(i))
+	for i := range c.Seeds {
+		seeds = append(seeds, c.From+uint64(i))
 	}
-	player := experiment.Runner{Bench: s.Bench, Repository: s.Repository, Folder: s.Folder, Journal: s.Journal, Jobs: max(1, s.Jobs), Reason: s.Why, Progress: os.Stderr}
-	if s.NoCPU {
-		player.Options = append(player.Options, "--no-cpu")
+	runner := experiment.Runner{Bench: c.Bench, Repository: c.Repository, Folder: c.Folder, Journal: c.Journal, Jobs: max(1, c.Jobs), Reason: c.Why, Progress: os.Stderr}
+	if c.NoCPU {
+		runner.Options = append(runner.Options, "--no-cpu")
 	}
-	pairs, playErr := player.Run(ctx, first, second, experiment.Days(s.Site, s.Days, seeds))
-	table := experiment.Compare(first, second, marks, pairs)
+	pairs, runErr := runner.Run(ctx, first, second, experiment.Days(c.Site, c.Days, seeds))
+	table := experiment.Compare(first, second, scales, pairs)
 	if err := table.WriteText(os.Stdout); err != nil {
 		return false, err
 	}
-	if playErr != nil {
-		return false, playErr
+	if runErr != nil {
+		return false, runErr
 	}
-	name := filepath.Join(s.Folder, first.Name+"-"+second.Name)
-	if err := table.WriteJSON(name+".json", pairs); err != nil {
+	path := filepath.Join(c.Folder, first.Name+"-"+second.Name)
+	if err := table.WriteJSON(path+".json", pairs); err != nil {
 		return false, err
 	}
-	return table.Worse(), table.WritePlot(name+".png", pairs)
+	return table.Worse(), table.WritePlot(path+".png", pairs)
 }
 
-// sides names the two sides by their revisions, and by the file of edits.
+// sides returns the two sides, named after their revisions and the file of edits.
 func (s comparison) sides() (first, second experiment.Side, err error) {
 	first = experiment.Side{Name: s.First, Revision: s.First}
 	second = experiment.Side{Name: s.Second, Revision: s.Second}
--- a/docs/capacity/plot/main.go
+++ b/docs/capacity/plot/main.go
@@ -1,4 +1,5 @@
-// Command plot draws the slopes of a hollow fleet's CSV and prints their fits as a table.
+// Command plot draws plots of the figures in a hollow fleet's CSV, by each dimension of the fleet's size, and prints linear
+// fits as a Markdown table.
 package main
 
 import (
@@ -17,15 +18,16 @@
 	"gonum.org/v1/plot/vg"
 )
 
+// point is a figure at one size of the fleet, over the seeds.
 type point struct{ x, low, mean, high float64 }
 
 var measures = []struct {
 	name, unit string
-	of         func(r map[string]float64) float64
+	value      func(row map[string]float64) float64
 }{
-	{"processor", "% of a core", func(r map[string]float64) float64 { return r["cpu_ms_s"] / 10 }},
-	{"bytes", "KB a second, out and in", func(r map[string]float64) float64 { return (r["out_bytes_s"] + r["in_bytes_s"]) / 1e3 }},
-	{"heap", "MB", func(r map[string]float64) float64 { return r["heap_bytes"] / 1e6 }},
+	{"processor", "% of a core", func(row map[string]float64) float64 { return row["cpu_ms_s"] / 10 }},
+	{"bytes", "KB per second, out and in", func(row map[string]float64) float64 { return (row["out_bytes_s"] + row["in_bytes_s"]) / 1e3 }},
+	{"heap", "MB", func(row map[string]float64) float64 { return row["heap_bytes"] / 1e6 }},
 }
 
 var (
@@ -35,7 +37,7 @@
 
 func main() {
 	if len(os.Args) != 3 {
-		fmt.Fprintln(os.Stderr, "plot: wants a CSV and the folder for the plots")
+		fmt.Fprintln(os.Stderr, "plot: usage: plot FILE.csv FOLDER")
 		os.Exit(2)
 	}
 	if err := run(os.Args[1], os.Args[2]); err != nil {
@@ -49,32 +51,32 @@
 	if err != nil {
 		return err
 	}
-	fmt.Println("| grows with | role | figure | at each size (mean of the seeds) | least to most of the seeds, widest | line: at 0 + a unit | power, last two sizes |")
+	fmt.Println("| dimension | role | figure | by size (mean of the seeds) | largest ratio between seeds | linear fit: intercept + slope | exponent, last two sizes |")
 	fmt.Println("|---|---|---|---|---|---|---|")
-	for _, d := range dimensions {
-		for _, m := range measures {
+	for _, dimension := range dimensions {
+		for _, measure := range measures {
 			p := plot.New()
-			p.Title.Text = m.name + " of one process, by " + d
-			p.X.Label.Text, p.Y.Label.Text = d, m.unit
+			p.Title.Text = measure.name + " per process, by " + dimension
+			p.X.Label.Text, p.Y.Label.Text = dimension, measure.unit
 			p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
 			p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
 			p.Legend.Top, p.Legend.Left = true, true
 			var lines []any
 			for _, role := range roles {
-				l := points(rows, d, role, m.of)
-				if len(l) < 2 {
+				rolePoints := points(rows, dimension, role, measure.value)
+				if len(rolePoints) < 2 {
 					continue
 				}
 				var xy plotter.XYs
-				for _, q := range l {
-					if q.x > 0 && q.mean > 0 {
-						xy = append(xy, plotter.XY{X: q.x, Y: q.mean})
+				for _, pt := range rolePoints {
+					if pt.x > 0 && pt.mean > 0 {
+						xy = append(xy, plotter.XY{X: pt.x, Y: pt.mean})
 					}
 				}
 				if len(xy) > 1 {
 					lines = append(lines, role, xy)
 				}
-				table(d, role, m.name, m.unit, l)
+				printRow(dimension, role, measure.name, measure.unit, rolePoints)
 			}
 			if len(lines) == 0 {
 				continue
@@ -82,7 +84,7 @@
 			if err := plotutil.AddLinePoints(p, lines...); err != nil {
 				return err
 			}
-			if err := p.Save(14*vg.Centimeter, 9*vg.Centimeter, filepath.Join(dir, d+"-"+m.name+".svg")); err != nil {
+			if err := p.Save(14*vg.Centimeter, 9*vg.Centimeter, filepath.Join(dir, dimension+"-"+measure.name+".svg")); err != nil {
 				return err
 			}
 		}
@@ -90,83 +92,84 @@
 	return nil
 }
 
-func table(d, role, name, unit string, l []point) {
+func printRow(dimension, role, name, unit string, points []point) {
 	var x, y []float64
-	at, wide := "", 1.0
-	for _, q := range l {
-		x, y = append(x, q.x), append(y, q.mean)
-		at += fmt.Sprintf("%.0f: %.3g; ", q.x, q.mean)
-		if q.low > 0 {
-			wide = math.Max(wide, q.high/q.low)
+	sizes, ratio := "", 1.0
+	for _, pt := range points {
+		x, y = append(x, pt.x), append(y, pt.mean)
+		sizes += fmt.Sprintf("%.0f: %.3g; ", pt.x, pt.mean)
+		if pt.low > 0 {
+			ratio = math.Max(ratio, pt.high/pt.low)
 		}
 	}
-	a, b := stat.LinearRegression(x, y, nil, false)
-	power := "-"
-	if n := len(l); l[n-2].x > 0 && l[n-2].mean > 0 {
-		power = fmt.Sprintf("%.2f", math.Log(y[n-1]/y[n-2])/math.Log(x[n-1]/x[n-2]))
+	intercept, slope := stat.LinearRegression(x, y, nil, false)
+	exponent := "-"
+	if n := len(points); points[n-2].x > 0 && points[n-2].mean > 0 {
+		exponent = fmt.Sprintf("%.2f", math.Log(y[n-1]/y[n-2])/math.Log(x[n-1]/x[n-2]))
 	}
-	fmt.Printf("| %s | %s | %s, %s | %s | × %.2f | %.3g + %.3g | %s |\n", d, role, name, unit, at[:len(at)-2], wide, a, b, power)
+	fmt.Printf("| %s | %s | %s, %s | %s | × %.2f | %.3g + %.3g | %s |\n", dimension, role, name, unit, sizes[:len(sizes)-2], ratio, intercept, slope, exponent)
 }
 
+// row holds the numeric columns of a CSV record.
 type row struct {
-	role string
-	n    map[string]float64
+	role   string
+	values map[string]float64
 }
 
 func read(path string) ([]row, error) {
-	f, err := os.Open(path)
+	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	all, err := csv.NewReader(f).ReadAll()
+	defer file.Close()
+	records, err := csv.NewReader(file).ReadAll()
 	if err != nil {
 		return nil, err
 	}
-	var l []row
-	for _, r := range all[1:] {
-		x := row{n: map[string]float64{}}
+	var rows []row
+	for _, record := range records[1:] {
+		parsed := row{values: map[string]float64{}}
 		kind := ""
-		for i, h := range all[0] {
-			switch h {
+		for i, column := range records[0] {
+			switch column {
 			case "role":
-				x.role = r[i]
+				parsed.role = record[i]
 			case "kind":
-				kind = r[i]
+				kind = record[i]
 			default:
-				if v, err := strconv.ParseFloat(r[i], 64); err == nil {
-					x.n[h] = v
+				if v, err := strconv.ParseFloat(record[i], 64); err == nil {
+					parsed.values[column] = v
 				}
 			}
 		}
 		if kind == "all" {
-			l = append(l, x)
+			rows = append(rows, parsed)
 		}
 	}
-	return l, nil
+	return rows, nil
 }
 
-// points picks the runs that differ from the first one in one dimension only.
-func points(rows []row, d, role string, of func(map[string]float64) float64) []point {
-	base := rows[0].n
-	by := map[float64][]float64{}
+// points returns the figures of a role in the runs that differ from the first run at most in the given dimension.
+func points(rows []row, dimension, role string, figure func(map[string]float64) float64) []point {
+	base := rows[0].values
+	values := map[float64][]float64{}
 next:
-	for _, r := range rows {
-		if r.role != role {
+	for _, row := range rows {
+		if row.role != role {
 			continue
 		}
-		for _, o := range dimensions {
-			if o != d && r.n[o] != base[o] {
+		for _, other := range dimensions {
+			if other != dimension && row.values[other] != base[other] {
 				continue next
 			}
 		}
-		by[r.n[d]] = append(by[r.n[d]], of(r.n))
+		values[row.values[dimension]] = append(values[row.values[dimension]], figure(row.values))
 	}
-	var l []point
-	for x, v := range by {
-		sort.Float64s(v)
-		l = append(l, point{x, v[0], stat.Mean(v, nil), v[len(v)-1]})
+	var result []point
+	for x, ys := range values {
+		sort.Float64s(ys)
+		result = append(result, point{x, ys[0], stat.Mean(ys, nil), ys[len(ys)-1]})
 	}
-	sort.Slice(l, func(i, j int) bool { return l[i].x < l[j].x })
-	return l
+	sort.Slice(result, func(i, j int) bool { return result[i].x < result[j].x })
+	return result
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// reportOf is a report with some worth.
+// newReport returns a report with the given worth.
 func newReport(worth float64) *Report {
 	return &Report{Worth: worth, Served: 0.9, Parts: []Part{{"whole day", 0.4, worth}}, Classes: []Group{{Name: "a", Worth: &worth}}}
 }
@@ -26,7 +26,7 @@
 
 var testScales = Scales{"quiet": {Zero: 0.2, One: 0.7}}
 
-// The interval of a mean of differences is Student's.
+// The confidence interval of a mean difference follows Student's t distribution.
 func TestIntervals(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -34,23 +34,23 @@
 		worth, half float64
 		worse       bool
 	}{
-		{"one pair tells nothing", []float64{-0.3}, -0.3, 0, false},
+		{"one pair has no interval", []float64{-0.3}, -0.3, 0, false},
 		{"the same each time", []float64{0.1, 0.1, 0.1}, 0.1, 0, false},
 		{"lower each time", []float64{-0.1, -0.1, -0.1}, -0.1, 0, true},
 		{"three pairs", []float64{0.1, 0.2, 0.3}, 0.2, 0.2484, false},
-		{"lower, not beyond its interval", []float64{-0.3, 0.1, -0.1}, -0.1, 0.4968, false},
+		{"lower, within the interval", []float64{-0.3, 0.1, -0.1}, -0.1, 0.4968, false},
 	} {
 		table := Compare(Side{Name: "x"}, Side{Name: "y"}, testScales, newPairs(c.differences...))
 		row := table.Rows[1]
 		require.Equal(t, "worth less prices", row.Figure, c.name)
 		require.InDelta(t, c.worth, row.Difference, 1e-9, c.name)
 		require.InDelta(t, c.half, row.HalfWidth, 1e-4, c.name)
-		require.InDelta(t, c.worth/0.5, table.Rows[0].Difference, 1e-9, "the score is by the day's marks")
+		require.InDelta(t, c.worth/0.5, table.Rows[0].Difference, 1e-9, "the score uses the scale of the day")
 		require.Equal(t, c.worse, table.Worse(), c.name)
 	}
 }
 
-// A rule that the second side broke makes it worse, whatever its figures.
+// A rule broken by the second side makes it worse regardless of its figures.
 func TestBrokenRules(t *testing.T) {
 	pairs := newPairs(0.1, 0.1)
 	pairs[1].First.Breaks = map[string]int{"DRAIN": 1}
@@ -63,7 +63,7 @@
 	require.Contains(t, text.String(), "BROKEN y on s-quiet-1: DRAIN")
 }
 
-// Pairs that were played on one side only do not count.
+// Pairs with a report of one side only are excluded.
 func TestHalfPairs(t *testing.T) {
 	pairs := newPairs(0.1, 0.3)
 	pairs[1].Second = nil
@@ -71,7 +71,7 @@
 	require.Equal(t, 1, table.Rows[0].Pairs)
 }
 
-// A report reads back as it was written, and what is none is an error.
+// Valid reports are decoded, others are rejected.
 func TestReports(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.json")
 	for _, c := range []struct {
@@ -94,7 +94,7 @@
 	}
 }
 
-// Marks come from the site's file; a day without any has none.
+// Scales are read from the site's file; days without one are left out.
 func TestMarks(t *testing.T) {
 	folder := t.TempDir()
 	site := filepath.Join(folder, "s.toml")
@@ -106,7 +106,7 @@
 	require.False(t, m.HasAll([]string{"b"}))
 }
 
-// benchScript stands in for the bench: it writes a report whose worth is what the sources say.
+// benchScript replaces the bench. It writes a report with the worth given in the sources.
 const benchScript = `#!/bin/sh
 while [ $# -gt 0 ]; do
   case $1 in --report) file=$2; shift ;; esac
@@ -117,7 +117,7 @@
 mkdir -p journal; echo entry > "journal/$(basename "$file")-$(cat worth).json"
 `
 
-// Days are played once on each side, with the edits of the second; what was played is not played again.
+// Each day runs once on each side, with the edits applied on the second. A second run reuses the reports.
 func TestPlay(t *testing.T) {
 	folder := t.TempDir()
 	repository, journal, bench := filepath.Join(folder, "repository"), filepath.Join(folder, "journal"), filepath.Join(folder, "bench")
@@ -141,8 +141,8 @@
 	second := Side{Name: "second", Revision: revision, Edits: []Edit{{"worth", "0.5", "0.6"}}}
 	days := Days("s.toml", []string{"quiet", "busy"}, []uint64{1, 2})
 	for range 2 {
-		player := Runner{Bench: bench, Repository: repository, Folder: filepath.Join(folder, "runs"), Journal: journal, Jobs: 2, Progress: &bytes.Buffer{}}
-		pairs, err := player.Run(ctx, first, second, days)
+		runner := Runner{Bench: bench, Repository: repository, Folder: filepath.Join(folder, "runs"), Journal: journal, Jobs: 2, Progress: &bytes.Buffer{}}
+		pairs, err := runner.Run(ctx, first, second, days)
 		require.NoError(t, err)
 		require.Len(t, pairs, 4)
 		for i, p := range pairs {
@@ -158,12 +158,12 @@
 	require.Len(t, entries, 8)
 
 	wrong := Side{Name: "wrong", Revision: revision, Edits: []Edit{{"worth", "0.7", "0.6"}}}
-	player := Runner{Bench: bench, Repository: repository, Folder: filepath.Join(folder, "runs"), Jobs: 1, Progress: &bytes.Buffer{}}
-	_, err = player.Run(ctx, first, wrong, days[:1])
-	require.ErrorContains(t, err, "wants once")
+	runner := Runner{Bench: bench, Repository: repository, Folder: filepath.Join(folder, "runs"), Jobs: 1, Progress: &bytes.Buffer{}}
+	_, err = runner.Run(ctx, first, wrong, days[:1])
+	require.ErrorContains(t, err, "must occur once")
 }
 
-// Results are written for people, machines and as a picture.
+// Results are written as JSON and as a plot.
 func TestWrite(t *testing.T) {
 	folder := t.TempDir()
 	pairs := newPairs(0.1, 0.2)
--- a/internal/experiment/explain.go
+++ b/internal/experiment/explain.go
@@ -15,44 +15,44 @@
 	"tidedeck/internal/router"
 )
 
-// What requests were late or lost for, summed from the traces that routers log: where the time went of those that were
-// answered late, and what ended those that were not answered.
+// This file sums the request traces that routers log: which phase took longest for requests that were answered late, and
+// what ended those that were not answered.
 
 const (
-	causeServer  = "server"  // queued or read at the server
-	causeEarlier = "earlier" // attempts before the last one
+	causeServer  = "server"  // queueing and prompt processing at the server
+	causeEarlier = "earlier" // attempts before the last
 	maxLineBytes = 1 << 20
 )
 
-// Loss counts the requests that have one cause.
+// Loss counts the late or lost requests with one cause.
 type Loss struct {
-	Late     bool   `json:"late"` // answered, and late
+	Late     bool   `json:"late"` // answered, but late
 	Cause    string `json:"cause"`
 	Target   string `json:"what"` // base, adapter or service
 	Requests int    `json:"requests"`
-	WaitedMs int64  `json:"waited_ms"` // of that cause
+	WaitedMs int64  `json:"waited_ms"` // due to the cause
 }
 
 // Explanation sums losses by cause.
 type Explanation struct{ losses map[Loss]*Loss }
 
-// NewExplanation makes an empty one.
+// NewExplanation returns an empty Explanation.
 func NewExplanation() *Explanation { return &Explanation{losses: map[Loss]*Loss{}} }
 
-// Read takes in the request traces among log lines; whatever stands before a line's JSON is skipped.
+// Read adds the request traces among log lines. It skips any prefix before a line's JSON object.
 func (x *Explanation) Read(r io.Reader) error {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 0, maxLineBytes), maxLineBytes)
 	for lines.Scan() {
 		line := lines.Bytes()
-		at := bytes.IndexByte(line, '{')
-		if at < 0 {
+		start := bytes.IndexByte(line, '{')
+		if start < 0 {
 			continue
 		}
 		var entry struct {
 			Request *router.RequestTrace `json:"request"`
 		}
-		if json.Unmarshal(line[at:], &entry) == nil && entry.Request != nil {
+		if json.Unmarshal(line[start:], &entry) == nil && entry.Request != nil {
 			x.Add(*entry.Request)
 		}
 	}
@@ -62,61 +62,61 @@
 	return nil
 }
 
-// Add takes in one trace.
-func (x *Explanation) Add(t router.RequestTrace) {
-	loss := Loss{Late: t.End == router.EndedServed, Target: targetOf(t)}
+// Add adds one trace.
+func (x *Explanation) Add(trace router.RequestTrace) {
+	loss := Loss{Late: trace.End == router.EndedServed, Target: targetOf(trace)}
 	waited := int64(0)
 	if loss.Late {
-		loss.Cause, waited = longestWait(t)
+		loss.Cause, waited = longestWait(trace)
 	} else {
-		loss.Cause = lossCause(t)
+		loss.Cause = lossCause(trace)
 	}
-	sum := x.losses[loss]
-	if sum == nil {
-		sum = &Loss{Late: loss.Late, Cause: loss.Cause, Target: loss.Target}
-		x.losses[loss] = sum
+	total := x.losses[loss]
+	if total == nil {
+		total = &Loss{Late: loss.Late, Cause: loss.Cause, Target: loss.Target}
+		x.losses[loss] = total
 	}
-	sum.Requests++
-	sum.WaitedMs += waited
+	total.Requests++
+	total.WaitedMs += waited
 }
 
-// whatOf tells what a request asked for.
-func targetOf(t router.RequestTrace) string {
+// targetOf returns the kind of target that a request names.
+func targetOf(trace router.RequestTrace) string {
 	switch {
-	case t.Key.Plain() || t.Key == "":
+	case trace.Key.Plain() || trace.Key == "":
 		return "service"
-	case t.Key.IsAdapter():
+	case trace.Key.IsAdapter():
 		return "adapter"
 	}
 	return "base"
 }
 
-// longest gives what took most of the time until a late answer began.
-func longestWait(t router.RequestTrace) (cause string, ms int64) {
+// longestWait returns the phase that took longest until a late answer began.
+func longestWait(trace router.RequestTrace) (cause string, ms int64) {
 	spans := map[string]int64{}
 	atRouter := int64(0)
-	for wait, span := range t.WaitsMs {
+	for wait, span := range trace.WaitsMs {
 		spans[string(wait)] = span
 		atRouter += span
 	}
-	if n := len(t.Attempts); n > 0 {
-		last := t.Attempts[n-1]
-		spans[causeServer] = t.FirstMs - last.AtMs
+	if n := len(trace.Attempts); n > 0 {
+		last := trace.Attempts[n-1]
+		spans[causeServer] = trace.FirstMs - last.AtMs
 		spans[causeEarlier] = last.AtMs - atRouter
 	}
-	for c, span := range spans {
-		if span > ms || span == ms && c < cause {
-			cause, ms = c, span
+	for candidate, span := range spans {
+		if span > ms || span == ms && candidate < cause {
+			cause, ms = candidate, span
 		}
 	}
 	return cause, ms
 }
 
-// lastWord tells what ended a request that no server answered.
-func lossCause(t router.RequestTrace) string {
-	words := []string{t.End, string(t.Kind)}
-	if n := len(t.Attempts); n > 0 {
-		last := t.Attempts[n-1]
+// lossCause describes what ended a request that no server answered.
+func lossCause(trace router.RequestTrace) string {
+	words := []string{trace.End, string(trace.Kind)}
+	if n := len(trace.Attempts); n > 0 {
+		last := trace.Attempts[n-1]
 		words = append(words, string(last.How), string(last.Cause))
 		if last.Status != 0 {
 			words = append(words, fmt.Sprint(last.Status))
@@ -127,10 +127,10 @@
 	return strings.Join(strings.Fields(strings.Join(words, " ")), " ")
 }
 
-// Losses lists what was summed, the most frequent first.
+// Losses returns the sums: late requests first, then by descending number of requests.
 func (x *Explanation) Losses() (all []Loss) {
-	for _, l := range x.losses {
-		all = append(all, *l)
+	for _, loss := range x.losses {
+		all = append(all, *loss)
 	}
 	sort.Slice(all, func(i, j int) bool {
 		a, b := all[i], all[j]
@@ -145,19 +145,19 @@
 	return all
 }
 
-// WriteText writes the sums for people.
+// WriteText writes the sums as a text table.
 func (x *Explanation) WriteText(w io.Writer) error {
-	tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(tab, "outcome\tcause\tasked for\trequests\tmean wait, ms")
-	for _, l := range x.Losses() {
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "outcome\tcause\ttarget\trequests\tmean wait, ms")
+	for _, loss := range x.Losses() {
 		outcome, wait := "lost", "-"
-		if l.Late {
-			outcome, wait = "late", fmt.Sprint(l.WaitedMs/int64(l.Requests))
+		if loss.Late {
+			outcome, wait = "late", fmt.Sprint(loss.WaitedMs/int64(loss.Requests))
 		}
-		fmt.Fprintf(tab, "%s\t%s\t%s\t%d\t%s\n", outcome, l.Cause, l.Target, l.Requests, wait)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%s\n", outcome, loss.Cause, loss.Target, loss.Requests, wait)
 	}
-	if err := tab.Flush(); err != nil {
-		return errors.Wrap(err, "write the sums")
+	if err := table.Flush(); err != nil {
+		return errors.Wrap(err, "write sums")
 	}
 	return nil
 }
--- a/internal/experiment/explain_test.go
+++ b/internal/experiment/explain_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Traces among other lines are summed by what took longest, or by what ended them.
+// Traces are found among other lines and summed by their longest wait, or by what ended the request.
 func TestExplain(t *testing.T) {
 	lines := []string{
 		`no json at all`,
--- a/internal/experiment/figures.go
+++ b/internal/experiment/figures.go
@@ -12,77 +12,77 @@
 
 const (
 	confidence       = 0.95
-	targetHalfWidth  = 0.01 // of which the table says how many pairs it wants
+	targetHalfWidth  = 0.01 // for which the table states the number of pairs needed
 	overallFigure    = "score"
-	worstWindowCount = 2 // the worst windows that are compared
+	worstWindowCount = 2 // number of worst windows whose mean is compared
 )
 
-// Row is one figure's differences over all pairs that have it.
+// Row compares one figure over all pairs that have it on both sides.
 type Row struct {
 	Figure      string  `json:"figure"`
 	Pairs       int     `json:"pairs"`
 	First       float64 `json:"first"` // mean
 	Second      float64 `json:"second"`
 	Difference  float64 `json:"difference"`
-	HalfWidth   float64 `json:"half_width"` // of the interval of the difference; 0 with a single pair
-	PairsNeeded int     `json:"wanted"`     // pairs until the half width is 0.01
+	HalfWidth   float64 `json:"half_width"` // of the confidence interval of the difference; 0 for a single pair
+	PairsNeeded int     `json:"wanted"`     // pairs for a half width of 0.01
 }
 
-// figure takes one number from a report; there may be none.
+// figure extracts one number from a report. The number may be absent.
 type figure struct {
 	name  string
 	value func(Day, *Report) (float64, bool)
 }
 
-// figuresOf lists the figures that the pairs have: the score over all and by day, the parts of the worth, the worth by
-// kind of request and by zone, that of the worst windows, prices, and causes of loss.
-func listFigures(pairs []Pair, marks Scales) []figure {
-	score := func(d Day, r *Report) (float64, bool) {
-		m, ok := marks[d.Name]
-		return m.Score(r.Worth), ok
+// listFigures returns the figures that the pairs have: the score overall and by day, the parts of the worth, the worth by
+// kind of request and by zone, the worth of the worst windows, the prices, and the causes that ended attempts.
+func listFigures(pairs []Pair, scales Scales) []figure {
+	score := func(day Day, report *Report) (float64, bool) {
+		scale, ok := scales[day.Name]
+		return scale.Score(report.Worth), ok
 	}
 	all := []figure{
 		{overallFigure, score},
-		{"worth less prices", func(_ Day, r *Report) (float64, bool) { return r.Worth, true }},
-		{"served", func(_ Day, r *Report) (float64, bool) { return r.Served, true }},
+		{"worth less prices", func(_ Day, report *Report) (float64, bool) { return report.Worth, true }},
+		{"served", func(_ Day, report *Report) (float64, bool) { return report.Served, true }},
 	}
-	for _, name := range distinctNames(pairs, func(p Pair) []string { return []string{p.Day.Name} }) {
-		all = append(all, figure{"score of " + name, func(d Day, r *Report) (float64, bool) {
-			s, ok := score(d, r)
-			return s, ok && d.Name == name
+	for _, name := range distinctNames(pairs, func(pair Pair) []string { return []string{pair.Day.Name} }) {
+		all = append(all, figure{"score of " + name, func(day Day, report *Report) (float64, bool) {
+			value, ok := score(day, report)
+			return value, ok && day.Name == name
 		}})
 	}
-	for _, name := range distinctNames(pairs, func(p Pair) (l []string) { return p.First.partNames() }) {
-		all = append(all, figure{"part: " + name, func(_ Day, r *Report) (float64, bool) { return r.part(name) }})
+	for _, name := range distinctNames(pairs, func(pair Pair) (names []string) { return pair.First.partNames() }) {
+		all = append(all, figure{"part: " + name, func(_ Day, report *Report) (float64, bool) { return report.part(name) }})
 	}
-	all = append(all, groupFigures(pairs, "kind", func(r *Report) []Group { return r.Classes })...)
-	all = append(all, groupFigures(pairs, "zone", func(r *Report) []Group { return r.Zones })...)
+	all = append(all, groupFigures(pairs, "kind", func(report *Report) []Group { return report.Classes })...)
+	all = append(all, groupFigures(pairs, "zone", func(report *Report) []Group { return report.Zones })...)
 	all = append(all, figure{"worst windows", worstWindows})
-	for _, name := range distinctNames(pairs, func(p Pair) []string { return p.First.priceNames() }) {
-		all = append(all, figure{"price: " + name, func(_ Day, r *Report) (float64, bool) { return r.price(name) }})
+	for _, name := range distinctNames(pairs, func(pair Pair) []string { return pair.First.priceNames() }) {
+		all = append(all, figure{"price: " + name, func(_ Day, report *Report) (float64, bool) { return report.price(name) }})
 	}
-	ends := func(p Pair) []string {
-		return append(generic.SortedKeys(p.First.Ends), generic.SortedKeys(p.Second.Ends)...)
+	ends := func(pair Pair) []string {
+		return append(generic.SortedKeys(pair.First.Ends), generic.SortedKeys(pair.Second.Ends)...)
 	}
 	for _, name := range distinctNames(pairs, ends) {
-		all = append(all, figure{"tries ended: " + name, func(_ Day, r *Report) (float64, bool) { return float64(r.Ends[name]), true }})
+		all = append(all, figure{"tries ended: " + name, func(_ Day, report *Report) (float64, bool) { return float64(report.Ends[name]), true }})
 	}
 	return all
 }
 
-// groupFigures are the worths of the groups that the pairs have.
-func groupFigures(pairs []Pair, what string, groups func(*Report) []Group) (all []figure) {
-	names := distinctNames(pairs, func(p Pair) (l []string) {
-		for _, g := range groups(p.First) {
-			l = append(l, g.Name)
+// groupFigures returns the worth of each group that the pairs have.
+func groupFigures(pairs []Pair, prefix string, groups func(*Report) []Group) (all []figure) {
+	names := distinctNames(pairs, func(pair Pair) (groupNames []string) {
+		for _, group := range groups(pair.First) {
+			groupNames = append(groupNames, group.Name)
 		}
-		return l
+		return groupNames
 	})
 	for _, name := range names {
-		all = append(all, figure{what + ": " + name, func(_ Day, r *Report) (float64, bool) {
-			for _, g := range groups(r) {
-				if g.Name == name && g.Worth != nil {
-					return *g.Worth, true
+		all = append(all, figure{prefix + ": " + name, func(_ Day, report *Report) (float64, bool) {
+			for _, group := range groups(report) {
+				if group.Name == name && group.Worth != nil {
+					return *group.Worth, true
 				}
 			}
 			return 0, false
@@ -91,57 +91,57 @@
 	return all
 }
 
-// namesOf gathers names over all pairs, each once and in order.
+// distinctNames returns the distinct names of all pairs in sorted order.
 func distinctNames(pairs []Pair, names func(Pair) []string) []string {
 	seen := map[string]bool{}
-	for _, p := range pairs {
-		for _, n := range names(p) {
-			seen[n] = true
+	for _, pair := range pairs {
+		for _, name := range names(pair) {
+			seen[name] = true
 		}
 	}
 	return generic.SortedKeys(seen)
 }
 
-func (r *Report) partNames() (l []string) {
-	for _, p := range r.Parts {
-		l = append(l, p.Name)
+func (r *Report) partNames() (names []string) {
+	for _, part := range r.Parts {
+		names = append(names, part.Name)
 	}
-	return l
+	return names
 }
 
-func (r *Report) priceNames() (l []string) {
-	for _, p := range r.Prices {
-		if p.Worth != 0 {
-			l = append(l, p.Name)
+func (r *Report) priceNames() (names []string) {
+	for _, price := range r.Prices {
+		if price.Worth != 0 {
+			names = append(names, price.Name)
 		}
 	}
-	return l
+	return names
 }
 
 func (r *Report) part(name string) (float64, bool) {
-	for _, p := range r.Parts {
-		if p.Name == name {
-			return p.Value, true
+	for _, part := range r.Parts {
+		if part.Name == name {
+			return part.Value, true
 		}
 	}
 	return 0, false
 }
 
 func (r *Report) price(name string) (float64, bool) {
-	for _, p := range r.Prices {
-		if p.Name == name {
-			return p.Worth, true
+	for _, price := range r.Prices {
+		if price.Name == name {
+			return price.Worth, true
 		}
 	}
 	return 0, false
 }
 
-// worstWindows is the mean worth of the worst windows of time.
-func worstWindows(_ Day, r *Report) (float64, bool) {
+// worstWindows returns the mean worth of the worst time windows.
+func worstWindows(_ Day, report *Report) (float64, bool) {
 	var worths []float64
-	for _, w := range r.Windows {
-		if w.Worth != nil {
-			worths = append(worths, *w.Worth)
+	for _, window := range report.Windows {
+		if window.Worth != nil {
+			worths = append(worths, *window.Worth)
 		}
 	}
 	sort.Float64s(worths)
@@ -154,9 +154,9 @@
 // row compares one figure over the pairs that have it on both sides.
 func (f figure) row(pairs []Pair) (Row, bool) {
 	var first, second, differences []float64
-	for _, p := range pairs {
-		a, okA := f.value(p.Day, p.First)
-		b, okB := f.value(p.Day, p.Second)
+	for _, pair := range pairs {
+		a, okA := f.value(pair.Day, pair.First)
+		b, okB := f.value(pair.Day, pair.Second)
 		if okA && okB {
 			first, second, differences = append(first, a), append(second, b), append(differences, b-a)
 		}
@@ -176,13 +176,13 @@
 	return row, true
 }
 
-// halfWidth is that of the interval of a mean, by Student's t.
+// halfWidth returns the half width of the confidence interval of a mean, by Student's t distribution.
 func halfWidth(deviation float64, n int) float64 {
 	t := distuv.StudentsT{Sigma: 1, Nu: float64(n - 1)}
 	return t.Quantile(0.5+confidence/2) * deviation / math.Sqrt(float64(n))
 }
 
-// pairsFor tells how many pairs it takes until the interval is fine enough.
+// pairsNeeded returns the number of pairs after which the confidence interval has the target half width.
 func pairsNeeded(deviation float64) int {
 	z := distuv.UnitNormal.Quantile(0.5 + confidence/2)
 	return max(2, int(math.Ceil(math.Pow(z*deviation/targetHalfWidth, 2))))
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -13,21 +13,21 @@
 	"tidedeck/internal/generic"
 )
 
-// Report is what the bench tells of one day, as far as it is compared here.
+// Report is the part of the bench's report of one day that is compared here.
 type Report struct {
-	Worth   float64        `json:"G"` // less prices
+	Worth   float64        `json:"G"` // net of prices
 	Served  float64        `json:"served"`
 	Parts   []Part         `json:"parts"`
 	Prices  []Price        `json:"prices"`
 	Classes []Group        `json:"classes"`
 	Zones   []Group        `json:"zones"`
 	Windows []Group        `json:"windows"`
-	Ends    map[string]int `json:"ends"` // how tries ended, by cause
+	Ends    map[string]int `json:"ends"` // attempts by the cause that ended them
 	Breaks  map[string]int `json:"breaks"`
 	Fault   *string        `json:"fault"`
 }
 
-// Part is a part of a day's worth: its name, its weight and its value.
+// Part is a weighted component of a day's worth.
 type Part struct {
 	Name   string
 	Weight float64
@@ -39,10 +39,10 @@
 	return unmarshalList(raw, &p.Name, &p.Weight, &p.Value)
 }
 
-// MarshalJSON writes a part as it was read.
+// MarshalJSON writes a part in the format that UnmarshalJSON reads.
 func (p Part) MarshalJSON() ([]byte, error) { return json.Marshal([]any{p.Name, p.Weight, p.Value}) }
 
-// Price is what was deducted for something: its name, how much there was of it, and the deduction.
+// Price is a deduction from a day's worth: its name, the amount that was charged for, and the deduction.
 type Price struct {
 	Name   string
 	Amount float64
@@ -54,30 +54,30 @@
 	return unmarshalList(raw, &p.Name, &p.Amount, &p.Worth)
 }
 
-// MarshalJSON writes a price as it was read.
+// MarshalJSON writes a price in the format that UnmarshalJSON reads.
 func (p Price) MarshalJSON() ([]byte, error) { return json.Marshal([]any{p.Name, p.Amount, p.Worth}) }
 
-// Group is a kind of request, a zone of clients or a span of time.
+// Group holds the results of one kind of request, client zone or time window.
 type Group struct {
 	Name     string   `json:"name"`
 	Requests int      `json:"n"`
 	Late     int      `json:"late"`
 	Failed   int      `json:"failed"`
-	Worth    *float64 `json:"worth"` // absent where nothing was owed
+	Worth    *float64 `json:"worth"` // absent if the group has no attainable worth
 }
 
-// unpack reads a JSON list of fixed length into its fields.
+// unmarshalList decodes a JSON list with exactly one element per field.
 func unmarshalList(raw []byte, fields ...any) error {
-	var list []json.RawMessage
-	if err := json.Unmarshal(raw, &list); err != nil {
-		return errors.Wrap(err, "read a list")
+	var elements []json.RawMessage
+	if err := json.Unmarshal(raw, &elements); err != nil {
+		return errors.Wrap(err, "decode list")
 	}
-	if len(list) != len(fields) {
-		return errors.Errorf("has %d fields, wants %d", len(list), len(fields))
+	if len(elements) != len(fields) {
+		return errors.Errorf("list has %d elements, must have %d", len(elements), len(fields))
 	}
 	for i, field := range fields {
-		if err := json.Unmarshal(list[i], field); err != nil {
-			return errors.Wrapf(err, "field %d", i)
+		if err := json.Unmarshal(elements[i], field); err != nil {
+			return errors.Wrapf(err, "element %d", i)
 		}
 	}
 	return nil
@@ -89,39 +89,39 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Report{}
-	if err := json.Unmarshal(raw, r); err != nil {
+	report := &Report{}
+	if err := json.Unmarshal(raw, report); err != nil {
 		return nil, errors.Wrap(err, path)
 	}
-	if len(r.Parts) == 0 {
-		return nil, errors.Errorf("%s: no parts: it is no report of a whole day", path)
+	if len(report.Parts) == 0 {
+		return nil, errors.Errorf("%s: not a report of a complete day: no parts", path)
 	}
-	return r, nil
+	return report, nil
 }
 
-func (r *Report) violations(d Day, side string) (all []Violation) {
+func (r *Report) violations(day Day, side string) (all []Violation) {
 	for _, name := range generic.SortedKeys(r.Breaks) {
-		all = append(all, Violation{Day: d, Side: side, Description: name})
+		all = append(all, Violation{Day: day, Side: side, Description: name})
 	}
 	if r.Fault != nil {
-		all = append(all, Violation{Day: d, Side: side, Description: "fault: " + *r.Fault})
+		all = append(all, Violation{Day: day, Side: side, Description: "fault: " + *r.Fault})
 	}
 	return all
 }
 
-// Marks are the worths that stand for a score of 0 and of 1, by day.
+// Scales are the score scales of a site, by day.
 type Scales map[string]Scale
 
-// Mark is the two of one day.
+// Scale holds the worths of one day that correspond to a score of 0 and of 1.
 type Scale struct {
 	Zero float64 `toml:"zero"`
 	One  float64 `toml:"one"`
 }
 
-// Score tells where a worth falls between the marks; it may lie outside of 0 to 1.
-func (m Scale) Score(worth float64) float64 { return (worth - m.Zero) / (m.One - m.Zero) }
+// Score maps a worth to the scale. The score may lie outside the range from 0 to 1.
+func (s Scale) Score(worth float64) float64 { return (worth - s.Zero) / (s.One - s.Zero) }
 
-// ReadMarks reads the marks of a site's days from its file.
+// ReadScales reads the scales of a site's days from the site's file. Days without a scale are left out.
 func ReadScales(site string) (Scales, error) {
 	var file struct {
 		Day []struct {
@@ -132,21 +132,21 @@
 	if _, err := toml.DecodeFile(site, &file); err != nil {
 		return nil, errors.Wrap(err, site)
 	}
-	marks := Scales{}
-	for _, d := range file.Day {
-		if d.One > d.Zero {
-			marks[d.Name] = d.Scale
+	scales := Scales{}
+	for _, day := range file.Day {
+		if day.One > day.Zero {
+			scales[day.Name] = day.Scale
 		}
 	}
-	return marks, nil
+	return scales, nil
 }
 
-// Names lists the days that have marks.
-func (m Scales) Names() []string { return generic.SortedKeys(m) }
+// Names returns the days that have a scale, sorted.
+func (s Scales) Names() []string { return generic.SortedKeys(s) }
 
-// Has tells whether all of the days have marks.
-func (m Scales) HasAll(names []string) bool {
-	return !slices.ContainsFunc(names, func(n string) bool { _, ok := m[n]; return !ok })
+// HasAll reports whether all of the days have a scale.
+func (s Scales) HasAll(names []string) bool {
+	return !slices.ContainsFunc(names, func(name string) bool { _, ok := s[name]; return !ok })
 }
 
 func siteName(site string) string {
--- a/internal/experiment/write.go
+++ b/internal/experiment/write.go
@@ -18,27 +18,27 @@
 	plotHeight = 6 * vg.Inch
 )
 
-// WriteText writes the table for people. A difference that is larger than its interval has a mark.
+// WriteText writes the table as text. It marks differences that exceed their confidence interval with an asterisk.
 func (t Table) WriteText(w io.Writer) error {
-	tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(tab, "figure\tpairs\t%s\t%s\tdifference\t+-\t\tpairs for %.2f\n", t.First.Name, t.Second.Name, targetHalfWidth)
-	for _, r := range t.Rows {
-		mark := ""
-		if r.Pairs > 1 && (r.Difference > r.HalfWidth || -r.Difference > r.HalfWidth) {
-			mark = "*"
+	writer := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(writer, "figure\tpairs\t%s\t%s\tdifference\t+-\t\tpairs for %.2f\n", t.First.Name, t.Second.Name, targetHalfWidth)
+	for _, row := range t.Rows {
+		asterisk := ""
+		if row.Pairs > 1 && (row.Difference > row.HalfWidth || -row.Difference > row.HalfWidth) {
+			asterisk = "*"
 		}
-		fmt.Fprintf(tab, "%s\t%d\t%.4f\t%.4f\t%+.4f\t%.4f\t%s\t%d\n", r.Figure, r.Pairs, r.First, r.Second, r.Difference, r.HalfWidth, mark, r.PairsNeeded)
+		fmt.Fprintf(writer, "%s\t%d\t%.4f\t%.4f\t%+.4f\t%.4f\t%s\t%d\n", row.Figure, row.Pairs, row.First, row.Second, row.Difference, row.HalfWidth, asterisk, row.PairsNeeded)
 	}
-	if err := tab.Flush(); err != nil {
-		return errors.Wrap(err, "write the table")
+	if err := writer.Flush(); err != nil {
+		return errors.Wrap(err, "write table")
 	}
-	for _, b := range t.Violations {
-		fmt.Fprintf(w, "BROKEN %s on %s: %s\n", b.Side, b.Day, b.Description)
+	for _, violation := range t.Violations {
+		fmt.Fprintf(w, "BROKEN %s on %s: %s\n", violation.Side, violation.Day, violation.Description)
 	}
 	return nil
 }
 
-// WriteJSON writes the table and its pairs for machines.
+// WriteJSON writes the table and its pairs as JSON.
 func (t Table) WriteJSON(path string, pairs []Pair) error {
 	raw, err := json.MarshalIndent(struct {
 		Table
@@ -50,23 +50,24 @@
 	return os.WriteFile(path, raw, 0o644)
 }
 
-// WritePlot draws each pair's worth, the first side across and the second upward: above the line the second is better.
+// WritePlot plots the worth of each pair, the first side on the x axis and the second on the y axis. The second side is
+// better above the diagonal.
 func (t Table) WritePlot(path string, pairs []Pair) error {
 	p := plot.New()
-	p.Title.Text = "worth less prices, a day and seed a point"
+	p.Title.Text = "worth less prices, one point per day and seed"
 	p.X.Label.Text, p.Y.Label.Text = t.First.Name, t.Second.Name
 	var points plotter.XYs
-	for _, x := range pairs {
-		if x.First != nil && x.Second != nil {
-			points = append(points, plotter.XY{X: x.First.Worth, Y: x.Second.Worth})
+	for _, pair := range pairs {
+		if pair.First != nil && pair.Second != nil {
+			points = append(points, plotter.XY{X: pair.First.Worth, Y: pair.Second.Worth})
 		}
 	}
 	if len(points) == 0 {
-		return errors.New("no pair was played on both sides")
+		return errors.New("no pair has reports of both sides")
 	}
 	scatter, err := plotter.NewScatter(points)
 	if err != nil {
-		return errors.Wrap(err, "draw the pairs")
+		return errors.Wrap(err, "plot pairs")
 	}
 	p.Add(scatter, plotter.NewFunction(func(x float64) float64 { return x }), plotter.NewGrid())
 	return p.Save(plotWidth, plotHeight, path)
--- a/internal/localfleet/history_test.go
+++ b/internal/localfleet/history_test.go
@@ -13,26 +13,26 @@
 	"tidedeck/internal/history"
 )
 
-// historyTime bounds the check of a history.
+// historyCheckLimit bounds the time of the linearizability check.
 const historyCheckLimit = time.Minute
 
-// observer records what operators and readers of a fleet see.
+// observer records the operations of a fleet's operators and readers, with their results.
 type observer struct {
 	testFleet
 	recorder  history.Recorder
 	startedAt time.Time
 }
 
-// observe begins a history of a fleet whose first plan is in force.
-func (r testFleet) startObserver() *observer {
-	o := &observer{testFleet: r, startedAt: time.Now()}
-	o.recorder.Invoke(history.Operation{Kind: history.Put, Change: "the first plan", Body: r.Plan, Invoke: -1}).Taken(-1, 1)
+// startObserver begins a history of a fleet whose first plan is in force.
+func (f testFleet) startObserver() *observer {
+	o := &observer{testFleet: f, startedAt: time.Now()}
+	o.recorder.Invoke(history.Operation{Kind: history.Put, Change: "the first plan", Body: f.Plan, Invoke: -1}).Taken(-1, 1)
 	return o
 }
 
 func (o *observer) now() int64 { return int64(time.Since(o.startedAt)) }
 
-// change hands over a plan, as Put does.
+// putPlanRecorded submits a plan, as PutPlan does, and records the operation.
 func (o *observer) putPlanRecorded(core string, plan []byte, expect uint64, id string) (PlanReply, int, error) {
 	pending := o.recorder.Invoke(history.Operation{Kind: history.Put, Node: core, Change: id, Expect: expect, Body: plan, Invoke: o.now()})
 	answer, code, err := o.PutPlan(core, plan, fmt.Sprint(expect), id)
@@ -52,7 +52,7 @@
 	return answer, code, err
 }
 
-// read reads the plan back.
+// readPlanRecorded reads the plan from a core node and records the operation.
 func (o *observer) readPlanRecorded(core string) (string, bool) {
 	pending := o.recorder.Invoke(history.Operation{Kind: history.Read, Node: core, Invoke: o.now()})
 	raw, ok := o.readPlan(core)
@@ -64,14 +64,14 @@
 	return raw, true
 }
 
-// readers read at every core node until they are stopped.
+// startReaders reads the plan from each core node repeatedly until stop is called.
 func (o *observer) startReaders(cores ...string) (stop func()) {
 	done := make(chan struct{})
-	var all sync.WaitGroup
+	var group sync.WaitGroup
 	for _, core := range cores {
-		all.Add(1)
+		group.Add(1)
 		go func() {
-			defer all.Done()
+			defer group.Done()
 			for {
 				select {
 				case <-done:
@@ -86,11 +86,11 @@
 	}
 	return func() {
 		close(done)
-		all.Wait()
+		group.Wait()
 	}
 }
 
-// check expects that all that was seen fits one order.
+// check requires the recorded history to be linearizable.
 func (o *observer) check() {
 	o.t.Helper()
 	result := history.Check(o.recorder.History(), func(plan, patch []byte) ([]byte, bool) {
--- a/internal/localfleet/hollow_test.go
+++ b/internal/localfleet/hollow_test.go
@@ -14,21 +14,21 @@
 	return HollowOptions{Routers: 9, Servers: 13, Models: 8, Adapters: 20, CoreNodes: 3, Zones: 12, WarmUp: 2e9, Duration: 4e9, Changes: 2, Seed: 3}
 }
 
-func runHollow(t *testing.T, o HollowOptions) *Hollow {
+func runHollow(t *testing.T, options HollowOptions) *Hollow {
 	t.Helper()
-	h := NewHollow(o)
+	h := NewHollow(options)
 	require.NoError(t, h.Start())
 	h.Measure()
 	return h
 }
 
-// counts leaves out of a run's figures what hangs on the machine.
+// rowsWithoutCPU returns a run's figures without the processor time, which depends on the machine.
 func rowsWithoutCPU(h *Hollow) []Row {
-	l := h.Rows()
-	for i := range l {
-		l[i].CPU = 0
+	rows := h.Rows()
+	for i := range rows {
+		rows[i].CPU = 0
 	}
-	return l
+	return rows
 }
 
 func findRow(t *testing.T, h *Hollow, role, kind string) Row {
@@ -42,7 +42,7 @@
 	return Row{}
 }
 
-// The same seed gives the same counts and bytes.
+// Two runs with the same seed have the same counts and bytes.
 func TestHollowRepeats(t *testing.T) {
 	a, b := runHollow(t, smallHollowOptions()), runHollow(t, smallHollowOptions())
 	require.Equal(t, rowsWithoutCPU(a), rowsWithoutCPU(b))
@@ -50,8 +50,8 @@
 	require.Equal(t, a.SyncedBytes, b.SyncedBytes)
 }
 
-// On a day without trouble every router holds its link, every floor is there, changes come into force,
-// and the rates are those that the programs' periods give.
+// Without failures every router keeps its lease, all floors are met, changes come into force, and the message rates match
+// the periods of the programs.
 func TestHollowQuiet(t *testing.T) {
 	h := runHollow(t, smallHollowOptions())
 	for _, m := range h.Samples() {
@@ -67,7 +67,7 @@
 		require.LessOrEqual(t, took, maxApplyTime)
 	}
 	require.InDelta(t, 5, findRow(t, h, "router", "Hello").Sent, 0.4)
-	// A router that has taken in a change renews at once, up to a period early: each change adds up to one renewal.
+	// A router that receives a change renews at once, up to a period early: each change adds at most one renewal.
 	renewals := findRow(t, h, "owner", "Renew").Received
 	require.GreaterOrEqual(t, renewals, 9*2.5)
 	require.LessOrEqual(t, renewals, 9*(2.5+float64(len(h.ApplyTimes))/smallHollowOptions().Duration.Seconds()))
@@ -76,36 +76,37 @@
 	require.Positive(t, h.SyncedBytes)
 }
 
-// inForceSoon bounds the time from a change's answer until it is in force at every router, whichever core node took it.
+// maxApplyTime bounds the time from the reply to a change until it is in force at every router, for a request to any core
+// node.
 const maxApplyTime = clock.Span(100e6)
 
-// Without changes the renewals are those of the period, and no other.
+// Without changes routers renew only once per period.
 func TestHollowRenewals(t *testing.T) {
-	o := smallHollowOptions()
-	o.Changes = 0
-	require.InDelta(t, 9*2.5, findRow(t, runHollow(t, o), "owner", "Renew").Received, 0.01)
+	options := smallHollowOptions()
+	options.Changes = 0
+	require.InDelta(t, 9*2.5, findRow(t, runHollow(t, options), "owner", "Renew").Received, 0.01)
 }
 
-// Troubles, and what the fleet must come to afterwards.
+// After each kind of failure all routers have a lease again, all floors are met, and there is a leader.
 func TestHollowTroubles(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change func(o *HollowOptions)
+		change func(options *HollowOptions)
 		reigns int
 		missed bool
 	}{
-		{"a server fails", func(o *HollowOptions) { o.Failures = 1 }, 0, true},
-		{"a server restarts", func(o *HollowOptions) { o.Restarts = 1 }, 0, false},
-		{"the owner fails", func(o *HollowOptions) { o.OwnerFails = true }, 1, false},
-		{"a region is parted for a while", func(o *HollowOptions) { o.PartitionTime = 3e9 }, -1, false},
-		{"a zone goes and comes back", func(o *HollowOptions) { o.ZoneFails = true }, -1, false},
+		{"a server fails", func(options *HollowOptions) { options.Failures = 1 }, 0, true},
+		{"a server restarts", func(options *HollowOptions) { options.Restarts = 1 }, 0, false},
+		{"the owner fails", func(options *HollowOptions) { options.OwnerFails = true }, 1, false},
+		{"a region is partitioned for a while", func(options *HollowOptions) { options.PartitionTime = 3e9 }, -1, false},
+		{"a zone fails and recovers", func(options *HollowOptions) { options.ZoneFails = true }, -1, false},
 	} {
-		o := smallHollowOptions()
-		o.Duration, o.Changes, o.WarmUp = 12e9, 0, 2e9
-		c.change(&o)
-		h := runHollow(t, o)
-		l := h.Samples()
-		last := l[len(l)-1]
+		options := smallHollowOptions()
+		options.Duration, options.Changes, options.WarmUp = 12e9, 0, 2e9
+		c.change(&options)
+		h := runHollow(t, options)
+		samples := h.Samples()
+		last := samples[len(samples)-1]
 		require.Equal(t, 9, last.Leased, c.name)
 		require.Zero(t, last.BelowFloor, c.name)
 		require.NotNil(t, h.Owner(), c.name)
@@ -118,7 +119,7 @@
 	}
 }
 
-// Every kind of figure comes out of a run, and its CSV has a row for each.
+// A run yields heap and disk figures, and its CSV has a line for each row.
 func TestHollowHeap(t *testing.T) {
 	h := runHollow(t, smallHollowOptions())
 	rows := h.Rows()
@@ -128,12 +129,12 @@
 		require.Positive(t, n, role)
 	}
 	require.Positive(t, h.DiskBytes())
-	var b bytes.Buffer
-	require.NoError(t, h.WriteCSV(&b, "small", true, heap))
-	l, err := csv.NewReader(&b).ReadAll()
+	var buffer bytes.Buffer
+	require.NoError(t, h.WriteCSV(&buffer, "small", true, heap))
+	records, err := csv.NewReader(&buffer).ReadAll()
 	require.NoError(t, err)
-	require.Len(t, l, 1+len(rows))
+	require.Len(t, records, 1+len(rows))
 	for i, r := range rows {
-		require.Equal(t, []string{"small", r.Role, r.Kind}, []string{l[1+i][0], l[1+i][10], l[1+i][11]})
+		require.Equal(t, []string{"small", r.Role, r.Kind}, []string{records[1+i][0], records[1+i][10], records[1+i][11]})
 	}
 }
--- a/internal/localfleet/links_test.go
+++ b/internal/localfleet/links_test.go
@@ -17,29 +17,30 @@
 	"tidedeck/internal/standin"
 )
 
-// racing hands over two plans at once, each again under its id until an answer comes.
-func (o *observer) racePlans(n int, expect uint64) (told [2]PlanReply, code [2]int) {
-	var both sync.WaitGroup
+// racePlans submits two plans concurrently. Each is retried under its change id at other core nodes until it is accepted
+// or conflicts.
+func (o *observer) racePlans(n int, expect uint64) (replies [2]PlanReply, codes [2]int) {
+	var group sync.WaitGroup
 	for i := range 2 {
-		both.Add(1)
+		group.Add(1)
 		go func() {
-			defer both.Done()
+			defer group.Done()
 			raw := []byte(string(o.Plan) + strings.Repeat(" ", 1+2*n+i))
-			try := 0
-			_ = Until(o.ctx, "an answer", func() bool { // whoever gets none asks elsewhere
-				a, c, err := o.putPlanRecorded(fmt.Sprintf("controller-%d", 1+(n+i+try)%3), raw, expect, fmt.Sprintf("race-%d-%d", n, i))
-				told[i], code[i] = a, c
-				try++
-				return err == nil && (c == 200 || c == 409)
+			attempt := 0
+			_ = Until(o.ctx, "an answer", func() bool { // a retry goes to the next core node
+				reply, code, err := o.putPlanRecorded(fmt.Sprintf("controller-%d", 1+(n+i+attempt)%3), raw, expect, fmt.Sprintf("race-%d-%d", n, i))
+				replies[i], codes[i] = reply, code
+				attempt++
+				return err == nil && (code == 200 || code == 409)
 			})
 		}()
 	}
-	both.Wait()
-	return told, code
+	group.Wait()
+	return replies, codes
 }
 
-// The core is split every way, one way too, while two operators race and every connection
-// breaks off now and then; one of two wins each time, and what was told is what is read.
+// Two operators race while core nodes are partitioned in several ways, also in one direction only, and connections are
+// closed repeatedly. Exactly one operator wins each time, and all core nodes return the plan that was acknowledged.
 func TestSplits(t *testing.T) {
 	r := startLinkedFleet(t, "padana")
 	seen := r.startObserver()
@@ -56,7 +57,7 @@
 		stop := make(chan struct{})
 		var breaks sync.WaitGroup
 		breaks.Add(1)
-		go func() { // replies get lost on their way
+		go func() { // replies are lost in transit
 			defer breaks.Done()
 			for range 4 {
 				select {
@@ -67,77 +68,77 @@
 				}
 			}
 		}()
-		told, code := seen.racePlans(n, epoch)
+		replies, codes := seen.racePlans(n, epoch)
 		close(stop)
 		breaks.Wait()
 		r.Links.RestoreAll()
 		won := -1
 		for i := range 2 {
-			if code[i] == 200 {
-				require.Equal(t, -1, won, "both were told taken: %v", told)
-				require.Equal(t, epoch+1, told[i].Epoch)
+			if codes[i] == 200 {
+				require.Equal(t, -1, won, "both plans were accepted: %v", replies)
+				require.Equal(t, epoch+1, replies[i].Epoch)
 				won = i
 			}
 		}
-		require.NotEqual(t, -1, won, "%v %v", told, code)
+		require.NotEqual(t, -1, won, "%v %v", replies, codes)
 		epoch++
 		want := string(r.Plan) + strings.Repeat(" ", 1+2*n+won)
 		for i := 1; i <= 3; i++ {
-			r.until("it is read back, to the byte", func() bool {
+			r.until("plan is read back unchanged", func() bool {
 				raw, ok := seen.readPlanRecorded(fmt.Sprintf("controller-%d", i))
-				require.True(t, !ok || raw == want, "controller-%d gives something else", i)
+				require.True(t, !ok || raw == want, "controller-%d returns another plan", i)
 				return ok
 			})
 		}
-		r.until("it rules everywhere", func() bool { return r.InForceAt(epoch, r.RouterAddrs...) })
+		r.until("plan in force at every router", func() bool { return r.InForceAt(epoch, r.RouterAddrs...) })
 	}
 	stopReaders()
 	seen.check()
-	rep := r.calls(100, 50, 31, func() {})
-	require.Equal(t, rep.Sent, rep.Receipts, "%v", rep.Kinds)
+	report := r.calls(100, 50, 31, func() {})
+	require.Equal(t, report.Sent, report.Receipts, "%v", report.Kinds)
 }
 
-// A router is cut off from all of the core, with its promises: it stops routing; meanwhile a
-// plan takes its only route's model away and the model is unloaded. Then it comes back.
+// A router that is cut off from the core stops sending once its lease has expired and holds its requests, while a new plan
+// comes into force at the other routers. After it reconnects it applies the new plan and sends the held requests.
 func TestCutOffRouter(t *testing.T) {
 	r := startLinkedFleet(t, "corrib")
 	r.Isolate("router-1", "server-")
-	r.until("it knows that it is cut off", func() bool { return r.EpochAt(r.RouterByName["router-1"]) == 0 })
-	e := r.putPlan("controller-1", []byte(string(r.Plan)+"\n"), "1", "without-it")
-	var rest []string
-	for n, a := range r.RouterByName {
-		if n != "router-1" {
-			rest = append(rest, a)
+	r.until("router-1 detects the partition", func() bool { return r.EpochAt(r.RouterByName["router-1"]) == 0 })
+	epoch := r.putPlan("controller-1", []byte(string(r.Plan)+"\n"), "1", "without-it")
+	var others []string
+	for name, addr := range r.RouterByName {
+		if name != "router-1" {
+			others = append(others, addr)
 		}
 	}
-	r.until("the others rule by it", func() bool { return r.InForceAt(e, rest...) })
+	r.until("new plan in force at the others", func() bool { return r.InForceAt(epoch, others...) })
 	sends := func() float64 {
 		return r.Metrics(r.RouterByName["router-1"] + "/-/metrics")["tidedeck_router_firsts_total"]
 	}
-	was := sends()
-	// What comes to it is held, and goes out only once its link is back.
-	m := standin.NewMix(r.parsedPlan, 33)
-	h := standin.Client()
-	rep := &standin.CallReport{Kinds: map[string]int{}, ByRouter: map[string]int{}}
+	before := sends()
+	// New requests are held and sent only after it reconnects.
+	mix := standin.NewMix(r.parsedPlan, 33)
+	client := standin.Client()
+	report := &standin.CallReport{Kinds: map[string]int{}, ByRouter: map[string]int{}}
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var group sync.WaitGroup
 	for range 5 {
-		a := m.Next()
-		all.Add(1)
-		go func() { defer all.Done(); standin.Call(h, r.RouterByName["router-1"], a, rep, &mu) }()
+		ask := mix.Next()
+		group.Add(1)
+		go func() { defer group.Done(); standin.Call(client, r.RouterByName["router-1"], ask, report, &mu) }()
 	}
-	r.until("they wait there", func() bool {
+	r.until("requests are held", func() bool {
 		return r.Metrics(r.RouterByName["router-1"] + "/-/metrics")["tidedeck_router_waiting"] == 5
 	})
-	require.Equal(t, was, sends(), "nothing is sent without a hold")
+	require.Equal(t, before, sends(), "nothing is sent without a lease")
 	r.Links.RestoreAll()
-	r.until("it rules by the new plan", func() bool { return r.InForceAt(e, r.RouterByName["router-1"]) })
-	all.Wait()
-	require.Empty(t, rep.Wrong)
-	require.Equal(t, 5, rep.Receipts, "%v", rep.Kinds)
+	r.until("new plan in force at router-1", func() bool { return r.InForceAt(epoch, r.RouterByName["router-1"]) })
+	group.Wait()
+	require.Empty(t, report.Wrong)
+	require.Equal(t, 5, report.Receipts, "%v", report.Kinds)
 }
 
-// A whole zone is lost, the owner's, and comes back; the platform is silent meanwhile.
+// The leader's zone fails and recovers while the platform does not answer.
 func TestZoneAndPlatform(t *testing.T) {
 	r := startLinkedFleet(t, "padana")
 	old := r.Owner()
@@ -152,61 +153,61 @@
 		}
 	}
 	r.Signal("platform", syscall.SIGSTOP)
-	var left []string
-	for name, a := range r.RouterByName {
+	var remaining []string
+	for name, addr := range r.RouterByName {
 		if int(name[len(name)-1]-'0'-1)%3 != (n-1)%3 {
-			left = append(left, a)
+			remaining = append(remaining, addr)
 		}
 	}
-	for _, x := range lost {
-		r.Kill(x)
+	for _, name := range lost {
+		r.Kill(name)
 	}
-	r.until("another owns the duty", func() bool { o := r.Owner(); return o != "" && o != old })
-	r.until("it knows the servers, though the platform is silent", func() bool {
+	r.until("another core node is the leader", func() bool { o := r.Owner(); return o != "" && o != old })
+	r.until("leader knows the servers without the platform", func() bool {
 		v, ok := r.ReadServers()
-		here := 0
+		offered := 0
 		for _, s := range v.View.Servers {
 			if s.Offered {
-				here++
+				offered++
 			}
 		}
-		return ok && here >= 6
+		return ok && offered >= 6
 	})
-	m := standin.NewMix(r.parsedPlan, 35)
-	rep := standin.Calls(r.ctx, standin.CallOptions{Routers: left, Next: m.Next, Rate: 40, Total: 120})
-	require.Empty(t, rep.Wrong)
-	require.Greater(t, rep.Receipts, rep.Sent*9/10, "%v", rep.Kinds)
+	mix := standin.NewMix(r.parsedPlan, 35)
+	report := standin.Calls(r.ctx, standin.CallOptions{Routers: remaining, Next: mix.Next, Rate: 40, Total: 120})
+	require.Empty(t, report.Wrong)
+	require.Greater(t, report.Receipts, report.Sent*9/10, "%v", report.Kinds)
 	r.Signal("platform", syscall.SIGCONT)
-	for _, x := range lost {
-		require.NoError(t, r.Start(x))
+	for _, name := range lost {
+		require.NoError(t, r.Start(name))
 	}
-	r.until("all is back", func() bool { return r.InForceAt(1, r.RouterAddrs...) && r.FloorsMet() })
+	r.until("fleet has recovered", func() bool { return r.InForceAt(1, r.RouterAddrs...) && r.FloorsMet() })
 }
 
-// The owner reaches core and routers, but neither servers nor platform: another takes the duty.
+// A leader that reaches core nodes and routers, but neither servers nor platform, is replaced.
 func TestBlindOwner(t *testing.T) {
 	r := startLinkedFleet(t, "padana")
 	old := r.Owner()
 	r.Isolate(old, "controller-", "router-")
-	r.until("another owns the duty", func() bool { o := r.Owner(); return o != "" && o != old })
-	rep := r.calls(100, 50, 37, func() {})
-	require.Equal(t, rep.Sent, rep.Receipts, "%v", rep.Kinds)
+	r.until("another core node is the leader", func() bool { o := r.Owner(); return o != "" && o != old })
+	report := r.calls(100, 50, 37, func() {})
+	require.Equal(t, report.Sent, report.Receipts, "%v", report.Kinds)
 	r.Links.RestoreAll()
 }
 
-// Crowds ask for rare models at once while the store is slow; loads keep within its budget.
+// Many concurrent requests for rare models do not make loads exceed the weight store's budget or the servers' memory.
 func TestCrowds(t *testing.T) {
 	r := startFleet(t, "corrib")
-	m := standin.NewMix(r.parsedPlan, 39)
-	a := []standin.Ask{m.Rare(), m.Rare(), m.Rare(), m.Rare()}
+	mix := standin.NewMix(r.parsedPlan, 39)
+	rare := []standin.Ask{mix.Rare(), mix.Rare(), mix.Rare(), mix.Rare()}
 	i := 0
-	rep := standin.Calls(r.ctx, standin.CallOptions{Routers: r.RouterAddrs, Rate: 200, Total: 400, Next: func() standin.Ask { i++; return m.Of(a[i%4]) }})
-	require.Empty(t, rep.Wrong)
-	require.Greater(t, rep.Receipts, rep.Sent/2, "%v", rep.Kinds)
-	var st standin.StoreTally
-	_, err := r.Get(r.StoreAddr+"/count", &st)
+	report := standin.Calls(r.ctx, standin.CallOptions{Routers: r.RouterAddrs, Rate: 200, Total: 400, Next: func() standin.Ask { i++; return mix.Of(rare[i%4]) }})
+	require.Empty(t, report.Wrong)
+	require.Greater(t, report.Receipts, report.Sent/2, "%v", report.Kinds)
+	var store standin.StoreTally
+	_, err := r.Get(r.StoreAddr+"/count", &store)
 	require.NoError(t, err)
-	require.Zero(t, st.Over)
+	require.Zero(t, store.Over)
 	for n, addr := range r.ServerAddrs {
 		var c struct{ Tally standin.ServerTally }
 		_, err := r.Get(addr+"/count", &c)
@@ -215,117 +216,117 @@
 	}
 }
 
-// A fleet of binaries built with the race detector lives through kills, a planned stop, a plan
-// change, an emptied zone and traffic; none of them saw a race.
+// A fleet of binaries built with the race detector reports no race under traffic, kills, restarts, the draining of a zone
+// and graceful stops.
 func TestRaceDetector(t *testing.T) {
 	dir := t.TempDir()
 	out, err := exec.Command("go", "build", "-race", "-o", dir+"/", "tidedeck/cmd/...").CombinedOutput()
 	require.NoError(t, err, "%s", out)
 	r := startFleetWith(t, "padana", func(s Shape, _, d string, plan []byte) *Fleet { return New(s, dir, d, plan) })
-	rep := r.calls(200, 40, 41, func() {
+	report := r.calls(200, 40, 41, func() {
 		old := r.Owner()
 		r.Kill(old)
-		r.until("another owns the duty", func() bool { o := r.Owner(); return o != "" && o != old })
+		r.until("another core node is the leader", func() bool { o := r.Owner(); return o != "" && o != old })
 		require.NoError(t, r.Start(old))
 		r.Kill("agent-1")
 		require.NoError(t, r.Start("agent-1"))
-		r.until("the zone is emptied", func() bool {
+		r.until("zone drained", func() bool {
 			c, err := r.Do("POST", r.AdminAddrs["controller-1"]+"/zones/zb/empty", map[string]string{"X-Expect-Epoch": "any", "X-Change-Id": "e"}, nil, nil)
 			return err == nil && c == 200
 		})
-		r.until("the zone is refilled", func() bool {
+		r.until("zone refilled", func() bool {
 			c, err := r.Do("POST", r.AdminAddrs["controller-2"]+"/zones/zb/refill", map[string]string{"X-Expect-Epoch": "any", "X-Change-Id": "f"}, nil, nil)
 			return err == nil && c == 200
 		})
 	})
-	require.Greater(t, rep.Receipts, rep.Sent/2, "%v", rep.Kinds)
-	r.until("a node is ready", func() bool {
+	require.Greater(t, report.Receipts, report.Sent/2, "%v", report.Kinds)
+	r.until("all core nodes ready", func() bool {
 		return r.CoreNodeReady("controller-1") && r.CoreNodeReady("controller-2") && r.CoreNodeReady("controller-3")
 	})
 	for _, n := range r.StartOrder {
-		_ = r.Stop(n) // an exit says how it went, and so does its log
+		_ = r.Stop(n) // races are checked in the logs
 	}
 	logs, err := filepath.Glob(filepath.Join(r.Dir, "*.log"))
 	require.NoError(t, err)
 	require.NotEmpty(t, logs)
-	for _, l := range logs {
-		b, err := os.ReadFile(l)
+	for _, log := range logs {
+		raw, err := os.ReadFile(log)
 		require.NoError(t, err)
-		require.NotContains(t, string(b), "DATA RACE", l)
+		require.NotContains(t, string(raw), "DATA RACE", log)
 	}
 }
 
-// Servers, agents and core nodes are rolled as planned under long streams, while plans change:
-// nothing is cut, nothing is unclear, nobody is turned away.
+// Rolling restarts of servers, agents and core nodes under long streams and plan changes do not fail or reject any
+// request.
 func TestRolls(t *testing.T) {
 	r := startFleet(t, "padana")
-	m := standin.NewMix(r.parsedPlan, 43)
+	mix := standin.NewMix(r.parsedPlan, 43)
 	next := func() standin.Ask {
-		a := m.Next()
-		a.Call.Max += 60
-		return a
+		ask := mix.Next()
+		ask.Call.Max += 60
+		return ask
 	}
-	var all sync.WaitGroup
-	var rep *standin.CallReport
-	all.Add(1)
+	var group sync.WaitGroup
+	var report *standin.CallReport
+	group.Add(1)
 	go func() {
-		defer all.Done()
-		rep = standin.Calls(r.ctx, standin.CallOptions{Routers: r.RouterAddrs, Next: next, Rate: 20, Total: 400})
+		defer group.Done()
+		report = standin.Calls(r.ctx, standin.CallOptions{Routers: r.RouterAddrs, Next: next, Rate: 20, Total: 400})
 	}()
-	mark := func(s, state string) {
-		c, err := r.Do("POST", r.PlatformAddr+"/servers/"+s+"/"+state, nil, nil, nil)
+	setState := func(server, state string) {
+		c, err := r.Do("POST", r.PlatformAddr+"/servers/"+server+"/"+state, nil, nil, nil)
 		require.NoError(t, err)
 		require.Equal(t, 200, c)
 	}
 	offered := func(id string, want bool) func() bool {
 		return func() bool {
 			v, ok := r.ReadServers()
-			for _, s := range v.View.Servers {
-				if s.ID == id {
-					return ok && s.Offered == want
+			for _, server := range v.View.Servers {
+				if server.ID == id {
+					return ok && server.Offered == want
 				}
 			}
 			return false
 		}
 	}
 	for i := 1; i <= 3; i++ {
-		s, a, n := fmt.Sprintf("server-%d", i), fmt.Sprintf("agent-%d", i), fmt.Sprintf("controller-%d", i)
-		mark(s, "leaving")
-		r.until(s+" is offered no more", offered(s, false))
-		e := r.putPlan(fmt.Sprintf("controller-%d", 1+i%3), []byte(string(r.Plan)+strings.Repeat("\n", i)), "any", fmt.Sprint("roll-", i))
-		r.until("the plan rules everywhere", func() bool { return r.InForceAt(e, r.RouterAddrs...) })
-		r.until(s+" has nothing under way", func() bool {
+		server, agent, core := fmt.Sprintf("server-%d", i), fmt.Sprintf("agent-%d", i), fmt.Sprintf("controller-%d", i)
+		setState(server, "leaving")
+		r.until(server+" is not offered", offered(server, false))
+		epoch := r.putPlan(fmt.Sprintf("controller-%d", 1+i%3), []byte(string(r.Plan)+strings.Repeat("\n", i)), "any", fmt.Sprint("roll-", i))
+		r.until("plan in force at every router", func() bool { return r.InForceAt(epoch, r.RouterAddrs...) })
+		r.until(server+" has no active requests", func() bool {
 			var c struct{ Active int }
-			_, err := r.Get(r.ServerAddrs[s]+"/count", &c)
+			_, err := r.Get(r.ServerAddrs[server]+"/count", &c)
 			return err == nil && c.Active == 0
 		})
-		require.NoError(t, r.Stop(s))
-		require.NoError(t, r.Start(s))
-		mark(s, "live")
-		r.until(s+" is offered again", offered(s, true))
-		require.NoError(t, r.Stop(a))
-		require.NoError(t, r.Start(a))
-		r.until("its router is back", func() bool { return r.InForceAt(e, r.RouterByName[fmt.Sprintf("router-%d", i)]) })
-		require.NoError(t, r.Stop(n))
-		r.until("somebody owns the duty", func() bool { return r.Owner() != "" })
-		require.NoError(t, r.Start(n))
-		r.until("the node is back", func() bool { return r.CoreNodeReady(n) })
+		require.NoError(t, r.Stop(server))
+		require.NoError(t, r.Start(server))
+		setState(server, "live")
+		r.until(server+" is offered again", offered(server, true))
+		require.NoError(t, r.Stop(agent))
+		require.NoError(t, r.Start(agent))
+		r.until("router is ready again", func() bool { return r.InForceAt(epoch, r.RouterByName[fmt.Sprintf("router-%d", i)]) })
+		require.NoError(t, r.Stop(core))
+		r.until("some core node is the leader", func() bool { return r.Owner() != "" })
+		require.NoError(t, r.Start(core))
+		r.until("core node is ready again", func() bool { return r.CoreNodeReady(core) })
 	}
-	all.Wait()
-	require.Empty(t, rep.Wrong)
-	require.Equal(t, rep.Sent, rep.Receipts, "%v", rep.Kinds)
+	group.Wait()
+	require.Empty(t, report.Wrong)
+	require.Equal(t, report.Sent, report.Receipts, "%v", report.Kinds)
 }
 
-// Callers leave halfway or never read while links to servers break: everybody else gets only
-// what is their own, and nothing of the rude ones stays under way.
+// Callers disconnect early or never read their response while connections to servers break. Other callers receive correct
+// answers, and no request of the disconnected callers remains active at a server.
 func TestRudeCallers(t *testing.T) {
 	r := startLinkedFleet(t, "corrib")
-	m := standin.NewMix(r.parsedPlan, 47)
+	mix := standin.NewMix(r.parsedPlan, 47)
 	stop := make(chan struct{})
-	var all sync.WaitGroup
-	all.Add(1)
+	var group sync.WaitGroup
+	group.Add(1)
 	go func() {
-		defer all.Done()
+		defer group.Done()
 		for {
 			select {
 			case <-stop:
@@ -336,37 +337,37 @@
 		}
 	}()
 	for i := range 40 {
-		a := m.Next()
-		a.Call.ID, a.Call.Max = fmt.Sprint("rude-", i), 400
-		c, err := net.Dial("tcp", r.RouterAddrs[i%len(r.RouterAddrs)])
+		ask := mix.Next()
+		ask.Call.ID, ask.Call.Max = fmt.Sprint("rude-", i), 400
+		conn, err := net.Dial("tcp", r.RouterAddrs[i%len(r.RouterAddrs)])
 		require.NoError(t, err)
-		b := a.Body()
-		_, err = fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: r\r\nContent-Length: %d\r\n\r\n%s", a.Route, len(b), b)
+		body := ask.Body()
+		_, err = fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: r\r\nContent-Length: %d\r\n\r\n%s", ask.Route, len(body), body)
 		require.NoError(t, err)
 		if i%4 == 0 {
-			defer c.Close() // it never reads
+			defer conn.Close() // never reads
 			continue
 		}
-		all.Add(1)
-		go func() { // it leaves after the first word, whatever that is
-			defer all.Done()
-			_, _ = c.Read(make([]byte, 200))
-			_ = c.Close()
+		group.Add(1)
+		go func() { // disconnects after the first bytes of the response
+			defer group.Done()
+			_, _ = conn.Read(make([]byte, 200))
+			_ = conn.Close()
 		}()
 	}
-	rep := r.calls(300, 60, 49, func() {})
-	t.Log(rep.Receipts, rep.Kinds)
+	report := r.calls(300, 60, 49, func() {})
+	t.Log(report.Receipts, report.Kinds)
 	close(stop)
-	all.Wait()
-	for k := range rep.Kinds {
-		require.Contains(t, []string{"cut", "unclear", "allowance_spent", "expired"}, k, "%v", rep.Kinds)
+	group.Wait()
+	for kind := range report.Kinds {
+		require.Contains(t, []string{"cut", "unclear", "allowance_spent", "expired"}, kind, "%v", report.Kinds)
 	}
-	require.NotZero(t, rep.Receipts, "%v", rep.Kinds)
-	require.NotZero(t, rep.Kinds["cut"], "links broke under streams: %v", rep.Kinds)
-	r.until("nothing is under way", func() bool {
-		for _, a := range r.ServerAddrs {
-			var c struct{ Active int }
-			if _, err := r.Get(a+"/count", &c); err != nil || c.Active > 0 {
+	require.NotZero(t, report.Receipts, "%v", report.Kinds)
+	require.NotZero(t, report.Kinds["cut"], "connections were closed during streams: %v", report.Kinds)
+	r.until("no active requests", func() bool {
+		for _, addr := range r.ServerAddrs {
+			var count struct{ Active int }
+			if _, err := r.Get(addr+"/count", &count); err != nil || count.Active > 0 {
 				return false
 			}
 		}
--- a/internal/localfleet/localfleet_test.go
+++ b/internal/localfleet/localfleet_test.go
@@ -19,7 +19,7 @@
 	"tidedeck/internal/standin"
 )
 
-// patience is no bound on the system: it only ends a test that waits for what never comes.
+// testTimeout ends a test whose condition is never met. It is no requirement on the system's speed.
 const testTimeout = 120 * time.Second
 
 var bins string
@@ -52,10 +52,10 @@
 
 func startFleet(t *testing.T, name string) testFleet { return startFleetWith(t, name, New) }
 
-// raiseLinked raises a fleet whose machines have links that can be cut.
+// startLinkedFleet starts a fleet whose machines have links that can be cut.
 func startLinkedFleet(t *testing.T, name string) testFleet { return startFleetWith(t, name, NewLinked) }
 
-// noViolations fails a test if any process logged that an invariant was violated.
+// noViolations fails the test if any process has logged an invariant violation.
 func noViolations(t *testing.T, folder string) {
 	logs, err := filepath.Glob(filepath.Join(folder, "*.log"))
 	require.NoError(t, err)
@@ -67,195 +67,195 @@
 	}
 }
 
-func startFleetWith(t *testing.T, name string, lay func(Shape, string, string, []byte) *Fleet) testFleet {
+func startFleetWith(t *testing.T, name string, newFleet func(Shape, string, string, []byte) *Fleet) testFleet {
 	t.Helper()
 	raw, err := os.ReadFile("../../examples/" + name + ".json")
 	require.NoError(t, err)
-	// On a slow machine nothing may hang on how long a request waits.
+	// On a slow machine no result may depend on the time limit of waiting requests.
 	raw = regexp.MustCompile(`"wait_ms": \d+`).ReplaceAll(raw, []byte(`"wait_ms": 100000`))
-	q, faults := fleetplan.ReadPlan(raw)
+	parsed, faults := fleetplan.ReadPlan(raw)
 	require.Nil(t, faults)
-	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
-	t.Cleanup(stop)
-	f := lay(Shapes[name], bins, t.TempDir(), raw)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+	t.Cleanup(cancel)
+	f := newFleet(Shapes[name], bins, t.TempDir(), raw)
 	t.Cleanup(f.Links.Close)
-	t.Cleanup(func() { noViolations(t, f.Dir) }) // once all processes have ended
+	t.Cleanup(func() { noViolations(t, f.Dir) }) // runs after all processes have exited
 	for n := range f.ServerAddrs {
-		f.Processes[n].Args = append(f.Processes[n].Args, "--whole-ms", "100000") // nor on how soon it is scheduled
+		f.Processes[n].Args = append(f.Processes[n].Args, "--whole-ms", "100000") // nor on how soon a process is scheduled
 	}
 	t.Cleanup(f.KillAll)
 	require.NoError(t, f.StartAll())
-	r := testFleet{f, t, ctx, q}
-	r.until("the core is ready", func() bool {
+	fleet := testFleet{f, t, ctx, parsed}
+	fleet.until("core nodes ready", func() bool {
 		return f.CoreNodeReady("controller-1") && f.CoreNodeReady("controller-2") && f.CoreNodeReady("controller-3")
 	})
-	e := r.putPlan("controller-2", raw, "0", "first")
-	r.until("the plan rules everywhere", func() bool { return f.InForceAt(e, f.RouterAddrs...) })
-	r.until("floors are loaded", f.FloorsMet)
-	return r
+	epoch := fleet.putPlan("controller-2", raw, "0", "first")
+	fleet.until("plan in force at every router", func() bool { return f.InForceAt(epoch, f.RouterAddrs...) })
+	fleet.until("floors met", f.FloorsMet)
+	return fleet
 }
 
-func (r testFleet) until(what string, f func() bool) {
+func (r testFleet) until(what string, holds func() bool) {
 	r.t.Helper()
-	require.NoError(r.t, Until(r.ctx, what, f))
+	require.NoError(r.t, Until(r.ctx, what, holds))
 }
 
-// calls sends requests while a step goes on, and gives what callers saw.
-func (r testFleet) calls(n int, rate float64, seed uint64, during func()) *standin.CallReport {
-	var all sync.WaitGroup
-	var rep *standin.CallReport
-	all.Add(1)
+// calls sends requests while during runs, and returns what the callers saw.
+func (r testFleet) calls(total int, rate float64, seed uint64, during func()) *standin.CallReport {
+	var group sync.WaitGroup
+	var report *standin.CallReport
+	group.Add(1)
 	go func() {
-		defer all.Done()
-		m := standin.NewMix(r.parsedPlan, seed)
-		rep = standin.Calls(r.ctx, standin.CallOptions{Routers: r.RouterAddrs, Next: m.Next, Rate: rate, Total: n})
+		defer group.Done()
+		mix := standin.NewMix(r.parsedPlan, seed)
+		report = standin.Calls(r.ctx, standin.CallOptions{Routers: r.RouterAddrs, Next: mix.Next, Rate: rate, Total: total})
 	}()
 	during()
-	all.Wait()
-	require.Empty(r.t, rep.Wrong, "no answer may be wrong")
-	return rep
+	group.Wait()
+	require.Empty(r.t, report.Wrong, "wrong answers")
+	return report
 }
 
-// put hands a plan over; under one id it may be asked until an answer comes.
+// putPlan submits a plan and retries under the same change id until it is accepted.
 func (r testFleet) putPlan(core string, raw []byte, expect, id string) (epoch uint64) {
 	r.t.Helper()
-	r.until("the plan is taken", func() bool {
-		a, code, err := r.PutPlan(core, raw, expect, id)
-		epoch = a.Epoch
+	r.until("plan accepted", func() bool {
+		reply, code, err := r.PutPlan(core, raw, expect, id)
+		epoch = reply.Epoch
 		return err == nil && code == 200
 	})
 	return epoch
 }
 
 func (r testFleet) readPlan(core string) (string, bool) {
-	var b []byte
-	c, err := r.Do("GET", r.AdminAddrs[core]+"/plan", nil, nil, &b)
-	return string(b), err == nil && c == 200
+	var raw []byte
+	code, err := r.Do("GET", r.AdminAddrs[core]+"/plan", nil, nil, &raw)
+	return string(raw), err == nil && code == 200
 }
 
-// A server, a router and the duty's owner are killed under traffic; the fleet goes on.
+// The fleet keeps serving when a server, a router and the leader are killed under traffic.
 func TestKills(t *testing.T) {
 	r := startFleet(t, "corrib")
-	rep := r.calls(1200, 100, 5, func() {
+	report := r.calls(1200, 100, 5, func() {
 		r.Kill("server-3")
 		r.Kill("router-2")
 		old := r.Owner()
 		require.NotEmpty(t, old)
 		r.Kill(old)
-		r.until("another owns the duty", func() bool { o := r.Owner(); return o != "" && o != old })
+		r.until("another core node is the leader", func() bool { o := r.Owner(); return o != "" && o != old })
 		require.NoError(t, r.Start(old))
 		require.NoError(t, r.Start("router-2"))
 		require.NoError(t, r.Start("server-3"))
 	})
-	// What the dead router and server had under way is lost, and said to be; all else is answered.
-	for _, k := range []string{"malformed", "no_route", "no_model", "no_kind", "no kind"} {
-		require.Zero(t, rep.Kinds[k], k)
+	// Active requests of the killed router and server are lost and reported as such; no request is rejected as invalid.
+	for _, kind := range []string{"malformed", "no_route", "no_model", "no_kind", "no kind"} {
+		require.Zero(t, report.Kinds[kind], kind)
 	}
-	require.Greater(t, rep.Receipts, rep.Sent*2/3, "%v", rep.Kinds)
-	r.until("floors are loaded again", r.FloorsMet)
+	require.Greater(t, report.Receipts, report.Sent*2/3, "%v", report.Kinds)
+	r.until("floors met again", r.FloorsMet)
 	again := r.calls(200, 100, 6, func() {})
 	require.Equal(t, again.Sent, again.Receipts, "%v", again.Kinds)
-	r.until("the plan is read back", func() bool { raw, ok := r.readPlan("controller-1"); return ok && raw == string(r.Plan) })
+	r.until("plan is read back", func() bool { raw, ok := r.readPlan("controller-1"); return ok && raw == string(r.Plan) })
 }
 
-// An owner that is stopped loses the duty; when it goes on it orders nothing.
+// A leader that is suspended is replaced, and issues no orders when it resumes.
 func TestFrozenOwner(t *testing.T) {
 	r := startFleet(t, "padana")
 	old := r.Owner()
 	r.Signal(old, syscall.SIGSTOP)
-	r.until("another owns the duty", func() bool { o := r.Owner(); return o != "" && o != old })
-	rep := r.calls(300, 100, 8, func() { r.Signal(old, syscall.SIGCONT) })
-	require.Equal(t, rep.Sent, rep.Receipts, "%v", rep.Kinds)
-	// A router that is stopped past its hold comes back suspicious of all it had.
+	r.until("another core node is the leader", func() bool { o := r.Owner(); return o != "" && o != old })
+	report := r.calls(300, 100, 8, func() { r.Signal(old, syscall.SIGCONT) })
+	require.Equal(t, report.Sent, report.Receipts, "%v", report.Kinds)
+	// A router that is suspended past the end of its lease suspects all its entries when it resumes, and applies the plan
+	// that changed meanwhile.
 	r.Signal("router-1", syscall.SIGSTOP)
 	require.EqualValues(t, 2, r.putPlan("controller-1", []byte(string(r.Plan)+"\n"), "1", "second"))
-	var rest []string
-	for n, x := range r.RouterByName {
-		if n != "router-1" {
-			rest = append(rest, x)
+	var others []string
+	for name, addr := range r.RouterByName {
+		if name != "router-1" {
+			others = append(others, addr)
 		}
 	}
-	r.until("the others rule by the new plan", func() bool { return r.InForceAt(2, rest...) })
+	r.until("new plan in force at the others", func() bool { return r.InForceAt(2, others...) })
 	r.Signal("router-1", syscall.SIGCONT)
-	r.until("the stopped router too", func() bool { return r.InForceAt(2, r.RouterAddrs...) })
+	r.until("new plan in force at the suspended router", func() bool { return r.InForceAt(2, r.RouterAddrs...) })
 }
 
-// Routers are restarted one by one, as planned, while long answers are under way: none is cut.
+// A rolling restart of the routers during long answers, and then of the core nodes under traffic, fails no request.
 func TestRollRouters(t *testing.T) {
 	r := startFleet(t, "corrib")
-	m := standin.NewMix(r.parsedPlan, 11)
-	h := standin.Client()
+	mix := standin.NewMix(r.parsedPlan, 11)
+	client := standin.Client()
 	for i := 1; i <= r.Shape.Routers; i++ {
-		n := fmt.Sprintf("router-%d", i)
-		rep := &standin.CallReport{Kinds: map[string]int{}, ByRouter: map[string]int{}}
+		name := fmt.Sprintf("router-%d", i)
+		report := &standin.CallReport{Kinds: map[string]int{}, ByRouter: map[string]int{}}
 		var mu sync.Mutex
-		var all sync.WaitGroup
+		var group sync.WaitGroup
 		for range 6 {
-			a := m.Next()
-			a.Call.Max, a.Call.Again = 60, false
-			all.Add(1)
-			go func() { defer all.Done(); standin.Call(h, r.RouterByName[n], a, rep, &mu) }()
+			ask := mix.Next()
+			ask.Call.Max, ask.Call.Again = 60, false
+			group.Add(1)
+			go func() { defer group.Done(); standin.Call(client, r.RouterByName[name], ask, report, &mu) }()
 		}
-		r.until("streams are under way", func() bool {
-			return r.Metrics(r.RouterByName[n] + "/-/metrics")["tidedeck_router_firsts_total"] >= 6
+		r.until("streams active", func() bool {
+			return r.Metrics(r.RouterByName[name] + "/-/metrics")["tidedeck_router_firsts_total"] >= 6
 		})
-		require.NoError(t, r.Stop(n), "a planned stop ends well")
-		all.Wait()
-		require.Empty(t, rep.Wrong)
-		require.Equal(t, 6, rep.Receipts, "%v", rep.Kinds)
-		require.NoError(t, r.Start(n))
+		require.NoError(t, r.Stop(name), "graceful stop")
+		group.Wait()
+		require.Empty(t, report.Wrong)
+		require.Equal(t, 6, report.Receipts, "%v", report.Kinds)
+		require.NoError(t, r.Start(name))
 	}
-	r.until("every router is back", func() bool { return r.InForceAt(1, r.RouterAddrs...) })
-	// Core nodes, too: the owner gives the duty back as it stops.
-	rep := r.calls(300, 60, 12, func() {
+	r.until("every router is ready again", func() bool { return r.InForceAt(1, r.RouterAddrs...) })
+	// Core nodes: a leader releases the leadership when it stops.
+	report := r.calls(300, 60, 12, func() {
 		for i := 1; i <= 3; i++ {
-			n := fmt.Sprintf("controller-%d", i)
-			require.NoError(t, r.Stop(n))
-			r.until("somebody owns the duty", func() bool { return r.Owner() != "" })
-			require.NoError(t, r.Start(n))
-			r.until("the node is back", func() bool { return r.CoreNodeReady(n) })
+			name := fmt.Sprintf("controller-%d", i)
+			require.NoError(t, r.Stop(name))
+			r.until("some core node is the leader", func() bool { return r.Owner() != "" })
+			require.NoError(t, r.Start(name))
+			r.until("core node is ready again", func() bool { return r.CoreNodeReady(name) })
 		}
 	})
-	require.Equal(t, rep.Sent, rep.Receipts, "%v", rep.Kinds)
+	require.Equal(t, report.Sent, report.Receipts, "%v", report.Kinds)
 }
 
-// Every process is killed at once and started again: what was confirmed is there.
+// An acknowledged plan survives when all processes are killed at once and restarted.
 func TestAllDownAndBack(t *testing.T) {
 	r := startFleet(t, "padana")
-	b := []byte(string(r.Plan) + "  \n")
-	e := r.putPlan("controller-3", b, "1", "last")
+	plan := []byte(string(r.Plan) + "  \n")
+	epoch := r.putPlan("controller-3", plan, "1", "last")
 	r.KillAll()
-	// The power went as well: every core disk has a journal that ends in half a record.
-	for n := range r.AdminAddrs {
-		l, err := filepath.Glob(filepath.Join(r.Dir, n, "state", "*.log"))
+	// As after a power failure, the journal of every core node ends in an incomplete record.
+	for name := range r.AdminAddrs {
+		logs, err := filepath.Glob(filepath.Join(r.Dir, name, "state", "*.log"))
 		require.NoError(t, err)
-		require.NotEmpty(t, l)
-		f, err := os.OpenFile(l[len(l)-1], os.O_APPEND|os.O_WRONLY, 0)
+		require.NotEmpty(t, logs)
+		file, err := os.OpenFile(logs[len(logs)-1], os.O_APPEND|os.O_WRONLY, 0)
 		require.NoError(t, err)
-		_, err = f.Write([]byte{1, 2, 3, 4, 200, 1, 1, 9, 9, 9, 9, 9, 9})
+		_, err = file.Write([]byte{1, 2, 3, 4, 200, 1, 1, 9, 9, 9, 9, 9, 9})
 		require.NoError(t, err)
-		require.NoError(t, f.Close())
+		require.NoError(t, file.Close())
 	}
 	require.NoError(t, r.StartAll())
-	r.until("the core is ready", func() bool { return r.CoreNodeReady("controller-1") })
-	r.until("the plan is read back", func() bool {
+	r.until("core node ready", func() bool { return r.CoreNodeReady("controller-1") })
+	r.until("plan is read back", func() bool {
 		raw, ok := r.readPlan("controller-1")
-		require.True(t, !ok || raw == string(b), "to the byte")
+		require.True(t, !ok || raw == string(plan), "plan differs from the acknowledged one")
 		return ok
 	})
-	r.until("the plan rules everywhere", func() bool { return r.InForceAt(e, r.RouterAddrs...) })
-	side, err := filepath.Glob(filepath.Join(r.Dir, "controller-*", "*.damaged-*"))
+	r.until("plan in force at every router", func() bool { return r.InForceAt(epoch, r.RouterAddrs...) })
+	damaged, err := filepath.Glob(filepath.Join(r.Dir, "controller-*", "*.damaged-*"))
 	require.NoError(t, err)
-	require.Empty(t, side, "a torn tail is no damage")
-	rep := r.calls(100, 50, 3, func() {})
-	require.Equal(t, rep.Sent, rep.Receipts, "%v", rep.Kinds)
+	require.Empty(t, damaged, "a torn tail must not be reported as damage")
+	report := r.calls(100, 50, 3, func() {})
+	require.Equal(t, report.Sent, report.Receipts, "%v", report.Kinds)
 }
 
-// A core node whose data folder was emptied is admitted anew and may then be relied on;
-// one whose folder is damaged likewise.
+// A core node whose data folder was emptied or damaged is readmitted as a new voter, and then counts for a majority.
 func TestEmptiedCore(t *testing.T) {
 	r := startFleet(t, "padana")
-	seat := func(id string) (inc uint64) {
+	incarnation := func(id string) (inc uint64) {
 		var v struct {
 			View struct {
 				Voters []struct {
@@ -268,40 +268,40 @@
 		if _, err := r.Get(r.AdminAddrs["controller-2"]+"/nodes", &v); err != nil || len(v.View.Prior) > 0 {
 			return 0
 		}
-		for _, x := range v.View.Voters {
-			if x.ID == id {
-				inc = x.Inc
+		for _, voter := range v.View.Voters {
+			if voter.ID == id {
+				inc = voter.Inc
 			}
 		}
 		return inc
 	}
-	for i, harm := range []func(dir string){
+	for i, damage := range []func(dir string){
 		func(dir string) { require.NoError(t, os.RemoveAll(dir)) },
 		func(dir string) {
-			l, err := filepath.Glob(filepath.Join(dir, "state", "*.log"))
+			logs, err := filepath.Glob(filepath.Join(dir, "state", "*.log"))
 			require.NoError(t, err)
-			require.NotEmpty(t, l)
-			b, err := os.ReadFile(l[0])
+			require.NotEmpty(t, logs)
+			raw, err := os.ReadFile(logs[0])
 			require.NoError(t, err)
-			for j := range min(len(b), 64) {
-				b[len(b)-1-j] ^= 0x5a
+			for j := range min(len(raw), 64) {
+				raw[len(raw)-1-j] ^= 0x5a
 			}
-			require.NoError(t, os.WriteFile(l[0], b, 0o644))
+			require.NoError(t, os.WriteFile(logs[0], raw, 0o644))
 		},
 	} {
-		was := seat("controller-3")
-		require.NotZero(t, was)
+		before := incarnation("controller-3")
+		require.NotZero(t, before)
 		r.Kill("controller-3")
-		harm(filepath.Join(r.Dir, "controller-3"))
+		damage(filepath.Join(r.Dir, "controller-3"))
 		require.NoError(t, r.Start("controller-3"))
-		r.until(fmt.Sprintf("the emptied node is admitted, %d", i), func() bool { n := seat("controller-3"); return n != 0 && n != was })
+		r.until(fmt.Sprintf("controller-3 is readmitted, case %d", i), func() bool { after := incarnation("controller-3"); return after != 0 && after != before })
 	}
-	r.Kill("controller-1") // now the emptied node is needed for a majority
-	r.until("a majority with the emptied node serves", func() bool { raw, _ := r.readPlan("controller-2"); return raw == string(r.Plan) })
+	r.Kill("controller-1") // controller-3 is now needed for a majority
+	r.until("majority with controller-3 serves", func() bool { raw, _ := r.readPlan("controller-2"); return raw == string(r.Plan) })
 }
 
-// Servers are made to fail on demand: one goes dark, one restarts empty, one is withdrawn with
-// notice, one is slow; each is seen, offered no more, and offered again when it is back.
+// Injected server faults: one server stops answering, one restarts empty, one is withdrawn with notice, one is slow. The
+// unreachable and the withdrawn server are not offered until they are back, and most requests are still served.
 func TestServerFaults(t *testing.T) {
 	r := startFleet(t, "padana")
 	offered := func(id string) (offered, known bool) {
@@ -318,39 +318,39 @@
 		require.NoError(t, err)
 		require.Equal(t, 200, c)
 	}
-	mark := func(id, state string) {
+	setState := func(id, state string) {
 		c, err := r.Do("POST", r.PlatformAddr+"/servers/"+id+"/"+state, nil, nil, nil)
 		require.NoError(t, err)
 		require.Equal(t, 200, c)
 	}
 	until := func(id string, want bool) {
-		r.until(fmt.Sprintf("%s is offered: %v", id, want), func() bool { o, ok := offered(id); return ok && o == want })
+		r.until(fmt.Sprintf("%s is offered: %v", id, want), func() bool { offered, ok := offered(id); return ok && offered == want })
 	}
-	rep := r.calls(400, 40, 21, func() {
+	report := r.calls(400, 40, 21, func() {
 		fault("server-1", "dark")
 		until("server-1", false)
 		fault("server-1", "light")
 		until("server-1", true)
 		fault("server-2", "empty")
-		mark("server-3", "leaving")
+		setState("server-3", "leaving")
 		until("server-3", false)
-		mark("server-3", "live")
+		setState("server-3", "live")
 		until("server-3", true)
 		fault("server-4", "slow")
 		fault("server-4", "fast")
 	})
-	require.Greater(t, rep.Receipts, rep.Sent*9/10, "%v", rep.Kinds)
-	r.until("floors are loaded", r.FloorsMet)
-	var st standin.StoreTally
-	_, err := r.Get(r.StoreAddr+"/count", &st)
+	require.Greater(t, report.Receipts, report.Sent*9/10, "%v", report.Kinds)
+	r.until("floors met", r.FloorsMet)
+	var store standin.StoreTally
+	_, err := r.Get(r.StoreAddr+"/count", &store)
 	require.NoError(t, err)
-	require.Zero(t, st.Over, "loads never outran the store")
-	// Emptying a zone takes its servers out, refilling brings them back.
+	require.Zero(t, store.Over, "pulls exceeded the store's budget")
+	// Draining a zone withdraws its servers, refilling it offers them again.
 	for _, c := range []struct {
 		op   string
 		want bool
 	}{{"empty", false}, {"refill", true}} {
-		r.until("the zone is changed", func() bool {
+		r.until("zone changed", func() bool {
 			code, err := r.Do("POST", r.AdminAddrs["controller-1"]+"/zones/zb/"+c.op, map[string]string{"X-Expect-Epoch": "any", "X-Change-Id": c.op}, nil, nil)
 			return err == nil && code == 200
 		})
