--- a/internal/localfleet/fleet.go
+++ b/internal/localfleet/fleet.go
@@ -242,7 +242,7 @@
 	process.cmd.Stdout, process.cmd.Stderr = log, log
 	process.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := process.cmd.Start(); err != nil {
-		return errors.Wrap(err, "start "+name)
+		return errors.Wrap(err, name)
 	}
 	process.done = make(chan struct{})
 	go func(cmd *exec.Cmd, done chan struct{}) {
