--- a/internal/localfleet/history_test.go
+++ b/internal/localfleet/history_test.go
@@ -13,29 +13,29 @@
 	"tidedeck/internal/history"
 )
 
-// historyTime bounds the check of a history.
-const historyTime = time.Minute
+// historyCheckLimit bounds the time of the linearizability check.
+const historyCheckLimit = time.Minute
 
-// observer records what operators and readers of a fleet see.
+// observer records the operations of a fleet's operators and readers, with their results.
 type observer struct {
-	rig
-	recorder history.Recorder
-	began    time.Time
+	testFleet
+	recorder  history.Recorder
+	startedAt time.Time
 }
 
-// observe begins a history of a fleet whose first plan is in force.
-func (r rig) observe() *observer {
-	o := &observer{rig: r, began: time.Now()}
-	o.recorder.Invoke(history.Operation{Kind: history.Put, Change: "the first plan", Body: r.Plan, Invoke: -1}).Taken(-1, 1)
+// startObserver begins a history of a fleet whose first plan is in force.
+func (f testFleet) startObserver() *observer {
+	o := &observer{testFleet: f, startedAt: time.Now()}
+	o.recorder.Invoke(history.Operation{Kind: history.Put, Change: "the first plan", Body: f.Plan, Invoke: -1}).Taken(-1, 1)
 	return o
 }
 
-func (o *observer) now() int64 { return int64(time.Since(o.began)) }
+func (o *observer) now() int64 { return int64(time.Since(o.startedAt)) }
 
-// change hands over a plan, as Put does.
-func (o *observer) change(core string, plan []byte, expect uint64, id string) (Taken, int, error) {
+// putPlanRecorded submits a plan, as PutPlan does, and records the operation.
+func (o *observer) putPlanRecorded(core string, plan []byte, expect uint64, id string) (PlanReply, int, error) {
 	pending := o.recorder.Invoke(history.Operation{Kind: history.Put, Node: core, Change: id, Expect: expect, Body: plan, Invoke: o.now()})
-	answer, code, err := o.Put(core, plan, fmt.Sprint(expect), id)
+	answer, code, err := o.PutPlan(core, plan, fmt.Sprint(expect), id)
 	kind := failure.Kind(answer.Kind)
 	switch {
 	case err != nil:
@@ -52,10 +52,10 @@
 	return answer, code, err
 }
 
-// read reads the plan back.
-func (o *observer) read(core string) (string, bool) {
+// readPlanRecorded reads the plan from a core node and records the operation.
+func (o *observer) readPlanRecorded(core string) (string, bool) {
 	pending := o.recorder.Invoke(history.Operation{Kind: history.Read, Node: core, Invoke: o.now()})
-	raw, ok := o.plan(core)
+	raw, ok := o.readPlan(core)
 	if !ok {
 		pending.Dropped()
 		return "", false
@@ -64,14 +64,14 @@
 	return raw, true
 }
 
-// readers read at every core node until they are stopped.
-func (o *observer) readers(cores ...string) (stop func()) {
+// startReaders reads the plan from each core node repeatedly until stop is called.
+func (o *observer) startReaders(cores ...string) (stop func()) {
 	done := make(chan struct{})
-	var all sync.WaitGroup
+	var group sync.WaitGroup
 	for _, core := range cores {
-		all.Add(1)
+		group.Add(1)
 		go func() {
-			defer all.Done()
+			defer group.Done()
 			for {
 				select {
 				case <-done:
@@ -79,24 +79,24 @@
 				case <-o.ctx.Done():
 					return
 				case <-time.After(25 * time.Millisecond):
-					o.read(core)
+					o.readPlanRecorded(core)
 				}
 			}
 		}()
 	}
 	return func() {
 		close(done)
-		all.Wait()
+		group.Wait()
 	}
 }
 
-// check expects that all that was seen fits one order.
+// check requires the recorded history to be linearizable.
 func (o *observer) check() {
 	o.t.Helper()
 	result := history.Check(o.recorder.History(), func(plan, patch []byte) ([]byte, bool) {
 		merged, err := jsonpatch.MergePatch(plan, patch)
 		return merged, err == nil
-	}, historyTime)
+	}, historyCheckLimit)
 	require.Equal(o.t, history.Linearizable, result.Verdict, result.Why)
 	o.t.Logf("%d operations are linearizable", result.Operations)
 }
--- a/internal/localfleet/hollow.go
+++ b/internal/localfleet/hollow.go
@@ -19,67 +19,67 @@
 	"tidedeck/internal/router"
 )
 
-// HollowOptions say how large a hollow fleet is and what happens to it while it is measured.
+// HollowOptions set the size of a hollow fleet, its load, and the changes and failures during the measurement.
 type HollowOptions struct {
-	Routers  int
-	Servers  int
-	Models   int
-	Adapters int
-	Cores    int
-	Services int
-	Zones    int
-	Regions  int
-	Rate     float64    // requests a second at each router
-	Stay     clock.Span // that a request is under way
-	Part     float64    // of requests that name an adapter
-	Busy     float64    // of the servers' time that all requests take
-	Warm     clock.Span // from the plan in force everywhere until the measuring begins
-	For      clock.Span // measured
-	Changes  int        // of one item of the plan, spread over the measured time
-	Fails    int        // machines, servers and routers by their numbers, likewise
-	Restarts int        // planned, likewise
-	ZoneLost bool       // a zone goes at a third of the measured time and is back at two thirds
-	Apart    clock.Span // one region is parted from the others for so long, from a third on
-	OwnerOut bool       // the duty's owner fails at a third
-	Seed     uint64
-}
-
-// Defaults fills what was left out.
-func (o HollowOptions) Defaults() HollowOptions {
+	Routers       int
+	Servers       int
+	Models        int
+	Adapters      int
+	CoreNodes     int
+	Services      int
+	Zones         int
+	Regions       int
+	Rate          float64    // requests per second at each router
+	RequestTime   clock.Span // mean duration of a request
+	AdapterShare  float64    // fraction of requests that name an adapter
+	Utilization   float64    // fraction of the servers' time that all requests take
+	WarmUp        clock.Span // from the plan being in force everywhere until the measurement begins
+	Duration      clock.Span // of the measurement
+	Changes       int        // of one item of the plan, spread over the measurement
+	Failures      int        // of machines (servers and routers in proportion), likewise
+	Restarts      int        // planned restarts of servers, likewise
+	ZoneFails     bool       // a zone fails at one third of the measurement and recovers at two thirds
+	PartitionTime clock.Span // how long one region is partitioned from the others, from one third on
+	OwnerFails    bool       // the leader fails at one third
+	Seed          uint64
+}
+
+// WithDefaults returns the options with defaults for the fields that are zero.
+func (o HollowOptions) WithDefaults() HollowOptions {
 	generic.SetDefault(&o.Routers, 9)
 	generic.SetDefault(&o.Servers, 13)
 	generic.SetDefault(&o.Models, 8)
-	generic.SetDefault(&o.Cores, 3)
+	generic.SetDefault(&o.CoreNodes, 3)
 	generic.SetDefault(&o.Services, 1)
 	generic.SetDefault(&o.Regions, 3)
 	generic.SetDefault(&o.Zones, 3)
 	generic.SetDefault(&o.Rate, 47)
-	generic.SetDefault(&o.Stay, 6e9)
-	generic.SetDefault(&o.Part, 0.4)
-	generic.SetDefault(&o.Busy, 0.3)
-	generic.SetDefault(&o.Warm, 4e9)
-	generic.SetDefault(&o.For, 10e9)
+	generic.SetDefault(&o.RequestTime, 6e9)
+	generic.SetDefault(&o.AdapterShare, 0.4)
+	generic.SetDefault(&o.Utilization, 0.3)
+	generic.SetDefault(&o.WarmUp, 4e9)
+	generic.SetDefault(&o.Duration, 10e9)
 	generic.SetDefault(&o.Seed, 1)
 	return o
 }
 
 const (
-	hollowStep   = clock.Span(20e6) // of virtual time
-	hollowRing   = 128              // steps that a message may take
-	hollowPeriod = clock.Span(1200e6)
-	hollowSeeds  = 3
-	hollowRoom   = 200_000
-	hollowPlaces = 8
-	hollowRare   = 0.0003 // of requests for adapters: those that name one that is mostly idle
-	hollowActive = 10     // one adapter in so many is not
+	stepTime          = clock.Span(20e6) // of virtual time
+	ringSteps         = 128              // bounds the steps between scheduling and delivery
+	announcePeriod    = clock.Span(1200e6)
+	seedNodes         = 3
+	serverRoom        = 200_000
+	serverPlaces      = 8
+	idleAdapterShare  = 0.0003 // fraction of adapter requests that name an idle adapter
+	adaptersPerActive = 10     // one in this many adapters is active, the others are mostly idle
 )
 
-// threadTime tells the processor time of the thread that runs the fleet: neither other programs nor the
-// collector's own threads are in it.
-func threadTime() time.Duration {
+// threadCPUTime returns the processor time of the calling thread, which runs the fleet. This excludes other programs and
+// the garbage collector's own threads.
+func threadCPUTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t); err != nil {
-		panic(err) // every Linux has it
+		panic(err) // always supported on Linux
 	}
 	return time.Duration(t.Nano())
 }
@@ -88,442 +88,446 @@
 	Step(now clock.Tick, in any) []any
 }
 
-// Load is what one kind of input or message cost one role.
-type Load struct {
-	Steps   int           // inputs of this kind
-	Step    time.Duration // processor time in the core
-	Sent    int           // messages of this kind
-	Out     int           // their bytes
-	Got     int
-	In      int
-	Pack    time.Duration // writing and reading messages
-	Biggest int
+// Cost is the cost of one kind of input or message to one role.
+type Cost struct {
+	Inputs        int
+	StepTime      time.Duration // processor time in the core
+	Sent          int           // messages
+	SentBytes     int
+	Received      int
+	ReceivedBytes int
+	CodecTime     time.Duration // encoding and decoding messages
+	MaxBytes      int           // of one message
 }
 
-// LoadKey names what a Load is of.
-type LoadKey struct{ Role, Kind string }
+// CostKey identifies a Cost by its role and its kind of input or message.
+type CostKey struct{ Role, Kind string }
 
 type hollowNode struct {
 	role    string
-	sib     protocol.Sibling
+	sibling protocol.Sibling
 	zone    int
 	up      bool
-	life    int
+	starts  int // invalidates events of earlier starts
 	core    stepper
-	beside  *hollowNode // a router's agent, an agent's router
+	partner *hollowNode // the agent of a router, the router of an agent
 	disk    map[string][]byte
 	traffic *traffic
 }
 
 // traffic is the synthetic demand at one router.
 type traffic struct {
-	session protocol.Session
-	known   map[ident.Key][]ident.Server
-	marks   map[ident.Key]ident.Mark
-	asked   map[ident.Key]clock.Tick
-	stale   map[ident.Key]bool
-	under   []under
-	lines   map[ident.Key][]clock.Tick
-	rand    *rand.Rand
-}
-
-type under struct {
+	session  protocol.Session
+	replicas map[ident.Key][]ident.Server
+	marks    map[ident.Key]ident.Mark
+	wantedAt map[ident.Key]clock.Tick
+	stale    map[ident.Key]bool
+	active   []activeRequest
+	waiting  map[ident.Key][]clock.Tick
+	rand     *rand.Rand
+}
+
+// activeRequest is a request being processed at a server.
+type activeRequest struct {
 	key    ident.Key
 	server ident.Server
 	end    clock.Tick
 }
 
+// hollowServer is a model server that announces itself, reports its state and executes orders.
 type hollowServer struct {
-	id      ident.Server
-	addr    string
-	number  int
-	zone    int
-	service string
-	start   int
-	up      bool
-	state   string
-	count   uint64
-	taken   uint64
-	next    clock.Tick
-	held    map[ident.Key]int // by size
-	order   protocol.Order    // under way
-	done    clock.Tick
-	back    clock.Tick // it starts anew then
-}
-
-type mail struct {
-	to   *hollowNode
-	life int
-	raw  []byte // of an envelope
-	kind string
-	in   any
-	do   func()
-}
-
-// Hollow is a fleet of real cores in one process, in virtual time: no sockets, no callers, and model
-// servers that only beat, report and take orders.
+	id             ident.Server
+	addr           string
+	number         int
+	zone           int
+	service        string
+	starts         int
+	up             bool
+	state          string
+	announcements  uint64
+	ordersAccepted uint64
+	nextAnnounce   clock.Tick
+	held           map[ident.Key]int // size by key
+	order          protocol.Order    // in progress until orderDoneAt
+	orderDoneAt    clock.Tick
+	restartAt      clock.Tick // zero if the server stays down
+}
+
+// event is the delivery of an input or a packed message to a node, or a function to run.
+type event struct {
+	to     *hollowNode
+	starts int
+	raw    []byte // packed envelope
+	kind   string
+	input  any
+	run    func()
+}
+
+// Hollow is a fleet of the production cores in one process and in virtual time. It has no sockets and no callers, and
+// its model servers only announce themselves, report and execute orders.
 type Hollow struct {
-	o       HollowOptions
-	now     clock.Tick
-	ring    [hollowRing][]mail
-	nodes   []*hollowNode
-	at      map[string]*hollowNode
-	servers []*hollowServer
-	doors   map[string]*hollowServer
-	keys    [][]ident.Key // of each model its own key and its adapters'
-	sizes   map[ident.Key]int
-	rand    *rand.Rand
-	parted  func(a, b int) bool // zones
-	token   uint64
-	admins  map[uint64]func(controller.Receipt)
-	leaves  map[uint64]func(ok bool)
-	plan    []byte
-	epoch   ident.Epoch
-
-	Loads   map[LoadKey]*Load
-	Written int // bytes that core nodes synced
-	Syncs   int
-	Notes   map[string]int
-	Orders  int
-	Applied []clock.Span // from a change's answer to the last live router
-	Missed  []clock.Span // from a server's failure until the owner knew
-	Reigns  []clock.Tick
-	marks   []Mark
-	begun   clock.Tick
-	pending []*inForce
-	failing map[ident.Server]clock.Tick
-}
-
-type inForce struct {
+	opts         HollowOptions
+	now          clock.Tick
+	ring         [ringSteps][]event
+	nodes        []*hollowNode
+	nodeByAddr   map[string]*hollowNode
+	servers      []*hollowServer
+	serverByAddr map[string]*hollowServer
+	keys         [][]ident.Key // by model: its own key, then those of its adapters
+	sizes        map[ident.Key]int
+	rand         *rand.Rand
+	partitioned  func(a, b int) bool // by zone
+	token        uint64
+	onReceipt    map[uint64]func(controller.Receipt)
+	onAnnounced  map[uint64]func(ok bool)
+	plan         []byte
+	epoch        ident.Epoch
+
+	Costs          map[CostKey]*Cost
+	SyncedBytes    int // bytes that core nodes synced to disk
+	Syncs          int
+	LogCounts      map[string]int
+	Orders         int
+	ApplyTimes     []clock.Span // from the reply to a change until in force at the last live router
+	DetectionTimes []clock.Span // from a server's failure until the leader detected it
+	TermStarts     []clock.Tick
+	samples        []ServiceSample
+	measuredFrom   clock.Tick
+	pending        []*pendingChange
+	undetected     map[ident.Server]clock.Tick
+}
+
+// pendingChange is an accepted change that is not yet in force at every live router.
+type pendingChange struct {
 	epoch ident.Epoch
 	at    clock.Tick
 }
 
-// Mark is the state of a hollow fleet's service at one moment.
-type Mark struct {
-	At      clock.Span
-	Routers int // up
-	Held    int // of them, those with a hold
-	Bare    int // models with a floor and no ready replica at a live server
-	Waiting int // requests without a server
+// ServiceSample is the state of a hollow fleet's service at one moment.
+type ServiceSample struct {
+	At         clock.Span
+	Routers    int // up
+	Leased     int // of them, those with a lease
+	BelowFloor int // models with a floor and no ready replica at a live server
+	Waiting    int // requests waiting for a replica
 }
 
-// NewHollow lays out a hollow fleet and starts it.
-func NewHollow(o HollowOptions) *Hollow {
-	h := &Hollow{o: o.Defaults(), now: 1e9, at: map[string]*hollowNode{}, doors: map[string]*hollowServer{}, sizes: map[ident.Key]int{},
-		admins: map[uint64]func(controller.Receipt){}, leaves: map[uint64]func(bool){}, Loads: map[LoadKey]*Load{}, Notes: map[string]int{},
-		parted: func(int, int) bool { return false }, failing: map[ident.Server]clock.Tick{}}
-	h.rand = rand.New(rand.NewPCG(h.o.Seed, 7))
+// NewHollow creates a hollow fleet and starts its nodes and servers.
+func NewHollow(options HollowOptions) *Hollow {
+	h := &Hollow{opts: options.WithDefaults(), now: 1e9, nodeByAddr: map[string]*hollowNode{}, serverByAddr: map[string]*hollowServer{}, sizes: map[ident.Key]int{},
+		onReceipt: map[uint64]func(controller.Receipt){}, onAnnounced: map[uint64]func(bool){}, Costs: map[CostKey]*Cost{}, LogCounts: map[string]int{},
+		partitioned: func(int, int) bool { return false }, undetected: map[ident.Server]clock.Tick{}}
+	h.rand = rand.New(rand.NewPCG(h.opts.Seed, 7))
 	h.plan = h.makePlan("first")
-	for i := range h.o.Cores {
-		h.add(&hollowNode{role: "core", sib: protocol.Sibling{ID: ident.Node(fmt.Sprintf("loop-%02d", i)), Addr: fmt.Sprintf("10.1.0.%d:7000", i+1)}, zone: i * max(1, h.o.Zones/h.o.Regions) % h.o.Zones, disk: map[string][]byte{}})
-	}
-	for i := range h.o.Routers {
-		a := &hollowNode{role: "agent", sib: protocol.Sibling{ID: ident.Node(fmt.Sprintf("edge-%04d", i)), Addr: fmt.Sprintf("10.2.%d.%d:7002", i/250, i%250+1)}, zone: i % h.o.Zones}
-		l := &hollowNode{role: "router", sib: protocol.Sibling{ID: "router", Addr: "router"}, zone: a.zone, beside: a}
-		a.beside = l
-		h.add(a)
-		h.nodes = append(h.nodes, l)
-		h.startNode(l)
-	}
-	for i := range h.o.Servers {
-		s := &hollowServer{number: i, zone: i % h.o.Zones, service: fmt.Sprintf("engines-%d", i%h.o.Services), addr: fmt.Sprintf("10.3.%d.%d:9000", i/250, i%250+1)}
-		h.servers = append(h.servers, s)
-		h.doors[s.addr] = s
-		h.startServer(s)
-		s.next = h.now.Add(clock.Span(h.rand.Int64N(int64(hollowPeriod))))
+	for i := range h.opts.CoreNodes {
+		h.addNode(&hollowNode{role: "core", sibling: protocol.Sibling{ID: ident.Node(fmt.Sprintf("loop-%02d", i)), Addr: fmt.Sprintf("10.1.0.%d:7000", i+1)}, zone: i * max(1, h.opts.Zones/h.opts.Regions) % h.opts.Zones, disk: map[string][]byte{}})
+	}
+	for i := range h.opts.Routers {
+		agentNode := &hollowNode{role: "agent", sibling: protocol.Sibling{ID: ident.Node(fmt.Sprintf("edge-%04d", i)), Addr: fmt.Sprintf("10.2.%d.%d:7002", i/250, i%250+1)}, zone: i % h.opts.Zones}
+		routerNode := &hollowNode{role: "router", sibling: protocol.Sibling{ID: "router", Addr: "router"}, zone: agentNode.zone, partner: agentNode}
+		agentNode.partner = routerNode
+		h.addNode(agentNode)
+		h.nodes = append(h.nodes, routerNode)
+		h.startNode(routerNode)
+	}
+	for i := range h.opts.Servers {
+		server := &hollowServer{number: i, zone: i % h.opts.Zones, service: fmt.Sprintf("engines-%d", i%h.opts.Services), addr: fmt.Sprintf("10.3.%d.%d:9000", i/250, i%250+1)}
+		h.servers = append(h.servers, server)
+		h.serverByAddr[server.addr] = server
+		h.startServer(server)
+		server.nextAnnounce = h.now.Add(clock.Span(h.rand.Int64N(int64(announcePeriod))))
 	}
 	h.fillServers()
 	return h
 }
 
-func (h *Hollow) add(n *hollowNode) {
-	h.nodes = append(h.nodes, n)
-	h.at[n.sib.Addr] = n
-	h.startNode(n)
+func (h *Hollow) addNode(node *hollowNode) {
+	h.nodes = append(h.nodes, node)
+	h.nodeByAddr[node.sibling.Addr] = node
+	h.startNode(node)
 }
 
-func (h *Hollow) chance(n *hollowNode) *rand.Rand {
-	sum := uint64(n.life)
-	for _, b := range string(n.sib.ID) + n.role {
-		sum = sum*131 + uint64(b)
+func (h *Hollow) newRand(node *hollowNode) *rand.Rand {
+	sum := uint64(node.starts)
+	for _, char := range string(node.sibling.ID) + node.role {
+		sum = sum*131 + uint64(char)
 	}
-	return rand.New(rand.NewPCG(h.o.Seed, sum))
+	return rand.New(rand.NewPCG(h.opts.Seed, sum))
 }
 
 func (h *Hollow) zoneName(i int) ident.Zone { return ident.Zone(fmt.Sprintf("zone-%02d", i)) }
 
-func (h *Hollow) region(zone int) int { return zone * h.o.Regions / h.o.Zones }
+func (h *Hollow) region(zone int) int { return zone * h.opts.Regions / h.opts.Zones }
 
-func (h *Hollow) startNode(n *hollowNode) {
-	n.up = true
-	n.life++
+func (h *Hollow) startNode(node *hollowNode) {
+	node.up = true
+	node.starts++
 	inc := ident.Inc(1e12 + uint64(h.now)/1e6*1e3 + uint64(len(h.nodes)))
 	var seeds []protocol.Sibling
-	for i := range min(hollowSeeds, h.o.Cores) {
+	for i := range min(seedNodes, h.opts.CoreNodes) {
 		seeds = append(seeds, protocol.Sibling{Addr: fmt.Sprintf("10.1.0.%d:7000", i+1)})
 	}
-	switch n.role {
+	switch node.role {
 	case "core":
-		n.core = controller.New(controller.Options{Me: n.sib, Zone: h.zoneName(n.zone), Inc: inc, Seeds: seeds, Rand: h.chance(n),
-			Duty: 800e6, Round: 200e6, Hold: 1400e6, Spare: 1200e6, Silence: hollowPeriod*3 + hollowPeriod/4, Rate: 5e9,
+		node.core = controller.New(controller.Options{Me: node.sibling, Zone: h.zoneName(node.zone), Inc: inc, Seeds: seeds, Rand: h.newRand(node),
+			Duty: 800e6, Round: 200e6, Hold: 1400e6, Spare: 1200e6, Silence: announcePeriod*3 + announcePeriod/4, Rate: 5e9,
 			Enrolled: true, Unfenced: true, Warm: true})
 		disk := map[string][]byte{}
-		for k, b := range n.disk {
-			disk[k] = b
+		for key, value := range node.disk {
+			disk[key] = value
 		}
-		h.post(1, mail{to: n, life: n.life, kind: "Start", in: protocol.Start{Disk: disk}})
+		h.schedule(1, event{to: node, starts: node.starts, kind: "Start", input: protocol.Start{Disk: disk}})
 	case "agent":
-		n.core = agent.New(agent.Options{Me: n.sib, Zone: h.zoneName(n.zone), Inc: inc, Life: inc, Seeds: seeds, Rand: h.chance(n),
+		node.core = agent.New(agent.Options{Me: node.sibling, Zone: h.zoneName(node.zone), Inc: inc, Life: inc, Seeds: seeds, Rand: h.newRand(node),
 			Router: protocol.Sibling{ID: "router", Addr: "router"}})
 	case "router":
-		n.core = router.New(router.Options{Me: n.sib, Inc: inc, Agent: protocol.Sibling{Addr: "agent"}, Zone: h.zoneName(n.zone), Free: true, Guards: true, Lend: 10})
-		n.traffic = &traffic{known: map[ident.Key][]ident.Server{}, marks: map[ident.Key]ident.Mark{}, asked: map[ident.Key]clock.Tick{},
-			stale: map[ident.Key]bool{}, lines: map[ident.Key][]clock.Tick{}, rand: h.chance(n)}
+		node.core = router.New(router.Options{Me: node.sibling, Inc: inc, Agent: protocol.Sibling{Addr: "agent"}, Zone: h.zoneName(node.zone), Free: true, Guards: true, Lend: 10})
+		node.traffic = &traffic{replicas: map[ident.Key][]ident.Server{}, marks: map[ident.Key]ident.Mark{}, wantedAt: map[ident.Key]clock.Tick{},
+			stale: map[ident.Key]bool{}, waiting: map[ident.Key][]clock.Tick{}, rand: h.newRand(node)}
 	}
 }
 
-func (h *Hollow) post(steps int, m mail) {
-	i := int(int64(h.now)/int64(hollowStep)) + steps
-	h.ring[i%hollowRing] = append(h.ring[i%hollowRing], m)
+func (h *Hollow) schedule(steps int, e event) {
+	step := int(int64(h.now)/int64(stepTime)) + steps
+	h.ring[step%ringSteps] = append(h.ring[step%ringSteps], e)
 }
 
-func (h *Hollow) load(role, kind string) *Load {
-	k := LoadKey{role, kind}
-	l := h.Loads[k]
-	if l == nil {
-		l = &Load{}
-		h.Loads[k] = l
+func (h *Hollow) cost(role, kind string) *Cost {
+	key := CostKey{role, kind}
+	cost := h.Costs[key]
+	if cost == nil {
+		cost = &Cost{}
+		h.Costs[key] = cost
 	}
-	return l
+	return cost
 }
 
-func (h *Hollow) roleOf(n *hollowNode) string {
-	if c, ok := n.core.(*controller.Core); ok {
+func (h *Hollow) roleOf(node *hollowNode) string {
+	if c, ok := node.core.(*controller.Core); ok {
 		if _, owns := c.Owns(h.now); owns {
 			return "owner"
 		}
 	}
-	return n.role
+	return node.role
 }
 
-// steps tells how long a message takes: one step within a region, two between regions.
-func (h *Hollow) steps(a, b int) int {
+// latencySteps returns the latency of a message between two zones: one step within a region, two between regions.
+func (h *Hollow) latencySteps(a, b int) int {
 	if h.region(a) == h.region(b) {
 		return 1
 	}
 	return 2
 }
 
-func (h *Hollow) step(n *hollowNode, kind string, in any) {
-	if !n.up {
+func (h *Hollow) step(node *hollowNode, kind string, input any) {
+	if !node.up {
 		return
 	}
-	role := h.roleOf(n)
-	at := threadTime()
-	out := n.core.Step(h.now, in)
-	l := h.load(role, kind)
-	l.Step += threadTime() - at
-	l.Steps++
-	for _, o := range out {
-		h.act(n, role, o)
+	role := h.roleOf(node)
+	startedAt := threadCPUTime()
+	outputs := node.core.Step(h.now, input)
+	cost := h.cost(role, kind)
+	cost.StepTime += threadCPUTime() - startedAt
+	cost.Inputs++
+	for _, output := range outputs {
+		h.handleOutput(node, role, output)
 	}
 }
 
-func (h *Hollow) act(n *hollowNode, role string, o any) {
-	switch v := o.(type) {
+func (h *Hollow) handleOutput(node *hollowNode, role string, output any) {
+	switch v := output.(type) {
 	case protocol.Env:
-		h.send(n, role, v)
+		h.send(node, role, v)
 	case protocol.Save:
-		for k, b := range v.Puts {
-			n.disk[k] = b
-			h.Written += len(b)
+		for key, value := range v.Puts {
+			node.disk[key] = value
+			h.SyncedBytes += len(value)
 		}
 		h.Syncs++
-		h.post(1, mail{to: n, life: n.life, kind: "Saved", in: protocol.Saved{Token: v.Token}})
+		h.schedule(1, event{to: node, starts: node.starts, kind: "Saved", input: protocol.Saved{Token: v.Token}})
 	case protocol.Compute:
-		at := threadTime()
+		startedAt := threadCPUTime()
 		v.Run()
-		h.load(role, "Compute").Step += threadTime() - at
-		h.post(1, mail{to: n, life: n.life, kind: "Computed", in: protocol.Computed{Token: v.Token}})
+		h.cost(role, "Compute").StepTime += threadCPUTime() - startedAt
+		h.schedule(1, event{to: node, starts: node.starts, kind: "Computed", input: protocol.Computed{Token: v.Token}})
 	case protocol.Ask:
-		h.ask(n, role, v)
+		h.askServer(node, role, v)
 	case protocol.Note:
-		if server, dark := takenForDark(v); dark {
-			h.sawDark(server)
+		if server, ok := unreachableServer(v); ok {
+			h.recordDetection(server)
 			return
 		}
-		h.note(n, v.Text)
+		h.countLog(node, v.Text)
 	case protocol.Oops:
-		h.note(n, v.Text)
+		h.countLog(node, v.Text)
 	case controller.Receipt:
-		if f := h.admins[v.Token]; f != nil {
-			delete(h.admins, v.Token)
-			f(v)
+		if then := h.onReceipt[v.Token]; then != nil {
+			delete(h.onReceipt, v.Token)
+			then(v)
 		}
 	case controller.Announced:
-		if f := h.leaves[v.Token]; f != nil {
-			delete(h.leaves, v.Token)
-			f(v.OK)
+		if then := h.onAnnounced[v.Token]; then != nil {
+			delete(h.onAnnounced, v.Token)
+			then(v.OK)
 		}
 	}
 }
 
-// takenForDark tells whether a log line says that a server is taken for dark, and which.
-func takenForDark(line protocol.Note) (server ident.Server, dark bool) {
+// unreachableServer reports whether a log line says that a server does not answer, and returns the server.
+func unreachableServer(line protocol.Note) (server ident.Server, ok bool) {
 	if line.Text != "server does not answer" && line.Text != "server is silent and does not answer" {
 		return "", false
 	}
-	for _, f := range line.Fields {
-		if id, ok := f.Value.(ident.Server); ok && f.Name == "server" {
+	for _, field := range line.Fields {
+		if id, ok := field.Value.(ident.Server); ok && field.Name == "server" {
 			server = id
 		}
 	}
 	return server, server != ""
 }
 
-// sawDark notes how long after its failure a server was taken for dark.
-func (h *Hollow) sawDark(server ident.Server) {
-	at, failed := h.failing[server]
+// recordDetection records how long after its failure a server was found unreachable.
+func (h *Hollow) recordDetection(server ident.Server) {
+	failedAt, failed := h.undetected[server]
 	if !failed {
-		h.Notes["a live server is taken for dark"]++
+		h.LogCounts["live server reported unreachable"]++
 		return
 	}
-	h.Missed = append(h.Missed, h.now.Sub(at))
-	delete(h.failing, server)
+	h.DetectionTimes = append(h.DetectionTimes, h.now.Sub(failedAt))
+	delete(h.undetected, server)
 }
 
-func (h *Hollow) note(n *hollowNode, s string) {
-	w := strings.Fields(s)
-	if strings.HasPrefix(s, "duty") && strings.HasSuffix(s, "begins") {
-		h.Reigns = append(h.Reigns, h.now)
+func (h *Hollow) countLog(node *hollowNode, text string) {
+	words := strings.Fields(text)
+	if strings.HasPrefix(text, "duty") && strings.HasSuffix(text, "begins") {
+		h.TermStarts = append(h.TermStarts, h.now)
 	}
-	for i, x := range w { // numbers and names make no kind of their own
-		if strings.ContainsAny(x, "0123456789") {
-			w[i] = "#"
+	for i, word := range words { // lines that differ only in numbers and names count as one
+		if strings.ContainsAny(word, "0123456789") {
+			words[i] = "#"
 		}
 	}
-	h.Notes[strings.Join(w, " ")]++
+	h.LogCounts[strings.Join(words, " ")]++
 }
 
-func (h *Hollow) send(n *hollowNode, role string, e protocol.Env) {
-	kind := protocol.Kind(e.Body)
-	if b := n.beside; b != nil && (e.To.Addr == "router" || e.To.Addr == "agent") {
-		e.Body = h.near(n, e.Body)
-		h.load(role, kind).Sent++
-		h.post(0, mail{to: b, life: b.life, kind: kind, in: e})
+func (h *Hollow) send(node *hollowNode, role string, env protocol.Env) {
+	kind := protocol.Kind(env.Body)
+	if partner := node.partner; partner != nil && (env.To.Addr == "router" || env.To.Addr == "agent") {
+		env.Body = h.exchangeLocal(node, env.Body)
+		h.cost(role, kind).Sent++
+		h.schedule(0, event{to: partner, starts: partner.starts, kind: kind, input: env})
 		return
 	}
-	at := threadTime()
-	raw, err := protocol.Pack(e)
+	startedAt := threadCPUTime()
+	raw, err := protocol.Pack(env)
 	if err != nil {
-		panic(err) // only our own types come here
-	}
-	l := h.load(role, kind)
-	l.Pack += threadTime() - at
-	l.Sent++
-	l.Out += len(raw)
-	l.Biggest = max(l.Biggest, len(raw))
-	to := h.at[e.Hop().Addr]
-	if to == nil || h.parted(n.zone, to.zone) {
+		panic(err) // the cores send only types that Pack supports
+	}
+	cost := h.cost(role, kind)
+	cost.CodecTime += threadCPUTime() - startedAt
+	cost.Sent++
+	cost.SentBytes += len(raw)
+	cost.MaxBytes = max(cost.MaxBytes, len(raw))
+	to := h.nodeByAddr[env.Hop().Addr]
+	if to == nil || h.partitioned(node.zone, to.zone) {
 		return
 	}
-	h.post(h.steps(n.zone, to.zone), mail{to: to, life: to.life, kind: kind, raw: raw})
+	h.schedule(h.latencySteps(node.zone, to.zone), event{to: to, starts: to.starts, kind: kind, raw: raw})
 }
 
-func (h *Hollow) deliver(m mail) {
-	if m.do != nil {
-		m.do()
+func (h *Hollow) deliver(e event) {
+	if e.run != nil {
+		e.run()
 		return
 	}
-	if !m.to.up || m.to.life != m.life {
+	if !e.to.up || e.to.starts != e.starts {
 		return
 	}
-	if m.raw == nil {
-		h.step(m.to, m.kind, m.in)
+	if e.raw == nil {
+		h.step(e.to, e.kind, e.input)
 		return
 	}
-	at := threadTime()
-	e, err := protocol.Unpack(m.raw)
+	startedAt := threadCPUTime()
+	env, err := protocol.Unpack(e.raw)
 	if err != nil {
-		panic(err) // it was packed a moment ago
+		panic(err) // packed by send
 	}
-	l := h.load(h.roleOf(m.to), m.kind)
-	l.Pack += threadTime() - at
-	l.Got++
-	l.In += len(m.raw)
-	h.step(m.to, m.kind, e)
+	cost := h.cost(h.roleOf(e.to), e.kind)
+	cost.CodecTime += threadCPUTime() - startedAt
+	cost.Received++
+	cost.ReceivedBytes += len(e.raw)
+	h.step(e.to, e.kind, env)
 }
 
-// ask is a question to a model server, over HTTP in a real fleet: its bytes here are the bodies'.
-func (h *Hollow) ask(n *hollowNode, role string, a protocol.Ask) {
-	q := a.Body.(protocol.Order)
+// askServer sends a request to a model server. A real fleet uses HTTP; the bytes counted here are those of the bodies.
+func (h *Hollow) askServer(node *hollowNode, role string, ask protocol.Ask) {
+	order := ask.Body.(protocol.Order)
 	kind := "report"
-	if q.Op != "" {
+	if order.Op != "" {
 		kind = "order"
 		h.Orders++
 	}
-	l := h.load(role, "ask "+kind)
-	l.Sent++
-	raw, _ := json.Marshal(q)
-	l.Out += len(raw)
-	s := h.doors[a.Addr]
-	d := h.steps(n.zone, s.zone)
-	if !s.up || s.state == "gone" || h.parted(n.zone, s.zone) {
-		h.post(int(a.Wait/hollowStep), mail{to: n, life: n.life, kind: "Told", in: protocol.Told{Token: a.Token}})
+	cost := h.cost(role, "ask "+kind)
+	cost.Sent++
+	raw, _ := json.Marshal(order)
+	cost.SentBytes += len(raw)
+	server := h.serverByAddr[ask.Addr]
+	latency := h.latencySteps(node.zone, server.zone)
+	if !server.up || server.state == "gone" || h.partitioned(node.zone, server.zone) {
+		h.schedule(int(ask.Wait/stepTime), event{to: node, starts: node.starts, kind: "Told", input: protocol.Told{Token: ask.Token}})
 		return
 	}
-	h.post(d, mail{do: func() {
-		t := s.answer(h, q)
-		t.Token = a.Token
-		l.Got++
-		l.In += len(t.Body)
-		h.post(d, mail{to: n, life: n.life, kind: "Told", in: t})
+	h.schedule(latency, event{run: func() {
+		told := server.handleOrder(h, order)
+		told.Token = ask.Token
+		cost.Received++
+		cost.ReceivedBytes += len(told.Body)
+		h.schedule(latency, event{to: node, starts: node.starts, kind: "Told", input: told})
 	}})
 }
 
-func (s *hollowServer) answer(h *Hollow, q protocol.Order) protocol.Told {
-	if q.Op == "" {
-		r := protocol.Report{Server: s.id, Num: s.taken, Room: hollowRoom, Slots: 64, Busy: s.done != 0}
-		for _, k := range generic.SortedKeys(s.held) {
-			r.Held = append(r.Held, protocol.Held{Key: k, Size: s.held[k], Stage: "ready"})
+func (s *hollowServer) handleOrder(h *Hollow, order protocol.Order) protocol.Told {
+	if order.Op == "" {
+		report := protocol.Report{Server: s.id, Num: s.ordersAccepted, Room: serverRoom, Slots: 64, Busy: s.orderDoneAt != 0}
+		for _, key := range generic.SortedKeys(s.held) {
+			report.Held = append(report.Held, protocol.Held{Key: key, Size: s.held[key], Stage: "ready"})
 		}
-		raw, _ := json.Marshal(r)
+		raw, _ := json.Marshal(report)
 		return protocol.Told{OK: true, Code: 200, Body: raw}
 	}
-	if q.Expected != s.taken || s.done != 0 {
+	if order.Expected != s.ordersAccepted || s.orderDoneAt != 0 {
 		return protocol.Told{OK: true, Code: 409}
 	}
-	if _, has := s.held[q.Key]; has == (q.Op == "load") {
+	if _, held := s.held[order.Key]; held == (order.Op == "load") {
 		return protocol.Told{OK: true, Code: 200}
 	}
-	s.taken++
-	s.order = q
-	took := clock.Span(2000e6)
-	if q.Key.IsAdapter() || q.Op == "unload" {
-		took = 200e6
+	s.ordersAccepted++
+	s.order = order
+	duration := clock.Span(2000e6)
+	if order.Key.IsAdapter() || order.Op == "unload" {
+		duration = 200e6
 	}
-	s.done = h.now.Add(took)
+	s.orderDoneAt = h.now.Add(duration)
 	return protocol.Told{OK: true, Code: 202}
 }
 
 func (h *Hollow) startServer(s *hollowServer) {
-	s.start++
-	s.id = ident.Server(fmt.Sprintf("server-%04d-%d", s.number, s.start))
-	s.up, s.state, s.count, s.taken, s.done, s.back = true, "live", 0, 0, 0, 0
+	s.starts++
+	s.id = ident.Server(fmt.Sprintf("server-%04d-%d", s.number, s.starts))
+	s.up, s.state, s.announcements, s.ordersAccepted, s.orderDoneAt, s.restartAt = true, "live", 0, 0, 0, 0
 	s.held = map[ident.Key]int{}
-	s.next = h.now
+	s.nextAnnounce = h.now
 }
 
-func (h *Hollow) beatServer(s *hollowServer) {
+func (h *Hollow) stepServer(s *hollowServer) {
 	if !s.up {
-		if s.back != 0 && h.now >= s.back {
+		if s.restartAt != 0 && h.now >= s.restartAt {
 			h.startServer(s)
 		}
 		return
 	}
-	if s.done != 0 && h.now >= s.done {
-		s.done = 0
+	if s.orderDoneAt != 0 && h.now >= s.orderDoneAt {
+		s.orderDoneAt = 0
 		if s.order.Op == "load" {
 			s.held[s.order.Key] = s.order.Size
 		} else {
@@ -535,83 +539,84 @@
 			}
 		}
 	}
-	if h.now >= s.next {
-		s.next = h.now.Add(hollowPeriod)
+	if h.now >= s.nextAnnounce {
+		s.nextAnnounce = h.now.Add(announcePeriod)
 		h.announce(s, nil)
 	}
 }
 
-// announce sends a server's word to any core node that it reaches.
+// announce sends a server's announcement to a random core node. If the node cannot be reached, the server retries soon.
 func (h *Hollow) announce(s *hollowServer, then func(bool)) {
-	s.count++
-	b := protocol.Beacon{Listed: protocol.Listed{ID: s.id, Addr: s.addr, Zone: h.zoneName(s.zone), State: s.state, Service: s.service, Slots: 64}, Count: s.count, Held: generic.SortedKeys(s.held)}
-	raw, _ := json.Marshal(b)
-	n := h.nodes[h.rand.IntN(h.o.Cores)]
-	if !n.up || h.parted(n.zone, s.zone) {
-		s.next = h.now.Add(200e6) // it tries another
+	s.announcements++
+	beacon := protocol.Beacon{Listed: protocol.Listed{ID: s.id, Addr: s.addr, Zone: h.zoneName(s.zone), State: s.state, Service: s.service, Slots: 64}, Count: s.announcements, Held: generic.SortedKeys(s.held)}
+	raw, _ := json.Marshal(beacon)
+	node := h.nodes[h.rand.IntN(h.opts.CoreNodes)]
+	if !node.up || h.partitioned(node.zone, s.zone) {
+		s.nextAnnounce = h.now.Add(200e6)
 		return
 	}
 	h.token++
 	if then != nil {
-		h.leaves[h.token] = then
+		h.onAnnounced[h.token] = then
 	}
-	l := h.load(h.roleOf(n), "Announce")
-	l.Got++
-	l.In += len(raw)
-	h.post(h.steps(s.zone, n.zone), mail{to: n, life: n.life, kind: "Announce", in: controller.Announce{Token: h.token, Beacon: b}})
+	cost := h.cost(h.roleOf(node), "Announce")
+	cost.Received++
+	cost.ReceivedBytes += len(raw)
+	h.schedule(h.latencySteps(s.zone, node.zone), event{to: node, starts: node.starts, kind: "Announce", input: controller.Announce{Token: h.token, Beacon: beacon}})
 }
 
+// makePlan returns a plan with the configured models, adapters, services and routes, and fills keys and sizes.
 func (h *Hollow) makePlan(name string) []byte {
-	type m map[string]any
-	models, adapters, services := m{}, m{}, m{}
-	names := make([][]string, h.o.Services)
-	extra := make([][]string, h.o.Services)
+	type object map[string]any
+	models, adapters, services := object{}, object{}, object{}
+	modelNames := make([][]string, h.opts.Services)
+	adapterNames := make([][]string, h.opts.Services)
 	h.keys = nil
-	for i := range h.o.Models {
-		n, g := fmt.Sprintf("model-%03d", i), i%h.o.Services
+	for i := range h.opts.Models {
+		model, group := fmt.Sprintf("model-%03d", i), i%h.opts.Services
 		floor := 0
-		if i < h.o.Servers/2 {
+		if i < h.opts.Servers/2 {
 			floor = 1
 		}
-		models[n] = m{"size": 60_000 + 1000*(i%20), "floor": floor, "load_ms": 2000}
-		k := ident.Key(n).In(fmt.Sprintf("engines-%d", g))
-		h.keys = append(h.keys, []ident.Key{k})
-		h.sizes[k] = 60_000 + 1000*(i%20)
-		names[g] = append(names[g], n)
-	}
-	for i := range h.o.Adapters {
-		n, b := fmt.Sprintf("adapter-%04d", i), i%h.o.Models
-		base := fmt.Sprintf("model-%03d", b)
-		adapters[n] = m{"base": base, "size": 400}
-		k := ident.KeyOf(base, n).In(fmt.Sprintf("engines-%d", b%h.o.Services))
-		h.keys[b] = append(h.keys[b], k)
-		h.sizes[k] = 400
-		extra[b%h.o.Services] = append(extra[b%h.o.Services], n)
-	}
-	routes := m{}
-	for g := range h.o.Services {
-		services[fmt.Sprintf("engines-%d", g)] = m{"models": names[g], "adapters": extra[g], "slots": 64, "tokens": 150_000, "room": hollowRoom, "places": hollowPlaces,
-			"loads_per_s": 0.002 * float64(h.o.Servers) / float64(h.o.Services)}
-		routes[fmt.Sprintf("route-%d", g)] = m{"host": fmt.Sprintf("notes-%d.example", g), "prefix": "/", "service": fmt.Sprintf("engines-%d", g), "mode": "continuous",
-			"resume": true, "tries": 2, "value": 1000 - g, "wait_ms": 4000}
-	}
-	raw, err := json.Marshal(m{"name": name, "store": m{"loads": 4}, "models": models, "adapters": adapters, "kinds": m{}, "services": services, "routes": routes})
+		models[model] = object{"size": 60_000 + 1000*(i%20), "floor": floor, "load_ms": 2000}
+		key := ident.Key(model).In(fmt.Sprintf("engines-%d", group))
+		h.keys = append(h.keys, []ident.Key{key})
+		h.sizes[key] = 60_000 + 1000*(i%20)
+		modelNames[group] = append(modelNames[group], model)
+	}
+	for i := range h.opts.Adapters {
+		adapter, m := fmt.Sprintf("adapter-%04d", i), i%h.opts.Models
+		base := fmt.Sprintf("model-%03d", m)
+		adapters[adapter] = object{"base": base, "size": 400}
+		key := ident.KeyOf(base, adapter).In(fmt.Sprintf("engines-%d", m%h.opts.Services))
+		h.keys[m] = append(h.keys[m], key)
+		h.sizes[key] = 400
+		adapterNames[m%h.opts.Services] = append(adapterNames[m%h.opts.Services], adapter)
+	}
+	routes := object{}
+	for group := range h.opts.Services {
+		services[fmt.Sprintf("engines-%d", group)] = object{"models": modelNames[group], "adapters": adapterNames[group], "slots": 64, "tokens": 150_000, "room": serverRoom, "places": serverPlaces,
+			"loads_per_s": 0.002 * float64(h.opts.Servers) / float64(h.opts.Services)}
+		routes[fmt.Sprintf("route-%d", group)] = object{"host": fmt.Sprintf("notes-%d.example", group), "prefix": "/", "service": fmt.Sprintf("engines-%d", group), "mode": "continuous",
+			"resume": true, "tries": 2, "value": 1000 - group, "wait_ms": 4000}
+	}
+	raw, err := json.Marshal(object{"name": name, "store": object{"loads": 4}, "models": models, "adapters": adapters, "kinds": object{}, "services": services, "routes": routes})
 	if err != nil {
-		panic(err) // plain tables only
+		panic(err) // maps, slices and scalars always marshal
 	}
 	return raw
 }
 
-// fillServers gives each server the models that a fleet in use would hold: popular ones often.
+// fillServers assigns models and adapters to the servers as in a fleet in use: popular models have more replicas.
 func (h *Hollow) fillServers() {
 	weight := func(i int) float64 { return 1 / math.Pow(float64(i+1), 1.1) }
-	next, turns := make([]float64, h.o.Models), make([]int, h.o.Models)
+	next, turns := make([]float64, h.opts.Models), make([]int, h.opts.Models)
 	for _, s := range h.servers {
 		for range 2 {
 			best := -1
 			for i := range h.keys {
-				k := h.keys[i][0]
-				if _, has := s.held[k]; has || k.Service() != s.service {
+				key := h.keys[i][0]
+				if _, held := s.held[key]; held || key.Service() != s.service {
 					continue
 				}
 				if best < 0 || next[i] < next[best] || next[i] == next[best] && i < best {
@@ -622,69 +627,73 @@
 				break
 			}
 			next[best] += 1 / weight(best)
-			l := h.keys[best]
-			s.held[l[0]] = h.sizes[l[0]]
-			for range min(active(l), hollowPlaces/2) {
-				k := l[1+turns[best]%active(l)]
+			keys := h.keys[best]
+			s.held[keys[0]] = h.sizes[keys[0]]
+			for range min(activeAdapters(keys), serverPlaces/2) {
+				key := keys[1+turns[best]%activeAdapters(keys)]
 				turns[best]++
-				s.held[k] = h.sizes[k]
+				s.held[key] = h.sizes[key]
 			}
 		}
 	}
 }
 
-// active counts the adapters of a model that are asked for all the time.
-func active(l []ident.Key) int { return (len(l) - 1 + hollowActive - 1) / hollowActive }
+// activeAdapters returns how many of a model's adapters receive regular requests; keys are those of the model.
+func activeAdapters(keys []ident.Key) int {
+	return (len(keys) - 1 + adaptersPerActive - 1) / adaptersPerActive
+}
 
-func (h *Hollow) draw(r *rand.Rand) ident.Key {
-	// By the inverse of a harmonic-like distribution: the first models and adapters get most.
+// pickKey draws the key of a request.
+func (h *Hollow) pickKey(random *rand.Rand) ident.Key {
+	// Inverse transform of a distribution close to 1/x: the first models and adapters receive most requests.
 	pick := func(n int) int {
-		return min(n-1, int(math.Pow(float64(n)+1, r.Float64()))-1)
+		return min(n-1, int(math.Pow(float64(n)+1, random.Float64()))-1)
 	}
-	l := h.keys[pick(len(h.keys))]
+	keys := h.keys[pick(len(h.keys))]
 	switch {
-	case len(l) == 1 || r.Float64() >= h.o.Part:
-		return l[0]
-	case r.Float64() < hollowRare:
-		return l[1+r.IntN(len(l)-1)]
+	case len(keys) == 1 || random.Float64() >= h.opts.AdapterShare:
+		return keys[0]
+	case random.Float64() < idleAdapterShare:
+		return keys[1+random.IntN(len(keys)-1)]
 	default:
-		return l[1+pick(active(l))]
+		return keys[1+pick(activeAdapters(keys))]
 	}
 }
 
-// near passes what a router and its agent tell each other, and puts the synthetic demand in.
-func (h *Hollow) near(n *hollowNode, body any) any {
-	switch b := body.(type) {
+// exchangeLocal processes a message between a router and its agent: it adds the synthetic demand and updates the
+// router's view of the replicas.
+func (h *Hollow) exchangeLocal(node *hollowNode, body any) any {
+	switch message := body.(type) {
 	case protocol.Hello:
-		b.Burden, b.Seats = h.demand(n)
-		return b
+		message.Burden, message.Seats = h.demand(node)
+		return message
 	case protocol.Removal:
-		for _, d := range b.Drops {
-			delete(n.traffic.known, d.Key)
+		for _, drop := range message.Drops {
+			delete(node.traffic.replicas, drop.Key)
 		}
 	case protocol.Hold:
-		if t := n.beside.traffic; b.Session != t.session {
-			t.session = b.Session
-			for k := range t.known {
-				t.stale[k] = true
+		if traffic := node.partner.traffic; message.Session != traffic.session {
+			traffic.session = message.Session
+			for key := range traffic.replicas {
+				traffic.stale[key] = true
 			}
-			t.asked = map[ident.Key]clock.Tick{}
+			traffic.wantedAt = map[ident.Key]clock.Tick{}
 		}
 	case protocol.News:
-		t := n.beside.traffic
-		for _, i := range b.Items {
-			if i.Break != "" {
-				delete(t.known, i.Break)
+		traffic := node.partner.traffic
+		for _, item := range message.Items {
+			if item.Break != "" {
+				delete(traffic.replicas, item.Break)
 			}
-			if e := i.Entry; e != nil {
-				delete(t.asked, e.Key)
-				delete(t.stale, e.Key)
-				if !e.Same {
-					t.known[e.Key] = nil
-					for _, r := range e.Replicas {
-						t.known[e.Key] = append(t.known[e.Key], r.Server)
+			if entry := item.Entry; entry != nil {
+				delete(traffic.wantedAt, entry.Key)
+				delete(traffic.stale, entry.Key)
+				if !entry.Same {
+					traffic.replicas[entry.Key] = nil
+					for _, replica := range entry.Replicas {
+						traffic.replicas[entry.Key] = append(traffic.replicas[entry.Key], replica.Server)
 					}
-					t.marks[e.Key] = e.Mark
+					traffic.marks[entry.Key] = entry.Mark
 				}
 			}
 		}
@@ -692,68 +701,70 @@
 	return body
 }
 
-func (h *Hollow) demand(n *hollowNode) (map[ident.Key]protocol.Burden, map[ident.Server]int) {
-	t := n.traffic
-	b := map[ident.Key]protocol.Burden{}
-	each := h.o.Busy * float64(h.o.Servers) / (h.o.Rate * float64(h.o.Routers))
-	left := t.under[:0]
-	for _, u := range t.under {
-		if u.end > h.now {
-			left = append(left, u)
+// demand advances the synthetic requests at a router by one interval, and returns the demand by key and the load in
+// tokens by server.
+func (h *Hollow) demand(node *hollowNode) (map[ident.Key]protocol.Burden, map[ident.Server]int) {
+	traffic := node.traffic
+	burdens := map[ident.Key]protocol.Burden{}
+	loadPerRequest := h.opts.Utilization * float64(h.opts.Servers) / (h.opts.Rate * float64(h.opts.Routers))
+	active := traffic.active[:0]
+	for _, request := range traffic.active {
+		if request.end > h.now {
+			active = append(active, request)
 		}
 	}
-	t.under = left
+	traffic.active = active
 	if h.epoch > 0 {
-		mean := h.o.Rate * 0.2
-		k := 0
-		for p, l := t.rand.Float64(), math.Exp(-mean); p > l; p *= t.rand.Float64() {
-			k++
+		mean := h.opts.Rate * 0.2
+		arrivals := 0
+		for product, limit := traffic.rand.Float64(), math.Exp(-mean); product > limit; product *= traffic.rand.Float64() {
+			arrivals++
 		}
-		for range k {
-			key := h.draw(t.rand)
-			u := b[key]
-			u.Came++
-			u.Load += each
-			b[key] = u
-			t.lines[key] = append(t.lines[key], h.now)
+		for range arrivals {
+			key := h.pickKey(traffic.rand)
+			burden := burdens[key]
+			burden.Came++
+			burden.Load += loadPerRequest
+			burdens[key] = burden
+			traffic.waiting[key] = append(traffic.waiting[key], h.now)
 		}
 	}
-	for _, k := range generic.SortedKeys(t.lines) {
-		l := t.lines[k]
-		if on := t.known[k]; len(on) > 0 && !t.stale[k] {
-			for range l {
-				stay := clock.Span(float64(h.o.Stay) * (0.5 + t.rand.Float64()))
-				t.under = append(t.under, under{k, on[t.rand.IntN(len(on))], h.now.Add(stay)})
+	for _, key := range generic.SortedKeys(traffic.waiting) {
+		waiting := traffic.waiting[key]
+		if servers := traffic.replicas[key]; len(servers) > 0 && !traffic.stale[key] {
+			for range waiting {
+				duration := clock.Span(float64(h.opts.RequestTime) * (0.5 + traffic.rand.Float64()))
+				traffic.active = append(traffic.active, activeRequest{key, servers[traffic.rand.IntN(len(servers))], h.now.Add(duration)})
 			}
-			delete(t.lines, k)
+			delete(traffic.waiting, key)
 			continue
 		}
-		for len(l) > 0 && h.now.Sub(l[0]) > 4e9 {
-			l = l[1:]
+		for len(waiting) > 0 && h.now.Sub(waiting[0]) > 4e9 {
+			waiting = waiting[1:]
 		}
-		if t.lines[k] = l; len(l) == 0 {
-			delete(t.lines, k)
+		if traffic.waiting[key] = waiting; len(waiting) == 0 {
+			delete(traffic.waiting, key)
 			continue
 		}
-		u := b[k]
-		u.Wait, u.Top = len(l), 1000
-		b[k] = u
-		if at, ok := t.asked[k]; (!ok || h.now.Sub(at) > 400e6) && t.session.N > 0 {
-			t.asked[k] = h.now
-			w := protocol.Want{Session: t.session, Key: k, Waiting: len(l), Value: 1000}
-			if t.stale[k] {
-				w.Mark = t.marks[k]
+		burden := burdens[key]
+		burden.Wait, burden.Top = len(waiting), 1000
+		burdens[key] = burden
+		if wantedAt, ok := traffic.wantedAt[key]; (!ok || h.now.Sub(wantedAt) > 400e6) && traffic.session.N > 0 {
+			traffic.wantedAt[key] = h.now
+			want := protocol.Want{Session: traffic.session, Key: key, Waiting: len(waiting), Value: 1000}
+			if traffic.stale[key] {
+				want.Mark = traffic.marks[key]
 			}
-			h.load("router", "Want").Sent++
-			h.post(0, mail{to: n.beside, life: n.beside.life, kind: "Want", in: protocol.Env{From: n.sib, To: n.beside.sib, Body: w}})
+			h.cost("router", "Want").Sent++
+			h.schedule(0, event{to: node.partner, starts: node.partner.starts, kind: "Want", input: protocol.Env{From: node.sibling, To: node.partner.sibling, Body: want}})
 		}
 	}
 	seats := map[ident.Server]int{}
-	for _, u := range t.under {
-		x := b[u.key]
-		x.Work++
-		b[u.key] = x
-		seats[u.server] += 150
+	for _, request := range traffic.active {
+		burden := burdens[request.key]
+		burden.Work++
+		burdens[request.key] = burden
+		seats[request.server] += 150
 	}
-	return b, seats
+	return burdens, seats
 }
--- a/internal/localfleet/hollow_run.go
+++ b/internal/localfleet/hollow_run.go
@@ -12,33 +12,33 @@
 	"tidedeck/internal/router"
 )
 
-// turn moves the fleet by one step of virtual time.
-func (h *Hollow) turn() {
-	i := int(int64(h.now)/int64(hollowStep)) % hollowRing
+// advance runs one step of virtual time.
+func (h *Hollow) advance() {
+	i := int(int64(h.now)/int64(stepTime)) % ringSteps
 	drain := func() {
-		for j := 0; j < len(h.ring[i]); j++ { // what is delivered at once joins the end
+		for j := 0; j < len(h.ring[i]); j++ { // a delivery may append events of the same step
 			h.deliver(h.ring[i][j])
 		}
 		h.ring[i] = nil
 	}
 	drain()
 	for _, s := range h.servers {
-		h.beatServer(s)
+		h.stepServer(s)
 	}
 	for _, n := range h.nodes {
-		if n.role == "router" || h.now%(5*clock.Tick(hollowStep)) != 0 { // a router's beat is 20 ms, the others' 25
+		if n.role == "router" || h.now%(5*clock.Tick(stepTime)) != 0 { // routers step every 20 ms, others every 25 ms on average
 			h.step(n, "Beat", protocol.Beat{})
 		}
 	}
 	drain()
-	h.settleChanges()
-	h.now = h.now.Add(hollowStep)
+	h.recordApplied()
+	h.now = h.now.Add(stepTime)
 }
 
-// Owner finds the core node that owns the duty.
+// Owner returns the core node that holds the leadership, nil if none does.
 func (h *Hollow) Owner() *controller.Core {
-	for _, n := range h.nodes {
-		if c, ok := n.core.(*controller.Core); ok && n.up {
+	for _, node := range h.nodes {
+		if c, ok := node.core.(*controller.Core); ok && node.up {
 			if _, owns := c.Owns(h.now); owns {
 				return c
 			}
@@ -47,220 +47,220 @@
 	return nil
 }
 
-// InForce counts the live routers that have an epoch in force and a hold.
-func (h *Hollow) InForce(e ident.Epoch) (up, held, ruled int) {
-	for _, n := range h.nodes {
-		c, ok := n.core.(*router.Core)
-		if !ok || !n.up {
+// InForce counts the live routers, those with a lease, and those that have at least an epoch in force.
+func (h *Hollow) InForce(epoch ident.Epoch) (up, leased, inForce int) {
+	for _, node := range h.nodes {
+		c, ok := node.core.(*router.Core)
+		if !ok || !node.up {
 			continue
 		}
 		up++
-		_, at, holds := c.Rules(h.now)
-		if holds {
-			held++
+		_, at, hasLease := c.Rules(h.now)
+		if hasLease {
+			leased++
 		}
-		if at >= e {
-			ruled++
+		if at >= epoch {
+			inForce++
 		}
 	}
-	return up, held, ruled
+	return up, leased, inForce
 }
 
-// Admin asks a live core node for a change as an operator would.
-func (h *Hollow) Admin(a controller.Admin, then func(controller.Receipt)) {
-	n := h.nodes[h.rand.IntN(h.o.Cores)]
-	for !n.up {
-		n = h.nodes[h.rand.IntN(h.o.Cores)]
+// RequestChange submits an operator's request to a random live core node; then receives the reply.
+func (h *Hollow) RequestChange(request controller.Admin, then func(controller.Receipt)) {
+	node := h.nodes[h.rand.IntN(h.opts.CoreNodes)]
+	for !node.up {
+		node = h.nodes[h.rand.IntN(h.opts.CoreNodes)]
 	}
 	h.token++
-	a.Token = h.token
-	h.admins[a.Token] = then
-	l := h.load(h.roleOf(n), "Admin")
-	l.Got++
-	l.In += len(a.Raw)
-	h.post(1, mail{to: n, life: n.life, kind: "Admin", in: a})
+	request.Token = h.token
+	h.onReceipt[request.Token] = then
+	cost := h.cost(h.roleOf(node), "Admin")
+	cost.Received++
+	cost.ReceivedBytes += len(request.Raw)
+	h.schedule(1, event{to: node, starts: node.starts, kind: "Admin", input: request})
 }
 
-func (h *Hollow) change(n int) {
+func (h *Hollow) patchPlan(n int) {
 	var raw []byte
-	if h.o.Adapters > 0 {
-		raw = fmt.Appendf(nil, `{"adapters":{"adapter-%04d":{"size":%d}}}`, n%h.o.Adapters, 401+n)
+	if h.opts.Adapters > 0 {
+		raw = fmt.Appendf(nil, `{"adapters":{"adapter-%04d":{"size":%d}}}`, n%h.opts.Adapters, 401+n)
 	} else {
-		raw = fmt.Appendf(nil, `{"models":{"model-%03d":{"load_ms":%d}}}`, n%h.o.Models, 2001+n)
+		raw = fmt.Appendf(nil, `{"models":{"model-%03d":{"load_ms":%d}}}`, n%h.opts.Models, 2001+n)
 	}
-	h.Admin(controller.Admin{Op: "patch", Raw: raw, Any: true, Change: fmt.Sprint("change-", n)}, func(r controller.Receipt) {
+	h.RequestChange(controller.Admin{Op: "patch", Raw: raw, Any: true, Change: fmt.Sprint("change-", n)}, func(r controller.Receipt) {
 		if r.Kind != failure.None {
-			h.Notes["change: "+string(r.Kind)]++
+			h.LogCounts["change: "+string(r.Kind)]++
 			return
 		}
 		h.epoch = max(h.epoch, r.Epoch)
-		h.pending = append(h.pending, &inForce{r.Epoch, h.now})
+		h.pending = append(h.pending, &pendingChange{r.Epoch, h.now})
 	})
 }
 
-func (h *Hollow) settleChanges() {
-	left := h.pending[:0]
-	for _, p := range h.pending {
-		if up, _, ruled := h.InForce(p.epoch); ruled >= up {
-			h.Applied = append(h.Applied, h.now.Sub(p.at))
+func (h *Hollow) recordApplied() {
+	remaining := h.pending[:0]
+	for _, change := range h.pending {
+		if up, _, inForce := h.InForce(change.epoch); inForce >= up {
+			h.ApplyTimes = append(h.ApplyTimes, h.now.Sub(change.at))
 			continue
 		}
-		left = append(left, p)
+		remaining = append(remaining, change)
 	}
-	h.pending = left
+	h.pending = remaining
 }
 
-// Up turns the fleet until a plan is in force at every router, then for the warm time. It fails when
-// that never comes about.
-func (h *Hollow) Up() error {
-	asked := false
-	for end := h.now.Add(60e9); ; h.turn() {
+// Start runs the fleet until the plan is in force at every router, then for the warm-up time. It returns an error if the
+// plan is not in force after a minute of virtual time.
+func (h *Hollow) Start() error {
+	submitted := false
+	for end := h.now.Add(60e9); ; h.advance() {
 		if h.now > end {
-			return fmt.Errorf("no plan in force after a minute: %v", h.Notes)
+			return fmt.Errorf("plan not in force everywhere after one minute: %v", h.LogCounts)
 		}
-		if h.epoch == 0 && !asked && h.Owner() != nil {
-			asked = true
-			h.Admin(controller.Admin{Op: "put", Raw: h.plan, Any: true, Change: "first"}, func(r controller.Receipt) {
-				asked = false
+		if h.epoch == 0 && !submitted && h.Owner() != nil {
+			submitted = true
+			h.RequestChange(controller.Admin{Op: "put", Raw: h.plan, Any: true, Change: "first"}, func(r controller.Receipt) {
+				submitted = false
 				if r.Kind == failure.None {
 					h.epoch = r.Epoch
 					return
 				}
-				h.Notes[fmt.Sprint("plan: ", r.Kind, r.Faults)]++
+				h.LogCounts[fmt.Sprint("plan: ", r.Kind, r.Faults)]++
 			})
 		}
-		if up, held, ruled := h.InForce(max(1, h.epoch)); h.epoch > 0 && ruled == up && held == up {
+		if up, leased, inForce := h.InForce(max(1, h.epoch)); h.epoch > 0 && inForce == up && leased == up {
 			break
 		}
 	}
-	for end := h.now.Add(h.o.Warm); h.now < end; {
-		h.turn()
+	for end := h.now.Add(h.opts.WarmUp); h.now < end; {
+		h.advance()
 	}
 	return nil
 }
 
-// Measure turns the fleet for the measured time, with the churn that was asked for.
+// Measure runs the fleet for the measured duration, with the configured changes and failures.
 func (h *Hollow) Measure() {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	h.Loads, h.Notes = map[LoadKey]*Load{}, map[string]int{}
-	h.Written, h.Syncs, h.Orders, h.Reigns = 0, 0, 0, nil
-	h.begun = h.now
+	h.Costs, h.LogCounts = map[CostKey]*Cost{}, map[string]int{}
+	h.SyncedBytes, h.Syncs, h.Orders, h.TermStarts = 0, 0, 0, nil
+	h.measuredFrom = h.now
 	due := map[int][]func(){}
-	steps := int(h.o.For / hollowStep)
-	spread := func(n int, do func(i int)) {
+	steps := int(h.opts.Duration / stepTime)
+	spread := func(n int, run func(i int)) {
 		for i := range n {
 			at := steps * (2*i + 1) / (2 * n)
-			due[at] = append(due[at], func() { do(i) })
+			due[at] = append(due[at], func() { run(i) })
 		}
 	}
-	spread(h.o.Changes, h.change)
-	spread(h.o.Fails, h.failMachine)
-	spread(h.o.Restarts, h.restartServer)
-	third := func(n int, do func()) { due[steps*n/3] = append(due[steps*n/3], do) }
-	if h.o.ZoneLost {
-		third(1, func() { h.powerZone(0, false) })
-		third(2, func() { h.powerZone(0, true) })
+	spread(h.opts.Changes, h.patchPlan)
+	spread(h.opts.Failures, h.failMachine)
+	spread(h.opts.Restarts, h.restartServer)
+	atThirds := func(n int, run func()) { due[steps*n/3] = append(due[steps*n/3], run) }
+	if h.opts.ZoneFails {
+		atThirds(1, func() { h.setZonePower(0, false) })
+		atThirds(2, func() { h.setZonePower(0, true) })
 	}
-	if h.o.OwnerOut {
-		third(1, h.failOwner)
+	if h.opts.OwnerFails {
+		atThirds(1, h.failOwner)
 	}
-	if h.o.Apart > 0 {
-		third(1, func() {
-			h.parted = func(a, b int) bool { return (h.region(a) == 0) != (h.region(b) == 0) }
+	if h.opts.PartitionTime > 0 {
+		atThirds(1, func() {
+			h.partitioned = func(a, b int) bool { return (h.region(a) == 0) != (h.region(b) == 0) }
 		})
-		n := steps/3 + int(h.o.Apart/hollowStep)
-		due[n] = append(due[n], func() { h.parted = func(int, int) bool { return false } })
+		n := steps/3 + int(h.opts.PartitionTime/stepTime)
+		due[n] = append(due[n], func() { h.partitioned = func(int, int) bool { return false } })
 	}
 	for i := range steps {
-		for _, f := range due[i] {
-			f()
+		for _, run := range due[i] {
+			run()
 		}
-		h.turn()
+		h.advance()
 		if i%10 == 0 {
-			h.marks = append(h.marks, h.mark())
+			h.samples = append(h.samples, h.sample())
 		}
 	}
 }
 
-func (h *Hollow) mark() Mark {
-	m := Mark{At: h.now.Sub(h.begun)}
-	m.Routers, m.Held, _ = h.InForce(0)
+func (h *Hollow) sample() ServiceSample {
+	sample := ServiceSample{At: h.now.Sub(h.measuredFrom)}
+	sample.Routers, sample.Leased, _ = h.InForce(0)
 	ready := map[ident.Key]bool{}
 	for _, s := range h.servers {
 		if s.up && s.state == "live" {
-			for k := range s.held {
-				ready[k] = true
+			for key := range s.held {
+				ready[key] = true
 			}
 		}
 	}
-	for i := range min(h.o.Models, h.o.Servers/2) {
+	for i := range min(h.opts.Models, h.opts.Servers/2) {
 		if !ready[h.keys[i][0]] {
-			m.Bare++
+			sample.BelowFloor++
 		}
 	}
-	for _, n := range h.nodes {
-		if n.traffic != nil && n.up {
-			for _, l := range n.traffic.lines {
-				m.Waiting += len(l)
+	for _, node := range h.nodes {
+		if node.traffic != nil && node.up {
+			for _, queue := range node.traffic.waiting {
+				sample.Waiting += len(queue)
 			}
 		}
 	}
-	return m
+	return sample
 }
 
 func (h *Hollow) failServer(s *hollowServer) {
 	if s.up {
-		s.up, s.back = false, 0
-		h.failing[s.id] = h.now
+		s.up, s.restartAt = false, 0
+		h.undetected[s.id] = h.now
 	}
 }
 
-func (h *Hollow) powerNode(n *hollowNode, on bool) {
-	if on && !n.up {
-		h.startNode(n)
+func (h *Hollow) setNodePower(node *hollowNode, on bool) {
+	if on && !node.up {
+		h.startNode(node)
 	}
-	n.up = on
+	node.up = on
 }
 
-// failMachine takes the power from a server, and from a router for each of eight servers, as their numbers go.
+// failMachine fails one machine: in every eighth call a router with its agent, otherwise a server.
 func (h *Hollow) failMachine(i int) {
 	if i%8 == 7 {
-		n := h.nodes[h.o.Cores+2*((i*37)%h.o.Routers)]
-		h.powerNode(n, false)
-		h.powerNode(n.beside, false)
+		node := h.nodes[h.opts.CoreNodes+2*((i*37)%h.opts.Routers)]
+		h.setNodePower(node, false)
+		h.setNodePower(node.partner, false)
 		return
 	}
-	h.failServer(h.servers[(i*101+3)%h.o.Servers])
+	h.failServer(h.servers[(i*101+3)%h.opts.Servers])
 }
 
-// restartServer stops a server as planned, and starts it anew under another id at the same address.
+// restartServer stops a server gracefully and restarts it under a new id at the same address.
 func (h *Hollow) restartServer(i int) {
-	s := h.servers[(i*211+7)%h.o.Servers]
+	s := h.servers[(i*211+7)%h.opts.Servers]
 	if !s.up || s.state != "live" {
 		return
 	}
 	s.state = "leaving"
 	h.announce(s, func(ok bool) {
-		h.post(100, mail{do: func() {
+		h.schedule(100, event{run: func() {
 			s.state = "gone"
 			h.announce(s, nil)
-			s.up, s.back = false, h.now.Add(5e9)
+			s.up, s.restartAt = false, h.now.Add(5e9)
 		}})
 	})
 }
 
-func (h *Hollow) powerZone(zone int, on bool) {
-	for _, n := range h.nodes {
-		if n.zone == zone {
-			h.powerNode(n, on)
+func (h *Hollow) setZonePower(zone int, on bool) {
+	for _, node := range h.nodes {
+		if node.zone == zone {
+			h.setNodePower(node, on)
 		}
 	}
 	for _, s := range h.servers {
 		switch {
 		case s.zone != zone:
 		case on:
-			s.back = h.now
+			s.restartAt = h.now
 		default:
 			h.failServer(s)
 		}
@@ -268,9 +268,9 @@
 }
 
 func (h *Hollow) failOwner() {
-	for _, n := range h.nodes {
-		if n.role == "core" && h.roleOf(n) == "owner" {
-			h.powerNode(n, false)
+	for _, node := range h.nodes {
+		if node.role == "core" && h.roleOf(node) == "owner" {
+			h.setNodePower(node, false)
 			return
 		}
 	}
