--- a/internal/simulator/hosted_scenes.go
+++ b/internal/simulator/hosted_scenes.go
@@ -20,7 +20,7 @@
 }
 
 // leaves makes servers leave one after another, each followed by another one.
-func (w *World) leaves(from, to, gap float64) {
+func (w *World) withdrawServers(from, to, gap float64) {
 	for t := from; t < to; t += gap {
 		w.At(sec(t), func() {
 			m := w.host.some()
@@ -45,7 +45,7 @@
 }
 
 // epochs races two operators: both build on the newest plan that is known, under numbers of their own.
-func (w *World) epochs(from, to, gap float64) {
+func (w *World) racePlans(from, to, gap float64) {
 	n := 0
 	for t := from; t < to; t += gap {
 		w.At(sec(t), func() {
@@ -57,7 +57,7 @@
 					less = func(m map[string]any) { m["routes"] = m["routes"].([]any)[:4] }
 				}
 				number := on + 1 + ident.Epoch(w.rand.IntN(3))
-				w.PutNumber(fmt.Sprintf("controller-%d", 1+(n+i)%3), Named(w.o.Plan, fmt.Sprintf("%s-%d", a, n), less), on, number, nil)
+				w.PutNumber(fmt.Sprintf("controller-%d", 1+(n+i)%3), WithName(w.o.Plan, fmt.Sprintf("%s-%d", a, n), less), on, number, nil)
 			}
 		})
 		w.At(sec(t+gap/2), func() { w.Read(w.some("controller-"), nil) })
@@ -65,7 +65,7 @@
 }
 
 // acknowledged calls back once, as soon as a server's leaving is acknowledged.
-func (w *World) acknowledged(m *machine, then func()) {
+func (w *World) onLeaveAcknowledged(m *machine, then func()) {
 	a := m.now
 	var look func()
 	look = func() {
@@ -80,34 +80,34 @@
 }
 
 func init() {
-	Scenes = append(append(append(append(Scenes, hostedScenes...), mendedScenes...), narrowScenes...), keyScenes...)
+	Scenes = append(append(append(append(Scenes, hostedScenes...), regressionScenes...), narrowScenes...), keyScenes...)
 }
 
 // hostedScenes are those with servers that announce themselves to the core and check no fence.
 var hostedScenes = []Scene{
-	{Name: "announced", About: "servers announce themselves and check no fence; nothing fails", Long: 50e9, Least: 0.99, Whole: true, Set: hosted(nil),
-		Play: func(w *World) {}},
-	{Name: "announced-leave", About: "the same, and servers leave in order, at short notice, crash and come back under new ids, at used addresses too", Long: 80e9, Least: 0.95, Set: hosted(nil),
-		Play: func(w *World) { w.leaves(10, 62, 2.5) }},
-	{Name: "announced-nameless", About: "requests to servers with models name none, while servers leave and models move", Long: 80e9, Least: 0.9,
-		Set: func(o *Options) {
+	{Name: "announced", About: "servers announce themselves and check no fence; nothing fails", Duration: 50e9, MinAnswered: 0.99, NoAborts: true, Configure: hosted(nil),
+		Script: func(w *World) {}},
+	{Name: "announced-leave", About: "the same, and servers leave in order, at short notice, crash and come back under new ids, at used addresses too", Duration: 80e9, MinAnswered: 0.95, Configure: hosted(nil),
+		Script: func(w *World) { w.withdrawServers(10, 62, 2.5) }},
+	{Name: "announced-nameless", About: "requests to servers with models name none, while servers leave and models move", Duration: 80e9, MinAnswered: 0.9,
+		Configure: func(o *Options) {
 			hosted(func(h *Hosted) { h.Nameless, h.Shift = 0.3, 10e9 })(o)
 			o.Plan = namelessPlan()
 		},
-		Play: func(w *World) {
-			w.leaves(10, 62, 4)
+		Script: func(w *World) {
+			w.withdrawServers(10, 62, 4)
 			w.At(sec(30), func() { w.Restart(w.owner(), 1e9) })
 		}},
-	{Name: "announced-shift", About: "what is asked for moves, so that models are loaded and unloaded all the time", Long: 80e9, Least: 0.97,
-		Set: hosted(func(h *Hosted) { h.Shift = 6e9 }), Play: func(w *World) {}},
-	{Name: "announced-store", About: "the same, from a store that bears hardly any loads", Long: 60e9, Least: 0.5,
-		Set: func(o *Options) {
+	{Name: "announced-shift", About: "what is asked for moves, so that models are loaded and unloaded all the time", Duration: 80e9, MinAnswered: 0.97,
+		Configure: hosted(func(h *Hosted) { h.Shift = 6e9 }), Script: func(w *World) {}},
+	{Name: "announced-store", About: "the same, from a store that bears hardly any loads", Duration: 60e9, MinAnswered: 0.5,
+		Configure: func(o *Options) {
 			hosted(func(h *Hosted) { h.Shift = 3e9 })(o)
 			o.Plan = storePlan(0.2)
-		}, Play: func(w *World) {}},
-	{Name: "announced-owner", About: "the owner is killed right after it acknowledged a leaving, or while one is under way", Long: 90e9, Least: 0.85,
-		Set: hosted(func(h *Hosted) { h.Shift = 15e9 }),
-		Play: func(w *World) {
+		}, Script: func(w *World) {}},
+	{Name: "announced-owner", About: "the owner is killed right after it acknowledged a leaving, or while one is under way", Duration: 90e9, MinAnswered: 0.85,
+		Configure: hosted(func(h *Hosted) { h.Shift = 15e9 }),
+		Script: func(w *World) {
 			for t := 10.0; t < 74; t += 9 {
 				w.At(sec(t), func() {
 					m := w.host.some()
@@ -116,15 +116,15 @@
 						w.After(clock.Span(w.rand.Int64N(200e6)), func() { w.Restart(w.owner(), clock.Span(w.rand.Int64N(3e9))) })
 						return
 					}
-					w.acknowledged(m, func() { w.Restart(w.owner(), clock.Span(w.rand.Int64N(3e9))) })
+					w.onLeaveAcknowledged(m, func() { w.Restart(w.owner(), clock.Span(w.rand.Int64N(3e9))) })
 				})
 				w.At(sec(t+4), func() { w.host.crash(w.host.some(), 1e9) })
 			}
 		}},
-	{Name: "announced-split", About: "the core is split every way while models move; servers leave while it is whole", Long: 90e9, Least: 0.95,
-		Set: hosted(func(h *Hosted) { h.Shift = 10e9 }),
-		Play: func(w *World) {
-			w.leaves(14.5, 70, 8)
+	{Name: "announced-split", About: "the core is split every way while models move; servers leave while it is whole", Duration: 90e9, MinAnswered: 0.95,
+		Configure: hosted(func(h *Hosted) { h.Shift = 10e9 }),
+		Script: func(w *World) {
+			w.withdrawServers(14.5, 70, 8)
 			for t := 10.0; t < 70; t += 8 {
 				w.At(sec(t), func() {
 					a, b := w.some("controller-"), w.some("controller-")
@@ -151,9 +151,9 @@
 				w.At(sec(t+3), w.Heal)
 			}
 		}},
-	{Name: "announced-roll", About: "core nodes are restarted as planned, one by one, while models move", Long: 90e9, Least: 0.97,
-		Set: hosted(func(h *Hosted) { h.Shift = 3e9 }),
-		Play: func(w *World) {
+	{Name: "announced-roll", About: "core nodes are restarted as planned, one by one, while models move", Duration: 90e9, MinAnswered: 0.97,
+		Configure: hosted(func(h *Hosted) { h.Shift = 3e9 }),
+		Script: func(w *World) {
 			for t := 10.0; t < 72; t += 4.5 {
 				w.At(sec(t), func() {
 					o := w.owner()
@@ -162,8 +162,8 @@
 				})
 			}
 		}},
-	{Name: "announced-minority", About: "servers leave while a core node other than the owner is cut off from the rest", Long: 80e9, Least: 0.98, Set: hosted(nil),
-		Play: func(w *World) {
+	{Name: "announced-minority", About: "servers leave while a core node other than the owner is cut off from the rest", Duration: 80e9, MinAnswered: 0.98, Configure: hosted(nil),
+		Script: func(w *World) {
 			for t := 10.0; t < 62; t += 9 {
 				w.At(sec(t), func() {
 					o := w.owner()
@@ -183,9 +183,9 @@
 				w.At(sec(t+4), w.Heal)
 			}
 		}},
-	{Name: "announced-wipe", About: "core nodes lose their disks one at a time, right after they acknowledged a leaving or a plan", Long: 100e9, Least: 0.95, Set: hosted(nil),
-		Play: func(w *World) {
-			w.epochs(9, 85, 9)
+	{Name: "announced-wipe", About: "core nodes lose their disks one at a time, right after they acknowledged a leaving or a plan", Duration: 100e9, MinAnswered: 0.95, Configure: hosted(nil),
+		Script: func(w *World) {
+			w.racePlans(9, 85, 9)
 			wipe := func() {
 				v := w.some("controller-")
 				w.Kill(v)
@@ -196,28 +196,28 @@
 				w.At(sec(t), func() {
 					m := w.host.some()
 					w.host.leave(m, 0, 2e9)
-					w.acknowledged(m, wipe)
+					w.onLeaveAcknowledged(m, wipe)
 				})
 			}
 		}},
-	{Name: "announced-late", About: "announcements come late, twice and out of order, order answers get lost, reports lag", Long: 80e9, Least: 0.8,
-		Set: func(o *Options) {
+	{Name: "announced-late", About: "announcements come late, twice and out of order, order answers get lost, reports lag", Duration: 80e9, MinAnswered: 0.8,
+		Configure: func(o *Options) {
 			hosted(func(h *Hosted) { h.LateOdds, h.OrderLoss, h.ReportLag, h.Shift = 0.5, 0.15, 450e6, 8e9 })(o)
 			o.Loss, o.Twice = 0.01, 0.02
 		},
-		Play: func(w *World) { w.leaves(10, 62, 3) }},
-	{Name: "announced-reuse", About: "servers crash all the time, and others take their addresses soon", Long: 70e9, Least: 0.75,
-		Set: hosted(func(h *Hosted) { h.Reuse = 200e6 }),
-		Play: func(w *World) {
+		Script: func(w *World) { w.withdrawServers(10, 62, 3) }},
+	{Name: "announced-reuse", About: "servers crash all the time, and others take their addresses soon", Duration: 70e9, MinAnswered: 0.75,
+		Configure: hosted(func(h *Hosted) { h.Reuse = 200e6 }),
+		Script: func(w *World) {
 			for t := 10.0; t < 52; t += 2 {
 				w.At(sec(t), func() { w.host.crash(w.host.some(), 200e6+clock.Span(w.rand.Int64N(1e9))) })
 			}
 		}},
-	{Name: "announced-all", About: "all of the core is killed at once, right after it acknowledged a plan, and comes back with its disks", Long: 70e9, Least: 0.95, Set: hosted(nil),
-		Play: func(w *World) {
-			w.leaves(10, 17, 3)
-			w.leaves(27, 33, 3)
-			w.leaves(45, 52, 3)
+	{Name: "announced-all", About: "all of the core is killed at once, right after it acknowledged a plan, and comes back with its disks", Duration: 70e9, MinAnswered: 0.95, Configure: hosted(nil),
+		Script: func(w *World) {
+			w.withdrawServers(10, 17, 3)
+			w.withdrawServers(27, 33, 3)
+			w.withdrawServers(45, 52, 3)
 			w.At(sec(8), func() { // the first plan is in force by then
 				for _, p := range w.controllers() {
 					p.disk.late = 40e6
@@ -226,7 +226,7 @@
 			for i, t := range []float64{20, 38} {
 				w.At(sec(t), func() {
 					on := w.Check.newest(w.now).epoch
-					w.PutNumber("controller-1", Named(w.o.Plan, fmt.Sprintf("last-%d", i), nil), on, on+2, func(controller.Receipt) {
+					w.PutNumber("controller-1", WithName(w.o.Plan, fmt.Sprintf("last-%d", i), nil), on, on+2, func(controller.Receipt) {
 						for i := 1; i <= 3; i++ {
 							w.Restart(fmt.Sprintf("controller-%d", i), clock.Span(w.rand.Int64N(1e9)))
 						}
@@ -236,9 +236,9 @@
 			w.At(sec(32), func() { w.Read("controller-2", nil) })
 			w.At(sec(60), func() { w.Read("controller-1", nil) })
 		}},
-	{Name: "announced-alone", About: "routers are cut off from the core and go on by what they knew, while servers leave", Long: 80e9, Least: 0.97, Set: hosted(nil),
-		Play: func(w *World) {
-			w.leaves(10, 62, 4)
+	{Name: "announced-alone", About: "routers are cut off from the core and go on by what they knew, while servers leave", Duration: 80e9, MinAnswered: 0.97, Configure: hosted(nil),
+		Script: func(w *World) {
+			w.withdrawServers(10, 62, 4)
 			for t := 11.0; t < 62; t += 9 {
 				w.At(sec(t), func() {
 					r := fmt.Sprintf("router-%d", 1+w.rand.IntN(w.o.Routers))
@@ -251,24 +251,24 @@
 				w.At(sec(t+5), w.Heal)
 			}
 		}},
-	{Name: "announced-plans", About: "two operators race plans under numbers of their own, and replies get lost", Long: 80e9, Least: 0.97,
-		Set: func(o *Options) { hosted(nil)(o); o.Loss, o.Twice = 0.01, 0.02 },
-		Play: func(w *World) {
+	{Name: "announced-plans", About: "two operators race plans under numbers of their own, and replies get lost", Duration: 80e9, MinAnswered: 0.97,
+		Configure: func(o *Options) { hosted(nil)(o); o.Loss, o.Twice = 0.01, 0.02 },
+		Script: func(w *World) {
 			w.At(sec(8), func() { w.ReplyLoss = 0.1 })
-			w.epochs(10, 65, 3)
+			w.racePlans(10, 65, 3)
 			w.At(sec(30), func() { w.Restart(w.owner(), 1e9) })
 		}},
 }
 
 // What these showed first was mended: lost orders, leavings that the next owner did not know, orders past
 // the places, dead servers that held up loads.
-var mendedScenes = []Scene{
+var regressionScenes = []Scene{
 	// A core node that is cut off while a leaving is acknowledged is not told of it afterwards: as the
 	// next owner it offers the server until its silence, or the next announcement, shows what it is.
-	{Name: "announced-cut", About: "the core is split every way while servers leave and models move", Long: 90e9, Least: 0.7,
-		Set: hosted(func(h *Hosted) { h.Shift = 10e9 }),
-		Play: func(w *World) {
-			w.leaves(10, 70, 4)
+	{Name: "announced-cut", About: "the core is split every way while servers leave and models move", Duration: 90e9, MinAnswered: 0.7,
+		Configure: hosted(func(h *Hosted) { h.Shift = 10e9 }),
+		Script: func(w *World) {
+			w.withdrawServers(10, 70, 4)
 			for t := 10.0; t < 70; t += 8 {
 				w.At(sec(t), func() {
 					a, b := w.some("controller-"), w.some("controller-")
@@ -286,8 +286,8 @@
 				w.At(sec(t+3), w.Heal)
 			}
 		}},
-	{Name: "announced-unheard", About: "a core node does not hear of a leaving, and owns the duty next", Long: 80e9, Least: 0.5, Set: hosted(nil),
-		Play: func(w *World) {
+	{Name: "announced-unheard", About: "a core node does not hear of a leaving, and owns the duty next", Duration: 80e9, MinAnswered: 0.5, Configure: hosted(nil),
+		Script: func(w *World) {
 			for t := 10.0; t < 62; t += 10 {
 				w.At(sec(t), func() {
 					o := w.owner()
@@ -299,19 +299,19 @@
 					}
 					m := w.host.some()
 					w.host.leave(m, 0, 2e9)
-					w.acknowledged(m, func() { w.Heal(); w.Restart(o, 2e9) })
+					w.onLeaveAcknowledged(m, func() { w.Heal(); w.Restart(o, 2e9) })
 				})
 			}
 		}},
 	// An order that gets lost before it comes leaves its server without further orders while the reign
 	// lasts: the moment that its fate is told by is put off with every report that is asked for.
-	{Name: "announced-orders", About: "one order in twenty gets lost before it comes", Long: 80e9, Least: 0.95,
-		Set: hosted(func(h *Hosted) { h.OrderGone, h.Shift = 0.05, 8e9 }), Play: func(w *World) {}},
+	{Name: "announced-orders", About: "one order in twenty gets lost before it comes", Duration: 80e9, MinAnswered: 0.95,
+		Configure: hosted(func(h *Hosted) { h.OrderGone, h.Shift = 0.05, 8e9 }), Script: func(w *World) {}},
 	// Owners that give the duty back soon after one another order the same server in turns: Settle is
 	// shorter than the time within which that is not to be.
-	{Name: "announced-turns", About: "owners are stopped as planned soon after one another, while models move", Long: 80e9, Least: 0.5,
-		Set: hosted(func(h *Hosted) { h.Shift = 4e9 }),
-		Play: func(w *World) {
+	{Name: "announced-turns", About: "owners are stopped as planned soon after one another, while models move", Duration: 80e9, MinAnswered: 0.5,
+		Configure: hosted(func(h *Hosted) { h.Shift = 4e9 }),
+		Script: func(w *World) {
 			for t := 10.0; t < 62; t += 6 {
 				w.At(sec(t), func() {
 					o := w.owner()
@@ -335,8 +335,8 @@
 		}},
 	// Leavings are on no disk: the next owner after all of the core was killed takes a server that was
 	// acknowledged as leaving just before to stay, until it says so once more.
-	{Name: "announced-all-leave", About: "the same while servers leave", Long: 70e9, Least: 0.7, Set: hosted(nil),
-		Play: func(w *World) {
+	{Name: "announced-all-leave", About: "the same while servers leave", Duration: 70e9, MinAnswered: 0.7, Configure: hosted(nil),
+		Script: func(w *World) {
 			for _, t := range []float64{20, 38} {
 				w.At(sec(t), func() { w.host.leave(w.host.some(), 0, 2e9); w.host.leave(w.host.some(), 0, 2e9) })
 			}
@@ -348,7 +348,7 @@
 			for i, t := range []float64{20, 38} {
 				w.At(sec(t), func() {
 					on := w.Check.newest(w.now).epoch
-					w.PutNumber("controller-1", Named(w.o.Plan, fmt.Sprintf("last-%d", i), nil), on, on+2, func(controller.Receipt) {
+					w.PutNumber("controller-1", WithName(w.o.Plan, fmt.Sprintf("last-%d", i), nil), on, on+2, func(controller.Receipt) {
 						for i := 1; i <= 3; i++ {
 							w.Restart(fmt.Sprintf("controller-%d", i), clock.Span(w.rand.Int64N(1e9)))
 						}
@@ -360,9 +360,9 @@
 		}},
 	// An adapter whose order was refused is ordered again as it was, though the report that came meanwhile
 	// shows that the order of the owner before has taken the last place.
-	{Name: "announced-roll-late", About: "core nodes are restarted as planned, one by one, while models move and orders come late", Long: 90e9, Least: 0.8,
-		Set: hosted(func(h *Hosted) { h.Shift, h.OrderLoss = 3e9, 0.6 }),
-		Play: func(w *World) {
+	{Name: "announced-roll-late", About: "core nodes are restarted as planned, one by one, while models move and orders come late", Duration: 90e9, MinAnswered: 0.8,
+		Configure: hosted(func(h *Hosted) { h.Shift, h.OrderLoss = 3e9, 0.6 }),
+		Script: func(w *World) {
 			for t := 10.0; t < 72; t += 4.5 {
 				w.At(sec(t), func() {
 					o := w.owner()
@@ -373,9 +373,9 @@
 		}},
 	// Servers that crashed without a word count against what may be loaded for the first ten seconds of
 	// every reign, so that after some takeovers nothing is loaded any more.
-	{Name: "announced-dead", About: "the owner is killed again and again while servers that crashed are still listed", Long: 90e9, Least: 0.95,
-		Set: hosted(func(h *Hosted) { h.Shift = 15e9 }),
-		Play: func(w *World) {
+	{Name: "announced-dead", About: "the owner is killed again and again while servers that crashed are still listed", Duration: 90e9, MinAnswered: 0.95,
+		Configure: hosted(func(h *Hosted) { h.Shift = 15e9 }),
+		Script: func(w *World) {
 			for t := 10.0; t < 74; t += 9 {
 				w.At(sec(t), func() {
 					m := w.host.some()
@@ -384,7 +384,7 @@
 						w.After(clock.Span(w.rand.Int64N(200e6)), func() { w.Restart(w.owner(), clock.Span(w.rand.Int64N(3e9))) })
 						return
 					}
-					w.acknowledged(m, func() { w.Restart(w.owner(), clock.Span(w.rand.Int64N(3e9))) })
+					w.onLeaveAcknowledged(m, func() { w.Restart(w.owner(), clock.Span(w.rand.Int64N(3e9))) })
 				})
 				w.At(sec(t+4), func() { w.host.crash(w.host.some(), 1e9) })
 			}
--- a/internal/simulator/key_scenes.go
+++ b/internal/simulator/key_scenes.go
@@ -12,9 +12,9 @@
 // requests wait, are sent and are tried again.
 
 // sceneKeys are what callers show: the last is never anybody's.
-var sceneKeys = []string{"key-1", "key-2", "key-3", "key-4", "nobody's"}
+var callerKeys = []string{"key-1", "key-2", "key-3", "key-4", "nobody's"}
 
-var sceneTenants = []string{"acme", "initech", "globex"}
+var tenantNames = []string{"acme", "initech", "globex"}
 
 // keyedPlan is the first plan of these scenes: each key but the last is a tenant's, and one route wants none.
 func keyedPlan() []byte {
@@ -22,10 +22,10 @@
 	for i := range s.Routes {
 		s.Routes[i].Unkeyed = s.Routes[i].Prefix == "/plain/idem/"
 	}
-	for i, name := range sceneTenants {
-		s.Tenants = append(s.Tenants, sheetTenant{Name: name, Precedence: i, Keys: []string{sceneKeys[i]}})
+	for i, name := range tenantNames {
+		s.Tenants = append(s.Tenants, sheetTenant{Name: name, Precedence: i, Keys: []string{callerKeys[i]}})
 	}
-	s.Tenants[0].Keys = append(s.Tenants[0].Keys, sceneKeys[3])
+	s.Tenants[0].Keys = append(s.Tenants[0].Keys, callerKeys[3])
 	return writeSheet(s)
 }
 
@@ -43,10 +43,10 @@
 		return
 	}
 	var l []sheetTenant
-	for i, name := range sceneTenants {
+	for i, name := range tenantNames {
 		l = append(l, sheetTenant{Name: name, Precedence: i, Keys: []string{}})
 	}
-	for _, key := range sceneKeys[:len(sceneKeys)-1] {
+	for _, key := range callerKeys[:len(callerKeys)-1] {
 		if i := w.rand.IntN(len(l) + 1); i < len(l) {
 			l[i].Keys = append(l[i].Keys, key)
 		}
@@ -61,25 +61,25 @@
 		w.At(sec(t), func() {
 			n++
 			on := w.newestEpoch()
-			raw := Named(w.o.Plan, fmt.Sprintf("keys-%d", n), w.drawTenants)
+			raw := WithName(w.o.Plan, fmt.Sprintf("keys-%d", n), w.drawTenants)
 			w.PutNumber(w.some("controller-"), raw, on, on+1+ident.Epoch(w.rand.IntN(2)), func(controller.Receipt) {})
 		})
 	}
 }
 
-func keyed(o *Options) {
-	hosted(func(h *Hosted) { h.Keys, h.Shift = sceneKeys, 10e9 })(o)
+func keyedOptions(o *Options) {
+	hosted(func(h *Hosted) { h.Keys, h.Shift = callerKeys, 10e9 })(o)
 	o.Plan = keyedPlan()
 }
 
 var keyScenes = []Scene{
-	{Name: "keys", About: "keys are taken away, moved and given back in quick succession; nothing fails", Long: 60e9, Least: 0.95, Set: keyed,
-		Play: func(w *World) { w.changeKeys(8, 48, 0.7) }},
-	{Name: "keys-troubles", About: "the same while servers leave, the owner is lost, routers are cut off and stand still", Long: 90e9, Least: 0.6,
-		Set: func(o *Options) { keyed(o); o.Loss, o.Twice = 0.01, 0.02 },
-		Play: func(w *World) {
+	{Name: "keys", About: "keys are taken away, moved and given back in quick succession; nothing fails", Duration: 60e9, MinAnswered: 0.95, Configure: keyedOptions,
+		Script: func(w *World) { w.changeKeys(8, 48, 0.7) }},
+	{Name: "keys-troubles", About: "the same while servers leave, the owner is lost, routers are cut off and stand still", Duration: 90e9, MinAnswered: 0.6,
+		Configure: func(o *Options) { keyedOptions(o); o.Loss, o.Twice = 0.01, 0.02 },
+		Script: func(w *World) {
 			w.changeKeys(8, 74, 1.3)
-			w.leaves(10, 70, 4)
+			w.withdrawServers(10, 70, 4)
 			for t := 12.0; t < 70; t += 8 {
 				w.At(sec(t), func() {
 					r := fmt.Sprintf("router-%d", 1+w.rand.IntN(w.o.Routers))
@@ -102,15 +102,15 @@
 			}
 		}},
 	{Name: "keys-slow-core", About: "keys change four times a second on core nodes that are slow to read a configuration, and the owner is killed, frozen and cut off",
-		Long: 90e9, Least: 0.6,
-		Set: func(o *Options) {
-			slowCore(60e6, 20e6)(o)
-			o.Hosted.Keys, o.Plan = sceneKeys, enlarged(keyedPlan(), o.Seed)
+		Duration: 90e9, MinAnswered: 0.6,
+		Configure: func(o *Options) {
+			slowCoreOptions(60e6, 20e6)(o)
+			o.Hosted.Keys, o.Plan = callerKeys, enlargePlan(keyedPlan(), o.Seed)
 		},
-		Play: func(w *World) {
+		Script: func(w *World) {
 			w.changeKeys(10, 75, 0.25)
 			for t := 14.0; t < 75; t += 12 {
-				w.At(sec(t), func() { w.loseOwner(clock.Span(w.rand.Int64N(3e9))) })
+				w.At(sec(t), func() { w.disruptOwner(clock.Span(w.rand.Int64N(3e9))) })
 			}
 		}},
 }
--- a/internal/simulator/losses.go
+++ b/internal/simulator/losses.go
@@ -14,34 +14,34 @@
 
 // What a deployment promises of its core nodes.
 const (
-	convergence   = clock.Span(4e9) // a machine that is back, or new, counts as lost for so long
-	confirmBound  = clock.Span(8e9) // a change is confirmed so soon after the last loss is over
-	confirmEvery  = clock.Span(300e6)
-	jointLookEach = clock.Span(100e6)
+	convergence        = clock.Span(4e9) // a machine that is back, or new, counts as lost for so long
+	confirmTimeout     = clock.Span(8e9) // a change is confirmed so soon after the last loss is over
+	confirmInterval    = clock.Span(300e6)
+	jointCheckInterval = clock.Span(100e6)
 )
 
 // loss is one way to lose a core node.
-type loss int
+type lossKind int
 
 const (
-	powerLoss   loss = iota // it starts again, with its disk
-	diskLoss                // it starts again, empty
-	ackDiskLoss             // the same, right after it confirmed a change
-	replacement             // it is gone for good; an empty node comes at another address
-	planned                 // an empty node comes at another address; then it is stopped for good
+	powerLoss          lossKind = iota // it starts again, with its disk
+	diskLoss                           // it starts again, empty
+	diskLossAfterAck                   // the same, right after it confirmed a change
+	replacement                        // it is gone for good; an empty node comes at another address
+	plannedReplacement                 // an empty node comes at another address; then it is stopped for good
 )
 
 // lost tells whether a seat counts as lost.
-func (s *seat) lost(now clock.Tick) bool { return now < s.lostUntil }
+func (s *seat) countsAsLost(now clock.Tick) bool { return now < s.lostUntil }
 
 // counted are all that may count as lost.
-func (f *coreFleet) counted() []*seat { return append(append([]*seat{}, f.seats...), f.stopped...) }
+func (f *coreFleet) allSeats() []*seat { return append(append([]*seat{}, f.seats...), f.stopped...) }
 
 // mayLose tells whether the tolerance allows that a seat is lost now.
 func (f *coreFleet) mayLose(s *seat, now clock.Tick) bool {
 	count := 1
-	for _, other := range f.counted() {
-		if other == s || !other.lost(now) {
+	for _, other := range f.allSeats() {
+		if other == s || !other.countsAsLost(now) {
 			continue
 		}
 		if f.ByZone && other.zone != s.zone {
@@ -53,10 +53,10 @@
 }
 
 // freed is when the next loss that is not open-ended stops counting.
-func (f *coreFleet) freed(now clock.Tick) clock.Tick {
-	at := now.Add(confirmEvery)
-	for _, s := range f.counted() {
-		if s.lost(now) && s.lostUntil < at {
+func (f *coreFleet) nextLossEnd(now clock.Tick) clock.Tick {
+	at := now.Add(confirmInterval)
+	for _, s := range f.allSeats() {
+		if s.countsAsLost(now) && s.lostUntil < at {
 			at = s.lostUntil
 		}
 	}
@@ -64,9 +64,9 @@
 }
 
 // calm tells whether no core node counts as lost.
-func (f *coreFleet) calm(now clock.Tick) bool {
-	for _, s := range f.counted() {
-		if s.lost(now) || s.replacing {
+func (f *coreFleet) hasNoLosses(now clock.Tick) bool {
+	for _, s := range f.allSeats() {
+		if s.countsAsLost(now) || s.replacing {
 			return false
 		}
 	}
@@ -74,11 +74,11 @@
 }
 
 // losses loses core nodes in every way, as closely after one another as the tolerance allows.
-func (w *World) losses(from, to float64, kinds ...loss) {
+func (w *World) injectLosses(from, to float64, kinds ...lossKind) {
 	var next func()
 	next = func() {
 		if w.now > sec(to) {
-			w.expectConfirmed()
+			w.expectChangeConfirmed()
 			return
 		}
 		s := w.core.seats[w.rand.IntN(len(w.core.seats))]
@@ -86,26 +86,26 @@
 			s = w.ownerSeat()
 		}
 		if s.lostUntil == stillDown || s.replacing || !w.core.mayLose(s, w.now) {
-			w.At(w.core.freed(w.now).Add(clock.Span(1e6+w.rand.Int64N(20e6))), next)
+			w.At(w.core.nextLossEnd(w.now).Add(clock.Span(1e6+w.rand.Int64N(20e6))), next)
 			return
 		}
-		w.lose(s, kinds[w.rand.IntN(len(kinds))])
-		w.After(w.spacing(), next)
+		w.injectLoss(s, kinds[w.rand.IntN(len(kinds))])
+		w.After(w.drawLossDelay(), next)
 	}
 	w.At(sec(from), next)
 }
 
 // replaceInTurn replaces one core node after another for good; the owner is lost soon after each, and
 // another node as soon as the new one counts as there.
-func (w *World) replaceInTurn(from, to float64) {
+func (w *World) replaceSequentially(from, to float64) {
 	var next func()
 	next = func() {
 		if w.now > sec(to) {
-			w.expectConfirmed()
+			w.expectChangeConfirmed()
 			return
 		}
-		if !w.core.calm(w.now) {
-			w.At(w.core.freed(w.now).Add(1e6), next)
+		if !w.core.hasNoLosses(w.now) {
+			w.At(w.core.nextLossEnd(w.now).Add(1e6), next)
 			return
 		}
 		w.replaceAndLose()
@@ -116,23 +116,23 @@
 
 func (w *World) replaceAndLose() {
 	first := w.core.seats[w.rand.IntN(len(w.core.seats))]
-	w.lose(first, replacement)
-	how := func() loss { return []loss{powerLoss, diskLoss, replacement}[w.rand.IntN(3)] }
+	w.injectLoss(first, replacement)
+	how := func() lossKind { return []lossKind{powerLoss, diskLoss, replacement}[w.rand.IntN(3)] }
 	w.After(clock.Span(w.rand.Int64N(4000e6)), func() {
 		if s := w.ownerSeat(); s != first && w.core.mayLose(s, w.now) {
-			w.lose(s, how())
+			w.injectLoss(s, how())
 		}
 	})
 	var third func()
 	third = func() {
-		if first.lost(w.now) {
-			w.At(min(first.lostUntil, w.now.Add(confirmEvery)), third)
+		if first.countsAsLost(w.now) {
+			w.At(min(first.lostUntil, w.now.Add(confirmInterval)), third)
 			return
 		}
 		w.After(clock.Span(1e6+w.rand.Int64N(20e6)), func() {
 			s := w.core.seats[w.rand.IntN(len(w.core.seats))]
-			if s != first && !s.lost(w.now) && w.core.mayLose(s, w.now) {
-				w.lose(s, how())
+			if s != first && !s.countsAsLost(w.now) && w.core.mayLose(s, w.now) {
+				w.injectLoss(s, how())
 			}
 		})
 	}
@@ -140,7 +140,7 @@
 }
 
 // spacing draws the time to the next loss: at once, soon, or while the core is changing its voters.
-func (w *World) spacing() clock.Span {
+func (w *World) drawLossDelay() clock.Span {
 	switch w.rand.IntN(3) {
 	case 0:
 		return clock.Span(1e6 + w.rand.Int64N(50e6))
@@ -164,54 +164,54 @@
 }
 
 // lose loses the core node in a seat.
-func (w *World) lose(s *seat, how loss) {
+func (w *World) injectLoss(s *seat, how lossKind) {
 	node := s.node
 	again := clock.Span(100e6 + w.rand.Int64N(2900e6))
 	switch how {
 	case powerLoss:
-		w.fell(s, "loses its power")
-		w.After(again, func() { w.returns(s) })
+		w.killSeatNode(s, "loses its power")
+		w.After(again, func() { w.restartSeatNode(s) })
 	case diskLoss:
-		w.fell(s, "loses its power and its disk")
+		w.killSeatNode(s, "loses its power and its disk")
 		w.Wipe(node)
-		w.After(again, func() { w.returns(s) })
-	case ackDiskLoss:
-		w.putNext(node, "before a loss", func(taken bool) {
+		w.After(again, func() { w.restartSeatNode(s) })
+	case diskLossAfterAck:
+		w.putNextPlan(node, "before a loss", func(taken bool) {
 			if !taken || s.node != node || s.lostUntil == stillDown || !w.core.mayLose(s, w.now) {
 				return
 			}
-			w.fell(s, "loses its power and its disk right after a confirmation")
+			w.killSeatNode(s, "loses its power and its disk right after a confirmation")
 			w.Wipe(node)
-			w.After(again, func() { w.returns(s) })
+			w.After(again, func() { w.restartSeatNode(s) })
 		})
 	case replacement:
-		w.fell(s, "is gone for good")
+		w.killSeatNode(s, "is gone for good")
 		w.remove(node)
 		w.seatNode(s, w.upSeeds())
-		w.After(400e6+again, func() { w.returns(s) })
-	case planned:
+		w.After(400e6+again, func() { w.restartSeatNode(s) })
+	case plannedReplacement:
 		s.replacing = true
-		w.replaceAsPlanned(s)
+		w.startPlannedReplacement(s)
 	}
 }
 
 // plannedGrace is how long a core node may go on after it is told to stop.
-const plannedGrace = clock.Span(2e9)
+const stopGracePeriod = clock.Span(2e9)
 
 // replaceAsPlanned starts a new node for a seat, and stops the old one after a while. The old one counts as
 // lost from the stop on, until the core has had its time to converge; the new one may have taken the place
 // of another by then, and is lost by itself.
-func (w *World) replaceAsPlanned(s *seat) {
+func (w *World) startPlannedReplacement(s *seat) {
 	old, next := s.node, &seat{zone: s.zone}
 	w.seatNode(next, w.upSeeds())
 	w.Start(next.node)
 	w.tracef("%s is to replace %s", next.node, old)
-	w.After(clock.Span(500e6+w.rand.Int64N(4500e6)), func() { w.stopReplaced(s, old, next.node) })
+	w.After(clock.Span(500e6+w.rand.Int64N(4500e6)), func() { w.stopReplacedNode(s, old, next.node) })
 }
 
-func (w *World) stopReplaced(s *seat, old, next string) {
+func (w *World) stopReplacedNode(s *seat, old, next string) {
 	if s.lostUntil == stillDown || !w.core.mayLose(s, w.now) {
-		w.After(confirmEvery, func() { w.stopReplaced(s, old, next) })
+		w.After(confirmInterval, func() { w.stopReplacedNode(s, old, next) })
 		return
 	}
 	gone := &seat{node: old, zone: s.zone, lostUntil: stillDown}
@@ -219,33 +219,33 @@
 	p := w.procs[old]
 	w.tracef("%s is stopped for good", old)
 	w.step(p, p.life, protocol.Stop{})
-	w.After(plannedGrace, func() {
+	w.After(stopGracePeriod, func() {
 		w.remove(old)
 		s.node, s.replacing = next, false
 		s.lostUntil = w.core.started[next].Add(convergence)
 		gone.lostUntil = w.now.Add(convergence)
 		w.After(convergence, func() {
 			if s.node == next && w.procs[next].up {
-				w.Check.admitted(next)
+				w.Check.checkAdmitted(next)
 			}
 		})
 	})
 }
 
-func (w *World) fell(s *seat, how string) {
+func (w *World) killSeatNode(s *seat, how string) {
 	w.tracef("%s %s", s.node, how)
 	s.lostUntil = stillDown
 	w.Kill(s.node)
 }
 
 // returns starts the node of a seat, which counts as there after a while. A new one must be a voter by then.
-func (w *World) returns(s *seat) {
+func (w *World) restartSeatNode(s *seat) {
 	node := s.node
 	w.Start(node)
 	s.lostUntil = w.now.Add(convergence)
 	w.After(convergence, func() {
 		if w.core.started[node].Add(convergence) == w.now && s.node == node && w.procs[node].up {
-			w.Check.admitted(node)
+			w.Check.checkAdmitted(node)
 		}
 	})
 }
@@ -253,13 +253,13 @@
 // Operators of these scenes.
 
 // putNext reads the plan at a node, and hands over another that goes on it.
-func (w *World) putNext(node, name string, then func(taken bool)) {
+func (w *World) putNextPlan(node, name string, then func(taken bool)) {
 	w.Read(node, func(r controller.Receipt) {
 		if r.Kind != failure.None {
 			then(false)
 			return
 		}
-		raw := Named(w.o.Plan, fmt.Sprintf("%s %d", name, w.admin), nil)
+		raw := WithName(w.o.Plan, fmt.Sprintf("%s %d", name, w.admin), nil)
 		w.PutNumber(node, raw, r.Epoch, r.Epoch+1+ident.Epoch(w.rand.IntN(3)), func(r controller.Receipt) {
 			then(r.Kind == failure.None)
 		})
@@ -267,37 +267,37 @@
 }
 
 // operate has an operator change the plan every while, at any node that is up.
-func (w *World) operate(from, to float64, gap clock.Span) {
+func (w *World) changePlanPeriodically(from, to float64, gap clock.Span) {
 	var next func()
 	next = func() {
 		if w.now > sec(to) {
 			return
 		}
-		w.putNext(w.someUp(), "meanwhile", func(bool) {})
+		w.putNextPlan(w.someUp(), "meanwhile", func(bool) {})
 		w.After(gap/2+clock.Span(w.rand.Int64N(int64(gap))), next)
 	}
 	w.At(sec(from), next)
 }
 
 // expectConfirmed expects that a change is confirmed soon after the last loss is over.
-func (w *World) expectConfirmed() {
-	if !w.core.calm(w.now) {
-		w.After(confirmEvery, w.expectConfirmed)
+func (w *World) expectChangeConfirmed() {
+	if !w.core.hasNoLosses(w.now) {
+		w.After(confirmInterval, w.expectChangeConfirmed)
 		return
 	}
 	began, confirmed := w.now, false
-	w.After(confirmBound, func() {
+	w.After(confirmTimeout, func() {
 		if !confirmed {
-			w.Check.bad("no change is confirmed %v after the last loss of a core node: %s", confirmBound, w.describeCore())
+			w.Check.bad("no change is confirmed %v after the last loss of a core node: %s", confirmTimeout, w.describeVoterSets())
 		}
 	})
 	var try func()
 	try = func() {
-		if confirmed || w.now.Sub(began) > confirmBound {
+		if confirmed || w.now.Sub(began) > confirmTimeout {
 			return
 		}
-		w.putNext(w.someUp(), "calm", func(taken bool) { confirmed = confirmed || taken })
-		w.After(confirmEvery, try)
+		w.putNextPlan(w.someUp(), "calm", func(taken bool) { confirmed = confirmed || taken })
+		w.After(confirmInterval, try)
 	}
 	try()
 }
@@ -306,25 +306,25 @@
 
 // admitted expects that a node that counts as there is a voter, or that the voter set is whole without it:
 // another new node may have taken the place that was free.
-func (k *Checker) admitted(node string) {
+func (k *Checker) checkAdmitted(node string) {
 	w := k.w
-	if w.spares() {
+	if w.hasSpareNodes() {
 		return // more nodes than voters: it need not be one
 	}
 	for _, p := range w.controllers() {
 		voters, prior := w.voterSets(p)
-		if sits(voters, node) && (len(prior) == 0 || sits(prior, node)) {
+		if containsVoter(voters, node) && (len(prior) == 0 || containsVoter(prior, node)) {
 			return
 		}
-		if w.whole(voters) && (len(prior) == 0 || w.whole(prior)) {
+		if w.isCompleteVoterSet(voters) && (len(prior) == 0 || w.isCompleteVoterSet(prior)) {
 			return // it may be joint for another that came back empty
 		}
 	}
-	k.bad("%s is no full voter %v after its start: %s", node, convergence, w.describeCore())
+	k.bad("%s is no full voter %v after its start: %s", node, convergence, w.describeVoterSets())
 }
 
 // whole tells whether a voter set has all its seats, and none of a node that is long gone for good.
-func (w *World) whole(voters []protocol.Voter) bool {
+func (w *World) isCompleteVoterSet(voters []protocol.Voter) bool {
 	for _, v := range voters {
 		if at, gone := w.core.removed[string(v.ID)]; gone && w.now.Sub(at) > convergence {
 			return false
@@ -334,9 +334,9 @@
 }
 
 // spares tells whether there are more core nodes than voters.
-func (w *World) spares() bool { return w.core.Nodes > 2*w.core.Losses+1 }
+func (w *World) hasSpareNodes() bool { return w.core.Nodes > 2*w.core.Losses+1 }
 
-func sits(l []protocol.Voter, node string) bool {
+func containsVoter(l []protocol.Voter, node string) bool {
 	for _, v := range l {
 		if v.ID == ident.Node(node) {
 			return true
@@ -347,26 +347,26 @@
 
 // watchVoters expects, once the core has grown, that a voter set is left soon after the last change among
 // the core nodes.
-func (w *World) watchVoters(from float64) {
+func (w *World) watchJointState(from float64) {
 	told := clock.Tick(-1)
 	var look func()
 	look = func() {
 		f := w.core
-		if w.now.Sub(f.changed) > convergence && f.calm(w.now) && told != f.changed {
-			if n := w.jointAt(); n != "" {
+		if w.now.Sub(f.changed) > convergence && f.hasNoLosses(w.now) && told != f.changed {
+			if n := w.findJointVoter(); n != "" {
 				told = f.changed
-				w.Check.bad("the voter set is still in a joint state at %s, %v after the last change: %s", n, w.now.Sub(f.changed), w.describeCore())
+				w.Check.bad("the voter set is still in a joint state at %s, %v after the last change: %s", n, w.now.Sub(f.changed), w.describeVoterSets())
 			}
 		}
-		w.After(jointLookEach, look)
+		w.After(jointCheckInterval, look)
 	}
 	w.At(sec(from), look)
 }
 
 // jointAt names a voter that knows a set that is still being left.
-func (w *World) jointAt() string {
+func (w *World) findJointVoter() string {
 	for _, p := range w.controllers() {
-		if voters, prior := w.voterSets(p); len(prior) > 0 && sits(voters, p.name) {
+		if voters, prior := w.voterSets(p); len(prior) > 0 && containsVoter(voters, p.name) {
 			return p.name
 		}
 	}
@@ -374,7 +374,7 @@
 }
 
 // describeCore tells, of each node that is up, which voters it knows; those that are down are marked.
-func (w *World) describeCore() string {
+func (w *World) describeVoterSets() string {
 	mark := func(l []protocol.Voter) string {
 		var names []string
 		for _, v := range l {
--- a/internal/simulator/narrow_scenes.go
+++ b/internal/simulator/narrow_scenes.go
@@ -11,7 +11,7 @@
 
 // narrowed sets a world of announced servers up in which a configuration takes a while: links are narrow, and processes
 // are slow to read it.
-func narrowed(n Narrow, more func(h *Hosted)) func(o *Options) {
+func limitedOptions(n Narrow, more func(h *Hosted)) func(o *Options) {
 	return func(o *Options) {
 		hosted(more)(o)
 		o.Narrow = &n
@@ -20,22 +20,22 @@
 }
 
 const (
-	routerLink = 10e6 / 8 // bytes a second; scenes of late routers take half of it
-	coreLink   = 1000e6 / 8
-	manyRoutes = 1400
+	routerBandwidth = 10e6 / 8 // bytes a second; scenes of late routers take half of it
+	coreBandwidth   = 1000e6 / 8
+	extraRoutes     = 1400
 )
 
 // largePlan is hostedPlan with many routes more, whose names do not repeat each other.
-func largePlan(seed uint64) []byte { return enlarged(hostedPlan(), seed) }
+func largePlan(seed uint64) []byte { return enlargePlan(hostedPlan(), seed) }
 
 // enlarged is a plan with many routes more.
-func enlarged(plan []byte, seed uint64) []byte {
+func enlargePlan(plan []byte, seed uint64) []byte {
 	var s sheet
 	if err := json.Unmarshal(plan, &s); err != nil {
 		panic(err)
 	}
 	random := rand.New(rand.NewPCG(seed, 5))
-	for range manyRoutes {
+	for range extraRoutes {
 		s.Routes = append(s.Routes, sheetRoute{Host: fmt.Sprintf("%x.example", random.Uint32()), Prefix: fmt.Sprintf("/%x/", random.Uint64()),
 			Service: "plain", Mode: fleetplan.Idempotent, Value: 990, WaitMs: 3000, Tries: 3})
 	}
@@ -47,19 +47,19 @@
 }
 
 // changes has an operator send one change after another, each on the newest version. They differ in the plan's name.
-func (w *World) changes(from, to, gap float64) {
+func (w *World) putChanges(from, to, gap float64) {
 	n := 0
 	for t := from; t < to; t += gap {
 		w.At(sec(t), func() {
 			n++
 			on := w.newestEpoch()
-			w.PutNumber(fmt.Sprintf("controller-%d", 1+n%3), Named(w.o.Plan, fmt.Sprintf("change-%d", n), nil), on, on+1, nil)
+			w.PutNumber(fmt.Sprintf("controller-%d", 1+n%3), WithName(w.o.Plan, fmt.Sprintf("change-%d", n), nil), on, on+1, nil)
 		})
 	}
 }
 
 // loseOwner kills the owner, freezes it, or cuts it off, for a while.
-func (w *World) loseOwner(span clock.Span) {
+func (w *World) disruptOwner(span clock.Span) {
 	switch o := w.owner(); w.rand.IntN(3) {
 	case 0:
 		w.Restart(o, span)
@@ -73,26 +73,26 @@
 
 // narrowScenes are those in which a configuration takes a while to reach routers, and to be taken in.
 var narrowScenes = []Scene{
-	{Name: "narrow-changes", About: "large configurations follow each other faster than routers take them in; nothing fails", Long: 60e9, Least: 0.9,
-		Set: narrowed(Narrow{RouterLink: routerLink / 2, CoreLink: coreLink, Reading: 350e6}, nil),
-		Play: func(w *World) {
-			w.changes(10, 18, 0.3)
-			w.changes(28, 36, 0.12)
+	{Name: "narrow-changes", About: "large configurations follow each other faster than routers take them in; nothing fails", Duration: 60e9, MinAnswered: 0.9,
+		Configure: limitedOptions(Narrow{RouterBandwidth: routerBandwidth / 2, CoreBandwidth: coreBandwidth, RouterParseTime: 350e6}, nil),
+		Script: func(w *World) {
+			w.putChanges(10, 18, 0.3)
+			w.putChanges(28, 36, 0.12)
 		}},
-	{Name: "narrow-leave", About: "the same, while servers leave", Long: 60e9, Least: 0.85,
-		Set: narrowed(Narrow{RouterLink: routerLink / 2, CoreLink: coreLink, Reading: 350e6}, nil),
-		Play: func(w *World) {
-			w.leaves(10, 44, 2)
-			w.changes(10, 18, 0.3)
-			w.changes(28, 36, 0.12)
+	{Name: "narrow-leave", About: "the same, while servers leave", Duration: 60e9, MinAnswered: 0.85,
+		Configure: limitedOptions(Narrow{RouterBandwidth: routerBandwidth / 2, CoreBandwidth: coreBandwidth, RouterParseTime: 350e6}, nil),
+		Script: func(w *World) {
+			w.withdrawServers(10, 44, 2)
+			w.putChanges(10, 18, 0.3)
+			w.putChanges(28, 36, 0.12)
 		}},
-	{Name: "narrow-owner", About: "the same, and the owner is killed, frozen and cut off", Long: 70e9, Least: 0.7,
-		Set: narrowed(Narrow{RouterLink: routerLink / 2, CoreLink: coreLink, Reading: 250e6}, nil),
-		Play: func(w *World) {
-			w.leaves(14, 44, 4)
-			w.changes(10, 50, 0.5)
+	{Name: "narrow-owner", About: "the same, and the owner is killed, frozen and cut off", Duration: 70e9, MinAnswered: 0.7,
+		Configure: limitedOptions(Narrow{RouterBandwidth: routerBandwidth / 2, CoreBandwidth: coreBandwidth, RouterParseTime: 250e6}, nil),
+		Script: func(w *World) {
+			w.withdrawServers(14, 44, 4)
+			w.putChanges(10, 50, 0.5)
 			for t := 12.0; t < 50; t += 9 {
-				w.At(sec(t), func() { w.loseOwner(clock.Span(w.rand.Int64N(4e9))) })
+				w.At(sec(t), func() { w.disruptOwner(clock.Span(w.rand.Int64N(4e9))) })
 			}
 		}},
 }
--- a/internal/simulator/scenes.go
+++ b/internal/simulator/scenes.go
@@ -18,50 +18,50 @@
 
 // Scene is one way for things to fail.
 type Scene struct {
-	Name  string
-	About string
-	Long  clock.Span
-	Rate  float64 // requests a second
-	Least float64 // of the proper requests, answered at the least
-	Whole bool    // nothing may be cut or unclear: every change in it is planned
-	Set   func(o *Options)
-	Play  func(w *World)
+	Name        string
+	About       string
+	Duration    clock.Span
+	RequestRate float64 // requests a second
+	MinAnswered float64 // of the proper requests, answered at the least
+	NoAborts    bool    // nothing may be cut or unclear: every change in it is planned
+	Configure   func(o *Options)
+	Script      func(w *World)
 }
 
 // Run runs a scene from a seed.
 func (s Scene) Run(o Options) (*World, Seen) {
-	if s.Set != nil {
-		s.Set(&o)
+	if s.Configure != nil {
+		s.Configure(&o)
 	}
 	w := New(o)
-	w.After(1500e6, func() { w.first(o.Plan) })
+	w.After(1500e6, func() { w.putFirstPlan(o.Plan) })
 	next := w.mix()
-	rate := s.Rate
+	rate := s.RequestRate
 	if rate == 0 {
 		rate = 60
 	}
-	w.Traffic(6e9, s.Long-12e9, rate, next)
-	s.Play(w)
-	w.Run(s.Long)
+	w.GenerateTraffic(6e9, s.Duration-12e9, rate, next)
+	s.Script(w)
+	w.Run(s.Duration)
 	seen := w.Check.Finish()
 	proper := seen.Asked
 	for _, k := range denials {
 		proper -= seen.Kinds[string(k)] // whether these were rightly turned away is checked one by one
 	}
-	if a := float64(seen.Answered); a < s.Least*float64(proper) {
+	if a := float64(seen.Answered); a < s.MinAnswered*float64(proper) {
 		w.Check.bad("only %d of %d proper requests were answered", seen.Answered, proper)
 	}
-	if s.Whole && seen.Cut+seen.Unclear > 0 {
+	if s.NoAborts && seen.Cut+seen.Unclear > 0 {
 		w.Check.bad("%d answers were cut or unclear though all that happened was planned", seen.Cut+seen.Unclear)
 	}
 	return w, seen
 }
 
 // first hands over the first plan, again and again until it is taken.
-func (w *World) first(raw []byte) {
+func (w *World) putFirstPlan(raw []byte) {
 	then := func(r controller.Receipt) {
 		if r.Kind != failure.None {
-			w.After(200e6, func() { w.first(raw) })
+			w.After(200e6, func() { w.putFirstPlan(raw) })
 		}
 	}
 	if w.host != nil {
@@ -72,7 +72,7 @@
 }
 
 // Traffic asks at a rate from a moment to another.
-func (w *World) Traffic(from, to clock.Span, rate float64, next func() standin.Ask) {
+func (w *World) GenerateTraffic(from, to clock.Span, rate float64, next func() standin.Ask) {
 	gap := clock.Span(1e9 / rate)
 	var one func()
 	one = func() {
@@ -86,7 +86,7 @@
 }
 
 // Named gives the plan another name, so that the routers' plans can be told apart.
-func Named(raw []byte, name string, more func(m map[string]any)) []byte {
+func WithName(raw []byte, name string, more func(m map[string]any)) []byte {
 	var m map[string]any
 	if err := json.Unmarshal(raw, &m); err != nil {
 		panic(err)
@@ -103,7 +103,7 @@
 }
 
 // without makes a plan lose a model, its adapters, and what they leave empty.
-func without(base string) func(m map[string]any) {
+func withoutModel(base string) func(m map[string]any) {
 	return func(m map[string]any) {
 		gone := map[any]bool{base: true}
 		delete(m["models"].(map[string]any), base)
@@ -154,7 +154,7 @@
 }
 
 // mark changes a server's state at the platform.
-func (w *World) mark(s, state string) {
+func (w *World) setServerState(s, state string) {
 	w.plat.Mark(ident.Server(s), state)
 	w.tracef("platform: %s is %s", s, state)
 	if state == "live" {
@@ -165,14 +165,14 @@
 }
 
 // crash kills a server and starts it, empty, a while later.
-func (w *World) crash(s string, after clock.Span) {
+func (w *World) crashServer(s string, after clock.Span) {
 	w.Kill(s)
 	w.Check.Fault(s)
 	w.After(after, func() { w.Start(s); w.Check.Mend(s) })
 }
 
 // wear makes servers fail in every way, one after another.
-func (w *World) wear(from, to float64) {
+func (w *World) failServers(from, to float64) {
 	for t := from; t < to; t += 4 {
 		w.At(sec(t), func() {
 			s := w.some("server-")
@@ -181,54 +181,54 @@
 			}
 			switch w.rand.IntN(4) {
 			case 0:
-				w.crash(s, clock.Span(w.rand.Int64N(6e9)))
+				w.crashServer(s, clock.Span(w.rand.Int64N(6e9)))
 			case 1:
 				d := clock.Span(2e9 + w.rand.Int64N(6e9))
 				w.Freeze(s, d)
 				w.Check.Fault(s)
 				w.After(d, func() { w.Check.Mend(s) })
 			case 2:
-				w.crash(s, 20e6)
+				w.crashServer(s, 20e6)
 			case 3:
-				w.mark(s, "leaving")
+				w.setServerState(s, "leaving")
 				w.After(4e9, func() { w.Kill(s) })
-				w.After(8e9, func() { w.Start(s); w.mark(s, "live") })
+				w.After(8e9, func() { w.Start(s); w.setServerState(s, "live") })
 			}
 		})
 	}
 }
 
 // churn changes what is asked for, so that keys must move: rare ones come in turns.
-func (w *World) churn(from, to float64, rate float64) {
+func (w *World) shiftDemand(from, to float64, rate float64) {
 	m := standin.NewMix(w.plan, w.o.Seed+7)
 	for t := from; t < to; t += 4 {
 		a := []standin.Ask{m.Rare(), m.Rare(), m.Rare()}
-		w.Traffic(clock.Span(t*1e9), clock.Span((t+4)*1e9), rate, func() standin.Ask { return m.Of(a[w.rand.IntN(len(a))]) })
+		w.GenerateTraffic(clock.Span(t*1e9), clock.Span((t+4)*1e9), rate, func() standin.Ask { return m.Of(a[w.rand.IntN(len(a))]) })
 	}
 }
 
-func tight(o *Options) { o.Room = 44 }
+func smallServers(o *Options) { o.Room = 44 }
 
 // plans hands over a plan every while, each under a name of its own.
-func (w *World) plans(from, to, gap float64) {
+func (w *World) putPlans(from, to, gap float64) {
 	n := 0
 	for t := from; t < to; t += gap {
 		n++
 		name := fmt.Sprintf("plan-%d", n)
-		w.At(sec(t), func() { w.PutPlan(w.some("controller-"), Named(w.o.Plan, name, nil), 0, true, nil) })
+		w.At(sec(t), func() { w.PutPlan(w.some("controller-"), WithName(w.o.Plan, name, nil), 0, true, nil) })
 		w.At(sec(t+gap/2), func() { w.Read(w.some("controller-"), nil) })
 	}
 }
 
 // Scenes is every scene, by name.
 var Scenes = []Scene{
-	{Name: "calm", About: "nothing fails", Long: 40e9, Least: 0.995, Whole: true, Play: func(w *World) {}},
-	{Name: "moves", About: "rare models come in turns on tight servers, so that keys are unloaded all the time", Long: 70e9, Least: 0.98, Whole: true, Set: tight,
-		Play: func(w *World) { w.churn(8, 56, 20) }},
-	{Name: "moves-cut", About: "the same, while routers are frozen and cut off with stale holds and messages get lost", Long: 80e9, Least: 0.97,
-		Set: func(o *Options) { tight(o); o.Loss, o.Twice = 0.02, 0.02 },
-		Play: func(w *World) {
-			w.churn(8, 60, 20)
+	{Name: "calm", About: "nothing fails", Duration: 40e9, MinAnswered: 0.995, NoAborts: true, Script: func(w *World) {}},
+	{Name: "moves", About: "rare models come in turns on tight servers, so that keys are unloaded all the time", Duration: 70e9, MinAnswered: 0.98, NoAborts: true, Configure: smallServers,
+		Script: func(w *World) { w.shiftDemand(8, 56, 20) }},
+	{Name: "moves-cut", About: "the same, while routers are frozen and cut off with stale holds and messages get lost", Duration: 80e9, MinAnswered: 0.97,
+		Configure: func(o *Options) { smallServers(o); o.Loss, o.Twice = 0.02, 0.02 },
+		Script: func(w *World) {
+			w.shiftDemand(8, 60, 20)
 			for t := 10.0; t < 60; t += 3 {
 				w.At(sec(t), func() {
 					switch w.rand.IntN(4) {
@@ -253,9 +253,9 @@
 				})
 			}
 		}},
-	{Name: "moves-owner", About: "keys move while the duty's owner is killed, frozen and cut off", Long: 90e9, Least: 0.97, Set: tight,
-		Play: func(w *World) {
-			w.churn(8, 70, 20)
+	{Name: "moves-owner", About: "keys move while the duty's owner is killed, frozen and cut off", Duration: 90e9, MinAnswered: 0.97, Configure: smallServers,
+		Script: func(w *World) {
+			w.shiftDemand(8, 70, 20)
 			for t := 12.0; t < 70; t += 7 {
 				w.At(sec(t), func() {
 					o := w.owner()
@@ -271,12 +271,12 @@
 				})
 			}
 		}},
-	{Name: "servers", About: "servers crash, go dark, restart empty, are withdrawn at little notice", Long: 80e9, Least: 0.96,
-		Play: func(w *World) { w.wear(10, 60) }},
-	{Name: "servers-cut", About: "the same, while routers are cut off from the core and frozen, and the owner dies", Long: 80e9, Least: 0.95,
-		Set: func(o *Options) { o.Loss, o.Twice = 0.01, 0.01 },
-		Play: func(w *World) {
-			w.wear(10, 60)
+	{Name: "servers", About: "servers crash, go dark, restart empty, are withdrawn at little notice", Duration: 80e9, MinAnswered: 0.96,
+		Script: func(w *World) { w.failServers(10, 60) }},
+	{Name: "servers-cut", About: "the same, while routers are cut off from the core and frozen, and the owner dies", Duration: 80e9, MinAnswered: 0.95,
+		Configure: func(o *Options) { o.Loss, o.Twice = 0.01, 0.01 },
+		Script: func(w *World) {
+			w.failServers(10, 60)
 			for t := 9.5; t < 60; t += 4 {
 				w.At(sec(t), func() {
 					switch w.rand.IntN(4) {
@@ -296,12 +296,12 @@
 				})
 			}
 		}},
-	{Name: "roll", About: "servers are replaced one by one, each drained first", Long: 110e9, Least: 0.995, Whole: true,
-		Play: (*World).replaceServers},
-	{Name: "roll-core", About: "core nodes and agents are restarted one by one, as planned, while keys move and plans come", Long: 80e9, Least: 0.99, Whole: true, Set: tight,
-		Play: func(w *World) {
-			w.churn(8, 60, 15)
-			w.plans(9, 66, 4)
+	{Name: "roll", About: "servers are replaced one by one, each drained first", Duration: 110e9, MinAnswered: 0.995, NoAborts: true,
+		Script: (*World).replaceServers},
+	{Name: "roll-core", About: "core nodes and agents are restarted one by one, as planned, while keys move and plans come", Duration: 80e9, MinAnswered: 0.99, NoAborts: true, Configure: smallServers,
+		Script: func(w *World) {
+			w.shiftDemand(8, 60, 15)
+			w.putPlans(9, 66, 4)
 			for i, t := 0, 12.0; t < 60; i, t = i+1, t+6 {
 				n := fmt.Sprintf("controller-%d", 1+i%3)
 				w.At(sec(t), func() { w.Stop(n) })
@@ -309,18 +309,18 @@
 				w.At(sec(t+3), func() { w.Restart(fmt.Sprintf("agent-%d", 1+i%w.o.Routers), 200e6) })
 			}
 		}},
-	{Name: "routers", About: "routers, agents and core nodes are killed, singly", Long: 70e9, Least: 0.95,
-		Play: func(w *World) {
-			w.plans(9, 56, 5)
+	{Name: "routers", About: "routers, agents and core nodes are killed, singly", Duration: 70e9, MinAnswered: 0.95,
+		Script: func(w *World) {
+			w.putPlans(9, 56, 5)
 			for t := 10.0; t < 55; t += 2 {
 				w.At(sec(t), func() {
 					w.Restart(w.some([]string{"router-", "agent-", "controller-"}[w.rand.IntN(3)]), clock.Span(w.rand.Int64N(2e9)))
 				})
 			}
 		}},
-	{Name: "plans", About: "plans come quickly, two operators race, replies get lost, messages come late and twice", Long: 70e9, Least: 0.99, Whole: true,
-		Set: func(o *Options) { o.Loss, o.Twice = 0.03, 0.05 },
-		Play: func(w *World) {
+	{Name: "plans", About: "plans come quickly, two operators race, replies get lost, messages come late and twice", Duration: 70e9, MinAnswered: 0.99, NoAborts: true,
+		Configure: func(o *Options) { o.Loss, o.Twice = 0.03, 0.05 },
+		Script: func(w *World) {
 			w.At(sec(8), func() { w.ReplyLoss = 0.1 }) // the first plan is in force before traffic begins
 			n := 0
 			for t := 10.0; t < 55; t += 3 {
@@ -332,14 +332,14 @@
 					}
 					for i, a := range []string{"left", "right"} {
 						name := fmt.Sprintf("%s-%d", a, n)
-						w.PutPlan(fmt.Sprintf("controller-%d", 1+(n+i)%3), Named(w.o.Plan, name, nil), base, false, nil)
+						w.PutPlan(fmt.Sprintf("controller-%d", 1+(n+i)%3), WithName(w.o.Plan, name, nil), base, false, nil)
 					}
 				})
 				w.At(sec(t+1.5), func() { w.Read(w.some("controller-"), nil) })
 			}
 			// Some callers ask for what the plan never allowed.
 			m := standin.NewMix(w.plan, w.o.Seed+5)
-			w.Traffic(9e9, 55e9, 1, func() standin.Ask {
+			w.GenerateTraffic(9e9, 55e9, 1, func() standin.Ask {
 				a := m.Next()
 				switch w.rand.IntN(3) {
 				case 0:
@@ -352,22 +352,22 @@
 				return a
 			})
 		}},
-	{Name: "grow", About: "the plan grows by many routes and loses a service again, while routers are frozen and cut off", Long: 70e9, Least: 0.96,
-		Play: func(w *World) {
+	{Name: "grow", About: "the plan grows by many routes and loses a service again, while routers are frozen and cut off", Duration: 70e9, MinAnswered: 0.96,
+		Script: func(w *World) {
 			grown := func(n int, less bool) func(m map[string]any) {
 				return func(m map[string]any) {
 					r := m["routes"].(map[string]any)
 					for i := range n {
-						r[fmt.Sprintf("/v1/more-%d", i)] = r[w.route(0)]
+						r[fmt.Sprintf("/v1/more-%d", i)] = r[w.routeName(0)]
 					}
 					if less {
-						delete(r, w.route(1))
+						delete(r, w.routeName(1))
 					}
 				}
 			}
 			for i, t := 0, 12.0; t < 55; i, t = i+1, t+5 {
 				w.At(sec(t), func() {
-					w.PutPlan(w.some("controller-"), Named(w.o.Plan, fmt.Sprintf("grown-%d", i), grown(i*40, i%2 == 1)), 0, true, nil)
+					w.PutPlan(w.some("controller-"), WithName(w.o.Plan, fmt.Sprintf("grown-%d", i), grown(i*40, i%2 == 1)), 0, true, nil)
 				})
 				w.At(sec(t-0.5), func() {
 					if w.rand.IntN(2) == 0 {
@@ -387,23 +387,23 @@
 				})
 			}
 		}},
-	{Name: "zones", About: "zones are emptied and refilled, one of them during a roll, routers frozen meanwhile", Long: 80e9, Least: 0.995, Whole: true,
-		Play: func(w *World) {
+	{Name: "zones", About: "zones are emptied and refilled, one of them during a roll, routers frozen meanwhile", Duration: 80e9, MinAnswered: 0.995, NoAborts: true,
+		Script: func(w *World) {
 			for i, t := 0, 12.0; t < 60; i, t = i+1, t+12 {
 				z := ident.Zone([]string{"za", "zb", "zc"}[i%3])
 				w.At(sec(t), func() { w.Zone(w.some("controller-"), "empty", z, nil) })
 				w.At(sec(t+7), func() { w.Zone(w.some("controller-"), "refill", z, nil) })
 				w.At(sec(t+0.2), func() { w.Freeze(w.some("router-"), 1500e6) })
 				s := fmt.Sprintf("server-%d", 1+i%w.o.Servers)
-				w.At(sec(t+1), func() { w.mark(s, "leaving") })
-				w.At(sec(t+9), func() { w.mark(s, "live") })
+				w.At(sec(t+1), func() { w.setServerState(s, "leaving") })
+				w.At(sec(t+9), func() { w.setServerState(s, "live") })
 			}
 		}},
-	{Name: "core", About: "the core is split every way, one way too, and heals, while plans come", Long: 90e9, Least: 0.94,
-		Set: func(o *Options) { o.Loss, o.Twice = 0.02, 0.02 },
-		Play: func(w *World) {
+	{Name: "core", About: "the core is split every way, one way too, and heals, while plans come", Duration: 90e9, MinAnswered: 0.94,
+		Configure: func(o *Options) { o.Loss, o.Twice = 0.02, 0.02 },
+		Script: func(w *World) {
 			w.At(sec(8), func() { w.ReplyLoss = 0.1 }) // the first plan is in force before traffic begins
-			w.plans(9, 70, 2)
+			w.putPlans(9, 70, 2)
 			for t := 10.0; t < 70; t += 5 {
 				w.At(sec(t), func() {
 					a, b := w.some("controller-"), w.some("controller-")
@@ -423,8 +423,8 @@
 				w.At(sec(t+3), w.Heal)
 			}
 		}},
-	{Name: "disks", About: "core nodes lose their disks, one at a time, lose power right after a confirmation, and disks stall", Long: 100e9, Least: 0.98,
-		Play: func(w *World) {
+	{Name: "disks", About: "core nodes lose their disks, one at a time, lose power right after a confirmation, and disks stall", Duration: 100e9, MinAnswered: 0.98,
+		Script: func(w *World) {
 			n := 0
 			var again func()
 			again = func() {
@@ -432,7 +432,7 @@
 					return
 				}
 				n++
-				w.PutPlan(w.some("controller-"), Named(w.o.Plan, fmt.Sprintf("kept-%d", n), nil), 0, true, func(r controller.Receipt) {
+				w.PutPlan(w.some("controller-"), WithName(w.o.Plan, fmt.Sprintf("kept-%d", n), nil), 0, true, func(r controller.Receipt) {
 					v := w.some("controller-")
 					switch w.rand.IntN(3) {
 					case 0: // the power goes right after the confirmation
@@ -450,19 +450,19 @@
 			}
 			w.At(sec(9), again)
 		}},
-	{Name: "power", About: "power goes everywhere right after a confirmation, and comes back", Long: 60e9, Least: 0.9,
-		Play: func(w *World) {
+	{Name: "power", About: "power goes everywhere right after a confirmation, and comes back", Duration: 60e9, MinAnswered: 0.9,
+		Script: func(w *World) {
 			for _, p := range w.controllers() {
 				p.disk.late = 40e6
 			}
 			w.At(sec(20), func() {
-				w.PutPlan("controller-1", Named(w.o.Plan, "last", nil), 0, true, func(r controller.Receipt) { w.blackout(false, 2e9) })
+				w.PutPlan("controller-1", WithName(w.o.Plan, "last", nil), 0, true, func(r controller.Receipt) { w.restartAll(false, 2e9) })
 			})
 			w.At(sec(30), func() { w.Read("controller-3", nil) })
 			w.At(sec(45), func() { w.Read("controller-1", nil) })
 		}},
-	{Name: "ruin", About: "every core disk is lost at once; agents still hold the plan", Long: 60e9, Least: 0.98,
-		Play: func(w *World) {
+	{Name: "ruin", About: "every core disk is lost at once; agents still hold the plan", Duration: 60e9, MinAnswered: 0.98,
+		Script: func(w *World) {
 			w.At(sec(20), func() {
 				w.Check.loosen()
 				for i := 1; i <= 3; i++ {
@@ -481,39 +481,39 @@
 				})
 			})
 		}},
-	{Name: "replace", About: "a core machine is replaced by an empty one at a new address, then another", Long: 100e9, Least: 0.99,
-		Play: func(w *World) {
-			w.plans(9, 85, 4)
+	{Name: "replace", About: "a core machine is replaced by an empty one at a new address, then another", Duration: 100e9, MinAnswered: 0.99,
+		Script: func(w *World) {
+			w.putPlans(9, 85, 4)
 			for i, t := range []float64{15, 50} {
 				w.At(sec(t), func() {
 					w.Kill(fmt.Sprintf("controller-%d", 3-i))
-					w.Spare(fmt.Sprintf("controller-%d", 4+i), ident.Zone([]string{"zc", "zb"}[i]))
+					w.AddSpareController(fmt.Sprintf("controller-%d", 4+i), ident.Zone([]string{"zc", "zb"}[i]))
 				})
 			}
-			w.At(sec(85), func() { w.coreReady("the replacement") })
+			w.At(sec(85), func() { w.checkCoreReady("the replacement") })
 		}},
-	{Name: "crowd", About: "crowds arrive at once, asking for rare models together, and servers are cold", Long: 70e9, Least: 0.5,
-		Play: func(w *World) {
+	{Name: "crowd", About: "crowds arrive at once, asking for rare models together, and servers are cold", Duration: 70e9, MinAnswered: 0.5,
+		Script: func(w *World) {
 			m := standin.NewMix(w.plan, w.o.Seed+3)
 			for t := 10.0; t < 50; t += 10 {
 				a := m.Rare()
-				w.Traffic(clock.Span(t*1e9), clock.Span((t+2)*1e9), 400, func() standin.Ask { return m.Of(a) })
-				w.At(sec(t+1), func() { w.crash(w.some("server-"), 1e9) })
+				w.GenerateTraffic(clock.Span(t*1e9), clock.Span((t+2)*1e9), 400, func() standin.Ask { return m.Of(a) })
+				w.At(sec(t+1), func() { w.crashServer(w.some("server-"), 1e9) })
 			}
 		}},
-	{Name: "storm", About: "servers fail one after another under load, so that retries are wanted everywhere", Long: 60e9, Rate: 200, Least: 0.7,
-		Play: func(w *World) {
+	{Name: "storm", About: "servers fail one after another under load, so that retries are wanted everywhere", Duration: 60e9, RequestRate: 200, MinAnswered: 0.7,
+		Script: func(w *World) {
 			for t := 10.0; t < 45; t += 1.5 {
 				w.At(sec(t), func() {
 					s := w.some("server-")
 					if w.procs[s].up {
-						w.crash(s, 800e6)
+						w.crashServer(s, 800e6)
 					}
 				})
 			}
 		}},
-	{Name: "zone-loss", About: "a whole zone is lost: core node, routers and servers", Long: 70e9, Least: 0.97,
-		Play: func(w *World) {
+	{Name: "zone-loss", About: "a whole zone is lost: core node, routers and servers", Duration: 70e9, MinAnswered: 0.97,
+		Script: func(w *World) {
 			w.At(sec(20), func() {
 				for _, n := range w.order {
 					if p := w.procs[n]; p.zone == "zc" {
@@ -525,25 +525,25 @@
 				}
 			})
 		}},
-	{Name: "lag", About: "routers pause between the last check and the send", Long: 70e9, Least: 0.94, Set: tight,
-		Play: func(w *World) {
+	{Name: "lag", About: "routers pause between the last check and the send", Duration: 70e9, MinAnswered: 0.94, Configure: smallServers,
+		Script: func(w *World) {
 			w.LagOdds, w.Lag = 0.04, 6e9
-			w.churn(8, 56, 20)
+			w.shiftDemand(8, 56, 20)
 			for i, t := 0, 12.0; t < 50; i, t = i+1, t+6 {
 				s, z := fmt.Sprintf("server-%d", 1+i%w.o.Servers), ident.Zone([]string{"za", "zb", "zc"}[i%3])
-				w.At(sec(t), func() { w.mark(s, "leaving") })
-				w.At(sec(t+5), func() { w.mark(s, "live") })
+				w.At(sec(t), func() { w.setServerState(s, "leaving") })
+				w.At(sec(t+5), func() { w.setServerState(s, "live") })
 				w.At(sec(t+1), func() { w.Zone(w.some("controller-"), "empty", z, nil) })
 				w.At(sec(t+5.8), func() { w.Zone(w.some("controller-"), "refill", z, nil) })
 			}
 		}},
-	{Name: "again", About: "callers whose connection broke ask again under the same id, at another router, though it may have run", Long: 70e9, Least: 0.85,
-		Play: func(w *World) {
+	{Name: "again", About: "callers whose connection broke ask again under the same id, at another router, though it may have run", Duration: 70e9, MinAnswered: 0.85,
+		Script: func(w *World) {
 			w.Again = 0.8
 			for t := 12.0; t < 50; t += 2 {
 				w.At(sec(t), func() {
 					if w.rand.IntN(4) == 0 {
-						w.crash(w.some("server-"), 2e9)
+						w.crashServer(w.some("server-"), 2e9)
 						return
 					}
 					w.Restart(w.some("router-"), clock.Span(w.rand.Int64N(2e9)))
@@ -552,24 +552,24 @@
 				w.At(sec(t+1.5), func() { w.ResetOdds = 0 })
 			}
 		}},
-	{Name: "dead", About: "a third of the servers dies at once, so that every router meets dead ones, and routers are killed and started", Long: 60e9, Least: 0.9, Rate: 120,
-		Play: func(w *World) {
+	{Name: "dead", About: "a third of the servers dies at once, so that every router meets dead ones, and routers are killed and started", Duration: 60e9, MinAnswered: 0.9, RequestRate: 120,
+		Script: func(w *World) {
 			for _, t := range []float64{12, 24, 36} {
 				w.At(sec(t), func() {
 					n := w.rand.IntN(3)
 					for i := range w.o.Servers / 3 {
-						w.crash(fmt.Sprintf("server-%d", 1+3*i+n), 4e9)
+						w.crashServer(fmt.Sprintf("server-%d", 1+3*i+n), 4e9)
 					}
 				})
 				w.At(sec(t+1), func() { w.Restart(w.some("router-"), 300e6) })
 				w.At(sec(t+2), func() { w.Restart(w.some("router-"), 300e6) })
 			}
 		}},
-	{Name: "medley", About: "everything at once", Long: 100e9, Least: 0.8,
-		Set: func(o *Options) { tight(o); o.Loss, o.Twice = 0.02, 0.02 },
-		Play: func(w *World) {
-			w.churn(8, 80, 15)
-			w.plans(9, 80, 6)
+	{Name: "medley", About: "everything at once", Duration: 100e9, MinAnswered: 0.8,
+		Configure: func(o *Options) { smallServers(o); o.Loss, o.Twice = 0.02, 0.02 },
+		Script: func(w *World) {
+			w.shiftDemand(8, 80, 15)
+			w.putPlans(9, 80, 6)
 			w.LagOdds, w.Lag = 0.005, 3e9
 			w.Again = 0.5
 			for t := 10.0; t < 80; t += 2 {
@@ -583,7 +583,7 @@
 						w.Restart(w.some("controller-"), clock.Span(w.rand.Int64N(2e9)))
 					case 3:
 						if s := w.some("server-"); w.procs[s].up {
-							w.crash(s, clock.Span(w.rand.Int64N(3e9)))
+							w.crashServer(s, clock.Span(w.rand.Int64N(3e9)))
 						}
 					case 4:
 						w.Freeze(w.some("router-"), clock.Span(w.rand.Int64N(4e9)))
@@ -600,11 +600,11 @@
 				})
 			}
 		}},
-	{Name: "clocks", About: "wall clocks jump everywhere, also back before restarts, and steady clocks differ up to the margin", Long: 90e9, Least: 0.93,
-		Set: func(o *Options) { tight(o); o.Rates = 0.036 },
-		Play: func(w *World) {
-			w.churn(8, 70, 15)
-			w.plans(9, 75, 5)
+	{Name: "clocks", About: "wall clocks jump everywhere, also back before restarts, and steady clocks differ up to the margin", Duration: 90e9, MinAnswered: 0.93,
+		Configure: func(o *Options) { smallServers(o); o.Rates = 0.036 },
+		Script: func(w *World) {
+			w.shiftDemand(8, 70, 15)
+			w.putPlans(9, 75, 5)
 			for t := 10.0; t < 72; t += 3 {
 				w.At(sec(t), func() {
 					for range 3 {
@@ -612,15 +612,15 @@
 					}
 					n := w.some([]string{"router-", "agent-", "agent-", "controller-", "server-"}[w.rand.IntN(5)])
 					if w.procs[n].server != "" {
-						w.crash(n, clock.Span(w.rand.Int64N(2e9)))
+						w.crashServer(n, clock.Span(w.rand.Int64N(2e9)))
 						return
 					}
 					w.Restart(n, clock.Span(w.rand.Int64N(1e9)))
 				})
 			}
 		}},
-	{Name: "ruin-clocks", About: "every core disk is lost, the core's clocks are set back, and every agent restarts: only routers still have the plan", Long: 70e9, Least: 0.98,
-		Play: func(w *World) {
+	{Name: "ruin-clocks", About: "every core disk is lost, the core's clocks are set back, and every agent restarts: only routers still have the plan", Duration: 70e9, MinAnswered: 0.98,
+		Script: func(w *World) {
 			w.At(sec(20), func() {
 				w.Check.loosen()
 				for i := 1; i <= 3; i++ {
@@ -641,7 +641,7 @@
 					}
 				})
 			})
-			w.At(sec(28), func() { w.PutPlan("controller-1", Named(w.o.Plan, "afresh", nil), 0, true, nil) })
+			w.At(sec(28), func() { w.PutPlan("controller-1", WithName(w.o.Plan, "afresh", nil), 0, true, nil) })
 			w.At(sec(45), func() {
 				for _, p := range w.Routers() {
 					if n := p.core.(*router.Core).PlanName(); n != "afresh" {
@@ -650,8 +650,8 @@
 				}
 			})
 		}},
-	{Name: "platform", About: "the platform is silent, lists nothing, or wrongly, or only a part, across takeovers and a total outage", Long: 100e9, Least: 0.9,
-		Play: func(w *World) {
+	{Name: "platform", About: "the platform is silent, lists nothing, or wrongly, or only a part, across takeovers and a total outage", Duration: 100e9, MinAnswered: 0.9,
+		Script: func(w *World) {
 			lies := []func(l []protocol.Listed) []protocol.Listed{
 				func([]protocol.Listed) []protocol.Listed { return nil },
 				func(l []protocol.Listed) []protocol.Listed { return l[:len(l)/3] },
@@ -669,11 +669,11 @@
 				w.At(sec(t+6), func() { w.Lists, w.platUp = nil, true })
 			}
 			w.At(sec(64), func() { w.platUp = false })
-			w.At(sec(66), func() { w.blackout(false, 2e9) })
+			w.At(sec(66), func() { w.restartAll(false, 2e9) })
 			w.At(sec(85), func() { w.platUp = true })
 		}},
-	{Name: "blind", About: "the owner reaches the core and the routers, but for long neither the servers nor the platform", Long: 80e9, Least: 0.97,
-		Play: func(w *World) {
+	{Name: "blind", About: "the owner reaches the core and the routers, but for long neither the servers nor the platform", Duration: 80e9, MinAnswered: 0.97,
+		Script: func(w *World) {
 			for i, t := 0, 12.0; t < 60; i, t = i+1, t+16 {
 				w.At(sec(t), func() {
 					o := w.owner()
@@ -691,9 +691,9 @@
 				})
 			}
 		}},
-	{Name: "exchange", About: "all three seed machines are exchanged for empty ones one after another, the core splits meanwhile, then agents restart on partly old seeds", Long: 130e9, Least: 0.97,
-		Play: func(w *World) {
-			w.plans(9, 115, 5)
+	{Name: "exchange", About: "all three seed machines are exchanged for empty ones one after another, the core splits meanwhile, then agents restart on partly old seeds", Duration: 130e9, MinAnswered: 0.97,
+		Script: func(w *World) {
+			w.putPlans(9, 115, 5)
 			for i := 1; i <= 3; i++ {
 				t := float64(15 + 25*(i-1))
 				w.At(sec(t), func() {
@@ -701,7 +701,7 @@
 						w.Seeds = []string{"controller-4", "controller-2", "controller-3"} // by now none of the first ones lives
 					}
 					w.Kill(fmt.Sprintf("controller-%d", i))
-					w.Spare(fmt.Sprintf("controller-%d", 3+i), w.procs[fmt.Sprintf("controller-%d", i)].zone)
+					w.AddSpareController(fmt.Sprintf("controller-%d", 3+i), w.procs[fmt.Sprintf("controller-%d", i)].zone)
 				})
 				// While the new one is to be admitted, it is cut off for a while, or another is.
 				w.At(sec(t+4), func() {
@@ -715,15 +715,15 @@
 					w.Restart(fmt.Sprintf("agent-%d", i), 200e6)
 				})
 			}
-			w.At(sec(118), func() { w.coreReady("the exchange") })
+			w.At(sec(118), func() { w.checkCoreReady("the exchange") })
 		}},
-	{Name: "zone-each", About: "each zone is lost in turn, the owner's included, as a plan is in flight or another zone is being emptied, and comes back", Long: 110e9, Least: 0.9,
-		Play: func(w *World) {
+	{Name: "zone-each", About: "each zone is lost in turn, the owner's included, as a plan is in flight or another zone is being emptied, and comes back", Duration: 110e9, MinAnswered: 0.9,
+		Script: func(w *World) {
 			zs := []ident.Zone{"za", "zb", "zc"}
 			for i, z := range zs {
 				t := 14 + 28*float64(i)
 				w.At(sec(t-0.05), func() {
-					w.PutPlan(w.some("controller-"), Named(w.o.Plan, fmt.Sprintf("as-%s-goes", z), nil), 0, true, nil)
+					w.PutPlan(w.some("controller-"), WithName(w.o.Plan, fmt.Sprintf("as-%s-goes", z), nil), 0, true, nil)
 					if i == 1 {
 						w.Zone("controller-1", "empty", zs[(i+1)%3], nil)
 						w.After(6e9, func() { w.Zone("controller-1", "refill", zs[(i+1)%3], nil) })
@@ -744,15 +744,15 @@
 				w.At(sec(t+8), func() { w.Read(fmt.Sprintf("controller-%d", 1+(i+1)%3), nil) })
 			}
 		}},
-	{Name: "rolls", About: "routers, agents, core nodes and servers are all rolled as planned, under long streams, plan changes and takeovers", Long: 150e9, Least: 0.98, Whole: true, Rate: 40,
-		Play: func(w *World) {
+	{Name: "rolls", About: "routers, agents, core nodes and servers are all rolled as planned, under long streams, plan changes and takeovers", Duration: 150e9, MinAnswered: 0.98, NoAborts: true, RequestRate: 40,
+		Script: func(w *World) {
 			m := standin.NewMix(w.plan, w.o.Seed+13)
-			w.Traffic(8e9, 125e9, 4, func() standin.Ask {
+			w.GenerateTraffic(8e9, 125e9, 4, func() standin.Ask {
 				a := m.Next()
 				a.Call.Max = 200 + w.rand.IntN(300)
 				return a
 			})
-			w.plans(9, 130, 7)
+			w.putPlans(9, 130, 7)
 			for i := 1; i <= w.o.Routers; i++ {
 				w.At(sec(10+13*float64(i-1)), func() { w.Drain(fmt.Sprintf("router-%d", i)) })
 				w.At(sec(16+13*float64(i-1)), func() { w.Restart(fmt.Sprintf("agent-%d", i), 200e6) })
@@ -766,9 +766,9 @@
 						return
 					}
 					w.Kill(s)
-					w.After(300e6, func() { w.Start(s); w.mark(s, "live") })
+					w.After(300e6, func() { w.Start(s); w.setServerState(s, "live") })
 				}
-				w.At(sec(12+13*float64(i)), func() { w.mark(s, "leaving"); w.After(4e9, stop) })
+				w.At(sec(12+13*float64(i)), func() { w.setServerState(s, "leaving"); w.After(4e9, stop) })
 			}
 			for i, t := 0, 14.0; t < 120; i, t = i+1, t+9 {
 				n := fmt.Sprintf("controller-%d", 1+i%3)
@@ -776,19 +776,19 @@
 				w.At(sec(t+1.5), func() { w.Start(n) })
 			}
 		}},
-	{Name: "mangled", About: "servers send events that are malformed, late, doubled, missing, or another's", Long: 60e9, Least: 0.5,
-		Play: func(w *World) {
+	{Name: "mangled", About: "servers send events that are malformed, late, doubled, missing, or another's", Duration: 60e9, MinAnswered: 0.5,
+		Script: func(w *World) {
 			w.At(sec(10), func() { w.Mangle = 0.02 })
 			w.At(sec(40), func() { w.Mangle = 0 })
 		}},
-	{Name: "mixed", About: "servers differ in room, slots and speed, and are replaced one by one", Long: 110e9, Least: 0.99, Whole: true, Set: func(o *Options) { o.Mixed = true },
-		Play: (*World).replaceServers},
-	{Name: "shifts", About: "keys move all the time to even servers out, while owners die, freeze and are parted, targets crash, sources are withdrawn, the store slows, plans drop keys and routers freeze", Long: 110e9, Least: 0.95,
-		Set: func(o *Options) {
+	{Name: "mixed", About: "servers differ in room, slots and speed, and are replaced one by one", Duration: 110e9, MinAnswered: 0.99, NoAborts: true, Configure: func(o *Options) { o.Mixed = true },
+		Script: (*World).replaceServers},
+	{Name: "shifts", About: "keys move all the time to even servers out, while owners die, freeze and are parted, targets crash, sources are withdrawn, the store slows, plans drop keys and routers freeze", Duration: 110e9, MinAnswered: 0.95,
+		Configure: func(o *Options) {
 			o.Controller.Even, o.Controller.Rest, o.Controller.Gap, o.Room = 300e6, 500e6, 0.1, 80
 		},
-		Play: func(w *World) {
-			w.churn(8, 90, 10)
+		Script: func(w *World) {
+			w.shiftDemand(8, 90, 10)
 			rate := w.store.Rate
 			for t := 10.0; t < 90; t += 1.5 {
 				w.At(sec(t), func() {
@@ -805,12 +805,12 @@
 						w.After(clock.Span(w.rand.Int64N(3e9)), w.Heal)
 					case 3:
 						if !bad && w.procs[s].up {
-							w.crash(s, clock.Span(w.rand.Int64N(2e9)))
+							w.crashServer(s, clock.Span(w.rand.Int64N(2e9)))
 						}
 					case 4, 5:
 						if !bad && w.procs[s].up {
-							w.mark(s, "leaving")
-							w.After(clock.Span(2e9+w.rand.Int64N(3e9)), func() { w.mark(s, "live") })
+							w.setServerState(s, "leaving")
+							w.After(clock.Span(2e9+w.rand.Int64N(3e9)), func() { w.setServerState(s, "live") })
 						}
 					case 6:
 						w.store.Rate = rate / 6
@@ -819,20 +819,20 @@
 						w.Freeze(w.some("router-"), clock.Span(w.rand.Int64N(4e9)))
 					case 8:
 						m := standin.NewMix(w.plan, w.rand.Uint64()).Rare()
-						w.PutPlan(w.some("controller-"), Named(w.o.Plan, fmt.Sprintf("less-%d", w.admin), without(m.Call.Base)), 0, true, nil)
+						w.PutPlan(w.some("controller-"), WithName(w.o.Plan, fmt.Sprintf("less-%d", w.admin), withoutModel(m.Call.Base)), 0, true, nil)
 						w.After(3e9, func() {
-							w.PutPlan(w.some("controller-"), Named(w.o.Plan, fmt.Sprintf("again-%d", w.admin), nil), 0, true, nil)
+							w.PutPlan(w.some("controller-"), WithName(w.o.Plan, fmt.Sprintf("again-%d", w.admin), nil), 0, true, nil)
 						})
 					}
 				})
 			}
 		}},
-	{Name: "return", About: "a zone is lost, comes back empty, and takes its part again: keys with a floor of two are ready in two zones", Long: 120e9, Least: 0.97,
-		Play: func(w *World) {
+	{Name: "return", About: "a zone is lost, comes back empty, and takes its part again: keys with a floor of two are ready in two zones", Duration: 120e9, MinAnswered: 0.97,
+		Script: func(w *World) {
 			w.At(sec(14), func() {
 				for _, n := range w.order {
 					if p := w.procs[n]; p.zone == "zb" && p.server != "" {
-						w.crash(n, 15e9)
+						w.crashServer(n, 15e9)
 					}
 				}
 			})
@@ -863,9 +863,9 @@
 				}
 			})
 		}},
-	{Name: "odd", About: "servers report what contradicts itself: more held than room, sizes below zero or past counting, keys twice and unknown", Long: 70e9, Least: 0.9, Set: tight,
-		Play: func(w *World) {
-			w.churn(8, 56, 15)
+	{Name: "odd", About: "servers report what contradicts itself: more held than room, sizes below zero or past counting, keys twice and unknown", Duration: 70e9, MinAnswered: 0.9, Configure: smallServers,
+		Script: func(w *World) {
+			w.shiftDemand(8, 56, 15)
 			bends := []func(r *protocol.Report){
 				func(r *protocol.Report) { r.Held[0].Size = -1000 },
 				func(r *protocol.Report) { r.Held[0].Size = 1 << 62 },
@@ -897,8 +897,8 @@
 				}
 			})
 		}},
-	{Name: "sweep", About: "a core node is cut off as a plan is taken, and comes back: its disk has the plan soon, though nobody changes anything", Long: 60e9, Least: 0.99,
-		Play: func(w *World) {
+	{Name: "sweep", About: "a core node is cut off as a plan is taken, and comes back: its disk has the plan soon, though nobody changes anything", Duration: 60e9, MinAnswered: 0.99,
+		Script: func(w *World) {
 			last := func(n string) (e ident.Epoch) {
 				var v struct{ Value protocol.Desired }
 				_ = json.Unmarshal(w.procs[n].disk.safe["accepted"], &v)
@@ -908,7 +908,7 @@
 				n := fmt.Sprintf("controller-%d", 3-i)
 				w.At(sec(t), func() { w.Part(map[string]bool{n: true}) })
 				w.At(sec(t+1), func() {
-					w.PutPlan("controller-1", Named(w.o.Plan, fmt.Sprintf("missed-%d", i), nil), 0, true, nil)
+					w.PutPlan("controller-1", WithName(w.o.Plan, fmt.Sprintf("missed-%d", i), nil), 0, true, nil)
 				})
 				w.At(sec(t+4), w.Heal)
 				w.At(sec(t+20), func() {
@@ -918,10 +918,10 @@
 				})
 			}
 		}},
-	{Name: "spare", About: "a spare core node runs while core nodes are restarted, as planned and not: none loses its seat by that", Long: 80e9, Least: 0.99,
-		Play: func(w *World) {
-			w.At(sec(9), func() { w.Spare("controller-4", "za") })
-			w.plans(10, 60, 6)
+	{Name: "spare", About: "a spare core node runs while core nodes are restarted, as planned and not: none loses its seat by that", Duration: 80e9, MinAnswered: 0.99,
+		Script: func(w *World) {
+			w.At(sec(9), func() { w.AddSpareController("controller-4", "za") })
+			w.putPlans(10, 60, 6)
 			for i, t := 0, 14.0; t < 60; i, t = i+1, t+9 {
 				n := fmt.Sprintf("controller-%d", 1+i%3)
 				w.At(sec(t), func() {
@@ -939,18 +939,18 @@
 				}
 			})
 		}},
-	{Name: "night", About: "hardly anything is asked, and servers die one after another", Long: 120e9, Least: 0.93, Rate: 1,
-		Play: func(w *World) {
+	{Name: "night", About: "hardly anything is asked, and servers die one after another", Duration: 120e9, MinAnswered: 0.93, RequestRate: 1,
+		Script: func(w *World) {
 			for t := 10.0; t < 100; t += 6 {
 				w.At(sec(t), func() {
 					if s := w.some("server-"); w.procs[s].up {
-						w.crash(s, 3e9)
+						w.crashServer(s, 3e9)
 					}
 				})
 			}
 		}},
-	{Name: "unplan", About: "plans drop and bring back models that are in use, under long answers, while routers pause", Long: 90e9, Least: 0.9, Rate: 40, Whole: true,
-		Play: func(w *World) {
+	{Name: "unplan", About: "plans drop and bring back models that are in use, under long answers, while routers pause", Duration: 90e9, MinAnswered: 0.9, RequestRate: 40, NoAborts: true,
+		Script: func(w *World) {
 			m := standin.NewMix(w.plan, w.o.Seed+11)
 			w.DialOdds, w.Dial = 0.1, 450e6
 			for i, t := 0, 14.0; t < 70; i, t = i+1, t+8 {
@@ -958,28 +958,28 @@
 				for a.Call.Extra != "" {
 					a = m.Rare()
 				}
-				w.Traffic(clock.Span((t-5)*1e9), clock.Span((t+0.1)*1e9), 60, func() standin.Ask {
+				w.GenerateTraffic(clock.Span((t-5)*1e9), clock.Span((t+0.1)*1e9), 60, func() standin.Ask {
 					b := m.Of(a)
 					b.Call.Max = 20 + w.rand.IntN(200)
 					return b
 				})
 				w.At(sec(t), func() {
-					w.PutPlan(w.some("controller-"), Named(w.o.Plan, fmt.Sprintf("less-%d", i), without(a.Call.Base)), 0, true, nil)
+					w.PutPlan(w.some("controller-"), WithName(w.o.Plan, fmt.Sprintf("less-%d", i), withoutModel(a.Call.Base)), 0, true, nil)
 					w.Freeze(w.some("router-"), clock.Span(w.rand.Int64N(5e9)))
 					w.Freeze(w.some("router-"), clock.Span(w.rand.Int64N(5e9)))
 				})
 				w.At(sec(t+5), func() {
-					w.PutPlan(w.some("controller-"), Named(w.o.Plan, fmt.Sprintf("again-%d", i), nil), 0, true, nil)
+					w.PutPlan(w.some("controller-"), WithName(w.o.Plan, fmt.Sprintf("again-%d", i), nil), 0, true, nil)
 				})
 			}
 		}},
-	{Name: "flap", About: "half of all connections break before the first event, so that retries are wanted everywhere", Long: 60e9, Least: 0.7,
-		Play: func(w *World) {
+	{Name: "flap", About: "half of all connections break before the first event, so that retries are wanted everywhere", Duration: 60e9, MinAnswered: 0.7,
+		Script: func(w *World) {
 			w.At(sec(15), func() { w.ResetOdds = 0.5 })
 			w.At(sec(40), func() { w.ResetOdds = 0 })
 		}},
-	{Name: "amnesia", About: "a plan is taken while a core node is cut off, then another loses its disk and both meet", Long: 90e9, Least: 0.97,
-		Play: func(w *World) {
+	{Name: "amnesia", About: "a plan is taken while a core node is cut off, then another loses its disk and both meet", Duration: 90e9, MinAnswered: 0.97,
+		Script: func(w *World) {
 			for i, t := 0, 12.0; t < 70; i, t = i+1, t+18 {
 				a, b, c := fmt.Sprintf("controller-%d", 1+i%3), fmt.Sprintf("controller-%d", 1+(i+1)%3), fmt.Sprintf("controller-%d", 1+(i+2)%3)
 				w.At(sec(t), func() {
@@ -987,7 +987,7 @@
 					w.Cut(c, b, true)
 				})
 				w.At(sec(t+0.2), func() {
-					w.PutPlan(a, Named(w.o.Plan, fmt.Sprintf("known-%d", i), nil), 0, true, func(controller.Receipt) {
+					w.PutPlan(a, WithName(w.o.Plan, fmt.Sprintf("known-%d", i), nil), 0, true, func(controller.Receipt) {
 						w.Kill(a)
 						w.Kill(b)
 						w.Wipe(b)
@@ -1001,8 +1001,8 @@
 				})
 			}
 		}},
-	{Name: "fence", About: "the duty's owner is parted from the core, but not from the routers, as a plan is taken", Long: 70e9, Least: 0.99,
-		Play: func(w *World) {
+	{Name: "fence", About: "the duty's owner is parted from the core, but not from the routers, as a plan is taken", Duration: 70e9, MinAnswered: 0.99,
+		Script: func(w *World) {
 			for i, t := 0, 12.0; t < 55; i, t = i+1, t+8 {
 				w.At(sec(t), func() {
 					o, other := w.owner(), ""
@@ -1012,14 +1012,14 @@
 							other = p.name
 						}
 					}
-					w.After(100e6, func() { w.PutPlan(other, Named(w.o.Plan, fmt.Sprintf("past-%d", i), nil), 0, true, nil) })
+					w.After(100e6, func() { w.PutPlan(other, WithName(w.o.Plan, fmt.Sprintf("past-%d", i), nil), 0, true, nil) })
 				})
 				w.At(sec(t+5), w.Heal)
 			}
 		}},
-	{Name: "windows", About: "maintenance windows of a server and a zone are kept, and then wall clocks jump both ways", Long: 90e9, Least: 0.995, Whole: true,
-		Set: func(o *Options) { o.Controller.Lead = 5e9 },
-		Play: func(w *World) {
+	{Name: "windows", About: "maintenance windows of a server and a zone are kept, and then wall clocks jump both ways", Duration: 90e9, MinAnswered: 0.995, NoAborts: true,
+		Configure: func(o *Options) { o.Controller.Lead = 5e9 },
+		Script: func(w *World) {
 			at := func(n float64) string { return dawn.Add(time.Duration(n * 1e9)).Format("20060102T150405Z") }
 			event := func(uid int, what string, from, to float64) string {
 				return fmt.Sprintf("BEGIN:VEVENT\r\nUID:%d\r\nDTSTAMP:20260101T000000Z\r\nLOCATION:%s\r\nDTSTART:%s\r\nDTEND:%s\r\nEND:VEVENT\r\n", uid, what, at(from), at(to))
@@ -1039,33 +1039,33 @@
 				w.At(sec(t), func() { w.procs[w.some("controller-")].wall = time.Duration(w.rand.Int64N(4e12) - 2e12) })
 			}
 		}},
-	{Name: "far", About: "machines are 30 ms apart, messages get lost, keys move, plans come, servers fail and the owner dies", Long: 90e9, Least: 0.92,
-		Set: func(o *Options) { tight(o); o.Far, o.Loss, o.Twice = 30e6, 0.01, 0.02 },
-		Play: func(w *World) {
-			w.churn(8, 70, 15)
-			w.plans(9, 70, 5)
-			w.wear(12, 65)
+	{Name: "far", About: "machines are 30 ms apart, messages get lost, keys move, plans come, servers fail and the owner dies", Duration: 90e9, MinAnswered: 0.92,
+		Configure: func(o *Options) { smallServers(o); o.Far, o.Loss, o.Twice = 30e6, 0.01, 0.02 },
+		Script: func(w *World) {
+			w.shiftDemand(8, 70, 15)
+			w.putPlans(9, 70, 5)
+			w.failServers(12, 65)
 			for t := 14.0; t < 70; t += 11 {
 				w.At(sec(t), func() { w.Restart(w.owner(), 2e9) })
 				w.At(sec(t+5), func() { w.Freeze(w.some("router-"), clock.Span(w.rand.Int64N(4e9))) })
 			}
 		}},
-	{Name: "blackout", About: "everything is killed at once and comes back, model servers empty", Long: 60e9, Least: 0.87,
-		Play: func(w *World) { w.At(sec(20), func() { w.blackout(true, 3e9) }) }},
+	{Name: "blackout", About: "everything is killed at once and comes back, model servers empty", Duration: 60e9, MinAnswered: 0.87,
+		Script: func(w *World) { w.At(sec(20), func() { w.restartAll(true, 3e9) }) }},
 }
 
 // replaceServers replaces every server, one after another, each drained first.
 func (w *World) replaceServers() {
 	for i := range w.o.Servers {
 		s := fmt.Sprintf("server-%d", i+1)
-		w.At(sec(10+9*float64(i)), func() { w.mark(s, "leaving") })
+		w.At(sec(10+9*float64(i)), func() { w.setServerState(s, "leaving") })
 		w.At(sec(17+9*float64(i)), func() { w.Kill(s) })
-		w.At(sec(17.2+9*float64(i)), func() { w.Start(s); w.mark(s, "live") })
+		w.At(sec(17.2+9*float64(i)), func() { w.Start(s); w.setServerState(s, "live") })
 	}
 }
 
 // coreReady looks whether three core nodes are ready after something.
-func (w *World) coreReady(after string) {
+func (w *World) checkCoreReady(after string) {
 	n := 0
 	for _, p := range w.controllers() {
 		if p.core.(*controller.Core).Ready() {
@@ -1078,7 +1078,7 @@
 }
 
 // route names the plan's first route, or another one.
-func (w *World) route(n int) string {
+func (w *World) routeName(n int) string {
 	var l []string
 	for r := range w.plan.Routes {
 		l = append(l, r)
@@ -1088,7 +1088,7 @@
 }
 
 // blackout kills every process, and starts all of them again.
-func (w *World) blackout(servers bool, after clock.Span) {
+func (w *World) restartAll(servers bool, after clock.Span) {
 	for _, n := range w.order {
 		if n == "store" || !servers && w.procs[n].server != "" {
 			continue
@@ -1100,7 +1100,7 @@
 }
 
 // Spare starts an empty core node at a new address.
-func (w *World) Spare(name string, z ident.Zone) {
+func (w *World) AddSpareController(name string, z ident.Zone) {
 	w.addController(name, z, w.seeds())
 	w.Start(name)
 }
--- a/internal/simulator/slow_core_scenes.go
+++ b/internal/simulator/slow_core_scenes.go
@@ -11,7 +11,7 @@
 
 // series has an operator at each core node send one change after another, each on the newest version that is known and as
 // soon as the one before was answered, but for a pause.
-func (w *World) series(from, to, pause float64) {
+func (w *World) putSeries(from, to, pause float64) {
 	for node := 1; node <= 3; node++ {
 		n := 0
 		var put func()
@@ -22,7 +22,7 @@
 			n++
 			on := w.newestEpoch()
 			name := fmt.Sprintf("series-%d-%d", node, n)
-			w.PutNumber(fmt.Sprintf("controller-%d", node), Named(w.o.Plan, name, nil), on, on+1, func(controller.Receipt) {
+			w.PutNumber(fmt.Sprintf("controller-%d", node), WithName(w.o.Plan, name, nil), on, on+1, func(controller.Receipt) {
 				w.After(clock.Span(pause*1e9), put)
 			})
 		}
@@ -31,27 +31,27 @@
 }
 
 // slowCore sets a world up whose core nodes take a while to read each message with a configuration, and are some way apart.
-func slowCore(reading, far clock.Span) func(o *Options) {
+func slowCoreOptions(reading, far clock.Span) func(o *Options) {
 	return func(o *Options) {
-		narrowed(Narrow{RouterLink: routerLink, CoreLink: coreLink, Reading: 150e6, CoreReading: reading}, nil)(o)
+		limitedOptions(Narrow{RouterBandwidth: routerBandwidth, CoreBandwidth: coreBandwidth, RouterParseTime: 150e6, CoreParseTime: reading}, nil)(o)
 		o.Far = far
 	}
 }
 
 // slowCoreScenes are those in which the core itself is late, and nothing fails.
 var slowCoreScenes = []Scene{
-	{Name: "slow-core", About: "operators at every core node change a large configuration as fast as changes are taken, and core nodes are slow to read it; nothing fails", Long: 60e9, Least: 0.8,
-		Set: slowCore(100e6, 40e6),
-		Play: func(w *World) {
-			w.series(10, 20, 0.1)
-			w.series(30, 40, 0.02)
+	{Name: "slow-core", About: "operators at every core node change a large configuration as fast as changes are taken, and core nodes are slow to read it; nothing fails", Duration: 60e9, MinAnswered: 0.8,
+		Configure: slowCoreOptions(100e6, 40e6),
+		Script: func(w *World) {
+			w.putSeries(10, 20, 0.1)
+			w.putSeries(30, 40, 0.02)
 		}},
-	{Name: "slow-core-owner", About: "the same without a pause, and the owner is killed, frozen and cut off", Long: 90e9, Least: 0.6,
-		Set: slowCore(60e6, 20e6),
-		Play: func(w *World) {
-			w.series(10, 75, 0.1)
+	{Name: "slow-core-owner", About: "the same without a pause, and the owner is killed, frozen and cut off", Duration: 90e9, MinAnswered: 0.6,
+		Configure: slowCoreOptions(60e6, 20e6),
+		Script: func(w *World) {
+			w.putSeries(10, 75, 0.1)
 			for t := 14.0; t < 75; t += 12 {
-				w.At(sec(t), func() { w.loseOwner(clock.Span(w.rand.Int64N(3e9))) })
+				w.At(sec(t), func() { w.disruptOwner(clock.Span(w.rand.Int64N(3e9))) })
 			}
 		}},
 }
--- a/internal/simulator/storms.go
+++ b/internal/simulator/storms.go
@@ -12,89 +12,89 @@
 )
 
 // orders is how many operators change the plan at once in a storm.
-const orders = 8
+const concurrentOperators = 8
 
 // stormEnds is how long the last changes of a storm may still be under way.
-const stormEnds = clock.Span(2e9)
+const stormDrainTime = clock.Span(2e9)
 
 // storm is a number of operators who all change the plan as fast as they are answered.
 type storm struct {
-	w      *World
-	taken  int
-	ends   bool
-	toward func() string // draws the node that is called
+	w        *World
+	accepted int
+	stopped  bool
+	pickNode func() string // draws the node that is called
 }
 
 // startStorm begins a storm of changes at the nodes that are drawn.
 func (w *World) startStorm(toward func() string) *storm {
-	s := &storm{w: w, toward: toward}
-	for range orders {
-		s.again()
+	s := &storm{w: w, pickNode: toward}
+	for range concurrentOperators {
+		s.sendNext()
 	}
 	return s
 }
 
-func (s *storm) again() {
+func (s *storm) sendNext() {
 	w := s.w
-	if s.ends {
+	if s.stopped {
 		return
 	}
 	began := w.now
-	w.putNext(s.toward(), "storm", func(taken bool) {
-		s.taken += b2i(taken)
+	w.putNextPlan(s.pickNode(), "storm", func(taken bool) {
+		s.accepted += b2i(taken)
 		pause := clock.Span(w.rand.Int64N(20e6))
 		if !taken && w.now.Sub(began) < 50e6 {
 			pause += 200e6 // a node that is down answers at once
 		}
-		w.After(pause, s.again)
+		w.After(pause, s.sendNext)
 	})
 }
 
 // after runs a step once so many changes were taken, or it lasted too long.
-func (s *storm) after(changes int, most clock.Span, then func()) {
+func (s *storm) stopAfter(changes int, most clock.Span, then func()) {
 	w := s.w
 	began := w.now
 	var look func()
 	look = func() {
-		if s.taken < changes && w.now.Sub(began) < most {
+		if s.accepted < changes && w.now.Sub(began) < most {
 			w.After(50e6, look)
 			return
 		}
-		s.ends = true
-		w.tracef("storm: %d changes taken in %v", s.taken, w.now.Sub(began))
-		w.After(stormEnds, then)
+		s.stopped = true
+		w.tracef("storm: %d changes taken in %v", s.accepted, w.now.Sub(began))
+		w.After(stormDrainTime, then)
 	}
 	look()
 }
 
 // raced is one of two changes that go on the same version.
-type raced struct {
-	request controller.Admin
-	taken   bool
+type racingChange struct {
+	request  controller.Admin
+	accepted bool
 }
 
 // race has two operators change one version. Each sends its change to several nodes, as one does whose
 // answers get lost.
-func (w *World) race(name string, then func(both [2]*raced)) {
+func (w *World) raceChanges(name string, then func(both [2]*racingChange)) {
 	w.Read(w.someUp(), func(r controller.Receipt) {
 		if r.Kind != failure.None {
-			w.After(confirmEvery, func() { w.race(name, then) })
+			w.After(confirmInterval, func() { w.raceChanges(name, then) })
 			return
 		}
-		var both [2]*raced
-		left := orders
+		var both [2]*racingChange
+		left := concurrentOperators
 		for i := range both {
-			c := &raced{request: controller.Admin{Op: "put", Expect: r.Epoch, Number: r.Epoch + 1 + ident.Epoch(w.rand.IntN(3)),
-				Raw: Named(w.o.Plan, fmt.Sprintf("%s-%d", name, i), nil), Change: fmt.Sprintf("%s-%d", name, i)}}
+			c := &racingChange{request: controller.Admin{Op: "put", Expect: r.Epoch, Number: r.Epoch + 1 + ident.Epoch(w.rand.IntN(3)),
+				Raw: WithName(w.o.Plan, fmt.Sprintf("%s-%d", name, i), nil), Change: fmt.Sprintf("%s-%d", name, i)}}
 			both[i] = c
 			done := func(r controller.Receipt) {
-				c.taken = c.taken || r.Kind == failure.None
+				c.accepted = c.accepted || r.Kind == failure.None
 				if left--; left == 0 {
 					then(both)
 				}
 			}
 			w.change(w.someUp(), c.request, done)
-			for range orders/2 - 1 {
+			for range concurrentOperators/2 - 1 {
 				w.After(clock.Span(w.rand.Int64N(300e6)), func() { w.Admin(w.someUp(), c.request, done) })
 			}
 		}
@@ -103,15 +103,15 @@
 
 // raceAndRepeat races two changes, has a storm go over them, and sends both once more, to other nodes.
 func (w *World) raceAndRepeat(round, changes int, most clock.Span, then func()) {
-	w.race(fmt.Sprintf("race-%d", round), func(both [2]*raced) {
+	w.raceChanges(fmt.Sprintf("race-%d", round), func(both [2]*racingChange) {
 		s := w.startStorm(w.someUp)
-		s.after(changes, most, func() {
-			left := orders
-			for range orders / 2 {
+		s.stopAfter(changes, most, func() {
+			left := concurrentOperators
+			for range concurrentOperators / 2 {
 				for _, c := range both {
 					w.Admin(w.someUp(), c.request, func(r controller.Receipt) {
-						if c.taken && (r.Kind == failure.Conflict || r.Kind == failure.Faulty) {
-							w.Check.bad("change %q was taken, and its repeat after %d changes refused: %s", c.request.Change, s.taken, r.Why)
+						if c.accepted && (r.Kind == failure.Conflict || r.Kind == failure.Faulty) {
+							w.Check.bad("change %q was taken, and its repeat after %d changes refused: %s", c.request.Change, s.accepted, r.Why)
 						}
 						if left--; left == 0 {
 							then()
@@ -124,7 +124,7 @@
 }
 
 // playRaces races changes again and again, with so many others in between.
-func (w *World) playRaces(until float64, changes int) {
+func (w *World) runRaces(until float64, changes int) {
 	w.tracef("deployment: %s", w.core)
 	round := 0
 	var next func()
@@ -143,29 +143,29 @@
 
 // playAway has a voter away while hundreds of changes are taken; it returns with its old disk, and others
 // are lost as soon as it counts as there.
-func (w *World) playAway(until float64, changes int) {
+func (w *World) runVoterAbsences(until float64, changes int) {
 	w.tracef("deployment: %s", w.core)
-	w.watchVoters(12)
+	w.watchJointState(12)
 	var round func()
 	round = func() {
 		if w.now > sec(until) {
-			w.expectConfirmed()
+			w.expectChangeConfirmed()
 			return
 		}
-		if !w.core.calm(w.now) {
-			w.After(confirmEvery, round)
+		if !w.core.hasNoLosses(w.now) {
+			w.After(confirmInterval, round)
 			return
 		}
 		away := w.core.seats[w.rand.IntN(len(w.core.seats))]
-		w.fell(away, "is away")
+		w.killSeatNode(away, "is away")
 		s := w.startStorm(w.someUp)
-		s.after(changes, 30e9, func() {
-			w.returns(away)
+		s.stopAfter(changes, 30e9, func() {
+			w.restartSeatNode(away)
 			changes := w.rand.IntN(2) == 0 // else nothing is written while it catches up
-			w.callOften(away.node, 8e9, changes)
+			w.callRepeatedly(away.node, 8e9, changes)
 			w.After(convergence+1e6, func() {
-				w.Check.replica(away.node)
-				w.loseOthers(away)
+				w.Check.checkReplica(away.node)
+				w.powerOffOthers(away)
 				w.After(4e9, round)
 			})
 		})
@@ -174,16 +174,16 @@
 }
 
 // loseOthers has as many others lose power at once as the tolerance allows.
-func (w *World) loseOthers(but *seat) {
+func (w *World) powerOffOthers(but *seat) {
 	for _, i := range w.rand.Perm(len(w.core.seats)) {
-		if s := w.core.seats[i]; s != but && !s.lost(w.now) && w.core.mayLose(s, w.now) {
-			w.lose(s, powerLoss)
+		if s := w.core.seats[i]; s != but && !s.countsAsLost(w.now) && w.core.mayLose(s, w.now) {
+			w.injectLoss(s, powerLoss)
 		}
 	}
 }
 
 // callOften has operators read the plan at one node for a while, and change it if they are to.
-func (w *World) callOften(node string, long clock.Span, changes bool) {
+func (w *World) callRepeatedly(node string, long clock.Span, changes bool) {
 	end := w.now.Add(long)
 	var next func()
 	next = func() {
@@ -193,7 +193,7 @@
 		w.Read(node, nil)
 		if n := w.Check.newest(w.now); n != nil && changes && w.rand.IntN(2) == 0 {
 			name := fmt.Sprintf("called %d", w.admin)
-			w.PutNumber(node, Named(w.o.Plan, name, nil), n.epoch, n.epoch+1, nil)
+			w.PutNumber(node, WithName(w.o.Plan, name, nil), n.epoch, n.epoch+1, nil)
 		}
 		w.After(clock.Span(100e6+w.rand.Int64N(400e6)), next)
 	}
@@ -201,15 +201,15 @@
 }
 
 // settledFor is how long ago a change was confirmed that every replica must have.
-const settledFor = clock.Span(1500e6)
+const replicationTime = clock.Span(1500e6)
 
 // replica expects that a voter's disk has what was confirmed a while ago.
-func (k *Checker) replica(node string) {
+func (k *Checker) checkReplica(node string) {
 	p := k.w.procs[node]
-	if p == nil || !p.up || !sitsIn(k.w, node) {
+	if p == nil || !p.up || !isKnownVoter(k.w, node) {
 		return
 	}
-	want := k.newest(k.w.now.Add(-settledFor))
+	want := k.newest(k.w.now.Add(-replicationTime))
 	var on struct{ Value *protocol.Desired }
 	if err := json.Unmarshal(p.disk.safe["accepted"], &on); err != nil {
 		k.bad("%s has a disk that cannot be read: %v", node, err)
@@ -228,12 +228,12 @@
 }
 
 // sitsIn tells whether a node is a voter as the others know it.
-func sitsIn(w *World, node string) bool {
+func isKnownVoter(w *World, node string) bool {
 	for _, p := range w.controllers() {
 		if p.name == node {
 			continue
 		}
-		if voters, _ := w.voterSets(p); sits(voters, node) {
+		if voters, _ := w.voterSets(p); containsVoter(voters, node) {
 			return true
 		}
 	}
