--- a/internal/simulator/control_test.go
+++ b/internal/simulator/control_test.go
@@ -8,7 +8,7 @@
 
 func init() { bites = append(bites, controlMutations...) }
 
-// Guards of the core's register and voter sets, on drawn deployments.
+// controlMutations disable guards of the core's register and voter sets, on drawn deployments.
 var controlMutations = []bite{
 	{"control: read by a majority", "control-parted", "operators' history fits no order: a stale read", []edit{
 		{"internal/controller/admin.go", "\t// A majority read that begins now will tell whether what is known is the newest.\n",
@@ -25,7 +25,7 @@
 		{"internal/controller/reader.go", "if c.now.Sub(r.unequal) > c.answerWait() {", "if false {"}}},
 }
 
-// The tolerance counts a seat as lost until its node counts as there, and no more seats than that at once.
+// mayLose counts a seat as lost until its lostUntil, and permits no more concurrent losses than the deployment tolerates.
 func TestMayLose(t *testing.T) {
 	f := &coreFleet{Deployment: &Deployment{Nodes: 3, Losses: 1}}
 	for range f.Nodes {
@@ -34,18 +34,18 @@
 	first, second := f.seats[0], f.seats[1]
 	require.True(t, f.mayLose(first, 10))
 	first.lostUntil = stillDown
-	require.True(t, f.mayLose(first, 10), "it is lost already")
+	require.True(t, f.mayLose(first, 10), "the seat is already lost")
 	require.False(t, f.mayLose(second, 10))
 	first.lostUntil = 20
 	require.False(t, f.mayLose(second, 19))
 	require.True(t, f.mayLose(second, 20))
 	f.Losses, f.ByZone, first.lostUntil = 2, true, 30
-	require.True(t, f.mayLose(second, 20), "of the same zone")
+	require.True(t, f.mayLose(second, 20), "a seat of the same zone")
 	second.zone = "zb"
-	require.False(t, f.mayLose(second, 20), "of another zone")
+	require.False(t, f.mayLose(second, 20), "a seat of another zone")
 }
 
-// A deployment is the same for the same seed, and bears no more losses than its nodes can.
+// The same seed gives the same deployment, and a deployment tolerates no more losses than a majority of its nodes survives.
 func TestDrawDeployment(t *testing.T) {
 	drawn := map[string]bool{}
 	for seed := range uint64(200) {
--- a/internal/simulator/key_scenes.go
+++ b/internal/simulator/key_scenes.go
@@ -8,15 +8,16 @@
 	"tidedeck/internal/ident"
 )
 
-// Scenes in which callers show keys, and operators take keys away, move them between tenants and give them back, while
-// requests wait, are sent and are tried again.
+// In these scenes callers present keys, and operators revoke keys, move them between tenants and restore them, while
+// requests wait, are sent and are retried.
 
-// sceneKeys are what callers show: the last is never anybody's.
+// callerKeys are the keys that callers present. The last one never belongs to a tenant.
 var callerKeys = []string{"key-1", "key-2", "key-3", "key-4", "nobody's"}
 
+// tenantNames are the tenants of these scenes.
 var tenantNames = []string{"acme", "initech", "globex"}
 
-// keyedPlan is the first plan of these scenes: each key but the last is a tenant's, and one route wants none.
+// keyedPlan is the first plan of these scenes: every key but the last belongs to a tenant, and one route requires no key.
 func keyedPlan() []byte {
 	s := firstSheet(1)
 	for i := range s.Routes {
@@ -29,8 +30,8 @@
 	return writeSheet(s)
 }
 
-// drawTenants draws whose each key is: half of the time as at first, else any tenant's or nobody's; seldom there is no tenant
-// at all, or no list of them.
+// drawTenants assigns keys to tenants at random: a quarter of the time the first assignment stays, otherwise each key belongs
+// to a random tenant or to none. One time in twelve each, the list of tenants is missing or empty.
 func (w *World) drawTenants(m map[string]any) {
 	switch w.rand.IntN(12) {
 	case 0:
@@ -42,19 +43,19 @@
 	case 2, 3, 4:
 		return
 	}
-	var l []sheetTenant
+	var tenants []sheetTenant
 	for i, name := range tenantNames {
-		l = append(l, sheetTenant{Name: name, Precedence: i, Keys: []string{}})
+		tenants = append(tenants, sheetTenant{Name: name, Precedence: i, Keys: []string{}})
 	}
 	for _, key := range callerKeys[:len(callerKeys)-1] {
-		if i := w.rand.IntN(len(l) + 1); i < len(l) {
-			l[i].Keys = append(l[i].Keys, key)
+		if i := w.rand.IntN(len(tenants) + 1); i < len(tenants) {
+			tenants[i].Keys = append(tenants[i].Keys, key)
 		}
 	}
-	m["tenants"] = l
+	m["tenants"] = tenants
 }
 
-// changeKeys has an operator change whose keys are whose, again and again.
+// changeKeys has an operator reassign the keys to tenants at a fixed interval.
 func (w *World) changeKeys(from, to, gap float64) {
 	n := 0
 	for t := from; t < to; t += gap {
@@ -67,15 +68,17 @@
 	}
 }
 
+// keyedOptions sets up a world of announced servers whose callers present keys.
 func keyedOptions(o *Options) {
 	hosted(func(h *Hosted) { h.Keys, h.Shift = callerKeys, 10e9 })(o)
 	o.Plan = keyedPlan()
 }
 
+// keyScenes are scenes in which callers present keys and operators reassign them.
 var keyScenes = []Scene{
-	{Name: "keys", About: "keys are taken away, moved and given back in quick succession; nothing fails", Duration: 60e9, MinAnswered: 0.95, Configure: keyedOptions,
+	{Name: "keys", About: "keys are revoked, moved and restored in quick succession; nothing fails", Duration: 60e9, MinAnswered: 0.95, Configure: keyedOptions,
 		Script: func(w *World) { w.changeKeys(8, 48, 0.7) }},
-	{Name: "keys-troubles", About: "the same while servers leave, the owner is lost, routers are cut off and stand still", Duration: 90e9, MinAnswered: 0.6,
+	{Name: "keys-troubles", About: "like keys, while servers leave, the owner is killed or frozen, and routers are cut off or frozen", Duration: 90e9, MinAnswered: 0.6,
 		Configure: func(o *Options) { keyedOptions(o); o.Loss, o.Twice = 0.01, 0.02 },
 		Script: func(w *World) {
 			w.changeKeys(8, 74, 1.3)
@@ -101,7 +104,7 @@
 				w.At(sec(t+4), w.Heal)
 			}
 		}},
-	{Name: "keys-slow-core", About: "keys change four times a second on core nodes that are slow to read a configuration, and the owner is killed, frozen and cut off",
+	{Name: "keys-slow-core", About: "keys change four times a second on core nodes that parse configurations slowly, and the owner is killed, frozen and cut off",
 		Duration: 90e9, MinAnswered: 0.6,
 		Configure: func(o *Options) {
 			slowCoreOptions(60e6, 20e6)(o)
--- a/internal/simulator/losses.go
+++ b/internal/simulator/losses.go
@@ -12,32 +12,32 @@
 	"tidedeck/internal/protocol"
 )
 
-// What a deployment promises of its core nodes.
+// Time limits of the failure injection and of its checks.
 const (
-	convergence        = clock.Span(4e9) // a machine that is back, or new, counts as lost for so long
-	confirmTimeout     = clock.Span(8e9) // a change is confirmed so soon after the last loss is over
+	convergence        = clock.Span(4e9) // how long a returned or new machine still counts as lost
+	confirmTimeout     = clock.Span(8e9) // a change must be confirmed within this time after the last loss has ended
 	confirmInterval    = clock.Span(300e6)
 	jointCheckInterval = clock.Span(100e6)
 )
 
-// loss is one way to lose a core node.
+// lossKind is a way in which a core node is lost.
 type lossKind int
 
 const (
-	powerLoss          lossKind = iota // it starts again, with its disk
-	diskLoss                           // it starts again, empty
-	diskLossAfterAck                   // the same, right after it confirmed a change
-	replacement                        // it is gone for good; an empty node comes at another address
-	plannedReplacement                 // an empty node comes at another address; then it is stopped for good
+	powerLoss          lossKind = iota // restarts with its disk intact
+	diskLoss                           // restarts with an empty disk
+	diskLossAfterAck                   // like diskLoss, right after the node confirmed a change
+	replacement                        // removed permanently; an empty node starts at another address
+	plannedReplacement                 // an empty node starts at another address before the old one stops permanently
 )
 
-// lost tells whether a seat counts as lost.
+// countsAsLost reports whether a seat counts as lost at a given time.
 func (s *seat) countsAsLost(now clock.Tick) bool { return now < s.lostUntil }
 
-// counted are all that may count as lost.
+// allSeats returns the current seats and the permanently stopped nodes, any of which may count as lost.
 func (f *coreFleet) allSeats() []*seat { return append(append([]*seat{}, f.seats...), f.stopped...) }
 
-// mayLose tells whether the tolerance allows that a seat is lost now.
+// mayLose reports whether the failure tolerance permits losing a seat now.
 func (f *coreFleet) mayLose(s *seat, now clock.Tick) bool {
 	count := 1
 	for _, other := range f.allSeats() {
@@ -52,18 +52,18 @@
 	return count <= f.Losses
 }
 
-// freed is when the next loss that is not open-ended stops counting.
+// nextLossEnd returns when the earliest loss with a known end stops counting, at most confirmInterval from now.
 func (f *coreFleet) nextLossEnd(now clock.Tick) clock.Tick {
-	at := now.Add(confirmInterval)
+	end := now.Add(confirmInterval)
 	for _, s := range f.allSeats() {
-		if s.countsAsLost(now) && s.lostUntil < at {
-			at = s.lostUntil
+		if s.countsAsLost(now) && s.lostUntil < end {
+			end = s.lostUntil
 		}
 	}
-	return at
+	return end
 }
 
-// calm tells whether no core node counts as lost.
+// hasNoLosses reports whether no core node counts as lost or is being replaced.
 func (f *coreFleet) hasNoLosses(now clock.Tick) bool {
 	for _, s := range f.allSeats() {
 		if s.countsAsLost(now) || s.replacing {
@@ -73,7 +73,7 @@
 	return true
 }
 
-// losses loses core nodes in every way, as closely after one another as the tolerance allows.
+// injectLosses loses random core nodes in the given ways, in as quick succession as the tolerance permits.
 func (w *World) injectLosses(from, to float64, kinds ...lossKind) {
 	var next func()
 	next = func() {
@@ -95,8 +95,8 @@
 	w.At(sec(from), next)
 }
 
-// replaceInTurn replaces one core node after another for good; the owner is lost soon after each, and
-// another node as soon as the new one counts as there.
+// replaceSequentially replaces one core node after another permanently. The owner is lost soon after each replacement,
+// and another node as soon as the new node no longer counts as lost.
 func (w *World) replaceSequentially(from, to float64) {
 	var next func()
 	next = func() {
@@ -114,32 +114,34 @@
 	w.At(sec(from), next)
 }
 
+// replaceAndLose replaces one core node and loses others around the end of its replacement.
 func (w *World) replaceAndLose() {
-	first := w.core.seats[w.rand.IntN(len(w.core.seats))]
-	w.injectLoss(first, replacement)
-	how := func() lossKind { return []lossKind{powerLoss, diskLoss, replacement}[w.rand.IntN(3)] }
+	replaced := w.core.seats[w.rand.IntN(len(w.core.seats))]
+	w.injectLoss(replaced, replacement)
+	drawKind := func() lossKind { return []lossKind{powerLoss, diskLoss, replacement}[w.rand.IntN(3)] }
 	w.After(clock.Span(w.rand.Int64N(4000e6)), func() {
-		if s := w.ownerSeat(); s != first && w.core.mayLose(s, w.now) {
-			w.injectLoss(s, how())
+		if s := w.ownerSeat(); s != replaced && w.core.mayLose(s, w.now) {
+			w.injectLoss(s, drawKind())
 		}
 	})
-	var third func()
-	third = func() {
-		if first.countsAsLost(w.now) {
-			w.At(min(first.lostUntil, w.now.Add(confirmInterval)), third)
+	var loseAnother func()
+	loseAnother = func() {
+		if replaced.countsAsLost(w.now) {
+			w.At(min(replaced.lostUntil, w.now.Add(confirmInterval)), loseAnother)
 			return
 		}
 		w.After(clock.Span(1e6+w.rand.Int64N(20e6)), func() {
 			s := w.core.seats[w.rand.IntN(len(w.core.seats))]
-			if s != first && !s.countsAsLost(w.now) && w.core.mayLose(s, w.now) {
-				w.injectLoss(s, how())
+			if s != replaced && !s.countsAsLost(w.now) && w.core.mayLose(s, w.now) {
+				w.injectLoss(s, drawKind())
 			}
 		})
 	}
-	third()
+	loseAnother()
 }
 
-// spacing draws the time to the next loss: at once, soon, or while the core is changing its voters.
+// drawLossDelay draws the time until the next loss: almost immediate, short, or long enough to fall into a change of the
+// voter set.
 func (w *World) drawLossDelay() clock.Span {
 	switch w.rand.IntN(3) {
 	case 0:
@@ -150,6 +152,7 @@
 	return clock.Span(w.rand.Int64N(4000e6))
 }
 
+// ownerSeat returns the seat of the duty's owner, or the first seat if no node that is up owns the duty.
 func (w *World) ownerSeat() *seat {
 	for _, s := range w.core.seats {
 		p := w.procs[s.node]
@@ -163,44 +166,44 @@
 	return w.core.seats[0]
 }
 
-// lose loses the core node in a seat.
-func (w *World) injectLoss(s *seat, how lossKind) {
+// injectLoss loses the core node of a seat in the given way.
+func (w *World) injectLoss(s *seat, kind lossKind) {
 	node := s.node
-	again := clock.Span(100e6 + w.rand.Int64N(2900e6))
-	switch how {
+	restartDelay := clock.Span(100e6 + w.rand.Int64N(2900e6))
+	switch kind {
 	case powerLoss:
 		w.killSeatNode(s, "loses its power")
-		w.After(again, func() { w.restartSeatNode(s) })
+		w.After(restartDelay, func() { w.restartSeatNode(s) })
 	case diskLoss:
 		w.killSeatNode(s, "loses its power and its disk")
 		w.Wipe(node)
-		w.After(again, func() { w.restartSeatNode(s) })
+		w.After(restartDelay, func() { w.restartSeatNode(s) })
 	case diskLossAfterAck:
-		w.putNextPlan(node, "before a loss", func(taken bool) {
-			if !taken || s.node != node || s.lostUntil == stillDown || !w.core.mayLose(s, w.now) {
+		w.putNextPlan(node, "before a loss", func(accepted bool) {
+			if !accepted || s.node != node || s.lostUntil == stillDown || !w.core.mayLose(s, w.now) {
 				return
 			}
 			w.killSeatNode(s, "loses its power and its disk right after a confirmation")
 			w.Wipe(node)
-			w.After(again, func() { w.restartSeatNode(s) })
+			w.After(restartDelay, func() { w.restartSeatNode(s) })
 		})
 	case replacement:
 		w.killSeatNode(s, "is gone for good")
 		w.remove(node)
 		w.seatNode(s, w.upSeeds())
-		w.After(400e6+again, func() { w.restartSeatNode(s) })
+		w.After(400e6+restartDelay, func() { w.restartSeatNode(s) })
 	case plannedReplacement:
 		s.replacing = true
 		w.startPlannedReplacement(s)
 	}
 }
 
-// plannedGrace is how long a core node may go on after it is told to stop.
+// stopGracePeriod is the time between a stop request to a core node and the removal of its process.
 const stopGracePeriod = clock.Span(2e9)
 
-// replaceAsPlanned starts a new node for a seat, and stops the old one after a while. The old one counts as
-// lost from the stop on, until the core has had its time to converge; the new one may have taken the place
-// of another by then, and is lost by itself.
+// startPlannedReplacement starts a new node for a seat and stops the old one after a delay. The old node counts as lost
+// from its stop until the convergence time has passed. The new node counts as lost separately, because it may have
+// replaced another voter by then.
 func (w *World) startPlannedReplacement(s *seat) {
 	old, next := s.node, &seat{zone: s.zone}
 	w.seatNode(next, w.upSeeds())
@@ -209,13 +212,14 @@
 	w.After(clock.Span(500e6+w.rand.Int64N(4500e6)), func() { w.stopReplacedNode(s, old, next.node) })
 }
 
+// stopReplacedNode stops a replaced node permanently as soon as the tolerance permits.
 func (w *World) stopReplacedNode(s *seat, old, next string) {
 	if s.lostUntil == stillDown || !w.core.mayLose(s, w.now) {
 		w.After(confirmInterval, func() { w.stopReplacedNode(s, old, next) })
 		return
 	}
-	gone := &seat{node: old, zone: s.zone, lostUntil: stillDown}
-	w.core.stopped = append(w.core.stopped, gone)
+	stopped := &seat{node: old, zone: s.zone, lostUntil: stillDown}
+	w.core.stopped = append(w.core.stopped, stopped)
 	p := w.procs[old]
 	w.tracef("%s is stopped for good", old)
 	w.step(p, p.life, protocol.Stop{})
@@ -223,7 +227,7 @@
 		w.remove(old)
 		s.node, s.replacing = next, false
 		s.lostUntil = w.core.started[next].Add(convergence)
-		gone.lostUntil = w.now.Add(convergence)
+		stopped.lostUntil = w.now.Add(convergence)
 		w.After(convergence, func() {
 			if s.node == next && w.procs[next].up {
 				w.Check.checkAdmitted(next)
@@ -232,13 +236,15 @@
 	})
 }
 
-func (w *World) killSeatNode(s *seat, how string) {
-	w.tracef("%s %s", s.node, how)
+// killSeatNode kills the node of a seat, which counts as lost until the node is restarted.
+func (w *World) killSeatNode(s *seat, event string) {
+	w.tracef("%s %s", s.node, event)
 	s.lostUntil = stillDown
 	w.Kill(s.node)
 }
 
-// returns starts the node of a seat, which counts as there after a while. A new one must be a voter by then.
+// restartSeatNode starts the node of a seat, which stops counting as lost after the convergence time. The node must be a
+// voter by then.
 func (w *World) restartSeatNode(s *seat) {
 	node := s.node
 	w.Start(node)
@@ -250,10 +256,8 @@
 	})
 }
 
-// Operators of these scenes.
-
-// putNext reads the plan at a node, and hands over another that goes on it.
-func (w *World) putNextPlan(node, name string, then func(taken bool)) {
+// putNextPlan reads the plan at a node and submits a new plan on top of that version.
+func (w *World) putNextPlan(node, name string, then func(accepted bool)) {
 	w.Read(node, func(r controller.Receipt) {
 		if r.Kind != failure.None {
 			then(false)
@@ -266,7 +270,7 @@
 	})
 }
 
-// operate has an operator change the plan every while, at any node that is up.
+// changePlanPeriodically has an operator change the plan at random intervals of gap on average, at any node that is up.
 func (w *World) changePlanPeriodically(from, to float64, gap clock.Span) {
 	var next func()
 	next = func() {
@@ -279,37 +283,35 @@
 	w.At(sec(from), next)
 }
 
-// expectConfirmed expects that a change is confirmed soon after the last loss is over.
+// expectChangeConfirmed checks that a change is confirmed within confirmTimeout after the last loss has ended.
 func (w *World) expectChangeConfirmed() {
 	if !w.core.hasNoLosses(w.now) {
 		w.After(confirmInterval, w.expectChangeConfirmed)
 		return
 	}
-	began, confirmed := w.now, false
+	start, confirmed := w.now, false
 	w.After(confirmTimeout, func() {
 		if !confirmed {
-			w.Check.bad("no change is confirmed %v after the last loss of a core node: %s", confirmTimeout, w.describeVoterSets())
+			w.Check.bad("no change was confirmed within %v after the last loss of a core node: %s", confirmTimeout, w.describeVoterSets())
 		}
 	})
 	var try func()
 	try = func() {
-		if confirmed || w.now.Sub(began) > confirmTimeout {
+		if confirmed || w.now.Sub(start) > confirmTimeout {
 			return
 		}
-		w.putNextPlan(w.someUp(), "calm", func(taken bool) { confirmed = confirmed || taken })
+		w.putNextPlan(w.someUp(), "calm", func(accepted bool) { confirmed = confirmed || accepted })
 		w.After(confirmInterval, try)
 	}
 	try()
 }
 
-// Checkers.
-
-// admitted expects that a node that counts as there is a voter, or that the voter set is whole without it:
-// another new node may have taken the place that was free.
+// checkAdmitted checks that a started node is a voter, or that the voter set is complete without it: another new node may
+// have taken the free place.
 func (k *Checker) checkAdmitted(node string) {
 	w := k.w
 	if w.hasSpareNodes() {
-		return // more nodes than voters: it need not be one
+		return // more nodes than voters: the node need not be one of them
 	}
 	for _, p := range w.controllers() {
 		voters, prior := w.voterSets(p)
@@ -317,13 +319,14 @@
 			return
 		}
 		if w.isCompleteVoterSet(voters) && (len(prior) == 0 || w.isCompleteVoterSet(prior)) {
-			return // it may be joint for another that came back empty
+			return // the set may be joint because of another node that came back empty
 		}
 	}
 	k.bad("%s is no full voter %v after its start: %s", node, convergence, w.describeVoterSets())
 }
 
-// whole tells whether a voter set has all its seats, and none of a node that is long gone for good.
+// isCompleteVoterSet reports whether a voter set has all its members, and none that was permanently removed longer than the
+// convergence time ago.
 func (w *World) isCompleteVoterSet(voters []protocol.Voter) bool {
 	for _, v := range voters {
 		if at, gone := w.core.removed[string(v.ID)]; gone && w.now.Sub(at) > convergence {
@@ -333,11 +336,12 @@
 	return len(voters) == 2*w.core.Losses+1
 }
 
-// spares tells whether there are more core nodes than voters.
+// hasSpareNodes reports whether there are more core nodes than voters.
 func (w *World) hasSpareNodes() bool { return w.core.Nodes > 2*w.core.Losses+1 }
 
-func containsVoter(l []protocol.Voter, node string) bool {
-	for _, v := range l {
+// containsVoter reports whether a node is in a list of voters.
+func containsVoter(voters []protocol.Voter, node string) bool {
+	for _, v := range voters {
 		if v.ID == ident.Node(node) {
 			return true
 		}
@@ -345,25 +349,25 @@
 	return false
 }
 
-// watchVoters expects, once the core has grown, that a voter set is left soon after the last change among
-// the core nodes.
+// watchJointState checks from a given time on, when the core has grown to its full size, that no joint voter set remains
+// longer than the convergence time after the last change among the core nodes.
 func (w *World) watchJointState(from float64) {
-	told := clock.Tick(-1)
-	var look func()
-	look = func() {
+	reported := clock.Tick(-1)
+	var check func()
+	check = func() {
 		f := w.core
-		if w.now.Sub(f.changed) > convergence && f.hasNoLosses(w.now) && told != f.changed {
+		if w.now.Sub(f.changed) > convergence && f.hasNoLosses(w.now) && reported != f.changed {
 			if n := w.findJointVoter(); n != "" {
-				told = f.changed
+				reported = f.changed
 				w.Check.bad("the voter set is still in a joint state at %s, %v after the last change: %s", n, w.now.Sub(f.changed), w.describeVoterSets())
 			}
 		}
-		w.After(jointCheckInterval, look)
+		w.After(jointCheckInterval, check)
 	}
-	w.At(sec(from), look)
+	w.At(sec(from), check)
 }
 
-// jointAt names a voter that knows a set that is still being left.
+// findJointVoter returns the name of a voter that still knows a joint voter set, or the empty string.
 func (w *World) findJointVoter() string {
 	for _, p := range w.controllers() {
 		if voters, prior := w.voterSets(p); len(prior) > 0 && containsVoter(voters, p.name) {
@@ -373,11 +377,11 @@
 	return ""
 }
 
-// describeCore tells, of each node that is up, which voters it knows; those that are down are marked.
+// describeVoterSets describes which voter sets the running nodes know, and marks voters that are down or removed.
 func (w *World) describeVoterSets() string {
-	mark := func(l []protocol.Voter) string {
+	format := func(voters []protocol.Voter) string {
 		var names []string
-		for _, v := range l {
+		for _, v := range voters {
 			name := strings.TrimPrefix(string(v.ID), "controller-")
 			if p := w.procs[string(v.ID)]; p == nil {
 				name += "(gone)"
@@ -391,15 +395,15 @@
 	known := map[string]int{}
 	for _, p := range w.controllers() {
 		voters, prior := w.voterSets(p)
-		text := "voters " + mark(voters)
+		text := "voters " + format(voters)
 		if len(prior) > 0 {
-			text += " beside " + mark(prior)
+			text += ", prior voters " + format(prior)
 		}
 		known[text]++
 	}
-	var l []string
+	var descriptions []string
 	for _, text := range generic.SortedKeys(known) {
-		l = append(l, fmt.Sprintf("%d know %s", known[text], text))
+		descriptions = append(descriptions, fmt.Sprintf("%d know %s", known[text], text))
 	}
-	return strings.Join(l, ", ")
+	return strings.Join(descriptions, ", ")
 }
--- a/internal/simulator/narrow_scenes.go
+++ b/internal/simulator/narrow_scenes.go
@@ -9,26 +9,26 @@
 	"tidedeck/internal/fleetplan"
 )
 
-// narrowed sets a world of announced servers up in which a configuration takes a while: links are narrow, and processes
-// are slow to read it.
-func limitedOptions(n Narrow, more func(h *Hosted)) func(o *Options) {
+// limitedOptions sets up a world of announced servers in which configurations are large, bandwidth is limited, and
+// processes parse configurations slowly.
+func limitedOptions(limits Narrow, adjust func(h *Hosted)) func(o *Options) {
 	return func(o *Options) {
-		hosted(more)(o)
-		o.Narrow = &n
+		hosted(adjust)(o)
+		o.Narrow = &limits
 		o.Plan = largePlan(o.Seed)
 	}
 }
 
 const (
-	routerBandwidth = 10e6 / 8 // bytes a second; scenes of late routers take half of it
+	routerBandwidth = 10e6 / 8 // bytes per second; scenes with lagging routers use half of it
 	coreBandwidth   = 1000e6 / 8
 	extraRoutes     = 1400
 )
 
-// largePlan is hostedPlan with many routes more, whose names do not repeat each other.
+// largePlan is hostedPlan with extraRoutes more routes, whose random names hardly compress.
 func largePlan(seed uint64) []byte { return enlargePlan(hostedPlan(), seed) }
 
-// enlarged is a plan with many routes more.
+// enlargePlan adds extraRoutes routes with random names to a plan.
 func enlargePlan(plan []byte, seed uint64) []byte {
 	var s sheet
 	if err := json.Unmarshal(plan, &s); err != nil {
@@ -46,7 +46,8 @@
 	return raw
 }
 
-// changes has an operator send one change after another, each on the newest version. They differ in the plan's name.
+// putChanges has an operator send changes at a fixed interval, each based on the newest known version. The changes differ
+// in the plan's name.
 func (w *World) putChanges(from, to, gap float64) {
 	n := 0
 	for t := from; t < to; t += gap {
@@ -58,35 +59,35 @@
 	}
 }
 
-// loseOwner kills the owner, freezes it, or cuts it off, for a while.
-func (w *World) disruptOwner(span clock.Span) {
+// disruptOwner kills, freezes or cuts off the owner for the given duration.
+func (w *World) disruptOwner(duration clock.Span) {
 	switch o := w.owner(); w.rand.IntN(3) {
 	case 0:
-		w.Restart(o, span)
+		w.Restart(o, duration)
 	case 1:
-		w.Freeze(o, span)
+		w.Freeze(o, duration)
 	case 2:
 		w.Part(map[string]bool{o: true})
-		w.After(span, w.Heal)
+		w.After(duration, w.Heal)
 	}
 }
 
-// narrowScenes are those in which a configuration takes a while to reach routers, and to be taken in.
+// narrowScenes are scenes in which configurations take long to reach routers and to be parsed there.
 var narrowScenes = []Scene{
-	{Name: "narrow-changes", About: "large configurations follow each other faster than routers take them in; nothing fails", Duration: 60e9, MinAnswered: 0.9,
+	{Name: "narrow-changes", About: "large configurations follow each other faster than routers apply them; nothing fails", Duration: 60e9, MinAnswered: 0.9,
 		Configure: limitedOptions(Narrow{RouterBandwidth: routerBandwidth / 2, CoreBandwidth: coreBandwidth, RouterParseTime: 350e6}, nil),
 		Script: func(w *World) {
 			w.putChanges(10, 18, 0.3)
 			w.putChanges(28, 36, 0.12)
 		}},
-	{Name: "narrow-leave", About: "the same, while servers leave", Duration: 60e9, MinAnswered: 0.85,
+	{Name: "narrow-leave", About: "like narrow-changes, while servers leave", Duration: 60e9, MinAnswered: 0.85,
 		Configure: limitedOptions(Narrow{RouterBandwidth: routerBandwidth / 2, CoreBandwidth: coreBandwidth, RouterParseTime: 350e6}, nil),
 		Script: func(w *World) {
 			w.withdrawServers(10, 44, 2)
 			w.putChanges(10, 18, 0.3)
 			w.putChanges(28, 36, 0.12)
 		}},
-	{Name: "narrow-owner", About: "the same, and the owner is killed, frozen and cut off", Duration: 70e9, MinAnswered: 0.7,
+	{Name: "narrow-owner", About: "like narrow-leave, and the owner is killed, frozen and cut off", Duration: 70e9, MinAnswered: 0.7,
 		Configure: limitedOptions(Narrow{RouterBandwidth: routerBandwidth / 2, CoreBandwidth: coreBandwidth, RouterParseTime: 250e6}, nil),
 		Script: func(w *World) {
 			w.withdrawServers(14, 44, 4)
--- a/internal/simulator/narrow_test.go
+++ b/internal/simulator/narrow_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// playClean plays scenes at some seeds, and fails at whatever a checker saw.
+// requireCleanRuns runs scenes with the seeds from 1 on and fails on any violation that a checker reports.
 func requireCleanRuns(t *testing.T, scenes []Scene, seeds uint64) {
 	if testing.Short() {
 		t.Skip("runs without the race detector")
@@ -23,17 +23,18 @@
 	}
 }
 
-// A router that is late with a configuration, but in touch, sends nothing by an older one: its links are narrow, its
-// process is slow, and the configurations are large and come fast. Nothing fails in narrow-changes.
+// A router that is connected but lags behind with a configuration sends nothing under an older one. It lags because its
+// bandwidth is limited, its process is slow, and large configurations follow each other quickly. Nothing fails in
+// narrow-changes.
 func TestLateRouters(t *testing.T) { requireCleanRuns(t, narrowScenes, 4) }
 
-// Core nodes that are late themselves are not taken for core nodes that cannot be reached: a router in touch sends nothing
-// by a configuration older than one acknowledged applyMs before, whatever the router itself believes.
+// Core nodes that lag behind are not treated as unreachable: a connected router sends nothing under a configuration older
+// than one acknowledged applyMs before, whatever the router itself assumes.
 func TestSlowCore(t *testing.T) { requireCleanRuns(t, slowCoreScenes, 6) }
 
 func init() { bites = append(bites, narrowMutations...) }
 
-// Guards of a router's leases where a configuration takes a while to arrive.
+// narrowMutations disable guards of a router's leases where configurations arrive late.
 var narrowMutations = []bite{
 	{"narrow: a lease counts from what is lacked", "narrow-changes", "routes under epoch", []edit{
 		{"internal/controller/rollout.go", "return v.since, true", "return c.now, true"}}},
--- a/internal/simulator/partitions.go
+++ b/internal/simulator/partitions.go
@@ -4,33 +4,34 @@
 	"tidedeck/internal/clock"
 )
 
-// partition is how a core node is cut off from the other core nodes.
+// partitionKind is the direction in which a core node is cut off from the other core nodes.
 type partitionKind int
 
 const (
-	partitionBoth     partitionKind = iota // nothing gets in or out
-	partitionInbound                       // what it says gets out
-	partitionOutbound                      // what others say gets in
+	partitionBoth     partitionKind = iota // no messages in either direction
+	partitionInbound                       // outgoing messages still pass
+	partitionOutbound                      // incoming messages still pass
 	partitionKindCount
 )
 
-// partNode cuts a core node off; operators still reach it, and so do routers and servers now and then.
-func (w *World) partitionNode(node string, how partitionKind) {
-	alone := w.rand.IntN(2) == 0
+// partitionNode cuts a core node off from the other core nodes, and in half of the cases from all other machines too.
+// Operators still reach the node.
+func (w *World) partitionNode(node string, kind partitionKind) {
+	fromAll := w.rand.IntN(2) == 0
 	for _, b := range w.boxes() {
-		if b == node || !isCore(b) && !alone {
+		if b == node || !isCore(b) && !fromAll {
 			continue
 		}
-		if how != partitionOutbound {
+		if kind != partitionOutbound {
 			w.Cut(b, node, false)
 		}
-		if how != partitionInbound {
+		if kind != partitionInbound {
 			w.Cut(node, b, false)
 		}
 	}
 }
 
-// playParted cuts off the owner or a seed, again and again, while changes are taken elsewhere.
+// runPartitions repeatedly cuts off the owner or a seed while changes are accepted elsewhere.
 func (w *World) runPartitions(until float64) {
 	w.tracef("deployment: %s", w.core)
 	var round func()
@@ -49,42 +50,43 @@
 	w.At(sec(12), round)
 }
 
-// partOne cuts one node off for a while; processes are restarted on either side, as far as the tolerance
-// allows, and operators call the parted node all the while.
+// partitionOneNode cuts one node off for 14 to 25 s. Processes are restarted on both sides as far as the tolerance
+// permits, and operators call the isolated node throughout.
 func (w *World) partitionOneNode() {
-	parted := w.ownerSeat()
+	isolated := w.ownerSeat()
 	if w.rand.IntN(2) == 0 {
-		parted = w.core.seats[w.rand.IntN(formingSeats)]
+		isolated = w.core.seats[w.rand.IntN(formingSeats)]
 	}
-	long := clock.Span(14e9 + w.rand.Int64N(11e9))
-	node := parted.node
-	parted.lostUntil = stillDown
+	duration := clock.Span(14e9 + w.rand.Int64N(11e9))
+	node := isolated.node
+	isolated.lostUntil = stillDown
 	w.partitionNode(node, partitionKind(w.rand.IntN(int(partitionKindCount))))
-	w.callRepeatedly(node, long+convergence, true)
-	begin := float64(w.now) / 1e9
-	w.changePlanPeriodically(begin, begin+float64(long)/1e9, 1e9)
-	w.restartDuringPartition(parted, w.now.Add(long-5e9))
-	w.After(long, func() {
+	w.callRepeatedly(node, duration+convergence, true)
+	start := float64(w.now) / 1e9
+	w.changePlanPeriodically(start, start+float64(duration)/1e9, 1e9)
+	w.restartDuringPartition(isolated, w.now.Add(duration-5e9))
+	w.After(duration, func() {
 		w.Heal()
 		w.coreStarted(node)
-		parted.lostUntil = w.now.Add(convergence)
+		isolated.lostUntil = w.now.Add(convergence)
 		w.After(convergence, func() { w.Check.checkReplica(node) })
 	})
 }
 
-// restartsMeanwhile restarts, wipes and replaces nodes until a moment.
-func (w *World) restartDuringPartition(parted *seat, until clock.Tick) {
+// restartDuringPartition restarts, wipes and replaces random nodes until the given time; the isolated node is only
+// restarted.
+func (w *World) restartDuringPartition(isolated *seat, until clock.Tick) {
 	w.After(clock.Span(1e9+w.rand.Int64N(3e9)), func() {
 		if w.now > until {
 			return
 		}
 		s := w.core.seats[w.rand.IntN(len(w.core.seats))]
 		switch {
-		case s == parted:
+		case s == isolated:
 			w.Restart(s.node, clock.Span(w.rand.Int64N(500e6)))
 		case s.lostUntil != stillDown && w.core.mayLose(s, w.now):
 			w.injectLoss(s, []lossKind{powerLoss, diskLoss, replacement}[w.rand.IntN(3)])
 		}
-		w.restartDuringPartition(parted, until)
+		w.restartDuringPartition(isolated, until)
 	})
 }
--- a/internal/simulator/resource_limits.go
+++ b/internal/simulator/resource_limits.go
@@ -6,31 +6,32 @@
 	"tidedeck/internal/router"
 )
 
-// Narrow bounds what machines can do in a second: what their links carry, and how long a process is busy with a
-// configuration. Without it a message takes the same time whatever its size, and a process none at all.
+// Narrow limits the bandwidth of links between machines and the speed at which processes parse configurations. Without
+// limits, transmission takes the same time for every message size, and processing takes no time.
 type Narrow struct {
-	RouterBandwidth float64    // bytes that a router's link carries in a second, each way
-	CoreBandwidth   float64    // and a core node's
-	RouterParseTime clock.Span // that a router's process is busy with each configuration it takes in
+	RouterBandwidth float64    // bandwidth of a router's link in bytes per second, in each direction
+	CoreBandwidth   float64    // bandwidth of a core node's link, likewise
+	RouterParseTime clock.Span // processing time of a router per configuration applied
 
-	CoreParseTime clock.Span // that a core node's process is busy with each message that carries a configuration
+	CoreParseTime clock.Span // processing time of a core node per message that carries a configuration
 }
 
-// smallMessage is what a message without a configuration counts for on a link, with its headers.
+// baseMessageSize is the assumed size in bytes of a message without a configuration, including headers.
 const baseMessageSize = 400
 
-// carried gives how long a message waits for the links between two machines, and takes its turn on them.
+// transmissionDelay reserves time on the links between two machines for a message, and returns the resulting transmission delay.
 func (w *World) carried(from, to *proc, e protocol.Env) clock.Span {
 	n := w.o.Narrow
 	if n == nil {
 		return 0
 	}
 	size := w.messageSize(e)
-	done := w.reserveLink("from "+from.box, w.now, size/n.bandwidth(from))
-	done = w.reserveLink("to "+to.box, done, size/n.bandwidth(to))
-	return done.Sub(w.now)
+	end := w.reserveLink("from "+from.box, w.now, size/n.bandwidth(from))
+	end = w.reserveLink("to "+to.box, end, size/n.bandwidth(to))
+	return end.Sub(w.now)
 }
 
+// bandwidth returns the bandwidth of a process's machine in bytes per second.
 func (n *Narrow) bandwidth(p *proc) float64 {
 	if isCore(p.box) {
 		return n.CoreBandwidth
@@ -38,24 +39,24 @@
 	return n.RouterBandwidth
 }
 
-// occupy takes a turn of so many seconds on a link, after those that came before.
-func (w *World) reserveLink(link string, from clock.Tick, seconds float64) clock.Tick {
-	end := max(from, w.links[link]).Add(clock.Span(seconds * 1e9))
+// reserveLink reserves a number of seconds on a link, after all earlier reservations, and returns their end.
+func (w *World) reserveLink(link string, earliest clock.Tick, seconds float64) clock.Tick {
+	end := max(earliest, w.links[link]).Add(clock.Span(seconds * 1e9))
 	w.links[link] = end
 	return end
 }
 
-// sizeOf gives the bytes of a message. Only what carries a configuration is large.
+// messageSize returns the size of a message in bytes: the base size and the size of any configurations in it.
 func (w *World) messageSize(e protocol.Env) float64 {
 	size := float64(baseMessageSize)
 	if news, ok := e.Body.(protocol.News); ok {
 		for _, i := range news.Items {
 			if i.Desired != nil {
-				packed, err := i.MarshalJSON()
+				encoded, err := i.MarshalJSON()
 				if err != nil {
-					panic(err) // only our own plain types come here
+					panic(err) // items hold only types of this module that always encode
 				}
-				size += float64(len(packed))
+				size += float64(len(encoded))
 			}
 		}
 	}
@@ -65,7 +66,7 @@
 	return size
 }
 
-// carriedValue gives the configuration that a message between core nodes carries, if it does.
+// configurationIn returns the configuration that a message between core nodes carries, or nil.
 func configurationIn(body any) *protocol.Desired {
 	switch b := body.(type) {
 	case protocol.Accept:
@@ -78,7 +79,8 @@
 	return nil
 }
 
-// keepBusy keeps a process busy with the configurations that a message brought. A router's agent shares its process.
+// chargeParseTime marks a process as busy for the time that it takes to parse the configurations in an input. A router and its
+// agent share one process.
 func (w *World) keepBusy(p *proc, in any) {
 	n := w.o.Narrow
 	if n == nil {
--- a/internal/simulator/scenes.go
+++ b/internal/simulator/scenes.go
@@ -16,19 +16,19 @@
 	"tidedeck/internal/standin"
 )
 
-// Scene is one way for things to fail.
+// Scene is a scripted run of a simulated deployment with a set of failures.
 type Scene struct {
 	Name        string
 	About       string
 	Duration    clock.Span
-	RequestRate float64 // requests a second
-	MinAnswered float64 // of the proper requests, answered at the least
-	NoAborts    bool    // nothing may be cut or unclear: every change in it is planned
+	RequestRate float64 // requests per second, 60 if zero
+	MinAnswered float64 // minimum share of valid requests that must be answered
+	NoAborts    bool    // no answer may be cut off or unclear, because all events in the scene are planned
 	Configure   func(o *Options)
 	Script      func(w *World)
 }
 
-// Run runs a scene from a seed.
+// Run runs the scene and returns the world at its end with the statistics of the run.
 func (s Scene) Run(o Options) (*World, Seen) {
 	if s.Configure != nil {
 		s.Configure(&o)
@@ -44,20 +44,20 @@
 	s.Script(w)
 	w.Run(s.Duration)
 	seen := w.Check.Finish()
-	proper := seen.Asked
+	valid := seen.Asked
 	for _, k := range denials {
-		proper -= seen.Kinds[string(k)] // whether these were rightly turned away is checked one by one
+		valid -= seen.Kinds[string(k)] // the checker verifies each denial separately
 	}
-	if a := float64(seen.Answered); a < s.MinAnswered*float64(proper) {
-		w.Check.bad("only %d of %d proper requests were answered", seen.Answered, proper)
+	if answered := float64(seen.Answered); answered < s.MinAnswered*float64(valid) {
+		w.Check.bad("only %d of %d proper requests were answered", seen.Answered, valid)
 	}
 	if s.NoAborts && seen.Cut+seen.Unclear > 0 {
-		w.Check.bad("%d answers were cut or unclear though all that happened was planned", seen.Cut+seen.Unclear)
+		w.Check.bad("%d answers were cut off or unclear although all events were planned", seen.Cut+seen.Unclear)
 	}
 	return w, seen
 }
 
-// first hands over the first plan, again and again until it is taken.
+// putFirstPlan submits the first plan and retries until it is accepted.
 func (w *World) putFirstPlan(raw []byte) {
 	then := func(r controller.Receipt) {
 		if r.Kind != failure.None {
@@ -71,29 +71,30 @@
 	w.PutPlan("controller-2", raw, 0, true, then)
 }
 
-// Traffic asks at a rate from a moment to another.
+// GenerateTraffic sends requests at an average rate from one time to another.
 func (w *World) GenerateTraffic(from, to clock.Span, rate float64, next func() standin.Ask) {
 	gap := clock.Span(1e9 / rate)
-	var one func()
-	one = func() {
+	var send func()
+	send = func() {
 		if w.now >= clock.Tick(to) {
 			return
 		}
 		w.Ask(next(), false)
-		w.After(gap/2+clock.Span(w.rand.Int64N(int64(gap))), one)
+		w.After(gap/2+clock.Span(w.rand.Int64N(int64(gap))), send)
 	}
-	w.At(clock.Tick(from), one)
+	w.At(clock.Tick(from), send)
 }
 
-// Named gives the plan another name, so that the routers' plans can be told apart.
-func WithName(raw []byte, name string, more func(m map[string]any)) []byte {
+// WithName returns a plan under another name, so that the checkers can distinguish plans. A non-nil edit changes the plan
+// further.
+func WithName(raw []byte, name string, edit func(m map[string]any)) []byte {
 	var m map[string]any
 	if err := json.Unmarshal(raw, &m); err != nil {
 		panic(err)
 	}
 	m["name"] = name
-	if more != nil {
-		more(m)
+	if edit != nil {
+		edit(m)
 	}
 	b, err := json.Marshal(m)
 	if err != nil {
@@ -102,48 +103,51 @@
 	return b
 }
 
-// without makes a plan lose a model, its adapters, and what they leave empty.
+// withoutModel returns an edit of a plan that removes a model, its adapters, and their entries in the services.
 func withoutModel(base string) func(m map[string]any) {
 	return func(m map[string]any) {
-		gone := map[any]bool{base: true}
+		removed := map[any]bool{base: true}
 		delete(m["models"].(map[string]any), base)
-		ad := m["adapters"].(map[string]any)
-		for a, v := range ad {
+		adapters := m["adapters"].(map[string]any)
+		for a, v := range adapters {
 			if v.(map[string]any)["base"] == base {
-				gone[a] = true
-				delete(ad, a)
+				removed[a] = true
+				delete(adapters, a)
 			}
 		}
 		for _, v := range m["services"].(map[string]any) {
 			s := v.(map[string]any)
 			for _, f := range []string{"models", "adapters"} {
-				var l []any
+				var kept []any
 				for _, x := range s[f].([]any) {
-					if !gone[x] {
-						l = append(l, x)
+					if !removed[x] {
+						kept = append(kept, x)
 					}
 				}
-				s[f] = l
+				s[f] = kept
 			}
 		}
 	}
 }
 
-// dawn is the wall time at which a world begins.
+// simulationStart is the wall-clock time at which a simulation starts.
 var dawn = time.Date(2026, 3, 1, 4, 0, 0, 0, time.UTC)
 
+// atSecond converts seconds since the start of the simulation to a tick.
 func sec(n float64) clock.Tick { return clock.Tick(n * 1e9) }
 
+// randomNode returns a random process whose name has the given prefix.
 func (w *World) some(prefix string) string {
-	var l []string
+	var names []string
 	for _, n := range w.order {
 		if strings.HasPrefix(n, prefix) {
-			l = append(l, n)
+			names = append(names, n)
 		}
 	}
-	return l[w.rand.IntN(len(l))]
+	return names[w.rand.IntN(len(names))]
 }
 
+// owner returns the name of the duty's owner, or controller-1 if no core node owns the duty.
 func (w *World) owner() string {
 	for _, p := range w.controllers() {
 		if _, ok := p.core.(*controller.Core).Owns(p.tick(w.now)); ok {
@@ -153,7 +157,7 @@
 	return "controller-1"
 }
 
-// mark changes a server's state at the platform.
+// setServerState changes a server's state at the platform.
 func (w *World) setServerState(s, state string) {
 	w.plat.Mark(ident.Server(s), state)
 	w.tracef("platform: %s is %s", s, state)
@@ -164,14 +168,14 @@
 	}
 }
 
-// crash kills a server and starts it, empty, a while later.
-func (w *World) crashServer(s string, after clock.Span) {
+// crashServer kills a server and restarts it empty after a delay.
+func (w *World) crashServer(s string, delay clock.Span) {
 	w.Kill(s)
 	w.Check.Fault(s)
-	w.After(after, func() { w.Start(s); w.Check.Mend(s) })
+	w.After(delay, func() { w.Start(s); w.Check.Mend(s) })
 }
 
-// wear makes servers fail in every way, one after another.
+// failServers makes a random server crash, freeze, restart quickly or leave every 4 s.
 func (w *World) failServers(from, to float64) {
 	for t := from; t < to; t += 4 {
 		w.At(sec(t), func() {
@@ -198,18 +202,19 @@
 	}
 }
 
-// churn changes what is asked for, so that keys must move: rare ones come in turns.
+// shiftDemand sends requests for three rare models, and other ones every 4 s, so that keys must be moved.
 func (w *World) shiftDemand(from, to float64, rate float64) {
 	m := standin.NewMix(w.plan, w.o.Seed+7)
 	for t := from; t < to; t += 4 {
-		a := []standin.Ask{m.Rare(), m.Rare(), m.Rare()}
-		w.GenerateTraffic(clock.Span(t*1e9), clock.Span((t+4)*1e9), rate, func() standin.Ask { return m.Of(a[w.rand.IntN(len(a))]) })
+		rare := []standin.Ask{m.Rare(), m.Rare(), m.Rare()}
+		w.GenerateTraffic(clock.Span(t*1e9), clock.Span((t+4)*1e9), rate, func() standin.Ask { return m.Of(rare[w.rand.IntN(len(rare))]) })
 	}
 }
 
+// smallServers gives servers so little room that keys must be unloaded often.
 func smallServers(o *Options) { o.Room = 44 }
 
-// plans hands over a plan every while, each under a name of its own.
+// putPlans submits a plan with a new name at a fixed interval, and reads the plan in between.
 func (w *World) putPlans(from, to, gap float64) {
 	n := 0
 	for t := from; t < to; t += gap {
@@ -220,12 +225,12 @@
 	}
 }
 
-// Scenes is every scene, by name.
+// Scenes lists all scenes.
 var Scenes = []Scene{
 	{Name: "calm", About: "nothing fails", Duration: 40e9, MinAnswered: 0.995, NoAborts: true, Script: func(w *World) {}},
-	{Name: "moves", About: "rare models come in turns on tight servers, so that keys are unloaded all the time", Duration: 70e9, MinAnswered: 0.98, NoAborts: true, Configure: smallServers,
+	{Name: "moves", About: "rare models are requested in turn on servers with little room, so that keys are constantly unloaded", Duration: 70e9, MinAnswered: 0.98, NoAborts: true, Configure: smallServers,
 		Script: func(w *World) { w.shiftDemand(8, 56, 20) }},
-	{Name: "moves-cut", About: "the same, while routers are frozen and cut off with stale holds and messages get lost", Duration: 80e9, MinAnswered: 0.97,
+	{Name: "moves-cut", About: "like moves, while routers are frozen and cut off with stale leases and messages get lost", Duration: 80e9, MinAnswered: 0.97,
 		Configure: func(o *Options) { smallServers(o); o.Loss, o.Twice = 0.02, 0.02 },
 		Script: func(w *World) {
 			w.shiftDemand(8, 60, 20)
@@ -271,9 +276,9 @@
 				})
 			}
 		}},
-	{Name: "servers", About: "servers crash, go dark, restart empty, are withdrawn at little notice", Duration: 80e9, MinAnswered: 0.96,
+	{Name: "servers", About: "servers crash, stop responding, restart empty, and are withdrawn at short notice", Duration: 80e9, MinAnswered: 0.96,
 		Script: func(w *World) { w.failServers(10, 60) }},
-	{Name: "servers-cut", About: "the same, while routers are cut off from the core and frozen, and the owner dies", Duration: 80e9, MinAnswered: 0.95,
+	{Name: "servers-cut", About: "like servers, while routers are cut off from the core and frozen, and the owner is killed", Duration: 80e9, MinAnswered: 0.95,
 		Configure: func(o *Options) { o.Loss, o.Twice = 0.01, 0.01 },
 		Script: func(w *World) {
 			w.failServers(10, 60)
@@ -298,7 +303,7 @@
 		}},
 	{Name: "roll", About: "servers are replaced one by one, each drained first", Duration: 110e9, MinAnswered: 0.995, NoAborts: true,
 		Script: (*World).replaceServers},
-	{Name: "roll-core", About: "core nodes and agents are restarted one by one, as planned, while keys move and plans come", Duration: 80e9, MinAnswered: 0.99, NoAborts: true, Configure: smallServers,
+	{Name: "roll-core", About: "core nodes and agents are restarted one by one, as planned, while keys move and plans change", Duration: 80e9, MinAnswered: 0.99, NoAborts: true, Configure: smallServers,
 		Script: func(w *World) {
 			w.shiftDemand(8, 60, 15)
 			w.putPlans(9, 66, 4)
@@ -309,7 +314,7 @@
 				w.At(sec(t+3), func() { w.Restart(fmt.Sprintf("agent-%d", 1+i%w.o.Routers), 200e6) })
 			}
 		}},
-	{Name: "routers", About: "routers, agents and core nodes are killed, singly", Duration: 70e9, MinAnswered: 0.95,
+	{Name: "routers", About: "single routers, agents and core nodes are killed and restarted", Duration: 70e9, MinAnswered: 0.95,
 		Script: func(w *World) {
 			w.putPlans(9, 56, 5)
 			for t := 10.0; t < 55; t += 2 {
@@ -318,7 +323,7 @@
 				})
 			}
 		}},
-	{Name: "plans", About: "plans come quickly, two operators race, replies get lost, messages come late and twice", Duration: 70e9, MinAnswered: 0.99, NoAborts: true,
+	{Name: "plans", About: "plans change quickly, two operators submit plans concurrently, replies get lost, messages arrive late and duplicated", Duration: 70e9, MinAnswered: 0.99, NoAborts: true,
 		Configure: func(o *Options) { o.Loss, o.Twice = 0.03, 0.05 },
 		Script: func(w *World) {
 			w.At(sec(8), func() { w.ReplyLoss = 0.1 }) // the first plan is in force before traffic begins
@@ -337,7 +342,7 @@
 				})
 				w.At(sec(t+1.5), func() { w.Read(w.some("controller-"), nil) })
 			}
-			// Some callers ask for what the plan never allowed.
+			// Some requests are for routes, adapters or kinds that the plan never allows.
 			m := standin.NewMix(w.plan, w.o.Seed+5)
 			w.GenerateTraffic(9e9, 55e9, 1, func() standin.Ask {
 				a := m.Next()
@@ -352,22 +357,22 @@
 				return a
 			})
 		}},
-	{Name: "grow", About: "the plan grows by many routes and loses a service again, while routers are frozen and cut off", Duration: 70e9, MinAnswered: 0.96,
+	{Name: "grow", About: "the plan gains many routes and at times loses another, while routers are frozen and cut off", Duration: 70e9, MinAnswered: 0.96,
 		Script: func(w *World) {
-			grown := func(n int, less bool) func(m map[string]any) {
+			withRoutes := func(n int, removeOne bool) func(m map[string]any) {
 				return func(m map[string]any) {
 					r := m["routes"].(map[string]any)
 					for i := range n {
 						r[fmt.Sprintf("/v1/more-%d", i)] = r[w.routeName(0)]
 					}
-					if less {
+					if removeOne {
 						delete(r, w.routeName(1))
 					}
 				}
 			}
 			for i, t := 0, 12.0; t < 55; i, t = i+1, t+5 {
 				w.At(sec(t), func() {
-					w.PutPlan(w.some("controller-"), WithName(w.o.Plan, fmt.Sprintf("grown-%d", i), grown(i*40, i%2 == 1)), 0, true, nil)
+					w.PutPlan(w.some("controller-"), WithName(w.o.Plan, fmt.Sprintf("grown-%d", i), withRoutes(i*40, i%2 == 1)), 0, true, nil)
 				})
 				w.At(sec(t-0.5), func() {
 					if w.rand.IntN(2) == 0 {
@@ -387,7 +392,7 @@
 				})
 			}
 		}},
-	{Name: "zones", About: "zones are emptied and refilled, one of them during a roll, routers frozen meanwhile", Duration: 80e9, MinAnswered: 0.995, NoAborts: true,
+	{Name: "zones", About: "zones are emptied and refilled while servers are withdrawn one by one and routers freeze", Duration: 80e9, MinAnswered: 0.995, NoAborts: true,
 		Script: func(w *World) {
 			for i, t := 0, 12.0; t < 60; i, t = i+1, t+12 {
 				z := ident.Zone([]string{"za", "zb", "zc"}[i%3])
@@ -399,7 +404,7 @@
 				w.At(sec(t+9), func() { w.setServerState(s, "live") })
 			}
 		}},
-	{Name: "core", About: "the core is split every way, one way too, and heals, while plans come", Duration: 90e9, MinAnswered: 0.94,
+	{Name: "core", About: "the core is partitioned in various ways, also in one direction only, and heals, while plans change", Duration: 90e9, MinAnswered: 0.94,
 		Configure: func(o *Options) { o.Loss, o.Twice = 0.02, 0.02 },
 		Script: func(w *World) {
 			w.At(sec(8), func() { w.ReplyLoss = 0.1 }) // the first plan is in force before traffic begins
@@ -423,11 +428,11 @@
 				w.At(sec(t+3), w.Heal)
 			}
 		}},
-	{Name: "disks", About: "core nodes lose their disks, one at a time, lose power right after a confirmation, and disks stall", Duration: 100e9, MinAnswered: 0.98,
+	{Name: "disks", About: "core nodes lose their disks one at a time, lose power right after a confirmation, and disks stall", Duration: 100e9, MinAnswered: 0.98,
 		Script: func(w *World) {
 			n := 0
-			var again func()
-			again = func() {
+			var change func()
+			change = func() {
 				if w.now > sec(80) {
 					return
 				}
@@ -435,9 +440,9 @@
 				w.PutPlan(w.some("controller-"), WithName(w.o.Plan, fmt.Sprintf("kept-%d", n), nil), 0, true, func(r controller.Receipt) {
 					v := w.some("controller-")
 					switch w.rand.IntN(3) {
-					case 0: // the power goes right after the confirmation
+					case 0: // power loss right after the confirmation
 						w.Restart(v, clock.Span(w.rand.Int64N(2e9)))
-					case 1: // and the disk with it
+					case 1: // loss of power and disk
 						w.Kill(v)
 						w.Wipe(v)
 						w.After(clock.Span(w.rand.Int64N(1e9)), func() { w.Start(v) })
@@ -445,12 +450,12 @@
 						w.procs[v].disk.stall = w.now.Add(clock.Span(w.rand.Int64N(3e9)))
 					}
 					w.After(500e6, func() { w.Read(w.some("controller-"), nil) })
-					w.After(7e9, again)
+					w.After(7e9, change)
 				})
 			}
-			w.At(sec(9), again)
+			w.At(sec(9), change)
 		}},
-	{Name: "power", About: "power goes everywhere right after a confirmation, and comes back", Duration: 60e9, MinAnswered: 0.9,
+	{Name: "power", About: "all machines but model servers lose power right after a confirmation, and restart", Duration: 60e9, MinAnswered: 0.9,
 		Script: func(w *World) {
 			for _, p := range w.controllers() {
 				p.disk.late = 40e6
@@ -461,7 +466,7 @@
 			w.At(sec(30), func() { w.Read("controller-3", nil) })
 			w.At(sec(45), func() { w.Read("controller-1", nil) })
 		}},
-	{Name: "ruin", About: "every core disk is lost at once; agents still hold the plan", Duration: 60e9, MinAnswered: 0.98,
+	{Name: "ruin", About: "all core disks are lost at once; agents still hold the plan", Duration: 60e9, MinAnswered: 0.98,
 		Script: func(w *World) {
 			w.At(sec(20), func() {
 				w.Check.loosen()
@@ -492,7 +497,7 @@
 			}
 			w.At(sec(85), func() { w.checkCoreReady("the replacement") })
 		}},
-	{Name: "crowd", About: "crowds arrive at once, asking for rare models together, and servers are cold", Duration: 70e9, MinAnswered: 0.5,
+	{Name: "crowd", About: "bursts of requests arrive for one rare model at a time, and servers are cold", Duration: 70e9, MinAnswered: 0.5,
 		Script: func(w *World) {
 			m := standin.NewMix(w.plan, w.o.Seed+3)
 			for t := 10.0; t < 50; t += 10 {
@@ -501,7 +506,7 @@
 				w.At(sec(t+1), func() { w.crashServer(w.some("server-"), 1e9) })
 			}
 		}},
-	{Name: "storm", About: "servers fail one after another under load, so that retries are wanted everywhere", Duration: 60e9, RequestRate: 200, MinAnswered: 0.7,
+	{Name: "storm", About: "servers fail one after another under load, so that many requests need retries", Duration: 60e9, RequestRate: 200, MinAnswered: 0.7,
 		Script: func(w *World) {
 			for t := 10.0; t < 45; t += 1.5 {
 				w.At(sec(t), func() {
@@ -537,7 +542,7 @@
 				w.At(sec(t+5.8), func() { w.Zone(w.some("controller-"), "refill", z, nil) })
 			}
 		}},
-	{Name: "again", About: "callers whose connection broke ask again under the same id, at another router, though it may have run", Duration: 70e9, MinAnswered: 0.85,
+	{Name: "again", About: "callers whose connection broke repeat the request with the same id at another router, although it may have run", Duration: 70e9, MinAnswered: 0.85,
 		Script: func(w *World) {
 			w.Again = 0.8
 			for t := 12.0; t < 50; t += 2 {
@@ -552,7 +557,7 @@
 				w.At(sec(t+1.5), func() { w.ResetOdds = 0 })
 			}
 		}},
-	{Name: "dead", About: "a third of the servers dies at once, so that every router meets dead ones, and routers are killed and started", Duration: 60e9, MinAnswered: 0.9, RequestRate: 120,
+	{Name: "dead", About: "a third of the servers crashes at once, so that every router calls crashed ones, and routers are restarted", Duration: 60e9, MinAnswered: 0.9, RequestRate: 120,
 		Script: func(w *World) {
 			for _, t := range []float64{12, 24, 36} {
 				w.At(sec(t), func() {
@@ -565,7 +570,7 @@
 				w.At(sec(t+2), func() { w.Restart(w.some("router-"), 300e6) })
 			}
 		}},
-	{Name: "medley", About: "everything at once", Duration: 100e9, MinAnswered: 0.8,
+	{Name: "medley", About: "many kinds of failures combined", Duration: 100e9, MinAnswered: 0.8,
 		Configure: func(o *Options) { smallServers(o); o.Loss, o.Twice = 0.02, 0.02 },
 		Script: func(w *World) {
 			w.shiftDemand(8, 80, 15)
@@ -600,7 +605,7 @@
 				})
 			}
 		}},
-	{Name: "clocks", About: "wall clocks jump everywhere, also back before restarts, and steady clocks differ up to the margin", Duration: 90e9, MinAnswered: 0.93,
+	{Name: "clocks", About: "wall clocks of all processes jump, also backwards before restarts, and monotonic clock rates differ up to the permitted margin", Duration: 90e9, MinAnswered: 0.93,
 		Configure: func(o *Options) { smallServers(o); o.Rates = 0.036 },
 		Script: func(w *World) {
 			w.shiftDemand(8, 70, 15)
@@ -619,7 +624,7 @@
 				})
 			}
 		}},
-	{Name: "ruin-clocks", About: "every core disk is lost, the core's clocks are set back, and every agent restarts: only routers still have the plan", Duration: 70e9, MinAnswered: 0.98,
+	{Name: "ruin-clocks", About: "all core disks are lost, the core's clocks are set back, and all agents restart: only routers still have the plan", Duration: 70e9, MinAnswered: 0.98,
 		Script: func(w *World) {
 			w.At(sec(20), func() {
 				w.Check.loosen()
@@ -645,14 +650,14 @@
 			w.At(sec(45), func() {
 				for _, p := range w.Routers() {
 					if n := p.core.(*router.Core).PlanName(); n != "afresh" {
-						w.Check.bad("%s rules by plan %q after the core began anew", p.name, n)
+						w.Check.bad("%s applies plan %q after the core was formed anew", p.name, n)
 					}
 				}
 			})
 		}},
-	{Name: "platform", About: "the platform is silent, lists nothing, or wrongly, or only a part, across takeovers and a total outage", Duration: 100e9, MinAnswered: 0.9,
+	{Name: "platform", About: "the platform does not answer, or returns empty, wrong or partial lists, across takeovers and a full outage", Duration: 100e9, MinAnswered: 0.9,
 		Script: func(w *World) {
-			lies := []func(l []protocol.Listed) []protocol.Listed{
+			alterations := []func(l []protocol.Listed) []protocol.Listed{
 				func([]protocol.Listed) []protocol.Listed { return nil },
 				func(l []protocol.Listed) []protocol.Listed { return l[:len(l)/3] },
 				func(l []protocol.Listed) []protocol.Listed { return append(l, l[0]) },
@@ -662,7 +667,7 @@
 			for i, t := 0, 12.0; t < 60; i, t = i+1, t+8 {
 				w.At(sec(t), func() {
 					if w.platUp = i%6 != 0; w.platUp {
-						w.Lists = lies[i%6-1]
+						w.Lists = alterations[i%6-1]
 					}
 				})
 				w.At(sec(t+1), func() { w.Restart(w.owner(), 2e9) })
@@ -672,7 +677,7 @@
 			w.At(sec(66), func() { w.restartAll(false, 2e9) })
 			w.At(sec(85), func() { w.platUp = true })
 		}},
-	{Name: "blind", About: "the owner reaches the core and the routers, but for long neither the servers nor the platform", Duration: 80e9, MinAnswered: 0.97,
+	{Name: "blind", About: "the owner reaches the core and the routers, but not the servers or the platform for a long time", Duration: 80e9, MinAnswered: 0.97,
 		Script: func(w *World) {
 			for i, t := 0, 12.0; t < 60; i, t = i+1, t+16 {
 				w.At(sec(t), func() {
@@ -684,26 +689,26 @@
 					}
 					w.After(11e9, func() {
 						if n := w.owner(); n == o {
-							w.Check.bad("%s kept the duty, though it could not serve it", o)
+							w.Check.bad("%s kept the duty, although it could not serve it", o)
 						}
 						w.Heal()
 					})
 				})
 			}
 		}},
-	{Name: "exchange", About: "all three seed machines are exchanged for empty ones one after another, the core splits meanwhile, then agents restart on partly old seeds", Duration: 130e9, MinAnswered: 0.97,
+	{Name: "exchange", About: "all three seed machines are replaced by empty ones one after another while the core is partitioned, then agents restart with partly outdated seeds", Duration: 130e9, MinAnswered: 0.97,
 		Script: func(w *World) {
 			w.putPlans(9, 115, 5)
 			for i := 1; i <= 3; i++ {
 				t := float64(15 + 25*(i-1))
 				w.At(sec(t), func() {
 					if i == 3 {
-						w.Seeds = []string{"controller-4", "controller-2", "controller-3"} // by now none of the first ones lives
+						w.Seeds = []string{"controller-4", "controller-2", "controller-3"} // after this replacement none of the first nodes is left
 					}
 					w.Kill(fmt.Sprintf("controller-%d", i))
 					w.AddSpareController(fmt.Sprintf("controller-%d", 3+i), w.procs[fmt.Sprintf("controller-%d", i)].zone)
 				})
-				// While the new one is to be admitted, it is cut off for a while, or another is.
+				// While the new node waits for admission, it or another node is cut off for a while.
 				w.At(sec(t+4), func() {
 					w.Part(map[string]bool{fmt.Sprintf("controller-%d", 3+i): i%2 == 1, fmt.Sprintf("controller-%d", 1+i%3): i%2 == 0})
 				})
@@ -717,16 +722,16 @@
 			}
 			w.At(sec(118), func() { w.checkCoreReady("the exchange") })
 		}},
-	{Name: "zone-each", About: "each zone is lost in turn, the owner's included, as a plan is in flight or another zone is being emptied, and comes back", Duration: 110e9, MinAnswered: 0.9,
+	{Name: "zone-each", About: "each zone is lost in turn, the owner's included, while a plan is submitted or another zone is being emptied, and returns", Duration: 110e9, MinAnswered: 0.9,
 		Script: func(w *World) {
-			zs := []ident.Zone{"za", "zb", "zc"}
-			for i, z := range zs {
+			zones := []ident.Zone{"za", "zb", "zc"}
+			for i, z := range zones {
 				t := 14 + 28*float64(i)
 				w.At(sec(t-0.05), func() {
 					w.PutPlan(w.some("controller-"), WithName(w.o.Plan, fmt.Sprintf("as-%s-goes", z), nil), 0, true, nil)
 					if i == 1 {
-						w.Zone("controller-1", "empty", zs[(i+1)%3], nil)
-						w.After(6e9, func() { w.Zone("controller-1", "refill", zs[(i+1)%3], nil) })
+						w.Zone("controller-1", "empty", zones[(i+1)%3], nil)
+						w.After(6e9, func() { w.Zone("controller-1", "refill", zones[(i+1)%3], nil) })
 					}
 				})
 				w.At(sec(t)+clock.Tick(w.rand.Int64N(60e6)), func() {
@@ -744,7 +749,7 @@
 				w.At(sec(t+8), func() { w.Read(fmt.Sprintf("controller-%d", 1+(i+1)%3), nil) })
 			}
 		}},
-	{Name: "rolls", About: "routers, agents, core nodes and servers are all rolled as planned, under long streams, plan changes and takeovers", Duration: 150e9, MinAnswered: 0.98, NoAborts: true, RequestRate: 40,
+	{Name: "rolls", About: "routers, agents, core nodes and servers are all restarted one by one as planned, during long streams, plan changes and takeovers", Duration: 150e9, MinAnswered: 0.98, NoAborts: true, RequestRate: 40,
 		Script: func(w *World) {
 			m := standin.NewMix(w.plan, w.o.Seed+13)
 			w.GenerateTraffic(8e9, 125e9, 4, func() standin.Ask {
@@ -762,7 +767,7 @@
 				var stop func()
 				stop = func() {
 					if w.procs[s].core.(*standin.Server).Active() > 0 {
-						w.After(200e6, stop) // whoever rolls waits until nothing is under way
+						w.After(200e6, stop) // the operator waits until the server is idle
 						return
 					}
 					w.Kill(s)
@@ -776,14 +781,14 @@
 				w.At(sec(t+1.5), func() { w.Start(n) })
 			}
 		}},
-	{Name: "mangled", About: "servers send events that are malformed, late, doubled, missing, or another's", Duration: 60e9, MinAnswered: 0.5,
+	{Name: "mangled", About: "servers send events that are malformed, late, duplicated, missing, or from another answer", Duration: 60e9, MinAnswered: 0.5,
 		Script: func(w *World) {
 			w.At(sec(10), func() { w.Mangle = 0.02 })
 			w.At(sec(40), func() { w.Mangle = 0 })
 		}},
 	{Name: "mixed", About: "servers differ in room, slots and speed, and are replaced one by one", Duration: 110e9, MinAnswered: 0.99, NoAborts: true, Configure: func(o *Options) { o.Mixed = true },
 		Script: (*World).replaceServers},
-	{Name: "shifts", About: "keys move all the time to even servers out, while owners die, freeze and are parted, targets crash, sources are withdrawn, the store slows, plans drop keys and routers freeze", Duration: 110e9, MinAnswered: 0.95,
+	{Name: "shifts", About: "keys move constantly to balance servers, while owners are killed, frozen and cut off, servers crash and are withdrawn, the store slows down, plans drop keys and routers freeze", Duration: 110e9, MinAnswered: 0.95,
 		Configure: func(o *Options) {
 			o.Controller.Even, o.Controller.Rest, o.Controller.Gap, o.Room = 300e6, 500e6, 0.1, 80
 		},
@@ -793,7 +798,7 @@
 			for t := 10.0; t < 90; t += 1.5 {
 				w.At(sec(t), func() {
 					s := w.some("server-")
-					_, bad := w.Check.gone[s]
+					_, unavailable := w.Check.gone[s]
 					o := w.owner()
 					switch w.rand.IntN(9) {
 					case 0:
@@ -804,11 +809,11 @@
 						w.Part(map[string]bool{o: true})
 						w.After(clock.Span(w.rand.Int64N(3e9)), w.Heal)
 					case 3:
-						if !bad && w.procs[s].up {
+						if !unavailable && w.procs[s].up {
 							w.crashServer(s, clock.Span(w.rand.Int64N(2e9)))
 						}
 					case 4, 5:
-						if !bad && w.procs[s].up {
+						if !unavailable && w.procs[s].up {
 							w.setServerState(s, "leaving")
 							w.After(clock.Span(2e9+w.rand.Int64N(3e9)), func() { w.setServerState(s, "live") })
 						}
@@ -827,7 +832,7 @@
 				})
 			}
 		}},
-	{Name: "return", About: "a zone is lost, comes back empty, and takes its part again: keys with a floor of two are ready in two zones", Duration: 120e9, MinAnswered: 0.97,
+	{Name: "return", About: "a zone is lost, returns empty, and takes its share again: keys with a floor of two are ready in two zones", Duration: 120e9, MinAnswered: 0.97,
 		Script: func(w *World) {
 			w.At(sec(14), func() {
 				for _, n := range w.order {
@@ -844,8 +849,8 @@
 					if !ok {
 						continue
 					}
-					part := float64(v.Used()) / float64(w.room(n))
-					low, high = min(low, part), max(high, part)
+					share := float64(v.Used()) / float64(w.room(n))
+					low, high = min(low, share), max(high, share)
 					for k, h := range v.Holds() {
 						if zones[k] == nil {
 							zones[k] = map[ident.Zone]bool{}
@@ -859,14 +864,14 @@
 					}
 				}
 				if high-low > 0.5 {
-					w.Check.bad("servers stay unevenly filled: from %.2f to %.2f", low, high)
+					w.Check.bad("servers remain unevenly filled: from %.2f to %.2f", low, high)
 				}
 			})
 		}},
-	{Name: "odd", About: "servers report what contradicts itself: more held than room, sizes below zero or past counting, keys twice and unknown", Duration: 70e9, MinAnswered: 0.9, Configure: smallServers,
+	{Name: "odd", About: "servers send inconsistent reports: more held than there is room, negative or huge sizes, duplicate and empty keys", Duration: 70e9, MinAnswered: 0.9, Configure: smallServers,
 		Script: func(w *World) {
 			w.shiftDemand(8, 56, 15)
-			bends := []func(r *protocol.Report){
+			alterations := []func(r *protocol.Report){
 				func(r *protocol.Report) { r.Held[0].Size = -1000 },
 				func(r *protocol.Report) { r.Held[0].Size = 1 << 62 },
 				func(r *protocol.Report) { r.Held = append(r.Held, r.Held[0]) },
@@ -878,10 +883,10 @@
 			}
 			w.At(sec(12), func() {
 				w.Bend = func(r protocol.Report) protocol.Report {
-					n := int(w.now/5e9) % len(bends)
+					n := int(w.now/5e9) % len(alterations)
 					if int(r.Server[len(r.Server)-1])%3 == n%3 && len(r.Held) > 0 {
 						r.Held = append([]protocol.Held{}, r.Held...)
-						bends[n](&r)
+						alterations[n](&r)
 					}
 					return r
 				}
@@ -893,16 +898,16 @@
 					n += p.core.(*controller.Core).Counts().Odd
 				}
 				if n == 0 {
-					w.Check.bad("no odd report was told")
+					w.Check.bad("no core node counted an inconsistent report")
 				}
 			})
 		}},
-	{Name: "sweep", About: "a core node is cut off as a plan is taken, and comes back: its disk has the plan soon, though nobody changes anything", Duration: 60e9, MinAnswered: 0.99,
+	{Name: "sweep", About: "a core node is cut off while a plan is accepted, and reconnected: its disk has the plan soon, although there are no further changes", Duration: 60e9, MinAnswered: 0.99,
 		Script: func(w *World) {
-			last := func(n string) (e ident.Epoch) {
-				var v struct{ Value protocol.Desired }
-				_ = json.Unmarshal(w.procs[n].disk.safe["accepted"], &v)
-				return v.Value.Epoch
+			storedEpoch := func(n string) (e ident.Epoch) {
+				var stored struct{ Value protocol.Desired }
+				_ = json.Unmarshal(w.procs[n].disk.safe["accepted"], &stored)
+				return stored.Value.Epoch
 			}
 			for i, t := range []float64{12, 34} {
 				n := fmt.Sprintf("controller-%d", 3-i)
@@ -912,13 +917,13 @@
 				})
 				w.At(sec(t+4), w.Heal)
 				w.At(sec(t+20), func() {
-					if a, b := last(n), last("controller-1"); a != b {
+					if a, b := storedEpoch(n), storedEpoch("controller-1"); a != b {
 						w.Check.bad("the disk of %s still has epoch %d, not %d", n, a, b)
 					}
 				})
 			}
 		}},
-	{Name: "spare", About: "a spare core node runs while core nodes are restarted, as planned and not: none loses its seat by that", Duration: 80e9, MinAnswered: 0.99,
+	{Name: "spare", About: "a spare core node runs while core nodes are restarted, planned and unplanned: no restart costs a node its seat", Duration: 80e9, MinAnswered: 0.99,
 		Script: func(w *World) {
 			w.At(sec(9), func() { w.AddSpareController("controller-4", "za") })
 			w.putPlans(10, 60, 6)
@@ -939,7 +944,7 @@
 				}
 			})
 		}},
-	{Name: "night", About: "hardly anything is asked, and servers die one after another", Duration: 120e9, MinAnswered: 0.93, RequestRate: 1,
+	{Name: "night", About: "there are hardly any requests, and servers crash one after another", Duration: 120e9, MinAnswered: 0.93, RequestRate: 1,
 		Script: func(w *World) {
 			for t := 10.0; t < 100; t += 6 {
 				w.At(sec(t), func() {
@@ -949,7 +954,7 @@
 				})
 			}
 		}},
-	{Name: "unplan", About: "plans drop and bring back models that are in use, under long answers, while routers pause", Duration: 90e9, MinAnswered: 0.9, RequestRate: 40, NoAborts: true,
+	{Name: "unplan", About: "plans remove and restore models that are in use by long answers, while routers pause", Duration: 90e9, MinAnswered: 0.9, RequestRate: 40, NoAborts: true,
 		Script: func(w *World) {
 			m := standin.NewMix(w.plan, w.o.Seed+11)
 			w.DialOdds, w.Dial = 0.1, 450e6
@@ -973,12 +978,12 @@
 				})
 			}
 		}},
-	{Name: "flap", About: "half of all connections break before the first event, so that retries are wanted everywhere", Duration: 60e9, MinAnswered: 0.7,
+	{Name: "flap", About: "half of all connections break before the first event, so that many requests need retries", Duration: 60e9, MinAnswered: 0.7,
 		Script: func(w *World) {
 			w.At(sec(15), func() { w.ResetOdds = 0.5 })
 			w.At(sec(40), func() { w.ResetOdds = 0 })
 		}},
-	{Name: "amnesia", About: "a plan is taken while a core node is cut off, then another loses its disk and both meet", Duration: 90e9, MinAnswered: 0.97,
+	{Name: "amnesia", About: "a plan is accepted while a core node is cut off, then another node loses its disk and only these two are connected", Duration: 90e9, MinAnswered: 0.97,
 		Script: func(w *World) {
 			for i, t := 0, 12.0; t < 70; i, t = i+1, t+18 {
 				a, b, c := fmt.Sprintf("controller-%d", 1+i%3), fmt.Sprintf("controller-%d", 1+(i+1)%3), fmt.Sprintf("controller-%d", 1+(i+2)%3)
@@ -1001,7 +1006,7 @@
 				})
 			}
 		}},
-	{Name: "fence", About: "the duty's owner is parted from the core, but not from the routers, as a plan is taken", Duration: 70e9, MinAnswered: 0.99,
+	{Name: "fence", About: "the duty's owner is cut off from the core, but not from the routers, while a plan is accepted", Duration: 70e9, MinAnswered: 0.99,
 		Script: func(w *World) {
 			for i, t := 0, 12.0; t < 55; i, t = i+1, t+8 {
 				w.At(sec(t), func() {
@@ -1017,29 +1022,31 @@
 				w.At(sec(t+5), w.Heal)
 			}
 		}},
-	{Name: "windows", About: "maintenance windows of a server and a zone are kept, and then wall clocks jump both ways", Duration: 90e9, MinAnswered: 0.995, NoAborts: true,
+	{Name: "windows", About: "maintenance windows of a server and a zone are respected, and then wall clocks jump in both directions", Duration: 90e9, MinAnswered: 0.995, NoAborts: true,
 		Configure: func(o *Options) { o.Controller.Lead = 5e9 },
 		Script: func(w *World) {
 			at := func(n float64) string { return dawn.Add(time.Duration(n * 1e9)).Format("20060102T150405Z") }
-			event := func(uid int, what string, from, to float64) string {
-				return fmt.Sprintf("BEGIN:VEVENT\r\nUID:%d\r\nDTSTAMP:20260101T000000Z\r\nLOCATION:%s\r\nDTSTART:%s\r\nDTEND:%s\r\nEND:VEVENT\r\n", uid, what, at(from), at(to))
+			event := func(uid int, location string, from, to float64) string {
+				return fmt.Sprintf("BEGIN:VEVENT\r\nUID:%d\r\nDTSTAMP:20260101T000000Z\r\nLOCATION:%s\r\nDTSTART:%s\r\nDTEND:%s\r\nEND:VEVENT\r\n", uid, location, at(from), at(to))
 			}
-			cal := "BEGIN:VCALENDAR\r\nVERSION:2.0\r\nPRODID:x\r\n" + event(1, "server server-1", 25, 35) + event(2, "zone zb", 40, 50) + "END:VCALENDAR\r\n"
-			w.At(sec(10), func() { w.change("controller-2", controller.Admin{Op: "windows", Raw: []byte(cal), Any: true}, nil) })
-			// The lead is there for draining: at the window's own beginning nothing new may come.
-			shut := func(s string, from, to float64) {
+			calendar := "BEGIN:VCALENDAR\r\nVERSION:2.0\r\nPRODID:x\r\n" + event(1, "server server-1", 25, 35) + event(2, "zone zb", 40, 50) + "END:VCALENDAR\r\n"
+			w.At(sec(10), func() {
+				w.change("controller-2", controller.Admin{Op: "windows", Raw: []byte(calendar), Any: true}, nil)
+			})
+			// The lead time is for draining: from the start of the window itself, no new requests may reach the servers.
+			expectClosed := func(s string, from, to float64) {
 				w.At(sec(from-boundGone/1e9), func() { w.Check.Fault(s) })
 				w.At(sec(to), func() { w.Check.Mend(s) })
 			}
-			shut("server-1", 25, 35)
+			expectClosed("server-1", 25, 35)
 			for i := 2; i <= w.o.Servers; i += 3 {
-				shut(fmt.Sprintf("server-%d", i), 40, 50)
+				expectClosed(fmt.Sprintf("server-%d", i), 40, 50)
 			}
 			for t := 52.0; t < 75; t += 3 {
 				w.At(sec(t), func() { w.procs[w.some("controller-")].wall = time.Duration(w.rand.Int64N(4e12) - 2e12) })
 			}
 		}},
-	{Name: "far", About: "machines are 30 ms apart, messages get lost, keys move, plans come, servers fail and the owner dies", Duration: 90e9, MinAnswered: 0.92,
+	{Name: "far", About: "machines are 30 ms apart, messages get lost, keys move, plans change, servers fail and the owner is killed", Duration: 90e9, MinAnswered: 0.92,
 		Configure: func(o *Options) { smallServers(o); o.Far, o.Loss, o.Twice = 30e6, 0.01, 0.02 },
 		Script: func(w *World) {
 			w.shiftDemand(8, 70, 15)
@@ -1050,11 +1057,11 @@
 				w.At(sec(t+5), func() { w.Freeze(w.some("router-"), clock.Span(w.rand.Int64N(4e9))) })
 			}
 		}},
-	{Name: "blackout", About: "everything is killed at once and comes back, model servers empty", Duration: 60e9, MinAnswered: 0.87,
+	{Name: "blackout", About: "all processes are killed at once and restart, model servers empty", Duration: 60e9, MinAnswered: 0.87,
 		Script: func(w *World) { w.At(sec(20), func() { w.restartAll(true, 3e9) }) }},
 }
 
-// replaceServers replaces every server, one after another, each drained first.
+// replaceServers restarts the servers one after another, each drained first.
 func (w *World) replaceServers() {
 	for i := range w.o.Servers {
 		s := fmt.Sprintf("server-%d", i+1)
@@ -1064,8 +1071,8 @@
 	}
 }
 
-// coreReady looks whether three core nodes are ready after something.
-func (w *World) checkCoreReady(after string) {
+// checkCoreReady checks that at least three core nodes are ready after the named event.
+func (w *World) checkCoreReady(event string) {
 	n := 0
 	for _, p := range w.controllers() {
 		if p.core.(*controller.Core).Ready() {
@@ -1073,39 +1080,40 @@
 		}
 	}
 	if n < 3 {
-		w.Check.bad("only %d core nodes are ready after %s", n, after)
+		w.Check.bad("only %d core nodes are ready after %s", n, event)
 	}
 }
 
-// route names the plan's first route, or another one.
+// routeName returns the name of the plan's route with the given index in sorted order.
 func (w *World) routeName(n int) string {
-	var l []string
+	var names []string
 	for r := range w.plan.Routes {
-		l = append(l, r)
+		names = append(names, r)
 	}
-	sort.Strings(l)
-	return l[n]
+	sort.Strings(names)
+	return names[n]
 }
 
-// blackout kills every process, and starts all of them again.
-func (w *World) restartAll(servers bool, after clock.Span) {
+// restartAll kills all processes but the store and restarts them after a delay. It spares model servers unless servers is
+// set.
+func (w *World) restartAll(servers bool, delay clock.Span) {
 	for _, n := range w.order {
 		if n == "store" || !servers && w.procs[n].server != "" {
 			continue
 		}
 		w.Kill(n)
-		w.After(after, func() { w.Start(n) })
+		w.After(delay, func() { w.Start(n) })
 	}
-	w.Check.healed = w.now.Add(after)
+	w.Check.healed = w.now.Add(delay)
 }
 
-// Spare starts an empty core node at a new address.
+// AddSpareController starts an empty core node at a new address.
 func (w *World) AddSpareController(name string, z ident.Zone) {
 	w.addController(name, z, w.seeds())
 	w.Start(name)
 }
 
-// Find finds a scene by name.
+// Find returns the scene with the given name.
 func Find(name string) (Scene, bool) {
 	for _, s := range Scenes {
 		if s.Name == name {
--- a/internal/simulator/slow_core_scenes.go
+++ b/internal/simulator/slow_core_scenes.go
@@ -9,8 +9,8 @@
 
 func init() { Scenes = append(Scenes, slowCoreScenes...) }
 
-// series has an operator at each core node send one change after another, each on the newest version that is known and as
-// soon as the one before was answered, but for a pause.
+// putSeries has one operator per core node send consecutive changes. Each change is based on the newest known version and
+// follows the previous answer after a pause.
 func (w *World) putSeries(from, to, pause float64) {
 	for node := 1; node <= 3; node++ {
 		n := 0
@@ -30,23 +30,24 @@
 	}
 }
 
-// slowCore sets a world up whose core nodes take a while to read each message with a configuration, and are some way apart.
-func slowCoreOptions(reading, far clock.Span) func(o *Options) {
+// slowCoreOptions sets up a world whose core nodes take parseTime to parse each message that carries a configuration, with
+// extra latency between machines.
+func slowCoreOptions(parseTime, latency clock.Span) func(o *Options) {
 	return func(o *Options) {
-		limitedOptions(Narrow{RouterBandwidth: routerBandwidth, CoreBandwidth: coreBandwidth, RouterParseTime: 150e6, CoreParseTime: reading}, nil)(o)
-		o.Far = far
+		limitedOptions(Narrow{RouterBandwidth: routerBandwidth, CoreBandwidth: coreBandwidth, RouterParseTime: 150e6, CoreParseTime: parseTime}, nil)(o)
+		o.Far = latency
 	}
 }
 
-// slowCoreScenes are those in which the core itself is late, and nothing fails.
+// slowCoreScenes are scenes in which the core nodes themselves lag behind because they parse configurations slowly.
 var slowCoreScenes = []Scene{
-	{Name: "slow-core", About: "operators at every core node change a large configuration as fast as changes are taken, and core nodes are slow to read it; nothing fails", Duration: 60e9, MinAnswered: 0.8,
+	{Name: "slow-core", About: "operators at every core node change a large configuration as fast as changes are accepted, and core nodes parse it slowly; nothing fails", Duration: 60e9, MinAnswered: 0.8,
 		Configure: slowCoreOptions(100e6, 40e6),
 		Script: func(w *World) {
 			w.putSeries(10, 20, 0.1)
 			w.putSeries(30, 40, 0.02)
 		}},
-	{Name: "slow-core-owner", About: "the same without a pause, and the owner is killed, frozen and cut off", Duration: 90e9, MinAnswered: 0.6,
+	{Name: "slow-core-owner", About: "like slow-core, without an interval between the series, and the owner is killed, frozen and cut off", Duration: 90e9, MinAnswered: 0.6,
 		Configure: slowCoreOptions(60e6, 20e6),
 		Script: func(w *World) {
 			w.putSeries(10, 75, 0.1)
--- a/internal/simulator/storms.go
+++ b/internal/simulator/storms.go
@@ -11,70 +11,72 @@
 	"tidedeck/internal/protocol"
 )
 
-// orders is how many operators change the plan at once in a storm.
+// concurrentOperators is the number of operators that change the plan concurrently in a storm.
 const concurrentOperators = 8
 
-// stormEnds is how long the last changes of a storm may still be under way.
+// stormDrainTime is the time allowed for the last changes of a storm to complete.
 const stormDrainTime = clock.Span(2e9)
 
-// storm is a number of operators who all change the plan as fast as they are answered.
+// storm is a group of operators that all change the plan as fast as they receive answers.
 type storm struct {
 	w        *World
 	accepted int
 	stopped  bool
-	pickNode func() string // draws the node that is called
+	pickNode func() string // draws the node to call
 }
 
-// startStorm begins a storm of changes at the nodes that are drawn.
-func (w *World) startStorm(toward func() string) *storm {
-	s := &storm{w: w, pickNode: toward}
+// startStorm starts a storm of changes at the nodes that pickNode returns.
+func (w *World) startStorm(pickNode func() string) *storm {
+	s := &storm{w: w, pickNode: pickNode}
 	for range concurrentOperators {
 		s.sendNext()
 	}
 	return s
 }
 
+// sendNext submits one operator's next change, unless the storm has stopped.
 func (s *storm) sendNext() {
 	w := s.w
 	if s.stopped {
 		return
 	}
-	began := w.now
-	w.putNextPlan(s.pickNode(), "storm", func(taken bool) {
-		s.accepted += b2i(taken)
+	start := w.now
+	w.putNextPlan(s.pickNode(), "storm", func(accepted bool) {
+		s.accepted += b2i(accepted)
 		pause := clock.Span(w.rand.Int64N(20e6))
-		if !taken && w.now.Sub(began) < 50e6 {
-			pause += 200e6 // a node that is down answers at once
+		if !accepted && w.now.Sub(start) < 50e6 {
+			pause += 200e6 // calls to a node that is down fail immediately
 		}
 		w.After(pause, s.sendNext)
 	})
 }
 
-// after runs a step once so many changes were taken, or it lasted too long.
-func (s *storm) stopAfter(changes int, most clock.Span, then func()) {
+// stopAfter stops the storm once the given number of changes was accepted or the time limit is reached, and calls then
+// after the last changes had time to complete.
+func (s *storm) stopAfter(changes int, limit clock.Span, then func()) {
 	w := s.w
-	began := w.now
-	var look func()
-	look = func() {
-		if s.accepted < changes && w.now.Sub(began) < most {
-			w.After(50e6, look)
+	start := w.now
+	var check func()
+	check = func() {
+		if s.accepted < changes && w.now.Sub(start) < limit {
+			w.After(50e6, check)
 			return
 		}
 		s.stopped = true
-		w.tracef("storm: %d changes taken in %v", s.accepted, w.now.Sub(began))
+		w.tracef("storm: %d changes taken in %v", s.accepted, w.now.Sub(start))
 		w.After(stormDrainTime, then)
 	}
-	look()
+	check()
 }
 
-// raced is one of two changes that go on the same version.
+// racingChange is one of two changes that are based on the same version.
 type racingChange struct {
 	request  controller.Admin
 	accepted bool
 }
 
-// race has two operators change one version. Each sends its change to several nodes, as one does whose
-// answers get lost.
+// raceChanges has two operators change the same version. Each sends its change to several nodes, as an operator does
+// whose answers get lost.
 func (w *World) raceChanges(name string, then func(both [2]*racingChange)) {
 	w.Read(w.someUp(), func(r controller.Receipt) {
 		if r.Kind != failure.None {
@@ -82,14 +84,14 @@
 			return
 		}
 		var both [2]*racingChange
-		left := concurrentOperators
+		pending := concurrentOperators
 		for i := range both {
 			c := &racingChange{request: controller.Admin{Op: "put", Expect: r.Epoch, Number: r.Epoch + 1 + ident.Epoch(w.rand.IntN(3)),
 				Raw: WithName(w.o.Plan, fmt.Sprintf("%s-%d", name, i), nil), Change: fmt.Sprintf("%s-%d", name, i)}}
 			both[i] = c
 			done := func(r controller.Receipt) {
 				c.accepted = c.accepted || r.Kind == failure.None
-				if left--; left == 0 {
+				if pending--; pending == 0 {
 					then(both)
 				}
 			}
@@ -101,19 +103,19 @@
 	})
 }
 
-// raceAndRepeat races two changes, has a storm go over them, and sends both once more, to other nodes.
-func (w *World) raceAndRepeat(round, changes int, most clock.Span, then func()) {
+// raceAndRepeat races two changes, runs a storm of further changes, and then repeats both racing changes at other nodes.
+func (w *World) raceAndRepeat(round, changes int, limit clock.Span, then func()) {
 	w.raceChanges(fmt.Sprintf("race-%d", round), func(both [2]*racingChange) {
 		s := w.startStorm(w.someUp)
-		s.stopAfter(changes, most, func() {
-			left := concurrentOperators
+		s.stopAfter(changes, limit, func() {
+			pending := concurrentOperators
 			for range concurrentOperators / 2 {
 				for _, c := range both {
 					w.Admin(w.someUp(), c.request, func(r controller.Receipt) {
 						if c.accepted && (r.Kind == failure.Conflict || r.Kind == failure.Faulty) {
-							w.Check.bad("change %q was taken, and its repeat after %d changes refused: %s", c.request.Change, s.accepted, r.Why)
+							w.Check.bad("change %q was accepted, but its repeat after %d changes was refused: %s", c.request.Change, s.accepted, r.Why)
 						}
-						if left--; left == 0 {
+						if pending--; pending == 0 {
 							then()
 						}
 					})
@@ -123,7 +125,7 @@
 	})
 }
 
-// playRaces races changes again and again, with so many others in between.
+// runRaces repeatedly races two changes, each time with the given number of other changes before their repeats.
 func (w *World) runRaces(until float64, changes int) {
 	w.tracef("deployment: %s", w.core)
 	round := 0
@@ -141,8 +143,8 @@
 	})
 }
 
-// playAway has a voter away while hundreds of changes are taken; it returns with its old disk, and others
-// are lost as soon as it counts as there.
+// runVoterAbsences repeatedly stops a voter while hundreds of changes are accepted. The voter returns with its old disk,
+// and others are lost as soon as it no longer counts as lost.
 func (w *World) runVoterAbsences(until float64, changes int) {
 	w.tracef("deployment: %s", w.core)
 	w.watchJointState(12)
@@ -156,16 +158,16 @@
 			w.After(confirmInterval, round)
 			return
 		}
-		away := w.core.seats[w.rand.IntN(len(w.core.seats))]
-		w.killSeatNode(away, "is away")
+		absent := w.core.seats[w.rand.IntN(len(w.core.seats))]
+		w.killSeatNode(absent, "is away")
 		s := w.startStorm(w.someUp)
 		s.stopAfter(changes, 30e9, func() {
-			w.restartSeatNode(away)
-			changes := w.rand.IntN(2) == 0 // else nothing is written while it catches up
-			w.callRepeatedly(away.node, 8e9, changes)
+			w.restartSeatNode(absent)
+			changes := w.rand.IntN(2) == 0 // otherwise operators only read while the voter catches up
+			w.callRepeatedly(absent.node, 8e9, changes)
 			w.After(convergence+1e6, func() {
-				w.Check.checkReplica(away.node)
-				w.powerOffOthers(away)
+				w.Check.checkReplica(absent.node)
+				w.powerOffOthers(absent)
 				w.After(4e9, round)
 			})
 		})
@@ -173,18 +175,18 @@
 	w.At(sec(10), round)
 }
 
-// loseOthers has as many others lose power at once as the tolerance allows.
-func (w *World) powerOffOthers(but *seat) {
+// powerOffOthers makes as many other core nodes lose power at once as the tolerance permits.
+func (w *World) powerOffOthers(except *seat) {
 	for _, i := range w.rand.Perm(len(w.core.seats)) {
-		if s := w.core.seats[i]; s != but && !s.countsAsLost(w.now) && w.core.mayLose(s, w.now) {
+		if s := w.core.seats[i]; s != except && !s.countsAsLost(w.now) && w.core.mayLose(s, w.now) {
 			w.injectLoss(s, powerLoss)
 		}
 	}
 }
 
-// callOften has operators read the plan at one node for a while, and change it if they are to.
-func (w *World) callRepeatedly(node string, long clock.Span, changes bool) {
-	end := w.now.Add(long)
+// callRepeatedly has operators read the plan at one node for the given duration, and also change it if changes is set.
+func (w *World) callRepeatedly(node string, duration clock.Span, changes bool) {
+	end := w.now.Add(duration)
 	var next func()
 	next = func() {
 		if w.now > end {
@@ -200,34 +202,34 @@
 	next()
 }
 
-// settledFor is how long ago a change was confirmed that every replica must have.
+// replicationTime is the age from which a confirmed change must be on the disk of every replica.
 const replicationTime = clock.Span(1500e6)
 
-// replica expects that a voter's disk has what was confirmed a while ago.
+// checkReplica checks that a voter's disk has the changes confirmed at least replicationTime ago.
 func (k *Checker) checkReplica(node string) {
 	p := k.w.procs[node]
 	if p == nil || !p.up || !isKnownVoter(k.w, node) {
 		return
 	}
-	want := k.newest(k.w.now.Add(-replicationTime))
-	var on struct{ Value *protocol.Desired }
-	if err := json.Unmarshal(p.disk.safe["accepted"], &on); err != nil {
-		k.bad("%s has a disk that cannot be read: %v", node, err)
+	confirmed := k.newest(k.w.now.Add(-replicationTime))
+	var stored struct{ Value *protocol.Desired }
+	if err := json.Unmarshal(p.disk.safe["accepted"], &stored); err != nil {
+		k.bad("the disk of %s cannot be decoded: %v", node, err)
 		return
 	}
-	if want == nil {
+	if confirmed == nil {
 		return
 	}
-	has := ident.Epoch(0)
-	if on.Value != nil {
-		has = on.Value.Epoch
+	epoch := ident.Epoch(0)
+	if stored.Value != nil {
+		epoch = stored.Value.Epoch
 	}
-	if has < want.epoch {
-		k.bad("%s is no full replica %v after it came back: its disk has epoch %d, %d was confirmed", node, convergence, has, want.epoch)
+	if epoch < confirmed.epoch {
+		k.bad("%s is no full replica %v after its return: its disk has epoch %d, but epoch %d was confirmed", node, convergence, epoch, confirmed.epoch)
 	}
 }
 
-// sitsIn tells whether a node is a voter as the others know it.
+// isKnownVoter reports whether any other node knows the given node as a voter.
 func isKnownVoter(w *World, node string) bool {
 	for _, p := range w.controllers() {
 		if p.name == node {
