--- a/internal/simulator/control_test.go
+++ b/internal/simulator/control_test.go
@@ -25,7 +25,8 @@
 		{"internal/controller/reader.go", "if c.now.Sub(r.unequal) > c.answerWait() {", "if false {"}}},
 }
 
-// mayLose counts a seat as lost until its lostUntil, and permits no more concurrent losses than the deployment tolerates.
+// mayLose counts a seat as lost until its lostUntil, and permits no more concurrent losses than the deployment
+// tolerates.
 func TestMayLose(t *testing.T) {
 	f := &coreFleet{Deployment: &Deployment{Nodes: 3, Losses: 1}}
 	for range f.Nodes {
@@ -45,7 +46,8 @@
 	require.False(t, f.mayLose(second, 20), "a seat of another zone")
 }
 
-// The same seed gives the same deployment, and a deployment tolerates no more losses than a majority of its nodes survives.
+// The same seed gives the same deployment, and a deployment tolerates no more losses than a majority of its nodes
+// survives.
 func TestDrawDeployment(t *testing.T) {
 	drawn := map[string]bool{}
 	for seed := range uint64(200) {
--- a/internal/simulator/hosted_scenes.go
+++ b/internal/simulator/hosted_scenes.go
@@ -8,8 +8,8 @@
 	"tidedeck/internal/ident"
 )
 
-// hostedOptions sets up a world in which servers announce themselves. A non-nil adjust changes the options of the hosting
-// platform.
+// hostedOptions sets up a world in which servers announce themselves. A non-nil adjust changes the options of the
+// hosting platform.
 func hosted(adjust func(h *Hosted)) func(o *Options) {
 	return func(o *Options) {
 		o.Plan, o.Routers, o.Rates = hostedPlan(), 5, 0.016
@@ -66,8 +66,8 @@
 	}
 }
 
-// onLeaveAcknowledged calls then once, as soon as the leaving of a server is acknowledged. The call is dropped if the server
-// ends before.
+// onLeaveAcknowledged calls then once, as soon as the leaving of a server is acknowledged. The call is dropped if the
+// server ends before.
 func (w *World) onLeaveAcknowledged(m *machine, then func()) {
 	server := m.now
 	var check func()
@@ -263,11 +263,12 @@
 		}},
 }
 
-// regressionScenes reproduce faults that have been fixed: lost orders, servers whose leaving the next owner did not know,
-// orders beyond a server's places, and dead servers that delayed loads.
+// regressionScenes reproduce faults that have been fixed: lost orders, servers whose leaving the next owner did not
+// know, orders beyond a server's places, and dead servers that delayed loads.
 var regressionScenes = []Scene{
-	// A core node that is cut off while the leaving of a server is acknowledged is not notified afterwards. If this node
-	// becomes the next owner, it offers the server until silence or the next announcement reveals the server's state.
+	// A core node that is cut off while the leaving of a server is acknowledged is not notified afterwards. If this
+	// node becomes the next owner, it offers the server until silence or the next announcement reveals the server's
+	// state.
 	{Name: "announced-cut", About: "the core is partitioned in various ways while servers leave and models move", Duration: 90e9, MinAnswered: 0.7,
 		Configure: hosted(func(h *Hosted) { h.Shift = 10e9 }),
 		Script: func(w *World) {
@@ -310,8 +311,8 @@
 	// requested report postponed the time at which the outcome of the order is decided.
 	{Name: "announced-orders", About: "one order in twenty is lost in transit", Duration: 80e9, MinAnswered: 0.95,
 		Configure: hosted(func(h *Hosted) { h.OrderGone, h.Shift = 0.05, 8e9 }), Script: func(w *World) {}},
-	// Owners that release the duty in quick succession send orders to the same server in turns, because Settle is shorter
-	// than the time within which two owners must not order the same server.
+	// Owners that release the duty in quick succession send orders to the same server in turns, because Settle is
+	// shorter than the time within which two owners must not order the same server.
 	{Name: "announced-turns", About: "owners are stopped as planned in quick succession, while models move", Duration: 80e9, MinAnswered: 0.5,
 		Configure: hosted(func(h *Hosted) { h.Shift = 4e9 }),
 		Script: func(w *World) {
@@ -336,8 +337,8 @@
 				})
 			}
 		}},
-	// That a server leaves is not stored on disk. After all core nodes were killed, the next owner treats a server whose
-	// leaving was just acknowledged as staying until the server announces the leaving again.
+	// That a server leaves is not stored on disk. After all core nodes were killed, the next owner treats a server
+	// whose leaving was just acknowledged as staying until the server announces the leaving again.
 	{Name: "announced-all-leave", About: "like announced-all, while servers leave", Duration: 70e9, MinAnswered: 0.7, Configure: hosted(nil),
 		Script: func(w *World) {
 			for _, t := range []float64{20, 38} {
--- a/internal/simulator/key_scenes.go
+++ b/internal/simulator/key_scenes.go
@@ -17,7 +17,8 @@
 // tenantNames are the tenants of these scenes.
 var tenantNames = []string{"acme", "initech", "globex"}
 
-// keyedPlan is the first plan of these scenes: every key but the last belongs to a tenant, and one route requires no key.
+// keyedPlan is the first plan of these scenes: every key but the last belongs to a tenant, and one route requires no
+// key.
 func keyedPlan() []byte {
 	s := firstSheet(1)
 	for i := range s.Routes {
@@ -30,8 +31,8 @@
 	return writeSheet(s)
 }
 
-// drawTenants assigns keys to tenants at random: a quarter of the time the first assignment stays, otherwise each key belongs
-// to a random tenant or to none. One time in twelve each, the list of tenants is missing or empty.
+// drawTenants assigns keys to tenants at random: a quarter of the time the first assignment stays, otherwise each key
+// belongs to a random tenant or to none. One time in twelve each, the list of tenants is missing or empty.
 func (w *World) drawTenants(m map[string]any) {
 	switch w.rand.IntN(12) {
 	case 0:
--- a/internal/simulator/losses.go
+++ b/internal/simulator/losses.go
@@ -140,8 +140,8 @@
 	loseAnother()
 }
 
-// drawLossDelay draws the time until the next loss: almost immediate, short, or long enough to fall into a change of the
-// voter set.
+// drawLossDelay draws the time until the next loss: almost immediate, short, or long enough to fall into a change of
+// the voter set.
 func (w *World) drawLossDelay() clock.Span {
 	switch w.rand.IntN(3) {
 	case 0:
@@ -243,8 +243,8 @@
 	w.Kill(s.node)
 }
 
-// restartSeatNode starts the node of a seat, which stops counting as lost after the convergence time. The node must be a
-// voter by then.
+// restartSeatNode starts the node of a seat, which stops counting as lost after the convergence time. The node must
+// be a voter by then.
 func (w *World) restartSeatNode(s *seat) {
 	node := s.node
 	w.Start(node)
@@ -306,8 +306,8 @@
 	try()
 }
 
-// checkAdmitted checks that a started node is a voter, or that the voter set is complete without it: another new node may
-// have taken the free place.
+// checkAdmitted checks that a started node is a voter, or that the voter set is complete without it: another new node
+// may have taken the free place.
 func (k *Checker) checkAdmitted(node string) {
 	w := k.w
 	if w.hasSpareNodes() {
@@ -325,8 +325,8 @@
 	k.bad("%s is no full voter %v after its start: %s", node, convergence, w.describeVoterSets())
 }
 
-// isCompleteVoterSet reports whether a voter set has all its members, and none that was permanently removed longer than the
-// convergence time ago.
+// isCompleteVoterSet reports whether a voter set has all its members, and none that was permanently removed longer
+// than the convergence time ago.
 func (w *World) isCompleteVoterSet(voters []protocol.Voter) bool {
 	for _, v := range voters {
 		if at, gone := w.core.removed[string(v.ID)]; gone && w.now.Sub(at) > convergence {
@@ -349,8 +349,8 @@
 	return false
 }
 
-// watchJointState checks from a given time on, when the core has grown to its full size, that no joint voter set remains
-// longer than the convergence time after the last change among the core nodes.
+// watchJointState checks from a given time on, when the core has grown to its full size, that no joint voter set
+// remains longer than the convergence time after the last change among the core nodes.
 func (w *World) watchJointState(from float64) {
 	reported := clock.Tick(-1)
 	var check func()
--- a/internal/simulator/narrow_scenes.go
+++ b/internal/simulator/narrow_scenes.go
@@ -46,8 +46,8 @@
 	return raw
 }
 
-// putChanges has an operator send changes at a fixed interval, each based on the newest known version. The changes differ
-// in the plan's name.
+// putChanges has an operator send changes at a fixed interval, each based on the newest known version. The changes
+// differ in the plan's name.
 func (w *World) putChanges(from, to, gap float64) {
 	n := 0
 	for t := from; t < to; t += gap {
--- a/internal/simulator/narrow_test.go
+++ b/internal/simulator/narrow_test.go
@@ -28,8 +28,8 @@
 // narrow-changes.
 func TestLateRouters(t *testing.T) { requireCleanRuns(t, narrowScenes, 4) }
 
-// Core nodes that lag behind are not treated as unreachable: a connected router sends nothing under a configuration older
-// than one acknowledged applyMs before, whatever the router itself assumes.
+// Core nodes that lag behind are not treated as unreachable: a connected router sends nothing under a configuration
+// older than one acknowledged applyMs before, whatever the router itself assumes.
 func TestSlowCore(t *testing.T) { requireCleanRuns(t, slowCoreScenes, 6) }
 
 func init() { bites = append(bites, narrowMutations...) }
--- a/internal/simulator/resource_limits.go
+++ b/internal/simulator/resource_limits.go
@@ -19,7 +19,8 @@
 // baseMessageSize is the assumed size in bytes of a message without a configuration, including headers.
 const baseMessageSize = 400
 
-// transmissionDelay reserves time on the links between two machines for a message, and returns the resulting transmission delay.
+// transmissionDelay reserves time on the links between two machines for a message, and returns the resulting
+// transmission delay.
 func (w *World) carried(from, to *proc, e protocol.Env) clock.Span {
 	n := w.o.Narrow
 	if n == nil {
@@ -79,8 +80,8 @@
 	return nil
 }
 
-// chargeParseTime marks a process as busy for the time that it takes to parse the configurations in an input. A router and its
-// agent share one process.
+// chargeParseTime marks a process as busy for the time that it takes to parse the configurations in an input. A
+// router and its agent share one process.
 func (w *World) keepBusy(p *proc, in any) {
 	n := w.o.Narrow
 	if n == nil {
--- a/internal/simulator/scenes.go
+++ b/internal/simulator/scenes.go
@@ -85,8 +85,8 @@
 	w.At(clock.Tick(from), send)
 }
 
-// WithName returns a plan under another name, so that the checkers can distinguish plans. A non-nil edit changes the plan
-// further.
+// WithName returns a plan under another name, so that the checkers can distinguish plans. A non-nil edit changes the
+// plan further.
 func WithName(raw []byte, name string, edit func(m map[string]any)) []byte {
 	var m map[string]any
 	if err := json.Unmarshal(raw, &m); err != nil {
@@ -1033,7 +1033,8 @@
 			w.At(sec(10), func() {
 				w.change("controller-2", controller.Admin{Op: "windows", Raw: []byte(calendar), Any: true}, nil)
 			})
-			// The lead time is for draining: from the start of the window itself, no new requests may reach the servers.
+			// The lead time is for draining: from the start of the window itself, no new requests may reach the
+			// servers.
 			expectClosed := func(s string, from, to float64) {
 				w.At(sec(from-boundGone/1e9), func() { w.Check.Fault(s) })
 				w.At(sec(to), func() { w.Check.Mend(s) })
@@ -1094,8 +1095,8 @@
 	return names[n]
 }
 
-// restartAll kills all processes but the store and restarts them after a delay. It spares model servers unless servers is
-// set.
+// restartAll kills all processes but the store and restarts them after a delay. It spares model servers unless
+// servers is set.
 func (w *World) restartAll(servers bool, delay clock.Span) {
 	for _, n := range w.order {
 		if n == "store" || !servers && w.procs[n].server != "" {
--- a/internal/simulator/slow_core_scenes.go
+++ b/internal/simulator/slow_core_scenes.go
@@ -9,8 +9,8 @@
 
 func init() { Scenes = append(Scenes, slowCoreScenes...) }
 
-// putSeries has one operator per core node send consecutive changes. Each change is based on the newest known version and
-// follows the previous answer after a pause.
+// putSeries has one operator per core node send consecutive changes. Each change is based on the newest known version
+// and follows the previous answer after a pause.
 func (w *World) putSeries(from, to, pause float64) {
 	for node := 1; node <= 3; node++ {
 		n := 0
@@ -30,8 +30,8 @@
 	}
 }
 
-// slowCoreOptions sets up a world whose core nodes take parseTime to parse each message that carries a configuration, with
-// extra latency between machines.
+// slowCoreOptions sets up a world whose core nodes take parseTime to parse each message that carries a configuration,
+// with extra latency between machines.
 func slowCoreOptions(parseTime, latency clock.Span) func(o *Options) {
 	return func(o *Options) {
 		limitedOptions(Narrow{RouterBandwidth: routerBandwidth, CoreBandwidth: coreBandwidth, RouterParseTime: 150e6, CoreParseTime: parseTime}, nil)(o)
--- a/internal/simulator/storms.go
+++ b/internal/simulator/storms.go
@@ -103,7 +103,8 @@
 	})
 }
 
-// raceAndRepeat races two changes, runs a storm of further changes, and then repeats both racing changes at other nodes.
+// raceAndRepeat races two changes, runs a storm of further changes, and then repeats both racing changes at other
+// nodes.
 func (w *World) raceAndRepeat(round, changes int, limit clock.Span, then func()) {
 	w.raceChanges(fmt.Sprintf("race-%d", round), func(both [2]*racingChange) {
 		s := w.startStorm(w.someUp)
@@ -143,8 +144,8 @@
 	})
 }
 
-// runVoterAbsences repeatedly stops a voter while hundreds of changes are accepted. The voter returns with its old disk,
-// and others are lost as soon as it no longer counts as lost.
+// runVoterAbsences repeatedly stops a voter while hundreds of changes are accepted. The voter returns with its old
+// disk, and others are lost as soon as it no longer counts as lost.
 func (w *World) runVoterAbsences(until float64, changes int) {
 	w.tracef("deployment: %s", w.core)
 	w.watchJointState(12)
