--- a/internal/simulator/control_test.go
+++ b/internal/simulator/control_test.go
@@ -6,10 +6,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-func init() { bites = append(bites, controlMutations...) }
+func init() { bites = append(bites, controlGuardCases...) }
 
-// controlMutations disable guards of the core's register and voter sets, on drawn deployments.
-var controlMutations = []bite{
+// controlGuardCases disable guards of the core's register and voter sets, on drawn deployments.
+var controlGuardCases = []bite{
 	{"control: read by a majority", "control-parted", "operators' history fits no order: a stale read", []edit{
 		{"internal/controller/admin.go", "\t// A majority read that begins now will tell whether what is known is the newest.\n",
 			"\tif v := c.reg.known; v != nil {\n\t\tc.receipt(Receipt{Token: a.Token, Epoch: v.Epoch, Plan: v.Plan})\n\t\treturn\n\t}\n"}}},
--- a/internal/simulator/narrow_test.go
+++ b/internal/simulator/narrow_test.go
@@ -32,10 +32,10 @@
 // older than one acknowledged applyMs before, whatever the router itself assumes.
 func TestSlowCore(t *testing.T) { requireCleanRuns(t, slowCoreScenes, 6) }
 
-func init() { bites = append(bites, narrowMutations...) }
+func init() { bites = append(bites, narrowGuardCases...) }
 
-// narrowMutations disable guards of a router's leases where configurations arrive late.
-var narrowMutations = []bite{
+// narrowGuardCases disable guards of a router's leases where configurations arrive late.
+var narrowGuardCases = []bite{
 	{"narrow: a lease counts from what is lacked", "narrow-changes", "routes under epoch", []edit{
 		{"internal/controller/rollout.go", "return v.since, true", "return c.now, true"}}},
 	{"narrow: no lease by what was there before the term", "narrow-owner", "routes under epoch", []edit{
