--- a/internal/simulator/key_scenes.go
+++ b/internal/simulator/key_scenes.go
@@ -8,29 +8,31 @@
 	"tidedeck/internal/ident"
 )
 
-// Scenes in which callers show keys, and operators take keys away, move them between tenants and give them back, while
-// requests wait, are sent and are tried again.
+// In these scenes callers present keys, and operators revoke keys, move them between tenants and restore them, while
+// requests wait, are sent and are retried.
 
-// sceneKeys are what callers show: the last is never anybody's.
-var sceneKeys = []string{"key-1", "key-2", "key-3", "key-4", "nobody's"}
+// callerKeys are the keys that callers present. The last one never belongs to a tenant.
+var callerKeys = []string{"key-1", "key-2", "key-3", "key-4", "nobody's"}
 
-var sceneTenants = []string{"acme", "initech", "globex"}
+// tenantNames are the tenants of these scenes.
+var tenantNames = []string{"acme", "initech", "globex"}
 
-// keyedPlan is the first plan of these scenes: each key but the last is a tenant's, and one route wants none.
+// keyedPlan is the first plan of these scenes: every key but the last belongs to a tenant, and one route requires no
+// key.
 func keyedPlan() []byte {
 	s := firstSheet(1)
 	for i := range s.Routes {
 		s.Routes[i].Unkeyed = s.Routes[i].Prefix == "/plain/idem/"
 	}
-	for i, name := range sceneTenants {
-		s.Tenants = append(s.Tenants, sheetTenant{Name: name, Precedence: i, Keys: []string{sceneKeys[i]}})
+	for i, name := range tenantNames {
+		s.Tenants = append(s.Tenants, sheetTenant{Name: name, Precedence: i, Keys: []string{callerKeys[i]}})
 	}
-	s.Tenants[0].Keys = append(s.Tenants[0].Keys, sceneKeys[3])
+	s.Tenants[0].Keys = append(s.Tenants[0].Keys, callerKeys[3])
 	return writeSheet(s)
 }
 
-// drawTenants draws whose each key is: half of the time as at first, else any tenant's or nobody's; seldom there is no tenant
-// at all, or no list of them.
+// drawTenants assigns keys to tenants at random: a quarter of the time the first assignment stays, otherwise each key
+// belongs to a random tenant or to none. One time in twelve each, the list of tenants is missing or empty.
 func (w *World) drawTenants(m map[string]any) {
 	switch w.rand.IntN(12) {
 	case 0:
@@ -42,44 +44,46 @@
 	case 2, 3, 4:
 		return
 	}
-	var l []sheetTenant
-	for i, name := range sceneTenants {
-		l = append(l, sheetTenant{Name: name, Precedence: i, Keys: []string{}})
+	var tenants []sheetTenant
+	for i, name := range tenantNames {
+		tenants = append(tenants, sheetTenant{Name: name, Precedence: i, Keys: []string{}})
 	}
-	for _, key := range sceneKeys[:len(sceneKeys)-1] {
-		if i := w.rand.IntN(len(l) + 1); i < len(l) {
-			l[i].Keys = append(l[i].Keys, key)
+	for _, key := range callerKeys[:len(callerKeys)-1] {
+		if i := w.rand.IntN(len(tenants) + 1); i < len(tenants) {
+			tenants[i].Keys = append(tenants[i].Keys, key)
 		}
 	}
-	m["tenants"] = l
+	m["tenants"] = tenants
 }
 
-// changeKeys has an operator change whose keys are whose, again and again.
+// changeKeys has an operator reassign the keys to tenants at a fixed interval.
 func (w *World) changeKeys(from, to, gap float64) {
 	n := 0
 	for t := from; t < to; t += gap {
 		w.At(sec(t), func() {
 			n++
 			on := w.newestEpoch()
-			raw := Named(w.o.Plan, fmt.Sprintf("keys-%d", n), w.drawTenants)
+			raw := WithName(w.o.Plan, fmt.Sprintf("keys-%d", n), w.drawTenants)
 			w.PutNumber(w.some("controller-"), raw, on, on+1+ident.Epoch(w.rand.IntN(2)), func(controller.Receipt) {})
 		})
 	}
 }
 
-func keyed(o *Options) {
-	hosted(func(h *Hosted) { h.Keys, h.Shift = sceneKeys, 10e9 })(o)
+// keyedOptions sets up a world of announced servers whose callers present keys.
+func keyedOptions(o *Options) {
+	hosted(func(h *Hosted) { h.Keys, h.Shift = callerKeys, 10e9 })(o)
 	o.Plan = keyedPlan()
 }
 
+// keyScenes are scenes in which callers present keys and operators reassign them.
 var keyScenes = []Scene{
-	{Name: "keys", About: "keys are taken away, moved and given back in quick succession; nothing fails", Long: 60e9, Least: 0.95, Set: keyed,
-		Play: func(w *World) { w.changeKeys(8, 48, 0.7) }},
-	{Name: "keys-troubles", About: "the same while servers leave, the owner is lost, routers are cut off and stand still", Long: 90e9, Least: 0.6,
-		Set: func(o *Options) { keyed(o); o.Loss, o.Twice = 0.01, 0.02 },
-		Play: func(w *World) {
+	{Name: "keys", About: "keys are revoked, moved and restored in quick succession; nothing fails", Duration: 60e9, MinAnswered: 0.95, Configure: keyedOptions,
+		Script: func(w *World) { w.changeKeys(8, 48, 0.7) }},
+	{Name: "keys-troubles", About: "like keys, while servers leave, the owner is killed or frozen, and routers are cut off or frozen", Duration: 90e9, MinAnswered: 0.6,
+		Configure: func(o *Options) { keyedOptions(o); o.Loss, o.Twice = 0.01, 0.02 },
+		Script: func(w *World) {
 			w.changeKeys(8, 74, 1.3)
-			w.leaves(10, 70, 4)
+			w.withdrawServers(10, 70, 4)
 			for t := 12.0; t < 70; t += 8 {
 				w.At(sec(t), func() {
 					r := fmt.Sprintf("router-%d", 1+w.rand.IntN(w.o.Routers))
@@ -101,16 +105,16 @@
 				w.At(sec(t+4), w.Heal)
 			}
 		}},
-	{Name: "keys-slow-core", About: "keys change four times a second on core nodes that are slow to read a configuration, and the owner is killed, frozen and cut off",
-		Long: 90e9, Least: 0.6,
-		Set: func(o *Options) {
-			slowCore(60e6, 20e6)(o)
-			o.Hosted.Keys, o.Plan = sceneKeys, enlarged(keyedPlan(), o.Seed)
+	{Name: "keys-slow-core", About: "keys change four times a second on core nodes that parse configurations slowly, and the owner is killed, frozen and cut off",
+		Duration: 90e9, MinAnswered: 0.6,
+		Configure: func(o *Options) {
+			slowCoreOptions(60e6, 20e6)(o)
+			o.Hosted.Keys, o.Plan = callerKeys, enlargePlan(keyedPlan(), o.Seed)
 		},
-		Play: func(w *World) {
+		Script: func(w *World) {
 			w.changeKeys(10, 75, 0.25)
 			for t := 14.0; t < 75; t += 12 {
-				w.At(sec(t), func() { w.loseOwner(clock.Span(w.rand.Int64N(3e9))) })
+				w.At(sec(t), func() { w.disruptOwner(clock.Span(w.rand.Int64N(3e9))) })
 			}
 		}},
 }
