--- a/cmd/explorer/main.go
+++ b/cmd/explorer/main.go
@@ -1,5 +1,5 @@
-// Command explorer is a bounded model checker for the controllers' replicated register, leadership lease (the duty) and
-// voter set. It tries every interleaving of message deliveries and faults that a scenario allows, within bounds.
+// Command explorer is a bounded model checker for the controllers' replicated register, leadership lease and voter
+// set. It tries every interleaving of message deliveries and faults that a scenario allows, within bounds.
 package main
 
 import (
--- a/internal/explorer/cluster.go
+++ b/internal/explorer/cluster.go
@@ -75,7 +75,7 @@
 	return constantSource(low + uint64(position)*step)
 }
 
-func sibling(id ident.Node) protocol.Sibling { return protocol.Sibling{ID: id, Addr: string(id)} }
+func peer(id ident.Node) protocol.Sibling { return protocol.Sibling{ID: id, Addr: string(id)} }
 
 func (c *Cluster) boot(n *node) {
 	position := 0
@@ -90,9 +90,9 @@
 	}
 	n.incarnation++
 	n.core = controller.New(controller.Options{
-		Me: sibling(n.id), Zone: ident.Zone("zone-" + n.id), Inc: ident.Inc(n.incarnation), Seeds: seeds,
+		Me: peer(n.id), Zone: ident.Zone("zone-" + n.id), Inc: ident.Inc(n.incarnation), Seeds: seeds,
 		Rand:  rand.New(randSource(position)),
-		Round: tickInterval, Duty: dutyDuration, Spare: spareTimeout, Form: formTimeout,
+		Round: tickInterval, Duty: leadershipLease, Spare: spareTimeout, Form: formTimeout,
 		Read:     func([]byte) (*fleetplan.Plan, fleetplan.Faults) { return &fleetplan.Plan{}, nil },
 		Enrolled: true, Unfenced: true, Joined: c.options.joined, Alone: !c.scenario.ForwardsChanges,
 	})
@@ -247,7 +247,7 @@
 			c.drain()
 		}
 	}
-	c.history.checkOwners(c)
+	c.history.checkLeaders(c)
 }
 
 // advance runs several ticks and delivers all messages after each of them.
--- a/internal/explorer/doc.go
+++ b/internal/explorer/doc.go
@@ -1,5 +1,5 @@
 // Package explorer is a bounded, exhaustive model checker for the controllers' replicated register,
-// their leadership lease (the duty) and their voter set. It runs the real controller cores without I/O
+// their leadership lease and their voter set. It runs the real controller cores without I/O
 // and tries every interleaving of message deliveries and losses, crashes, wiped disks, network
 // isolation and clock ticks that a scenario allows, up to a depth, a number of states, and a budget for
 // each kind of fault.
--- a/internal/explorer/enabled.go
+++ b/internal/explorer/enabled.go
@@ -17,7 +17,7 @@
 		return err
 	}
 	c.drain()
-	c.history.checkOwners(c)
+	c.history.checkLeaders(c)
 	c.history.checkDurable(c)
 	return nil
 }
@@ -53,7 +53,7 @@
 	switch a.Kind {
 	case Drop:
 		c.used.Drops++
-		c.logf("    %d is dropped: %s", m.number, envelopeText(m.env))
+		c.logf("    %d is lost: %s", m.number, envelopeText(m.env))
 		return nil
 	case Duplicate:
 		c.used.Duplicates++
@@ -131,7 +131,7 @@
 	c.history.nodeStopped(n)
 }
 
-// performBatch delivers or drops all messages in flight to a node, but not messages sent in response to them.
+// performBatch delivers or loses all messages in flight to a node, but not messages sent in response to them.
 func (c *Cluster) performBatch(a Action, n *node) {
 	var batch, rest []message
 	for _, m := range c.inFlight {
--- a/internal/explorer/explorer_test.go
+++ b/internal/explorer/explorer_test.go
@@ -62,7 +62,7 @@
 
 // regressionRuns are runs that once ended in a violation, with the fault that caused it.
 var regressionRuns = []struct{ what, scenario, run string }{
-	{"split claims renewed each other's refusal, so that no node ever owned the duty", "churn",
+	{"split claims renewed each other's refusal, so that no node ever acquired the leadership lease", "churn",
 		"lose d\ncrash c\ncrash a\npass\nrestart c\ntick\ncut b\npass\ncrash b\ntick"},
 	{"a spare lost in the meantime took the seat of a voter that had returned, so that no majority was left", "churn",
 		"crash c\npass\ntick\nlose d\nlose e\npass\nlose f"},
--- a/internal/explorer/fingerprint.go
+++ b/internal/explorer/fingerprint.go
@@ -138,7 +138,7 @@
 	f.flag(s.Began)
 	f.voter(s.Voter)
 	f.register(s.Register)
-	f.duty(s.Duty)
+	f.leadership(s.Duty)
 	f.number(uint64(len(s.Members)))
 	for _, m := range s.Members {
 		f.text(string(m.ID))
@@ -191,7 +191,7 @@
 		f.timestamp(at)
 	}
 	for _, s := range r.Siblings {
-		f.sibling(s)
+		f.peer(s)
 	}
 	for _, id := range generic.SortedKeys(r.Absent) {
 		f.text(string(id))
@@ -254,7 +254,7 @@
 	f.text(string(q.Owner))
 }
 
-func (f *fingerprinter) sibling(s controller.SiblingSnapshot) {
+func (f *fingerprinter) peer(s controller.SiblingSnapshot) {
 	f.text(string(s.ID))
 	f.timestamp(s.At)
 	f.number(uint64(s.State.Inc))
@@ -265,7 +265,7 @@
 	f.flag(s.State.Blank)
 }
 
-func (f *fingerprinter) duty(d controller.DutySnapshot) {
+func (f *fingerprinter) leadership(d controller.DutySnapshot) {
 	f.flag(d.Mine)
 	f.number(uint64(d.Number))
 	f.timestamp(d.Renewed)
--- a/internal/explorer/history.go
+++ b/internal/explorer/history.go
@@ -41,7 +41,7 @@
 	chosenPlans     map[ident.Epoch]string // plans of values known to be chosen
 	inForce         *protocol.Desired      // the newest value known to be chosen
 	inForceBallot   protocol.Ballot
-	ownerByDuty     map[ident.Duty]ident.Node
+	leaderByTerm    map[ident.Duty]ident.Node
 	durabilityDirty bool // durable state may have changed since the last check
 	violation       string
 	answers         []controller.Receipt // answers to operators
@@ -50,7 +50,7 @@
 func newHistory() history {
 	return history{
 		attempts: map[string]int{}, confirmed: map[string]ident.Epoch{},
-		chosenPlans: map[ident.Epoch]string{}, ownerByDuty: map[ident.Duty]ident.Node{},
+		chosenPlans: map[ident.Epoch]string{}, leaderByTerm: map[ident.Duty]ident.Node{},
 	}
 }
 
@@ -114,7 +114,7 @@
 	}
 }
 
-// answerBasis returns the value that an answer is checked against. For a read, it is the value that the node knows. For
+// answerBasis returns the value that an answer is checked against. For a read, it is the value known to the node. For
 // a change, it is the newest value known to be chosen on any node, since the node to which the change was forwarded may
 // know a newer value than the one that answers.
 func (h *history) answerBasis(n *node, q *request) *protocol.Desired {
@@ -178,11 +178,11 @@
 	}
 }
 
-// observe records the chosen value that a node knows after a step and checks it against the values known before.
+// observe records the chosen value known to a node after a step and checks it against the values known before.
 func (h *history) observe(c *Cluster, n *node) {
 	ballot, known := n.core.Chosen()
 	h.recordChosen(n, ballot, known)
-	h.checkOwners(c)
+	h.checkLeaders(c)
 }
 
 func (h *history) recordChosen(n *node, b protocol.Ballot, v *protocol.Desired) {
@@ -220,25 +220,25 @@
 	}
 }
 
-// checkOwners checks that no two nodes own the duty (the leadership lease) at the same time or under the same number.
-func (h *history) checkOwners(c *Cluster) {
-	var owner *node
+// checkOwners checks that no two nodes hold the leadership lease at the same time or under the same term.
+func (h *history) checkLeaders(c *Cluster) {
+	var leader *node
 	for _, n := range c.nodes {
 		if !n.up() {
 			continue
 		}
-		number, owns := n.core.Owns(c.now)
-		if !owns {
+		term, holds := n.core.Owns(c.now)
+		if !holds {
 			continue
 		}
-		if owner != nil {
-			h.reportViolation("%s and %s own the duty at once", owner.id, n.id)
+		if leader != nil {
+			h.reportViolation("%s and %s own the duty at once", leader.id, n.id)
 		}
-		owner = n
-		if was, ok := h.ownerByDuty[number]; ok && was != n.id {
-			h.reportViolation("duty %d was owned by %s and by %s", number, was, n.id)
+		leader = n
+		if was, ok := h.leaderByTerm[term]; ok && was != n.id {
+			h.reportViolation("duty %d was owned by %s and by %s", term, was, n.id)
 		}
-		h.ownerByDuty[number] = n.id
+		h.leaderByTerm[term] = n.id
 	}
 }
 
--- a/internal/explorer/initial_state.go
+++ b/internal/explorer/initial_state.go
@@ -16,7 +16,7 @@
 const (
 	formTicks  = 40
 	electTicks = 12
-	quietTicks = 3 // after the election, so that every node learns of the owner
+	quietTicks = 3 // after the election, so that every node learns which node is the leader
 )
 
 // InitialState is the state of a scenario from which each run starts.
@@ -36,10 +36,10 @@
 		c.boot(n)
 		c.drain()
 	}
-	if !c.waitFor(formTicks, func() bool { return c.owner() != nil }) {
+	if !c.waitFor(formTicks, func() bool { return c.leader() != nil }) {
 		return nil, errors.Errorf("%s: the cluster does not form within %d ticks", s.Name, formTicks)
 	}
-	c.sendChange(c.owner(), firstChange, 0, 1, false)
+	c.sendChange(c.leader(), firstChange, 0, 1, false)
 	c.drain()
 	if c.history.confirmed[firstChange] != 1 {
 		return nil, errors.Errorf("%s: the first change is not confirmed", s.Name)
@@ -59,7 +59,7 @@
 	return &Cluster{scenario: s, now: 1e9, history: newHistory()}
 }
 
-// NewCluster starts the cluster from its disks, waits for an owner, and executes the scenario's setup.
+// NewCluster starts the cluster from its disks, waits for a leader, and executes the scenario's setup.
 func (s *InitialState) NewCluster(trace func(string)) (*Cluster, error) {
 	c := newCluster(s.scenario)
 	c.options.joined, c.deliverImmediately = true, true
@@ -72,13 +72,13 @@
 		c.boot(n)
 		c.drain()
 	}
-	if !c.waitFor(electTicks, func() bool { return c.owner() != nil }) {
-		return nil, errors.Errorf("%s: no owner within %d ticks", s.scenario.Name, electTicks)
+	if !c.waitFor(electTicks, func() bool { return c.leader() != nil }) {
+		return nil, errors.Errorf("%s: no leader within %d ticks", s.scenario.Name, electTicks)
 	}
 	c.advance(quietTicks)
 	c.deliverImmediately = false
 	c.trace = trace
-	c.logf("setup: %s owns the duty", c.owner().id)
+	c.logf("setup: %s holds the leadership lease", c.leader().id)
 	for _, a := range s.scenario.Setup {
 		if err := c.Apply(a); err != nil {
 			return nil, errors.Wrap(err, "setup")
@@ -100,8 +100,8 @@
 	return condition()
 }
 
-// owner returns the node that owns the duty, or nil.
-func (c *Cluster) owner() *node {
+// owner returns the node that holds the leadership lease, or nil.
+func (c *Cluster) leader() *node {
 	for _, n := range c.nodes {
 		if !n.up() {
 			continue
--- a/internal/explorer/recovery.go
+++ b/internal/explorer/recovery.go
@@ -9,7 +9,7 @@
 	"tidedeck/internal/protocol"
 )
 
-// Bounds of recovery, in ticks. Within recoverTicks after the last fault, the cluster must have an owner of the duty,
+// Bounds of recovery, in ticks. Within recoverTicks after the last fault, the cluster must have a leader,
 // have left every joint voter set and accept changes again.
 const (
 	recoverTicks  = 72
@@ -48,7 +48,7 @@
 
 // hasRecovered sends a change to every node that is up and reports whether one of them is confirmed.
 func (c *Cluster) hasRecovered(round int) bool {
-	if c.owner() == nil || len(c.history.inForce.Prior) > 0 || c.unfilledSeat() != "" {
+	if c.leader() == nil || len(c.history.inForce.Prior) > 0 || c.unfilledSeat() != "" {
 		return false
 	}
 	confirmed := false
@@ -82,8 +82,8 @@
 // stuckReason describes why a cluster makes no progress.
 func (c *Cluster) stuckReason() string {
 	var reasons []string
-	if c.owner() == nil {
-		reasons = append(reasons, "no node owns the duty")
+	if c.leader() == nil {
+		reasons = append(reasons, "no node holds the leadership lease")
 	}
 	if len(c.history.inForce.Prior) > 0 {
 		reasons = append(reasons, "the joint voter set is not left")
--- a/internal/explorer/scenario.go
+++ b/internal/explorer/scenario.go
@@ -49,20 +49,20 @@
 	FaultNodes  []ident.Node // nodes at which faults may occur; all if empty
 	ReadNodes   []ident.Node
 
-	ForwardsChanges  bool // changes are forwarded to the owner of the lease; otherwise each node proposes them
+	ForwardsChanges  bool // changes are forwarded to the leader; otherwise each node proposes them
 	Depth            int
 	RequiresRecovery bool // from every state the cluster must be able to recover
 }
 
 // Timer settings of the explored clusters. Every timer is a multiple of a tick, so that equal states recur.
 const (
-	tickInterval clock.Span = 250e6
-	dutyDuration clock.Span = 1000e6
-	spareTimeout clock.Span = 1500e6
-	formTimeout  clock.Span = 1000e6
+	tickInterval    clock.Span = 250e6
+	leadershipLease clock.Span = 1000e6
+	spareTimeout    clock.Span = 1500e6
+	formTimeout     clock.Span = 1000e6
 )
 
-// passTicks is slightly longer than the leadership lease (the duty) with its safety margin.
+// passTicks is slightly longer than the leadership lease with its safety margin.
 const passTicks = 6
 
 // isRegisterMessage selects the messages of the consensus protocol.
@@ -83,7 +83,7 @@
 	return isRegisterMessage(e)
 }
 
-// isClaimMessage selects the messages that claim, grant and release the duty.
+// isClaimMessage selects the messages that claim, grant and release the leadership lease.
 func isClaimMessage(e protocol.Env) bool {
 	switch b := e.Body.(type) {
 	case protocol.Query:
@@ -104,7 +104,7 @@
 // Scenarios lists all scenarios.
 var Scenarios = []Scenario{
 	{
-		Name: "cut-owner", Description: "the owner is isolated while another change is confirmed elsewhere",
+		Name: "cut-owner", Description: "the leader is isolated while another change is confirmed elsewhere",
 		Voters: nodeIDs("a", "b", "c"), MaxLostVoters: 1, Intercepts: isRegisterMessage, Granularity: ByNode, PassTicks: passTicks,
 		Operators: []Operator{
 			{Name: "x", ExpectedEpoch: 1, NewEpoch: 2, Nodes: nodeIDs("a"), MaxAttempts: 1},
@@ -147,7 +147,7 @@
 		Depth:      14,
 	},
 	{
-		Name: "forwarded", Description: "changes are forwarded to the owner, which skips the prepare phase on a promise of the previous change, and is isolated or lost",
+		Name: "forwarded", Description: "changes are forwarded to the leader, which skips the prepare phase on a promise of the previous change, and is isolated or lost",
 		Voters: nodeIDs("a", "b", "c"), MaxLostVoters: 1, Intercepts: isRegisterOrForwardMessage, Granularity: ByNode, PassTicks: passTicks,
 		Setup: []Action{{Kind: Put, Operator: "w", Node: "a"}, {Kind: Settle}, {Kind: Tick}, {Kind: Settle}},
 		Operators: []Operator{
@@ -280,7 +280,7 @@
 		Depth:  10, RequiresRecovery: true,
 	},
 	{
-		Name: "duty", Description: "nodes claim the duty after its owner crashed, and restarted voters forget their grants",
+		Name: "duty", Description: "nodes claim the leadership lease after the leader crashed, and restarted voters forget their grants",
 		Voters: nodeIDs("a", "b", "c", "d", "e"), MaxLostVoters: 2, Intercepts: isClaimMessage, Granularity: ByNode, PassTicks: passTicks,
 		Setup: []Action{
 			{Kind: Crash, Node: "a"}, {Kind: Tick}, {Kind: Settle}, {Kind: Tick}, {Kind: Settle}, {Kind: Tick}, {Kind: Settle},
@@ -291,7 +291,7 @@
 		Depth:      14,
 	},
 	{
-		Name: "duty-restarts", Description: "the duty's owner is isolated, and the voters that granted the duty restart",
+		Name: "duty-restarts", Description: "the leader is isolated, and the voters that granted its lease restart",
 		Voters: nodeIDs("a", "b", "c"), MaxLostVoters: 1, Intercepts: noMessage, Granularity: ByNode, PassTicks: passTicks,
 		Setup:      []Action{{Kind: Cut, Node: "a"}},
 		FaultNodes: nodeIDs("b", "c"),
@@ -299,7 +299,7 @@
 		Depth:      14, RequiresRecovery: true,
 	},
 	{
-		Name: "duty-takeover", Description: "the duty's owner is isolated or restarts, voters restart, and other nodes claim the duty while the lease is still valid",
+		Name: "duty-takeover", Description: "the leader is isolated or restarts, voters restart, and other nodes claim the leadership lease while its lease is still valid",
 		Voters: nodeIDs("a", "b", "c"), MaxLostVoters: 1, Intercepts: noMessage, Granularity: ByNode, PassTicks: passTicks,
 		Budget: Budget{Crashes: 2, Wipes: 1, Cuts: 2, Ticks: 8},
 		Depth:  14, RequiresRecovery: true,
--- a/internal/history/model.go
+++ b/internal/history/model.go
@@ -145,7 +145,7 @@
 	case repeat:
 		return fmt.Sprintf("change %q was confirmed as version %d, and its repeat refused", op.Change, version)
 	case op.Outcome == Taken && !op.Any && op.Expect != at.version:
-		return fmt.Sprintf("a change that goes on version %d was confirmed in addition to another", op.Expect)
+		return fmt.Sprintf("a change based on version %d was confirmed in addition to another", op.Expect)
 	case op.Outcome == Taken:
 		return fmt.Sprintf("a change was confirmed as version %d out of order", op.Version)
 	}
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -37,7 +37,7 @@
 	Router   string
 	Began    string
 	Requests []router.Logged
-	Dropped  int // lines that the router dropped because it could not write them in time
+	Dropped  int // lines that the router discarded because it could not write them in time
 	Faults   []Fault
 }
 
--- a/internal/simulator/check.go
+++ b/internal/simulator/check.go
@@ -57,13 +57,13 @@
 	launches     []launchRecord
 	routerEpochs map[string][2]uint64
 	routerLives  map[string]int
-	dutyOwners   map[ident.Duty]string
+	termLeaders  map[ident.Duty]string
 	gone         map[string]clock.Tick // when servers began to leave, stopped or became unreachable
 	unloadedAt   map[string]clock.Tick
 	Seen         Seen
 	healed       clock.Tick
 	batch        hostedRecords
-	disksLost    bool // all core disks were lost, so confirmed changes may be gone
+	disksLost    bool // all core disks were lost, so confirmed changes may be lost
 	disksLostAt  clock.Tick
 	history      history.Recorder // operations of operators and readers
 }
@@ -77,12 +77,12 @@
 	CallerRepeats, RefusedRepeats, RepeatedRuns             int
 	WorstRetryShare                                         float64 // highest share of retries and repeats in 10 s
 	Admits                                                  int     // changes of the voter set
-	NeedlessDrops                                           int     // dropped although a server could have served them
+	NeedlessDrops                                           int     // rejected although a server could have served them
 	RefusedLate                                             uint64  // refused by servers because they were sent too late
 	Kinds                                                   map[string]int
 	PlanLag, GoneLag, ZoneLag                               clock.Span // longest delays observed
 	Recovery                                                clock.Span // from the end of the outage to the first answer
-	NoOwner                                                 clock.Span // longest time without a placement owner
+	NoOwner                                                 clock.Span // longest time without a leader
 	PeakCold                                                int
 	Hits, Lookups, Unchanged, Breaks, Acks, Lapses, Unloads uint64
 	Prompt, Reused                                          uint64
@@ -97,7 +97,7 @@
 
 func newChecker(w *World) *Checker {
 	return &Checker{w: w, openCalls: map[router.Ref]*call{}, runCounts: map[string]int{}, lastRuns: map[string]runPlace{}, routerEpochs: map[string][2]uint64{}, routerLives: map[string]int{},
-		dutyOwners: map[ident.Duty]string{}, gone: map[string]clock.Tick{}, unloadedAt: map[string]clock.Tick{}, batch: newHostedRecords(),
+		termLeaders: map[ident.Duty]string{}, gone: map[string]clock.Tick{}, unloadedAt: map[string]clock.Tick{}, batch: newHostedRecords(),
 		Seen: Seen{Kinds: map[string]int{}}}
 }
 
@@ -256,8 +256,8 @@
 	return why == failure.None
 }
 
-// checkNow compares the routers' epochs and plans with what operators were told, and checks that the core has at
-// most one owner.
+// checkNow compares the routers' epochs and plans with the replies to operators, and checks that the core has at
+// most one leader.
 func (k *Checker) checkNow() {
 	w := k.w
 	for _, p := range w.Routers() {
@@ -289,16 +289,16 @@
 	if w.host != nil {
 		k.checkHosted()
 	}
-	var owners []string
+	var leaders []string
 	for _, p := range w.controllers() {
 		if _, ok := p.core.(*controller.Core).Owns(p.tick(w.now)); ok {
-			owners = append(owners, p.name)
+			leaders = append(leaders, p.name)
 		}
 	}
-	if len(owners) > 1 {
-		k.bad("two own the duty: %v", owners)
+	if len(leaders) > 1 {
+		k.bad("two own the duty: %v", leaders)
 	}
-	if len(owners) == 1 {
+	if len(leaders) == 1 {
 		k.Seen.lastOwnerAt = w.now
 	} else if k.Seen.lastOwnerAt != 0 {
 		k.Seen.NoOwner = max(k.Seen.NoOwner, w.now.Sub(k.Seen.lastOwnerAt))
@@ -313,10 +313,10 @@
 	if r.Drop == failure.Stale {
 		return
 	}
-	if d, ok := k.dutyOwners[o.Duty]; ok && d != from {
+	if d, ok := k.termLeaders[o.Duty]; ok && d != from {
 		k.bad("two controllers, %s and %s, order under duty %d", d, from, o.Duty)
 	}
-	k.dutyOwners[o.Duty] = from
+	k.termLeaders[o.Duty] = from
 	if r.Drop == failure.NoRoom {
 		k.bad("%s was ordered past its room", s.name)
 	}
@@ -438,7 +438,7 @@
 		return
 	}
 	if w.host != nil {
-		return // hosted servers refuse what is not theirs, so only what they run is checked
+		return // hosted servers refuse requests meant for others, so only requests that ran are checked
 	}
 	if since := k.emptySince(s.zone); since != 0 {
 		lag := w.now.Sub(since)
@@ -503,7 +503,7 @@
 	}
 	k.checkArrival(f, s)
 	if c := f.call; c.finished && failure.Receipts[failure.Kind(c.outcome)].Dropped {
-		k.bad("%s was dropped as %s and ran", id, c.outcome)
+		k.bad("%s was rejected as %s and ran", id, c.outcome)
 	}
 }
 
@@ -524,7 +524,7 @@
 	k.w.tracef("%s: %s ends with %s", routerName, c.ask.Call.ID, r.Kind)
 	receipt := failure.Receipts[r.Kind]
 	if receipt.Dropped && c.runs > 0 {
-		k.bad("%s was dropped as %s but had run", c.ask.Call.ID, r.Kind)
+		k.bad("%s was rejected as %s but had run", c.ask.Call.ID, r.Kind)
 	}
 	if slices.Contains(denials, r.Kind) && !k.disksLost {
 		allowedByAll := true
@@ -539,7 +539,7 @@
 		k.Seen.NeedlessDrops++
 	}
 	if receipt.Dropped && r.Back == 0 && receipt.Status == 503 {
-		k.bad("a dropped request got no Retry-After time")
+		k.bad("a rejected request got no Retry-After time")
 	}
 	if r.Back > 0 && c.ask.Call.Again && !c.repeat && k.w.rand.IntN(8) == 0 {
 		next := c.ask
@@ -597,7 +597,7 @@
 	k.w.After(clock.Span(k.w.rand.Int64N(800e6)), func() { k.w.Ask(next, next.Call.Repeat); k.calls[len(k.calls)-1].callerRepeat = true })
 }
 
-// couldBeServed reports whether a request that is dropped could have been served: its router has a valid lease, and
+// couldBeServed reports whether a rejected request could have been served: its router has a valid lease, and
 // a reachable healthy server has held the model for more than 6 s and has at least half of its slots free.
 func (k *Checker) couldBeServed(routerName string, c *call) bool {
 	w := k.w
@@ -671,9 +671,9 @@
 	} else {
 		k.checkRetryWindows()
 	}
-	// Requests may be dropped only for lack of available servers or capacity.
+	// Requests may be rejected only for lack of available servers or capacity.
 	if float64(s.NeedlessDrops) > 0.01*float64(s.Asked) && !k.disksLost {
-		k.bad("%d of %d requests were dropped though a server could have served them", s.NeedlessDrops, s.Asked)
+		k.bad("%d of %d requests were rejected although a server could have served them", s.NeedlessDrops, s.Asked)
 	}
 	k.checkHistory()
 	// Each epoch is one change. More epochs than changes mean that a change was applied twice.
--- a/internal/simulator/history.go
+++ b/internal/simulator/history.go
@@ -49,7 +49,7 @@
 // checkHistory checks that all that operators and readers observed is consistent with a single register.
 func (k *Checker) checkHistory() {
 	operations := k.history.History()
-	if k.disksLost { // changes confirmed before the disks were lost may be gone
+	if k.disksLost { // changes confirmed before the disks were lost may be missing
 		operations = history.Before(operations, int64(k.disksLostAt))
 	}
 	result := history.Check(operations, mergePatch, historyCheckTimeout)
--- a/internal/simulator/hosted.go
+++ b/internal/simulator/hosted.go
@@ -22,7 +22,7 @@
 	Batch                int        // number of batch servers
 	Plain                int        // number of servers of the plain service
 	ContactTime          clock.Span // time without faults after which a machine counts as connected
-	Tenure               clock.Span // within this time, no owner may order a server again after another owner has
+	Tenure               clock.Span // within this time, no leader may order a server again after another leader has
 	Reuse                clock.Span // time after which an address may be reused
 	ThawAllowance        clock.Span // orders that arrive within this time after a fault ended are not checked
 	ReportLag            clock.Span
@@ -80,7 +80,7 @@
 	now     *announcedServer
 }
 
-// announcedServer is one life of a server that announces itself.
+// announcedServer is one incarnation of a server that announces itself.
 type announcedServer struct {
 	protocol.Beacon
 	machine             *machine
@@ -220,7 +220,7 @@
 	w.After(w.o.Hosted.Timing.Period*9/10+clock.Span(w.rand.Int64N(int64(w.o.Hosted.Timing.Period/5))), func() { h.announcePeriodically(a) })
 }
 
-// announce sends a server's announcement to random core nodes, one at a time, until one acknowledges it or all tries
+// announce sends a server's announcement to random core nodes, one at a time, until one acknowledges it or all attempts
 // are used.
 func (h *hosting) announce(a *announcedServer, tries int, then func(ok bool)) {
 	w := h.world
@@ -298,28 +298,28 @@
 	}
 }
 
-// startLeaving makes a server announce that it is leaving. If left is positive, the server ends after that time
+// startLeaving makes a server announce that it is leaving. If remaining is positive, the server ends after that time
 // even if it still runs requests.
-func (h *hosting) leave(m *machine, left clock.Span, again clock.Span) {
+func (h *hosting) leave(m *machine, remaining clock.Span, restartAfter clock.Span) {
 	w, a := h.world, m.now
 	if a == nil || !a.proc.up || a.State != "live" {
 		return
 	}
-	a.State, a.Left, a.leavingSince = "leaving", left, w.now
-	w.tracef("%s leaves (%v left)", a.ID, left)
-	if left > 0 {
-		w.After(left, func() { h.endServer(a, again) })
+	a.State, a.Left, a.leavingSince = "leaving", remaining, w.now
+	w.tracef("%s leaves (%v left)", a.ID, remaining)
+	if remaining > 0 {
+		w.After(remaining, func() { h.endServer(a, restartAfter) })
 	}
 	w.After(6e9, func() { // end even without an acknowledgement
 		if !a.ending {
-			h.endServer(a, again)
+			h.endServer(a, restartAfter)
 		}
 	})
 	a.machine.now = a
 	h.announce(a, 5, func(ok bool) { h.noteLeaveAck(a, ok) })
 	var waitForAck func()
 	waitForAck = func() { // keep serving for a while after the acknowledgement
-		if a.ended || left > 0 {
+		if a.ended || remaining > 0 {
 			return
 		}
 		if !a.leaveAckReceived {
@@ -333,7 +333,7 @@
 			a.ending = true
 			a.State = "gone"
 			h.announce(a, 2, func(bool) {})
-			w.After(300e6, func() { h.endServer(a, again) })
+			w.After(300e6, func() { h.endServer(a, restartAfter) })
 		})
 	}
 	waitForAck()
@@ -345,9 +345,9 @@
 	}
 }
 
-// endServer ends a server. If again is positive, a server without models and with a new ID starts on its machine after
+// endServer ends a server. If restartAfter is positive, a server without models and with a new ID starts on its machine after
 // that time.
-func (h *hosting) endServer(a *announcedServer, again clock.Span) {
+func (h *hosting) endServer(a *announcedServer, restartAfter clock.Span) {
 	if a.ended {
 		return
 	}
@@ -356,16 +356,16 @@
 	w.Kill(a.proc.name)
 	addr := a.Addr
 	w.After(w.o.Hosted.Reuse, func() { h.freeAddrs = append(h.freeAddrs, addr) })
-	if again > 0 {
-		w.After(again, func() { h.startServer(a.machine, nil) })
+	if restartAfter > 0 {
+		w.After(restartAfter, func() { h.startServer(a.machine, nil) })
 	}
 }
 
 // crashServer ends a server without an announcement.
-func (h *hosting) crash(m *machine, again clock.Span) {
+func (h *hosting) crash(m *machine, restartAfter clock.Span) {
 	if m.now != nil && m.now.proc.up && !m.now.ended {
 		h.world.tracef("%s crashes", m.now.ID)
-		h.endServer(m.now, again)
+		h.endServer(m.now, restartAfter)
 	}
 }
 
--- a/internal/simulator/hosted_check.go
+++ b/internal/simulator/hosted_check.go
@@ -56,8 +56,8 @@
 	} else {
 		k.Seen.OrdersRefused++
 	}
-	if owner, ok := records.owners[o.Duty]; ok && owner != p.name {
-		k.bad("two controllers, %s and %s, order under duty %d", owner, p.name, o.Duty)
+	if leader, ok := records.owners[o.Duty]; ok && leader != p.name {
+		k.bad("two controllers, %s and %s, order under duty %d", leader, p.name, o.Duty)
 	}
 	records.owners[o.Duty] = p.name
 	if t, ok := w.disruptions.thawedAt[p.box]; ok && w.now.Sub(t) < w.o.Hosted.ThawAllowance || !w.linkStable(p.box, s.box, w.o.Hosted.ThawAllowance) {
@@ -138,8 +138,8 @@
 		ident.KeyOf(f.launch.Work.Base, f.launch.Work.Extra), f.launch.Work.Tenant, f.launch.Keyed, s.name)
 }
 
-// checkHosted compares the owner's view with what servers were told, and the epochs of connected routers with
-// what operators were told.
+// checkHosted compares the leader's view with the acknowledgements to servers, and the epochs of connected routers with
+// the replies to operators.
 func (k *Checker) checkHosted() {
 	w := k.w
 	if w.now.Sub(k.batch.checkedAt) < 50e6 {
@@ -185,7 +185,7 @@
 	}
 }
 
-// checkServersView checks that an owner does not consider servers live that were acknowledged as leaving.
+// checkServersView checks that a leader does not consider servers live that were acknowledged as leaving.
 func (k *Checker) checkServersView(p *proc, r controller.Receipt) {
 	l, _ := r.View["servers"].([]map[string]any)
 	for _, x := range l {
@@ -193,7 +193,7 @@
 		a := k.w.host.byProcess[string(id)]
 		if a != nil && a.acked != 0 && (x["offered"] == true || a.proc.up && x["state"] == "live") && !k.batch.reported[p.name+string(id)] {
 			k.batch.reported[p.name+string(id)] = true
-			k.bad("%s was acknowledged as leaving, but owner %s considers it live", id, p.name)
+			k.bad("%s was acknowledged as leaving, but leader %s considers it live", id, p.name)
 		}
 	}
 }
--- a/internal/simulator/hosted_test.go
+++ b/internal/simulator/hosted_test.go
@@ -22,14 +22,14 @@
 	require.Len(t, f, 1)
 }
 
-// The checker detects each forbidden sequence of orders to one server: two controllers under the same duty, a lower
-// duty after a higher one, and a controller that orders again within the tenure after another one did.
+// The checker detects each forbidden sequence of orders to one server: two controllers under the same term, a lower
+// term after a higher one, and a controller that orders again within the tenure after another one did.
 func TestOrderChecks(t *testing.T) {
 	o := Options{Seed: 1}
 	hosted(nil)(&o)
 	for _, c := range []struct {
 		sees   string
-		orders [][2]int // controller number and duty of each order, one per second
+		orders [][2]int // controller number and term of each order, one per second
 	}{
 		{"", [][2]int{{1, 1}, {1, 1}, {2, 2}, {3, 3}}},
 		{"two controllers", [][2]int{{1, 1}, {2, 1}}},
--- a/internal/simulator/measure.go
+++ b/internal/simulator/measure.go
@@ -63,7 +63,7 @@
 	printf("  with routers frozen and cut off: %.0f breaks, %.0f acknowledged, %.0f links lapsed with something owed",
 		sum(l, func(s Seen) float64 { return float64(s.Breaks) }), sum(l, func(s Seen) float64 { return float64(s.Acks) }), sum(l, func(s Seen) float64 { return float64(s.Lapses) }))
 
-	printf("callback state of one router at the owner")
+	printf("callback state of one router at the leader")
 	for _, n := range []int{500, 2000, 8000} {
 		printf("  %4d callbacks: %.0f bytes each", n, callbackBytes(n))
 	}
@@ -100,13 +100,13 @@
 
 	printf("takeover and recovery, worst of the seeds")
 	l, _ = run("moves-owner", nil)
-	printf("  without an owner after it is killed, frozen or cut off: %v", worst(l, func(s Seen) clock.Span { return s.NoOwner }))
+	printf("  without a leader after it is killed, frozen or cut off: %v", worst(l, func(s Seen) clock.Span { return s.NoOwner }))
 	for _, c := range []string{"power", "blackout", "ruin"} {
 		l, _ = run(c, nil)
 		printf("  first answer after %-9s %v", c+":", worst(l, func(s Seen) clock.Span { return s.Recovery }))
 	}
 
-	printf("length of the hold (scenes grow and moves-owner)")
+	printf("duration of the router lease (scenes grow and moves-owner)")
 	for _, h := range []clock.Span{1e9, 1500e6, 2e9, 3e9, 4e9} {
 		set := func(o *Options) { o.Controller.Hold = h }
 		a, _ := run("grow", set)
@@ -114,7 +114,7 @@
 		k, _ := run("moves-cut", set)
 		f, _ := run("fence", set)
 		lag := func(s Seen) clock.Span { return s.PlanLag }
-		printf("  hold %-5v worst plan lag %v in grow, %v in fence; answered %.4f of grow, %.4f of moves-owner, %.4f of moves-cut", h,
+		printf("  lease %-5v worst plan lag %v in grow, %v in fence; answered %.4f of grow, %.4f of moves-owner, %.4f of moves-cut", h,
 			worst(a, lag).Round(1e6), worst(f, lag).Round(1e6), answeredShare(a), answeredShare(b), answeredShare(k))
 	}
 	printf("renewals (scene calm)")
@@ -183,7 +183,7 @@
 	return float64(a) / float64(n)
 }
 
-// callbackBytes returns the memory in bytes that an owner uses per callback of a router.
+// callbackBytes returns the memory in bytes that a leader uses per callback of a router.
 func callbackBytes(n int) float64 {
 	me := protocol.Sibling{ID: "a", Addr: "a"}
 	c := controller.New(controller.Options{Me: me, Inc: 1, Rand: rand.New(rand.NewPCG(1, 1)), Most: 1 << 20})
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -302,14 +302,14 @@
 	return clock.Tick(w.rand.Int64N(1e15)), 1 + (w.rand.Float64()-0.5)*w.o.Rates
 }
 
-// randomFor returns the random source of a process for its current life.
+// randomFor returns the random source of a process for its current incarnation.
 func (w *World) randomFor(name string) *rand.Rand {
 	h := fnv.New64a()
 	fmt.Fprint(h, name, w.procs[name].life)
 	return rand.New(rand.NewPCG(w.o.Seed, h.Sum64()))
 }
 
-// incarnation returns the incarnation number of a process's current life. Later lives get higher numbers.
+// incarnation returns the incarnation number of a process. Later incarnations get higher numbers.
 func (w *World) incarnation(name string) ident.Inc {
 	// Derived from the wall clock, as in production; the clock may have been set back.
 	at := uint64(int64(w.now) + int64(w.procs[name].wall) + 4e12)
@@ -394,7 +394,7 @@
 // Hash returns a hash of the whole trace. Runs with the same seed and options have the same hash.
 func (w *World) Hash() uint64 { return w.hash }
 
-// Start starts a process in a new life, unless it is running.
+// Start starts a new incarnation of a process, unless it is running.
 func (w *World) Start(name string) {
 	p := w.procs[name]
 	if p.up {
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -70,7 +70,7 @@
 	address     string // of the machine; empty for all machines
 }
 
-// term is the term and the owner in an order to a server.
+// term is the term and the leader named in an order to a server.
 type term struct {
 	number uint64
 	owner  string
@@ -91,7 +91,7 @@
 	services     map[string]string // by server id
 	leaveAcks    map[string]time.Time
 	highestTerms map[string]term   // by server id
-	termOwners   map[uint64]string // owner of each term, as named in orders
+	termLeaders  map[uint64]string // leader of each term, as named in orders
 	disturbances []*disturbance
 	recoveredAt  map[string]time.Time // end of the last trouble, by machine address
 }
@@ -102,7 +102,7 @@
 		trace = func(string) {}
 	}
 	return &checker{safetyOnly: o.SafetyOnly, trace: trace, startedAt: time.Now(), requests: map[string]*requestRecord{}, executions: map[string][]execution{}, services: map[string]string{},
-		leaveAcks: map[string]time.Time{}, highestTerms: map[string]term{}, termOwners: map[uint64]string{}, recoveredAt: map[string]time.Time{}}
+		leaveAcks: map[string]time.Time{}, highestTerms: map[string]term{}, termLeaders: map[uint64]string{}, recoveredAt: map[string]time.Time{}}
 }
 
 // maxViolations bounds the violations that the report of one run lists.
@@ -187,10 +187,10 @@
 func (c *checker) checkOrder(server, sender string, o peer.Order) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if owner := c.termOwners[o.Term]; owner != "" && owner != o.Owner {
+	if owner := c.termLeaders[o.Term]; owner != "" && owner != o.Owner {
 		c.violateLocked("ONE", "term %d has orders from owners %s and %s", o.Term, owner, o.Owner)
 	}
-	c.termOwners[o.Term] = o.Owner
+	c.termLeaders[o.Term] = o.Owner
 	seen := c.highestTerms[server]
 	if o.Term < seen.number && time.Since(c.recoveredAt[sender]) > unfreezeLimit && !c.inTroubleLocked(sender, time.Now()) {
 		c.violateLocked("ONE", "%s received an order of %s under term %d after term %d of %s", server, o.Owner, o.Term, seen.number, seen.owner)
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -189,7 +189,7 @@
 	Wrong    string
 }
 
-// Call sends one request, checks the complete response, and adds the outcome to a report. If the request was dropped, it
+// Call sends one request, checks the complete response, and adds the outcome to a report. If the request was rejected, it
 // returns the time after which the router allows a repeat.
 func Call(client *http.Client, router string, request Ask, report *CallReport, mu *sync.Mutex) time.Duration {
 	outcome := One(client, router, request, true)
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -86,7 +86,7 @@
 	options       ServerOptions
 	now           clock.Tick
 	out           []any
-	duty          ident.Duty
+	term          ident.Duty
 	orders        uint64
 	held          map[ident.Key]*heldModel
 	jobs          []*job
@@ -162,7 +162,7 @@
 }
 
 func (s *Server) report(drop failure.Kind) protocol.Report {
-	r := protocol.Report{Server: s.options.ID, Inc: s.options.Inc, Duty: s.duty, Num: s.orders, Room: s.options.Room, Slots: s.options.Slots, Drop: drop, Held: []protocol.Held{}}
+	r := protocol.Report{Server: s.options.ID, Inc: s.options.Inc, Duty: s.term, Num: s.orders, Room: s.options.Room, Slots: s.options.Slots, Drop: drop, Held: []protocol.Held{}}
 	for _, k := range generic.SortedKeys(s.held) {
 		h := s.held[k]
 		x := h.Held
@@ -177,13 +177,13 @@
 	return r
 }
 
-// acceptOrder carries out an order only if it is newer than the last one, by duty and number.
+// acceptOrder carries out an order only if it is newer than the last one, by term and number.
 func (s *Server) acceptOrder(o protocol.Order) protocol.Report {
-	if o.Duty < s.duty || o.Duty == s.duty && o.Num <= s.orders {
+	if o.Duty < s.term || o.Duty == s.term && o.Num <= s.orders {
 		s.tally.Stale++
 		return s.report(failure.Stale)
 	}
-	s.duty, s.orders = o.Duty, o.Num
+	s.term, s.orders = o.Duty, o.Num
 	if o.Op != "" && o.Inc != s.options.Inc {
 		return s.report(failure.Mismatch)
 	}
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -32,12 +32,12 @@
 		{"a load", protocol.Order{Duty: 2, Num: 2, Inc: 4, Op: "load", Key: "m", Size: 6}, "", 1},
 		{"its repeat", protocol.Order{Duty: 2, Num: 2, Inc: 4, Op: "load", Key: "n", Size: 1}, failure.Stale, 1},
 		{"an older number", protocol.Order{Duty: 2, Num: 1, Inc: 4, Op: "unload", Key: "m"}, failure.Stale, 1},
-		{"an older duty", protocol.Order{Duty: 1, Num: 9, Inc: 4, Op: "unload", Key: "m"}, failure.Stale, 1},
+		{"an older term", protocol.Order{Duty: 1, Num: 9, Inc: 4, Op: "unload", Key: "m"}, failure.Stale, 1},
 		{"another incarnation", protocol.Order{Duty: 2, Num: 3, Inc: 3, Op: "unload", Key: "m"}, failure.Mismatch, 1},
 		{"more than the room", protocol.Order{Duty: 2, Num: 4, Inc: 4, Op: "load", Key: "n", Size: 5}, failure.NoRoom, 1},
 		{"an unknown operation", protocol.Order{Duty: 2, Num: 5, Inc: 4, Op: "polish", Key: "m"}, failure.Malformed, 1},
-		{"a newer duty", protocol.Order{Duty: 3, Num: 1, Inc: 4, Op: "unload", Key: "m"}, "", 0},
-		{"the previous duty", protocol.Order{Duty: 2, Num: 99, Inc: 4, Op: "load", Key: "m", Size: 6}, failure.Stale, 0},
+		{"a newer term", protocol.Order{Duty: 3, Num: 1, Inc: 4, Op: "unload", Key: "m"}, "", 0},
+		{"the previous term", protocol.Order{Duty: 2, Num: 99, Inc: 4, Op: "load", Key: "m", Size: 6}, failure.Stale, 0},
 	} {
 		r := sendOrder(s, 1e9, c.o)
 		require.Equal(t, c.drop, r.Drop, c.name)
