--- a/internal/explorer/history.go
+++ b/internal/explorer/history.go
@@ -236,7 +236,7 @@
 		}
 		leader = n
 		if was, ok := h.leaderByTerm[term]; ok && was != n.id {
-			h.reportViolation("duty %d was owned by %s and by %s", term, was, n.id)
+			h.reportViolation("term %d was owned by %s and by %s", term, was, n.id)
 		}
 		h.leaderByTerm[term] = n.id
 	}
--- a/internal/simulator/check.go
+++ b/internal/simulator/check.go
@@ -47,25 +47,25 @@
 
 // Checker observes a world from outside and records violations of the system's guarantees.
 type Checker struct {
-	w            *World
-	openCalls    map[router.Ref]*call
-	calls        []*call
-	Bad          []string
-	states       []*desiredState
-	runCounts    map[string]int
-	lastRuns     map[string]runPlace
-	launches     []launchRecord
-	routerEpochs map[string][2]uint64
-	routerLives  map[string]int
-	termLeaders  map[ident.Duty]string
-	gone         map[string]clock.Tick // when servers began to leave, stopped or became unreachable
-	unloadedAt   map[string]clock.Tick
-	Seen         Seen
-	healed       clock.Tick
-	batch        hostedRecords
-	disksLost    bool // all core disks were lost, so confirmed changes may be lost
-	disksLostAt  clock.Tick
-	history      history.Recorder // operations of operators and readers
+	w                  *World
+	openCalls          map[router.Ref]*call
+	calls              []*call
+	Bad                []string
+	states             []*desiredState
+	runCounts          map[string]int
+	lastRuns           map[string]runPlace
+	launches           []launchRecord
+	routerEpochs       map[string][2]uint64
+	routerIncarnations map[string]int
+	termLeaders        map[ident.Duty]string
+	gone               map[string]clock.Tick // when servers began to leave, stopped or became unreachable
+	unloadedAt         map[string]clock.Tick
+	Seen               Seen
+	healed             clock.Tick
+	batch              hostedRecords
+	disksLost          bool // all core disks were lost, so confirmed changes may be lost
+	disksLostAt        clock.Tick
+	history            history.Recorder // operations of operators and readers
 }
 
 // Seen holds the measurements of a run.
@@ -77,26 +77,26 @@
 	CallerRepeats, RefusedRepeats, RepeatedRuns             int
 	WorstRetryShare                                         float64 // highest share of retries and repeats in 10 s
 	Admits                                                  int     // changes of the voter set
-	NeedlessDrops                                           int     // rejected although a server could have served them
+	NeedlessRejections                                      int     // rejected although a server could have served them
 	RefusedLate                                             uint64  // refused by servers because they were sent too late
 	Kinds                                                   map[string]int
 	PlanLag, GoneLag, ZoneLag                               clock.Span // longest delays observed
 	Recovery                                                clock.Span // from the end of the outage to the first answer
-	NoOwner                                                 clock.Span // longest time without a leader
+	LeaderlessTime                                          clock.Span // longest time without a leader
 	PeakCold                                                int
 	Hits, Lookups, Unchanged, Breaks, Acks, Lapses, Unloads uint64
 	Prompt, Reused                                          uint64
-	Pulls, OwnerTerms, Moves, OddReports                    uint64
+	Pulls, LeaderTerms, Moves, ContradictoryReports         uint64
 	Orders, OrdersRefused                                   int        // orders to servers that do not check fencing numbers
 	PeakStoreLoads                                          int        // most loads from the store begun in 5 s
 	Waited                                                  int        // requests that waited for more than 250 ms
 	WaitTime                                                clock.Span // total waiting time of these requests
 	Operations                                              int        // operations of operators and readers in the history
-	lastOwnerAt                                             clock.Tick
+	lastLeaderAt                                            clock.Tick
 }
 
 func newChecker(w *World) *Checker {
-	return &Checker{w: w, openCalls: map[router.Ref]*call{}, runCounts: map[string]int{}, lastRuns: map[string]runPlace{}, routerEpochs: map[string][2]uint64{}, routerLives: map[string]int{},
+	return &Checker{w: w, openCalls: map[router.Ref]*call{}, runCounts: map[string]int{}, lastRuns: map[string]runPlace{}, routerEpochs: map[string][2]uint64{}, routerIncarnations: map[string]int{},
 		termLeaders: map[ident.Duty]string{}, gone: map[string]clock.Tick{}, unloadedAt: map[string]clock.Tick{}, batch: newHostedRecords(),
 		Seen: Seen{Kinds: map[string]int{}}}
 }
@@ -136,16 +136,16 @@
 		s.plan, _ = w.parsePlan(a.Raw)
 	}
 	k.states = append(k.states, s)
-	tries := 0
+	repeats := 0
 	var onReceipt func(r controller.Receipt)
 	onReceipt = func(r controller.Receipt) {
 		// A change with an unknown outcome is repeated under the same ID at another node.
-		if r.Kind == failure.Unclear && tries < 4 {
-			tries++
+		if r.Kind == failure.Unclear && repeats < 4 {
+			repeats++
 			w.After(200e6, func() { w.Admin(w.some("controller-"), a, onReceipt) })
 			return
 		}
-		if tries > 0 && r.Kind != failure.None {
+		if repeats > 0 && r.Kind != failure.None {
 			r.Kind = failure.Unclear // an earlier attempt may have been accepted
 		}
 		w.tracef("operator: %s at %s: %q epoch %d", a.Op, node, r.Kind, r.Epoch)
@@ -264,8 +264,8 @@
 		core := p.core.(*router.Core)
 		gen, epoch, held := core.Rules(p.tick(w.now))
 		previous := k.routerEpochs[p.name]
-		if k.routerLives[p.name] != p.life {
-			k.routerLives[p.name], previous = p.life, [2]uint64{}
+		if k.routerIncarnations[p.name] != p.life {
+			k.routerIncarnations[p.name], previous = p.life, [2]uint64{}
 		}
 		if gen < previous[0] || gen == previous[0] && uint64(epoch) < previous[1] {
 			k.bad("%s slipped back from epoch %d to %d", p.name, previous[1], epoch)
@@ -299,9 +299,9 @@
 		k.bad("two own the duty: %v", leaders)
 	}
 	if len(leaders) == 1 {
-		k.Seen.lastOwnerAt = w.now
-	} else if k.Seen.lastOwnerAt != 0 {
-		k.Seen.NoOwner = max(k.Seen.NoOwner, w.now.Sub(k.Seen.lastOwnerAt))
+		k.Seen.lastLeaderAt = w.now
+	} else if k.Seen.lastLeaderAt != 0 {
+		k.Seen.LeaderlessTime = max(k.Seen.LeaderlessTime, w.now.Sub(k.Seen.lastLeaderAt))
 	}
 }
 
@@ -314,7 +314,7 @@
 		return
 	}
 	if d, ok := k.termLeaders[o.Duty]; ok && d != from {
-		k.bad("two controllers, %s and %s, order under duty %d", d, from, o.Duty)
+		k.bad("two controllers, %s and %s, order under term %d", d, from, o.Duty)
 	}
 	k.termLeaders[o.Duty] = from
 	if r.Drop == failure.NoRoom {
@@ -326,7 +326,7 @@
 	case o.Op == "unload" && r.Drop == failure.Busy:
 		for id, f := range k.w.attempts {
 			key := ident.KeyOf(f.launch.Work.Base, f.launch.Work.Extra)
-			if id.server == s.name && id.life == s.life && (key == o.Key || key.Base() == o.Key) && !f.closed && k.w.now.Sub(f.arrivedAt) > 1e9 {
+			if id.server == s.name && id.incarnation == s.life && (key == o.Key || key.Base() == o.Key) && !f.closed && k.w.now.Sub(f.arrivedAt) > 1e9 {
 				k.bad("%s was ordered to unload %s while work was under way", s.name, o.Key)
 				break
 			}
@@ -347,7 +347,7 @@
 // runPlace records where a request ran and the replicas that its router knew of at that time.
 type runPlace struct {
 	server        string
-	life          int
+	incarnation   int
 	knownReplicas string
 }
 
@@ -496,7 +496,7 @@
 			k.bad("%s may not be repeated and ran %d times, at %v and %s", id, k.runCounts[id], lastRun, s.name)
 		}
 	} else if f.launch.Work.Once && k.runCounts[id] > 1 {
-		if !f.call.callerRepeat || lastRun.server == s.name && lastRun.life == s.life || lastRun.knownReplicas == known && f.call.unreached[lastRun.server] < 2 {
+		if !f.call.callerRepeat || lastRun.server == s.name && lastRun.incarnation == s.life || lastRun.knownReplicas == known && f.call.unreached[lastRun.server] < 2 {
 			k.bad("%s may not be repeated and ran %d times, at %v and %s", id, k.runCounts[id], lastRun, s.name)
 		}
 		k.Seen.RepeatedRuns++
@@ -536,7 +536,7 @@
 		}
 	}
 	if (r.Kind == failure.Expired || r.Kind == failure.Full || r.Kind == failure.NotReady) && k.couldBeServed(routerName, c) {
-		k.Seen.NeedlessDrops++
+		k.Seen.NeedlessRejections++
 	}
 	if receipt.Dropped && r.Back == 0 && receipt.Status == 503 {
 		k.bad("a rejected request got no Retry-After time")
@@ -672,8 +672,8 @@
 		k.checkRetryWindows()
 	}
 	// Requests may be rejected only for lack of available servers or capacity.
-	if float64(s.NeedlessDrops) > 0.01*float64(s.Asked) && !k.disksLost {
-		k.bad("%d of %d requests were rejected although a server could have served them", s.NeedlessDrops, s.Asked)
+	if float64(s.NeedlessRejections) > 0.01*float64(s.Asked) && !k.disksLost {
+		k.bad("%d of %d requests were rejected although a server could have served them", s.NeedlessRejections, s.Asked)
 	}
 	k.checkHistory()
 	// Each epoch is one change. More epochs than changes mean that a change was applied twice.
@@ -725,8 +725,8 @@
 			s.Breaks += t.Breaks
 			s.Acks += t.Acks
 			s.Lapses += t.Lapses
-			s.OwnerTerms += t.Reigns
-			s.OddReports += t.Odd
+			s.LeaderTerms += t.Reigns
+			s.ContradictoryReports += t.Odd
 		}
 	}
 }
@@ -742,6 +742,6 @@
 		l[i] = fmt.Sprintf("%s %d", k, s.Kinds[k])
 	}
 	return fmt.Sprintf("asked %d answered %d dropped %d unclear %d cut %d broke %d | firsts %d retries %d repeats %d | plan %v gone %v zone %v back %v no-owner %v | hits %d lookups %d breaks %d acks %d lapses %d unloads %d cold %d reigns %d | window %.3f late %d again %d/%d/%d | moves %d held %d for %v pulls %d needless %d operations %d [%s]",
-		s.Asked, s.Answered, s.Dropped, s.Unclear, s.Cut, s.Broken, s.FirstAttempts, s.Retries, s.Repeats, s.PlanLag, s.GoneLag, s.ZoneLag, s.Recovery, s.NoOwner,
-		s.Hits, s.Lookups, s.Breaks, s.Acks, s.Lapses, s.Unloads, s.PeakCold, s.OwnerTerms, s.WorstRetryShare, s.RefusedLate, s.CallerRepeats, s.RefusedRepeats, s.RepeatedRuns, s.Moves, s.Waited, s.WaitTime.Round(1e8), s.Pulls, s.NeedlessDrops, s.Operations, strings.Join(l, ", "))
+		s.Asked, s.Answered, s.Dropped, s.Unclear, s.Cut, s.Broken, s.FirstAttempts, s.Retries, s.Repeats, s.PlanLag, s.GoneLag, s.ZoneLag, s.Recovery, s.LeaderlessTime,
+		s.Hits, s.Lookups, s.Breaks, s.Acks, s.Lapses, s.Unloads, s.PeakCold, s.LeaderTerms, s.WorstRetryShare, s.RefusedLate, s.CallerRepeats, s.RefusedRepeats, s.RepeatedRuns, s.Moves, s.Waited, s.WaitTime.Round(1e8), s.Pulls, s.NeedlessRejections, s.Operations, strings.Join(l, ", "))
 }
--- a/internal/simulator/edits_test.go
+++ b/internal/simulator/edits_test.go
@@ -24,12 +24,12 @@
 	if *editStep == 0 {
 		t.Skip("runs only with -edits N")
 	}
-	type try struct {
+	type candidate struct {
 		file, line string
 		at         int
 		text       string
 	}
-	var tries []try
+	var candidates []candidate
 	for _, f := range []string{"internal/controller/duty.go", "internal/controller/links.go", "internal/controller/register.go", "internal/controller/acceptor.go", "internal/controller/proposer.go", "internal/controller/reader.go", "internal/controller/forming.go", "internal/voterset/voterset.go", "internal/controller/voters.go",
 		"internal/controller/place.go", "internal/controller/server.go", "internal/controller/spot.go", "internal/controller/entries.go", "internal/controller/plan.go", "internal/controller/fenced.go", "internal/controller/report.go", "internal/controller/evict.go", "internal/controller/clear_room.go",
 		"internal/controller/list.go", "internal/controller/moves.go", "internal/router/core.go", "internal/router/ledger.go", "internal/router/admission.go", "internal/router/queue.go", "internal/router/allowance.go", "internal/router/choice.go", "internal/router/attempts.go", "internal/agent/core.go"} {
@@ -37,7 +37,7 @@
 		require.NoError(t, err)
 		s := string(b)
 		for _, m := range conditionPattern.FindAllStringSubmatchIndex(s, -1) {
-			tries = append(tries, try{f, s[m[4]:m[5]], 1 + strings.Count(s[:m[0]], "\n"), s[:m[4]] + "!(" + s[m[4]:m[5]] + ")" + s[m[5]:]})
+			candidates = append(candidates, candidate{f, s[m[4]:m[5]], 1 + strings.Count(s[:m[0]], "\n"), s[:m[4]] + "!(" + s[m[4]:m[5]] + ")" + s[m[5]:]})
 		}
 	}
 	root, err := filepath.Abs("../..")
@@ -45,9 +45,9 @@
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	slot := make(chan struct{}, 6)
-	seen, tried := map[string]int{}, 0
-	for i := 0; i < len(tries); i += *editStep {
-		x := tries[i]
+	seen, tested := map[string]int{}, 0
+	for i := 0; i < len(candidates); i += *editStep {
+		x := candidates[i]
 		slot <- struct{}{}
 		all.Add(1)
 		go func() {
@@ -77,7 +77,7 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			tried++
+			tested++
 			if by == "" {
 				t.Logf("not detected: %s:%d if !(%s)", x.file, x.at, x.line)
 			}
@@ -85,5 +85,5 @@
 		}()
 	}
 	all.Wait()
-	t.Logf("%d of %d conditions tested, by what detected them: %v", tried, len(tries), seen)
+	t.Logf("%d of %d conditions tested, by what detected them: %v", tested, len(candidates), seen)
 }
--- a/internal/simulator/hosted.go
+++ b/internal/simulator/hosted.go
@@ -70,14 +70,14 @@
 
 // machine runs servers of one service, one at a time. Its disk outlives them.
 type machine struct {
-	index   int
-	box     string
-	zone    ident.Zone
-	service string
-	disk    map[ident.Key]bool
-	addr    string
-	life    int
-	now     *announcedServer
+	index       int
+	box         string
+	zone        ident.Zone
+	service     string
+	disk        map[ident.Key]bool
+	addr        string
+	incarnation int
+	now         *announcedServer
 }
 
 // announcedServer is one incarnation of a server that announces itself.
@@ -164,12 +164,12 @@
 // startServer starts a new server with a new ID on a machine.
 func (h *hosting) startServer(m *machine, held []ident.Key) {
 	w := h.world
-	m.life++
+	m.incarnation++
 	m.addr = h.newAddress()
-	name := fmt.Sprintf("server-%d.%d", m.index+1, m.life)
+	name := fmt.Sprintf("server-%d.%d", m.index+1, m.incarnation)
 	service := h.plan.Services[m.service]
-	skew, rate := w.randomClock()
-	p := &proc{name: name, box: m.box, zone: m.zone, tickInterval: 10e6, clockOffset: skew, clockRate: rate, server: ident.Server(name)}
+	offset, rate := w.randomClock()
+	p := &proc{name: name, box: m.box, zone: m.zone, tickInterval: 10e6, clockOffset: offset, clockRate: rate, server: ident.Server(name)}
 	p.newCore = func() processCore {
 		return standin.NewBatch(standin.BatchOptions{ID: p.server, Service: m.service, Plain: service.Plain, Slots: service.Slots, Room: service.Room, Places: service.Places,
 			Lag: w.o.Hosted.ReportLag, Held: held, Disk: m.disk, Weight: func(k ident.Key) int { return h.plan.Models[k].Size }, Load: h.loadTime})
--- a/internal/simulator/hosted_check.go
+++ b/internal/simulator/hosted_check.go
@@ -22,7 +22,7 @@
 // hostedRecords holds the checkers' records on announced servers.
 type hostedRecords struct {
 	owners      map[ident.Duty]string
-	highestDuty map[string]ident.Duty
+	highestTerm map[string]ident.Duty
 	orders      map[string][]orderRecord
 	arrivals    map[string][]launchRecord // by service
 	checkedAt   clock.Tick
@@ -30,7 +30,7 @@
 }
 
 func newHostedRecords() hostedRecords {
-	return hostedRecords{owners: map[ident.Duty]string{}, highestDuty: map[string]ident.Duty{}, orders: map[string][]orderRecord{}, arrivals: map[string][]launchRecord{}, reported: map[string]bool{}}
+	return hostedRecords{owners: map[ident.Duty]string{}, highestTerm: map[string]ident.Duty{}, orders: map[string][]orderRecord{}, arrivals: map[string][]launchRecord{}, reported: map[string]bool{}}
 }
 
 // checkHostedOrder checks an order on arrival at a server that does not check fencing numbers.
@@ -57,16 +57,16 @@
 		k.Seen.OrdersRefused++
 	}
 	if leader, ok := records.owners[o.Duty]; ok && leader != p.name {
-		k.bad("two controllers, %s and %s, order under duty %d", leader, p.name, o.Duty)
+		k.bad("two controllers, %s and %s, order under term %d", leader, p.name, o.Duty)
 	}
 	records.owners[o.Duty] = p.name
 	if t, ok := w.disruptions.thawedAt[p.box]; ok && w.now.Sub(t) < w.o.Hosted.ThawAllowance || !w.linkStable(p.box, s.box, w.o.Hosted.ThawAllowance) {
 		return // orders delayed by faults are not checked
 	}
-	if o.Duty < records.highestDuty[s.name] {
-		k.bad("%s was given an order of duty %d after one of duty %d", s.name, o.Duty, records.highestDuty[s.name])
+	if o.Duty < records.highestTerm[s.name] {
+		k.bad("%s was given an order of duty %d after one of duty %d", s.name, o.Duty, records.highestTerm[s.name])
 	}
-	records.highestDuty[s.name] = max(records.highestDuty[s.name], o.Duty)
+	records.highestTerm[s.name] = max(records.highestTerm[s.name], o.Duty)
 	orders := records.orders[s.name]
 	otherBetween := false
 	for i := len(orders) - 1; i >= 0 && w.now.Sub(orders[i].at) < w.o.Hosted.Tenure; i-- {
@@ -120,13 +120,13 @@
 // checkAllowed checks that a plan that may be in force at a router allows the request at this server.
 func (k *Checker) checkAllowed(f *attempt, s *proc) {
 	c, w := f.call, k.w
-	touch := w.inTouch(f.router)
+	inTouch := w.inTouch(f.router)
 	a := w.host.byProcess[s.name]
 	for _, st := range k.states {
 		if !st.isPlan || st.rejectedAt != 0 || st.sentAt > w.now || st.plan == nil {
 			continue
 		}
-		if touch && st.supersededAt != 0 && w.now.Sub(st.supersededAt) > w.o.Hosted.Timing.Apply+100e6 {
+		if inTouch && st.supersededAt != 0 && w.now.Sub(st.supersededAt) > w.o.Hosted.Timing.Apply+100e6 {
 			continue
 		}
 		m, why := st.plan.Match(c.ask.Call.Query(c.ask.Route))
--- a/internal/simulator/measure.go
+++ b/internal/simulator/measure.go
@@ -100,7 +100,7 @@
 
 	printf("takeover and recovery, worst of the seeds")
 	l, _ = run("moves-owner", nil)
-	printf("  without a leader after it is killed, frozen or cut off: %v", worst(l, func(s Seen) clock.Span { return s.NoOwner }))
+	printf("  without a leader after it is killed, frozen or cut off: %v", worst(l, func(s Seen) clock.Span { return s.LeaderlessTime }))
 	for _, c := range []string{"power", "blackout", "ruin"} {
 		l, _ = run(c, nil)
 		printf("  first answer after %-9s %v", c+":", worst(l, func(s Seen) clock.Span { return s.Recovery }))
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -168,22 +168,22 @@
 
 // askKey identifies an outstanding HTTP request of a process.
 type askKey struct {
-	process string
-	life    int
-	token   uint64
+	process     string
+	incarnation int
+	token       uint64
 }
 
 // attemptKey identifies an attempt at a server.
 type attemptKey struct {
-	server string
-	life   int
-	token  uint64
+	server      string
+	incarnation int
+	token       uint64
 }
 
 // attempt is one attempt of a request, sent by a router to a server.
 type attempt struct {
 	router      *proc
-	life        int
+	incarnation int
 	launch      router.Launch
 	call        *call
 	eventCount  int
@@ -268,12 +268,12 @@
 func (w *World) addRouter(suffix string, z ident.Zone) {
 	box := "router-" + suffix
 	agentName, routerName := "agent-"+suffix, "router-"+suffix
-	skew, rate := w.randomClock()
-	w.addProcess(&proc{name: agentName, box: box, zone: z, tickInterval: 20e6, clockOffset: skew, clockRate: rate, newCore: func() processCore {
+	offset, rate := w.randomClock()
+	w.addProcess(&proc{name: agentName, box: box, zone: z, tickInterval: 20e6, clockOffset: offset, clockRate: rate, newCore: func() processCore {
 		return agent.New(agent.Options{Me: protocol.Sibling{ID: ident.Node(agentName), Addr: agentName}, Zone: z, Inc: w.incarnation(agentName), Life: ident.Inc(w.now) + 1, Seeds: w.seeds(),
 			Router: protocol.Sibling{ID: ident.Node(routerName), Addr: routerName}, Rand: w.randomFor(agentName), Keep: w.o.RenewInterval})
 	}})
-	w.addProcess(&proc{name: routerName, box: box, zone: z, tickInterval: 20e6, clockOffset: skew, clockRate: rate, newCore: func() processCore {
+	w.addProcess(&proc{name: routerName, box: box, zone: z, tickInterval: 20e6, clockOffset: offset, clockRate: rate, newCore: func() processCore {
 		options := w.o.Router
 		if w.host != nil {
 			w.host.setRouterOptions(&options, z)
@@ -317,8 +317,8 @@
 }
 
 func (w *World) addController(name string, z ident.Zone, seeds []protocol.Sibling) {
-	skew, rate := w.randomClock()
-	w.addProcess(&proc{name: name, box: name, zone: z, tickInterval: 20e6, clockOffset: skew, clockRate: rate, disk: &simulatedDisk{safe: map[string][]byte{}, late: 2e6}, newCore: func() processCore {
+	offset, rate := w.randomClock()
+	w.addProcess(&proc{name: name, box: name, zone: z, tickInterval: 20e6, clockOffset: offset, clockRate: rate, disk: &simulatedDisk{safe: map[string][]byte{}, late: 2e6}, newCore: func() processCore {
 		options := w.o.Controller
 		options.Me, options.Zone, options.Inc, options.Seeds, options.Platform, options.Rand = protocol.Sibling{ID: ident.Node(name), Addr: name}, z, w.incarnation(name), seeds, "platform", w.randomFor(name)
 		if w.o.Hosted != nil {
@@ -333,8 +333,8 @@
 }
 
 func (w *World) addServer(name string, z ident.Zone) {
-	skew, rate := w.randomClock()
-	w.addProcess(&proc{name: name, box: name, zone: z, tickInterval: 20e6, clockOffset: skew, clockRate: rate, server: ident.Server(name), newCore: func() processCore {
+	offset, rate := w.randomClock()
+	w.addProcess(&proc{name: name, box: name, zone: z, tickInterval: 20e6, clockOffset: offset, clockRate: rate, server: ident.Server(name), newCore: func() processCore {
 		s := standin.ServerOptions{ID: ident.Server(name), Inc: w.incarnation(name), Room: w.room(name), Slots: w.o.Slots, Store: "store", Fill: w.o.PrefillBytes}
 		if w.o.Mixed {
 			s.Slots, s.Step = w.o.Slots*w.sizeQuarters(name)/4, 80e6/clock.Span(w.sizeQuarters(name))
@@ -406,27 +406,27 @@
 	w.tracef("start %s", name)
 	w.coreStarted(name)
 	w.noteTrouble(p.box)
-	life := p.life
+	incarnation := p.life
 	if p.disk != nil {
 		m := map[string][]byte{}
 		for k, v := range p.disk.safe {
 			m[k] = v
 		}
-		w.After(1e6, func() { w.step(p, life, protocol.Start{Disk: m}) })
+		w.After(1e6, func() { w.step(p, incarnation, protocol.Start{Disk: m}) })
 	}
-	var beat func()
-	beat = func() {
-		if !p.up || p.life != life {
+	var runTimer func()
+	runTimer = func() {
+		if !p.up || p.life != incarnation {
 			return
 		}
 		if until := max(p.frozenUntil, p.busy); w.now < until {
-			w.At(until, beat)
+			w.At(until, runTimer)
 			return
 		}
-		w.step(p, life, protocol.Beat{})
-		w.After(p.tickInterval, beat)
+		w.step(p, incarnation, protocol.Beat{})
+		w.After(p.tickInterval, runTimer)
 	}
-	w.After(clock.Span(w.rand.Int64N(int64(p.tickInterval))), beat)
+	w.After(clock.Span(w.rand.Int64N(int64(p.tickInterval))), runTimer)
 }
 
 // Kill ends a process at once. Writes that its disk has not synced are lost.
@@ -452,7 +452,7 @@
 	}
 	for _, k := range w.sortedAttemptKeys() {
 		f := w.attempts[k]
-		if k.server == name && k.life == p.life {
+		if k.server == name && k.incarnation == p.life {
 			delete(w.attempts, k)
 			if !f.closed {
 				f.closed = true
@@ -462,7 +462,7 @@
 		if f.router == p {
 			delete(w.attempts, k)
 			f.closed = true
-			if s := w.procs[k.server]; s.up && s.life == k.life {
+			if s := w.procs[k.server]; s.up && s.life == k.incarnation {
 				w.step(s, s.life, standin.WorkQuit{Token: k.token})
 			}
 		}
@@ -470,10 +470,10 @@
 }
 
 // endPulls cancels the store downloads of a stopped server, as the loss of its connections does.
-func (w *World) endPulls(name string, life int) {
+func (w *World) endPulls(name string, incarnation int) {
 	st := w.procs["store"]
 	for t := uint64(1); t <= w.lastPull; t++ {
-		if k, ok := w.pullOrigins[t]; ok && k.process == name && k.life <= life && w.pendingPulls[t] != nil {
+		if k, ok := w.pullOrigins[t]; ok && k.process == name && k.incarnation <= incarnation && w.pendingPulls[t] != nil {
 			delete(w.pendingPulls, t)
 			w.step(st, st.life, standin.PullQuit{Token: t})
 		}
@@ -486,7 +486,7 @@
 		l = append(l, k)
 	}
 	sort.Slice(l, func(i, j int) bool {
-		return l[i].server < l[j].server || l[i].server == l[j].server && (l[i].life < l[j].life || l[i].life == l[j].life && l[i].token < l[j].token)
+		return l[i].server < l[j].server || l[i].server == l[j].server && (l[i].incarnation < l[j].incarnation || l[i].incarnation == l[j].incarnation && l[i].token < l[j].token)
 	})
 	return l
 }
@@ -506,10 +506,10 @@
 	}
 	p.draining = true
 	w.tracef("drain %s", name)
-	life := p.life
+	incarnation := p.life
 	var poll func()
 	poll = func() {
-		if !p.up || p.life != life {
+		if !p.up || p.life != incarnation {
 			return
 		}
 		for _, c := range w.Check.calls {
@@ -602,12 +602,12 @@
 }
 
 // step passes an input to a process, or defers it while the process is frozen or busy.
-func (w *World) step(p *proc, life int, in any) {
-	if !p.up || p.life != life {
+func (w *World) step(p *proc, incarnation int, in any) {
+	if !p.up || p.life != incarnation {
 		return
 	}
 	if until := max(p.frozenUntil, p.busy); w.now < until {
-		w.At(until, func() { w.step(p, life, in) })
+		w.At(until, func() { w.step(p, incarnation, in) })
 		return
 	}
 	outs := w.stepCore(p, in)
@@ -641,8 +641,8 @@
 		w.save(p, v)
 	case protocol.Compute:
 		v.Run()
-		life := p.life
-		w.At(w.now, func() { w.step(p, life, protocol.Computed{Token: v.Token}) })
+		incarnation := p.life
+		w.At(w.now, func() { w.step(p, incarnation, protocol.Computed{Token: v.Token}) })
 	case protocol.Ask:
 		w.ask(p, v)
 	case router.Launch:
@@ -710,15 +710,15 @@
 	d := p.disk
 	at := max(w.now.Add(d.late/2+clock.Span(w.rand.Int64N(int64(d.late)))), d.lastSync, d.stall)
 	d.lastSync = at
-	life := p.life
+	incarnation := p.life
 	w.At(at, func() {
-		if !p.up || p.life != life {
+		if !p.up || p.life != incarnation {
 			return // the process ended before the sync
 		}
 		for k, v := range s.Puts {
 			d.safe[k] = v
 		}
-		w.step(p, life, protocol.Saved{Token: s.Token})
+		w.step(p, incarnation, protocol.Saved{Token: s.Token})
 	})
 }
 
@@ -731,10 +731,10 @@
 		}
 		f(ok, code, b)
 	}
-	life := p.life
+	incarnation := p.life
 	w.pendingAsks[k] = func(ok bool, code int, b []byte) {
 		delete(w.pendingAsks, k)
-		w.step(p, life, protocol.Told{Token: a.Token, OK: ok, Code: code, Body: b})
+		w.step(p, incarnation, protocol.Told{Token: a.Token, OK: ok, Code: code, Body: b})
 	}
 	w.After(a.Wait, func() { answer(false, 0, nil) })
 	if w.host != nil {
@@ -771,7 +771,7 @@
 			w.lastPull++
 			t := w.lastPull
 			w.pendingPulls[t] = func() { respond([]byte("{}")) }
-			w.pullOrigins[t] = askKey{p.name, life, a.Token}
+			w.pullOrigins[t] = askKey{p.name, incarnation, a.Token}
 			st := w.procs["store"]
 			w.step(st, st.life, standin.PullIn{Token: t, Pull: a.Body.(standin.Pull)})
 		case "/orders":
@@ -786,12 +786,12 @@
 }
 
 // deliverOrder delivers an order to a server, which answers at once unless it is frozen.
-func (w *World) deliverOrder(s *proc, life int, o protocol.Order, from string, respond func([]byte)) {
-	if !s.up || s.life != life {
+func (w *World) deliverOrder(s *proc, incarnation int, o protocol.Order, from string, respond func([]byte)) {
+	if !s.up || s.life != incarnation {
 		return
 	}
 	if w.now < s.frozenUntil {
-		w.At(s.frozenUntil, func() { w.deliverOrder(s, life, o, from, respond) })
+		w.At(s.frozenUntil, func() { w.deliverOrder(s, incarnation, o, from, respond) })
 		return
 	}
 	v := s.core.(*standin.Server)
@@ -835,7 +835,7 @@
 
 func (w *World) launch(p *proc, v router.Launch) {
 	c := w.Check.openCalls[v.Ref]
-	f := &attempt{router: p, life: p.life, launch: v, call: c}
+	f := &attempt{router: p, incarnation: p.life, launch: v, call: c}
 	w.Check.countLaunch(c)
 	s := w.procAt(v.Addr)
 	if s == nil || w.cuts[[2]string{p.box, s.box}] || w.cuts[[2]string{s.box, p.box}] {
@@ -857,13 +857,13 @@
 }
 
 // sendAttempt runs when the connection is open: the router checks once more whether it may send, and then sends.
-func (w *World) sendAttempt(f *attempt, s *proc, life int) {
+func (w *World) sendAttempt(f *attempt, s *proc, incarnation int) {
 	p := f.router
-	if !p.up || p.life != f.life {
+	if !p.up || p.life != f.incarnation {
 		return
 	}
 	if w.now < p.frozenUntil {
-		w.At(p.frozenUntil, func() { w.sendAttempt(f, s, life) })
+		w.At(p.frozenUntil, func() { w.sendAttempt(f, s, incarnation) })
 		return
 	}
 	if !p.core.(*router.Core).MaySend(p.tick(w.now), f.launch.Ref, f.launch.N) {
@@ -876,15 +876,15 @@
 	if w.LagOdds > 0 && w.rand.Float64() < w.LagOdds {
 		d += clock.Span(w.rand.Int64N(int64(w.Lag)))
 	}
-	w.After(d, func() { w.deliverAttempt(f, s, life) })
+	w.After(d, func() { w.deliverAttempt(f, s, incarnation) })
 }
 
 // deliverAttempt delivers an attempt to its server.
-func (w *World) deliverAttempt(f *attempt, s *proc, life int) {
-	if !f.router.up || f.router.life != f.life {
+func (w *World) deliverAttempt(f *attempt, s *proc, incarnation int) {
+	if !f.router.up || f.router.life != f.incarnation {
 		return
 	}
-	if !s.up || s.life != life {
+	if !s.up || s.life != incarnation {
 		w.After(w.delay(), func() { w.endAttempt(f, router.Lost, "") })
 		return
 	}
@@ -893,7 +893,7 @@
 		return
 	}
 	if w.now < s.frozenUntil {
-		w.At(s.frozenUntil, func() { w.deliverAttempt(f, s, life) })
+		w.At(s.frozenUntil, func() { w.deliverAttempt(f, s, incarnation) })
 		return
 	}
 	w.lastToken++
@@ -946,7 +946,7 @@
 		}
 		f.call.unreached[f.launch.Addr]++
 	}
-	w.step(f.router, f.life, router.Ended{Ref: f.launch.Ref, N: f.launch.N, How: how, Kind: k})
+	w.step(f.router, f.incarnation, router.Ended{Ref: f.launch.Ref, N: f.launch.N, How: how, Kind: k})
 }
 
 // deliverOutput carries a server's answer back to the router.
@@ -986,7 +986,7 @@
 // deliverEvent delivers one event of an answer to the router, altered if fault injection says so.
 func (w *World) deliverEvent(f *attempt, v standin.Event) {
 	p := f.router
-	if !p.up || p.life != f.life || f.closed {
+	if !p.up || p.life != f.incarnation || f.closed {
 		return
 	}
 	if w.now < p.frozenUntil {
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -73,7 +73,7 @@
 // term is the term and the leader named in an order to a server.
 type term struct {
 	number uint64
-	owner  string
+	leader string
 }
 
 // checker records the observations of callers, servers and operators and checks them against the guarantees.
@@ -193,7 +193,7 @@
 	c.termLeaders[o.Term] = o.Owner
 	seen := c.highestTerms[server]
 	if o.Term < seen.number && time.Since(c.recoveredAt[sender]) > unfreezeLimit && !c.inTroubleLocked(sender, time.Now()) {
-		c.violateLocked("ONE", "%s received an order of %s under term %d after term %d of %s", server, o.Owner, o.Term, seen.number, seen.owner)
+		c.violateLocked("ONE", "%s received an order of %s under term %d after term %d of %s", server, o.Owner, o.Term, seen.number, seen.leader)
 	}
 	if o.Term > seen.number {
 		c.highestTerms[server] = term{o.Term, o.Owner}
