--- a/internal/simulator/check.go
+++ b/internal/simulator/check.go
@@ -63,7 +63,7 @@
 	Seen               Seen
 	healed             clock.Tick
 	batch              hostedRecords
-	disksLost          bool // all core disks were lost, so confirmed changes may be lost
+	disksLost          bool // all core disks were lost, and confirmed changes possibly with them
 	disksLostAt        clock.Tick
 	history            history.Recorder // operations of operators and readers
 }
--- a/internal/simulator/hosted_check.go
+++ b/internal/simulator/hosted_check.go
@@ -47,9 +47,9 @@
 		k.Seen.Orders++
 		if o.Op == "unload" {
 			k.Seen.Unloads++
-			for _, orders := range w.Routers() {
-				if orders.core.(*router.Core).Promises(orders.tick(w.now), o.Key, s.server, 0) {
-					k.bad("%s was ordered to unload %s while %s held a promise on it", s.name, o.Key, orders.name)
+			for _, holder := range w.Routers() {
+				if holder.core.(*router.Core).Promises(holder.tick(w.now), o.Key, s.server, 0) {
+					k.bad("%s was ordered to unload %s while %s held a promise on it", s.name, o.Key, holder.name)
 				}
 			}
 		}
--- a/internal/simulator/measure.go
+++ b/internal/simulator/measure.go
@@ -57,10 +57,10 @@
 	printf("breaks for each unload (scene moves)")
 	l, _ := run("moves", nil)
 	unloads := sum(l, func(s Seen) float64 { return float64(s.Unloads) })
-	printf("  %.0f unloads, %.2f breaks, %.2f acknowledged and %.2f lapsed for each; breaks for loads are among them", unloads,
+	printf("  %.0f unloads, %.2f breaks, %.2f acknowledged and %.2f expired for each; breaks for loads are among them", unloads,
 		sum(l, func(s Seen) float64 { return float64(s.Breaks) })/unloads, sum(l, func(s Seen) float64 { return float64(s.Acks) })/unloads, sum(l, func(s Seen) float64 { return float64(s.Lapses) })/unloads)
 	l, _ = run("moves-cut", nil)
-	printf("  with routers frozen and cut off: %.0f breaks, %.0f acknowledged, %.0f links lapsed with something owed",
+	printf("  with routers frozen and cut off: %.0f breaks, %.0f acknowledged, %.0f router leases expired with unacknowledged breaks",
 		sum(l, func(s Seen) float64 { return float64(s.Breaks) }), sum(l, func(s Seen) float64 { return float64(s.Acks) }), sum(l, func(s Seen) float64 { return float64(s.Lapses) }))
 
 	printf("callback state of one router at the leader")
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -187,8 +187,8 @@
 func (c *checker) checkOrder(server, sender string, o peer.Order) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if owner := c.termLeaders[o.Term]; owner != "" && owner != o.Owner {
-		c.violateLocked("ONE", "term %d has orders from owners %s and %s", o.Term, owner, o.Owner)
+	if leader := c.termLeaders[o.Term]; leader != "" && leader != o.Owner {
+		c.violateLocked("ONE", "term %d has orders from leaders %s and %s", o.Term, leader, o.Owner)
 	}
 	c.termLeaders[o.Term] = o.Owner
 	seen := c.highestTerms[server]
