--- a/internal/simulator/hosted_check.go
+++ b/internal/simulator/hosted_check.go
@@ -22,7 +22,7 @@
 // hostedRecords holds the checkers' records on announced servers.
 type hostedRecords struct {
 	owners      map[ident.Duty]string
-	highestDuty map[string]ident.Duty
+	highestTerm map[string]ident.Duty
 	orders      map[string][]orderRecord
 	arrivals    map[string][]launchRecord // by service
 	checkedAt   clock.Tick
@@ -30,7 +30,7 @@
 }
 
 func newHostedRecords() hostedRecords {
-	return hostedRecords{owners: map[ident.Duty]string{}, highestDuty: map[string]ident.Duty{}, orders: map[string][]orderRecord{}, arrivals: map[string][]launchRecord{}, reported: map[string]bool{}}
+	return hostedRecords{owners: map[ident.Duty]string{}, highestTerm: map[string]ident.Duty{}, orders: map[string][]orderRecord{}, arrivals: map[string][]launchRecord{}, reported: map[string]bool{}}
 }
 
 // checkHostedOrder checks an order on arrival at a server that does not check fencing numbers.
@@ -47,26 +47,26 @@
 		k.Seen.Orders++
 		if o.Op == "unload" {
 			k.Seen.Unloads++
-			for _, orders := range w.Routers() {
-				if orders.core.(*router.Core).Promises(orders.tick(w.now), o.Key, s.server, 0) {
-					k.bad("%s was ordered to unload %s while %s held a promise on it", s.name, o.Key, orders.name)
+			for _, holder := range w.Routers() {
+				if holder.core.(*router.Core).Promises(holder.tick(w.now), o.Key, s.server, 0) {
+					k.bad("%s was ordered to unload %s while %s held a promise on it", s.name, o.Key, holder.name)
 				}
 			}
 		}
 	} else {
 		k.Seen.OrdersRefused++
 	}
-	if owner, ok := records.owners[o.Duty]; ok && owner != p.name {
-		k.bad("two controllers, %s and %s, order under duty %d", owner, p.name, o.Duty)
+	if leader, ok := records.owners[o.Duty]; ok && leader != p.name {
+		k.bad("two controllers, %s and %s, order under term %d", leader, p.name, o.Duty)
 	}
 	records.owners[o.Duty] = p.name
 	if t, ok := w.disruptions.thawedAt[p.box]; ok && w.now.Sub(t) < w.o.Hosted.ThawAllowance || !w.linkStable(p.box, s.box, w.o.Hosted.ThawAllowance) {
 		return // orders delayed by faults are not checked
 	}
-	if o.Duty < records.highestDuty[s.name] {
-		k.bad("%s was given an order of duty %d after one of duty %d", s.name, o.Duty, records.highestDuty[s.name])
+	if o.Duty < records.highestTerm[s.name] {
+		k.bad("%s was given an order of duty %d after one of duty %d", s.name, o.Duty, records.highestTerm[s.name])
 	}
-	records.highestDuty[s.name] = max(records.highestDuty[s.name], o.Duty)
+	records.highestTerm[s.name] = max(records.highestTerm[s.name], o.Duty)
 	orders := records.orders[s.name]
 	otherBetween := false
 	for i := len(orders) - 1; i >= 0 && w.now.Sub(orders[i].at) < w.o.Hosted.Tenure; i-- {
@@ -120,13 +120,13 @@
 // checkAllowed checks that a plan that may be in force at a router allows the request at this server.
 func (k *Checker) checkAllowed(f *attempt, s *proc) {
 	c, w := f.call, k.w
-	touch := w.inTouch(f.router)
+	inTouch := w.inTouch(f.router)
 	a := w.host.byProcess[s.name]
 	for _, st := range k.states {
 		if !st.isPlan || st.rejectedAt != 0 || st.sentAt > w.now || st.plan == nil {
 			continue
 		}
-		if touch && st.supersededAt != 0 && w.now.Sub(st.supersededAt) > w.o.Hosted.Timing.Apply+100e6 {
+		if inTouch && st.supersededAt != 0 && w.now.Sub(st.supersededAt) > w.o.Hosted.Timing.Apply+100e6 {
 			continue
 		}
 		m, why := st.plan.Match(c.ask.Call.Query(c.ask.Route))
@@ -138,8 +138,8 @@
 		ident.KeyOf(f.launch.Work.Base, f.launch.Work.Extra), f.launch.Work.Tenant, f.launch.Keyed, s.name)
 }
 
-// checkHosted compares the owner's view with what servers were told, and the epochs of connected routers with
-// what operators were told.
+// checkHosted compares the leader's view with the acknowledgements to servers, and the epochs of connected routers with
+// the replies to operators.
 func (k *Checker) checkHosted() {
 	w := k.w
 	if w.now.Sub(k.batch.checkedAt) < 50e6 {
@@ -185,7 +185,7 @@
 	}
 }
 
-// checkServersView checks that an owner does not consider servers live that were acknowledged as leaving.
+// checkServersView checks that a leader does not consider servers live that were acknowledged as leaving.
 func (k *Checker) checkServersView(p *proc, r controller.Receipt) {
 	l, _ := r.View["servers"].([]map[string]any)
 	for _, x := range l {
@@ -193,7 +193,7 @@
 		a := k.w.host.byProcess[string(id)]
 		if a != nil && a.acked != 0 && (x["offered"] == true || a.proc.up && x["state"] == "live") && !k.batch.reported[p.name+string(id)] {
 			k.batch.reported[p.name+string(id)] = true
-			k.bad("%s was acknowledged as leaving, but owner %s considers it live", id, p.name)
+			k.bad("%s was acknowledged as leaving, but leader %s considers it live", id, p.name)
 		}
 	}
 }
