--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// An agent without contact to the leader tries the other core nodes directly, then through siblings.
+// An agent without contact to the leader tries the other core nodes directly, then through peers.
 func TestPathFailover(t *testing.T) {
 	r := newHarness()
 	for _, id := range []string{"a1", "a2", "a3"} {
@@ -124,7 +124,7 @@
 	}
 	require.Len(t, direct, 3)
 	require.NotEmpty(t, relayed)
-	// The agent relays a sibling's message once.
+	// The agent relays a peer's message once.
 	r.sent = nil
 	r.deliver(sibling("x"), protocol.Heard{})
 	env := protocol.Env{From: sibling("sib"), To: sibling("a1"), Body: protocol.Renew{}}
@@ -158,6 +158,6 @@
 	require.Equal(t, before, r.Session())
 	r.sent = nil
 	r.advance(3e9)
-	_, _, asked := lastSent[protocol.Renew](r)
-	require.True(t, asked)
+	_, _, requested := lastSent[protocol.Renew](r)
+	require.True(t, requested)
 }
--- a/internal/agent/contact_test.go
+++ b/internal/agent/contact_test.go
@@ -9,7 +9,7 @@
 	"tidedeck/internal/protocol"
 )
 
-// lastHold returns the last hold sent to the router.
+// lastHold returns the last lease sent to the router.
 func (r *harness) lastHold() protocol.Hold {
 	h, _, _ := lastSent[protocol.Hold](r)
 	return h
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -56,7 +56,7 @@
 	lastLeaderAnswer   clock.Tick // when a leader last answered in this session
 	pathChangedAt      clock.Tick
 	path               corePath
-	directTriedAt      clock.Tick // when a direct path was last tried while relaying through a sibling
+	directTriedAt      clock.Tick // when a direct path was last tried while relaying through a peer
 	advertisedCores    []protocol.Sibling
 	pathIndex          int
 	newestDesired      *protocol.Desired
@@ -67,7 +67,7 @@
 // minStall is the shortest gap between two ticks that is logged as a stall.
 const minStall = clock.Span(250e6)
 
-// corePath is the path to the leader: direct, or relayed through a sibling.
+// corePath is the path to the leader: direct, or relayed through a peer.
 type corePath struct {
 	to  protocol.Sibling
 	via protocol.Sibling
@@ -153,7 +153,7 @@
 }
 
 func (c *Core) receive(e protocol.Env) {
-	// A sibling without a direct path to the core relays through this agent. Only core traffic is relayed.
+	// A peer without a direct path to the core relays through this agent. Only core traffic is relayed.
 	if e.To.ID != "" && e.To.ID != c.o.Me.ID {
 		if e.By.ID == "" {
 			c.tally.Carried++
@@ -250,9 +250,9 @@
 	c.tally.Grants++
 	c.routers = grant.Routers
 	c.leaseEnd = max(c.leaseEnd, sentAt.Add(grant.Len))
-	hold := c.currentHold()
-	hold.Routers, hold.Seats, hold.Paces = grant.Routers, grant.Seats, grant.Paces
-	c.sendToRouter(hold)
+	lease := c.currentHold()
+	lease.Routers, lease.Seats, lease.Paces = grant.Routers, grant.Seats, grant.Paces
+	c.sendToRouter(lease)
 }
 
 func (c *Core) onNotOwner(answer protocol.NotOwner) {
@@ -447,7 +447,7 @@
 	return nodes
 }
 
-// switchPath selects the next path: each core node directly, then each through a sibling.
+// switchPath selects the next path: each core node directly, then each through a peer.
 func (c *Core) switchPath() {
 	c.pathChangedAt = c.now
 	c.tally.Turns++
@@ -463,7 +463,7 @@
 			siblings = append(siblings, m.Sibling)
 		}
 	}
-	// Passes over the core nodes alternate between direct paths and paths through a sibling.
+	// Passes over the core nodes alternate between direct paths and paths through a peer.
 	if n := c.pathIndex / len(nodes); n%2 == 1 && len(siblings) > 0 && next.to.ID != "" {
 		next.via = siblings[c.o.Rand.IntN(len(siblings))]
 	}
@@ -476,7 +476,7 @@
 // Counts returns the event counters.
 func (c *Core) Counts() Tally { return c.tally }
 
-// Held reports whether the lease is valid at the given time.
+// HasLease reports whether the lease is valid at the given time.
 func (c *Core) Held(now clock.Tick) bool { return now < c.leaseEnd }
 
 // Members lists the members known to this agent.
--- a/internal/agent/fuzz_test.go
+++ b/internal/agent/fuzz_test.go
@@ -52,8 +52,8 @@
 			check()
 		}
 		r.advance(clock.Span(3e9))
-		_, _, asked := lastSent[protocol.Renew](r)
-		require.True(t, asked)
+		_, _, requested := lastSent[protocol.Renew](r)
+		require.True(t, requested)
 		check()
 	})
 }
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -19,8 +19,8 @@
 	Settings string   `help:"Settings file (JSON); flags take precedence." type:"path"`
 	ID       string   `help:"Name of this agent." required:""`
 	Zone     string   `help:"Zone of this agent." required:""`
-	Listen   string   `help:"Address at which siblings reach this agent (ip:port)." required:""`
-	Bind     string   `help:"Address to listen on for siblings, if different from the advertised one (ip:port)."`
+	Listen   string   `help:"Address at which peers reach this agent (ip:port)." required:""`
+	Bind     string   `help:"Address to listen on for peers, if different from the advertised one (ip:port)."`
 	Near     string   `help:"Loopback address at which the router reaches this agent (ip:port)." required:""`
 	Router   string   `help:"Loopback control address of the router (ip:port)." required:""`
 	Admin    string   `help:"HTTP address for metrics and liveness (ip:port)." required:""`
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -3,7 +3,7 @@
 
 import "time"
 
-// Tick is an instant on a process's monotonic clock (CLOCK_BOOTTIME), in nanoseconds. It is never a wall time, and
+// Instant is an instant on a process's monotonic clock (CLOCK_BOOTTIME), in nanoseconds. It is never a wall time, and
 // instants of different machines are never compared.
 type Tick int64
 
--- a/internal/clock/stall.go
+++ b/internal/clock/stall.go
@@ -1,12 +1,13 @@
 package clock
 
-// Stall detects that a process was stopped or starved of processor time: its timer fires much later than it should.
+// StallDetector detects that a process was stopped or starved of processor time: its timer fires much later than it
+// should.
 type Stall struct {
 	Least    Span // shortest gap between two timer ticks that counts as a stall
 	previous Tick
 }
 
-// Beat records a timer tick. It returns the time since the previous tick if that is a stall, and zero otherwise.
+// Observe records a timer tick. It returns the time since the previous tick if that is a stall, and zero otherwise.
 func (s *Stall) Beat(now Tick) Span {
 	gap := now.Sub(s.previous)
 	first := s.previous == 0
--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -39,14 +39,14 @@
 	Moved       Kind = "moved"
 )
 
-// Receipt describes how an error kind is reported to the client.
+// Response describes how an error kind is reported to the client.
 type Receipt struct {
 	Status  int        // HTTP status
 	Dropped bool       // the request was certainly not executed
 	Back    clock.Span // when to retry; zero if a retry is useless
 }
 
-// Receipts maps each error kind to its response.
+// Responses maps each error kind to its response.
 var Receipts = map[Kind]Receipt{
 	Malformed:   {400, true, 0},
 	Oversize:    {413, true, 0},
--- a/internal/fleetplan/fleetplan.go
+++ b/internal/fleetplan/fleetplan.go
@@ -1,5 +1,5 @@
 // Package fleetplan parses and validates user input: fleet plans, requests and settings. JSON is decoded into generic
-// values, and a Pen walks them and reports every fault with its path.
+// values, and a Cursor walks them and reports every fault with its path.
 package fleetplan
 
 import (
@@ -57,7 +57,7 @@
 	return p.parent.String() + "." + p.key
 }
 
-// Pen is a cursor into a decoded document.
+// Cursor is a position in a decoded document.
 type Pen struct {
 	location *location
 	value    any
@@ -65,7 +65,7 @@
 	faults   *Faults
 }
 
-// Open parses JSON and returns a cursor at its root. Duplicate keys and syntax errors are faults.
+// ParseJSON parses JSON and returns a cursor at its root. Duplicate keys and syntax errors are faults.
 func Open(raw []byte) (Pen, *Faults) {
 	faults := &Faults{}
 	root := Pen{faults: faults}
@@ -155,7 +155,7 @@
 // Fault records a fault at this position.
 func (p Pen) Fault(why string) { *p.faults = append(*p.faults, Fault{p.location.String(), why}) }
 
-// Has reports whether the position holds a value other than null.
+// IsSet reports whether the position holds a value other than null.
 func (p Pen) Has() bool { return p.present && p.value != nil }
 
 // Path returns the path of this position.
@@ -164,7 +164,7 @@
 // Value returns the decoded value: a map, a list, a string, a json.Number, a boolean, or nil.
 func (p Pen) Value() any { return p.value }
 
-// Only reports every key that is not in the given list as a fault.
+// RejectUnknown reports every key that is not in the given list as a fault.
 func (p Pen) Only(keys ...string) Pen {
 	object, ok := p.object()
 	if !ok {
@@ -182,7 +182,7 @@
 	return p
 }
 
-// At moves to the value of a key.
+// Field moves to the value of a key.
 func (p Pen) At(key string) Pen {
 	child := Pen{location: &location{parent: p.location, key: key, index: -1}, faults: p.faults}
 	if object, ok := p.value.(map[string]any); ok {
@@ -192,7 +192,7 @@
 	return child
 }
 
-// Keys calls a function for each key of an object, in sorted order.
+// EachKey calls a function for each key of an object, in sorted order.
 func (p Pen) Keys(each func(key string, n Pen)) {
 	object, ok := p.object()
 	if !ok {
@@ -207,7 +207,7 @@
 	}
 }
 
-// List calls a function for each item of a list.
+// EachItem calls a function for each item of a list.
 func (p Pen) List(maxItems int, each func(n Pen)) {
 	if !p.Has() {
 		return
--- a/internal/fleetplan/plan.go
+++ b/internal/fleetplan/plan.go
@@ -185,7 +185,7 @@
 	return m, why
 }
 
-// Find returns the route of a host with the longest prefix that matches the path.
+// FindRoute returns the route of a host with the longest prefix that matches the path.
 func (p *Plan) Find(host, path string) *Route {
 	routes := p.Hosts[host]
 	if routes == nil {
@@ -374,7 +374,7 @@
 	return key, p.Kinds[kind], failure.None
 }
 
-// Call is a caller's request.
+// Request is a caller's request.
 type Call struct {
 	ID     string
 	Base   string
@@ -399,7 +399,7 @@
 	return Query{ID: r.ID, Host: r.Host, Path: path, Kind: r.Kind, Base: r.Base, Extra: r.Extra, Credential: r.Credential}
 }
 
-// ReadCall parses and validates a caller's request.
+// ReadRequest parses and validates a caller's request.
 func ReadCall(raw []byte) (Call, Faults) {
 	p, faults := Open(raw)
 	if len(*faults) > 0 && !p.present {
--- a/internal/fleetplan/tenants.go
+++ b/internal/fleetplan/tenants.go
@@ -109,7 +109,7 @@
 	return t
 }
 
-// SharedKey returns the fault text for a key that another tenant has, without the key itself.
+// SharedKeyFault returns the fault text for a key that another tenant has, without the key itself.
 func SharedKey(other string) string { return fmt.Sprintf("is also a key of tenant %q", other) }
 
 // ValidTenantName reports whether a name can be sent to servers in a header.
@@ -126,7 +126,7 @@
 	return true
 }
 
-// Grant assigns a key to a tenant. If another tenant has the key, Grant returns that tenant's name and changes
+// AddKey assigns a key to a tenant. If another tenant has the key, AddKey returns that tenant's name and changes
 // nothing.
 func (t *Tenants) Grant(name, key string) (other string, ok bool) {
 	digest := NewCredential(key).digest
@@ -191,10 +191,10 @@
 	t.assignBands(p.classValues())
 }
 
-// Keyed reports whether the plan has tenants. If so, callers' keys are meant for the routers only.
+// HasTenants reports whether the plan has tenants. If so, callers' keys are meant for the routers only.
 func (p *Plan) Keyed() bool { return p.tenants != nil }
 
-// Holder returns the name of the tenant whose key a request presents, or an empty string if the plan has no tenants
+// TenantOf returns the name of the tenant whose key a request presents, or an empty string if the plan has no tenants
 // or the key is unknown.
 func (p *Plan) Holder(c Credential) string {
 	if p.tenants == nil {
--- a/internal/host/data_folder_test.go
+++ b/internal/host/data_folder_test.go
@@ -109,7 +109,7 @@
 	require.DirExists(t, foreign)
 }
 
-// Power is lost at each call in the life of a disk, and each name created or removed without a sync of its folder is
+// Power is lost at each call in the lifetime of a disk, and each name created or removed without a sync of its folder is
 // kept or lost separately: all confirmed data must be found, without damage.
 func TestUnsyncedNamesKeptOrLost(t *testing.T) {
 	t.Parallel()
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -47,7 +47,7 @@
 	return clock.Tick(t.Nano())
 }
 
-// NewInc draws an incarnation. Later incarnations on the same machine are higher, and incarnations of two machines
+// NewIncarnation draws an incarnation. Later incarnations on the same machine are higher, and those of two machines
 // are very unlikely to be equal.
 func NewInc() ident.Inc {
 	return ident.Inc(time.Now().UnixMicro())<<8&(1<<62-1) | ident.Inc(rand.Uint64()&0xff)
@@ -176,7 +176,7 @@
 	c.running.Wait()
 }
 
-// Forget aborts all requests in progress, as a restart does.
+// AbortRequests aborts all requests in progress, as a restart does.
 func (c *Process) Forget() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -239,10 +239,10 @@
 	return fmt.Sprintf("%T", in)
 }
 
-// Times returns the collector of the process's working times.
+// WorkTimes returns the collector of the process's working times.
 func (c *Process) Times() prometheus.Collector { return c.times }
 
-// With calls f while the core is locked.
+// Locked calls f while the core is locked.
 func (c *Process) With(f func(now clock.Tick)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -288,50 +288,50 @@
 
 func (c *Process) sendRequest(ask protocol.Ask) protocol.Told {
 	c.mu.Lock()
-	life := c.requestCtx
+	requestCtx := c.requestCtx
 	c.mu.Unlock()
-	ctx, stop := context.WithTimeout(life, ask.Wait)
+	ctx, stop := context.WithTimeout(requestCtx, ask.Wait)
 	defer stop()
-	told := protocol.Told{Token: ask.Token}
+	result := protocol.Told{Token: ask.Token}
 	if ask.Until != 0 && Now() > ask.Until {
-		return told
+		return result
 	}
 	if c.options.Tell != nil {
 		client := c.client
 		if ask.Kept {
 			client = c.reusingClient
 		}
-		told = c.options.Tell(ctx, client, ask)
-		told.Token = ask.Token
-		return told
+		result = c.options.Tell(ctx, client, ask)
+		result.Token = ask.Token
+		return result
 	}
 	how, body := http.MethodGet, io.Reader(nil)
 	if ask.Body != nil {
 		b, err := json.Marshal(ask.Body)
 		if err != nil {
-			return told
+			return result
 		}
 		how, body = http.MethodPost, bytes.NewReader(b)
 	}
 	r, err := http.NewRequestWithContext(ctx, how, "http://"+ask.Addr+ask.Path, body)
 	if err != nil {
-		return told
+		return result
 	}
 	r.GetBody = nil
 	r.Header.Set("Content-Type", "application/json")
 	response, err := c.client.Do(r)
 	if err != nil {
-		return told
+		return result
 	}
 	defer response.Body.Close()
 	b, err := io.ReadAll(io.LimitReader(response.Body, maxMessageSize))
 	if err != nil {
-		return told
+		return result
 	}
 	return protocol.Told{Token: ask.Token, OK: true, Code: response.StatusCode, Body: b}
 }
 
-// Ring is the log: a ring buffer in memory that is written out when an error occurs.
+// Log is a ring buffer of log lines in memory that is written out when an error occurs.
 type Ring struct {
 	mu       sync.Mutex
 	logger   *logrus.Logger
@@ -341,7 +341,7 @@
 	dumpedAt time.Time
 }
 
-// NewRing returns a log for one process.
+// NewLog returns a log for one process.
 func NewRing(name string, out io.Writer) *Ring {
 	return NewRingWith(RingOptions{Name: name, Out: out})
 }
@@ -380,7 +380,7 @@
 	return r.logger.WithFields(values)
 }
 
-// Oops logs an error and writes out the ring, at most once per second.
+// ErrorWithDump logs an error and writes out the ring, at most once per second.
 func (r *Ring) Oops(s string) {
 	r.logger.Error(s)
 	r.mu.Lock()
@@ -398,8 +398,8 @@
 	_, _ = io.WriteString(r.out, b.String())
 }
 
-// Tallies exports a struct of counts as metrics: each uint64 field is a counter, each int field a gauge, and each map
-// a counter with a label.
+// StructMetrics exports a struct of counts as metrics: each uint64 field is a counter, each int field a gauge, and each
+// map a counter with a label.
 type Tallies struct {
 	Name string
 	Get  func() any
@@ -428,7 +428,7 @@
 	}
 }
 
-// Metrics returns a handler that exports the given collectors and the metrics of the Go runtime.
+// MetricsHandler returns a handler that exports the given collectors and the metrics of the Go runtime.
 func Metrics(sources ...prometheus.Collector) http.Handler {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), invariant.Collector())
@@ -533,7 +533,7 @@
 	return dialer
 }
 
-// Bind validates the listen address, which defaults to the advertised one, and returns it.
+// ListenAddr validates the listen address, which defaults to the advertised one, and returns it.
 func Bind(bind, advertised string) (string, fleetplan.Faults) {
 	if bind == "" {
 		return advertised, nil
@@ -541,7 +541,7 @@
 	return bind, Addr("bind", bind)
 }
 
-// Addr validates an ip:port setting.
+// CheckAddr validates an ip:port setting.
 func Addr(path, s string) fleetplan.Faults {
 	a, err := netip.ParseAddrPort(s)
 	if err != nil || a.Port() == 0 {
@@ -550,7 +550,7 @@
 	return nil
 }
 
-// Near validates an ip:port setting that must be a loopback address.
+// CheckLoopbackAddr validates an ip:port setting that must be a loopback address.
 func Near(path, s string) fleetplan.Faults {
 	if f := Addr(path, s); f != nil {
 		return f
@@ -561,7 +561,7 @@
 	return nil
 }
 
-// Seeds validates the seeds: three distinct ip:port addresses.
+// CheckSeeds validates the seeds: three distinct ip:port addresses.
 func Seeds(addresses []string) (faults fleetplan.Faults) {
 	if len(addresses) != 3 {
 		faults = append(faults, fleetplan.Fault{Path: "seeds", Why: fmt.Sprintf("must be three addresses, got %d", len(addresses))})
@@ -577,7 +577,7 @@
 	return faults
 }
 
-// Siblings converts seed addresses to processes whose IDs are not known yet.
+// SeedPeers converts seed addresses to processes whose IDs are not known yet.
 func Siblings(addresses []string) (siblings []protocol.Sibling) {
 	for _, addr := range addresses {
 		siblings = append(siblings, protocol.Sibling{Addr: addr})
@@ -585,7 +585,8 @@
 	return siblings
 }
 
-// Web serves HTTP until the process receives SIGTERM or SIGINT, then waits up to within for requests in progress.
+// ServeUntilSignal serves HTTP until the process receives SIGTERM or SIGINT, then waits up to within for requests in
+// progress.
 func Web(addr string, handler http.Handler, ring *Ring, before func(), within time.Duration) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -615,13 +616,13 @@
 
 type connAcceptedKey struct{}
 
-// Born returns the time at which the request's connection was accepted.
+// ConnAcceptedAt returns the time at which the request's connection was accepted.
 func Born(r *http.Request) clock.Tick {
 	t, _ := r.Context().Value(connAcceptedKey{}).(clock.Tick)
 	return t
 }
 
-// Life adds the liveness and readiness endpoints.
+// AddHealthEndpoints adds the liveness and readiness endpoints.
 func Life(mux *flow.Mux, prefix string, ready func() (bool, map[string]any)) {
 	mux.HandleFunc(prefix+"/live", func(w http.ResponseWriter, _ *http.Request) { JSON(w, http.StatusOK, map[string]bool{"live": true}) }, http.MethodGet)
 	mux.HandleFunc(prefix+"/ready", func(w http.ResponseWriter, _ *http.Request) {
@@ -634,14 +635,14 @@
 	}, http.MethodGet)
 }
 
-// JSON writes a JSON response.
+// WriteJSON writes a JSON response.
 func JSON(w http.ResponseWriter, code int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// Body reads a request body of at most the given size. It writes an error response if that fails.
+// ReadBody reads a request body of at most the given size. It writes an error response if that fails.
 func Body(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, bool) {
 	// The deadline stops a slow client from blocking the handler; writing the response has no deadline.
 	controller := http.NewResponseController(w)
@@ -660,7 +661,7 @@
 	return body, true
 }
 
-// Problem is the JSON body of an error response.
+// ErrorBody is the JSON body of an error response.
 type Problem struct {
 	Kind    failure.Kind     `json:"kind"`
 	Dropped bool             `json:"dropped"` // the request was certainly not executed
@@ -668,7 +669,7 @@
 	Faults  fleetplan.Faults `json:"faults,omitempty"`
 }
 
-// Error writes the error response for a kind; a nonzero back overrides the kind's Retry-After time.
+// WriteError writes the error response for a kind; a nonzero back overrides the kind's Retry-After time.
 func Error(w http.ResponseWriter, kind failure.Kind, back clock.Span, faults fleetplan.Faults) {
 	response := failure.Receipts[kind]
 	if back == 0 {
--- a/internal/host/host_test.go
+++ b/internal/host/host_test.go
@@ -87,7 +87,7 @@
 	require.Contains(t, out.String(), "it broke")
 }
 
-// Every error kind has a response, and a request that may have been executed is never reported as dropped.
+// Every error kind has a response, and a request that may have been executed is never reported as not executed.
 func TestErrors(t *testing.T) {
 	for kind, response := range failure.Receipts {
 		w := httptest.NewRecorder()
--- a/internal/host/hosted.go
+++ b/internal/host/hosted.go
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// Lines returns the writer for log lines besides the ring, or nil.
+// LogWriter returns the writer for log lines besides the ring, or nil.
 func (f HostedFlags) Lines() io.Writer {
 	if f.LogLines {
 		return os.Stdout
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// MetricsAt returns the address of the metrics endpoint, or an empty string if none is configured.
+// MetricsAddr returns the address of the metrics endpoint, or an empty string if none is configured.
 func (f HostedFlags) MetricsAt(machine string) string {
 	if f.MetricsPort == 0 {
 		return ""
@@ -58,7 +58,7 @@
 	return net.JoinHostPort(machine, strconv.Itoa(f.MetricsPort))
 }
 
-// Bind returns the address on which to listen for connections to an advertised address.
+// ListenAddr returns the address on which to listen for connections to an advertised address.
 func (f HostedFlags) Bind(advertised string) string {
 	_, port, err := net.SplitHostPort(advertised)
 	if f.BindIP == "" || err != nil {
@@ -67,7 +67,7 @@
 	return net.JoinHostPort(f.BindIP, port)
 }
 
-// Hosted returns the flags of a program started under a hosting platform; ok is false if the program was started
+// ParseHosted returns the flags of a program started under a hosting platform; ok is false if the program was started
 // otherwise.
 func Hosted(args []string, name string) (flags HostedFlags, ok bool) {
 	for _, arg := range args {
@@ -86,7 +86,7 @@
 	return flags, true
 }
 
-// ServeBeside serves an HTTP interface for operators at the given addresses. A failure to serve it is logged and
+// ServeOperators serves an HTTP interface for operators at the given addresses. A failure to serve it is logged and
 // stops nothing else.
 func ServeBeside(ring *Ring, handler http.Handler, addresses ...string) (stop func()) {
 	var servers []*http.Server
@@ -112,7 +112,7 @@
 // operatorHeaderTimeout is the timeout for reading a request's header on such an interface.
 const operatorHeaderTimeout = 10 * time.Second
 
-// Confine limits the process to the memory and processors that its machine provides.
+// LimitResources limits the process to the memory and processors that its machine provides.
 func Confine(memoryMB, processors int) {
 	if memoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryMB) << 20 * 7 / 10)
@@ -126,7 +126,7 @@
 // settingsPollInterval is the interval for checking the settings file, which may change without a signal.
 const settingsPollInterval = 5 * time.Second
 
-// FollowSeeds passes on the seeds listed in the settings file whenever the file has changed or the process receives
+// WatchSeeds passes on the seeds listed in the settings file whenever the file has changed or the process receives
 // SIGHUP. A file that cannot be read has no effect.
 func FollowSeeds(path string, load func() ([]string, error), step func(protocol.Reseed)) {
 	hangup := make(chan os.Signal, 1)
@@ -158,7 +158,7 @@
 	return info.ModTime()
 }
 
-// Stopping returns a channel that closes when the process receives SIGTERM or SIGINT.
+// StopSignal returns a channel that closes when the process receives SIGTERM or SIGINT.
 func Stopping() <-chan struct{} {
 	signals, stop := make(chan os.Signal, 1), make(chan struct{})
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
--- a/internal/host/receive_test.go
+++ b/internal/host/receive_test.go
@@ -11,7 +11,7 @@
 	"tidedeck/internal/protocol"
 )
 
-// A connection whose other end is gone must be closed whatever was received on it, including input on which drpc
+// A connection whose other end has failed must be closed whatever was received on it, including input on which drpc
 // waits forever: a message before its stream was opened, or a message of a later stream.
 func TestConnectionEnds(t *testing.T) {
 	e := protocol.Env{From: protocol.Sibling{ID: "a", Addr: "1"}, To: protocol.Sibling{ID: "b", Addr: "2"}, Body: protocol.Fetch{Round: 3}}
--- a/internal/host/ring_json.go
+++ b/internal/host/ring_json.go
@@ -11,14 +11,14 @@
 	"tidedeck/internal/invariant"
 )
 
-// RingOptions configures a log.
+// LogOptions configures a log.
 type RingOptions struct {
 	Name  string    // process name, added to every line
 	Out   io.Writer // receives the ring when an error occurs
 	Lines io.Writer // receives every line immediately, as JSON; nil for none
 }
 
-// NewRingWith returns a log for one process.
+// NewLogWith returns a log for one process.
 func NewRingWith(o RingOptions) *Ring {
 	r := &Ring{lines: make([]string, 512), out: o.Out}
 	r.logger = logrus.New()
--- a/internal/host/write_failures_test.go
+++ b/internal/host/write_failures_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// runResult is the result of one life of a failing disk.
+// runResult is the result of one run on a failing disk.
 type runResult struct {
 	calls     int
 	confirmed int
@@ -119,7 +119,7 @@
 			for _, powerLoss := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%d/%v/%v", count, afterEffect, powerLoss), func(t *testing.T) {
 					t.Parallel()
-					lives := 0
+					runs := 0
 					for at := 1; ; at++ {
 						p := newStorePair()
 						result := p.run(t, puts, func(call int) error {
@@ -145,11 +145,11 @@
 							require.True(t, equalValues(states[result.confirmed], values) || result.confirmed < len(puts) && equalValues(states[result.confirmed+1], values),
 								"from call %d, %d kept: %d were confirmed, found is %s", at, kept, result.confirmed, values["last"])
 						}
-						if lives++; result.calls < at {
+						if runs++; result.calls < at {
 							break
 						}
 					}
-					t.Logf("%d lives", lives)
+					t.Logf("%d runs", runs)
 				})
 			}
 		}
@@ -163,7 +163,7 @@
 		for _, powerLoss := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%v/%v", afterEffect, powerLoss), func(t *testing.T) {
 				t.Parallel()
-				lives, last := 0, 1
+				runs, last := 0, 1
 				for at := 1; at <= last; at++ {
 					for gap := 1; gap <= 32; gap++ {
 						p := newStorePair()
@@ -188,11 +188,11 @@
 							require.True(t, equalValues(states[result.confirmed], values) || result.confirmed < len(puts) && equalValues(states[result.confirmed+1], values),
 								"calls %d and %d, %d kept: %d were confirmed, found is %s", at, at+gap, kept, result.confirmed, values["last"])
 						}
-						lives++
+						runs++
 						last = max(last, min(result.calls, 60))
 					}
 				}
-				t.Logf("%d lives", lives)
+				t.Logf("%d runs", runs)
 			})
 		}
 	}
--- a/internal/ident/ident.go
+++ b/internal/ident/ident.go
@@ -15,19 +15,19 @@
 // Epoch is the version of the desired state; it only increases.
 type Epoch uint64
 
-// Duty is the number of a leadership term; it only increases.
+// Term is the number of a leadership term; it only increases.
 type Duty uint64
 
-// Inc is an incarnation: a number drawn at each start of a process and for each new disk.
+// Incarnation is a number drawn at each start of a process and for each new disk.
 type Inc uint64
 
-// Mark is a digest of an entry's content; equal digests mean that the content is unchanged.
+// Digest is a digest of an entry's content; equal digests mean that the content is unchanged.
 type Mark uint64
 
 // Key identifies a unit of placement: a base model, or an adapter on its base model.
 type Key string
 
-// KeyOf returns the key of a base model or, if adapter is not empty, of an adapter on it.
+// NewKey returns the key of a base model or, if adapter is not empty, of an adapter on it.
 func KeyOf(base, adapter string) Key {
 	if adapter == "" {
 		return Key(base)
@@ -41,7 +41,7 @@
 	return Key(base)
 }
 
-// In qualifies a model key with its service, so that two services may each have a model of the same name.
+// InService qualifies a model key with its service, so that two services may each have a model of the same name.
 func (k Key) In(service string) Key { return Key(service + "|" + string(k)) }
 
 // Service returns the service that qualifies the key, or an empty string.
@@ -64,7 +64,7 @@
 // ServiceKey returns the key of a whole service: requests that name no model may go to any of its servers.
 func ServiceKey(service string) Key { return Key("").In(service) }
 
-// Plain reports whether the key stands for a whole service rather than for one of its models.
+// IsWholeService reports whether the key stands for a whole service rather than for one of its models.
 func (k Key) Plain() bool { return strings.HasSuffix(string(k), "|") }
 
 // IsAdapter reports whether the key identifies an adapter.
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,4 +1,4 @@
-// Package membership tracks which siblings are alive. Each process probes a few others in turn, requests indirect
+// Package membership tracks which peers are alive. Each process probes a few others in turn, requests indirect
 // probes through third parties when a probe is not answered, and suspects a member, which a live process refutes,
 // before declaring it dead.
 package membership
@@ -168,7 +168,7 @@
 	return updates
 }
 
-// Reseed replaces the seeds, because the initial seeds may all be gone by the time they are needed again.
+// Reseed replaces the seeds, because the initial seeds may all have stopped by the time they are needed again.
 func (c *Core) Reseed(seeds []protocol.Sibling) { c.o.Seeds = seeds }
 
 func (c *Core) envelope(to protocol.Sibling, message any) protocol.Env {
@@ -261,7 +261,7 @@
 	return candidates[:min(n, len(candidates))]
 }
 
-// Take processes a message. It returns false for messages that do not belong to the membership protocol.
+// Receive processes a message. It returns false for messages that do not belong to the membership protocol.
 func (c *Core) Take(now clock.Tick, e protocol.Env) (out []protocol.Env, mine bool) {
 	c.now = now
 	apply := func(updates []protocol.Member) {
@@ -331,7 +331,7 @@
 	return n
 }
 
-// All lists every retained member with its state, sorted by ID.
+// Members lists every retained member with its state, sorted by ID.
 func (c *Core) All() []protocol.Member {
 	members := []protocol.Member{c.o.Me}
 	for _, m := range c.members {
@@ -343,7 +343,7 @@
 	return members
 }
 
-// Life returns a member's state and the time of its last change. An unknown member has an empty state.
+// StateOf returns a member's state and the time of its last change. An unknown member has an empty state.
 func (c *Core) Life(id ident.Node) (string, clock.Tick) {
 	if id == c.o.Me.ID {
 		return Alive, 0
--- a/internal/protocol/desired.go
+++ b/internal/protocol/desired.go
@@ -18,14 +18,14 @@
 // in base64, take half of it.
 const maxDesiredSize = 16 << 20
 
-// Packed caches the encoding of an immutable value that is sent to many receivers.
+// SharedEncoding caches the encoding of an immutable value that is sent to many receivers.
 type Packed struct {
 	once    sync.Once
 	encoded []byte
 	err     error
 }
 
-// encode returns the encoding of value and computes it only once. A nil Packed caches nothing.
+// encode returns the encoding of value and computes it only once. A nil SharedEncoding caches nothing.
 func (p *Packed) encode(value any) ([]byte, error) {
 	if p == nil {
 		p = &Packed{}
--- a/internal/protocol/pack_bench_test.go
+++ b/internal/protocol/pack_bench_test.go
@@ -26,7 +26,7 @@
 	return Env{From: Sibling{ID: "edge-sala-verona-35", Addr: "10.1.0.35:7100"}, To: Sibling{ID: "loop-sala-brescia-1", Addr: "10.1.64.1:7100"}, Body: renewal}
 }
 
-// largeGrant returns an owner's answer to a router that uses the given number of servers.
+// largeGrant returns the leader's answer to a router that uses the given number of servers.
 func largeGrant(servers int) Env {
 	grant := Grant{Session: Session{Node: "edge-sala-verona-35", Agent: 1 << 50, Router: 1 << 51, N: 3}, Seq: 1234, Len: 2_000_000_000, Duty: 3, Routers: 295, Seats: map[ident.Server]int{}}
 	for i := range servers {
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -17,14 +17,14 @@
 	wirejsonv1 "github.com/go-json-experiment/json/v1"
 )
 
-// Sibling identifies a process and its address.
+// Peer identifies a process and its address.
 type Sibling struct {
 	ID   ident.Node `json:"id"`
 	Addr string     `json:"addr"`
 }
 
-// Env is the envelope of one message between two processes. If Via is set, the message is sent through that process.
-// If By is set, the message arrived through that process, and a reply takes the same route.
+// Envelope is one message between two processes with its addresses. If Via is set, the message is sent through that
+// process. If RelayedBy is set, the message arrived through that process, and a reply takes the same route.
 type Env struct {
 	From Sibling
 	To   Sibling
@@ -33,7 +33,7 @@
 	Body any
 }
 
-// Hop returns the process to which the envelope is sent next.
+// NextHop returns the process to which the envelope is sent next.
 func (e Env) Hop() Sibling {
 	if e.Via.ID != "" {
 		return e.Via
@@ -41,7 +41,7 @@
 	return e.To
 }
 
-// Carry returns the envelope that a relay sends on to the final recipient.
+// Relay returns the envelope that a relay sends on to the final recipient.
 func (e Env) Carry(self Sibling) Env {
 	return Env{From: e.From, To: e.To, By: self, Body: e.Body}
 }
@@ -204,13 +204,13 @@
 	News []Member `json:"News"`
 }
 
-// ProbeAck answers a Probe, or a ProbeFor on its target's behalf.
+// ProbeAck answers a Probe, or an IndirectProbe on its target's behalf.
 type ProbeAck struct {
 	Seq  uint64
 	News []Member `json:"News"`
 }
 
-// ProbeFor asks the receiver to probe Target on the sender's behalf.
+// IndirectProbe asks the receiver to probe Target on the sender's behalf.
 type ProbeFor struct {
 	Seq    uint64
 	Target Sibling
@@ -241,7 +241,7 @@
 	Inc  ident.Inc  `json:"inc"`
 }
 
-// Reseed is an input, not a message: the settings file now lists other seeds.
+// SeedsChanged is an input, not a message: the settings file now lists other seeds.
 type Reseed struct{ Seeds []Sibling }
 
 // Change records an applied change, so that a repeated request gets the same answer and is not applied again.
@@ -303,7 +303,7 @@
 	Promised Ballot
 }
 
-// Query reads a voter's state and, with Claim set, requests a leadership lease for the term Duty.
+// Query reads a voter's state and, with Claim set, requests a leadership lease for the given term.
 type Query struct {
 	Round uint64
 	Claim bool
@@ -328,40 +328,40 @@
 	Leaving  bool       // the node is shutting down, and a spare node should take its seat
 }
 
-// Release returns the leadership lease to the voters, because its owner is shutting down or has found that Next can
+// Release returns the leadership lease to the voters, because the leader is shutting down or has found that Successor can
 // serve it better.
 type Release struct {
 	Duty ident.Duty `json:"Duty"`
 	Next ident.Node `json:"Next"`
 }
 
-// Listing is the server list as the lease owner last saw it; every core node stores it.
+// ServerList is the server list as the leader last saw it; every core node stores it.
 type Listing struct {
 	Duty ident.Duty `json:"Duty"`
 	List []Listed   `json:"List"`
 }
 
-// Look asks a core node whether it can reach the platform and how many of these servers it can reach.
+// ReachQuery asks a core node whether it can reach the platform and how many of these servers it can reach.
 type Look struct {
 	Round uint64
 	List  []Listed `json:"List"`
 }
 
-// Looked answers Look.
+// ReachReply answers ReachQuery.
 type Looked struct {
 	Round    uint64
 	Platform bool
 	Servers  int `json:"Servers"`
 }
 
-// Fetch asks a core node for the newest value that it knows to be chosen if that is at least as new as Ballot, and
+// FetchValue asks a core node for the newest value that it knows to be chosen if that is at least as new as Ballot, and
 // otherwise for the value that it has accepted.
 type Fetch struct {
 	Round  uint64
 	Ballot Ballot `json:",omitzero"`
 }
 
-// Value answers Fetch.
+// FetchedValue answers FetchValue.
 type Value struct {
 	Round    uint64
 	Inc      ident.Inc `json:"Inc"`
@@ -370,15 +370,15 @@
 	Chosen   bool `json:",omitempty"` // the value is known to be chosen; otherwise it is only accepted by the sender
 }
 
-// Taken announces to the voters that a value was chosen. A voter that accepted the value already has it; any other
+// ValueChosen announces to the voters that a value was chosen. A voter that accepted the value already has it; any other
 // can fetch it from the sender.
 type Taken struct {
 	Epoch  ident.Epoch
 	Ballot Ballot
 }
 
-// Forward passes an operator's change to the owner of the leadership lease, which proposes it. Number is assigned by
-// the sender. Term is the owner's term: a receiver with another term refuses the change.
+// ForwardChange passes an operator's change to the leader, which proposes it. Number is assigned by the sender. Term is
+// the leader's term: a receiver with another term refuses the change.
 type Forward struct {
 	Number   uint64
 	Term     ident.Duty
@@ -391,10 +391,10 @@
 	Zone     ident.Zone
 }
 
-// Forwarded answers Forward with the outcome of the change.
+// ForwardReply answers ForwardChange with the outcome of the change.
 type Forwarded struct {
 	Number   uint64
-	NotOwner bool // the receiver does not own that term and did nothing
+	NotOwner bool // the receiver is not the leader of that term and did nothing
 	Kind     failure.Kind
 	Why      string `json:"Why"`
 	Faults   fleetplan.Faults
@@ -403,11 +403,11 @@
 	Chosen   Ballot `json:",omitzero"` // ballot of the newest value that the sender knows to be chosen
 }
 
-// Keep asks an agent for the newest desired state that it holds, for recovery after the loss of all core nodes'
+// RecoveryQuery asks an agent for the newest desired state that it holds, for recovery after the loss of all core nodes'
 // disks.
 type Keep struct{ Round uint64 }
 
-// Kept answers Keep.
+// RecoveryReply answers RecoveryQuery.
 type Kept struct {
 	Round uint64
 	Value *Desired
@@ -415,7 +415,7 @@
 
 // Messages between routers and the core.
 
-// Session identifies one session of a router with the lease owner. Placement entries are valid only within their
+// Session identifies one session of a router with the leader. Placement entries are valid only within their
 // session.
 type Session struct {
 	Node   ident.Node `json:"node"`
@@ -424,7 +424,7 @@
 	N      uint64     `json:"n"`
 }
 
-// Burden is a router's load for one key since its previous report.
+// KeyLoad is a router's load for one key since its previous report.
 type Burden struct {
 	Wait int     `json:"w"`           // requests waiting
 	Work int     `json:"a"`           // requests being processed
@@ -433,11 +433,11 @@
 	Load float64 `json:"l,omitempty"` // server time in seconds that the arrived requests need
 }
 
-// Renew asks the owner to extend the session's lease.
+// Renew asks the leader to extend the session's lease.
 type Renew struct {
 	Session Session
 	Seq     uint64
-	Fresh   bool `json:"Fresh"` // nothing has been received from an owner in this session
+	Fresh   bool `json:"Fresh"` // nothing has been received from a leader in this session
 	Gen     uint64
 	Epoch   ident.Epoch
 	Heard   uint64                `json:"Heard"`
@@ -446,8 +446,8 @@
 	Paces   map[ident.Key]float64 `json:"Paces"` // shortest time per token, in ns, observed since the last renewal, by base model
 }
 
-// Grant extends the lease by Len, counted from the moment at which the router sent Renew Seq. A Len of zero extends
-// nothing: the owner is available but waits for the router to apply the updates that it was sent.
+// Grant extends the lease by Length, counted from the moment at which the router sent Renew Seq. A Length of zero extends
+// nothing: the leader is available but waits for the router to apply the updates that it was sent.
 type Grant struct {
 	Session Session
 	Seq     uint64
@@ -458,19 +458,19 @@
 	Paces   *Paces               `json:"Paces"` // only what has changed
 }
 
-// Paces gives the time in ns that servers need per prompt token, as observed by all routers together.
+// TokenTimes gives the time in ns that servers need per prompt token, as observed by all routers together.
 type Paces struct {
 	Slowest float64               // of any base model
 	Bases   map[ident.Key]float64 `json:"Bases"`
 }
 
-// NotOwner answers a router that addressed a core node without the leadership lease. Gone means that the owner has
-// let the session expire, and the router must begin a new one.
+// NotOwner answers a router that addressed a core node without the leadership lease. SessionEnded means that the leader
+// has let the session expire, and the router must begin a new one.
 //
 // Majority means that a majority of the core answered this node recently: the receiver is connected to the core even
-// while no node can tell what the newest state is.
+// while no node can determine the newest state.
 //
-// Fresh, if set, is a lease on the configuration alone, which any core node can grant: a majority reported nothing
+// ConfigLease, if set, is a lease on the configuration alone, which any core node can grant: a majority reported nothing
 // newer than Gen and Epoch. A router with that configuration may use it for that long after it sent Renew Seq, with
 // any server except those in Leaving.
 type NotOwner struct {
@@ -496,7 +496,7 @@
 	Warm   clock.Span   `json:"w"` // how long the replica had been ready when the entry was made
 }
 
-// Item is one numbered update of a router's state; exactly one of Desired, Entry and Break is set.
+// Update is one numbered update of a router's state; exactly one of Desired, Entry and Break is set.
 type Item struct {
 	Num     uint64    `json:"n"`
 	Desired *Desired  `json:"d,omitempty"`
@@ -505,7 +505,7 @@
 	Packed  *Packed   `json:"-"` // encoding of the desired state or the entry, shared by all receivers
 }
 
-// Entry is a placement entry. Its delivery registers a callback: the owner notifies the router before the entry
+// Entry is a placement entry. Its delivery registers a callback: the leader notifies the router before the entry
 // changes.
 type Entry struct {
 	Key      ident.Key  `json:"k"`
@@ -516,20 +516,20 @@
 	Soon     clock.Span `json:"o,omitempty"` // estimated time, from the creation of an empty entry, until it is filled
 }
 
-// News carries numbered updates in order.
+// Updates carries numbered updates in order.
 type News struct {
 	Session Session
 	Duty    ident.Duty `json:"Duty"`
 	Items   []Item
 }
 
-// Heard acknowledges all updates up to Num.
+// Ack acknowledges all updates up to Num.
 type Heard struct {
 	Session Session
 	Num     uint64
 }
 
-// Want requests an entry and a callback on it. Mark is the digest of the router's current copy, if it has one.
+// EntryRequest requests an entry and a callback on it. Digest is that of the router's current copy, if it has one.
 type Want struct {
 	Session Session
 	Key     ident.Key
@@ -538,19 +538,19 @@
 	Value   int
 }
 
-// Drop identifies an entry that a router discarded and the number of its delivery.
+// DroppedEntry identifies an entry that a router discarded and the number of its delivery.
 type Drop struct {
 	Key ident.Key
 	Num uint64
 }
 
-// Removal lists entries that a router discarded.
+// DroppedEntries lists entries that a router discarded.
 type Removal struct {
 	Session Session
 	Drops   []Drop
 }
 
-// Hello is a router's report to its agent: its incarnation, the state in force and its load.
+// RouterReport is a router's report to its agent: its incarnation, the state in force and its load.
 type Hello struct {
 	Router  ident.Inc `json:"Router"`
 	Session Session
@@ -561,7 +561,7 @@
 	Paces   map[ident.Key]float64 `json:"Paces"`
 }
 
-// Hold is the agent's lease to its router: the router may use this session until Until on the machine's monotonic
+// RouterLease is the agent's lease to its router: the router may use this session until Until on the machine's monotonic
 // clock, which both processes share.
 type Hold struct {
 	Session Session
@@ -570,8 +570,8 @@
 	Routers int
 	Seats   map[ident.Server]int `json:"Seats"`
 	Paces   *Paces               `json:"Paces"`
-	Parted  bool                 `json:"Parted"` // every core node was asked and none answered: this machine is cut off
-	// Without an owner's lease the router may use the configuration until Current, with servers that are not in
+	Parted  bool                 `json:"Parted"` // every core node was queried and none answered: this machine is cut off
+	// Without the leader's lease the router may use the configuration until ConfigLeaseEnd, with servers that are not in
 	// Leaving.
 	Current clock.Tick `json:"Current"`
 	Leaving []ident.Server
@@ -579,7 +579,7 @@
 
 // Inputs and outputs of cores.
 
-// Beat is the periodic timer input of a core.
+// TimerTick is the periodic timer input of a core.
 type Beat struct{}
 
 // Start is a core's first input and carries the contents of its disk.
@@ -607,7 +607,7 @@
 // Computed reports to a core that a Compute has finished.
 type Computed struct{ Token uint64 }
 
-// Ask is an HTTP request to a model server or the platform.
+// HTTPRequest is an HTTP request to a model server or the platform.
 type Ask struct {
 	Token uint64
 	Addr  string
@@ -621,7 +621,7 @@
 	Until  clock.Tick `json:"Until"` // if set, the request is not sent after this moment
 }
 
-// Told is the result of an Ask. OK is false if there was no answer.
+// HTTPResult is the result of an HTTPRequest. OK is false if there was no answer.
 type Told struct {
 	Token  uint64
 	OK     bool
@@ -630,10 +630,10 @@
 	Body   []byte
 }
 
-// Oops reports an error that justifies writing out the log ring.
+// ErrorReport is an error that justifies writing out the in-memory log.
 type Oops struct{ Text string }
 
-// Note is one line for the log ring.
+// LogLine is one line for the in-memory log.
 type Note struct {
 	Text   string
 	Fields []Field
@@ -647,7 +647,7 @@
 
 // Servers, platform and store.
 
-// Order is a command from the lease owner to a model server; an order without Op only requests the server's report.
+// Order is a command from the leader to a model server; an order without Op only requests the server's report.
 type Order struct {
 	Duty ident.Duty `json:"duty"`
 	Num  uint64     `json:"num"`
@@ -662,7 +662,7 @@
 	Confirms bool       `json:"-"` // the order was accepted before; the sender asks whether it has completed
 }
 
-// Held is the state of one key on a server, as in the server's report.
+// HeldKey is the state of one key on a server, as in the server's report.
 type Held struct {
 	Key    ident.Key `json:"key"`
 	Size   int       `json:"size"`
@@ -671,8 +671,8 @@
 	AgeMs  int64     `json:"age_ms"` // time in the current stage
 }
 
-// Report is the state of a model server as reported by the server. For servers that do not check fencing terms, Num
-// is the number of orders that they have accepted, and Busy means that one is still being executed.
+// ServerReport is the state of a model server as reported by the server. For servers that do not check fencing terms,
+// Num is the number of orders that they have accepted, and Busy means that one is still being executed.
 type Report struct {
 	Server ident.Server `json:"server"`
 	Inc    ident.Inc    `json:"inc"`
@@ -685,7 +685,7 @@
 	Busy   bool         `json:"busy,omitempty"`
 }
 
-// Listed is one server in the platform's server list.
+// ListedServer is one server in the platform's server list.
 type Listed struct {
 	ID    ident.Server `json:"id"`
 	Addr  string       `json:"addr"`
@@ -696,8 +696,8 @@
 	Slots   int    `json:"slots,omitempty"`
 }
 
-// Beacon is a server's announcement of itself. Each start of a server has its own ID. Count orders the announcements
-// of one start, which may be delayed and may arrive at any core node.
+// Announcement is what a server announces about itself. Each start of a server has its own ID. Count orders the
+// announcements of one start, which may be delayed and may arrive at any core node.
 type Beacon struct {
 	Listed
 	Count uint64      `json:"count"`
@@ -706,19 +706,19 @@
 	Held  []ident.Key `json:"held,omitempty"` // keys that are loaded and ready
 }
 
-// Beacons carries announcements between core nodes. A nonzero Mark requests an acknowledgement.
+// Announcements carries announcements between core nodes. A nonzero AckID requests an acknowledgement.
 type Beacons struct {
 	Mark uint64   `json:"Mark"`
 	List []Beacon `json:"List"`
 }
 
-// RollCall asks a core node for every announced server that it knows; a new lease owner sends it.
+// RegistryQuery asks a core node for every announced server that it knows; a new leader sends it.
 type RollCall struct {
 	Duty ident.Duty `json:"Duty"`
 	Life ident.Inc  `json:"Life"` // incarnation of the asker's process
 }
 
-// Roll answers RollCall.
+// RegistryReply answers RegistryQuery.
 type Roll struct {
 	Duty    ident.Duty `json:"Duty"`
 	Life    ident.Inc  `json:"Life"` // incarnation of the asker's process, as in the query
@@ -727,15 +727,15 @@
 	List    []Beacon   `json:"List"`
 }
 
-// BeaconsHeard acknowledges Beacons: the sender has recorded the announcements. Ruled also means that the sender owns
-// the leadership lease, and that no router's permission to send to any of these servers outlasts its router lease.
+// AnnouncementsAck acknowledges Announcements: the sender has recorded them. OwnerConfirmed also means that the sender is
+// the leader, and that no router's permission to send to any of these servers outlasts its router lease.
 type BeaconsHeard struct {
 	Mark  uint64    `json:"Mark"`
 	Inc   ident.Inc `json:"Inc"` // incarnation of the disk on which they are recorded
 	Ruled bool      `json:"Ruled"`
 }
 
-// Work is a request as sent to a model server.
+// ServerRequest is a request as sent to a model server.
 type Work struct {
 	Go     string    `json:"go"`
 	ID     string    `json:"id"`
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -107,7 +107,7 @@
 	Resume bool       // another server may resume its stream after the last forwarded event
 }
 
-// Receipt is the output for a request that the router itself answers, without a server's answer.
+// Refusal is the output for a request that the router itself answers, without a server's answer.
 type Receipt struct {
 	Ref  Ref
 	Kind failure.Kind
@@ -172,7 +172,7 @@
 	inFlight     map[ident.Key]int
 	servers      map[ident.Server]*serverLoad
 	retryBudgets map[string]*retryBudget // by service
-	offeredLoad  map[ident.Key]float64   // server seconds needed by the requests received since the last Hello
+	offeredLoad  map[ident.Key]float64   // server seconds needed by the requests received since the last report
 	tokenTimes   tokenTimes
 	randState    uint64
 	inflows      map[ident.Key]*inflow
@@ -185,7 +185,7 @@
 	wasUnleased bool // last logged value of routesUnleased
 
 	lastBeat clock.Tick
-	pausedAt clock.Tick // time of the last late beat, which shows that the process was suspended
+	pausedAt clock.Tick // time of the last late tick, which shows that the process was suspended
 	tally    Tally
 }
 
@@ -287,7 +287,7 @@
 		}
 		c.session, c.leaseUntil, c.lastSeq, c.drops = hold.Session, 0, 0, nil
 		c.tally.Sessions++
-		c.tokenTimes.observeKnown() // a new owner may not have the token times yet
+		c.tokenTimes.observeKnown() // a new leader may not have the token times yet
 		for _, e := range c.entries {
 			if e.hasCallback {
 				c.tally.Suspects++
@@ -322,10 +322,10 @@
 
 func (c *Core) leased() bool { return c.now < c.leaseUntil }
 
-// alone reports whether the router may send by its last known state although it has no lease. Servers must reject by
-// themselves requests for models they do not hold and requests addressed to another server. In addition, a core node
-// must confirm that the router's configuration is the newest, or the router must be partitioned from the core. A
-// router that is merely behind must first apply the changes sent to it.
+// routesUnleased reports whether the router may send by its last known state although it has no lease. Servers must
+// reject by themselves requests for models they do not hold and requests addressed to another server. In addition, a
+// core node must confirm that the router's configuration is the newest, or the router must be partitioned from the core.
+// A router that is merely behind must first apply the changes sent to it.
 func (c *Core) alone() bool {
 	return c.o.Guards && c.plan != nil && !c.leased() && (c.parted || c.now < c.currentUntil)
 }
@@ -371,7 +371,7 @@
 	for _, item := range news.Items {
 		if item.Desired != nil {
 			c.onDesired(item.Desired)
-			c.helloSentAt = 0 // report the new epoch to the agent with the next beat
+			c.helloSentAt = 0 // report the new epoch to the agent with the next tick
 		}
 	}
 	c.serveAll()
@@ -452,31 +452,31 @@
 	c.checkOverdue()
 	if c.now.Sub(c.helloSentAt) >= c.o.Hello || c.helloSentAt == 0 {
 		c.helloSentAt = c.now
-		burdens := map[ident.Key]protocol.Burden{}
+		loads := map[ident.Key]protocol.Burden{}
 		for _, k := range generic.SortedKeys(c.queues) {
-			burden := protocol.Burden{Wait: len(c.queues[k]), Work: c.inFlight[k], Came: c.arrivals[k]}
+			load := protocol.Burden{Wait: len(c.queues[k]), Work: c.inFlight[k], Came: c.arrivals[k]}
 			for _, r := range c.queues[k] {
-				burden.Top = max(burden.Top, r.class.Value)
+				load.Top = max(load.Top, r.class.Value)
 			}
-			burdens[k] = burden
+			loads[k] = load
 		}
 		for k, n := range c.inFlight {
-			if _, ok := burdens[k]; !ok && (n > 0 || c.arrivals[k] > 0) {
-				burdens[k] = protocol.Burden{Work: n, Came: c.arrivals[k]}
+			if _, ok := loads[k]; !ok && (n > 0 || c.arrivals[k] > 0) {
+				loads[k] = protocol.Burden{Work: n, Came: c.arrivals[k]}
 			}
 		}
 		for k, n := range c.arrivals {
-			if _, ok := burdens[k]; !ok && n > 0 {
-				burdens[k] = protocol.Burden{Came: n}
+			if _, ok := loads[k]; !ok && n > 0 {
+				loads[k] = protocol.Burden{Came: n}
 			}
 		}
 		for k, seconds := range c.offeredLoad {
-			burden := burdens[k]
-			burden.Load = seconds
-			burdens[k] = burden
+			load := loads[k]
+			load.Load = seconds
+			loads[k] = load
 		}
 		c.arrivals, c.offeredLoad = map[ident.Key]int{}, map[ident.Key]float64{}
-		hello := protocol.Hello{Router: c.o.Inc, Session: c.session, Gen: c.gen, Epoch: c.epoch, Burden: burdens}
+		hello := protocol.Hello{Router: c.o.Inc, Session: c.session, Gen: c.gen, Epoch: c.epoch, Burden: loads}
 		if c.o.Free {
 			hello.Seats, hello.Paces = c.reportLoad(), c.tokenTimes.takeObserved()
 		}
@@ -511,12 +511,12 @@
 	return t
 }
 
-// Rules returns the generation and epoch of the configuration in force, and whether the router has a lease.
+// InForce returns the generation and epoch of the configuration in force, and whether the router has a lease.
 func (c *Core) Rules(now clock.Tick) (uint64, ident.Epoch, bool) {
 	return c.gen, c.epoch, now < c.leaseUntil
 }
 
-// Routes reports whether the router may send requests now, under its lease or without one by its last known state.
+// CanRoute reports whether the router may send requests now, under its lease or without one by its last known state.
 func (c *Core) Routes(now clock.Tick) bool {
 	c.now = now
 	return c.leased() || c.alone()
@@ -525,7 +525,7 @@
 // Size returns the number of cached entries and the number of waiting requests.
 func (c *Core) Size() (entries, waiting int) { return len(c.entries), c.queued }
 
-// Promises reports whether this router would now send requests for a key to a server without revalidation. Checkers
+// RoutesTo reports whether this router would now send requests for a key to a server without revalidation. Checkers
 // compare it with the orders that servers receive.
 func (c *Core) Promises(now clock.Tick, k ident.Key, s ident.Server, inc ident.Inc) bool {
 	e := c.entries[k]
@@ -540,7 +540,7 @@
 	return false
 }
 
-// Places lists the replicas in the router's entry for a key, for checkers.
+// ReplicasOf lists the replicas in the router's entry for a key, for checkers.
 func (c *Core) Places(k ident.Key) (l []string) {
 	if e := c.entries[k]; e != nil {
 		for _, p := range e.Replicas {
--- a/internal/router/dialect.go
+++ b/internal/router/dialect.go
@@ -19,7 +19,7 @@
 	Tenant string       // tenant that the request belongs to; empty if none
 }
 
-// Said is the information that the head of a server's response carries.
+// ResponseInfo is the information that the head of a server's response carries.
 type Said struct {
 	ID     string       // request that the response belongs to
 	NotRun bool         // the server did not run the request and never will
--- a/internal/router/host.go
+++ b/internal/router/host.go
@@ -84,11 +84,11 @@
 // parsePlansAhead parses the plans addressed to the router before its core gets them, so that requests do not wait
 // for the parser.
 func (h HostOptions) parsePlansAhead(env protocol.Env) {
-	news, ok := env.Body.(protocol.News)
+	updates, ok := env.Body.(protocol.News)
 	if !ok {
 		return
 	}
-	for _, item := range news.Items {
+	for _, item := range updates.Items {
 		if item.Desired != nil && len(item.Desired.Plan) > 0 {
 			_, _ = h.planCache.Plan(item.Desired.Plan)
 		}
@@ -103,7 +103,7 @@
 	return HeadLimits{Bytes: p.HeadMost, Timeout: p.HeadWait}
 }
 
-// Host runs a router and its agent on a hosting platform until the process is told to stop.
+// RunHosted runs a router and its agent on a hosting platform until the process receives a stop signal.
 func Host(h HostOptions) error {
 	ring := host.NewRingWith(host.RingOptions{Name: h.ID, Out: os.Stderr, Lines: h.Logs})
 	h.planCache = &fleetplan.Memo{Read: h.Read}
--- a/internal/router/hosted_test.go
+++ b/internal/router/hosted_test.go
@@ -41,8 +41,8 @@
 	return p
 }
 
-// free returns a router with the options used on a hosting platform. The first plan is in force. The encoding of a
-// plan is its index as a single byte.
+// newHostedRouter returns a router with the options used on a hosting platform. The first plan is in force. The encoding
+// of a plan is its index as a single byte.
 func free(t *testing.T, o Options, plans ...*fleetplan.Plan) *bed {
 	if len(plans) == 0 {
 		plans = append(plans, hostPlan(nil))
@@ -57,12 +57,12 @@
 	return newTestRouter(t, o)
 }
 
-// replan puts the plan with the given index in force.
+// deliverPlan puts the plan with the given index in force.
 func (b *bed) replan(n byte) []any {
 	return b.deliverItem(protocol.Item{Desired: &protocol.Desired{Gen: 1, Epoch: ident.Epoch(n) + 1, Plan: []byte{n}}})
 }
 
-// go1 passes a request with the given path to the router and returns its launch, if there was one.
+// callPath passes a request with the given path to the router and returns its launch, if there was one.
 func (b *bed) go1(path string, c fleetplan.Call) (Ref, Launch, []any) {
 	b.ref++
 	if c.ID == "" {
@@ -74,7 +74,7 @@
 	return b.ref, l, out
 }
 
-// wait advances the time in beats and returns the resulting outputs.
+// wait advances the time in ticks and returns the resulting outputs.
 func (b *bed) wait(span clock.Span) (out []any) {
 	for end := b.at.Add(span); b.at < end; {
 		b.at = b.at.Add(20e6)
@@ -137,7 +137,7 @@
 }
 
 // An attempt launched under the previous plan is not sent. The request goes to its new service, or is rejected if the
-// new plan does not allow it. The attempt that was not sent counts neither as a try nor as a retry.
+// new plan does not allow it. The attempt that was not sent counts neither as an attempt nor as a retry.
 func TestPlanChangeBeforeSending(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -283,7 +283,7 @@
 		{"lease", false, func(*bed) {}, true},
 		{"lease, enforcing servers", true, func(*bed) {}, true},
 		{"lease expired", false, func(b *bed) { b.at = b.at.Add(61e9) }, false},
-		{"lease expired, enforcing servers, owner reachable", true, func(b *bed) { b.at = b.at.Add(61e9) }, false},
+		{"lease expired, enforcing servers, leader reachable", true, func(b *bed) { b.at = b.at.Add(61e9) }, false},
 		{"lease expired, enforcing servers, partitioned", true, func(b *bed) {
 			b.at = b.at.Add(61e9)
 			b.deliver(protocol.Hold{Session: ses, Parted: true})
@@ -295,7 +295,7 @@
 		{"new session without a lease", false, func(b *bed) {
 			b.deliver(protocol.Hold{Session: protocol.Session{Node: "agent", Agent: 1, Router: 7, N: 2}})
 		}, false},
-		{"new session without a lease, enforcing servers, owner reachable", true, func(b *bed) {
+		{"new session without a lease, enforcing servers, leader reachable", true, func(b *bed) {
 			b.deliver(protocol.Hold{Session: protocol.Session{Node: "agent", Agent: 1, Router: 7, N: 2}})
 		}, false},
 		{"new session without a lease, enforcing servers, partitioned", true, func(b *bed) {
@@ -612,7 +612,7 @@
 }
 
 // A configuration that arrives too late for its session is put in force, and its epoch is reported to the agent with
-// the next beat.
+// the next tick.
 func TestLateConfiguration(t *testing.T) {
 	b := free(t, Options{Guards: true}, hostPlan(nil), hostPlan(nil))
 	out := b.deliver(protocol.News{Items: []protocol.Item{{Desired: &protocol.Desired{Gen: 1, Epoch: 9, Plan: []byte{1}}}}})
--- a/internal/router/in_flight.go
+++ b/internal/router/in_flight.go
@@ -11,7 +11,7 @@
 
 // register adds a request; the caller removes it with done.
 func (f *inFlight) register() (ref Ref, ch chan any, done func()) {
-	ch = make(chan any, 8) // room for every Launch and the Receipt
+	ch = make(chan any, 8) // room for every Launch and the Refusal
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.channels == nil {
@@ -27,7 +27,7 @@
 	}
 }
 
-// Deliver passes a Launch or a Receipt to its request. It serves as the Else function of a host.
+// Deliver passes a Launch or a Refusal to its request. It serves as the HandleOutput function of a host.
 func (f *inFlight) Act(v any) {
 	var ref Ref
 	switch v := v.(type) {
--- a/internal/router/invariants.go
+++ b/internal/router/invariants.go
@@ -65,7 +65,7 @@
 const (
 	// overdueTolerance is how long a request may stay open after its deadline, because its answer must still be written.
 	overdueTolerance = clock.Span(1e9)
-	// pauseThreshold is the time between two beats above which the process counts as having been suspended.
+	// pauseThreshold is the time between two ticks above which the process counts as having been suspended.
 	pauseThreshold = clock.Span(300e6)
 )
 
--- a/internal/router/keys_test.go
+++ b/internal/router/keys_test.go
@@ -204,7 +204,7 @@
 // keys-slow-core, fleet corrib, seeds 1 and 5 of the first six) found violations of request_ends_in_time by up to 2.8
 // s. A request with an unknown key waits at a router without a lease; a newer configuration knows the key, but allows
 // the route less time than the request has already waited. The deadline is recomputed under each configuration, and
-// only the next beat compared it with the clock, after all other waiting requests.
+// only the next tick compared it with the clock, after all other waiting requests.
 func TestTimeThatIsOverByANewerPlan(t *testing.T) {
 	valuable := func(p *fleetplan.Plan) { p.Hosts["h"]["/"].Class.Value = 9 }
 	shorter := func(p *fleetplan.Plan) {
--- a/internal/router/ledger.go
+++ b/internal/router/ledger.go
@@ -16,7 +16,7 @@
 // The ledger of a request records its attempts and how each one ended. A table derives the next step from it. A
 // request that may have run is never sent again unless it may be repeated.
 
-// End is the outcome of an attempt.
+// Outcome is the outcome of an attempt.
 type End string
 
 // The outcomes of an attempt.
--- a/internal/router/record.go
+++ b/internal/router/record.go
@@ -15,7 +15,7 @@
 	"tidedeck/internal/host"
 )
 
-// Logged is one line of a record of requests. Unless prompts are recorded, the length of the prompt and the
+// RecordedRequest is one line of a record of requests. Unless prompts are recorded, the length of the prompt and the
 // checksums of its shared parts replace the text.
 type Logged struct {
 	At     int64  `json:"at_ms"`
@@ -33,7 +33,7 @@
 	Repeat bool   `json:"repeat,omitempty"`
 }
 
-// Part is a shared part of a prompt as it is recorded.
+// RecordedPart is a shared part of a recorded prompt.
 type Part struct {
 	Sum    string `json:"sum"`
 	Length int    `json:"bytes"`
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -17,7 +17,7 @@
 
 // Decider decides what happens to requests.
 type Decider interface {
-	// Step takes an event: Call, Begun, Ended or Quit. Resulting decisions are passed to Relay.Deliver.
+	// Step takes an event: Request, Begun, Ended or Quit. Resulting decisions are passed to Relay.Deliver.
 	Step(in any)
 	// MaySend reports whether an attempt may be sent. It is called immediately before sending.
 	MaySend(ref Ref, n int) bool
@@ -111,7 +111,7 @@
 	})
 }
 
-// Use sets the Decider. It must be called before the first request arrives.
+// SetDecider sets the Decider. It must be called before the first request arrives.
 func (r *Relay) Use(d Decider) { r.decider = d }
 
 // Close closes the idle connections to servers.
--- a/internal/router/relay_answer.go
+++ b/internal/router/relay_answer.go
@@ -77,7 +77,7 @@
 		x.relayWithoutBody(resp)
 		return Done, failure.None
 	case closeDelimited(resp):
-		return x.connectionBroken(CauseUnframed) // a complete body cannot be told from a truncated one
+		return x.connectionBroken(CauseUnframed) // a complete body cannot be distinguished from a truncated one
 	case resp.ContentLength > maxBufferedResponse:
 		return x.relayUnbuffered(v, use, resp, nil)
 	}
@@ -138,7 +138,7 @@
 		}
 		if x.clientGone {
 			x.cause = CauseCaller
-			return Lost, failure.None // the client is gone, so nobody reads the response
+			return Lost, failure.None // the client has disconnected, so nobody reads the response
 		}
 		switch err {
 		case nil:
--- a/internal/router/relay_exchange.go
+++ b/internal/router/relay_exchange.go
@@ -181,9 +181,9 @@
 func (x *exchange) run() {
 	r := x.r
 	ref, decisions, done := r.register()
-	settled := false
+	finished := false
 	defer func() {
-		if !settled {
+		if !finished {
 			r.decider.Step(Quit{ref})
 		}
 		done()
@@ -197,14 +197,14 @@
 		case decision := <-decisions:
 			switch v := decision.(type) {
 			case Receipt:
-				settled = true
+				finished = true
 				x.finishWithReceipt(v)
 				return
 			case Launch:
 				ended := x.runAttempt(ctx, v)
-				settled = ended.How == Done
+				finished = ended.How == Done
 				r.decider.Step(ended)
-				if settled {
+				if finished {
 					return
 				}
 			}
--- a/internal/router/relay_reply.go
+++ b/internal/router/relay_reply.go
@@ -34,7 +34,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// writeRefusal writes the response that failure.Receipts defines for a kind of failure.
+// writeRefusal writes the response that failure.Responses defines for a kind of failure.
 func (x *exchange) writeRefusal(kind failure.Kind, retryAfter clock.Span, closeConn bool, faults fleetplan.Faults) {
 	receipt, ok := failure.Receipts[kind]
 	if !ok {
--- a/internal/router/relay_serve.go
+++ b/internal/router/relay_serve.go
@@ -16,7 +16,7 @@
 	"github.com/go-faster/errors"
 )
 
-// RelayServe configures the listeners and the shutdown of a relay.
+// RelayServer configures the listeners and the shutdown of a relay.
 type RelayServe struct {
 	Relay          *Relay
 	Ingress        string               // address for clients, ip:port
--- a/internal/router/request_trace.go
+++ b/internal/router/request_trace.go
@@ -6,7 +6,7 @@
 	"tidedeck/internal/ident"
 )
 
-// Cause describes why an attempt ended, in more detail than its End. No decision depends on it.
+// Cause describes why an attempt ended, in more detail than its Outcome. No decision depends on it.
 type Cause string
 
 // Causes for the end of an attempt.
--- a/internal/router/request_trace_test.go
+++ b/internal/router/request_trace_test.go
@@ -119,10 +119,10 @@
 // A request that no configuration covers is answered within its time.
 func TestWaitsNoLongerThanItsTime(t *testing.T) {
 	b := &bed{Core: New(Options{Free: true}), at: 1e9}
-	_, told := pick[Receipt](b.Step(b.at, Call{Ref: 1, Route: "/again/x", Call: fleetplan.Call{ID: "1", Host: "h", Wait: 2e9}}))
-	require.False(t, told, "the request waits")
-	_, told = pick[Receipt](b.wait(6 * time.Second))
-	require.True(t, told)
+	_, refused := pick[Receipt](b.Step(b.at, Call{Ref: 1, Route: "/again/x", Call: fleetplan.Call{ID: "1", Host: "h", Wait: 2e9}}))
+	require.False(t, refused, "the request waits")
+	_, refused = pick[Receipt](b.wait(6 * time.Second))
+	require.True(t, refused)
 }
 
 // The relay reports the server's status to the core, and the cause for which an attempt counts as lost.
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -18,7 +18,7 @@
 
 var ses = protocol.Session{Node: "agent", Agent: 1, Router: 7, N: 1}
 
-// bed is a router core under test with its clock and the counters of the messages sent to it.
+// testRouter is a router core under test with its clock and the counters of the messages sent to it.
 type bed struct {
 	*Core
 	t   *testing.T
@@ -36,7 +36,7 @@
 	return b
 }
 
-// fund sets the retry credit of every service.
+// setCredits sets the retry credit of every service.
 func (b *bed) fund(amount float64) {
 	for _, service := range []string{"", "web", "new", "llm"} {
 		b.retryBudget(service).credits = []retryCredit{{b.at, amount}}
@@ -259,8 +259,8 @@
 	require.True(t, ok, "the waiting request is sent when the entry arrives")
 	for range 3 {
 		_, out = b.call(fleetplan.Call{})
-		_, asked := findMessage[protocol.Want](out)
-		require.False(t, asked)
+		_, requested := findMessage[protocol.Want](out)
+		require.False(t, requested)
 		_, ok = pick[Launch](out)
 		require.True(t, ok)
 	}
@@ -297,7 +297,7 @@
 	require.Equal(t, Ref(4), r.Ref, "the new request is less valuable than all waiting requests")
 }
 
-// A request whose deadline passes while it waits ends at the next beat. A request that arrives after its deadline is
+// A request whose deadline passes while it waits ends at the next tick. A request that arrives after its deadline is
 // invalid.
 func TestDeadline(t *testing.T) {
 	b := newTestRouter(t, Options{})
@@ -343,15 +343,15 @@
 	_, out := b.call(fleetplan.Call{Base: "new"})
 	_, ok := pick[Receipt](out)
 	require.False(t, ok)
-	_, asked := findMessage[protocol.Want](out)
-	require.False(t, asked, "a model name that may not exist is not sent to the controller")
+	_, requested := findMessage[protocol.Want](out)
+	require.False(t, requested, "a model name that may not exist is not sent to the controller")
 	out = b.deliver(protocol.Hold{Session: ses, Until: b.at.Add(60e9)})
 	r, ok := pick[Receipt](out)
 	require.True(t, ok)
 	require.Equal(t, failure.NoModel, r.Kind)
 }
 
-// The cache stays within its limit and reports evicted entries to the owner in batches.
+// The cache stays within its limit and reports evicted entries to the leader in batches.
 func TestCacheBound(t *testing.T) {
 	b := newTestRouter(t, Options{Cache: 4})
 	for i := range 10 {
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -81,7 +81,7 @@
 	return p.Conn.Read(b)
 }
 
-// Main runs a router until the process is told to stop.
+// Main runs a router until the process receives a stop signal.
 func Main(s Settings) error {
 	ring := host.NewRing(s.ID, os.Stderr)
 	core := New(Options{
@@ -258,7 +258,7 @@
 // streamReaders pools the readers of event streams: allocating a new one cost more than the rest of an attempt.
 var streamReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxEventBytes) }}
 
-// Line is the part of an event that the router checks.
+// StreamEvent is the part of an event that the router checks.
 type Line struct {
 	N      int          `json:"n"`
 	Go     string       `json:"go"`
@@ -266,7 +266,7 @@
 	Done   bool         `json:"done"`
 }
 
-// Follows reports whether an event is the next one of the attempt's own stream.
+// IsNext reports whether an event is the next one of the attempt's own stream.
 func (l Line) Follows(v Launch, n int) bool {
 	return l.Go == v.Work.Go && l.Server == v.Server && l.N == n
 }
@@ -298,7 +298,7 @@
 		}
 		next++
 		if stream.writeEvent(data); stream.clientGone {
-			return Lost, failure.None // the client is gone, so nobody reads the response
+			return Lost, failure.None // the client has disconnected, so nobody reads the response
 		}
 		if event.Done {
 			return Done, failure.None
--- a/internal/router/token_times.go
+++ b/internal/router/token_times.go
@@ -5,7 +5,7 @@
 	"tidedeck/internal/protocol"
 )
 
-// Time per token by base model. A router reports the shortest time that it has observed, and the owner returns the
+// Time per token by base model. A router reports the shortest time that it has observed, and the leader returns the
 // times observed by all routers together. Times differ between bases by a large factor, so the load of a server is
 // counted in tokens of the slowest base.
 
@@ -17,15 +17,15 @@
 // tokenTimes holds the known times per token in nanoseconds.
 type tokenTimes struct {
 	observed map[ident.Key]float64 // shortest times since the last report, by base
-	known    map[ident.Key]float64 // times of all routers from the owner, by base
-	slowest  float64               // longest time of any base, from the owner
+	known    map[ident.Key]float64 // times of all routers from the leader, by base
+	slowest  float64               // longest time of any base, from the leader
 }
 
 func newTokenTimes() tokenTimes {
 	return tokenTimes{observed: map[ident.Key]float64{}, known: map[ident.Key]float64{}}
 }
 
-// update adopts the times reported by the owner.
+// update adopts the times reported by the leader.
 func (t *tokenTimes) update(report *protocol.Paces) {
 	if report == nil {
 		return
--- a/internal/router/token_times_test.go
+++ b/internal/router/token_times_test.go
@@ -11,7 +11,7 @@
 )
 
 // The cost of a request is scaled by the time per token of its base relative to the slowest base, as reported by the
-// owner.
+// leader.
 func TestCostScalesWithTokenTime(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/internal/voterset/voterset.go
+++ b/internal/voterset/voterset.go
@@ -11,7 +11,7 @@
 	"tidedeck/internal/protocol"
 )
 
-// Same reports whether two lists contain the same voters with the same incarnations.
+// Equal reports whether two lists contain the same voters with the same incarnations.
 func Same(a, b []protocol.Voter) bool {
 	if len(a) != len(b) {
 		return false
@@ -24,7 +24,7 @@
 	return true
 }
 
-// Names reports whether a list contains a node with the given incarnation.
+// Contains reports whether a list contains a node with the given incarnation.
 func Names(voters []protocol.Voter, id ident.Node, inc ident.Inc) bool {
 	for _, v := range voters {
 		if v.ID == id && v.Inc == inc {
@@ -34,7 +34,7 @@
 	return false
 }
 
-// Seats reports whether a list contains a node, with any incarnation.
+// ContainsNode reports whether a list contains a node, with any incarnation.
 func Seats(voters []protocol.Voter, id ident.Node) bool {
 	for _, v := range voters {
 		if v.ID == id {
@@ -44,7 +44,7 @@
 	return false
 }
 
-// In reports whether a value names a node with the given incarnation as a voter of either set.
+// IsVoter reports whether a value names a node with the given incarnation as a voter of either set.
 func In(v protocol.Desired, id ident.Node, inc ident.Inc) bool {
 	return Names(v.Voters, id, inc) || Names(v.Prior, id, inc)
 }
@@ -64,7 +64,7 @@
 	return len(v.Voters) > 0 && isMajority(v.Voters) && (len(v.Prior) == 0 || isMajority(v.Prior))
 }
 
-// Addresses returns each voter of a value once.
+// Siblings returns each voter of a value once.
 func Addresses(v protocol.Desired) []protocol.Sibling {
 	seen := map[ident.Node]bool{}
 	var siblings []protocol.Sibling
@@ -77,13 +77,13 @@
 	return siblings
 }
 
-// Both returns a value that names the voters of both values.
+// Joint returns a value that names the voters of both values.
 func Both(a, b protocol.Desired) protocol.Desired {
 	a.Prior = append(append(append([]protocol.Voter{}, a.Prior...), b.Voters...), b.Prior...)
 	return a
 }
 
-// Changed counts the seats of a voter set that the next set replaces, adds or removes.
+// CountChanged counts the seats of a voter set that the next set replaces, adds or removes.
 func Changed(old, next []protocol.Voter) (changed int) {
 	for _, v := range next {
 		if !Names(old, v.ID, v.Inc) {
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -16,7 +16,7 @@
 	Value    int
 }
 
-// Sums counts the requests for a base and its adapters in all sessions.
+// BaseSums counts the requests for a base and its adapters in all sessions.
 type Sums struct {
 	Waiting int
 	Running int
@@ -68,7 +68,7 @@
 	}
 }
 
-// Heard marks a session as active without changing its report.
+// MarkActive marks a session as active without changing its report.
 func (x *Index) Heard(session protocol.Session, now clock.Tick) {
 	r := x.reports[session]
 	if r == nil {
@@ -123,7 +123,7 @@
 	return Waiting{Requests: sums.waiting, Value: sums.highest()}
 }
 
-// UnderWay returns the number of waiting and running requests for a key.
+// Outstanding returns the number of waiting and running requests for a key.
 func (x *Index) UnderWay(key ident.Key) int {
 	if sums := x.keys[key]; sums != nil {
 		return sums.outstanding
