--- a/internal/agent/contact.go
+++ b/internal/agent/contact.go
@@ -12,9 +12,9 @@
 const (
 	// queryAllAfter is the time without an answer from the core after which every core node is queried at once.
 	queryAllAfter = clock.Span(600e6)
-	// partedAfter is the time without an answer from the core after which this machine is considered cut off,
+	// partitionedAfter is the time without an answer from the core after which this machine is considered cut off,
 	// provided that every core node was queried.
-	partedAfter = clock.Span(1300e6)
+	partitionedAfter = clock.Span(1300e6)
 	// queryTimeout is how long a core node has to answer such a query.
 	queryTimeout = clock.Span(600e6)
 )
@@ -25,7 +25,7 @@
 	lastAnswer     clock.Tick // when such a node last answered
 	awaitingAnswer bool       // a renewal was sent since lastAnswer
 	lastQueryAll   clock.Tick // when every core node was last queried at once, since lastAnswer
-	parted         bool
+	partitioned         bool
 	// inconclusive counts the answers since lastAnswer of nodes that could not determine the newest configuration.
 	inconclusive int
 }
@@ -48,7 +48,7 @@
 // because it has to learn that the core accepts changes again well before such changes take effect.
 func (k *coreContact) queryDue(now clock.Tick) bool {
 	interval := 2 * queryTimeout
-	if k.parted {
+	if k.partitioned {
 		interval = queryTimeout
 	}
 	return k.awaitingAnswer && now.Sub(k.lastAnswer) > queryAllAfter && (k.lastQueryAll == 0 || now.Sub(k.lastQueryAll) > interval)
@@ -56,14 +56,14 @@
 
 // timedOut reports whether every core node was queried and had time to answer, and none did.
 func (k *coreContact) timedOut(now clock.Tick) bool {
-	return k.lastQueryAll != 0 && now.Sub(k.lastQueryAll) > queryTimeout && now.Sub(k.lastAnswer) > partedAfter
+	return k.lastQueryAll != 0 && now.Sub(k.lastQueryAll) > queryTimeout && now.Sub(k.lastAnswer) > partitionedAfter
 }
 
 // noteCoreAnswer records an answer from a core node.
 func (c *Core) noteCoreAnswer() {
 	c.contact.noteAnswer(c.now)
-	if c.contact.parted {
-		c.setParted(false)
+	if c.contact.partitioned {
+		c.setPartitioned(false)
 	}
 }
 
@@ -73,16 +73,16 @@
 	if c.contact.queryDue(c.now) {
 		c.queryAllCoreNodes()
 	}
-	if !c.contact.parted && c.contact.timedOut(c.now) {
-		c.setParted(true)
+	if !c.contact.partitioned && c.contact.timedOut(c.now) {
+		c.setPartitioned(true)
 	}
 }
 
-func (c *Core) setParted(parted bool) {
-	c.contact.parted = parted
+func (c *Core) setPartitioned(parted bool) {
+	c.contact.partitioned = parted
 	c.logEvent("contact with the core changed", protocol.Field{Name: "parted", Value: parted}, protocol.Field{Name: "way", Value: c.path.to.Addr}, protocol.Field{Name: "via", Value: c.path.via.ID},
 		protocol.Field{Name: "epoch", Value: c.epoch}, protocol.Field{Name: "unvouched_answers", Value: c.contact.inconclusive}, protocol.Field{Name: "silent_ms", Value: c.now.Sub(c.contact.lastAnswer).Milliseconds()})
-	c.sendHold()
+	c.sendLease()
 }
 
 // queryAllCoreNodes sends a renewal to every core node at once.
@@ -90,7 +90,7 @@
 	c.contact.lastQueryAll = c.now
 	c.tally.Sweeps++
 	query := c.renewal()
-	query.Burden = outstanding(c.burden) // arrival counts are reported once, in a regular renewal
+	query.Burden = outstanding(c.keyLoads) // arrival counts are reported once, in a regular renewal
 	for _, node := range c.coreNodes() {
 		c.send(protocol.Env{From: c.o.Me, To: node, Body: query})
 	}
--- a/internal/agent/contact_test.go
+++ b/internal/agent/contact_test.go
@@ -9,8 +9,8 @@
 	"tidedeck/internal/protocol"
 )
 
-// lastHold returns the last lease sent to the router.
-func (r *harness) lastHold() protocol.Hold {
+// lastLease returns the last lease sent to the router.
+func (r *harness) lastLease() protocol.Hold {
 	h, _, _ := lastSent[protocol.Hold](r)
 	return h
 }
@@ -25,22 +25,22 @@
 	}{
 		{"no answer", func(*harness, protocol.Renew) {}, true},
 		{"leader grants", func(r *harness, n protocol.Renew) {
-			r.deliver(sibling("a2"), protocol.Grant{Session: n.Session, Seq: n.Seq, Len: 1e9, Duty: 1})
+			r.deliver(newPeer("a2"), protocol.Grant{Session: n.Session, Seq: n.Seq, Len: 1e9, Duty: 1})
 		}, false},
 		{"leader withholds the lease until an acknowledgement", func(r *harness, n protocol.Renew) {
-			r.deliver(sibling("a2"), protocol.Grant{Session: n.Session, Seq: n.Seq, Duty: 1})
+			r.deliver(newPeer("a2"), protocol.Grant{Session: n.Session, Seq: n.Seq, Duty: 1})
 		}, false},
 		{"node in contact with a majority", func(r *harness, n protocol.Renew) {
-			r.deliver(sibling("a2"), protocol.NotOwner{Session: n.Session, Seq: n.Seq, Gen: 1, Epoch: 9, Fresh: 1e9})
+			r.deliver(newPeer("a2"), protocol.NotOwner{Session: n.Session, Seq: n.Seq, Gen: 1, Epoch: 9, Fresh: 1e9})
 		}, false},
 		{"node in contact with a majority, newest configuration undetermined", func(r *harness, n protocol.Renew) {
-			r.deliver(sibling("a2"), protocol.NotOwner{Session: n.Session, Seq: n.Seq, Gen: 1, Epoch: 9, Majority: true})
+			r.deliver(newPeer("a2"), protocol.NotOwner{Session: n.Session, Seq: n.Seq, Gen: 1, Epoch: 9, Majority: true})
 		}, false},
 		{"node without a majority", func(r *harness, n protocol.Renew) {
-			r.deliver(sibling("a2"), protocol.NotOwner{Session: n.Session, Seq: n.Seq, Gen: 1, Epoch: 9})
+			r.deliver(newPeer("a2"), protocol.NotOwner{Session: n.Session, Seq: n.Seq, Gen: 1, Epoch: 9})
 		}, true},
 		{"leader without this session", func(r *harness, n protocol.Renew) {
-			r.deliver(sibling("a2"), protocol.NotOwner{Session: n.Session, Gone: true})
+			r.deliver(newPeer("a2"), protocol.NotOwner{Session: n.Session, Gone: true})
 		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -56,8 +56,8 @@
 						c.answer(r, n)
 					}
 				}
-				parted = parted || r.lastHold().Parted
-				if r.clock < was.Add(partedAfter-250e6) {
+				parted = parted || r.lastLease().Parted
+				if r.clock < was.Add(partitionedAfter-250e6) {
 					require.False(t, parted, "reported as cut off too early")
 				}
 			}
@@ -71,15 +71,15 @@
 func TestStallDiscardsQuery(t *testing.T) {
 	r := newHarness()
 	r.advance(20e6)
-	r.deliver(sibling("a1"), protocol.Grant{Session: r.Session(), Seq: r.seq, Len: 1400e6, Duty: 1})
+	r.deliver(newPeer("a1"), protocol.Grant{Session: r.Session(), Seq: r.seq, Len: 1400e6, Duty: 1})
 	r.advance(queryAllAfter + 500e6)
 	require.NotZero(t, r.contact.lastQueryAll)
 	r.clock = r.clock.Add(3e9) // the process stalls
 	r.sent = nil
 	r.advance(queryTimeout - 100e6)
-	require.False(t, r.lastHold().Parted)
+	require.False(t, r.lastLease().Parted)
 	r.advance(300e6)
-	require.True(t, r.lastHold().Parted)
+	require.True(t, r.lastLease().Parted)
 }
 
 // A core node's confirmation of the configuration counts from the time of the request, and only for a router that has
@@ -98,22 +98,22 @@
 	} {
 		r := newHarness()
 		n, _, _ := lastSent[protocol.Renew](r)
-		asked := r.clock
+		queried := r.clock
 		r.clock = r.clock.Add(200e6)
 		r.sent = nil
 		c.answer.Session, c.answer.Seq, c.answer.Leaving = n.Session, n.Seq, nil
-		r.deliver(sibling("a2"), c.answer)
+		r.deliver(newPeer("a2"), c.answer)
 		if !c.counts {
-			require.Zero(t, r.lastHold().Current, c.name)
+			require.Zero(t, r.lastLease().Current, c.name)
 			continue
 		}
-		require.Equal(t, asked.Add(clock.Span(900e6)), r.lastHold().Current, c.name)
+		require.Equal(t, queried.Add(clock.Span(900e6)), r.lastLease().Current, c.name)
 		c.answer.Seq += 5
 		c.answer.Fresh = 9e9
-		r.deliver(sibling("a2"), c.answer)
-		require.Equal(t, asked.Add(clock.Span(900e6)), r.lastHold().Current, "answer to a request that was never sent")
-		r.deliver(sibling("router"), protocol.Hello{Router: 8, Epoch: 1})
-		require.Zero(t, r.lastHold().Current, "a restarted router has another configuration")
+		r.deliver(newPeer("a2"), c.answer)
+		require.Equal(t, queried.Add(clock.Span(900e6)), r.lastLease().Current, "answer to a request that was never sent")
+		r.deliver(newPeer("router"), protocol.Hello{Router: 8, Epoch: 1})
+		require.Zero(t, r.lastLease().Current, "a restarted router has another configuration")
 	}
 }
 
@@ -122,11 +122,11 @@
 	r := newHarness()
 	was := r.Session()
 	r.advance(20e6)
-	r.deliver(sibling("a1"), protocol.NotOwner{Session: was, Gone: true})
+	r.deliver(newPeer("a1"), protocol.NotOwner{Session: was, Gone: true})
 	require.NotEqual(t, was, r.Session())
 	r.sent = nil
 	d := &protocol.Desired{Epoch: 5}
-	r.deliver(sibling("a1"), protocol.News{Session: was, Duty: 1, Items: []protocol.Item{{Num: 1, Break: "m"}, {Num: 2, Desired: d}}})
+	r.deliver(newPeer("a1"), protocol.News{Session: was, Duty: 1, Items: []protocol.Item{{Num: 1, Break: "m"}, {Num: 2, Desired: d}}})
 	n, e, ok := lastSent[protocol.News](r)
 	require.True(t, ok)
 	require.Equal(t, "router", e.To.Addr)
@@ -140,14 +140,14 @@
 	r := newHarness()
 	r.sent = nil
 	forwarded := func() bool {
-		r.deliver(sibling("router"), protocol.Want{Session: r.Session(), Key: "m"})
+		r.deliver(newPeer("router"), protocol.Want{Session: r.Session(), Key: "m"})
 		_, _, up := lastSent[protocol.Want](r)
 		return up
 	}
 	require.False(t, forwarded())
-	r.deliver(sibling("a1"), protocol.Grant{Session: r.Session(), Seq: r.seq, Duty: 1})
-	require.True(t, forwarded(), "a leader that withholds the lease still knows the session")
-	r.deliver(sibling("a1"), protocol.NotOwner{Session: r.Session(), Gone: true})
+	r.deliver(newPeer("a1"), protocol.Grant{Session: r.Session(), Seq: r.seq, Duty: 1})
+	require.True(t, forwarded(), "a leader that withholds the lease still has the session")
+	r.deliver(newPeer("a1"), protocol.NotOwner{Session: r.Session(), Gone: true})
 	r.sent = nil
 	require.False(t, forwarded(), "a new session")
 }
@@ -155,22 +155,22 @@
 // A machine that is cut off keeps querying every core node at short intervals.
 func TestCutOffKeepsQuerying(t *testing.T) {
 	r := newHarness()
-	r.advance(partedAfter + queryTimeout + 200e6)
-	require.True(t, r.lastHold().Parted)
+	r.advance(partitionedAfter + queryTimeout + 200e6)
+	require.True(t, r.lastLease().Parted)
 	swept := r.contact.lastQueryAll
 	r.sent = nil
 	r.advance(queryTimeout + 100e6)
 	require.Greater(t, r.contact.lastQueryAll, swept)
-	asked := map[string]bool{}
+	queried := map[string]bool{}
 	for _, e := range r.sent {
 		if _, is := e.Body.(protocol.Renew); is {
-			asked[e.To.Addr] = true
+			queried[e.To.Addr] = true
 		}
 	}
 	for _, node := range r.coreNodes() {
-		require.True(t, asked[node.Addr], node.Addr)
+		require.True(t, queried[node.Addr], node.Addr)
 	}
 	n, _, _ := lastSent[protocol.Renew](r)
-	r.deliver(sibling("a2"), protocol.NotOwner{Session: n.Session, Seq: n.Seq, Majority: true})
-	require.False(t, r.lastHold().Parted)
+	r.deliver(newPeer("a2"), protocol.NotOwner{Session: n.Session, Seq: n.Seq, Majority: true})
+	require.False(t, r.lastLease().Parted)
 }
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -37,9 +37,9 @@
 	router  ident.Inc
 	gen     uint64
 	epoch   ident.Epoch
-	burden  map[ident.Key]protocol.Burden
-	seats   map[ident.Server]int
-	paces   map[ident.Key]float64 // shortest observed time per token since the last renewal
+	keyLoads  map[ident.Key]protocol.Burden
+	tokensInProgress   map[ident.Server]int
+	tokenTimes   map[ident.Key]float64 // shortest observed time per token since the last renewal
 	routers int
 
 	session            protocol.Session
@@ -142,14 +142,14 @@
 	c.tally.Sessions++
 	c.logEvent("session started", protocol.Field{Name: "session", Value: c.session.N}, protocol.Field{Name: "why", Value: why}, protocol.Field{Name: "way", Value: c.path.to.Addr},
 		protocol.Field{Name: "epoch", Value: c.epoch})
-	c.sendHold()
+	c.sendLease()
 }
 
-func (c *Core) sendHold() { c.sendToRouter(c.currentHold()) }
+func (c *Core) sendLease() { c.sendToRouter(c.currentLease()) }
 
-// currentHold returns the router's current lease, and the terms on which it may continue without one.
-func (c *Core) currentHold() protocol.Hold {
-	return protocol.Hold{Session: c.session, Until: c.leaseEnd, Duty: c.term, Parted: c.contact.parted, Current: c.configCurrentUntil, Leaving: c.leaving}
+// currentLease returns the router's current lease, and the terms on which it may continue without one.
+func (c *Core) currentLease() protocol.Hold {
+	return protocol.Hold{Session: c.session, Until: c.leaseEnd, Duty: c.term, Parted: c.contact.partitioned, Current: c.configCurrentUntil, Leaving: c.leaving}
 }
 
 func (c *Core) receive(e protocol.Env) {
@@ -173,16 +173,16 @@
 		if body.Gen != c.gen || body.Epoch != c.epoch {
 			c.nextRenewal = c.now // the leader waits for this acknowledgement
 		}
-		c.gen, c.epoch, c.seats = body.Gen, body.Epoch, body.Seats
-		c.mergeBurden(body.Burden)
-		c.mergePaces(body.Paces)
+		c.gen, c.epoch, c.tokensInProgress = body.Gen, body.Epoch, body.Seats
+		c.mergeKeyLoads(body.Burden)
+		c.mergeTokenTimes(body.Paces)
 		if body.Router != c.router {
 			c.router = body.Router
 			c.configCurrentUntil, c.leaving = 0, nil // these applied to the previous router's configuration
 			c.beginSession("router restarted")
 			c.tick()
 		} else if body.Session != c.session {
-			c.sendHold()
+			c.sendLease()
 		}
 	case protocol.Want:
 		// Before a leader has answered in this session, it does not know the session. It would reject the request as
@@ -204,7 +204,7 @@
 	case protocol.NotOwner:
 		c.onNotOwner(body)
 	case protocol.News:
-		c.onNews(e, body)
+		c.onUpdates(e, body)
 	case protocol.Kept:
 		c.rememberDesired(body.Value)
 	case protocol.Keep:
@@ -250,7 +250,7 @@
 	c.tally.Grants++
 	c.routers = grant.Routers
 	c.leaseEnd = max(c.leaseEnd, sentAt.Add(grant.Len))
-	lease := c.currentHold()
+	lease := c.currentLease()
 	lease.Routers, lease.Seats, lease.Paces = grant.Routers, grant.Seats, grant.Paces
 	c.sendToRouter(lease)
 }
@@ -289,34 +289,34 @@
 	c.leaving = answer.Leaving
 	c.configCurrentUntil = max(c.configCurrentUntil, sentAt.Add(answer.Fresh))
 	c.tally.Vouched++
-	c.sendHold()
+	c.sendLease()
 }
 
-func (c *Core) onNews(e protocol.Env, news protocol.News) {
+func (c *Core) onUpdates(e protocol.Env, updates protocol.News) {
 	c.noteCoreAnswer()
-	if !c.acceptFromLeader(news.Session, news.Duty) {
-		c.forwardStaleConfig(news)
+	if !c.acceptFromLeader(updates.Session, updates.Duty) {
+		c.forwardStaleConfig(updates)
 		return
 	}
-	for _, item := range news.Items {
+	for _, item := range updates.Items {
 		c.rememberDesired(item.Desired)
 	}
-	c.sendToRouter(news)
+	c.sendToRouter(updates)
 }
 
 // forwardStaleConfig forwards the configurations among updates whose session has ended, and drops the rest. A chosen
 // configuration remains valid in any session, and a router to which delivery takes longer than a session lasts would
 // otherwise never receive it.
-func (c *Core) forwardStaleConfig(news protocol.News) {
-	c.tally.StaleNews += uint64(len(news.Items))
+func (c *Core) forwardStaleConfig(updates protocol.News) {
+	c.tally.StaleNews += uint64(len(updates.Items))
 	var late protocol.News // carries no session
-	for _, item := range news.Items {
+	for _, item := range updates.Items {
 		if item.Desired == nil {
 			continue
 		}
 		c.rememberDesired(item.Desired)
 		late.Items = append(late.Items, protocol.Item{Desired: item.Desired})
-		c.logEvent("configuration received after its session ended", protocol.Field{Name: "session", Value: news.Session.N}, protocol.Field{Name: "now", Value: c.session.N},
+		c.logEvent("configuration received after its session ended", protocol.Field{Name: "session", Value: updates.Session.N}, protocol.Field{Name: "now", Value: c.session.N},
 			protocol.Field{Name: "its_epoch", Value: item.Desired.Epoch}, protocol.Field{Name: "epoch", Value: c.epoch})
 	}
 	if len(late.Items) > 0 {
@@ -360,7 +360,7 @@
 	}
 	c.tally.Renews++
 	c.sendToCore(c.renewal())
-	c.burden, c.paces = outstanding(c.burden), nil // a sent map is not modified afterwards
+	c.keyLoads, c.tokenTimes = outstanding(c.keyLoads), nil // a sent map is not modified afterwards
 }
 
 // renewInterval returns the time until the next renewal.
@@ -371,29 +371,29 @@
 	return min(c.o.Keep, max(c.o.Keep*3/8, c.o.Keep/60*clock.Span(c.routers)))
 }
 
-// mergeBurden records the router's current load and adds the counts accumulated since the last renewal.
-func (c *Core) mergeBurden(reported map[ident.Key]protocol.Burden) {
+// mergeKeyLoads records the router's current load and adds the counts accumulated since the last renewal.
+func (c *Core) mergeKeyLoads(reported map[ident.Key]protocol.Burden) {
 	merged := map[ident.Key]protocol.Burden{}
 	for key, load := range reported {
-		load.Came, load.Load = load.Came+c.burden[key].Came, load.Load+c.burden[key].Load
+		load.Came, load.Load = load.Came+c.keyLoads[key].Came, load.Load+c.keyLoads[key].Load
 		merged[key] = load
 	}
-	for key, load := range c.burden {
+	for key, load := range c.keyLoads {
 		if _, ok := merged[key]; !ok && load.Came > 0 {
 			merged[key] = protocol.Burden{Came: load.Came, Load: load.Load}
 		}
 	}
-	c.burden = merged
+	c.keyLoads = merged
 }
 
-// mergePaces keeps the shortest observed time per token for each base until the next renewal.
-func (c *Core) mergePaces(seen map[ident.Key]float64) {
-	if c.paces == nil {
-		c.paces = map[ident.Key]float64{}
+// mergeTokenTimes keeps the shortest observed time per token for each base until the next renewal.
+func (c *Core) mergeTokenTimes(seen map[ident.Key]float64) {
+	if c.tokenTimes == nil {
+		c.tokenTimes = map[ident.Key]float64{}
 	}
 	for base, pace := range seen {
-		if known, ok := c.paces[base]; !ok || pace < known {
-			c.paces[base] = pace
+		if known, ok := c.tokenTimes[base]; !ok || pace < known {
+			c.tokenTimes[base] = pace
 		}
 	}
 }
@@ -414,7 +414,7 @@
 		}
 	}
 	c.contact.noteRequest(c.now)
-	return protocol.Renew{Session: c.session, Seq: c.seq, Fresh: c.fresh, Gen: c.gen, Epoch: c.epoch, Heard: c.ackedNum, Burden: c.burden, Seats: c.seats, Paces: c.paces}
+	return protocol.Renew{Session: c.session, Seq: c.seq, Fresh: c.fresh, Gen: c.gen, Epoch: c.epoch, Heard: c.ackedNum, Burden: c.keyLoads, Seats: c.tokensInProgress, Paces: c.tokenTimes}
 }
 
 // outstanding returns the waiting and running requests of a load report, without the counts of new arrivals.
@@ -457,15 +457,15 @@
 	}
 	c.pathIndex++
 	next := corePath{to: nodes[c.pathIndex%len(nodes)]}
-	var siblings []protocol.Sibling
+	var peers []protocol.Sibling
 	for _, m := range c.members.Alive("agent") {
 		if m.ID != c.o.Me.ID {
-			siblings = append(siblings, m.Sibling)
+			peers = append(peers, m.Sibling)
 		}
 	}
 	// Passes over the core nodes alternate between direct paths and paths through a peer.
-	if n := c.pathIndex / len(nodes); n%2 == 1 && len(siblings) > 0 && next.to.ID != "" {
-		next.via = siblings[c.o.Rand.IntN(len(siblings))]
+	if n := c.pathIndex / len(nodes); n%2 == 1 && len(peers) > 0 && next.to.ID != "" {
+		next.via = peers[c.o.Rand.IntN(len(peers))]
 	}
 	c.path = next
 }
--- a/internal/agent/gather_test.go
+++ b/internal/agent/gather_test.go
@@ -12,7 +12,7 @@
 	"tidedeck/internal/protocol"
 )
 
-type burdens = map[ident.Key]protocol.Burden
+type keyLoads = map[ident.Key]protocol.Burden
 
 // renewals returns the renewals sent since the last call.
 func (r *harness) renewals() (l []protocol.Renew) {
@@ -29,32 +29,32 @@
 func TestRenewalCarriesCounts(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		reports []burdens
-		first   burdens // in the renewal after the reports
-		second  burdens // in the next renewal, without a report in between
+		reports []keyLoads
+		first   keyLoads // in the renewal after the reports
+		second  keyLoads // in the next renewal, without a report in between
 	}{
-		{"nothing", nil, burdens{}, burdens{}},
-		{"one report", []burdens{{"m": {Came: 3, Load: 0.5}}}, burdens{"m": {Came: 3, Load: 0.5}}, burdens{}},
-		{"counts add up", []burdens{{"m": {Came: 3, Load: 0.5}}, {"m": {Came: 4, Load: 0.25}}}, burdens{"m": {Came: 7, Load: 0.75}}, burdens{}},
-		{"gauges are the latest", []burdens{{"m": {Wait: 9, Work: 9, Top: 9}}, {"m": {Wait: 1, Work: 2, Top: 3}}}, burdens{"m": {Wait: 1, Work: 2, Top: 3}}, burdens{"m": {Wait: 1, Work: 2, Top: 3}}},
-		{"a key missing from a later report keeps its count", []burdens{{"m": {Came: 3, Load: 0.5, Wait: 2, Work: 1}}, {"n": {Came: 1}}}, burdens{"m": {Came: 3, Load: 0.5}, "n": {Came: 1}}, burdens{}},
-		{"an empty report keeps the counts", []burdens{{"m": {Came: 3, Load: 0.5}}, {}, {}}, burdens{"m": {Came: 3, Load: 0.5}}, burdens{}},
-		{"gauges stay until the next report", []burdens{{"m": {Came: 3, Load: 0.5, Wait: 2, Work: 1, Top: 4}}}, burdens{"m": {Came: 3, Load: 0.5, Wait: 2, Work: 1, Top: 4}}, burdens{"m": {Wait: 2, Work: 1, Top: 4}}},
+		{"nothing", nil, keyLoads{}, keyLoads{}},
+		{"one report", []keyLoads{{"m": {Came: 3, Load: 0.5}}}, keyLoads{"m": {Came: 3, Load: 0.5}}, keyLoads{}},
+		{"counts add up", []keyLoads{{"m": {Came: 3, Load: 0.5}}, {"m": {Came: 4, Load: 0.25}}}, keyLoads{"m": {Came: 7, Load: 0.75}}, keyLoads{}},
+		{"gauges are the latest", []keyLoads{{"m": {Wait: 9, Work: 9, Top: 9}}, {"m": {Wait: 1, Work: 2, Top: 3}}}, keyLoads{"m": {Wait: 1, Work: 2, Top: 3}}, keyLoads{"m": {Wait: 1, Work: 2, Top: 3}}},
+		{"a key missing from a later report keeps its count", []keyLoads{{"m": {Came: 3, Load: 0.5, Wait: 2, Work: 1}}, {"n": {Came: 1}}}, keyLoads{"m": {Came: 3, Load: 0.5}, "n": {Came: 1}}, keyLoads{}},
+		{"an empty report keeps the counts", []keyLoads{{"m": {Came: 3, Load: 0.5}}, {}, {}}, keyLoads{"m": {Came: 3, Load: 0.5}}, keyLoads{}},
+		{"gauges stay until the next report", []keyLoads{{"m": {Came: 3, Load: 0.5, Wait: 2, Work: 1, Top: 4}}}, keyLoads{"m": {Came: 3, Load: 0.5, Wait: 2, Work: 1, Top: 4}}, keyLoads{"m": {Wait: 2, Work: 1, Top: 4}}},
 	} {
 		r := newHarness()
 		r.advance(20e6)
 		r.renewals()
 		for _, b := range c.reports {
-			r.deliver(sibling("router"), protocol.Hello{Router: 7, Session: r.Session(), Epoch: 2, Burden: b})
+			r.deliver(newPeer("router"), protocol.Hello{Router: 7, Session: r.Session(), Epoch: 2, Burden: b})
 		}
-		for i, want := range []burdens{c.first, c.second} {
+		for i, want := range []keyLoads{c.first, c.second} {
 			var l []protocol.Renew
 			for len(l) == 0 {
 				r.advance(20e6)
 				l = r.renewals()
 			}
 			require.Len(t, l, 1, c.name)
-			got := burdens{}
+			got := keyLoads{}
 			for k, u := range l[0].Burden {
 				got[k] = u
 			}
@@ -80,7 +80,7 @@
 		for range 400 {
 			switch rng.IntN(8) {
 			case 0, 1, 2:
-				b := burdens{}
+				b := keyLoads{}
 				for _, k := range []ident.Key{"m", "n", "o"} {
 					if rng.IntN(2) == 0 {
 						continue
@@ -90,15 +90,15 @@
 					came[k] += n
 					load[k] += float64(n) / 4
 				}
-				r.deliver(sibling("router"), protocol.Hello{Router: 7, Session: r.Session(), Epoch: 2, Burden: b})
+				r.deliver(newPeer("router"), protocol.Hello{Router: 7, Session: r.Session(), Epoch: 2, Burden: b})
 			case 3:
 				if len(sent) > 0 {
 					n := sent[len(sent)-1]
-					r.deliver(sibling("a1"), protocol.Grant{Session: n.Session, Seq: n.Seq, Len: 1e9, Duty: 1})
+					r.deliver(newPeer("a1"), protocol.Grant{Session: n.Session, Seq: n.Seq, Len: 1e9, Duty: 1})
 				}
 			case 4:
 				if rng.IntN(10) == 0 {
-					r.deliver(sibling("a1"), protocol.NotOwner{Session: r.Session(), Gone: true})
+					r.deliver(newPeer("a1"), protocol.NotOwner{Session: r.Session(), Gone: true})
 				}
 			default:
 				r.advance(clock.Span(rng.IntN(300)) * 1e6)
--- a/internal/agent/parted_test.go
+++ b/internal/agent/parted_test.go
@@ -22,13 +22,13 @@
 		return is
 	}
 	grant := func() {
-		r.deliver(sibling("controller-1"), protocol.Grant{Session: r.Session(), Seq: r.seq, Len: 1400e6, Duty: 1})
+		r.deliver(newPeer("controller-1"), protocol.Grant{Session: r.Session(), Seq: r.seq, Len: 1400e6, Duty: 1})
 	}
 	r.advance(20e6)
 	grant()
 	for range 100 { // updates but no grants: the lease expires
 		r.advance(50e6)
-		r.deliver(sibling("controller-1"), protocol.News{Session: r.Session(), Duty: 1})
+		r.deliver(newPeer("controller-1"), protocol.News{Session: r.Session(), Duty: 1})
 		require.False(t, parted())
 	}
 	r.sent = nil
--- a/internal/fleetplan/hosts_test.go
+++ b/internal/fleetplan/hosts_test.go
@@ -121,7 +121,7 @@
 		{"unknown mode", `"continuous"`, `"twice"`, []string{"$.routes.one.mode", "$.routes.one.resume", "$.routes.one.pause_ms"}},
 		{"mode is not a string", `"continuous","resume":true`, `1`, []string{"$.routes.one.mode", "$.routes.one.pause_ms"}},
 		{"resume without a stream", `"mode":"continuous",`, `"mode":"idempotent",`, []string{"$.routes.one.resume", "$.routes.one.pause_ms"}},
-		{"no tries", `"tries":2`, `"tries":0`, []string{"$.routes.one.tries"}},
+		{"no attempts", `"tries":2`, `"tries":0`, []string{"$.routes.one.tries"}},
 		{"no wait", `"wait_ms":4000`, `"wait_ms":0`, []string{"$.routes.one.wait_ms"}},
 		{"wait above the limit", `"wait_ms":4000`, `"wait_ms":600001`, []string{"$.routes.one.wait_ms"}},
 		{"null aim", `"aim_ms":600`, `"aim_ms":null`, []string{"$.routes.one.aim_ms"}},
--- a/internal/host/data_folder_test.go
+++ b/internal/host/data_folder_test.go
@@ -132,7 +132,7 @@
 			require.True(t, equalValues(states[result.confirmed], values) || result.confirmed < len(puts) && equalValues(states[result.confirmed+1], values),
 				"call %d, seed %d: %d were confirmed, found is %s", at, seed, result.confirmed, values["last"])
 			values, damaged = found.afterPowerLoss(0, "missing").saveAndPowerOff(t)
-			require.False(t, damaged, "call %d, seed %d, second life", at, seed)
+			require.False(t, damaged, "call %d, seed %d, second run", at, seed)
 			require.Equal(t, "1", string(values["later"]))
 			losses++
 		}
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -216,8 +216,8 @@
 // slowStepThreshold is the duration above which a step is logged: the core blocks everything else meanwhile.
 const slowStepThreshold = 100 * time.Millisecond
 
-// inputNames maps the inputs defined in protocol to their names in logs and metrics. Dashboards use these names, so an input
-// keeps its name when its type is renamed.
+// inputNames maps the inputs defined in protocol to their names in logs and metrics. Dashboards use these names, so an
+// input keeps its name when its type is renamed.
 var inputNames = map[reflect.Type]string{
 	reflect.TypeFor[protocol.Beat]():     "protocol.Beat",
 	reflect.TypeFor[protocol.Start]():    "protocol.Start",
@@ -578,11 +578,11 @@
 }
 
 // SeedPeers converts seed addresses to processes whose IDs are not known yet.
-func Siblings(addresses []string) (siblings []protocol.Sibling) {
+func Siblings(addresses []string) (peers []protocol.Sibling) {
 	for _, addr := range addresses {
-		siblings = append(siblings, protocol.Sibling{Addr: addr})
+		peers = append(peers, protocol.Sibling{Addr: addr})
 	}
-	return siblings
+	return peers
 }
 
 // ServeUntilSignal serves HTTP until the process receives SIGTERM or SIGINT, then waits up to within for requests in
--- a/internal/host/receive.go
+++ b/internal/host/receive.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// streamOpenTimeout is how long a connection may have no stream. Data received before a stream is opened may be arbitrary,
-	// and drpc would keep such a connection even after the other end has failed.
+	// streamOpenTimeout is how long a connection may have no stream. Data received before a stream is opened may be
+	// arbitrary, and drpc would keep such a connection even after the other end has failed.
 	streamOpenTimeout = 5 * time.Second
 	// acceptRetryDelay is the pause after a failed accept, for example when file descriptors are exhausted.
 	acceptRetryDelay = 100 * time.Millisecond
--- a/internal/membership/fuzz_test.go
+++ b/internal/membership/fuzz_test.go
@@ -13,7 +13,7 @@
 
 // Updates that no process can have produced are neither applied nor gossiped.
 func TestInvalidUpdatesIgnored(t *testing.T) {
-	good := protocol.Member{Sibling: sibling("x"), Role: "agent", Inc: 6, Life: Alive}
+	good := protocol.Member{Sibling: newPeer("x"), Role: "agent", Inc: 6, Life: Alive}
 	for name, corrupt := range map[string]func(*protocol.Member){
 		"unknown state":            func(m *protocol.Member) { m.Life = "asleep" },
 		"empty state":              func(m *protocol.Member) { m.Life = "" },
@@ -35,15 +35,15 @@
 	// A report of this process's own death with the highest possible incarnation must not leave it without a higher
 	// one for the refutation.
 	c := newCore("me")
-	c.applyUpdate(0, protocol.Member{Sibling: sibling("me"), Inc: math.MaxUint64, Life: Dead})
+	c.applyUpdate(0, protocol.Member{Sibling: newPeer("me"), Inc: math.MaxUint64, Life: Dead})
 	require.EqualValues(t, 5, c.All()[0].Inc)
 }
 
 // A request for an indirect probe without a requester is not recorded as one of this process's own probes.
 func TestIndirectProbeWithoutRequester(t *testing.T) {
 	c := newCore("me")
-	c.applyUpdate(0, protocol.Member{Sibling: sibling("x"), Role: "agent", Inc: 1, Life: Alive})
-	out, mine := c.Take(0, protocol.Env{Body: protocol.ProbeFor{Seq: 1, Target: sibling("x")}})
+	c.applyUpdate(0, protocol.Member{Sibling: newPeer("x"), Role: "agent", Inc: 1, Life: Alive})
+	out, mine := c.Take(0, protocol.Env{Body: protocol.ProbeFor{Seq: 1, Target: newPeer("x")}})
 	require.True(t, mine)
 	require.Empty(t, out)
 	require.Empty(t, c.pending)
@@ -64,15 +64,15 @@
 		for len(script) >= 4 && len(script) < 4000 {
 			kind, id, state, number := script[0], ids[int(script[1])%len(ids)], states[int(script[2])%len(states)], numbers[int(script[3])%len(numbers)]
 			script = script[4:]
-			news := []protocol.Member{{Sibling: sibling(id), Role: "agent", Inc: ident.Inc(number), Life: state}}
-			from := sibling(ids[int(kind/4)%len(ids)])
+			news := []protocol.Member{{Sibling: newPeer(id), Role: "agent", Inc: ident.Inc(number), Life: state}}
+			from := newPeer(ids[int(kind/4)%len(ids)])
 			body := []any{
 				protocol.Probe{Seq: number, News: news},
 				protocol.ProbeAck{Seq: number, News: news},
-				protocol.ProbeFor{Seq: number, Target: sibling(id), News: news},
+				protocol.ProbeFor{Seq: number, Target: newPeer(id), News: news},
 				protocol.Grant{},
 			}[kind%4]
-			_, mine := c.Take(now, protocol.Env{From: from, To: sibling("me"), Body: body})
+			_, mine := c.Take(now, protocol.Env{From: from, To: newPeer("me"), Body: body})
 			require.Equal(t, kind%4 != 3, mine)
 			now = now.Add(clock.Span(kind) * 1e6)
 			c.Beat(now)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -11,10 +11,10 @@
 	"tidedeck/internal/protocol"
 )
 
-func sibling(s string) protocol.Sibling { return protocol.Sibling{ID: ident.Node(s), Addr: s} }
+func newPeer(s string) protocol.Sibling { return protocol.Sibling{ID: ident.Node(s), Addr: s} }
 
 func newCore(id string, seeds ...string) *Core {
-	o := Options{Me: protocol.Member{Sibling: sibling(id), Role: "agent", Inc: 5}, Rand: rand.New(rand.NewPCG(1, uint64(len(id))))}
+	o := Options{Me: protocol.Member{Sibling: newPeer(id), Role: "agent", Inc: 5}, Rand: rand.New(rand.NewPCG(1, uint64(len(id))))}
 	for _, s := range seeds {
 		o.Seeds = append(o.Seeds, protocol.Sibling{Addr: s})
 	}
@@ -24,7 +24,7 @@
 // An update changes a member's state only as its incarnation allows.
 func TestLife(t *testing.T) {
 	update := func(life string, inc ident.Inc) protocol.Member {
-		return protocol.Member{Sibling: sibling("x"), Inc: inc, Life: life}
+		return protocol.Member{Sibling: newPeer("x"), Inc: inc, Life: life}
 	}
 	for _, c := range []struct {
 		was  string
@@ -101,8 +101,8 @@
 // Indirect probes keep a process alive that only one other process cannot reach.
 func TestIndirectProbes(t *testing.T) {
 	a := newCore("a")
-	a.applyUpdate(0, protocol.Member{Sibling: sibling("x"), Role: "agent", Inc: 1, Life: Alive})
-	a.applyUpdate(0, protocol.Member{Sibling: sibling("y"), Role: "agent", Inc: 1, Life: Alive})
+	a.applyUpdate(0, protocol.Member{Sibling: newPeer("x"), Role: "agent", Inc: 1, Life: Alive})
+	a.applyUpdate(0, protocol.Member{Sibling: newPeer("y"), Role: "agent", Inc: 1, Life: Alive})
 	var probes, indirect int
 	for now := clock.Tick(0); now < 3e9; now += 10e6 {
 		for _, e := range a.Beat(now) {
@@ -110,12 +110,12 @@
 			case protocol.Probe:
 				probes++
 				if e.To.ID == "y" { // y answers, x is unreachable
-					a.Take(now, protocol.Env{From: sibling("y"), Body: protocol.ProbeAck{Seq: b.Seq}})
+					a.Take(now, protocol.Env{From: newPeer("y"), Body: protocol.ProbeAck{Seq: b.Seq}})
 				}
 			case protocol.ProbeFor:
 				indirect++
 				require.EqualValues(t, "x", b.Target.ID)
-				a.Take(now, protocol.Env{From: sibling("y"), Body: protocol.ProbeAck{Seq: b.Seq}})
+				a.Take(now, protocol.Env{From: newPeer("y"), Body: protocol.ProbeAck{Seq: b.Seq}})
 			}
 		}
 	}
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -66,8 +66,8 @@
 	jsontext.AllowInvalidUTF8(true), jsontext.AllowDuplicateNames(true), // clients and servers choose names, which may be invalid
 )
 
-// kinds maps the kind of each message, as written in the envelope, to its Go type. Processes of different versions exchange
-// these names, so a kind keeps its name when its type is renamed.
+// kinds maps the kind of each message, as written in the envelope, to its Go type. Processes of different versions
+// exchange these names, so a kind keeps its name when its type is renamed.
 var kinds = map[string]reflect.Type{
 	"Probe":        reflect.TypeFor[Probe](),
 	"ProbeAck":     reflect.TypeFor[ProbeAck](),
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -176,7 +176,7 @@
 	tokenTimes   tokenTimes
 	randState    uint64
 	inflows      map[ident.Key]*inflow
-	parted       bool                  // the agent has contacted every core node and none answers
+	partitioned       bool                  // the agent has contacted every core node and none answers
 	currentUntil clock.Tick            // time until which a core node confirms the configuration in force as the newest
 	leaving      map[ident.Server]bool // servers that the same core node knows to be leaving
 	ending       bool                  // shutting down: no request may wait any longer
@@ -223,7 +223,7 @@
 		case protocol.Hold:
 			c.onHold(body)
 		case protocol.News:
-			c.onNews(body)
+			c.onUpdates(body)
 		}
 	case Call:
 		c.onCall(v)
@@ -237,7 +237,7 @@
 		c.ending = true
 		c.rejectWaiting()
 	case protocol.Beat:
-		c.onBeat()
+		c.onTick()
 	}
 	return c.out
 }
@@ -260,7 +260,7 @@
 func (c *Core) logLeaseChanges() {
 	if held := c.leased(); held != c.wasLeased {
 		c.wasLeased = held
-		c.note("lease", protocol.Field{Name: "held", Value: held}, protocol.Field{Name: "parted", Value: c.parted}, protocol.Field{Name: "epoch", Value: c.epoch})
+		c.note("lease", protocol.Field{Name: "held", Value: held}, protocol.Field{Name: "parted", Value: c.partitioned}, protocol.Field{Name: "epoch", Value: c.epoch})
 	}
 	if unleased := c.alone(); unleased != c.wasUnleased {
 		c.wasUnleased = unleased
@@ -295,7 +295,7 @@
 			e.hasCallback, e.requested = false, false
 		}
 	}
-	c.parted, c.currentUntil = hold.Parted, hold.Current
+	c.partitioned, c.currentUntil = hold.Parted, hold.Current
 	c.leaving = map[ident.Server]bool{}
 	for _, server := range hold.Leaving {
 		c.leaving[server] = true
@@ -327,7 +327,7 @@
 // core node must confirm that the router's configuration is the newest, or the router must be partitioned from the core.
 // A router that is merely behind must first apply the changes sent to it.
 func (c *Core) alone() bool {
-	return c.o.Guards && c.plan != nil && !c.leased() && (c.parted || c.now < c.currentUntil)
+	return c.o.Guards && c.plan != nil && !c.leased() && (c.partitioned || c.now < c.currentUntil)
 }
 
 // excluded reports whether nothing may be sent to a replica. This is the case if its zone is being emptied, or if its
@@ -341,13 +341,13 @@
 	return e != nil && (e.hasCallback && c.leased() || c.alone() && len(e.Replicas) > 0)
 }
 
-func (c *Core) onNews(news protocol.News) {
-	if news.Session != c.session {
+func (c *Core) onUpdates(updates protocol.News) {
+	if updates.Session != c.session {
 		c.tally.StaleNews++
-		c.applyLateConfig(news)
+		c.applyLateConfig(updates)
 		return
 	}
-	for _, item := range news.Items {
+	for _, item := range updates.Items {
 		if item.Num != c.lastSeq+1 {
 			continue
 		}
@@ -367,8 +367,8 @@
 
 // applyLateConfig applies a configuration that arrives too late for its session. The core nodes have chosen the
 // configuration regardless of the session.
-func (c *Core) applyLateConfig(news protocol.News) {
-	for _, item := range news.Items {
+func (c *Core) applyLateConfig(updates protocol.News) {
+	for _, item := range updates.Items {
 		if item.Desired != nil {
 			c.onDesired(item.Desired)
 			c.helloSentAt = 0 // report the new epoch to the agent with the next tick
@@ -447,7 +447,7 @@
 	delete(c.entries, k)
 }
 
-func (c *Core) onBeat() {
+func (c *Core) onTick() {
 	c.logLeaseChanges()
 	c.checkOverdue()
 	if c.now.Sub(c.helloSentAt) >= c.o.Hello || c.helloSentAt == 0 {
--- a/internal/router/hosted_test.go
+++ b/internal/router/hosted_test.go
@@ -148,7 +148,7 @@
 	}{
 		{"the same route", func(*fleetplan.Plan) {}, true, "", ""},
 		{"another service", moveRootToNewService, false, "n", ""},
-		{"another service and a single try", func(p *fleetplan.Plan) { moveRootToNewService(p); p.Hosts["h"]["/"].Tries = 1 }, false, "n", ""},
+		{"another service and a single attempt", func(p *fleetplan.Plan) { moveRootToNewService(p); p.Hosts["h"]["/"].Tries = 1 }, false, "n", ""},
 		{"a longer prefix", func(p *fleetplan.Plan) {
 			p.Hosts["h"]["/x/"] = &fleetplan.Route{Name: "x", Service: "new", Mode: fleetplan.Once, Tries: 1, Class: fleetplan.Class{Value: 1, Wait: 5e9}}
 		}, false, "n", ""},
@@ -237,7 +237,7 @@
 		{"interrupted", "/llm/resume/x", Split, 1, 3, true, ""},
 		{"no more data after the beginning", "/llm/resume/x", Lost, 1, 3, true, ""},
 		{"no retry budget", "/llm/resume/x", Split, 0, 3, false, failure.Unclear},
-		{"no try left", "/llm/resume/x", Split, 1, 1, false, failure.Unclear},
+		{"no attempt left", "/llm/resume/x", Split, 1, 1, false, failure.Unclear},
 		{"not resumable", "/llm/stream/x", Split, 1, 3, false, failure.Cut},
 		{"not resumable, no more data", "/llm/stream/x", Lost, 1, 3, false, failure.Cut},
 	} {
--- a/internal/router/relay_exchange.go
+++ b/internal/router/relay_exchange.go
@@ -198,7 +198,7 @@
 			switch v := decision.(type) {
 			case Receipt:
 				finished = true
-				x.finishWithReceipt(v)
+				x.finishWithRefusal(v)
 				return
 			case Launch:
 				ended := x.runAttempt(ctx, v)
@@ -231,7 +231,7 @@
 func (x *exchange) resumable(v Launch) bool { return x.wholeEvents && v.Resume && !x.unnumberedTail }
 
 // finishWithReceipt ends a request that no server has completed.
-func (x *exchange) finishWithReceipt(v Receipt) {
+func (x *exchange) finishWithRefusal(v Receipt) {
 	if x.started {
 		x.abortResponse()
 	}
--- a/internal/router/request_trace.go
+++ b/internal/router/request_trace.go
@@ -84,7 +84,7 @@
 	}
 	t := RequestTrace{
 		ID: r.Call.Call.ID, Route: r.Route, Key: r.key, Tenant: r.tenant, Gen: c.gen, Epoch: c.epoch, Plan: c.PlanName(),
-		Leased: c.leased(), Parted: c.parted, Stopping: c.ending,
+		Leased: c.leased(), Parted: c.partitioned, Stopping: c.ending,
 		TookMs: c.now.Sub(r.came).Milliseconds(), End: end, Kind: kind, AimMs: r.class.Aim.Milliseconds(), WaitsMs: r.waitsMs(),
 	}
 	if r.firstByte != 0 {
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -154,7 +154,7 @@
 		c.With(func(now clock.Tick) {
 			values.Entries, values.Waiting = core.Size()
 			_, epoch, held := core.Rules(now)
-			values.Epoch, values.Leased, values.Parted = int(epoch), generic.One(held), generic.One(core.parted)
+			values.Epoch, values.Leased, values.Parted = int(epoch), generic.One(held), generic.One(core.partitioned)
 		})
 		return values
 	}})...)
@@ -186,7 +186,7 @@
 		case decision := <-decisions:
 			switch v := decision.(type) {
 			case Receipt:
-				stream.writeReceipt(v)
+				stream.writeRefusal(v)
 				return
 			case Launch:
 				how, kind := f.runAttempt(r.Context(), v, stream)
@@ -329,7 +329,7 @@
 
 // writeReceipt ends a response that no server has completed: with a status if nothing was sent yet, otherwise with
 // an error event.
-func (s *clientStream) writeReceipt(v Receipt) {
+func (s *clientStream) writeRefusal(v Receipt) {
 	_ = s.control.SetWriteDeadline(time.Now().Add(s.writeTimeout))
 	if !s.started {
 		host.Error(s.w, v.Kind, v.Back, nil)
--- a/internal/voterset/voterset.go
+++ b/internal/voterset/voterset.go
@@ -67,14 +67,14 @@
 // Siblings returns each voter of a value once.
 func Addresses(v protocol.Desired) []protocol.Sibling {
 	seen := map[ident.Node]bool{}
-	var siblings []protocol.Sibling
+	var peers []protocol.Sibling
 	for _, voter := range append(append([]protocol.Voter{}, v.Voters...), v.Prior...) {
 		if !seen[voter.ID] {
 			seen[voter.ID] = true
-			siblings = append(siblings, voter.Sibling)
+			peers = append(peers, voter.Sibling)
 		}
 	}
-	return siblings
+	return peers
 }
 
 // Joint returns a value that names the voters of both values.
