--- a/internal/agent/contact.go
+++ b/internal/agent/contact.go
@@ -5,14 +5,14 @@
 	"tidedeck/internal/protocol"
 )
 
-// A router without contact to a leader may be cut off from the core, and may then continue with its last
+// A router without contact to a leader may be partitioned from the core, and may then continue with its last
 // configuration. It must not infer this from its own delay, a slow leader, or the absence of a leader, so the agent
-// queries every core node before it reports the machine as cut off.
+// queries every core node before it reports the machine as partitioned.
 
 const (
 	// queryAllAfter is the time without an answer from the core after which every core node is queried at once.
 	queryAllAfter = clock.Span(600e6)
-	// partitionedAfter is the time without an answer from the core after which this machine is considered cut off,
+	// partitionedAfter is the time without an answer from the core after which this machine is considered partitioned,
 	// provided that every core node was queried.
 	partitionedAfter = clock.Span(1300e6)
 	// queryTimeout is how long a core node has to answer such a query.
@@ -20,12 +20,12 @@
 )
 
 // coreContact tracks whether the core is reachable, independent of the current leader. Only answers from a core node
-// in contact with a majority count; a node without a majority is cut off itself.
+// in contact with a majority count; a node without a majority is partitioned itself.
 type coreContact struct {
 	lastAnswer     clock.Tick // when such a node last answered
 	awaitingAnswer bool       // a renewal was sent since lastAnswer
 	lastQueryAll   clock.Tick // when every core node was last queried at once, since lastAnswer
-	partitioned         bool
+	partitioned    bool
 	// inconclusive counts the answers since lastAnswer of nodes that could not determine the newest configuration.
 	inconclusive int
 }
@@ -44,7 +44,7 @@
 // discardQuery discards a query whose answers may still be unread.
 func (k *coreContact) discardQuery() { k.lastQueryAll = 0 }
 
-// queryDue reports whether every core node should be queried now. A machine that is cut off queries twice as often,
+// queryDue reports whether every core node should be queried now. A partitioned machine queries twice as often,
 // because it has to learn that the core accepts changes again well before such changes take effect.
 func (k *coreContact) queryDue(now clock.Tick) bool {
 	interval := 2 * queryTimeout
@@ -67,7 +67,7 @@
 	}
 }
 
-// checkContact queries every core node after a period without answers, and marks this machine as cut off after a
+// checkContact queries every core node after a period without answers, and marks this machine as partitioned after a
 // longer one.
 func (c *Core) checkContact() {
 	if c.contact.queryDue(c.now) {
--- a/internal/agent/contact_test.go
+++ b/internal/agent/contact_test.go
@@ -15,7 +15,7 @@
 	return h
 }
 
-// A machine is considered cut off only after every core node was queried and none in contact with a majority
+// A machine is considered partitioned only after every core node was queried and none in contact with a majority
 // answered.
 func TestCutOff(t *testing.T) {
 	for _, c := range []struct {
@@ -66,7 +66,7 @@
 	}
 }
 
-// After a stall of its own process, an agent queries every core node again before it reports the machine as cut off,
+// After a stall of its own process, an agent queries every core node again before it reports the machine as partitioned,
 // because answers may still be unread.
 func TestStallDiscardsQuery(t *testing.T) {
 	r := newHarness()
@@ -152,7 +152,7 @@
 	require.False(t, forwarded(), "a new session")
 }
 
-// A machine that is cut off keeps querying every core node at short intervals.
+// A partitioned machine keeps querying every core node at short intervals.
 func TestCutOffKeepsQuerying(t *testing.T) {
 	r := newHarness()
 	r.advance(partitionedAfter + queryTimeout + 200e6)
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -34,13 +34,13 @@
 	out     []any
 	members *membership.Core
 
-	router  ident.Inc
-	gen     uint64
-	epoch   ident.Epoch
-	keyLoads  map[ident.Key]protocol.Burden
-	tokensInProgress   map[ident.Server]int
-	tokenTimes   map[ident.Key]float64 // shortest observed time per token since the last renewal
-	routers int
+	router           ident.Inc
+	gen              uint64
+	epoch            ident.Epoch
+	keyLoads         map[ident.Key]protocol.Burden
+	tokensInProgress map[ident.Server]int
+	tokenTimes       map[ident.Key]float64 // shortest observed time per token since the last renewal
+	routers          int
 
 	session            protocol.Session
 	seq                uint64
--- a/internal/agent/parted_test.go
+++ b/internal/agent/parted_test.go
@@ -9,7 +9,7 @@
 	"tidedeck/internal/protocol"
 )
 
-// An agent reports its machine as cut off only when no leader answers although one was contacted. A leader that
+// An agent reports its machine as partitioned only when no leader answers although one was contacted. A leader that
 // answers without a grant is withholding the lease until this machine acknowledges.
 func TestParted(t *testing.T) {
 	r := newHarness()
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -168,14 +168,14 @@
 	return updates
 }
 
-// Reseed replaces the seeds, because the initial seeds may all have stopped by the time they are needed again.
+// SetSeeds replaces the seeds, because the initial seeds may all have stopped by the time they are needed again.
 func (c *Core) Reseed(seeds []protocol.Sibling) { c.o.Seeds = seeds }
 
 func (c *Core) envelope(to protocol.Sibling, message any) protocol.Env {
 	return protocol.Env{From: c.o.Me.Sibling, To: to, Body: message}
 }
 
-// Beat expires timers and returns the messages that are due.
+// Tick expires timers and returns the messages that are due.
 func (c *Core) Beat(now clock.Tick) (out []protocol.Env) {
 	c.now = now
 	for _, seq := range generic.SortedKeys(c.pending) {
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -570,7 +570,7 @@
 	Routers int
 	Seats   map[ident.Server]int `json:"Seats"`
 	Paces   *Paces               `json:"Paces"`
-	Parted  bool                 `json:"Parted"` // every core node was queried and none answered: this machine is cut off
+	Parted  bool                 `json:"Parted"` // every core node was queried and none answered: this machine is partitioned
 	// Without the leader's lease the router may use the configuration until ConfigLeaseEnd, with servers that are not in
 	// Leaving.
 	Current clock.Tick `json:"Current"`
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -84,7 +84,7 @@
 	Ref  Ref
 	N    int
 	How  End
-	Kind failure.Kind // reason if a server declined the attempt
+	Kind failure.Kind // reason if a server rejected the attempt
 
 	Status int   // HTTP status of the server's answer; zero if there was none
 	Cause  Cause // recorded in the trace
@@ -176,7 +176,7 @@
 	tokenTimes   tokenTimes
 	randState    uint64
 	inflows      map[ident.Key]*inflow
-	partitioned       bool                  // the agent has contacted every core node and none answers
+	partitioned  bool                  // the agent has contacted every core node and none answers
 	currentUntil clock.Tick            // time until which a core node confirms the configuration in force as the newest
 	leaving      map[ident.Server]bool // servers that the same core node knows to be leaving
 	ending       bool                  // shutting down: no request may wait any longer
--- a/internal/router/ledger.go
+++ b/internal/router/ledger.go
@@ -24,7 +24,7 @@
 	Pending End = ""        // the attempt has not ended
 	Kept    End = "kept"    // not sent: the final check before sending failed
 	Unsent  End = "unsent"  // the server was not reached
-	Dropped End = "dropped" // the server declined the request, which did not run and never will
+	Dropped End = "dropped" // the server rejected the request, which did not run and never will
 	Lost    End = "lost"    // the request may have run
 	Split   End = "split"   // the answer was interrupted after it had begun
 	Done    End = "done"    // the answer is complete
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -17,7 +17,7 @@
 
 // Decider decides what happens to requests.
 type Decider interface {
-	// Step takes an event: Request, Begun, Ended or Quit. Resulting decisions are passed to Relay.Deliver.
+	// Step takes an event: Call, Begun, Ended or Quit. Resulting decisions are passed to Relay.Deliver.
 	Step(in any)
 	// MaySend reports whether an attempt may be sent. It is called immediately before sending.
 	MaySend(ref Ref, n int) bool
