--- a/internal/agent/contact_test.go
+++ b/internal/agent/contact_test.go
@@ -58,7 +58,7 @@
 				}
 				parted = parted || r.lastLease().Parted
 				if r.clock < was.Add(partitionedAfter-250e6) {
-					require.False(t, parted, "reported as cut off too early")
+					require.False(t, parted, "reported as partitioned too early")
 				}
 			}
 			require.Equal(t, c.parted, parted)
--- a/internal/router/caller_test.go
+++ b/internal/router/caller_test.go
@@ -111,7 +111,7 @@
 				require.Len(t, first.requests(), 1)
 				if !again {
 					require.Equal(t, 502, a.StatusCode)
-					require.Equal(t, []End{Lost}, b.outcomes())
+					require.Equal(t, []End{Lost}, b.hows())
 					return
 				}
 				require.Equal(t, 200, a.StatusCode)
@@ -119,7 +119,7 @@
 				if c.method != "HEAD" {
 					require.Equal(t, "good", body)
 				}
-				require.Equal(t, []End{Lost, Done}, b.outcomes())
+				require.Equal(t, []End{Lost, Done}, b.hows())
 			})
 		}
 	}
@@ -221,7 +221,7 @@
 			cl.send(get("1"))
 			_, body, _ := cl.answer("GET")
 			b.settled(t)
-			require.NotContains(t, b.outcomes(), Done)
+			require.NotContains(t, b.hows(), Done)
 			require.NotContains(t, body, "late")
 		})
 	}
--- a/internal/router/conn_reuse_test.go
+++ b/internal/router/conn_reuse_test.go
@@ -140,7 +140,7 @@
 				if again {
 					want = c.repeatable
 				}
-				require.Equal(t, want, b.outcomes()[1:])
+				require.Equal(t, want, b.hows()[1:])
 				require.Len(t, srv.requests(), 1+c.received)
 				require.Equal(t, 1, srv.accepted(), "sent again to the same server")
 				if want[len(want)-1] != Done {
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -230,7 +230,7 @@
 
 // countDropped counts the attempts that servers did not run.
 func (s *script) countDropped() (n int) {
-	for _, how := range s.outcomes() {
+	for _, how := range s.hows() {
 		n += generic.One(how == Dropped)
 	}
 	return n
--- a/internal/router/relay_test.go
+++ b/internal/router/relay_test.go
@@ -156,7 +156,7 @@
 	return s.deniedSends < 0
 }
 
-func (s *script) outcomes() (l []End) {
+func (s *script) hows() (l []End) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range s.ends {
@@ -369,7 +369,7 @@
 				}
 			}
 			b.settled(t)
-			require.Equal(t, []End{Done, Done}, b.outcomes())
+			require.Equal(t, []End{Done, Done}, b.hows())
 			require.Equal(t, 1, srv.accepted())
 		})
 	}
@@ -428,7 +428,7 @@
 				require.NotContains(t, body, "yours")
 			}
 			b.settled(t)
-			require.Equal(t, c.ends, b.outcomes())
+			require.Equal(t, c.ends, b.hows())
 			require.Len(t, first.requests(), 1)
 			require.Equal(t, len(c.ends)-1, len(second.requests()))
 			if len(c.ends) > 1 {
@@ -449,7 +449,7 @@
 	require.Equal(t, 200, a.StatusCode)
 	require.Equal(t, "good", body)
 	b.settled(t)
-	require.Equal(t, []End{Unsent, Kept, Done}, b.outcomes())
+	require.Equal(t, []End{Unsent, Kept, Done}, b.hows())
 	require.Len(t, srv.requests(), 1)
 	require.Equal(t, 1, srv.accepted(), "the unused connection is reused")
 
@@ -532,7 +532,7 @@
 		require.NoError(t, err)
 		require.Equal(t, want, a.StatusCode)
 	}
-	require.Equal(t, []End{Done, Lost}, b.outcomes())
+	require.Equal(t, []End{Done, Lost}, b.hows())
 	require.Len(t, srv.requests(), 2)
 }
 
@@ -554,7 +554,7 @@
 	a, _, err := cl.answer("GET")
 	require.NoError(t, err)
 	require.Equal(t, 502, a.StatusCode)
-	require.Equal(t, []End{Lost}, b.outcomes())
+	require.Equal(t, []End{Lost}, b.hows())
 }
 
 // Request bodies that are too long, truncated or too slow are refused.
@@ -707,7 +707,7 @@
 				b.settled(t)
 				b.nextServer[1], b.nextServer[2] = 0, 0
 			}
-			require.Equal(t, []End{Done, Done}, b.outcomes())
+			require.Equal(t, []End{Done, Done}, b.hows())
 			require.Len(t, b.begun, 2)
 			require.Equal(t, 1, srv.accepted())
 		})
@@ -762,7 +762,7 @@
 			require.Equal(t, c.body, body)
 			require.Equal(t, "s", a.Header.Get("X-Seal"))
 			b.settled(t)
-			require.Equal(t, c.ends, b.outcomes())
+			require.Equal(t, c.ends, b.hows())
 			if len(c.ends) > 1 {
 				require.Equal(t, "2", second.requests()[0].Header.Get("X-After"))
 			} else {
@@ -815,7 +815,7 @@
 		require.NotContains(t, body, "good")
 		require.Empty(t, second.requests())
 		b.settled(t)
-		require.Equal(t, []End{Split}, b.outcomes())
+		require.Equal(t, []End{Split}, b.hows())
 		require.Len(t, b.quits, 1)
 	}
 }
