--- a/internal/router/relay_exchange.go
+++ b/internal/router/relay_exchange.go
@@ -230,7 +230,7 @@
 // only complete events, and none after the last numbered one that the next attempt may send again.
 func (x *exchange) resumable(v Launch) bool { return x.wholeEvents && v.Resume && !x.unnumberedTail }
 
-// finishWithReceipt ends a request that no server has completed.
+// finishWithRefusal ends a request that no server has completed.
 func (x *exchange) finishWithRefusal(v Receipt) {
 	if x.started {
 		x.abortResponse()
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -327,7 +327,7 @@
 	s.clientGone = err != nil || s.control.Flush() != nil
 }
 
-// writeReceipt ends a response that no server has completed: with a status if nothing was sent yet, otherwise with
+// writeRefusal ends a response that no server has completed: with a status if nothing was sent yet, otherwise with
 // an error event.
 func (s *clientStream) writeRefusal(v Receipt) {
 	_ = s.control.SetWriteDeadline(time.Now().Add(s.writeTimeout))
