--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -31,8 +31,8 @@
 	exitOn(router.Main(s))
 }
 
-// freshMarginFraction is the fraction of the retry margin lent to routers whose earlier incarnations ended long ago; the rest
-// is for recently restarted routers.
+// freshMarginFraction is the fraction of the retry margin for routers whose earlier incarnations ended long ago; the
+// rest is for recently restarted routers.
 const freshMarginFraction = 0.6
 
 // bodyMemoryDivisor is the divisor of the machine's memory that gives the memory for request bodies.
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -359,7 +359,7 @@
 
 type ringWriter struct{ ring *Ring }
 
-// Write stores a line in the ring.
+// Write stores a line in the ring buffer.
 func (w ringWriter) Write(b []byte) (int, error) {
 	w.ring.mu.Lock()
 	defer w.ring.mu.Unlock()
@@ -380,7 +380,7 @@
 	return r.logger.WithFields(values)
 }
 
-// ErrorWithDump logs an error and writes out the ring, at most once per second.
+// ErrorWithDump logs an error and writes out the ring buffer, at most once per second.
 func (r *Ring) Oops(s string) {
 	r.logger.Error(s)
 	r.mu.Lock()
--- a/internal/host/hosted.go
+++ b/internal/host/hosted.go
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// LogWriter returns the writer for log lines besides the ring, or nil.
+// LogWriter returns the writer for log lines besides the ring buffer, or nil.
 func (f HostedFlags) Lines() io.Writer {
 	if f.LogLines {
 		return os.Stdout
--- a/internal/host/ring_json.go
+++ b/internal/host/ring_json.go
@@ -14,7 +14,7 @@
 // LogOptions configures a log.
 type RingOptions struct {
 	Name  string    // process name, added to every line
-	Out   io.Writer // receives the ring when an error occurs
+	Out   io.Writer // receives the ring buffer when an error occurs
 	Lines io.Writer // receives every line immediately, as JSON; nil for none
 }
 
--- a/internal/host/transport.go
+++ b/internal/host/transport.go
@@ -61,7 +61,7 @@
 // transport sends and receives envelopes: one persistent stream to each peer with a bounded queue in front of it. No
 // caller ever waits for a peer that does not read.
 type transport struct {
-	mu         sync.Mutex // guards lines and busy; always the last lock to be acquired
+	mu         sync.Mutex // guards queues and writing; always the last lock to be acquired
 	queues     map[string]*peerQueue
 	startedAt  time.Time
 	writing    int // number of envelopes being written
--- a/internal/router/dialect.go
+++ b/internal/router/dialect.go
@@ -24,7 +24,7 @@
 	ID     string       // request that the response belongs to
 	NotRun bool         // the server did not run the request and never will
 	Kind   failure.Kind // reason if the request was not run
-	Sealed bool         // the response carries the mark that proves that it comes from the server itself
+	Sealed bool         // the response carries the seal that proves that it comes from the server itself
 }
 
 // Dialect defines how the clients and servers of a deployment use HTTP: the names and formats of paths and
--- a/internal/router/guards_test.go
+++ b/internal/router/guards_test.go
@@ -34,7 +34,7 @@
 	{"no retry of a request that may have run", "ledger.go", "Lost:    {{kind: failure.Unclear}, ", "Lost:    {{again: true}, ", "TestLedger|TestTries"},
 	{"no retry under an added route", "attempts.go", "\t\tc.markRunsOnce(r)", "\t\t_ = r", "TestRepeatOnlyUnderBothRoutes"},
 	{"no refusal of a request that may have run", "queue.go", "if failure.Receipts[k].Dropped && r.mayHaveRun() {", "if false {", "TestNoDropAfterLost"},
-	{"a rejection needs the server's mark", "relay_answer.go", "case !success && promisesNotRun(resp.StatusCode):", "case false:", "TestRelayEnds"},
+	{"a rejection needs the not-executed header", "relay_answer.go", "case !success && promisesNotRun(resp.StatusCode):", "case false:", "TestRelayEnds"},
 	{"a successful response needs a seal", "relay_answer.go", "case success && !info.Sealed:", "case false:", "TestRelayEnds"},
 	{"a successful response needs a seal, fuzzed", "relay_answer.go", "case success && !info.Sealed:", "case false:", "FuzzServerAnswer"},
 	{"a response delimited by connection close is invalid", "relay_answer.go", "case closeDelimited(resp):", "case false:", "TestDoubtfulAnswers"},
--- a/internal/router/queue.go
+++ b/internal/router/queue.go
@@ -171,7 +171,7 @@
 	return retryAfter, e.Soon > 0 && len(e.Replicas) == 0 && c.now.Add(retryAfter) > r.queueDeadline
 }
 
-// lookUp requests an entry from the controller. If a copy without a callback is cached, the request carries its mark.
+// lookUp requests an entry from the controller. If a copy without a callback is cached, the request carries its digest.
 func (c *Core) lookUp(k ident.Key) {
 	e := c.entries[k]
 	if e == nil {
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -42,7 +42,7 @@
 
 // defaultSlack is how long after a request's deadline its response may still end. Servers measure the time left
 // from the arrival of the request, so their last bytes can be late by one round trip. A request held for more than
-// 250 ms past its route's horizon counts as held too long.
+// 250 ms past its route's maximum wait counts as held too long.
 const defaultSlack = 150 * time.Millisecond
 
 // RelayOptions configures a relay.
--- a/internal/router/relay_answer.go
+++ b/internal/router/relay_answer.go
@@ -30,7 +30,7 @@
 	case !success && promisesNotRun(resp.StatusCode):
 		x.drain(use, resp)
 		x.cause = CauseStatus
-		return Lost, failure.None // without the server's mark the status does not prove that the request was not run
+		return Lost, failure.None // without the not-executed header the status does not prove that the request was not run
 	case resp.StatusCode >= 500 && v.Again:
 		x.drain(use, resp)
 		x.cause = CauseStatus
@@ -136,7 +136,7 @@
 			x.cause = CauseEvents
 			return Lost, failure.None
 		}
-		if x.clientGone {
+		if x.clientDisconnected {
 			x.cause = CauseCaller
 			return Lost, failure.None // the client has disconnected, so nobody reads the response
 		}
--- a/internal/router/relay_exchange.go
+++ b/internal/router/relay_exchange.go
@@ -30,10 +30,10 @@
 	body        []byte
 	deadlineSet time.Time // when the write deadline was last set
 
-	reply       *reply // complete response that is still to be written
-	started     bool   // the client has received part of a response
-	wholeEvents bool   // that part consists of complete events
-	clientGone  bool   // the client accepts no more data
+	reply              *reply // complete response that is still to be written
+	started            bool   // the client has received part of a response
+	wholeEvents        bool   // that part consists of complete events
+	clientDisconnected bool   // the client accepts no more data
 
 	status int   // of the server's response to the current attempt
 	cause  Cause // why the current attempt ends, as far as known
@@ -220,7 +220,7 @@
 	}
 	x.status, x.cause = 0, CauseNone
 	how, kind := x.attempt(ctx, v)
-	if how != Done && (x.clientGone || ctx.Err() != nil) {
+	if how != Done && (x.clientDisconnected || ctx.Err() != nil) {
 		x.dropConnection()
 	}
 	return Ended{Ref: v.Ref, N: v.N, How: how, Kind: kind, Status: x.status, Cause: x.cause}
--- a/internal/router/relay_reply.go
+++ b/internal/router/relay_reply.go
@@ -101,16 +101,16 @@
 
 // writeBody writes part of a response's body.
 func (x *exchange) writeBody(b []byte, flush bool) {
-	if len(b) == 0 || x.clientGone {
+	if len(b) == 0 || x.clientDisconnected {
 		return
 	}
 	x.armDeadline()
 	if _, err := x.w.Write(b); err != nil && !errors.Is(err, http.ErrBodyNotAllowed) {
-		x.clientGone = true
+		x.clientDisconnected = true
 		return
 	}
 	if flush && x.control.Flush() != nil {
-		x.clientGone = true
+		x.clientDisconnected = true
 	}
 }
 
@@ -124,7 +124,7 @@
 	defer putBuffer(rep.body)
 	x.w.Header()["Content-Length"] = []string{strconv.Itoa(rep.body.Len())}
 	x.writeHead(rep.status, rep.header)
-	if x.writeBody(rep.body.Bytes(), false); x.clientGone {
+	if x.writeBody(rep.body.Bytes(), false); x.clientDisconnected {
 		x.abortResponse()
 	}
 }
--- a/internal/router/relay_serve.go
+++ b/internal/router/relay_serve.go
@@ -197,7 +197,7 @@
 type headGuardListener struct {
 	net.Listener
 	limits       func() clientLimits
-	minHeadBytes int // size of a head that is always allowed, whatever the plan says
+	minHeadBytes int // size of a head that is always allowed, regardless of the plan
 }
 
 // Accept waits for a client's connection.
--- a/internal/router/relay_test.go
+++ b/internal/router/relay_test.go
@@ -291,7 +291,7 @@
 		head                             http.Header
 	}{
 		{"get", "GET /a/b HTTP/1.1\r\nHost: h.example\r\nX-Try: 1\r\n\r\n", "GET", "/a/b", "", nil},
-		{"odd escapes and query", "GET /a%2fb/../%7e//c;x?q=%41+b&&=%zz HTTP/1.1\r\nHost: h.example\r\nX-Try: 1\r\n\r\n", "GET", "/a%2fb/../%7e//c;x?q=%41+b&&=%zz", "", nil},
+		{"unusual escapes and query", "GET /a%2fb/../%7e//c;x?q=%41+b&&=%zz HTTP/1.1\r\nHost: h.example\r\nX-Try: 1\r\n\r\n", "GET", "/a%2fb/../%7e//c;x?q=%41+b&&=%zz", "", nil},
 		{"two slashes", "GET //a/b? HTTP/1.1\r\nHost: h.example\r\nX-Try: 1\r\n\r\n", "GET", "//a/b?", "", nil},
 		{"with a length", "POST /p HTTP/1.1\r\nHost: h.example\r\nX-Try: 1\r\nContent-Length: 5\r\n\r\na\r\nbc", "POST", "/p", "a\r\nbc", nil},
 		{"in chunks", "PUT /p HTTP/1.1\r\nHost: h.example\r\nX-Try: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n", "PUT", "/p", "abcde", nil},
--- a/internal/router/request_trace.go
+++ b/internal/router/request_trace.go
@@ -18,7 +18,7 @@
 	CauseWrite      Cause = "write"       // the request could not be written completely
 	CauseHead       Cause = "head"        // no complete response head arrived
 	CauseForeign    Cause = "foreign"     // the response has no request ID, or that of another request
-	CauseUnsealed   Cause = "unsealed"    // a successful response without the server's mark
+	CauseUnsealed   Cause = "unsealed"    // a successful response without the server's seal
 	CauseStatus     Cause = "status"      // a status that is not forwarded
 	CauseBody       Cause = "body"        // the body was truncated
 	CauseUnframed   Cause = "unframed"    // the body would end only with the connection
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -247,7 +247,7 @@
 }
 
 // An entry with a callback is used without a request to the controller. Without a callback it is revalidated first,
-// and the request for it carries the mark of the cached copy.
+// and the request for it carries the digest of the cached copy.
 func TestCallbacks(t *testing.T) {
 	b := newTestRouter(t, Options{})
 	_, out := b.call(fleetplan.Call{})
@@ -265,7 +265,7 @@
 		require.True(t, ok)
 	}
 	require.EqualValues(t, 3, b.tally.Hits)
-	// After a reconnect the entry is revalidated on first use, by its mark.
+	// After a reconnect the entry is revalidated on first use, by its digest.
 	second := ses
 	second.N = 2
 	b.deliver(protocol.Hold{Session: second, Until: b.at.Add(60e9)})
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -32,7 +32,7 @@
 
 // report is the newest report of a session.
 type report struct {
-	burdens   map[ident.Key]protocol.Burden
+	loads     map[ident.Key]protocol.Burden
 	lastHeard clock.Tick
 	element   *list.Element // position in Index.active; nil if the session is inactive and its waiting requests are not counted
 }
@@ -54,15 +54,15 @@
 }
 
 // Report replaces a session's report. The caller must not modify the map afterwards.
-func (x *Index) Report(session protocol.Session, burdens map[ident.Key]protocol.Burden, now clock.Tick) {
+func (x *Index) Report(session protocol.Session, loads map[ident.Key]protocol.Burden, now clock.Tick) {
 	x.Forget(session)
-	if len(burdens) == 0 {
+	if len(loads) == 0 {
 		return
 	}
-	r := &report{burdens: burdens, lastHeard: now}
+	r := &report{loads: loads, lastHeard: now}
 	r.element = x.active.PushBack(r)
 	x.reports[session] = r
-	for key, b := range burdens {
+	for key, b := range loads {
 		x.addKey(key, b)
 		x.addBase(key.Base(), b.Wait, b.Work)
 	}
@@ -80,7 +80,7 @@
 		return
 	}
 	r.element = x.active.PushBack(r)
-	for key, b := range r.burdens {
+	for key, b := range r.loads {
 		x.keys[key].addWaiting(b)
 	}
 }
@@ -92,7 +92,7 @@
 		r := oldest.Value.(*report)
 		x.active.Remove(oldest)
 		r.element = nil
-		for key, b := range r.burdens {
+		for key, b := range r.loads {
 			x.keys[key].removeWaiting(b)
 		}
 	}
@@ -108,7 +108,7 @@
 	if r.element != nil {
 		x.active.Remove(r.element)
 	}
-	for key, b := range r.burdens {
+	for key, b := range r.loads {
 		x.removeKey(key, b, r.element == nil)
 		x.addBase(key.Base(), -b.Wait, -b.Work)
 	}
--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -16,7 +16,7 @@
 type reference map[protocol.Session]*referenceReport
 
 type referenceReport struct {
-	burdens   map[ident.Key]protocol.Burden
+	loads     map[ident.Key]protocol.Burden
 	lastHeard clock.Tick
 }
 
@@ -24,7 +24,7 @@
 
 func (n reference) waiting(key ident.Key, now clock.Tick) (w Waiting) {
 	for _, r := range n {
-		if b := r.burdens[key]; b.Wait > 0 && now.Sub(r.lastHeard) <= activeFor {
+		if b := r.loads[key]; b.Wait > 0 && now.Sub(r.lastHeard) <= activeFor {
 			w.Requests += b.Wait
 			w.Value = max(w.Value, b.Top)
 		}
@@ -34,14 +34,14 @@
 
 func (n reference) underWay(key ident.Key) (sum int) {
 	for _, r := range n {
-		sum += r.burdens[key].Wait + r.burdens[key].Work
+		sum += r.loads[key].Wait + r.loads[key].Work
 	}
 	return sum
 }
 
 func (n reference) ofBase(base ident.Key) (s Sums) {
 	for _, r := range n {
-		for key, b := range r.burdens {
+		for key, b := range r.loads {
 			if key.Base() == base {
 				s.Waiting += b.Wait
 				s.Running += b.Work
@@ -54,13 +54,13 @@
 var keys = []ident.Key{"llm|m", "llm|m+1", "llm|m+2", "llm|n", "llm|n+1", "llm|o"}
 
 func randomReport(rng *rand.Rand) map[ident.Key]protocol.Burden {
-	burdens := map[ident.Key]protocol.Burden{}
+	loads := map[ident.Key]protocol.Burden{}
 	for _, key := range keys {
 		if rng.IntN(2) == 0 {
-			burdens[key] = protocol.Burden{Wait: rng.IntN(3), Work: rng.IntN(3), Top: rng.IntN(4)}
+			loads[key] = protocol.Burden{Wait: rng.IntN(3), Work: rng.IntN(3), Top: rng.IntN(4)}
 		}
 	}
-	return burdens
+	return loads
 }
 
 func TestSumsEqualThoseOfAllReports(t *testing.T) {
@@ -79,9 +79,9 @@
 					r.lastHeard = now
 				}
 			default:
-				burdens := randomReport(rng)
-				index.Report(session, burdens, now)
-				expected[session] = &referenceReport{burdens: burdens, lastHeard: now}
+				loads := randomReport(rng)
+				index.Report(session, loads, now)
+				expected[session] = &referenceReport{loads: loads, lastHeard: now}
 			}
 			index.Expire(now.Add(-activeFor))
 			for _, key := range keys {
