--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -84,7 +84,7 @@
 	Ref  Ref
 	N    int
 	How  End
-	Kind failure.Kind // reason if a server declined the attempt
+	Kind failure.Kind // reason if a server rejected the attempt
 
 	Status int   // HTTP status of the server's answer; zero if there was none
 	Cause  Cause // recorded in the trace
@@ -107,7 +107,7 @@
 	Resume bool       // another server may resume its stream after the last forwarded event
 }
 
-// Receipt is the output for a request that the router itself answers, without a server's answer.
+// Refusal is the output for a request that the router itself answers, without a server's answer.
 type Receipt struct {
 	Ref  Ref
 	Kind failure.Kind
@@ -172,11 +172,11 @@
 	inFlight     map[ident.Key]int
 	servers      map[ident.Server]*serverLoad
 	retryBudgets map[string]*retryBudget // by service
-	offeredLoad  map[ident.Key]float64   // server seconds needed by the requests received since the last Hello
+	offeredLoad  map[ident.Key]float64   // server seconds needed by the requests received since the last report
 	tokenTimes   tokenTimes
 	randState    uint64
 	inflows      map[ident.Key]*inflow
-	parted       bool                  // the agent has contacted every core node and none answers
+	partitioned  bool                  // the agent has contacted every core node and none answers
 	currentUntil clock.Tick            // time until which a core node confirms the configuration in force as the newest
 	leaving      map[ident.Server]bool // servers that the same core node knows to be leaving
 	ending       bool                  // shutting down: no request may wait any longer
@@ -185,7 +185,7 @@
 	wasUnleased bool // last logged value of routesUnleased
 
 	lastBeat clock.Tick
-	pausedAt clock.Tick // time of the last late beat, which shows that the process was suspended
+	pausedAt clock.Tick // time of the last late tick, which shows that the process was suspended
 	tally    Tally
 }
 
@@ -223,7 +223,7 @@
 		case protocol.Hold:
 			c.onHold(body)
 		case protocol.News:
-			c.onNews(body)
+			c.onUpdates(body)
 		}
 	case Call:
 		c.onCall(v)
@@ -237,7 +237,7 @@
 		c.ending = true
 		c.rejectWaiting()
 	case protocol.Beat:
-		c.onBeat()
+		c.onTick()
 	}
 	return c.out
 }
@@ -260,7 +260,7 @@
 func (c *Core) logLeaseChanges() {
 	if held := c.leased(); held != c.wasLeased {
 		c.wasLeased = held
-		c.note("lease", protocol.Field{Name: "held", Value: held}, protocol.Field{Name: "parted", Value: c.parted}, protocol.Field{Name: "epoch", Value: c.epoch})
+		c.note("lease", protocol.Field{Name: "held", Value: held}, protocol.Field{Name: "parted", Value: c.partitioned}, protocol.Field{Name: "epoch", Value: c.epoch})
 	}
 	if unleased := c.alone(); unleased != c.wasUnleased {
 		c.wasUnleased = unleased
@@ -287,7 +287,7 @@
 		}
 		c.session, c.leaseUntil, c.lastSeq, c.drops = hold.Session, 0, 0, nil
 		c.tally.Sessions++
-		c.tokenTimes.observeKnown() // a new owner may not have the token times yet
+		c.tokenTimes.observeKnown() // a new leader may not have the token times yet
 		for _, e := range c.entries {
 			if e.hasCallback {
 				c.tally.Suspects++
@@ -295,7 +295,7 @@
 			e.hasCallback, e.requested = false, false
 		}
 	}
-	c.parted, c.currentUntil = hold.Parted, hold.Current
+	c.partitioned, c.currentUntil = hold.Parted, hold.Current
 	c.leaving = map[ident.Server]bool{}
 	for _, server := range hold.Leaving {
 		c.leaving[server] = true
@@ -322,12 +322,12 @@
 
 func (c *Core) leased() bool { return c.now < c.leaseUntil }
 
-// alone reports whether the router may send by its last known state although it has no lease. Servers must reject by
-// themselves requests for models they do not hold and requests addressed to another server. In addition, a core node
-// must confirm that the router's configuration is the newest, or the router must be partitioned from the core. A
-// router that is merely behind must first apply the changes sent to it.
+// routesUnleased reports whether the router may send by its last known state although it has no lease. Servers must
+// reject by themselves requests for models they do not hold and requests addressed to another server. In addition, a
+// core node must confirm that the router's configuration is the newest, or the router must be partitioned from the core.
+// A router that is merely behind must first apply the changes sent to it.
 func (c *Core) alone() bool {
-	return c.o.Guards && c.plan != nil && !c.leased() && (c.parted || c.now < c.currentUntil)
+	return c.o.Guards && c.plan != nil && !c.leased() && (c.partitioned || c.now < c.currentUntil)
 }
 
 // excluded reports whether nothing may be sent to a replica. This is the case if its zone is being emptied, or if its
@@ -341,13 +341,13 @@
 	return e != nil && (e.hasCallback && c.leased() || c.alone() && len(e.Replicas) > 0)
 }
 
-func (c *Core) onNews(news protocol.News) {
-	if news.Session != c.session {
+func (c *Core) onUpdates(updates protocol.News) {
+	if updates.Session != c.session {
 		c.tally.StaleNews++
-		c.applyLateConfig(news)
+		c.applyLateConfig(updates)
 		return
 	}
-	for _, item := range news.Items {
+	for _, item := range updates.Items {
 		if item.Num != c.lastSeq+1 {
 			continue
 		}
@@ -367,11 +367,11 @@
 
 // applyLateConfig applies a configuration that arrives too late for its session. The core nodes have chosen the
 // configuration regardless of the session.
-func (c *Core) applyLateConfig(news protocol.News) {
-	for _, item := range news.Items {
+func (c *Core) applyLateConfig(updates protocol.News) {
+	for _, item := range updates.Items {
 		if item.Desired != nil {
 			c.onDesired(item.Desired)
-			c.helloSentAt = 0 // report the new epoch to the agent with the next beat
+			c.helloSentAt = 0 // report the new epoch to the agent with the next tick
 		}
 	}
 	c.serveAll()
@@ -447,36 +447,36 @@
 	delete(c.entries, k)
 }
 
-func (c *Core) onBeat() {
+func (c *Core) onTick() {
 	c.logLeaseChanges()
 	c.checkOverdue()
 	if c.now.Sub(c.helloSentAt) >= c.o.Hello || c.helloSentAt == 0 {
 		c.helloSentAt = c.now
-		burdens := map[ident.Key]protocol.Burden{}
+		loads := map[ident.Key]protocol.Burden{}
 		for _, k := range generic.SortedKeys(c.queues) {
-			burden := protocol.Burden{Wait: len(c.queues[k]), Work: c.inFlight[k], Came: c.arrivals[k]}
+			load := protocol.Burden{Wait: len(c.queues[k]), Work: c.inFlight[k], Came: c.arrivals[k]}
 			for _, r := range c.queues[k] {
-				burden.Top = max(burden.Top, r.class.Value)
+				load.Top = max(load.Top, r.class.Value)
 			}
-			burdens[k] = burden
+			loads[k] = load
 		}
 		for k, n := range c.inFlight {
-			if _, ok := burdens[k]; !ok && (n > 0 || c.arrivals[k] > 0) {
-				burdens[k] = protocol.Burden{Work: n, Came: c.arrivals[k]}
+			if _, ok := loads[k]; !ok && (n > 0 || c.arrivals[k] > 0) {
+				loads[k] = protocol.Burden{Work: n, Came: c.arrivals[k]}
 			}
 		}
 		for k, n := range c.arrivals {
-			if _, ok := burdens[k]; !ok && n > 0 {
-				burdens[k] = protocol.Burden{Came: n}
+			if _, ok := loads[k]; !ok && n > 0 {
+				loads[k] = protocol.Burden{Came: n}
 			}
 		}
 		for k, seconds := range c.offeredLoad {
-			burden := burdens[k]
-			burden.Load = seconds
-			burdens[k] = burden
+			load := loads[k]
+			load.Load = seconds
+			loads[k] = load
 		}
 		c.arrivals, c.offeredLoad = map[ident.Key]int{}, map[ident.Key]float64{}
-		hello := protocol.Hello{Router: c.o.Inc, Session: c.session, Gen: c.gen, Epoch: c.epoch, Burden: burdens}
+		hello := protocol.Hello{Router: c.o.Inc, Session: c.session, Gen: c.gen, Epoch: c.epoch, Burden: loads}
 		if c.o.Free {
 			hello.Seats, hello.Paces = c.reportLoad(), c.tokenTimes.takeObserved()
 		}
@@ -511,12 +511,12 @@
 	return t
 }
 
-// Rules returns the generation and epoch of the configuration in force, and whether the router has a lease.
+// InForce returns the generation and epoch of the configuration in force, and whether the router has a lease.
 func (c *Core) Rules(now clock.Tick) (uint64, ident.Epoch, bool) {
 	return c.gen, c.epoch, now < c.leaseUntil
 }
 
-// Routes reports whether the router may send requests now, under its lease or without one by its last known state.
+// CanRoute reports whether the router may send requests now, under its lease or without one by its last known state.
 func (c *Core) Routes(now clock.Tick) bool {
 	c.now = now
 	return c.leased() || c.alone()
@@ -525,7 +525,7 @@
 // Size returns the number of cached entries and the number of waiting requests.
 func (c *Core) Size() (entries, waiting int) { return len(c.entries), c.queued }
 
-// Promises reports whether this router would now send requests for a key to a server without revalidation. Checkers
+// RoutesTo reports whether this router would now send requests for a key to a server without revalidation. Checkers
 // compare it with the orders that servers receive.
 func (c *Core) Promises(now clock.Tick, k ident.Key, s ident.Server, inc ident.Inc) bool {
 	e := c.entries[k]
@@ -540,7 +540,7 @@
 	return false
 }
 
-// Places lists the replicas in the router's entry for a key, for checkers.
+// ReplicasOf lists the replicas in the router's entry for a key, for checkers.
 func (c *Core) Places(k ident.Key) (l []string) {
 	if e := c.entries[k]; e != nil {
 		for _, p := range e.Replicas {
--- a/internal/router/dialect.go
+++ b/internal/router/dialect.go
@@ -19,12 +19,12 @@
 	Tenant string       // tenant that the request belongs to; empty if none
 }
 
-// Said is the information that the head of a server's response carries.
+// ResponseInfo is the information that the head of a server's response carries.
 type Said struct {
 	ID     string       // request that the response belongs to
 	NotRun bool         // the server did not run the request and never will
 	Kind   failure.Kind // reason if the request was not run
-	Sealed bool         // the response carries the mark that proves that it comes from the server itself
+	Sealed bool         // the response carries the seal that proves that it comes from the server itself
 }
 
 // Dialect defines how the clients and servers of a deployment use HTTP: the names and formats of paths and
--- a/internal/router/ledger.go
+++ b/internal/router/ledger.go
@@ -16,7 +16,7 @@
 // The ledger of a request records its attempts and how each one ended. A table derives the next step from it. A
 // request that may have run is never sent again unless it may be repeated.
 
-// End is the outcome of an attempt.
+// Outcome is the outcome of an attempt.
 type End string
 
 // The outcomes of an attempt.
@@ -24,7 +24,7 @@
 	Pending End = ""        // the attempt has not ended
 	Kept    End = "kept"    // not sent: the final check before sending failed
 	Unsent  End = "unsent"  // the server was not reached
-	Dropped End = "dropped" // the server declined the request, which did not run and never will
+	Dropped End = "dropped" // the server rejected the request, which did not run and never will
 	Lost    End = "lost"    // the request may have run
 	Split   End = "split"   // the answer was interrupted after it had begun
 	Done    End = "done"    // the answer is complete
--- a/internal/router/relay_exchange.go
+++ b/internal/router/relay_exchange.go
@@ -30,10 +30,10 @@
 	body        []byte
 	deadlineSet time.Time // when the write deadline was last set
 
-	reply       *reply // complete response that is still to be written
-	started     bool   // the client has received part of a response
-	wholeEvents bool   // that part consists of complete events
-	clientGone  bool   // the client accepts no more data
+	reply              *reply // complete response that is still to be written
+	started            bool   // the client has received part of a response
+	wholeEvents        bool   // that part consists of complete events
+	clientDisconnected bool   // the client accepts no more data
 
 	status int   // of the server's response to the current attempt
 	cause  Cause // why the current attempt ends, as far as known
@@ -181,9 +181,9 @@
 func (x *exchange) run() {
 	r := x.r
 	ref, decisions, done := r.register()
-	settled := false
+	finished := false
 	defer func() {
-		if !settled {
+		if !finished {
 			r.decider.Step(Quit{ref})
 		}
 		done()
@@ -197,14 +197,14 @@
 		case decision := <-decisions:
 			switch v := decision.(type) {
 			case Receipt:
-				settled = true
-				x.finishWithReceipt(v)
+				finished = true
+				x.finishWithRefusal(v)
 				return
 			case Launch:
 				ended := x.runAttempt(ctx, v)
-				settled = ended.How == Done
+				finished = ended.How == Done
 				r.decider.Step(ended)
-				if settled {
+				if finished {
 					return
 				}
 			}
@@ -220,7 +220,7 @@
 	}
 	x.status, x.cause = 0, CauseNone
 	how, kind := x.attempt(ctx, v)
-	if how != Done && (x.clientGone || ctx.Err() != nil) {
+	if how != Done && (x.clientDisconnected || ctx.Err() != nil) {
 		x.dropConnection()
 	}
 	return Ended{Ref: v.Ref, N: v.N, How: how, Kind: kind, Status: x.status, Cause: x.cause}
@@ -230,8 +230,8 @@
 // only complete events, and none after the last numbered one that the next attempt may send again.
 func (x *exchange) resumable(v Launch) bool { return x.wholeEvents && v.Resume && !x.unnumberedTail }
 
-// finishWithReceipt ends a request that no server has completed.
-func (x *exchange) finishWithReceipt(v Receipt) {
+// finishWithRefusal ends a request that no server has completed.
+func (x *exchange) finishWithRefusal(v Receipt) {
 	if x.started {
 		x.abortResponse()
 	}
--- a/internal/router/request_trace.go
+++ b/internal/router/request_trace.go
@@ -6,7 +6,7 @@
 	"tidedeck/internal/ident"
 )
 
-// Cause describes why an attempt ended, in more detail than its End. No decision depends on it.
+// Cause describes why an attempt ended, in more detail than its Outcome. No decision depends on it.
 type Cause string
 
 // Causes for the end of an attempt.
@@ -18,7 +18,7 @@
 	CauseWrite      Cause = "write"       // the request could not be written completely
 	CauseHead       Cause = "head"        // no complete response head arrived
 	CauseForeign    Cause = "foreign"     // the response has no request ID, or that of another request
-	CauseUnsealed   Cause = "unsealed"    // a successful response without the server's mark
+	CauseUnsealed   Cause = "unsealed"    // a successful response without the server's seal
 	CauseStatus     Cause = "status"      // a status that is not forwarded
 	CauseBody       Cause = "body"        // the body was truncated
 	CauseUnframed   Cause = "unframed"    // the body would end only with the connection
@@ -84,7 +84,7 @@
 	}
 	t := RequestTrace{
 		ID: r.Call.Call.ID, Route: r.Route, Key: r.key, Tenant: r.tenant, Gen: c.gen, Epoch: c.epoch, Plan: c.PlanName(),
-		Leased: c.leased(), Parted: c.parted, Stopping: c.ending,
+		Leased: c.leased(), Parted: c.partitioned, Stopping: c.ending,
 		TookMs: c.now.Sub(r.came).Milliseconds(), End: end, Kind: kind, AimMs: r.class.Aim.Milliseconds(), WaitsMs: r.waitsMs(),
 	}
 	if r.firstByte != 0 {
