--- a/internal/controller/address_test.go
+++ b/internal/controller/address_test.go
@@ -10,12 +10,12 @@
 )
 
 // Guards against orders that reach the wrong server. In simulator scenes narrow-owner (padana, seed 50) and
-// keys-troubles (corrib, seed 17), a server was told to unload a model while routers held promises of its
+// keys-troubles (corrib, seed 17), a server was ordered to unload a model while routers held callbacks on its
 // replica, and a server without models was ordered to load one.
 //
 // A server crashes silently and another one starts at its address. The next leader knows the crashed server from
 // its predecessor's list, requests a report from that address, gets the report of the other server and sends
-// orders based on it. The cause was that an address stood for an identity: entries of the last list were added
+// orders based on it. The cause was that an address was taken for an identity: entries of the last list were added
 // without a check of who has the address now, and requests and orders did not name the server.
 
 // setLastList makes a server known to a node only from the previous leader's list.
@@ -43,7 +43,7 @@
 	return c
 }
 
-// A server of the last list whose address now belongs to an enrolled server is dropped.
+// A server of the last list whose address now belongs to an enrolled server is removed.
 func TestCrashedServerFromTheList(t *testing.T) {
 	c := newListedCluster(t, "llm|m")
 	m := c.serve("new", "llm|m")
--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -239,10 +239,10 @@
 	c.receipt(Receipt{Token: a.Token, View: view})
 }
 
-// answerAsOwner answers a request for data that only the duty's owner has. Other nodes name the owner instead.
+// answerAsOwner answers a request for data that only the leader has. Other nodes name the leader instead.
 func (c *Core) answerAsOwner(a Admin, view func() map[string]any) {
 	if !c.rules() {
-		receipt := Receipt{Token: a.Token, Kind: failure.NotReady, Why: "this node does not own the duty"}
+		receipt := Receipt{Token: a.Token, Kind: failure.NotReady, Why: "this node is not the leader"}
 		if owner := c.duty.who; owner.ID != "" && owner.ID != c.o.Me.ID {
 			receipt.Owner = &owner
 		}
@@ -254,20 +254,20 @@
 
 func (c *Core) viewServers(a Admin) {
 	if c.rules() && !c.registryComplete() {
-		c.receipt(Receipt{Token: a.Token, Kind: failure.NotReady, Why: "the owner has not yet received the server registries of a majority of the core"})
+		c.receipt(Receipt{Token: a.Token, Kind: failure.NotReady, Why: "the leader has not yet received the server registries of a majority of the core"})
 		return
 	}
 	c.answerAsOwner(a, func() map[string]any {
 		var servers []map[string]any
 		for _, id := range generic.SortedKeys(c.servers) {
 			s := c.servers[id]
-			var spots []map[string]any
+			var replicas []map[string]any
 			for _, k := range generic.SortedKeys(s.spots) {
-				spot := s.spots[k]
-				spots = append(spots, map[string]any{"key": k, "stage": spot.stage, "size": spot.size, "active": spot.work})
+				p := s.spots[k]
+				replicas = append(replicas, map[string]any{"key": k, "stage": p.stage, "size": p.size, "active": p.work})
 			}
 			servers = append(servers, map[string]any{"id": id, "zone": s.Zone, "state": s.State, "dark": s.dark, "known": s.known,
-				"odd": s.odd, "room": s.room, "used": s.used(), "slots": s.slots, "holds": spots, "offered": c.open(s)})
+				"odd": s.odd, "room": s.room, "used": s.used(), "slots": s.slots, "holds": replicas, "offered": c.open(s)})
 		}
 		return map[string]any{"servers": servers, "duty": c.duty.num, "lacks": c.lacks(), "moves": len(c.shifts)}
 	})
--- a/internal/controller/changes.go
+++ b/internal/controller/changes.go
@@ -10,9 +10,9 @@
 	"tidedeck/internal/protocol"
 )
 
-// Operators' changes of the desired state. Each change is forwarded to the owner of the leadership lease. The owner
+// Operators' changes of the desired state. Each change is forwarded to the leader. The leader
 // already holds a promise of the voters, so that a change takes one round, and changes that are queued share a round.
-// If no node owns the lease, or no outcome arrives in time, the node that received the request proposes the change
+// If there is no leader, or no outcome arrives in time, the node that received the request proposes the change
 // itself.
 
 // pendingChange is an operator's change whose outcome is not known yet.
@@ -23,13 +23,13 @@
 
 	owner          protocol.Sibling // the node that the change was forwarded to
 	sent           clock.Tick
-	maybeCommitted bool     // it was forwarded, so the owner may have committed it
+	maybeCommitted bool     // it was forwarded, so the leader may have committed it
 	proposed       bool     // by this node
-	outcome        *Receipt // from the owner; withheld until this node knows the version that it names
+	outcome        *Receipt // from the leader; withheld until this node knows the version that it names
 	answered       bool
 }
 
-// change processes an operator's change: it forwards it to the owner of the lease, or proposes it.
+// change processes an operator's change: it forwards it to the leader, or proposes it.
 func (c *Core) change(a Admin, modify func(d *protocol.Desired) (failure.Kind, fleetplan.Faults)) {
 	if c.latest() == nil {
 		c.answer(a, Receipt{Kind: failure.NotReady, Why: "this node knows no core yet"})
@@ -118,7 +118,7 @@
 // answerChange sends the receipt of a change that this node proposed.
 func (c *Core) answerChange(p *pendingChange, r applied) {
 	if p.answered {
-		return // the outcome from the owner arrived first
+		return // the leader's outcome arrived first
 	}
 	v, k, a := r.after, r.kind, p.admin
 	refused := isRefusal(k)
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -41,7 +41,7 @@
 	processors    map[string]*processor   // processors of nodes whose CPU time is limited
 }
 
-// tickLength is the time between two beats of a cluster.
+// tickLength is the time between two ticks of a cluster.
 const tickLength = clock.Span(20e6)
 
 // inFlightMessage is a message that has not arrived yet.
@@ -88,11 +88,11 @@
 		v.Voters = append(v.Voters, voter(id, 5))
 		c.seeds = append(c.seeds, protocol.Sibling{Addr: id})
 	}
-	lives := uint64(0)
+	starts := uint64(0)
 	c.newNode = func(id string) *Core {
-		lives++
+		starts++
 		o := Options{
-			Me: protocol.Sibling{ID: ident.Node(id), Addr: id}, Inc: ident.Inc(5 + lives), Seeds: c.seeds, Rand: rand.New(rand.NewPCG(lives-1, 2)),
+			Me: protocol.Sibling{ID: ident.Node(id), Addr: id}, Inc: ident.Inc(5 + starts), Seeds: c.seeds, Rand: rand.New(rand.NewPCG(starts-1, 2)),
 			Enrolled: true, Unfenced: true, Joined: true,
 			Read: func(raw []byte) (*fleetplan.Plan, fleetplan.Faults) {
 				if p := c.plans[string(raw)]; p != nil {
--- a/internal/controller/confirm.go
+++ b/internal/controller/confirm.go
@@ -7,7 +7,7 @@
 	"tidedeck/internal/protocol"
 )
 
-// A server's report is already outdated when it arrives. To learn sooner whether an order is complete, the owner sends
+// A server's report is already outdated when it arrives. To learn sooner whether an order is complete, the leader sends
 // the order again with the count that the order led to. The server answers that it already holds that state, or that an
 // order is in progress. It executes the repeat only if the first order had no effect; the count differs from then on,
 // and the next report shows that.
@@ -17,14 +17,14 @@
 	confirmDelay         = clock.Span(5e6)  // added to the expected end of an order before the first confirmation request
 	firstConfirmInterval = clock.Span(25e6) // between the first two confirmation requests; doubles after each request
 	maxConfirmInterval   = clock.Span(200e6)
-	maxConfirms          = 10 // confirmation requests before the owner polls for a report instead
+	maxConfirms          = 10 // confirmation requests before the leader polls for a report instead
 
 	diskPartBegin  = 0.25 // load time from a server's own disk as a fraction of that from the store, before any was measured
 	diskLoadDecay  = 0.9  // factor on the fraction if a load had already ended by the first confirmation request
 	diskLoadWeight = 0.5  // weight of the latest measurement in the moving average
 )
 
-// canConfirm reports whether a server executes an order that the owner may send again to confirm it.
+// canConfirm reports whether a server executes an order that the leader may send again to confirm it.
 func (s *server) mayConfirm() bool {
 	return s.doing != nil && s.unsure == nil && s.known && s.confirms < maxConfirms && verbs[s.doing.stage] != ""
 }
--- a/internal/controller/confirm_test.go
+++ b/internal/controller/confirm_test.go
@@ -92,7 +92,7 @@
 //
 // The leader asks whether an order is done and stalls; its lease expires; after the stall it handles the answer
 // before it looks at the time. The cause was that an order which waits for a confirmed one is sent at once,
-// while only the beat checked the lease.
+// while only the tick checked the lease.
 func TestNoOrderOnAConfirmationAfterTheLease(t *testing.T) {
 	c := newCluster(t, modelPlan(4, "llm|m", "llm|n"), "a")
 	c.serve("s", "llm|m")
--- a/internal/controller/control_test.go
+++ b/internal/controller/control_test.go
@@ -112,7 +112,7 @@
 }
 
 // Of two absent voters, the spare replaces the one absent longer, even if the leader was elected after both were
-// gone. The other one is likely to return soon, and the next loss must find four of five voters.
+// lost. The other one is likely to return soon, and the next loss must find four of five voters.
 func TestLongestAbsentIsReplacedFirst(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c", "d", "e")
 	owner := c.owner()
@@ -267,7 +267,7 @@
 	require.True(t, voterset.Seats(c.lead().reg.known.Voters, "d"))
 }
 
-// Spares that know of a core are not blank, so a wiped node whose seeds are all such spares does not form a
+// Spares that know of a core are not reported as Blank, so a wiped node whose seeds are all such spares does not form a
 // second core.
 func TestSparesFormNoSecondCore(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c")
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// The state machine of a spot.
+// The state machine of a replica.
 func TestSpots(t *testing.T) {
 	for _, c := range []struct{ was, sees, now string }{
 		{Ordered, SeeReady, Ready}, {Ordered, SeeNone, Gone}, {Ordered, SeeLoading, Ordered}, {Ordered, Evict, Ordered}, {Ordered, Idle, Ordered},
@@ -78,7 +78,7 @@
 	}
 }
 
-// node is a single core node that is the only voter and owns the duty.
+// node is a single core node that is the only voter and the leader.
 type node struct {
 	*Core
 	t     *testing.T
@@ -92,7 +92,7 @@
 const onePlan = `{"name":"p","store":{"loads":1},"models":{"m":{"size":4,"floor":1},"n":{"size":4}},"kinds":{"k":{"value":3}},
 "services":{"s":{"models":["m","n"]}},"routes":{"/r":{"service":"s","kinds":["k"]}}}`
 
-// newOwner returns a node that owns the duty.
+// newOwner returns a node that is the leader.
 func owner(t *testing.T, plan string) *node {
 	me := protocol.Sibling{ID: "a", Addr: "a"}
 	v := protocol.Desired{Gen: 1, Epoch: 1, Plan: []byte(plan), Shape: 1, Voters: []protocol.Voter{voter("a", 5)}}
@@ -169,7 +169,7 @@
 	return protocol.Held{Key: k, Size: 4, Stage: stage}
 }
 
-// newReadyOwner returns an owner with one server, on which m is ready, and the session of a router that holds an entry
+// newReadyOwner returns a leader with one server, on which m is ready, and the session of a router that holds an entry
 // of m.
 func ready(t *testing.T) (*node, protocol.Session) {
 	n := owner(t, onePlan)
@@ -236,7 +236,7 @@
 	for _, ack := range []bool{true, false} {
 		t.Run(fmt.Sprint("acknowledged ", ack), func(t *testing.T) {
 			n, s := ready(t)
-			n.pass(3e9, has("m", "ready")) // leases of a previous owner have certainly expired
+			n.pass(3e9, has("m", "ready")) // leases of a previous leader have certainly expired
 			n.mail(protocol.Renew{Session: s, Seq: 2, Gen: 1, Epoch: 1, Heard: 1})
 			if n.links[s] == nil { // the first lease has expired meanwhile: start a new session
 				s.N = 2
@@ -296,14 +296,14 @@
 	}
 }
 
-// Orders are derived from the stages of the spots alone. The simulator (moves-cut, seed 9) found an unload that stayed
-// in a queue after its reason was gone and was sent a second time.
+// Orders are derived from the stages of the replicas alone. The simulator (moves-cut, seed 9) found an unload that stayed
+// in a queue after its reason had ceased to apply and was sent a second time.
 func TestNoOrderOutlivesItsReason(t *testing.T) {
 	n, _ := ready(t)
 	n.pass(3e9, has("m", "ready"))
 	n.evictModel()
 	n.run(3e9, func() bool { return n.servers["s"].spots["m"].stage == Unloading || len(n.asked) > 0 && n.answered() })
-	n.pass(3e9, has("m", "ready")) // each unload is refused: the spot drains again and the order is repeated
+	n.pass(3e9, has("m", "ready")) // each unload is refused: the replica drains again and the order is repeated
 	before := n.unloads()
 	require.Positive(t, before)
 	n.pass(300e6)                      // the unload succeeds
@@ -557,8 +557,8 @@
 	}
 }
 
-// A voter answers that it grants the duty only once the grant is on disk, also if a second query arrives while the
-// first grant is being written. Otherwise a voter that loses power could grant one number to two owners.
+// A voter answers that it grants the lease only once the grant is on disk, also if a second query arrives while the
+// first grant is being written. Otherwise a voter that loses power could grant one term to two nodes.
 func TestPledgeIsSynced(t *testing.T) {
 	v := protocol.Desired{Gen: 1, Epoch: 1, Shape: 1, Voters: []protocol.Voter{voter("a", 5), voter("b", 5), voter("c", 5)}}
 	c := New(Options{Me: protocol.Sibling{ID: "a", Addr: "a"}, Inc: 6, Rand: rand.New(rand.NewPCG(1, 2))})
@@ -594,7 +594,7 @@
 }
 
 // A large plan that is not acknowledged yet is not sent repeatedly. With a plan of 30,000 routes on real processes, the
-// repeats delayed the owner's own rounds until it lost the duty.
+// repeats delayed the leader's own rounds until it lost the lease.
 func TestLargePlanIsNotRepeated(t *testing.T) {
 	for size, most := range map[int]int{0: 6, 2_000_000: 1} {
 		n, s := ready(t)
@@ -624,8 +624,8 @@
 	require.Equal(t, was, n.Counts().Rounds)
 }
 
-// A round that was in progress when the duty was released doesn't regain it: its grants may have been released
-// meanwhile, and another node may own the duty. Found by simulator scene blind, seed 50000.
+// A round that was in progress when the lease was released doesn't regain it: its grants may have been released
+// meanwhile, and another node may hold the lease. Found by simulator scene blind, seed 50000.
 func TestGivenBackStaysSo(t *testing.T) {
 	n := owner(t, onePlan)
 	n.Core.now, n.Core.out = n.at, nil
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -1,5 +1,5 @@
 // Package controller implements a core node. Core nodes vote on the desired state and track each other's
-// membership. The owner of the leadership lease, the leader, also places models on servers and serves the
+// membership. The holder of the leadership lease, the leader, also places models on servers and serves the
 // routers.
 package controller
 
@@ -27,7 +27,7 @@
 	Rand     *rand.Rand
 
 	Hold        clock.Span // a router's lease, counted from when the router sent its renewal
-	Duty        clock.Span // the leadership lease, counted from when its owner requested it
+	Duty        clock.Span // the leadership lease, counted from when the leader requested it
 	ClockMargin clock.Span // a grantor waits longer than a grantee by this and by ClockDrift
 	ClockDrift  float64
 	Round       clock.Span // interval between two majority reads
@@ -61,7 +61,7 @@
 	Rate     clock.Span            // the store's rate limit holds in every window of this length
 	Regions  map[ident.Zone]string // region of each zone, if there are several
 	HandOver bool                  // a stopping node's seat goes to a spare at once, not only after ReplaceAfter
-	Alone    bool                  // changes are never forwarded to the lease owner
+	Alone    bool                  // changes are never forwarded to the leader
 	Joined   bool                  // the core already exists: an empty disk forms none
 }
 
@@ -297,7 +297,7 @@
 	}
 }
 
-// minStall is the shortest gap between two beats that is logged as a stall.
+// minStall is the shortest gap between two ticks that is logged as a stall.
 const minStall = clock.Span(250e6)
 
 func (c *Core) beat() {
@@ -403,7 +403,7 @@
 // Counts returns the tally so far.
 func (c *Core) Counts() Tally { return c.tally }
 
-// Owns reports whether this node owns the leadership lease now, and returns its term.
+// Owns reports whether this node holds the leadership lease now, and returns its term.
 func (c *Core) Owns(now clock.Tick) (ident.Duty, bool) {
 	return c.duty.num, c.duty.mine && now <= c.duty.until(c)
 }
--- a/internal/controller/duty.go
+++ b/internal/controller/duty.go
@@ -12,8 +12,8 @@
 	"tidedeck/internal/workload"
 )
 
-// leadership is this node's view of the leadership lease. Its owner is the leader, and each grant by a majority
-// to a new owner begins a term, whose number is an ident.Duty.
+// leadership is this node's view of the leadership lease. Its holder is the leader, and each grant by a majority
+// to a new holder begins a term, whose number is an ident.Term.
 type leadership struct {
 	mine  bool
 	num   ident.Duty
@@ -23,7 +23,7 @@
 	began clock.Tick
 	top   ident.Duty       // highest term seen
 	who   protocol.Sibling // the leader as far as this node knows
-	free  bool             // the last majority read showed that no other node owns the lease
+	free  bool             // the last majority read showed that no other node holds the lease
 	shy   clock.Tick       // until when this node does not claim the lease
 	next  ident.Node       // successor named by the last leader when it released the lease
 	left  clock.Tick       // when that was
@@ -194,7 +194,7 @@
 }
 
 // beatDuty ends a term whose lease expired long ago. Until then nothing is granted or ordered, but the state is
-// kept: if a majority renews the same term, no other node owned the lease in between.
+// kept: if a majority renews the same term, no other node held the lease in between.
 func (c *Core) beatDuty() {
 	if c.duty.mine && c.now > c.duty.until(c).Add(lapseSpans*c.o.Duty) {
 		c.lose("the lease expired")
--- a/internal/controller/enrol.go
+++ b/internal/controller/enrol.go
@@ -16,7 +16,7 @@
 	Beacon protocol.Beacon
 }
 
-// Announced answers Announce. OK is false if a departure is not yet known to the owner and to a majority.
+// Announced answers Announce. OK is false if a departure is not yet known to the leader and to a majority.
 type Announced struct {
 	Token uint64
 	OK    bool
@@ -27,7 +27,7 @@
 	protocol.Beacon
 	heard          clock.Tick         // when the latest announcement arrived, directly or relayed
 	had            map[ident.Key]bool // models on the server's disk: true if certain, false if only held by an earlier start
-	presumedGone   bool               // assumed to be gone because another start has its address
+	presumedGone   bool               // presumed gone because another start has its address
 	announcedAgain clock.Tick         // first announcement after that assumption
 }
 
@@ -39,7 +39,8 @@
 }
 
 // leaving is an announcement that a server leaves or is gone, and that has not been acknowledged yet. Before that, the
-// owner must have broken every promise on the server, and a majority of the core must know, or the next owner might not.
+// leader must have broken every callback on the server, and a majority of the core must know, or the next leader might
+// not know.
 type leaving struct {
 	token      uint64
 	since      clock.Tick
@@ -170,7 +171,7 @@
 	s.next = c.now // poll at once: the report lists what the server holds
 }
 
-// applyEnrolled copies the record of one server into the owner's view.
+// applyEnrolled copies the record of one server into the leader's view.
 func (c *Core) applyEnrolled(e *enrolled) {
 	if !c.duty.mine || !c.o.Enrolled {
 		return
@@ -320,7 +321,7 @@
 	return nodes
 }
 
-// tryAcknowledge acknowledges a departure once the owner and a majority know of it.
+// tryAcknowledge acknowledges a departure once the leader and a majority know of it.
 func (c *Core) tryAcknowledge(mark uint64, departure *leaving) {
 	value := c.latest()
 	if !departure.ownerKnows || value == nil || !voterset.Majority(*value, departure.knownBy) {
@@ -379,7 +380,7 @@
 }
 
 // updateRegistry runs the periodic work of the registry: it relays announcements, gives up on departures that too few
-// nodes confirmed, requests missing registries, and has the owner check on silent servers.
+// nodes confirmed, requests missing registries, and has the leader check on silent servers.
 func (c *Core) beatRoll() {
 	if !c.o.Enrolled {
 		return
@@ -471,7 +472,7 @@
 	})
 }
 
-// noteAnswer records that a server has answered this owner, which counts like an announcement.
+// noteAnswer records that a server has answered this leader, which counts like an announcement.
 func (c *Core) spoke(s *server) {
 	if e := c.roll[s.ID]; e != nil {
 		e.heard = c.now
@@ -481,8 +482,8 @@
 	}
 }
 
-// rebuildServers rebuilds the owner's view from the registry and, for servers that are unknown to this node in its
-// present life, from the previous owner's last list. A listed server whose address an enrolled server has is skipped:
+// rebuildServers rebuilds the leader's view from the registry and, for servers that are unknown to this node in its
+// present incarnation, from the previous leader's last list. A listed server whose address an enrolled server has is skipped:
 // it is gone and was already removed here, or will announce itself soon. The other listed servers count as silent from
 // the start, so that they are polled at once: the start of a new term says nothing about whether they are reachable.
 func (c *Core) callRoll() {
@@ -560,7 +561,7 @@
 	})
 }
 
-// registryComplete reports whether the owner has merged the registries of a majority, which contain every acknowledged
+// registryComplete reports whether the leader has merged the registries of a majority, which contain every acknowledged
 // departure.
 func (c *Core) registryComplete() bool {
 	return !c.o.Enrolled || c.reg.known != nil && voterset.Majority(*c.reg.known, c.rolls)
--- a/internal/controller/enrol_test.go
+++ b/internal/controller/enrol_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// An announcement to any node reaches the owner and every other node.
+// An announcement to any node reaches the leader and every other node.
 func TestBeaconsSpread(t *testing.T) {
 	c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
 	for i, id := range generic.SortedKeys(c.nodes) {
@@ -104,7 +104,7 @@
 	}
 }
 
-// A departure is acknowledged only when the owner and a majority know of it. The owner is a.
+// A departure is acknowledged only when the leader and a majority know of it. The leader is a.
 func TestLeavingIsKnown(t *testing.T) {
 	for _, x := range []struct {
 		name   string
@@ -200,7 +200,7 @@
 }
 
 // A silent server that answers polls stays reachable: its announcements may go to a core node that is disconnected from
-// the owner.
+// the leader.
 func TestSilentButThere(t *testing.T) {
 	c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
 	m, w := c.serve("s", "llm|m"), c.serve("w")
@@ -256,7 +256,7 @@
 	require.True(t, c.until(9e9, func() bool { return m.holds["llm|n"] }), "the floor of n is met")
 }
 
-// A new owner starts with the last server list and its own registry, so that routers get entries again at once, with
+// A new leader starts with the last server list and its own registry, so that routers get entries again at once, with
 // servers that have not announced themselves since.
 func TestTakeoverKnowsServers(t *testing.T) {
 	c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
@@ -344,7 +344,7 @@
 }
 
 // When an entry loses a server, its holder gets the break and the remaining servers in one message, so that it needn't
-// ask an owner that may have failed by then.
+// ask a leader that may have failed by then.
 func TestBrokenEntryKeepsItsOtherServers(t *testing.T) {
 	c := newCluster(t, modelPlan(8, "llm|m"), "a", "b", "c")
 	r := c.route("r")
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -22,8 +22,8 @@
 	require.Zero(t, c.ops[1].Expected)
 }
 
-// A server accepts an order of the old owner at the end of its lease, so that the new owner's first report doesn't show
-// it yet. A model that the new owner has placed there meanwhile must still get loaded, there or elsewhere.
+// A server accepts an order of the old leader at the end of its lease, so that the new leader's first report doesn't show
+// it yet. A model that the new leader has placed there meanwhile must still get loaded, there or elsewhere.
 func TestOrderInTheLastMoment(t *testing.T) {
 	for _, lag := range []clock.Span{100e6, 300e6, 500e6} {
 		c := newCluster(t, modelPlan(8, "llm|m", "llm|n", "llm|o"), "a", "b", "c")
@@ -77,7 +77,7 @@
 	require.Len(t, c.orders("unload"), 1)
 }
 
-// The next owner knows of an acknowledged departure even if it was disconnected when the departure was announced.
+// The next leader knows of an acknowledged departure even if it was disconnected when the departure was announced.
 func TestLeavingIsKnownToTheNextOwner(t *testing.T) {
 	for _, state := range []string{"leaving", "gone"} {
 		c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
@@ -143,7 +143,7 @@
 	require.Equal(t, "+n@s1 -x@s1", k.changes())
 }
 
-// A model that the plan doesn't contain occupies room too, and a new owner doesn't know how much.
+// A model that the plan doesn't contain occupies room too, and a new leader doesn't know how much.
 func TestUnnamedTakesRoom(t *testing.T) {
 	c := newCluster(t, modelPlan(8, "llm|m", "llm|n"), "a")
 	m := c.serve("s", "llm|m", "llm|lost")
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -10,9 +10,9 @@
 	"tidedeck/internal/protocol"
 )
 
-// Forwarding of changes to the owner of the leadership lease, and handling of forwarded changes at the owner.
+// Forwarding of changes to the leader, and handling of forwarded changes at the leader.
 
-// remoteProposer returns the node that proposes all changes, if a node other than this one owns the lease and answers.
+// remoteProposer returns the node that proposes all changes, if a node other than this one is the leader and answers.
 func (c *Core) proposerElsewhere() (protocol.Sibling, bool) {
 	owner := c.duty.who
 	if c.o.Alone || c.duty.mine || owner.ID == "" || owner.ID == c.o.Me.ID || !c.answered(owner.ID, voterFresh) {
@@ -46,14 +46,14 @@
 }
 
 // forwardDeadline returns when this node proposes a forwarded change itself. As long as outcomes of other changes
-// arrive, the owner is working and the change is still in its queue, so the deadline moves with the last outcome.
+// arrive, the leader is working and the change is still in its queue, so the deadline moves with the last outcome.
 func (c *Core) forwardDeadline(p *pendingChange) clock.Tick {
 	return min(max(p.sent, c.forwards.lastOutcome).Add(c.forwardTimeout()), p.sent.Add(maxForwardTimeout))
 }
 
-// forward sends a change to the owner of the lease.
+// forward sends a change to the leader.
 func (c *Core) forward(p *pendingChange, owner protocol.Sibling) {
-	c.reg.round++ // round numbers differ between lives of this node, so an old outcome cannot match
+	c.reg.round++ // round numbers differ between incarnations of this node, so an old outcome cannot match
 	number := c.reg.round
 	p.owner, p.sent, p.maybeCommitted = owner, c.now, true
 	c.forwards.open[number] = p
@@ -80,7 +80,7 @@
 	}
 }
 
-// outcomeEpoch returns the version that a change produced according to the owner, or 0 if no outcome has arrived.
+// outcomeEpoch returns the version that a change produced according to the leader, or 0 if no outcome has arrived.
 func (p *pendingChange) outcomeEpoch() ident.Epoch {
 	if p.outcome == nil {
 		return 0
@@ -95,7 +95,7 @@
 	}
 }
 
-// retryForwards proposes forwarded changes at this node if their outcome is overdue or their owner has lost the lease.
+// retryForwards proposes forwarded changes at this node if their outcome is overdue or the leader has lost the lease.
 func (c *Core) beatForwards() {
 	for _, number := range generic.SortedKeys(c.forwards.open) {
 		p := c.forwards.open[number]
@@ -143,7 +143,7 @@
 	c.tellKnown()
 }
 
-// acceptedForwards records the changes that other nodes have forwarded to this owner during its term, so that duplicates
+// acceptedForwards records the changes that other nodes have forwarded to this leader during its term, so that duplicates
 // are ignored.
 type forwardsTaken struct {
 	known map[forwardID]bool
--- a/internal/controller/host.go
+++ b/internal/controller/host.go
@@ -68,13 +68,13 @@
 	Rate    clock.Span // the limit on the store's load rate holds in every window of this length
 }
 
-// Hold derives the duration of a router's lease. The lease must end, on the owner's clock too, within each bound that it
+// Hold derives the duration of a router's lease. The lease must end, on the leader's clock too, within each bound that it
 // must not exceed.
 func (t Timing) Hold() clock.Span {
 	return max(200e6, min(2000e6, min(t.Apply, t.Drain)*7/10))
 }
 
-// Duty derives the duration of the duty's lease: short enough to replace a lost owner quickly, and long enough for four
+// Duty derives the duration of the leadership lease: short enough to replace a lost leader quickly, and long enough for four
 // rounds.
 func (t Timing) Duty() clock.Span { return max(400e6, min(1200e6, t.Hold()*4/7)) }
 
--- a/internal/controller/inspect.go
+++ b/internal/controller/inspect.go
@@ -11,7 +11,7 @@
 	"tidedeck/internal/protocol"
 )
 
-// Snapshot is a read-only view of the state that determines a core node's next steps in the register and the duty. It is
+// Snapshot is a read-only view of the state that determines a core node's next steps in the register and the leadership lease. It is
 // intended for checkers. It shares pointers with the core, so callers must not modify it.
 type Snapshot struct {
 	Began    bool // the node's incarnation is durable, so the node participates
@@ -31,7 +31,7 @@
 	Value         *protocol.Desired
 	DurableBallot protocol.Ballot
 	DurableValue  *protocol.Desired
-	Started       clock.Tick // start of this life; grants from before may still be in force without this voter knowing
+	Started       clock.Tick // start of this incarnation; grants from before may still be in force without this voter knowing
 	Duty          ident.Duty
 	DurableDuty   ident.Duty
 	Owner         ident.Node
@@ -87,7 +87,7 @@
 	Base     protocol.Ballot // ballot of the newest value known to be chosen when the operation began
 }
 
-// ForwardSnapshot is a change that was forwarded to the owner of the leadership lease.
+// ForwardSnapshot is a change that was forwarded to the leader.
 type ForwardSnapshot struct {
 	Change    string
 	Owner     ident.Node
@@ -95,7 +95,7 @@
 	Unsettled bool
 	Proposed  bool
 	Answered  bool
-	Outcome   ident.Epoch // resulting version according to the owner, which this node does not know yet
+	Outcome   ident.Epoch // resulting version according to the leader, which this node does not know yet
 }
 
 // QuerySnapshot is a majority read.
@@ -125,7 +125,7 @@
 	State protocol.State
 }
 
-// DutySnapshot is a node's own view of the duty.
+// DutySnapshot is a node's own view of the leadership lease.
 type DutySnapshot struct {
 	Mine    bool
 	Number  ident.Duty
--- a/internal/controller/list.go
+++ b/internal/controller/list.go
@@ -10,19 +10,19 @@
 	"tidedeck/internal/protocol"
 )
 
-// Roll is the server list of an owner of the duty. Every core node keeps the latest one on disk, so that a new owner or
+// Roll is the server list of a leader. Every core node keeps the latest one on disk, so that a new leader or
 // a restarted core has a list while the platform doesn't answer.
 type Roll struct {
 	Duty ident.Duty
 	List []protocol.Listed
 }
 
-// reachCheck is the state of an owner with poor connectivity that checks whether a sibling reaches more servers.
+// reachCheck is the state of a leader with poor connectivity that checks whether a peer reaches more servers.
 type eye struct {
 	since         clock.Tick // when connectivity became insufficient; 0 if it is sufficient
 	lastLook      clock.Tick
 	round         uint64
-	lastBroadcast clock.Tick // when the list was last sent to siblings
+	lastBroadcast clock.Tick // when the list was last sent to the peers
 }
 
 // listedStates are the valid states of a listed server.
@@ -99,7 +99,7 @@
 	c.save(map[string][]byte{diskL: jot(list)}, func() {})
 }
 
-// onListing handles the owner's server list.
+// onListing handles the leader's server list.
 func (c *Core) onListing(e protocol.Env) {
 	b := e.Body.(protocol.Listing)
 	if !c.duty.mine && validList(b.List) {
@@ -121,7 +121,7 @@
 	return should, reached
 }
 
-// checkReach asks siblings what they can reach after this owner's connectivity has been insufficient for a while, that
+// checkReach asks peers what they can reach after this leader's connectivity has been insufficient for a while, that
 // is, it can't reach the platform or reaches less than half of the servers.
 func (c *Core) beatEye() {
 	if c.o.Enrolled {
@@ -148,7 +148,7 @@
 	}
 }
 
-// onLook checks what this node can reach. A server answers an order with duty 0 with a report and doesn't execute it.
+// onLook checks what this node can reach. A server answers an order of term 0 with a report and doesn't execute it.
 func (c *Core) onLook(e protocol.Env) {
 	b := e.Body.(protocol.Look)
 	if len(b.List) > 1000 {
@@ -177,7 +177,7 @@
 	}
 }
 
-// onLooked hands the duty over to a sibling with clearly better connectivity.
+// onLooked hands the leadership lease over to a peer with clearly better connectivity.
 func (c *Core) onLooked(e protocol.Env) {
 	b := e.Body.(protocol.Looked)
 	if !c.rules() || b.Round != c.eye.round || c.eye.since == 0 {
--- a/internal/controller/lives_test.go
+++ b/internal/controller/lives_test.go
@@ -14,7 +14,7 @@
 	return protocol.Env{From: protocol.Sibling{ID: ident.Node(node), Addr: node}, Body: body}
 }
 
-// nonOwners returns the two nodes of three that don't own the duty.
+// nonOwners returns the two nodes of three that are not the leader.
 func (c *cluster) nonOwners() (l []string) {
 	for _, id := range []string{"a", "b", "c"} {
 		if id != c.owner() {
@@ -44,7 +44,7 @@
 	require.False(t, ok, "the departure is acknowledged, but only this node's disk has a record of it")
 }
 
-// A node with an emptied disk requests the registries of the others. An answer to a request of an earlier life lacks the
+// A node with an emptied disk requests the registries of the others. An answer to a request of an earlier incarnation lacks the
 // departures that were acknowledged since, so it must not count.
 func TestRollOfAnEarlierQuestion(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c")
--- a/internal/controller/look.go
+++ b/internal/controller/look.go
@@ -44,7 +44,7 @@
 // acceptsLoads reports whether a server may be ordered to load anything.
 func (c *Core) acceptsLoads(s *server) bool { return c.stays(s) && s.odd == "" && !s.plain && !s.alien }
 
-// refresh recomputes the cached facts about a place if they are out of date.
+// refresh recomputes the cached facts about a target if they are out of date.
 func (l *look) refresh(p *place) {
 	if !p.stale {
 		return
@@ -70,7 +70,7 @@
 	}
 }
 
-// targetsFor returns the places where a family may be loaded: with the store, any server of its service,
+// targetsFor returns the targets where a family may be loaded: with the store, any server of its service,
 // otherwise only servers that have it on their own disk.
 func (l *look) placesFor(f *family, store bool) []*place {
 	if store {
@@ -85,14 +85,14 @@
 	return onDisk
 }
 
-// evictionPlan is the set of evictions needed before a replica can be loaded at a place: the first so many of the
+// evictionPlan is the set of evictions needed before a replica can be loaded at a target: the first so many of the
 // evictable ones.
 type way struct {
 	leaves int
 	cost   float64
 }
 
-// planEvictions returns the evictions that one more replica of a family needs at a place, and whether the replica can
+// planEvictions returns the evictions that one more replica of a family needs at a target, and whether the replica can
 // be loaded there and is worth these evictions.
 func (l *look) wayFor(p *place, f *family) (way, bool) {
 	if p.server.room < f.model.Size || p.server.spots[f.model.Key] != nil {
@@ -120,7 +120,7 @@
 	return w, missing <= 0 && w.cost <= f.gain()
 }
 
-// beginEvictions begins the evictions at a place.
+// beginEvictions begins the evictions at a target.
 func (l *look) leave(p *place, w way) {
 	for _, victim := range slices.Clone(p.evictable[:w.leaves]) {
 		l.core.evict(p.server, victim.spot)
--- a/internal/controller/moves.go
+++ b/internal/controller/moves.go
@@ -24,7 +24,7 @@
 	return false
 }
 
-// advanceMoves completes moves. When the new replica has been ready for the time Rest, the old one is evicted.
+// advanceMoves completes moves. When the new replica has been ready for MinResidence, the old one is evicted.
 // A move ends without an eviction if its source or target is no longer available.
 func (c *Core) advanceMoves() {
 	for _, k := range generic.SortedKeys(c.shifts) {
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -16,7 +16,7 @@
 const (
 	busyPollInterval = 100e6 // interval between two reports while an order is in progress
 	pollIdle         = 10e9  // interval otherwise; announcements show that the server is alive
-	darkPollFactor   = 4     // multiple of o.Poll between two requests to a server that does not answer
+	darkPollFactor   = 4     // multiple of o.ReportInterval between two requests to a server that does not answer
 	reportLag        = 500e6 // maximum age of a report
 	tenureMargin     = 100e6 // margin by which two settle delays exceed the tenure
 )
@@ -178,7 +178,7 @@
 }
 
 // onReportFailed records that a server returned no report. After the second failure in a row the server counts
-// as dark.
+// as unreachable.
 func (c *Core) onReportFailed(s *server) {
 	s.next = c.now.Add(c.o.Poll)
 	if s.fails++; s.fails > 1 && !s.dark {
--- a/internal/controller/place.go
+++ b/internal/controller/place.go
@@ -86,7 +86,7 @@
 	return n
 }
 
-// loadMayBeRunning reports whether an ordered load may still be in progress; on a dark server it may be for
+// loadMayBeRunning reports whether an ordered load may still be in progress; on an unreachable server it may be for
 // maxDarkLoadTime.
 func (c *Core) loadMayBeRunning(s *server, p *spot) bool {
 	return !s.dark || c.now.Sub(p.since) < maxDarkLoadTime
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -8,7 +8,7 @@
 	"tidedeck/internal/ident"
 )
 
-// The plan in force at this node, and whether the owner knows enough about the servers to apply it.
+// The plan in force at this node, and whether the leader knows enough about the servers to apply it.
 
 // applyDesired puts the newest desired state into force at this node.
 func (c *Core) planned() {
@@ -32,7 +32,7 @@
 	}
 }
 
-// serversKnown reports whether the owner knows enough about the servers to answer for them.
+// serversKnown reports whether the leader knows enough about the servers to answer for them.
 func (c *Core) settled() bool {
 	if !c.rules() || c.listed == 0 {
 		return false
--- a/internal/controller/processor_test.go
+++ b/internal/controller/processor_test.go
@@ -31,7 +31,7 @@
 // freeze stops the processor for a while.
 func (p *processor) freeze(now clock.Tick, span clock.Span) { p.busyUntil = now.Add(span) }
 
-// queue appends an input. As with a real timer, a beat is lost if the previous one is still queued.
+// queue appends an input. As with a real timer, a tick is lost if the previous one is still queued.
 func (p *processor) queue(in any) {
 	if _, beat := in.(protocol.Beat); beat {
 		for _, w := range p.queued {
--- a/internal/controller/promises_test.go
+++ b/internal/controller/promises_test.go
@@ -74,7 +74,7 @@
 	require.Equal(t, next, refused[0].Promised)
 }
 
-// An owner uses the ballot that a majority promised with its last accept, so that a change takes one round. Each ballot
+// A leader uses the ballot that a majority promised with its last accept, so that a change takes one round. Each ballot
 // proposes only one value, even if the voters have promised a later ballot meanwhile.
 func TestPromiseIsUsedOnce(t *testing.T) {
 	c := newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
@@ -117,7 +117,7 @@
 	}
 }
 
-// forwardTo returns a message that forwards a change to an owner.
+// forwardTo returns a message that forwards a change to a leader.
 func forwardTo(n *Core, number uint64) protocol.Forward {
 	return protocol.Forward{Number: number, Term: n.duty.num, Op: "put", Raw: []byte("1"), Any: true, Change: fmt.Sprint("change-", number)}
 }
@@ -145,7 +145,7 @@
 	require.True(t, bodiesOf[protocol.Forwarded](n.Step(c.at, from("z", form)))[0].NotOwner, "only changes may be forwarded")
 }
 
-// handOver sends a change to a node that doesn't own the lease, and drops the message that forwards it to the owner.
+// handOver sends a change to a node that is not the leader, and drops the message that forwards it to the leader.
 func handOver(t *testing.T, a Admin) (c *cluster, node string, answer func() *Receipt) {
 	c = newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
 	c.run(2e9)
@@ -261,8 +261,8 @@
 	require.Zero(t, late)
 }
 
-// An outcome of a change from a node's earlier life must not match a change that its present life has forwarded, and
-// the owner must treat the change of the present life as new.
+// An outcome of a change from a node's earlier incarnation must not match a change that its present incarnation has forwarded, and
+// the leader must treat the change of the present incarnation as new.
 func TestForwardsOfAnEarlierLife(t *testing.T) {
 	c := newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
 	c.run(2e9)
@@ -286,7 +286,7 @@
 	c.loses = func(protocol.Env) bool { return false }
 	c.delay = 100e6
 	handed := c.nodes[owner].tally.ForwardsTaken
-	c.nodes[node].token = early.Number - 1 // a counter that restarts in each life would reach the same number
+	c.nodes[node].token = early.Number - 1 // a counter that restarts in each incarnation would reach the same number
 	answer := c.admin(node, Admin{Op: "put", Raw: []byte("late"), Any: true, Change: "late"})
 	require.Len(t, c.nodes[node].forwards.open, 1)
 	c.step(node, protocol.Env{From: protocol.Sibling{ID: ident.Node(owner), Addr: owner}, To: protocol.Sibling{ID: ident.Node(node), Addr: node}, Body: early})
@@ -297,7 +297,7 @@
 	require.Equal(t, handed+1, c.nodes[owner].tally.ForwardsTaken, "the owner accepted it")
 }
 
-// If the forwarding node has proposed a change as well, it passes on the owner's refusal only if that holds for its own
+// If the forwarding node has proposed a change as well, it passes on the leader's refusal only if that holds for its own
 // copy too.
 func TestRefusalBesideACopyOfOnesOwn(t *testing.T) {
 	for _, x := range []struct {
--- a/internal/controller/proposer_timing.go
+++ b/internal/controller/proposer_timing.go
@@ -13,7 +13,7 @@
 type roundTrips struct {
 	reads    roundtrip.Estimator // from a majority read to the answers of a majority
 	rounds   roundtrip.Estimator // the same for prepares and accepts, which carry the value
-	forwards roundtrip.Estimator // from forwarding a change to the lease owner to its outcome
+	forwards roundtrip.Estimator // from forwarding a change to the leader to its outcome
 }
 
 const (
--- a/internal/controller/reader.go
+++ b/internal/controller/reader.go
@@ -16,7 +16,7 @@
 	at          clock.Tick
 	claim       bool
 	num         ident.Duty
-	uncontested bool // no answering voter has granted the lease to another node since this node last owned it
+	uncontested bool // no answering voter has granted the lease to another node since this node last held it
 	set         protocol.Desired
 	yes         map[ident.Node]ident.Inc
 	grant       map[ident.Node]ident.Inc
@@ -138,7 +138,7 @@
 }
 
 // unsettledWait returns for how long reads must show one value that is not known to be chosen before this node
-// begins a full read: the accept may still be on its way. If another node owns the leadership lease, that node
+// begins a full read: the accept may still be on its way. If another node holds the leadership lease, that node
 // is given time to repair it first.
 func (c *Core) unsettledWait() clock.Span {
 	trip := min(c.reg.trips.reads.Timeout(), maxRivalRounds*c.o.Round)
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -29,7 +29,7 @@
 
 // broadcastDesired sends the newest desired state to every router.
 //
-// A router may use the previous version until its lease ends, and no lease may end later than Hold after a
+// A router may use the previous version until its lease ends, and no lease may end later than RouterLease after a
 // newer version was chosen. The leader may learn of a version some time after it was chosen. The version was
 // not chosen before the last majority read that did not show it, so the time of that read is a safe bound.
 func (c *Core) pushAll() {
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -9,12 +9,12 @@
 	"tidedeck/internal/protocol"
 )
 
-// The owner's view of model servers: what each one holds, how much room it has, and whether it may receive requests.
+// The leader's view of model servers: what each one holds, how much room it has, and whether it may receive requests.
 
-// server is the owner's view of one model server.
+// server is the leader's view of one model server.
 type server struct {
 	protocol.Listed
-	inc     ident.Inc // life of the server, from its last report
+	inc     ident.Inc // incarnation of the server, from its last report
 	room    int       // total room for models
 	slots   int       // maximum number of concurrent requests
 	spots   map[ident.Key]*spot
@@ -32,11 +32,11 @@
 	places  int        // places for adapters; 0 if they are not limited
 	busy    bool       // the server executes an order
 	alien   bool       // the order is from an earlier term, so its outcome is unknown
-	unsure  *spot      // the spot whose last order got no answer
+	unsure  *spot      // the replica whose last order got no answer
 	asked   clock.Tick // time of the last request or order
 	ordered clock.Tick // time of the last order
 
-	doing     *spot      // the spot whose order the server has accepted and executes
+	doing     *spot      // the replica whose order the server has accepted and executes
 	confirms  int        // number of confirmation requests for that order
 	confirmed clock.Tick // when the server last confirmed that an order was complete
 }
@@ -49,7 +49,7 @@
 	}
 }
 
-// spotFor returns the spot of a key: a model's spot, or the one of the server itself.
+// spotFor returns the replica of a key: a model's, or the one that stands for the server itself.
 func (s *server) spotOf(k ident.Key) *spot {
 	if s.whole != nil && k == s.whole.key {
 		return s.whole
@@ -80,7 +80,7 @@
 // free returns the room that is neither occupied nor reserved; it is negative if the server is over capacity.
 func (s *server) free() int { return s.room - s.used() }
 
-// leaving returns the room of the spots that are being unloaded.
+// leaving returns the room of the replicas that are being unloaded.
 func (s *server) leaving() int {
 	n := 0
 	for _, p := range s.spots {
@@ -130,7 +130,7 @@
 	return b != nil && b.stage == Ready
 }
 
-// nextOrder finds a spot whose order has not been sent. Orders are derived from the spots alone, so no order outlives
+// nextOrder finds a replica whose order has not been sent. Orders are derived from the replicas alone, so no order outlives
 // the reason for it.
 func (s *server) due() *spot {
 	if !s.known || s.dark {
--- a/internal/controller/starved_reads_test.go
+++ b/internal/controller/starved_reads_test.go
@@ -37,7 +37,7 @@
 	a.longest = max(a.longest, a.since)
 }
 
-// knowsNewest reports whether a node can tell a router whether its configuration is the newest.
+// knowsNewest reports whether a node can confirm to a router that its configuration is the newest.
 func (c *cluster) knowsNewest(id string) bool {
 	n := c.nodes[id]
 	return n.reg.heard != 0 && c.at.Sub(n.reg.heard) < n.o.Hold
@@ -337,9 +337,9 @@
 			c.run(4e9)
 			reports := 0
 			for _, o := range c.out {
-				if oops, is := o.(protocol.Oops); is {
-					require.NotContains(t, oops.Text, "majority reads do not complete", "delay %v, offset %v", delay, offset)
-					if strings.Contains(oops.Text, "no majority of the core answers") {
+				if report, is := o.(protocol.Oops); is {
+					require.NotContains(t, report.Text, "majority reads do not complete", "delay %v, offset %v", delay, offset)
+					if strings.Contains(report.Text, "no majority of the core answers") {
 						reports++
 					}
 				}
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -10,8 +10,8 @@
 	"tidedeck/internal/protocol"
 )
 
-// A restarted voter doesn't know what it granted before. It grants the duty to the last owner at once, since
-// that owner's previous grant is over, and to other nodes only after a forgotten grant must have expired.
+// A restarted voter doesn't know what it granted before. It grants the lease to the last leader at once, since
+// that leader's previous grant is over, and to other nodes only after a forgotten grant must have expired.
 func TestVoterAfterItsRestart(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -55,7 +55,7 @@
 	}
 }
 
-// After a power loss of the whole core, the last owner regains the duty within one lease duration.
+// After a power loss of the whole core, the last leader regains the lease within one lease duration.
 func TestDutyBackAfterPower(t *testing.T) {
 	c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
 	c.run(2e9)
--- a/internal/controller/voters.go
+++ b/internal/controller/voters.go
@@ -188,7 +188,7 @@
 // regionOf returns a voter's region. Without a table of regions, all zones belong to one region.
 func (c *Core) regionOf(v protocol.Voter) string { return c.o.Regions[v.Zone] }
 
-// HandingOver reports whether this node, which was told to stop, still holds a seat that a spare can take over.
+// HandingOver reports whether this node, which is to stop, still holds a seat that a spare can take over.
 // Until then it should keep answering: what it and a lost voter know may be known to no other majority.
 func (c *Core) HandingOver() bool {
 	if !c.ending || !c.o.HandOver || c.reg.known == nil {
--- a/internal/controller/weigh_test.go
+++ b/internal/controller/weigh_test.go
@@ -77,7 +77,7 @@
 		{"on the server with less load", 8, 9, keys{"s1": {x}, "s2": {y}}, demand{n: waits(1), x: {load: 0.25, now: 0.25}}, nil, "+n@s2"},
 		{"on the server that held it before", 8, 9, keys{"s1": {x}, "s2": {y}}, demand{n: waits(1)}, func(c *Core) { c.noteOnDisk(c.roll["s2"], n, true) }, "+n@s2"},
 		{"not on a server that executes an order of another leader", 8, 9, keys{"s1": {x}, "s2": {y}}, demand{n: waits(1)}, func(c *Core) { c.servers["s1"].alien = true }, "+n@s2"},
-		{"not on a dark server", 8, 9, keys{"s1": {x}, "s2": {y}}, demand{n: waits(1)}, func(c *Core) { c.servers["s1"].dark = true }, "+n@s2"},
+		{"not on an unreachable server", 8, 9, keys{"s1": {x}, "s2": {y}}, demand{n: waits(1)}, func(c *Core) { c.servers["s1"].dark = true }, "+n@s2"},
 		{"not on a leaving server", 8, 9, keys{"s1": {x}, "s2": {y}}, demand{n: waits(1)}, func(c *Core) { c.servers["s1"].State = "leaving" }, "+n@s2"},
 		{"not on a server without a report", 8, 9, keys{"s1": {x}, "s2": {y}}, demand{n: waits(1)}, func(c *Core) { c.servers["s1"].known = false }, "+n@s2"},
 		{"not on a server of another service", 8, 9, keys{"s1": {x}, "s2": {y}}, demand{n: waits(1)}, func(c *Core) { c.servers["s1"].Service = "more" }, "+n@s2"},
