--- a/internal/controller/adapters.go
+++ b/internal/controller/adapters.go
@@ -59,7 +59,7 @@
 	for _, s := range c.holding(key) {
 		c.visit(1)
 		if c.stays(s) {
-			least = min(least, c.seats[s.ID])
+			least = min(least, c.tokensInProgress[s.ID])
 		}
 	}
 	return least
@@ -72,14 +72,14 @@
 	least := most
 	for _, s := range c.holding(f.model.Key.Base()) {
 		c.visit(1)
-		if !c.stays(s) || s.alien || s.odd != "" || s.spots[f.model.Key] != nil || !s.based(f.model.Key) {
+		if !c.stays(s) || s.alien || s.odd != "" || s.replicas[f.model.Key] != nil || !s.based(f.model.Key) {
 			continue
 		}
 		leaves, ok := c.roomForAdapter(s, f, l.families)
 		if !ok {
 			continue
 		}
-		cost := float64(c.seats[s.ID])/crowdedTokens + adapterOrderCost*float64(s.pending()) + leaves.cost
+		cost := float64(c.tokensInProgress[s.ID])/crowdedTokens + adapterOrderCost*float64(s.pending()) + leaves.cost
 		if cost < least {
 			best, out, least = s, leaves, cost
 		}
@@ -116,8 +116,8 @@
 // that have been ready for a while and for which no request waits.
 func (c *Core) leastRequestedAdapter(s *server) (least *spot, rate float64) {
 	rate = math.Inf(1)
-	for _, key := range generic.SortedKeys(s.spots) {
-		p := s.spots[key]
+	for _, key := range generic.SortedKeys(s.replicas) {
+		p := s.replicas[key]
 		if !key.IsAdapter() || p.stage != Ready || c.now.Sub(p.ready) < freshSpan {
 			continue
 		}
--- a/internal/controller/address_test.go
+++ b/internal/controller/address_test.go
@@ -84,7 +84,7 @@
 // A server known only from the list is probed at once, and counts as unreachable after two missing answers.
 func TestServersFromTheListAreAskedAtOnce(t *testing.T) {
 	c := newListedCluster(t, "llm|m")
-	gone := beacon("old", "live", 1).Listed
+	gone := newAnnouncement("old", "live", 1).Listed
 	gone.Service = "llm"
 	c.setLastList("b", gone)
 	c.takeOver(t, "b")
@@ -111,7 +111,7 @@
 	} {
 		c := newCluster(t, modelPlan(12, "llm|m"), "a")
 		k := c.lead()
-		b := beacon("s", "live", 1)
+		b := newAnnouncement("s", "live", 1)
 		b.Service = "web"
 		v := k.plan.Services["llm"]
 		v.Plain, v.Keys = true, map[ident.Key]bool{"web|": true}
--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -83,8 +83,8 @@
 	return a.Change != "" && len(d.Done) == maxChanges && a.Expect < d.Done[0].Epoch
 }
 
-// hasTaken reports whether the newest value known to be chosen includes a change.
-func (c *Core) hasTaken(change string) bool {
+// hasChosen reports whether the newest value known to be chosen includes a change.
+func (c *Core) hasChosen(change string) bool {
 	k := c.reg.known
 	return change != "" && k != nil && slices.ContainsFunc(k.Done, func(x protocol.Change) bool { return x.ID == change })
 }
@@ -138,7 +138,7 @@
 	// A majority read that begins now shows whether the known value is the newest.
 	c.reg.reads = append(c.reg.reads, reader{a.Token, c.now})
 	c.reg.next = c.now
-	c.beatQuery()
+	c.tickQueries()
 }
 
 // pendingRead is an operator's read that waits for a majority read.
@@ -262,14 +262,14 @@
 		for _, id := range generic.SortedKeys(c.servers) {
 			s := c.servers[id]
 			var replicas []map[string]any
-			for _, k := range generic.SortedKeys(s.spots) {
-				p := s.spots[k]
+			for _, k := range generic.SortedKeys(s.replicas) {
+				p := s.replicas[k]
 				replicas = append(replicas, map[string]any{"key": k, "stage": p.stage, "size": p.size, "active": p.work})
 			}
 			servers = append(servers, map[string]any{"id": id, "zone": s.Zone, "state": s.State, "dark": s.dark, "known": s.known,
 				"odd": s.odd, "room": s.room, "used": s.used(), "slots": s.slots, "holds": replicas, "offered": c.open(s)})
 		}
-		return map[string]any{"servers": servers, "duty": c.duty.num, "lacks": c.lacks(), "moves": len(c.shifts)}
+		return map[string]any{"servers": servers, "duty": c.duty.num, "lacks": c.lacks(), "moves": len(c.moves)}
 	})
 }
 
--- a/internal/controller/changes.go
+++ b/internal/controller/changes.go
@@ -122,7 +122,7 @@
 	}
 	v, k, a := r.after, r.kind, p.admin
 	refused := isRefusal(k)
-	if refused && c.hasTaken(a.Change) {
+	if refused && c.hasChosen(a.Change) {
 		// Another copy of the change was committed in the same rounds, so this one must not be reported as refused.
 		v, k, refused = *c.reg.known, failure.Repeated, false
 	}
--- a/internal/controller/clear_room.go
+++ b/internal/controller/clear_room.go
@@ -44,17 +44,17 @@
 // evictableFor lists the replicas on a server that may be evicted for a request, least recently used first.
 // Adapters come before bases, and a base is listed only if all of its adapters may be evicted.
 func (c *Core) evictableFor(s *server, req placementRequest) []*spot {
-	keys := generic.SortedKeys(s.spots)
+	keys := generic.SortedKeys(s.replicas)
 	free := map[ident.Key]bool{}
 	var l []*spot
 	for _, key := range keys {
-		if p := s.spots[key]; key.IsAdapter() && c.mayEvict(p, req) {
+		if p := s.replicas[key]; key.IsAdapter() && c.mayEvict(p, req) {
 			free[key] = true
 			l = append(l, p)
 		}
 	}
 	for _, key := range keys {
-		if p := s.spots[key]; !key.IsAdapter() && c.mayEvict(p, req) && allEvictable(s, key, free) {
+		if p := s.replicas[key]; !key.IsAdapter() && c.mayEvict(p, req) && allEvictable(s, key, free) {
 			l = append(l, p)
 		}
 	}
@@ -70,7 +70,7 @@
 
 // allEvictable reports whether every adapter on a base may be evicted.
 func allEvictable(s *server, base ident.Key, free map[ident.Key]bool) bool {
-	for key := range s.spots {
+	for key := range s.replicas {
 		if key.IsAdapter() && key.Base() == base && !free[key] {
 			return false
 		}
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -28,7 +28,7 @@
 	models        map[string]*modelServer
 	routers       map[string]*router
 	out           []any // outputs of nodes that are neither messages nor requests to servers
-	asks          []pendingAsk
+	httpRequests  []pendingRequest
 	delay         clock.Span // of messages between nodes, which take half to two and a half times this
 	inFlight      []inFlightMessage
 	rng           *rand.Rand
@@ -51,12 +51,12 @@
 	protocol.Env
 }
 
-// pendingAsk is a request to a server that is not answered yet.
-type pendingAsk struct {
-	node string
-	at   clock.Tick // time of the answer
-	ask  protocol.Ask
-	told *protocol.Told // nil if the server's state at that time is the answer
+// pendingRequest is a request to a server that is not answered yet.
+type pendingRequest struct {
+	node    string
+	at      clock.Tick // time of the answer
+	request protocol.Ask
+	result  *protocol.Told // nil if the server's state at that time is the answer
 }
 
 // sentOrder is an order as sent.
@@ -212,14 +212,14 @@
 	require.Greater(c.t, v.Until, c.at)
 	require.NotEmpty(c.t, v.Server, "every request names its server")
 	m := c.models[v.Addr]
-	a := pendingAsk{node: node, at: c.at.Add(v.Wait), ask: v, told: &protocol.Told{Token: v.Token}}
+	a := pendingRequest{node: node, at: c.at.Add(v.Wait), request: v, result: &protocol.Told{Token: v.Token}}
 	if m != nil && !m.mute && !c.parted[node] {
 		a.at = c.at.Add(20e6)
-		a.told = nil
+		a.result = nil
 	}
 	if o.Op != "" {
 		x := sentOrder{at: c.at, node: node, addr: v.Addr, Order: o}
-		if a.told == nil {
+		if a.result == nil {
 			taken, heard := true, true
 			if m.lost != nil {
 				taken, heard = m.lost(o)
@@ -230,9 +230,9 @@
 			case taken:
 				x.code = m.take(o)
 			}
-			a.told = &protocol.Told{Token: v.Token, OK: true, Code: x.code}
+			a.result = &protocol.Told{Token: v.Token, OK: true, Code: x.code}
 			if !taken || !heard {
-				a.at, a.told = c.at.Add(v.Wait), &protocol.Told{Token: v.Token}
+				a.at, a.result = c.at.Add(v.Wait), &protocol.Told{Token: v.Token}
 			}
 		}
 		if o.Confirms {
@@ -242,7 +242,7 @@
 			c.ops = append(c.ops, x)
 		}
 	}
-	c.asks = append(c.asks, a)
+	c.httpRequests = append(c.httpRequests, a)
 }
 
 func (c *cluster) tick() {
@@ -269,18 +269,18 @@
 	for _, id := range generic.SortedKeys(c.processors) {
 		c.processors[id].run(c)
 	}
-	requests := c.asks
-	c.asks = nil
+	requests := c.httpRequests
+	c.httpRequests = nil
 	for _, a := range requests {
 		if a.at > c.at {
-			c.asks = append(c.asks, a)
+			c.httpRequests = append(c.httpRequests, a)
 			continue
 		}
-		if a.told == nil {
-			a.told = &protocol.Told{Token: a.ask.Token, OK: true, Code: 200, Body: jot(c.models[a.ask.Addr].report())}
+		if a.result == nil {
+			a.result = &protocol.Told{Token: a.request.Token, OK: true, Code: 200, Body: jot(c.models[a.request.Addr].report())}
 		}
 		if !c.parted[a.node] {
-			c.step(a.node, *a.told)
+			c.step(a.node, *a.result)
 		}
 	}
 }
@@ -329,7 +329,7 @@
 	}
 }
 
-func beacon(id, state string, count uint64) protocol.Beacon {
+func newAnnouncement(id, state string, count uint64) protocol.Beacon {
 	return protocol.Beacon{Listed: protocol.Listed{ID: ident.Server(id), Addr: "at-" + id, Zone: "z", State: state, Service: "llm", Slots: 8}, Count: count}
 }
 
@@ -343,7 +343,7 @@
 	lag       clock.Span
 	slow      clock.Span // least duration of every order
 	count     uint64     // number of accepted orders
-	beats     uint64
+	ticks     uint64
 	next      clock.Tick
 	holds     map[ident.Key]bool
 	had       map[ident.Key]bool
@@ -364,7 +364,7 @@
 
 // serve starts a model server that holds some keys.
 func (c *cluster) serve(id string, holds ...ident.Key) *modelServer {
-	m := &modelServer{c: c, Listed: beacon(id, "live", 0).Listed, lag: 300e6, holds: map[ident.Key]bool{}, had: map[ident.Key]bool{}}
+	m := &modelServer{c: c, Listed: newAnnouncement(id, "live", 0).Listed, lag: 300e6, holds: map[ident.Key]bool{}, had: map[ident.Key]bool{}}
 	for _, k := range holds {
 		m.holds[k], m.had[k] = true, true
 	}
@@ -423,11 +423,11 @@
 		m.past = m.past[50:]
 	}
 	if !m.silent && m.c.at >= m.next {
-		m.beats++
+		m.ticks++
 		m.next = m.c.at.Add(1000e6)
 		ids := generic.SortedKeys(m.c.nodes)
-		if id := ids[int(m.beats)%len(ids)]; !m.c.parted[id] {
-			m.c.announce(id, protocol.Beacon{Listed: m.Listed, Count: m.beats})
+		if id := ids[int(m.ticks)%len(ids)]; !m.c.parted[id] {
+			m.c.announce(id, protocol.Beacon{Listed: m.Listed, Count: m.ticks})
 		}
 	}
 }
@@ -504,24 +504,24 @@
 
 // router models a router's session and the entries it may send by.
 type router struct {
-	c       *cluster
-	id      string
-	ses     protocol.Session
-	seq     uint64
-	heard   uint64
-	fresh   bool
-	sent    map[uint64]clock.Tick
-	until   clock.Tick
-	next    clock.Tick
-	entries map[ident.Key][]protocol.Replica
-	asked   map[ident.Key]clock.Tick
-	burden  map[ident.Key]protocol.Burden // reported with every renewal
-	holdup  bool                          // acknowledges no changes
-	grants  []protocol.Grant
+	c        *cluster
+	id       string
+	ses      protocol.Session
+	seq      uint64
+	heard    uint64
+	fresh    bool
+	sent     map[uint64]clock.Tick
+	until    clock.Tick
+	next     clock.Tick
+	entries  map[ident.Key][]protocol.Replica
+	asked    map[ident.Key]clock.Tick
+	keyLoads map[ident.Key]protocol.Burden // reported with every renewal
+	holdup   bool                          // acknowledges no changes
+	grants   []protocol.Grant
 }
 
 func (c *cluster) route(id string) *router {
-	r := &router{c: c, id: id, burden: map[ident.Key]protocol.Burden{}, ses: protocol.Session{Node: ident.Node(id), Agent: 1, Router: 1}}
+	r := &router{c: c, id: id, keyLoads: map[ident.Key]protocol.Burden{}, ses: protocol.Session{Node: ident.Node(id), Agent: 1, Router: 1}}
 	r.resetSession()
 	c.routers[id] = r
 	return r
@@ -553,7 +553,7 @@
 		r.sent[r.seq] = r.c.at
 		k := r.c.lead().reg.known
 		b := map[ident.Key]protocol.Burden{}
-		for k, u := range r.burden {
+		for k, u := range r.keyLoads {
 			b[k] = u
 		}
 		r.c.step(r.c.owner(), r.mail(protocol.Renew{Session: r.ses, Seq: r.seq, Fresh: r.fresh, Gen: k.Gen, Epoch: k.Epoch, Heard: r.heard, Burden: b}))
@@ -561,10 +561,10 @@
 	if r.fresh || r.c.owner() == "" {
 		return
 	}
-	for _, k := range generic.SortedKeys(r.burden) {
+	for _, k := range generic.SortedKeys(r.keyLoads) {
 		if _, ok := r.entries[k]; !ok && r.c.at.Sub(r.asked[k]) > 400e6 {
 			r.asked[k] = r.c.at
-			r.c.step(r.c.owner(), r.mail(protocol.Want{Session: r.ses, Key: k, Waiting: r.burden[k].Wait, Value: 1}))
+			r.c.step(r.c.owner(), r.mail(protocol.Want{Session: r.ses, Key: k, Waiting: r.keyLoads[k].Wait, Value: 1}))
 		}
 	}
 }
@@ -615,8 +615,8 @@
 
 // ask reports waiting requests for one key, and none for any other.
 func (r *router) ask(k ident.Key) {
-	clear(r.burden)
-	r.burden[k] = protocol.Burden{Wait: 3, Came: 3, Load: 0.1}
+	clear(r.keyLoads)
+	r.keyLoads[k] = protocol.Burden{Wait: 3, Came: 3, Load: 0.1}
 }
 
 // modelPlan returns a plan with the service "llm", whose servers hold models of size 4 and adapters of size 1 in
--- a/internal/controller/confirm.go
+++ b/internal/controller/confirm.go
@@ -78,7 +78,7 @@
 		}
 		c.becameReady(s, p)
 	} else {
-		for _, key := range generic.SortedKeys(s.spots) {
+		for _, key := range generic.SortedKeys(s.replicas) {
 			if key == p.key || !p.key.IsAdapter() && key.Base() == p.key {
 				c.dropSpot(s, key)
 			}
--- a/internal/controller/confirm_test.go
+++ b/internal/controller/confirm_test.go
@@ -80,7 +80,7 @@
 		n := 0
 		s.lost = func(protocol.Order) (bool, bool) { n++; return true, n == 1 }
 		r := c.route("r")
-		r.burden["llm|m"] = protocol.Burden{Wait: 1, Came: 1, Load: 0.1}
+		r.keyLoads["llm|m"] = protocol.Burden{Wait: 1, Came: 1, Load: 0.1}
 		require.True(t, c.until(20e9, func() bool { return r.sends("llm|m", ident.Server("s")) }), slow)
 		require.Len(t, c.orders("load"), 1, slow)
 	}
@@ -99,17 +99,17 @@
 	r := c.route("r")
 	c.run(4e9)
 	r.ask("llm|n")
-	confirmation := func() *pendingAsk {
-		for i := range c.asks {
-			if o := c.asks[i].ask.Body.(protocol.Order); o.Confirms && c.asks[i].told != nil && c.asks[i].told.Code == holdsAlready {
-				return &c.asks[i]
+	confirmation := func() *pendingRequest {
+		for i := range c.httpRequests {
+			if o := c.httpRequests[i].request.Body.(protocol.Order); o.Confirms && c.httpRequests[i].result != nil && c.httpRequests[i].result.Code == holdsAlready {
+				return &c.httpRequests[i]
 			}
 		}
 		return nil
 	}
 	require.True(t, c.until(9e9, func() bool { return confirmation() != nil }))
 	k := c.lead()
-	for _, out := range k.Step(c.at.Add(clock.Span(5e9)), *confirmation().told) {
+	for _, out := range k.Step(c.at.Add(clock.Span(5e9)), *confirmation().result) {
 		if a, is := out.(protocol.Ask); is {
 			require.Empty(t, a.Body.(protocol.Order).Op, "the lease has expired")
 		}
--- a/internal/controller/control_test.go
+++ b/internal/controller/control_test.go
@@ -53,8 +53,8 @@
 	c.spare(id)
 }
 
-// settledSet reports whether a node knows a voter set of exactly these nodes and no joint set.
-func (c *cluster) settledSet(node string, ids ...string) bool {
+// votersAre reports whether a node knows a voter set of exactly these nodes and no joint set.
+func (c *cluster) votersAre(node string, ids ...string) bool {
 	k := c.nodes[node].reg.known
 	if k == nil || len(k.Prior) > 0 || len(k.Voters) != len(ids) {
 		return false
@@ -213,7 +213,7 @@
 			r := c.told(asked, Admin{Op: "put", Raw: []byte("p"), Expect: ident.Epoch(version), Number: ident.Epoch(version + 1), Change: fmt.Sprint(seed, version)})
 			require.Equal(t, failure.None, r.Kind, "seed %d round %d: %v at %s", seed, round, r, asked)
 			version++
-			require.True(t, c.settledSet(c.owner(), live...), "seed %d round %d: %v", seed, round, c.lead().reg.known.Voters)
+			require.True(t, c.votersAre(c.owner(), live...), "seed %d round %d: %v", seed, round, c.lead().reg.known.Voters)
 		}
 	}
 }
@@ -255,7 +255,7 @@
 	c.spare("d")
 	c.run(1e9)
 	for _, id := range []string{"a", "b", "c"} {
-		require.True(t, c.settledSet(id, "a", "b", "c"), "a complete set must not take a spare")
+		require.True(t, c.votersAre(id, "a", "b", "c"), "a complete set must not take a spare")
 	}
 	stopping = c.owner()
 	c.step(stopping, protocol.Stop{})
@@ -287,8 +287,8 @@
 	c.told("a", Admin{Op: "put", Raw: []byte("1"), Number: 1, Change: "x"})
 	wiped := c.other()
 	c.down(wiped)
-	c.announce(c.owner(), beacon("s", "live", 1))
-	c.announce(c.owner(), beacon("s", "leaving", 2))
+	c.announce(c.owner(), newAnnouncement("s", "live", 1))
+	c.announce(c.owner(), newAnnouncement("s", "leaving", 2))
 	c.run(1e9)
 	c.wipe(wiped)
 	require.False(t, c.nodes[wiped].rollWhole)
@@ -306,7 +306,7 @@
 	c.down(away)
 	c.disks[away] = map[string][]byte{}
 	c.reboot(away)
-	ok, answered := c.announce(away, beacon("s", "live", 1))
+	ok, answered := c.announce(away, newAnnouncement("s", "live", 1))
 	require.True(t, answered)
 	require.False(t, ok)
 }
@@ -321,7 +321,7 @@
 	c.run(3e9)
 	require.Nil(t, c.nodes["d"].reg.known)
 	c.step("d", protocol.Reseed{Seeds: living})
-	require.True(t, c.until(catchUp, func() bool { return c.settledSet("d", "a", "b", "c") }))
+	require.True(t, c.until(catchUp, func() bool { return c.votersAre("d", "a", "b", "c") }))
 
 	forming := New(Options{Me: protocol.Sibling{ID: "n", Addr: "n"}, Seeds: living})
 	forming.Step(1, protocol.Reseed{Seeds: c.seeds})
@@ -398,7 +398,7 @@
 	s.silent = true // announces nothing by itself; the test announces it to the partitioned node
 	for count := uint64(100); count < 106; count++ {
 		c.run(1e9)
-		ok, answered := c.announce(parted, beacon("s", "live", count))
+		ok, answered := c.announce(parted, newAnnouncement("s", "live", count))
 		require.True(t, answered)
 		require.Equal(t, count == 100, ok, "announcement %d: the node hears no majority", count-99)
 		require.False(t, c.lead().servers["s"].dark, "the server answers the leader's queries")
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -109,7 +109,7 @@
 // evictModel starts the eviction of m from the server.
 func (n *node) evictModel() {
 	n.Core.now, n.Core.out = n.at, nil
-	n.evict(n.servers["s"], n.servers["s"].spots["m"])
+	n.evict(n.servers["s"], n.servers["s"].replicas["m"])
 	n.flush()
 	n.act(n.Core.out)
 }
@@ -302,7 +302,9 @@
 	n, _ := ready(t)
 	n.pass(3e9, has("m", "ready"))
 	n.evictModel()
-	n.run(3e9, func() bool { return n.servers["s"].spots["m"].stage == Unloading || len(n.asked) > 0 && n.answered() })
+	n.run(3e9, func() bool {
+		return n.servers["s"].replicas["m"].stage == Unloading || len(n.asked) > 0 && n.answered()
+	})
 	n.pass(3e9, has("m", "ready")) // each unload is refused: the replica drains again and the order is repeated
 	before := n.unloads()
 	require.Positive(t, before)
@@ -310,7 +312,7 @@
 	n.pass(400e6, has("m", "loading")) // the model is loaded again because of its floor
 	n.pass(3e9, has("m", "ready"))     //
 	require.LessOrEqual(t, n.unloads(), before+1, "the reloaded model is not unloaded")
-	require.Equal(t, Ready, n.servers["s"].spots["m"].stage)
+	require.Equal(t, Ready, n.servers["s"].replicas["m"].stage)
 }
 
 // answered has the server report m as ready if a request is pending. It always returns false.
@@ -630,7 +632,7 @@
 	n := owner(t, onePlan)
 	n.Core.now, n.Core.out = n.at, nil
 	n.reg.next = 0
-	n.beatQuery()
+	n.tickQueries()
 	q := n.reg.newestQuery()
 	require.True(t, q.claim)
 	n.giveBack("it is blind", "b")
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -116,65 +116,65 @@
 	plan      *fleetplan.Plan
 	planBases planBases
 
-	empty       map[ident.Zone]bool
-	servers     map[ident.Server]*server
-	paces       map[ident.Key]pace // by base model
-	slowest     float64            // the slowest of the paces, as of slowestAt
-	slowestAt   clock.Tick
-	diskPart    float64 // load time from a server's own disk, as a fraction of that from the store
-	entries     map[ident.Key]*entry
-	pendingAsks map[uint64]func(protocol.Told)
-	token       uint64
-	saves       map[uint64]func() // continuations of outstanding saves and computations
-	forwards    forwards
-	taken       forwardsTaken
-	demand      map[ident.Key]*need
-	listed      clock.Tick
-	listing     bool
-	list        Roll       // the last server list that a leader had
-	seenAt      clock.Tick // when the platform last sent a list
-	eye         eye
-	swept       clock.Tick
-	windows     []*window
-	shutZ       map[ident.Zone]bool
-	shutS       map[ident.Server]bool
-	shutAt      clock.Tick
-	soonZ       map[ident.Zone]bool // closed soon: models that are only there are loaded elsewhere first
-	soonS       map[ident.Server]bool
-	shifts      map[ident.Key]*shift
-	uneven      clock.Tick                 // since when the servers' load is imbalanced
-	shifted     clock.Tick                 // when the last move began
-	roll        map[ident.Server]*enrolled // every server that announced itself; replicated on every core node
-	leavings    []byte                     // stored form of the servers that are leaving
-	relays      []protocol.Beacon          // announcements not yet relayed to the other core nodes
-	relayed     clock.Tick
-	summed      clock.Tick
-	seeded      clock.Tick
-	asked       clock.Tick        // when routers first reported demand to this leader
-	line        map[ident.Key]int // queue position of keys without a replica that the store's rate limit delays
-	acks        map[uint64]*leaving
-	weighed     clock.Tick
-	weighPause  clock.Span // until the next placement pass
-	fleet       serverIndex
-	disks       diskIndex
-	linkSet     linkSet
-	workload    *workload.Index
-	seats       map[ident.Server]int // tokens in progress from all routers, by server
-	mark        uint64
-	rolls       map[ident.Node]ident.Inc // core nodes whose list of enrolled servers this leader has received
-	recovered   map[ident.Node]ident.Inc // core nodes whose list this node has received since it lost its disk
-	rollWhole   bool                     // this node has heard of all acknowledged departures, or never lost any
-	called      clock.Tick
-	begun       []clock.Tick // when the recent loads began
-	tally       Tally
-	began       bool
-	ackedEpoch  ident.Epoch       // the highest epoch that this node has acknowledged
-	ending      bool              // a planned stop is in progress; the lease is no longer claimed
-	rollout     rollout           // rollout of the newest configuration, while this node is the leader
-	versions    []version         // versions chosen during this node's term, oldest first
-	newest      *protocol.Desired // as sent to routers
-	newestBytes *protocol.Packed  // the same, encoded once for all routers
-	stall       clock.Stall       // stalls of this process
+	empty              map[ident.Zone]bool
+	servers            map[ident.Server]*server
+	tokenTimes         map[ident.Key]pace // by base model
+	slowest            float64            // the slowest of the paces, as of slowestAt
+	slowestAt          clock.Tick
+	diskPart           float64 // load time from a server's own disk, as a fraction of that from the store
+	entries            map[ident.Key]*entry
+	pendingAsks        map[uint64]func(protocol.Told)
+	token              uint64
+	saves              map[uint64]func() // continuations of outstanding saves and computations
+	forwards           forwards
+	acceptedForwards   forwardsTaken
+	demand             map[ident.Key]*need
+	listed             clock.Tick
+	listing            bool
+	list               Roll       // the last server list that a leader had
+	seenAt             clock.Tick // when the platform last sent a list
+	eye                eye
+	swept              clock.Tick
+	windows            []*window
+	shutZ              map[ident.Zone]bool
+	shutS              map[ident.Server]bool
+	shutAt             clock.Tick
+	soonZ              map[ident.Zone]bool // closed soon: models that are only there are loaded elsewhere first
+	soonS              map[ident.Server]bool
+	moves              map[ident.Key]*shift
+	uneven             clock.Tick                 // since when the servers' load is imbalanced
+	shifted            clock.Tick                 // when the last move began
+	roll               map[ident.Server]*enrolled // every server that announced itself; replicated on every core node
+	leavings           []byte                     // stored form of the servers that are leaving
+	relays             []protocol.Beacon          // announcements not yet relayed to the other core nodes
+	relayed            clock.Tick
+	summed             clock.Tick
+	seeded             clock.Tick
+	asked              clock.Tick        // when routers first reported demand to this leader
+	line               map[ident.Key]int // queue position of keys without a replica that the store's rate limit delays
+	acks               map[uint64]*leaving
+	lastPlacement      clock.Tick
+	placementPause     clock.Span // until the next placement pass
+	fleet              serverIndex
+	disks              diskIndex
+	linkSet            linkSet
+	workload           *workload.Index
+	tokensInProgress   map[ident.Server]int // tokens in progress from all routers, by server
+	mark               uint64
+	registriesReceived map[ident.Node]ident.Inc // core nodes whose list of enrolled servers this leader has received
+	recovered          map[ident.Node]ident.Inc // core nodes whose list this node has received since it lost its disk
+	rollWhole          bool                     // this node has heard of all acknowledged departures, or never lost any
+	called             clock.Tick
+	begun              []clock.Tick // when the recent loads began
+	tally              Tally
+	began              bool
+	ackedEpoch         ident.Epoch       // the highest epoch that this node has acknowledged
+	ending             bool              // a planned stop is in progress; the lease is no longer claimed
+	rollout            rollout           // rollout of the newest configuration, while this node is the leader
+	versions           []version         // versions chosen during this node's term, oldest first
+	newest             *protocol.Desired // as sent to routers
+	newestBytes        *protocol.Packed  // the same, encoded once for all routers
+	stall              clock.Stall       // stalls of this process
 }
 
 // Tally counts a core node's operations; its fields are published as metrics.
@@ -204,13 +204,13 @@
 func New(o Options) *Core {
 	o = o.Defaults()
 	c := &Core{
-		o: o, diskPart: diskPartBegin, paces: map[ident.Key]pace{},
+		o: o, diskPart: diskPartBegin, tokenTimes: map[ident.Key]pace{},
 		fleet: newServerIndex(), disks: diskIndex{}, linkSet: newLinkSet(), workload: workload.NewIndex(),
 		links: map[protocol.Session]*link{}, tombs: map[protocol.Session]clock.Tick{},
 		servers: map[ident.Server]*server{}, entries: map[ident.Key]*entry{},
 		pendingAsks: map[uint64]func(protocol.Told){}, saves: map[uint64]func(){}, forwards: forwards{open: map[uint64]*pendingChange{}},
-		demand: map[ident.Key]*need{}, shifts: map[ident.Key]*shift{}, empty: map[ident.Zone]bool{},
-		seats: map[ident.Server]int{}, roll: map[ident.Server]*enrolled{}, acks: map[uint64]*leaving{}, rolls: map[ident.Node]ident.Inc{}, recovered: map[ident.Node]ident.Inc{},
+		demand: map[ident.Key]*need{}, moves: map[ident.Key]*shift{}, empty: map[ident.Zone]bool{},
+		tokensInProgress: map[ident.Server]int{}, roll: map[ident.Server]*enrolled{}, acks: map[uint64]*leaving{}, registriesReceived: map[ident.Node]ident.Inc{}, recovered: map[ident.Node]ident.Inc{},
 	}
 	c.mates = membership.New(membership.Options{
 		Me:    protocol.Member{Sibling: o.Me, Role: "controller", Zone: o.Zone, Inc: o.Inc},
@@ -257,9 +257,9 @@
 		switch {
 		case !c.began:
 		case c.ending:
-			c.beatEnding()
+			c.tickStopping()
 		default:
-			c.beat()
+			c.tick()
 		}
 	}
 	c.flush()
@@ -290,24 +290,24 @@
 	handlers = map[string]func(*Core, protocol.Env){
 		"Prepare": (*Core).onPrepare, "Accept": (*Core).onAccept, "Query": (*Core).onQuery, "Release": (*Core).onRelease, "Fetch": (*Core).onFetch,
 		"Promise": (*Core).onPromise, "Accepted": (*Core).onAccepted, "State": (*Core).onState, "Value": (*Core).onValue,
-		"Listing": (*Core).onListing, "Look": (*Core).onLook, "Looked": (*Core).onLooked,
-		"Taken": (*Core).onTaken, "Kept": (*Core).onKept, "Forward": (*Core).onForward, "Forwarded": (*Core).onForwarded,
-		"RollCall": (*Core).onRollCall, "Roll": (*Core).onRoll, "Beacons": (*Core).onBeacons, "BeaconsHeard": (*Core).onBeaconsHeard,
-		"Renew": (*Core).onRenew, "Heard": (*Core).onHeard, "Want": (*Core).onWant, "Removal": (*Core).onRemoval,
+		"Listing": (*Core).onServerList, "Look": (*Core).onReachQuery, "Looked": (*Core).onReachReply,
+		"Taken": (*Core).onValueChosen, "Kept": (*Core).onRecoveryReply, "Forward": (*Core).onForward, "Forwarded": (*Core).onForwarded,
+		"RollCall": (*Core).onRegistryQuery, "Roll": (*Core).onRegistryReply, "Beacons": (*Core).onAnnouncements, "BeaconsHeard": (*Core).onAnnouncementsAck,
+		"Renew": (*Core).onRenew, "Heard": (*Core).onAck, "Want": (*Core).onEntryRequest, "Removal": (*Core).onDroppedEntries,
 	}
 }
 
 // minStall is the shortest gap between two ticks that is logged as a stall.
 const minStall = clock.Span(250e6)
 
-func (c *Core) beat() {
+func (c *Core) tick() {
 	if gap := c.stall.Beat(c.now); gap > 0 {
 		c.tally.Stalls++
 		c.note("process stalled", field("ms", gap.Milliseconds()), field("owns", c.rules()))
 	}
 	c.emit(c.mates.Beat(c.now)...)
-	c.beatRegister()
-	c.beatDuty()
+	c.tickRegister()
+	c.tickLeadership()
 	c.beatLinks()
 	c.beatRoll()
 	c.beatPlace()
@@ -322,10 +322,10 @@
 	c.mates.Reseed(seeds)
 }
 
-// beatEnding keeps a node that was told to stop among the voters until a spare has its seat.
-func (c *Core) beatEnding() {
+// tickStopping keeps a node that was told to stop among the voters until a spare has its seat.
+func (c *Core) tickStopping() {
 	c.emit(c.mates.Beat(c.now)...)
-	c.beatRegister()
+	c.tickRegister()
 }
 
 func (c *Core) emit(l ...protocol.Env) {
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -133,21 +133,21 @@
 // extrapolated by trendWeight; a falling load follows the slower average.
 func (n *need) forecastLoad() float64 { return math.Max(n.load, n.now+(n.now-n.load)*trendWeight) }
 
-// updateSeats replaces what a router reported as running at each server.
-func (c *Core) updateSeats(l *link, seats map[ident.Server]int) {
-	for s, n := range l.seats {
-		if c.seats[s] -= n; c.seats[s] <= 0 {
-			delete(c.seats, s)
+// updateTokensInProgress replaces what a router reported as running at each server.
+func (c *Core) updateTokensInProgress(l *link, seats map[ident.Server]int) {
+	for s, n := range l.tokensInProgress {
+		if c.tokensInProgress[s] -= n; c.tokensInProgress[s] <= 0 {
+			delete(c.tokensInProgress, s)
 		}
 	}
 	for s, n := range seats {
-		c.seats[s] += n
+		c.tokensInProgress[s] += n
 	}
-	l.seats = seats
+	l.tokensInProgress = seats
 }
 
-// seatsFor returns, for the servers in a router's entries, the tokens that all routers have in progress.
-func (c *Core) seatsFor(l *link) map[ident.Server]int {
+// tokensInProgressFor returns, for the servers in a router's entries, the tokens that all routers have in progress.
+func (c *Core) tokensInProgressFor(l *link) map[ident.Server]int {
 	if !c.o.Unfenced {
 		return nil
 	}
@@ -156,7 +156,7 @@
 		c.visit(1)
 		if e := c.entries[k]; e != nil {
 			for _, r := range e.replicas {
-				if n := c.seats[r.wire.Server]; n > 0 {
+				if n := c.tokensInProgress[r.wire.Server]; n > 0 {
 					m[r.wire.Server] = n
 				}
 			}
--- a/internal/controller/demand_test.go
+++ b/internal/controller/demand_test.go
@@ -55,7 +55,7 @@
 				c.now = c.now.Add(2 * freshSpan)
 				c.duty.asked = c.now // the node still holds the term
 			case r.ask:
-				c.onWant(protocol.Env{Body: protocol.Want{Session: session, Key: key, Waiting: r.waiting, Value: r.value}})
+				c.onEntryRequest(protocol.Env{Body: protocol.Want{Session: session, Key: key, Waiting: r.waiting, Value: r.value}})
 			default:
 				burden := protocol.Burden{Wait: r.waiting, Top: r.value, Came: 1}
 				c.onRenew(protocol.Env{Body: protocol.Renew{Session: session, Burden: map[ident.Key]protocol.Burden{key: burden}}})
--- a/internal/controller/duty.go
+++ b/internal/controller/duty.go
@@ -171,21 +171,21 @@
 
 // resetTerm discards all state that belongs to one term.
 func (c *Core) resetTerm() {
-	c.seats = map[ident.Server]int{}
+	c.tokensInProgress = map[ident.Server]int{}
 	c.links, c.tombs, c.wants = map[protocol.Session]*link{}, map[protocol.Session]clock.Tick{}, nil
 	c.linkSet, c.workload = newLinkSet(), workload.NewIndex()
 	c.beginVersions()
 	c.fleet = newServerIndex()
 	c.servers, c.entries = map[ident.Server]*server{}, map[ident.Key]*entry{}
 	c.demand = map[ident.Key]*need{}
-	c.shifts, c.uneven, c.shifted = map[ident.Key]*shift{}, 0, c.now
+	c.moves, c.uneven, c.shifted = map[ident.Key]*shift{}, 0, c.now
 	c.listing, c.listed, c.eye, c.begun, c.asked = false, 0, eye{round: c.eye.round}, nil, 0
-	c.taken = forwardsTaken{}
+	c.acceptedForwards = forwardsTaken{}
 	c.planned()
 	if c.duty.mine && c.o.Enrolled {
-		c.rolls, c.called = map[ident.Node]ident.Inc{}, 0
+		c.registriesReceived, c.called = map[ident.Node]ident.Inc{}, 0
 		if c.rollWhole {
-			c.rolls[c.o.Me.ID] = c.vote.inc
+			c.registriesReceived[c.o.Me.ID] = c.vote.inc
 		}
 		c.callRoll()
 	} else if c.duty.mine {
@@ -193,9 +193,9 @@
 	}
 }
 
-// beatDuty ends a term whose lease expired long ago. Until then nothing is granted or ordered, but the state is
+// tickLeadership ends a term whose lease expired long ago. Until then nothing is granted or ordered, but the state is
 // kept: if a majority renews the same term, no other node held the lease in between.
-func (c *Core) beatDuty() {
+func (c *Core) tickLeadership() {
 	if c.duty.mine && c.now > c.duty.until(c).Add(lapseSpans*c.o.Duty) {
 		c.lose("the lease expired")
 	}
--- a/internal/controller/enrol.go
+++ b/internal/controller/enrol.go
@@ -42,12 +42,12 @@
 // leader must have broken every callback on the server, and a majority of the core must know, or the next leader might
 // not know.
 type leaving struct {
-	token      uint64
-	since      clock.Tick
-	lastSent   clock.Tick
-	beacons    []protocol.Beacon
-	knownBy    map[ident.Node]ident.Inc
-	ownerKnows bool
+	token         uint64
+	since         clock.Tick
+	lastSent      clock.Tick
+	announcements []protocol.Beacon
+	knownBy       map[ident.Node]ident.Inc
+	ownerKnows    bool
 }
 
 // stateRank orders the states of a server's life; a server never returns to an earlier state.
@@ -211,7 +211,7 @@
 		s.slots = max(1, v.Slots)
 	}
 	s.room, s.places, s.plain = v.Room, v.Places, v.Plain
-	for k, p := range s.spots {
+	for k, p := range s.replicas {
 		p.size = c.sizeOf(k) // the server may have reported it before the plan with its size was known
 	}
 	if s.plain && !s.known {
@@ -239,7 +239,7 @@
 	}
 	if b.State == "live" {
 		if first {
-			c.relayBeacons()
+			c.relayAnnouncements()
 		}
 		// A node without contact to the core answers not OK, so that the server tries another node.
 		c.out = append(c.out, Announced{Token: a.Token, OK: c.reg.known == nil && !c.o.Joined || c.Ready()})
@@ -253,7 +253,7 @@
 		c.out = append(c.out, Announced{Token: a.Token, OK: true}) // an unknown server: it was never offered
 		return
 	}
-	departure := &leaving{token: a.Token, since: c.now, beacons: []protocol.Beacon{e.Beacon}, knownBy: map[ident.Node]ident.Inc{}}
+	departure := &leaving{token: a.Token, since: c.now, announcements: []protocol.Beacon{e.Beacon}, knownBy: map[ident.Node]ident.Inc{}}
 	mark := c.mark
 	c.acks[mark] = departure
 	departure.ownerKnows = c.rules()
@@ -298,7 +298,7 @@
 func (c *Core) sendLeaving(mark uint64, departure *leaving) {
 	departure.lastSent = c.now
 	for _, sibling := range c.others() {
-		c.send(sibling, protocol.Beacons{Mark: mark, List: departure.beacons})
+		c.send(sibling, protocol.Beacons{Mark: mark, List: departure.announcements})
 	}
 }
 
@@ -335,14 +335,14 @@
 
 // noteLeaving logs the outcome of a departure.
 func (c *Core) noteLeaving(text string, departure *leaving) {
-	for _, b := range departure.beacons {
+	for _, b := range departure.announcements {
 		c.note(text, field("server", b.ID), field("state", b.State), field("owner_knows", departure.ownerKnows),
 			field("known_at", generic.SortedKeys(departure.knownBy)), field("took_ms", c.now.Sub(departure.since).Milliseconds()))
 	}
 }
 
-// onBeacons handles announcements that another core node relays.
-func (c *Core) onBeacons(e protocol.Env) {
+// onAnnouncements handles announcements that another core node relays.
+func (c *Core) onAnnouncements(e protocol.Env) {
 	b := e.Body.(protocol.Beacons)
 	for _, beacon := range b.List {
 		c.enrol(beacon)
@@ -352,8 +352,8 @@
 	}
 }
 
-// onBeaconsHeard handles another node's confirmation that it has stored a departure.
-func (c *Core) onBeaconsHeard(e protocol.Env) {
+// onAnnouncementsAck handles another node's confirmation that it has stored a departure.
+func (c *Core) onAnnouncementsAck(e protocol.Env) {
 	b := e.Body.(protocol.BeaconsHeard)
 	departure := c.acks[b.Mark]
 	if departure == nil {
@@ -366,8 +366,8 @@
 	c.tryAcknowledge(b.Mark, departure)
 }
 
-// relayBeacons sends the announcements that this node has received to the other core nodes.
-func (c *Core) relayBeacons() {
+// relayAnnouncements sends the announcements that this node has received to the other core nodes.
+func (c *Core) relayAnnouncements() {
 	c.relayed = c.now
 	if len(c.relays) == 0 {
 		return
@@ -386,7 +386,7 @@
 		return
 	}
 	if c.now.Sub(c.relayed) > relayInterval {
-		c.relayBeacons()
+		c.relayAnnouncements()
 	}
 	for _, mark := range generic.SortedKeys(c.acks) {
 		departure := c.acks[mark]
@@ -524,8 +524,8 @@
 	return c.disks[k][s.ID]
 }
 
-// onRollCall sends this node's registry.
-func (c *Core) onRollCall(e protocol.Env) {
+// onRegistryQuery sends this node's registry.
+func (c *Core) onRegistryQuery(e protocol.Env) {
 	var beacons []protocol.Beacon
 	for _, id := range generic.SortedKeys(c.roll) {
 		if record := c.roll[id]; !record.presumedGone {
@@ -557,18 +557,18 @@
 	}
 	c.persistLeavings(func() {
 		c.rollWhole = true
-		c.rolls[c.o.Me.ID] = c.vote.inc
+		c.registriesReceived[c.o.Me.ID] = c.vote.inc
 	})
 }
 
 // registryComplete reports whether the leader has merged the registries of a majority, which contain every acknowledged
 // departure.
 func (c *Core) registryComplete() bool {
-	return !c.o.Enrolled || c.reg.known != nil && voterset.Majority(*c.reg.known, c.rolls)
+	return !c.o.Enrolled || c.reg.known != nil && voterset.Majority(*c.reg.known, c.registriesReceived)
 }
 
-// onRoll merges another node's registry.
-func (c *Core) onRoll(e protocol.Env) {
+// onRegistryReply merges another node's registry.
+func (c *Core) onRegistryReply(e protocol.Env) {
 	b := e.Body.(protocol.Roll)
 	for _, beacon := range b.List {
 		c.enrol(beacon)
@@ -584,7 +584,7 @@
 		return
 	}
 	wasComplete := c.registryComplete()
-	c.rolls[e.From.ID] = b.Inc
+	c.registriesReceived[e.From.ID] = b.Inc
 	if !wasComplete && c.registryComplete() {
 		c.touchAll()
 	}
--- a/internal/controller/enrol_test.go
+++ b/internal/controller/enrol_test.go
@@ -46,7 +46,7 @@
 		k := New(Options{Enrolled: true})
 		for i, w := range c.announcements {
 			k.now = k.now.Add(1e9)
-			b := beacon("s", w.state, w.count)
+			b := newAnnouncement("s", w.state, w.count)
 			b.Addr = w.addr
 			require.Equal(t, c.isNew[i], k.enrol(b), "%s: announcement %d", c.name, i+1)
 		}
@@ -57,7 +57,7 @@
 		}
 		require.Equal(t, []any{c.state, c.count, c.addr}, []any{e.State, e.Count, e.Addr}, c.name)
 	}
-	require.False(t, New(Options{Enrolled: true}).enrol(beacon("", "live", 1)), "no id")
+	require.False(t, New(Options{Enrolled: true}).enrol(newAnnouncement("", "live", 1)), "no id")
 }
 
 // When a newer start of a server uses an address, the older id is presumed gone, and delayed announcements don't revive
@@ -66,7 +66,7 @@
 	c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
 	m := c.serve("old", "llm|m")
 	r := c.route("r")
-	r.burden["llm|m"] = protocol.Burden{Came: 1}
+	r.keyLoads["llm|m"] = protocol.Burden{Came: 1}
 	require.True(t, c.until(9e9, func() bool { return r.sends("llm|m", "old") }))
 	delete(c.models, m.Addr)
 	n := c.serve("new")
@@ -77,8 +77,8 @@
 	c.run(100e6)
 	require.Equal(t, "gone", c.lead().roll["old"].State)
 	require.False(t, r.sends("llm|m", "old"), "no requests go to the address under the old id")
-	c.announce(c.owner(), beacon("old", "live", 99))
-	c.announce(c.other(), beacon("old", "live", 98))
+	c.announce(c.owner(), newAnnouncement("old", "live", 99))
+	c.announce(c.other(), newAnnouncement("old", "live", 98))
 	c.run(400e6)
 	for id, k := range c.nodes {
 		require.Equal(t, "gone", k.roll["old"].State, id)
@@ -91,10 +91,10 @@
 	c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
 	for i, id := range generic.SortedKeys(c.nodes) {
 		s := ident.Server("s" + id)
-		ok, answered := c.announce(id, beacon(string(s), "live", 1))
+		ok, answered := c.announce(id, newAnnouncement(string(s), "live", 1))
 		require.True(t, ok && answered)
 		require.NotNil(t, c.lead().servers[s], "the owner knows of a new server at once")
-		c.announce(id, beacon(string(s), "live", 2))
+		c.announce(id, newAnnouncement(string(s), "live", 2))
 		c.run(300e6)
 		for n, k := range c.nodes {
 			require.NotNil(t, k.roll[s], n)
@@ -129,13 +129,13 @@
 		for _, state := range []string{"leaving", "gone"} {
 			c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
 			require.Equal(t, "a", c.owner())
-			c.announce("c", beacon("s", "live", 1))
+			c.announce("c", newAnnouncement("s", "live", 1))
 			c.run(500e6)
 			for _, id := range x.parted {
 				c.parted[id] = true
 			}
 			at := c.at
-			b := beacon("s", state, 2)
+			b := newAnnouncement("s", state, 2)
 			_, answered := c.announce(x.told, b)
 			token := c.token
 			heal := func() {
@@ -185,12 +185,12 @@
 	m := c.serve("s", "llm|m")
 	r, stuck := c.route("r"), c.route("stuck")
 	for _, x := range []*router{r, stuck} {
-		x.burden["llm|m"] = protocol.Burden{Came: 1}
+		x.keyLoads["llm|m"] = protocol.Burden{Came: 1}
 	}
 	require.True(t, c.until(9e9, func() bool { return r.sends("llm|m", "s") && stuck.sends("llm|m", "s") }))
 	stuck.holdup = true
 	m.silent = true
-	b := beacon("s", "leaving", 99)
+	b := newAnnouncement("s", "leaving", 99)
 	ok, _ := c.announce("b", b)
 	require.True(t, ok)
 	c.run(20e6)
@@ -206,7 +206,7 @@
 	m, w := c.serve("s", "llm|m"), c.serve("w")
 	w.Service = "web"
 	r := c.route("r")
-	r.burden["llm|m"], r.burden["web|"] = protocol.Burden{Came: 1}, protocol.Burden{Came: 1}
+	r.keyLoads["llm|m"], r.keyLoads["web|"] = protocol.Burden{Came: 1}, protocol.Burden{Came: 1}
 	require.True(t, c.until(9e9, func() bool { return r.sends("llm|m", "s") && r.sends("web|", "w") }))
 	m.silent, w.silent = true, true
 	for range 1000 {
@@ -221,7 +221,7 @@
 	c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
 	m := c.serve("s", "llm|m")
 	r := c.route("r")
-	r.burden["llm|m"] = protocol.Burden{Came: 1}
+	r.keyLoads["llm|m"] = protocol.Burden{Came: 1}
 	require.True(t, c.until(9e9, func() bool { return r.sends("llm|m", "s") }))
 	c.run(10e9)
 	require.True(t, r.sends("llm|m", "s"), "the server announces itself")
@@ -251,7 +251,7 @@
 	require.True(t, c.until(2e9, func() bool { return got() != nil }))
 	require.Equal(t, failure.None, got().Kind)
 	r := c.route("r")
-	r.burden["llm|m"], r.burden["web|"] = protocol.Burden{Came: 1}, protocol.Burden{Came: 1}
+	r.keyLoads["llm|m"], r.keyLoads["web|"] = protocol.Burden{Came: 1}, protocol.Burden{Came: 1}
 	require.True(t, c.until(3e9, func() bool { return r.sends("llm|m", "s") && r.sends("web|", "w") }))
 	require.True(t, c.until(9e9, func() bool { return m.holds["llm|n"] }), "the floor of n is met")
 }
@@ -263,7 +263,7 @@
 	s, w := c.serve("s", "llm|m"), c.serve("w")
 	w.Service = "web"
 	r := c.route("r")
-	r.burden["llm|m"], r.burden["web|"] = protocol.Burden{Came: 1}, protocol.Burden{Came: 1}
+	r.keyLoads["llm|m"], r.keyLoads["web|"] = protocol.Burden{Came: 1}, protocol.Burden{Came: 1}
 	require.True(t, c.until(9e9, func() bool { return r.sends("llm|m", "s") && r.sends("web|", "w") }))
 	c.run(1e9)
 	for _, id := range []string{"b", "c"} {
@@ -291,16 +291,16 @@
 func TestPlainServers(t *testing.T) {
 	c := newCluster(t, modelPlan(8, "llm|m", "llm|n", "llm|o"), "a")
 	r := c.route("r")
-	r.burden["web|"] = protocol.Burden{Came: 5, Load: 1}
+	r.keyLoads["web|"] = protocol.Burden{Came: 5, Load: 1}
 	c.run(2e9)
 	w := c.serve("w")
 	w.Service = "web"
 	require.True(t, c.until(600e6, func() bool { return r.sends("web|", "w") }))
 	c.serve("s", "llm|m", "llm|n")
-	r.burden["llm|o"] = protocol.Burden{Wait: 5, Came: 5, Load: 1}
-	delete(r.burden, "web|")
+	r.keyLoads["llm|o"] = protocol.Burden{Wait: 5, Came: 5, Load: 1}
+	delete(r.keyLoads, "web|")
 	c.run(20e9)
-	r.burden["web|"] = protocol.Burden{Came: 1}
+	r.keyLoads["web|"] = protocol.Burden{Came: 1}
 	c.run(1e9)
 	require.True(t, r.sends("web|", "w"))
 	require.NotEmpty(t, c.ops)
@@ -314,18 +314,18 @@
 func TestServersOfferedWithoutModel(t *testing.T) {
 	c := newCluster(t, modelPlan(8, "llm|m", "llm|n", "llm|o"), "a", "b", "c")
 	r := c.route("r")
-	r.burden["llm|"] = protocol.Burden{Came: 5, Load: 1}
+	r.keyLoads["llm|"] = protocol.Burden{Came: 5, Load: 1}
 	c.serve("s", "llm|m", "llm|n")
 	c.serve("empty")
 	require.True(t, c.until(4e9, func() bool { return r.sends("llm|", "s") && r.sends("llm|", "empty") }))
-	r.burden["llm|o"] = protocol.Burden{Wait: 5, Came: 5, Load: 1}
+	r.keyLoads["llm|o"] = protocol.Burden{Wait: 5, Came: 5, Load: 1}
 	c.run(10e9)
 	require.True(t, r.sends("llm|", "s") && r.sends("llm|", "empty"))
 	for _, o := range c.ops {
 		require.NotEqual(t, ident.Key("llm|"), o.Key)
 	}
 	c.models["at-s"].silent = true
-	c.announce(c.other(), protocol.Beacon{Listed: beacon("s", "leaving", 1000).Listed, Count: 1000})
+	c.announce(c.other(), protocol.Beacon{Listed: newAnnouncement("s", "leaving", 1000).Listed, Count: 1000})
 	require.True(t, c.until(4e9, func() bool { return !r.sends("llm|", "s") }))
 	require.True(t, r.sends("llm|", "empty"))
 }
@@ -334,7 +334,7 @@
 func TestDarkServerNotOfferedWithoutModel(t *testing.T) {
 	c := newCluster(t, modelPlan(8, "llm|m"), "a", "b", "c")
 	r := c.route("r")
-	r.burden["llm|"] = protocol.Burden{Came: 5, Load: 1}
+	r.keyLoads["llm|"] = protocol.Burden{Came: 5, Load: 1}
 	s := c.serve("s", "llm|m")
 	c.serve("t", "llm|m")
 	require.True(t, c.until(4e9, func() bool { return r.sends("llm|", "s") && r.sends("llm|", "t") }))
@@ -348,14 +348,14 @@
 func TestBrokenEntryKeepsItsOtherServers(t *testing.T) {
 	c := newCluster(t, modelPlan(8, "llm|m"), "a", "b", "c")
 	r := c.route("r")
-	r.burden["web|"] = protocol.Burden{Came: 5, Load: 1}
+	r.keyLoads["web|"] = protocol.Burden{Came: 5, Load: 1}
 	for _, id := range []string{"w1", "w2", "w3"} {
 		c.serve(id).Service = "web"
 	}
 	all := func() bool { return r.sends("web|", "w1") && r.sends("web|", "w2") && r.sends("web|", "w3") }
 	require.True(t, c.until(4e9, all))
-	delete(r.burden, "web|") // the router has no demand that would request the entry again
-	leaving := beacon("w1", "leaving", 1000).Listed
+	delete(r.keyLoads, "web|") // the router has no demand that would request the entry again
+	leaving := newAnnouncement("w1", "leaving", 1000).Listed
 	leaving.Service = "web"
 	c.models["at-w1"].silent = true
 	c.announce(c.other(), protocol.Beacon{Listed: leaving, Count: 1000})
--- a/internal/controller/entries.go
+++ b/internal/controller/entries.go
@@ -129,7 +129,7 @@
 	if s.whole != nil {
 		c.touch(s.whole.key)
 	}
-	for _, k := range generic.SortedKeys(s.spots) {
+	for _, k := range generic.SortedKeys(s.replicas) {
 		c.touch(k)
 	}
 }
--- a/internal/controller/evict.go
+++ b/internal/controller/evict.go
@@ -10,9 +10,9 @@
 // evict starts the eviction of a replica by breaking the callbacks of routers.
 func (c *Core) evict(s *server, p *spot) {
 	if c.o.Unfenced && !p.key.IsAdapter() {
-		for _, k := range generic.SortedKeys(s.spots) {
+		for _, k := range generic.SortedKeys(s.replicas) {
 			if k != p.key && k.Base() == p.key {
-				c.evict(s, s.spots[k]) // adapters are evicted together with their base
+				c.evict(s, s.replicas[k]) // adapters are evicted together with their base
 			}
 		}
 	}
@@ -57,7 +57,7 @@
 
 // hasAdapters reports whether a base still carries adapters, which must be removed first.
 func (c *Core) hasAdapters(s *server, p *spot) bool {
-	for k := range s.spots {
+	for k := range s.replicas {
 		if k != p.key && k.Base() == p.key {
 			return true
 		}
@@ -67,12 +67,12 @@
 
 // adaptersRemain reports whether routers may still hold callbacks for adapters on a base.
 func (c *Core) adaptersRemain(s *server, p *spot) bool {
-	for k, a := range s.spots {
+	for k, a := range s.replicas {
 		if k == p.key || k.Base() != p.key || a.stage == Draining || a.stage == Unloading {
 			continue
 		}
 		if a.stage == Ordered && a.num == 0 {
-			c.removeSpot(s, k) // its load was never ordered and is no longer needed
+			c.removeReplica(s, k) // its load was never ordered and is no longer needed
 			continue
 		}
 		return true
@@ -86,6 +86,6 @@
 	if !p.key.IsAdapter() {
 		return true
 	}
-	b := s.spots[p.key.Base()]
+	b := s.replicas[p.key.Base()]
 	return b == nil || b.stage == Ready || b.stage == Ordered
 }
--- a/internal/controller/eviction_cost.go
+++ b/internal/controller/eviction_cost.go
@@ -59,9 +59,9 @@
 // evictionCandidates lists the bases that may be evicted from a server for a family, lowest cost per size
 // first.
 func (c *Core) candidates(s *server, f *family, l families) []candidate {
-	c.visit(len(s.spots))
+	c.visit(len(s.replicas))
 	var all []candidate
-	for key, p := range s.spots {
+	for key, p := range s.replicas {
 		if key.IsAdapter() || key == f.model.Key.Base() || !c.mayRemove(p) {
 			continue
 		}
@@ -80,7 +80,7 @@
 
 // mayRemove reports whether a replica has been ready for at least freshness and is not part of a move.
 func (c *Core) mayRemove(p *spot) bool {
-	return p.stage == Ready && c.now.Sub(p.ready) >= freshSpan && c.shifts[p.key] == nil
+	return p.stage == Ready && c.now.Sub(p.ready) >= freshSpan && c.moves[p.key] == nil
 }
 
 // canSpare reports whether a family can lose a replica on a server in favour of another family.
@@ -112,7 +112,7 @@
 // sizeWithAdapters returns the room taken by a base and the adapters that are evicted with it.
 func (s *server) sizeWithAdapters(base *spot) int {
 	sum := base.size
-	for key, p := range s.spots {
+	for key, p := range s.replicas {
 		if key != base.key && key.Base() == base.key {
 			sum += p.size
 		}
--- a/internal/controller/family.go
+++ b/internal/controller/family.go
@@ -87,7 +87,7 @@
 		}
 	}
 	for _, s := range c.servers {
-		c.visit(len(s.spots))
+		c.visit(len(s.replicas))
 		if c.stays(s) {
 			l.addReplicas(s)
 		}
@@ -115,7 +115,7 @@
 
 // addReplicas counts the bases that a server holds or is ordered to load.
 func (l families) addReplicas(s *server) {
-	for key, p := range s.spots {
+	for key, p := range s.replicas {
 		if f := l[key]; f != nil && p.placed() {
 			f.live++
 		}
@@ -159,7 +159,7 @@
 // loadOf sums the load on a server, where a family's load is divided evenly among its replicas.
 func (l families) loadOf(s *server) float64 {
 	sum := 0.0
-	for key, p := range s.spots {
+	for key, p := range s.replicas {
 		if f := l[key]; f != nil && p.placed() {
 			sum += f.load / float64(max(1, f.live))
 		}
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -34,7 +34,7 @@
 		c.parted["a"] = true
 		c.until(5e9, func() bool { return c.at >= old.duty.until(old)-20e6 })
 		require.Equal(t, 202, m.take(protocol.Order{Op: "load", Key: "llm|n", Size: 4, Expected: m.count}), "no order is in progress")
-		r.burden["llm|o"] = protocol.Burden{Wait: 9, Came: 3, Load: 0.1}
+		r.keyLoads["llm|o"] = protocol.Burden{Wait: 9, Came: 3, Load: 0.1}
 		require.True(t, c.until(40e9, func() bool { return m.holds["llm|o"] }), "%v", lag)
 	}
 }
@@ -44,14 +44,14 @@
 	c := newCluster(t, modelPlan(10, "llm|m", "llm|m+1", "llm|n"), "a")
 	m := c.serve("s", "llm|m")
 	r := c.route("r")
-	r.burden["llm|m"] = protocol.Burden{Came: 1}
+	r.keyLoads["llm|m"] = protocol.Burden{Came: 1}
 	require.True(t, c.until(9e9, func() bool { return r.sends("llm|m", "s") }))
 	c.run(3e9)
 	s := c.lead().servers["s"]
 	s.busy, s.next = true, c.at.Add(3e9) // as after a refused order
-	r.burden = map[ident.Key]protocol.Burden{"llm|m+1": {Wait: 1, Came: 1}}
-	require.True(t, c.until(3e9, func() bool { return s.spots["llm|m+1"] != nil }))
-	require.Zero(t, s.spots["llm|m+1"].num)
+	r.keyLoads = map[ident.Key]protocol.Burden{"llm|m+1": {Wait: 1, Came: 1}}
+	require.True(t, c.until(3e9, func() bool { return s.replicas["llm|m+1"] != nil }))
+	require.Zero(t, s.replicas["llm|m+1"].num)
 	c.plans["2"] = modelPlan(10, "llm|n")
 	c.admin("a", Admin{Op: "put", Raw: []byte("2"), Any: true})
 	require.True(t, c.until(30e9, func() bool { return !m.holds["llm|m"] }))
@@ -71,7 +71,7 @@
 	c.serve("s", "llm|m", keys[0], keys[1], keys[2], keys[3])
 	c.run(6e9)
 	r := c.route("r")
-	r.burden[keys[4]] = protocol.Burden{Wait: 1, Came: 1, Load: 0.01}
+	r.keyLoads[keys[4]] = protocol.Burden{Wait: 1, Came: 1, Load: 0.01}
 	require.True(t, c.until(9e9, func() bool { return r.sends(keys[4], "s") }))
 	c.run(3e9)
 	require.Len(t, c.orders("unload"), 1)
@@ -83,12 +83,12 @@
 		c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
 		m := c.serve("s", "llm|m")
 		r := c.route("r")
-		r.burden["llm|m"] = protocol.Burden{Came: 1}
+		r.keyLoads["llm|m"] = protocol.Burden{Came: 1}
 		require.True(t, c.until(9e9, func() bool { return r.sends("llm|m", "s") }))
 		c.parted["b"] = true
 		c.run(100e6)
 		m.silent = true
-		ok, _ := c.announce("c", beacon("s", state, 99))
+		ok, _ := c.announce("c", newAnnouncement("s", state, 99))
 		require.True(t, ok)
 		c.run(100e6)
 		c.parted = map[string]bool{"a": true}
@@ -104,7 +104,7 @@
 func TestLateWordAtAReusedAddress(t *testing.T) {
 	k := New(Options{Enrolled: true})
 	k.now = 1e9
-	old, now := beacon("old", "live", 9), beacon("new", "live", 1)
+	old, now := newAnnouncement("old", "live", 9), newAnnouncement("new", "live", 1)
 	now.Addr = old.Addr
 	k.enrol(now)
 	k.enrol(old) // a relayed announcement of a start that this node didn't know
@@ -123,7 +123,7 @@
 		c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
 		m := c.serve("s", "llm|m")
 		r := c.route("r")
-		r.burden["llm|m"] = protocol.Burden{Came: 1}
+		r.keyLoads["llm|m"] = protocol.Burden{Came: 1}
 		require.True(t, c.until(9e9, func() bool { return r.sends("llm|m", "s") }))
 		m.silent = true
 		c.run(s)
@@ -148,7 +148,7 @@
 	c := newCluster(t, modelPlan(8, "llm|m", "llm|n"), "a")
 	m := c.serve("s", "llm|m", "llm|lost")
 	r := c.route("r")
-	r.burden["llm|n"] = protocol.Burden{Wait: 1, Came: 1}
+	r.keyLoads["llm|n"] = protocol.Burden{Wait: 1, Came: 1}
 	require.True(t, c.until(20e9, func() bool { return len(c.orders("load")) > 0 }))
 	require.False(t, m.holds["llm|lost"], "it is unloaded before anything is loaded")
 }
--- a/internal/controller/fenced.go
+++ b/internal/controller/fenced.go
@@ -17,17 +17,17 @@
 // serverRemovalDelay is the time from the last report of a server that is gone to its removal.
 const serverRemovalDelay = 10e9
 
-// beatServer advances the replicas on a server and sends the request that is due.
-func (c *Core) beatServer(s *server) {
-	c.visit(len(s.spots))
+// tickServer advances the replicas on a server and sends the request that is due.
+func (c *Core) tickServer(s *server) {
+	c.visit(len(s.replicas))
 	for _, key := range s.leavingKeys() {
-		if p := s.spots[key]; p != nil { // dropping one replica may drop others
+		if p := s.replicas[key]; p != nil { // dropping one replica may drop others
 			c.beatSpot(s, p)
 		}
 	}
 	switch {
 	case s.State == "gone" && (s.fails > 0 || c.o.Enrolled):
-		c.dropSpots(s)
+		c.forgetReplicas(s)
 		if c.now.Sub(max(s.ok, s.first)) > serverRemovalDelay {
 			c.removeServer(s.ID)
 		}
@@ -38,17 +38,17 @@
 	}
 }
 
-// dropSpots forgets all replicas of a server that is gone or has restarted.
-func (c *Core) dropSpots(s *server) {
-	for _, key := range generic.SortedKeys(s.spots) {
+// forgetReplicas forgets all replicas of a server that is gone or has restarted.
+func (c *Core) forgetReplicas(s *server) {
+	for _, key := range generic.SortedKeys(s.replicas) {
 		c.dropSpot(s, key)
 	}
 }
 
 // forgetReplica forgets the replica of a key that a server no longer holds.
 func (c *Core) dropSpot(s *server, key ident.Key) {
-	s.spots[key].fire(SeeNone, c.now)
-	c.removeSpot(s, key)
+	s.replicas[key].fire(SeeNone, c.now)
+	c.removeReplica(s, key)
 	c.touch(key)
 }
 
@@ -125,8 +125,8 @@
 		held[h.Key] = true
 		c.updateHeld(s, r.Num, h)
 	}
-	for _, key := range generic.SortedKeys(s.spots) {
-		if !held[key] && !s.spots[key].unsent(r.Num) {
+	for _, key := range generic.SortedKeys(s.replicas) {
+		if !held[key] && !s.replicas[key].unsent(r.Num) {
 			c.dropSpot(s, key)
 		}
 	}
@@ -153,7 +153,7 @@
 		return false
 	}
 	if r.Inc != s.inc {
-		c.dropSpots(s)
+		c.forgetReplicas(s)
 	}
 	s.inc, s.room, s.slots = r.Inc, room, slots
 	return true
@@ -162,10 +162,10 @@
 // updateHeld records the state of one key from a report that answers a request.
 func (c *Core) updateHeld(s *server, num uint64, h protocol.Held) {
 	h.Size, h.Active, h.AgeMs = min(max(h.Size, c.sizeOf(h.Key)), mostSize), max(h.Active, 0), max(h.AgeMs, 0)
-	p := s.spots[h.Key]
+	p := s.replicas[h.Key]
 	if p == nil {
 		p = &spot{key: h.Key, size: h.Size, stage: Ordered, since: c.now, num: num}
-		c.putSpot(s, p)
+		c.putReplica(s, p)
 	}
 	if p.unsent(num) {
 		return
--- a/internal/controller/forecast.go
+++ b/internal/controller/forecast.go
@@ -31,7 +31,7 @@
 func (c *Core) remainingLoadTime(m fleetplan.Model) (least clock.Span, ok bool) {
 	for _, s := range c.holding(m.Key) {
 		c.visit(1)
-		p := s.spots[m.Key]
+		p := s.replicas[m.Key]
 		if p == nil || !p.placed() || !c.stays(s) {
 			continue
 		}
--- a/internal/controller/forming.go
+++ b/internal/controller/forming.go
@@ -11,9 +11,9 @@
 	"tidedeck/internal/protocol"
 )
 
-// beatForm forms a new core once all seeds have been seen blank for long enough; if forced, any of them suffice. The
+// tickForming forms a new core once all seeds have been seen blank for long enough; if forced, any of them suffice. The
 // blank seed with the lowest ID proposes the first value.
-func (c *Core) beatForm() {
+func (c *Core) tickForming() {
 	r := &c.reg
 	if c.latest() != nil || r.op != nil || c.o.Joined && !r.force {
 		return
@@ -66,7 +66,7 @@
 	})
 }
 
-func (c *Core) onKept(e protocol.Env) {
+func (c *Core) onRecoveryReply(e protocol.Env) {
 	b, r := e.Body.(protocol.Kept), &c.reg
 	if b.Value == nil || r.blankSince == 0 || b.Round != uint64(r.blankSince) {
 		return
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -186,7 +186,7 @@
 		c.reply(e, protocol.Forwarded{Number: b.Number, NotOwner: true})
 		return
 	}
-	if !c.taken.recordIfNew(forwardID{e.From.ID, b.Number}) {
+	if !c.acceptedForwards.recordIfNew(forwardID{e.From.ID, b.Number}) {
 		return
 	}
 	c.tally.ForwardsTaken++
--- a/internal/controller/holders.go
+++ b/internal/controller/holders.go
@@ -56,7 +56,7 @@
 func (c *Core) addServer(s *server) {
 	c.servers[s.ID] = s
 	c.fleet.ordered = insertServer(c.fleet.ordered, s)
-	for key := range s.spots {
+	for key := range s.replicas {
 		c.fleet.addHolder(s, key)
 	}
 }
@@ -67,22 +67,22 @@
 	if s == nil {
 		return
 	}
-	for key := range s.spots {
+	for key := range s.replicas {
 		c.fleet.removeHolder(s, key)
 	}
 	delete(c.servers, id)
 	c.fleet.ordered = deleteServer(c.fleet.ordered, id)
 }
 
-// putSpot records that a server holds a key, or is about to.
-func (c *Core) putSpot(s *server, p *spot) {
-	s.spots[p.key] = p
+// putReplica records that a server holds a key, or is about to.
+func (c *Core) putReplica(s *server, p *spot) {
+	s.replicas[p.key] = p
 	c.fleet.addHolder(s, p.key)
 }
 
-// removeSpot records that a server no longer holds a key.
-func (c *Core) removeSpot(s *server, key ident.Key) {
-	delete(s.spots, key)
+// removeReplica records that a server no longer holds a key.
+func (c *Core) removeReplica(s *server, key ident.Key) {
+	delete(s.replicas, key)
 	c.fleet.removeHolder(s, key)
 }
 
--- a/internal/controller/inspect.go
+++ b/internal/controller/inspect.go
@@ -143,7 +143,7 @@
 func (c *Core) Inspect() Snapshot {
 	return Snapshot{
 		Began: c.began, Ending: c.ending,
-		Voter: c.inspectVoter(), Register: c.inspectRegister(), Duty: c.inspectDuty(),
+		Voter: c.inspectVoter(), Register: c.inspectRegister(), Duty: c.inspectLeadership(),
 		Members: c.mates.All(),
 	}
 }
@@ -206,7 +206,7 @@
 	}
 }
 
-func (c *Core) inspectDuty() DutySnapshot {
+func (c *Core) inspectLeadership() DutySnapshot {
 	d := &c.duty
 	return DutySnapshot{
 		Mine: d.mine, Number: d.num, Renewed: d.asked, Began: d.began, Highest: d.top, Owner: d.who.ID,
--- a/internal/controller/invariants.go
+++ b/internal/controller/invariants.go
@@ -85,7 +85,7 @@
 	})
 	if s.places > 0 && p.key.IsAdapter() {
 		n := 0
-		for k := range s.spots {
+		for k := range s.replicas {
 			n += generic.One(k.IsAdapter())
 		}
 		invariant.Check(n <= s.places, invariant.WithinRoom, func() string {
@@ -108,7 +108,7 @@
 
 // checkLeaving checks that this node has a record of a departure that is about to be acknowledged.
 func (c *Core) checkLeaving(l *leaving) {
-	for _, b := range l.beacons {
+	for _, b := range l.announcements {
 		e := c.roll[b.ID]
 		invariant.Check(e != nil && stateRank[e.State] >= stateRank[b.State], invariant.LeavingIsKnown, func() string {
 			return fmt.Sprintf("%s acknowledges that %s is %s, but has no record of that", c.o.Me.ID, b.ID, b.State)
--- a/internal/controller/links.go
+++ b/internal/controller/links.go
@@ -14,25 +14,25 @@
 // link is the leader's side of the connection to one router: the changes sent in order, those that the router
 // acknowledged, and the keys for which it holds a callback.
 type link struct {
-	ses            protocol.Session
-	replyTo        protocol.Env // last message received; answers return along its path
-	items          []change
-	lastNum        uint64
-	gen            uint64      // of the newest configuration that the router is known to have
-	epoch          ident.Epoch // of the same configuration
-	heard          uint64
-	sent           uint64
-	sentAt         clock.Tick
-	until          clock.Tick // end of the router's lease on this node's clock; the router's own lease ends earlier
-	pendingRenewal uint64     // sequence number of a renewal that waits for acknowledgements
-	lastHeard      clock.Tick
-	holds          map[ident.Key]uint64
-	callbackOrder  []ident.Key // oldest first; the oldest are shed first
-	seats          map[ident.Server]int
-	overflowed     bool
-
-	paces   map[ident.Key]float64 // by base, as last sent to the router
-	slowest float64
+	ses              protocol.Session
+	replyTo          protocol.Env // last message received; answers return along its path
+	items            []change
+	lastNum          uint64
+	gen              uint64      // of the newest configuration that the router is known to have
+	epoch            ident.Epoch // of the same configuration
+	heard            uint64
+	sent             uint64
+	sentAt           clock.Tick
+	until            clock.Tick // end of the router's lease on this node's clock; the router's own lease ends earlier
+	pendingRenewal   uint64     // sequence number of a renewal that waits for acknowledgements
+	lastHeard        clock.Tick
+	holds            map[ident.Key]uint64
+	callbackOrder    []ident.Key // oldest first; the oldest are shed first
+	tokensInProgress map[ident.Server]int
+	overflowed       bool
+
+	tokenTimes map[ident.Key]float64 // by base, as last sent to the router
+	slowest    float64
 }
 
 // change is a numbered change on a link. Its creation time limits the router's lease until the change is
@@ -97,8 +97,8 @@
 	if l == nil {
 		return
 	}
-	c.updateSeats(l, b.Seats)
-	c.recordPaces(b.Paces)
+	c.updateTokensInProgress(l, b.Seats)
+	c.recordTokenTimes(b.Paces)
 	c.workload.Report(b.Session, b.Burden, c.now)
 	for _, k := range generic.SortedKeys(b.Burden) {
 		if u := b.Burden[k]; u.Wait > 0 || u.Came > 0 {
@@ -133,7 +133,7 @@
 	}
 	l.until = max(l.until, c.now.Add(c.pad(n)))
 	c.tally.Grants++
-	c.reply(l.replyTo, protocol.Grant{Session: l.ses, Seq: l.pendingRenewal, Len: n, Duty: c.duty.num, Routers: max(len(c.links), c.mates.CountAlive("agent")), Seats: c.seatsFor(l), Paces: c.pacesUpdate(l)})
+	c.reply(l.replyTo, protocol.Grant{Session: l.ses, Seq: l.pendingRenewal, Len: n, Duty: c.duty.num, Routers: max(len(c.links), c.mates.CountAlive("agent")), Seats: c.tokensInProgressFor(l), Paces: c.tokenTimesUpdate(l)})
 	l.pendingRenewal = 0
 	return true
 }
@@ -203,7 +203,7 @@
 	l.items = l.items[n:]
 }
 
-func (c *Core) onHeard(e protocol.Env) {
+func (c *Core) onAck(e protocol.Env) {
 	b := e.Body.(protocol.Heard)
 	if l := c.linkOf(e, b.Session); l != nil {
 		c.acknowledge(l, b.Num)
@@ -212,8 +212,8 @@
 	}
 }
 
-// onWant registers a callback and sends the entry, or only confirms that the router's copy is current.
-func (c *Core) onWant(e protocol.Env) {
+// onEntryRequest registers a callback and sends the entry, or only confirms that the router's copy is current.
+func (c *Core) onEntryRequest(e protocol.Env) {
 	b := e.Body.(protocol.Want)
 	l := c.linkOf(e, b.Session)
 	if l == nil {
@@ -255,7 +255,7 @@
 	}
 }
 
-func (c *Core) onRemoval(e protocol.Env) {
+func (c *Core) onDroppedEntries(e protocol.Env) {
 	b := e.Body.(protocol.Removal)
 	l := c.linkOf(e, b.Session)
 	if l == nil {
@@ -367,7 +367,7 @@
 
 // removeLink deletes a link and everything that its router has reported.
 func (c *Core) removeLink(l *link) {
-	c.updateSeats(l, nil)
+	c.updateTokensInProgress(l, nil)
 	c.workload.Forget(l.ses)
 	delete(c.links, l.ses)
 	c.linkSet.remove(l)
@@ -382,7 +382,7 @@
 		if c.now > l.until {
 			if len(l.items) > 0 {
 				c.tally.Lapses++
-				c.rollout.lapsed++
+				c.rollout.expiredLeases++
 				c.note("router lease expired with unacknowledged changes", field("router", l.ses.Node), field("session", l.ses.N),
 					field("unacknowledged", len(l.items)), field("owes", l.owesChange()), field("configuration", l.desiredPending()),
 					field("waited_ms", c.now.Sub(l.sentAt).Milliseconds()))
@@ -406,7 +406,7 @@
 		l := c.wants
 		c.wants = nil
 		for _, e := range l {
-			c.onWant(e)
+			c.onEntryRequest(e)
 		}
 	}
 }
--- a/internal/controller/list.go
+++ b/internal/controller/list.go
@@ -99,8 +99,8 @@
 	c.save(map[string][]byte{diskL: jot(list)}, func() {})
 }
 
-// onListing handles the leader's server list.
-func (c *Core) onListing(e protocol.Env) {
+// onServerList handles the leader's server list.
+func (c *Core) onServerList(e protocol.Env) {
 	b := e.Body.(protocol.Listing)
 	if !c.duty.mine && validList(b.List) {
 		c.storeList(Roll{b.Duty, b.List})
@@ -148,8 +148,8 @@
 	}
 }
 
-// onLook checks what this node can reach. A server answers an order of term 0 with a report and doesn't execute it.
-func (c *Core) onLook(e protocol.Env) {
+// onReachQuery checks what this node can reach. A server answers an order of term 0 with a report and doesn't execute it.
+func (c *Core) onReachQuery(e protocol.Env) {
 	b := e.Body.(protocol.Look)
 	if len(b.List) > 1000 {
 		return
@@ -177,8 +177,8 @@
 	}
 }
 
-// onLooked hands the leadership lease over to a peer with clearly better connectivity.
-func (c *Core) onLooked(e protocol.Env) {
+// onReachReply hands the leadership lease over to a peer with clearly better connectivity.
+func (c *Core) onReachReply(e protocol.Env) {
 	b := e.Body.(protocol.Looked)
 	if !c.rules() || b.Round != c.eye.round || c.eye.since == 0 {
 		return
--- a/internal/controller/look.go
+++ b/internal/controller/look.go
@@ -49,7 +49,7 @@
 	if !p.stale {
 		return
 	}
-	l.core.visit(len(p.server.spots))
+	l.core.visit(len(p.server.replicas))
 	p.stale, p.evictableKnown = false, false
 	p.free, p.pending, p.load = p.server.free(), p.server.pending(), l.families.loadOf(p.server)
 }
@@ -95,7 +95,7 @@
 // planEvictions returns the evictions that one more replica of a family needs at a target, and whether the replica can
 // be loaded there and is worth these evictions.
 func (l *look) wayFor(p *place, f *family) (way, bool) {
-	if p.server.room < f.model.Size || p.server.spots[f.model.Key] != nil {
+	if p.server.room < f.model.Size || p.server.replicas[f.model.Key] != nil {
 		return way{}, false
 	}
 	l.refresh(p)
--- a/internal/controller/moves.go
+++ b/internal/controller/moves.go
@@ -17,7 +17,7 @@
 // Such a key is loaded elsewhere before the next request.
 func (c *Core) losingReplicas(k ident.Key) bool {
 	for _, s := range c.holding(k) {
-		if p := s.spots[k]; p != nil && s.known && !c.stays(s) && p.busy != 0 && c.now.Sub(p.busy) < c.o.Recent {
+		if p := s.replicas[k]; p != nil && s.known && !c.stays(s) && p.busy != 0 && c.now.Sub(p.busy) < c.o.Recent {
 			return true
 		}
 	}
@@ -27,21 +27,21 @@
 // advanceMoves completes moves. When the new replica has been ready for MinResidence, the old one is evicted.
 // A move ends without an eviction if its source or target is no longer available.
 func (c *Core) advanceMoves() {
-	for _, k := range generic.SortedKeys(c.shifts) {
-		m := c.shifts[k]
+	for _, k := range generic.SortedKeys(c.moves) {
+		m := c.moves[k]
 		var source, target *spot
 		s, t := c.servers[m.from], c.servers[m.to]
 		if s != nil {
-			source = s.spots[k]
+			source = s.replicas[k]
 		}
 		if t != nil {
-			target = t.spots[k]
+			target = t.replicas[k]
 		}
 		switch {
 		case source == nil || target == nil || source.stage != Ready || !c.stays(t):
-			delete(c.shifts, k)
+			delete(c.moves, k)
 		case target.stage == Ready && c.now.Sub(target.ready) > c.o.Rest:
-			delete(c.shifts, k) // the new replica has been ready long enough
+			delete(c.moves, k) // the new replica has been ready long enough
 			c.tally.Evened++
 			c.evict(s, source)
 		}
@@ -51,7 +51,7 @@
 // rebalance starts at most one move: if the servers have been unevenly filled for some time, or if all
 // replicas of a key with a floor are in one zone. With steady load, neither occurs.
 func (c *Core) rebalance() {
-	if len(c.shifts) > 0 || c.now.Sub(c.shifted) < c.o.Even {
+	if len(c.moves) > 0 || c.now.Sub(c.shifted) < c.o.Even {
 		return
 	}
 	if k, from, to := c.findZoneMove(); from != nil {
@@ -72,8 +72,8 @@
 	// Choose the busiest replica that fits on the other server and is not so large that the move reverses the
 	// imbalance.
 	var best *spot
-	for _, k := range generic.SortedKeys(full.spots) {
-		p := full.spots[k]
+	for _, k := range generic.SortedKeys(full.replicas) {
+		p := full.replicas[k]
 		if !c.movable(full, p, free) || float64(p.size)/float64(full.room)+float64(p.size)/float64(free.room) > fillRatio(full)-fillRatio(free) {
 			continue
 		}
@@ -87,8 +87,8 @@
 }
 
 func (c *Core) startMove(k ident.Key, from, to *server) {
-	c.shifts[k], c.shifted, c.uneven = &shift{from.ID, to.ID}, c.now, 0
-	c.putSpot(to, &spot{key: k, size: c.sizeOf(k), stage: Ordered, since: c.now})
+	c.moves[k], c.shifted, c.uneven = &shift{from.ID, to.ID}, c.now, 0
+	c.putReplica(to, &spot{key: k, size: c.sizeOf(k), stage: Ordered, since: c.now})
 	c.tally.Moves++
 	c.note(fmt.Sprintf("%s moves from %s to %s", k, from.ID, to.ID))
 }
@@ -141,7 +141,7 @@
 		}
 		for _, id := range generic.SortedKeys(c.servers) {
 			s := c.servers[id]
-			p := s.spots[k]
+			p := s.replicas[k]
 			if p == nil {
 				continue
 			}
--- a/internal/controller/moves_test.go
+++ b/internal/controller/moves_test.go
@@ -20,9 +20,9 @@
 	}
 	c.plan.Models["f"] = fleetplan.Model{Key: "f", Size: 2, Floor: 2, Most: 3}
 	for id, z := range map[ident.Server]ident.Zone{"s1": "za", "s2": "zb", "s3": "zc", "s4": "zc"} {
-		s := &server{Listed: protocol.Listed{ID: id, Addr: string(id), Zone: z, State: "live"}, known: true, room: 10, slots: 4, spots: map[ident.Key]*spot{}}
+		s := &server{Listed: protocol.Listed{ID: id, Addr: string(id), Zone: z, State: "live"}, known: true, room: 10, slots: 4, replicas: map[ident.Key]*spot{}}
 		for _, k := range holds[id] {
-			s.spots[k] = &spot{key: k, size: 2, stage: Ready, num: 1, ready: 1}
+			s.replicas[k] = &spot{key: k, size: 2, stage: Ready, num: 1, ready: 1}
 		}
 		c.addServer(s)
 	}
@@ -44,8 +44,8 @@
 		{"balanced", keys{"s1": {"a"}, "s2": {"b"}, "s3": {"c"}, "s4": {"d"}}, nil, "", ""},
 		{"slightly unbalanced", keys{"s1": {"a"}, "s2": {"b"}, "s3": {"c"}}, nil, "", ""},
 		{"unbalanced", keys{"s1": {"a", "b", "c"}, "s2": {"d"}, "s3": {"d"}, "s4": {}}, nil, "a", "s4"},
-		{"the busiest key moves", keys{"s1": {"a", "b", "c"}, "s2": {"d"}, "s3": {"d"}}, func(c *Core) { c.servers["s1"].spots["b"].work = 3 }, "b", "s4"},
-		{"one move at a time", keys{"s1": {"a", "b", "c"}}, func(c *Core) { c.shifts["d"] = &shift{} }, "", ""},
+		{"the busiest key moves", keys{"s1": {"a", "b", "c"}, "s2": {"d"}, "s3": {"d"}}, func(c *Core) { c.servers["s1"].replicas["b"].work = 3 }, "b", "s4"},
+		{"one move at a time", keys{"s1": {"a", "b", "c"}}, func(c *Core) { c.moves["d"] = &shift{} }, "", ""},
 		{"not right after another move", keys{"s1": {"a", "b", "c"}}, func(c *Core) { c.shifted = c.now }, "", ""},
 		{"not for a short imbalance", keys{"s1": {"a", "b", "c"}}, func(c *Core) { c.uneven = c.now }, "", ""},
 		{"not to a leaving server", keys{"s1": {"a", "b", "c"}, "s2": {"d"}, "s3": {"d"}}, func(c *Core) { c.servers["s4"].State = "leaving" }, "", ""},
@@ -60,16 +60,16 @@
 		if x.setup != nil {
 			x.setup(c)
 		}
-		was := len(c.shifts)
+		was := len(c.moves)
 		c.rebalance()
 		if x.key == "" {
-			require.Len(t, c.shifts, was, x.name)
+			require.Len(t, c.moves, was, x.name)
 			continue
 		}
-		require.NotNil(t, c.shifts[x.key], "%s: %v", x.name, c.shifts)
-		require.Equal(t, x.to, c.shifts[x.key].to, x.name)
-		require.Equal(t, Ordered, c.servers[x.to].spots[x.key].stage, x.name)
-		require.Equal(t, Ready, c.servers[c.shifts[x.key].from].spots[x.key].stage, "the old replica stays: "+x.name)
+		require.NotNil(t, c.moves[x.key], "%s: %v", x.name, c.moves)
+		require.Equal(t, x.to, c.moves[x.key].to, x.name)
+		require.Equal(t, Ordered, c.servers[x.to].replicas[x.key].stage, x.name)
+		require.Equal(t, Ready, c.servers[c.moves[x.key].from].replicas[x.key].stage, "the old replica stays: "+x.name)
 	}
 }
 
@@ -84,19 +84,19 @@
 		{"loading", func(_ *Core, _, to *spot) { to.stage = Ordered }, 1, Ready},
 		{"ready for a short time", func(c *Core, _, to *spot) { to.ready = c.now }, 1, Ready},
 		{"ready long enough", func(*Core, *spot, *spot) {}, 0, Breaking},
-		{"the target restarted empty", func(c *Core, _, _ *spot) { c.removeSpot(c.servers["s2"], "a") }, 0, Ready},
+		{"the target restarted empty", func(c *Core, _, _ *spot) { c.removeReplica(c.servers["s2"], "a") }, 0, Ready},
 		{"the target is gone", func(c *Core, _, _ *spot) { c.removeServer("s2") }, 0, Ready},
 		{"the target leaves", func(c *Core, _, _ *spot) { c.servers["s2"].State = "leaving" }, 0, Ready},
-		{"the source restarted empty", func(c *Core, _, _ *spot) { c.removeSpot(c.servers["s1"], "a") }, 0, ""},
+		{"the source restarted empty", func(c *Core, _, _ *spot) { c.removeReplica(c.servers["s1"], "a") }, 0, ""},
 		{"the source is gone", func(c *Core, _, _ *spot) { c.removeServer("s1") }, 0, ""},
 		{"the source is already evicting it", func(_ *Core, from, _ *spot) { from.stage = Draining }, 0, Draining},
 	} {
 		c := newMoveCore(t, keys{"s1": {"a"}, "s2": {"a"}})
-		c.shifts["a"] = &shift{"s1", "s2"}
-		from := c.servers["s1"].spots["a"]
-		x.change(c, from, c.servers["s2"].spots["a"])
+		c.moves["a"] = &shift{"s1", "s2"}
+		from := c.servers["s1"].replicas["a"]
+		x.change(c, from, c.servers["s2"].replicas["a"])
 		c.advanceMoves()
-		require.Len(t, c.shifts, x.moves, x.name)
+		require.Len(t, c.moves, x.moves, x.name)
 		if x.stage != "" {
 			require.Equal(t, x.stage, from.stage, x.name)
 		}
@@ -116,14 +116,14 @@
 		{"its zone is emptied", func(c *Core) { c.empty["za"] = true }, 1},
 		{"its server has a maintenance window ahead", func(c *Core) { c.soonS = map[ident.Server]bool{"s1": true} }, 1},
 		{"its zone has a maintenance window ahead", func(c *Core) { c.soonZ = map[ident.Zone]bool{"za": true} }, 1},
-		{"no recent work", func(c *Core) { c.servers["s1"].State, c.servers["s1"].spots["a"].busy = "leaving", 1 }, 0},
+		{"no recent work", func(c *Core) { c.servers["s1"].State, c.servers["s1"].replicas["a"].busy = "leaving", 1 }, 0},
 		{"another replica stays", func(c *Core) {
 			c.servers["s1"].State = "leaving"
-			c.putSpot(c.servers["s2"], &spot{key: "a", stage: Ready})
+			c.putReplica(c.servers["s2"], &spot{key: "a", stage: Ready})
 		}, 0},
 	} {
 		c := newMoveCore(t, keys{"s1": {"a"}})
-		c.servers["s1"].spots["a"].busy = c.now - 5e9
+		c.servers["s1"].replicas["a"].busy = c.now - 5e9
 		x.change(c)
 		require.Equal(t, x.wanted, c.requirementOf(c.plan.Models["a"]).wanted, x.name)
 	}
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -14,11 +14,11 @@
 // whether the report is from before or after an order.
 
 const (
-	busyPollInterval = 100e6 // interval between two reports while an order is in progress
-	pollIdle         = 10e9  // interval otherwise; announcements show that the server is alive
-	darkPollFactor   = 4     // multiple of o.ReportInterval between two requests to a server that does not answer
-	reportLag        = 500e6 // maximum age of a report
-	tenureMargin     = 100e6 // margin by which two settle delays exceed the tenure
+	busyPollInterval      = 100e6 // interval between two reports while an order is in progress
+	pollIdle              = 10e9  // interval otherwise; announcements show that the server is alive
+	unreachablePollFactor = 4     // multiple of o.ReportInterval between two requests to a server that does not answer
+	reportLag             = 500e6 // maximum age of a report
+	tenureMargin          = 100e6 // margin by which two settle delays exceed the tenure
 )
 
 // ordersPath is the path at which servers accept orders and return reports.
@@ -147,7 +147,7 @@
 	}
 	c.note("another server answered at the address of the requested server", field("server", s.ID), field("address", s.Addr), field("answers", t.Server), field("status", t.Code))
 	s.known, s.dark = false, true
-	s.next = c.now.Add(darkPollFactor * c.o.Poll)
+	s.next = c.now.Add(unreachablePollFactor * c.o.Poll)
 	c.touchOn(s)
 	if e := c.roll[s.ID]; e != nil {
 		c.retire(e)
@@ -187,7 +187,7 @@
 		c.touchOn(s)
 	}
 	if s.dark {
-		s.next = c.now.Add(darkPollFactor * c.o.Poll)
+		s.next = c.now.Add(unreachablePollFactor * c.o.Poll)
 	}
 }
 
@@ -204,7 +204,7 @@
 	if r.Num < s.num {
 		return // the report is older than an accepted order
 	}
-	if !c.resolveUnsure(s, r.Num, at) {
+	if !c.resolveUnanswered(s, r.Num, at) {
 		return
 	}
 	changed := s.dark || !s.known
@@ -232,9 +232,9 @@
 	}
 }
 
-// resolveUnsure reports whether the outcome of every order is known, given a report with an order count and
+// resolveUnanswered reports whether the outcome of every order is known, given a report with an order count and
 // the time at which the report was requested.
-func (c *Core) resolveUnsure(s *server, num uint64, at clock.Tick) bool {
+func (c *Core) resolveUnanswered(s *server, num uint64, at clock.Tick) bool {
 	p := s.unsure
 	switch {
 	case p == nil:
@@ -253,10 +253,10 @@
 	if e := c.roll[s.ID]; e != nil {
 		c.noteOnDisk(e, key, true)
 	}
-	p := s.spots[key]
+	p := s.replicas[key]
 	if p == nil {
 		p = &spot{key: key, size: c.sizeOf(key), stage: Ordered, since: c.now, num: r.Num}
-		c.putSpot(s, p)
+		c.putReplica(s, p)
 	}
 	if p.num == 0 && p.stage == Ordered && !r.Busy {
 		p.num = r.Num // already held without an order
@@ -295,8 +295,8 @@
 
 // removeMissing deletes the replicas that a report does not list, except those that may still be loading.
 func (c *Core) removeMissing(s *server, r protocol.Report, held map[ident.Key]bool) {
-	for _, key := range generic.SortedKeys(s.spots) {
-		if p := s.spots[key]; !held[key] && !p.unsent(r.Num) && !(p.stage == Ordered && r.Busy) {
+	for _, key := range generic.SortedKeys(s.replicas) {
+		if p := s.replicas[key]; !held[key] && !p.unsent(r.Num) && !(p.stage == Ordered && r.Busy) {
 			c.dropSpot(s, key)
 		}
 	}
@@ -304,7 +304,7 @@
 
 // pendingOrders reports whether a server has orders to execute or to be sent, and whether any was sent.
 func (s *server) pendingOrders() (waits, sent bool) {
-	for _, p := range s.spots {
+	for _, p := range s.replicas {
 		waits = waits || verbs[p.stage] != ""
 		sent = sent || verbs[p.stage] != "" && p.num != 0
 	}
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -79,7 +79,7 @@
 		m := c.serve("s")
 		x.setup(m)
 		r := c.route("r")
-		r.burden["llm|m"] = protocol.Burden{Came: 1}
+		r.keyLoads["llm|m"] = protocol.Burden{Came: 1}
 		require.True(t, c.until(15e9, func() bool { return r.sends("llm|m", "s") }), x.name)
 		c.run(5e9)
 		var counts []uint64
@@ -139,17 +139,17 @@
 		k := c.lead()
 		num := k.duty.num
 		require.True(t, c.until(9e9, func() bool { return len(c.ops) == 1 }))
-		for i, a := range c.asks {
-			if a.ask.Body.(protocol.Order).Op != "" {
-				c.asks = append(c.asks[:i:i], c.asks[i+1:]...)
-				c.step("a", protocol.Told{Token: a.ask.Token, OK: true, Code: x.code})
+		for i, a := range c.httpRequests {
+			if a.request.Body.(protocol.Order).Op != "" {
+				c.httpRequests = append(c.httpRequests[:i:i], c.httpRequests[i+1:]...)
+				c.step("a", protocol.Told{Token: a.request.Token, OK: true, Code: x.code})
 				break
 			}
 		}
 		require.Equal(t, x.keepsTerm, k.duty.mine && k.duty.num == num, x.code)
 		if x.keepsTerm {
 			require.Equal(t, x.known, k.servers["s"].known, x.code)
-			require.Equal(t, Ordered, k.servers["s"].spots["llm|m"].stage, x.code)
+			require.Equal(t, Ordered, k.servers["s"].replicas["llm|m"].stage, x.code)
 		}
 		c.run(60e6)
 		require.Len(t, c.ops, 1, "%d: a report must come first", x.code)
@@ -172,18 +172,18 @@
 	} {
 		c := newCluster(t, modelPlan(12, "llm|m", "llm|n"), "a")
 		k := c.lead()
-		s := &server{Listed: beacon("s", "live", 1).Listed, known: true, room: 12, slots: 4, num: 6, spots: map[ident.Key]*spot{}}
-		k.putSpot(s, &spot{key: "llm|m", size: 4, stage: Ordered, num: 6})
+		s := &server{Listed: newAnnouncement("s", "live", 1).Listed, known: true, room: 12, slots: 4, num: 6, replicas: map[ident.Key]*spot{}}
+		k.putReplica(s, &spot{key: "llm|m", size: 4, stage: Ordered, num: 6})
 		k.addServer(s)
 		k.now = c.at
 		k.onReportAnswer(s, x.r, c.at)
 		got := ""
-		if p := s.spots["llm|m"]; p != nil {
+		if p := s.replicas["llm|m"]; p != nil {
 			got = p.stage
 		}
 		require.Equal(t, x.stage, got, x.name)
 		if x.r.Num == 4 {
-			require.Nil(t, s.spots["llm|n"], x.name)
+			require.Nil(t, s.replicas["llm|n"], x.name)
 			require.EqualValues(t, 6, s.num, x.name)
 		}
 	}
@@ -204,11 +204,11 @@
 		}
 		r := c.route("r")
 		for round := range 12 {
-			r.burden = map[ident.Key]protocol.Burden{}
+			r.keyLoads = map[ident.Key]protocol.Burden{}
 			for range 3 {
 				k := keys[rng.IntN(len(keys))]
 				n := 1 + rng.IntN(9)
-				r.burden[k] = protocol.Burden{Wait: n, Came: n, Load: float64(n) / 20}
+				r.keyLoads[k] = protocol.Burden{Wait: n, Came: n, Load: float64(n) / 20}
 			}
 			r.holdup = rng.IntN(4) == 0
 			if round%5 == 4 {
@@ -244,11 +244,11 @@
 			m.strict, m.slow, m.lag = true, slow, lag
 			c.run(3e9)
 			r := c.route("r")
-			r.burden["llm|n"] = protocol.Burden{Wait: 2, Came: 1, Load: 0.01}
+			r.keyLoads["llm|n"] = protocol.Burden{Wait: 2, Came: 1, Load: 0.01}
 			require.True(t, c.until(9e9, func() bool { return m.doing.Op == "load" }))
 			c.parted[c.owner()] = true
-			delete(r.burden, "llm|n")
-			r.burden["llm|o"] = protocol.Burden{Wait: 9, Came: 3, Load: 0.1}
+			delete(r.keyLoads, "llm|n")
+			r.keyLoads["llm|o"] = protocol.Burden{Wait: 9, Came: 3, Load: 0.1}
 			require.True(t, c.until(6e9, func() bool { return c.owner() != "" }))
 			for end := c.at.Add(3*slow + 10e9); c.at < end && !m.holds["llm|o"]; {
 				c.tick()
@@ -276,15 +276,15 @@
 		c := newCluster(t, modelPlan(10, "llm|m", "llm|m+1", "llm|m+2", "llm|n"), "a")
 		m := c.serve("s", x.holds...)
 		r := c.route("r")
-		r.burden[x.key] = protocol.Burden{Came: 1}
+		r.keyLoads[x.key] = protocol.Burden{Came: 1}
 		require.True(t, c.until(9e9, func() bool { return r.sends(x.key, "s") }), x.name)
 		c.run(3e9)
 		r.holdup = true
 		k := c.lead()
 		k.now, k.out = c.at, nil
-		k.evict(k.servers["s"], k.servers["s"].spots["llm|m"])
+		k.evict(k.servers["s"], k.servers["s"].replicas["llm|m"])
 		for _, h := range x.holds {
-			require.Equal(t, Breaking, k.servers["s"].spots[h].stage, "%s: %s", x.name, h)
+			require.Equal(t, Breaking, k.servers["s"].replicas[h].stage, "%s: %s", x.name, h)
 		}
 		at := c.at
 		// The model server of the cluster checks, when it takes the order, that no callback is left.
@@ -308,15 +308,15 @@
 		}
 		m := c.serve("s", "llm|m")
 		r := c.route("r")
-		r.burden["llm|m"] = protocol.Burden{Came: 1}
+		r.keyLoads["llm|m"] = protocol.Burden{Came: 1}
 		require.True(t, c.until(9e9, func() bool { return r.sends("llm|m", "s") }))
 		c.run(1e9)
 		c.parted["r"], c.parted[c.owner()] = true, true
 		require.True(t, c.until(6e9, func() bool { return c.owner() != "" }))
-		require.True(t, c.until(3e9, func() bool { s := c.lead().servers["s"]; return s.known && s.spots["llm|m"] != nil }))
+		require.True(t, c.until(3e9, func() bool { s := c.lead().servers["s"]; return s.known && s.replicas["llm|m"] != nil }))
 		k := c.lead()
 		k.now, k.out = c.at, nil
-		k.evict(k.servers["s"], k.servers["s"].spots["llm|m"])
+		k.evict(k.servers["s"], k.servers["s"].replicas["llm|m"])
 		require.True(t, r.sends("llm|m", "s"), "%v", hold)
 		require.True(t, c.until(2*hold, func() bool { return !m.holds["llm|m"] }), "%v", hold)
 		require.False(t, r.sends("llm|m", "s"), "%v", hold)
@@ -331,7 +331,7 @@
 	m.strict, m.slow = true, 2e9
 	c.run(4e9)
 	r := c.route("r")
-	r.burden["llm|n"] = protocol.Burden{Wait: 3, Came: 3, Load: 0.1}
+	r.keyLoads["llm|n"] = protocol.Burden{Wait: 3, Came: 3, Load: 0.1}
 	require.True(t, c.until(20e9, func() bool { return r.sends("llm|n", "s") }))
 	var got []string
 	for _, o := range c.ops {
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -72,10 +72,10 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for i := range size.routers {
 		r := c.routers[fmt.Sprintf("r%04d", i)]
-		clear(r.burden)
-		for len(r.burden) < size.requestedPerRouter {
+		clear(r.keyLoads)
+		for len(r.keyLoads) < size.requestedPerRouter {
 			key := models[int(rng.Float64()*rng.Float64()*float64(len(models)))]
-			r.burden[key] = protocol.Burden{}
+			r.keyLoads[key] = protocol.Burden{}
 		}
 	}
 }
@@ -86,7 +86,7 @@
 	sent, all := 0, 0
 	for i := range size.routers {
 		r := c.routers[fmt.Sprintf("r%04d", i)]
-		for key := range r.burden {
+		for key := range r.keyLoads {
 			all++
 			u := protocol.Burden{Came: requestsPerRenewal, Load: requestLoad, Top: 1}
 			if c.at < r.until && len(r.entries[key]) > 0 {
@@ -95,7 +95,7 @@
 			} else {
 				u.Wait = 1
 			}
-			r.burden[key] = u
+			r.keyLoads[key] = u
 		}
 	}
 	return float64(sent) / float64(all)
@@ -190,15 +190,15 @@
 		meanServed(c, size, 5e9)
 		r := c.routers["r0001"]
 		r.seq++
-		for key := range r.burden {
-			r.burden[key] = protocol.Burden{Wait: 1, Came: 1}
+		for key := range r.keyLoads {
+			r.keyLoads[key] = protocol.Burden{Wait: 1, Came: 1}
 		}
-		renewal := protocol.Renew{Session: r.ses, Seq: r.seq, Gen: 1, Epoch: 1, Heard: r.heard, Burden: r.burden}
+		renewal := protocol.Renew{Session: r.ses, Seq: r.seq, Gen: 1, Epoch: 1, Heard: r.heard, Burden: r.keyLoads}
 		s := c.models["at-s0001"]
-		s.beats++
+		s.ticks++
 		return work{
 			renewal: countVisits(c, r.mail(renewal)),
-			beacon:  countVisits(c, Announce{Token: 1 << 32, Beacon: protocol.Beacon{Listed: s.Listed, Count: s.beats}}),
+			beacon:  countVisits(c, Announce{Token: 1 << 32, Beacon: protocol.Beacon{Listed: s.Listed, Count: s.ticks}}),
 		}
 	}
 	small, large := measure(largeFleet.part(1, 10)), measure(largeFleet)
--- a/internal/controller/pace.go
+++ b/internal/controller/pace.go
@@ -28,8 +28,8 @@
 	return p.ns * (1 + paceDecayPerSecond*now.Sub(p.seenAt).Seconds())
 }
 
-// recordPaces records the shortest times that a router observed.
-func (c *Core) recordPaces(seen map[ident.Key]float64) {
+// recordTokenTimes records the shortest times that a router observed.
+func (c *Core) recordTokenTimes(seen map[ident.Key]float64) {
 	for base, ns := range seen {
 		if !(ns > 0) || math.IsInf(ns, 1) || c.plan == nil {
 			continue
@@ -37,15 +37,15 @@
 		if _, planned := c.plan.Models[base]; !planned {
 			continue
 		}
-		if was, ok := c.paces[base]; !ok || ns < was.decayed(c.now) {
-			c.paces[base] = pace{ns, c.now}
+		if was, ok := c.tokenTimes[base]; !ok || ns < was.decayed(c.now) {
+			c.tokenTimes[base] = pace{ns, c.now}
 		}
 	}
 }
 
-// pacesUpdate returns the paces of the bases that a router uses, as far as they changed since the last update.
+// tokenTimesUpdate returns the token times of the bases that a router uses, as far as they changed since the last update.
 // It returns nil if none changed.
-func (c *Core) pacesUpdate(l *link) *protocol.Paces {
+func (c *Core) tokenTimesUpdate(l *link) *protocol.Paces {
 	var update *protocol.Paces
 	if slowest := c.slowestPace(); differsEnough(l.slowest, slowest) {
 		l.slowest = slowest
@@ -53,8 +53,8 @@
 	}
 	for key := range l.holds { // the order is irrelevant: each base is handled separately
 		base := key.Base()
-		p, ok := c.paces[base]
-		if !ok || !differsEnough(l.paces[base], p.decayed(c.now)) {
+		p, ok := c.tokenTimes[base]
+		if !ok || !differsEnough(l.tokenTimes[base], p.decayed(c.now)) {
 			continue
 		}
 		if update == nil {
@@ -63,11 +63,11 @@
 		if update.Bases == nil {
 			update.Bases = map[ident.Key]float64{}
 		}
-		if l.paces == nil {
-			l.paces = map[ident.Key]float64{}
+		if l.tokenTimes == nil {
+			l.tokenTimes = map[ident.Key]float64{}
 		}
-		l.paces[base] = p.decayed(c.now)
-		update.Bases[base] = l.paces[base]
+		l.tokenTimes[base] = p.decayed(c.now)
+		update.Bases[base] = l.tokenTimes[base]
 	}
 	if update != nil {
 		update.Slowest = l.slowest
@@ -80,7 +80,7 @@
 func (c *Core) slowestPace() float64 {
 	if c.slowestAt != c.summed || c.slowest == 0 {
 		c.slowestAt, c.slowest = c.summed, 0
-		for _, p := range c.paces {
+		for _, p := range c.tokenTimes {
 			c.slowest = max(c.slowest, p.decayed(c.now))
 		}
 	}
--- a/internal/controller/pace_test.go
+++ b/internal/controller/pace_test.go
@@ -15,24 +15,24 @@
 func TestPaces(t *testing.T) {
 	c := New(Options{})
 	c.plan, c.now = modelPlan(8, "llm|m", "llm|n"), clock.Tick(1e9)
-	c.recordPaces(map[ident.Key]float64{"llm|m": 50e3, "llm|n": 20e3, "llm|none": 1})
-	c.recordPaces(map[ident.Key]float64{"llm|m": 80e3})
-	c.recordPaces(map[ident.Key]float64{"llm|m": 40e3, "llm|n": math.Inf(1)})
-	c.recordPaces(map[ident.Key]float64{"llm|m": 0, "llm|n": -3})
-	c.recordPaces(map[ident.Key]float64{"llm|m": math.NaN()})
-	require.Len(t, c.paces, 2)
+	c.recordTokenTimes(map[ident.Key]float64{"llm|m": 50e3, "llm|n": 20e3, "llm|none": 1})
+	c.recordTokenTimes(map[ident.Key]float64{"llm|m": 80e3})
+	c.recordTokenTimes(map[ident.Key]float64{"llm|m": 40e3, "llm|n": math.Inf(1)})
+	c.recordTokenTimes(map[ident.Key]float64{"llm|m": 0, "llm|n": -3})
+	c.recordTokenTimes(map[ident.Key]float64{"llm|m": math.NaN()})
+	require.Len(t, c.tokenTimes, 2)
 
 	l := &link{holds: map[ident.Key]uint64{"llm|m": 1}}
-	told := c.pacesUpdate(l)
+	told := c.tokenTimesUpdate(l)
 	require.Equal(t, map[ident.Key]float64{"llm|m": 40e3}, told.Bases, "only the bases that the router uses")
 	require.InDelta(t, 40e3, told.Slowest, 1)
-	require.Nil(t, c.pacesUpdate(l), "no pace has changed")
+	require.Nil(t, c.tokenTimesUpdate(l), "no pace has changed")
 	l.holds["llm|n+a"] = 2
-	require.Equal(t, map[ident.Key]float64{"llm|n": 20e3}, c.pacesUpdate(l).Bases, "an adapter uses the pace of its base")
+	require.Equal(t, map[ident.Key]float64{"llm|n": 20e3}, c.tokenTimesUpdate(l).Bases, "an adapter uses the pace of its base")
 
 	c.now = c.now.Add(clock.Span(10e9))
-	c.recordPaces(map[ident.Key]float64{"llm|m": 43e3})
-	require.InDelta(t, 43e3, c.paces["llm|m"].decayed(c.now), 1, "a pace grows by a tenth in ten seconds without a new observation")
+	c.recordTokenTimes(map[ident.Key]float64{"llm|m": 43e3})
+	require.InDelta(t, 43e3, c.tokenTimes["llm|m"].decayed(c.now), 1, "a pace grows by a tenth in ten seconds without a new observation")
 }
 
 // The duration of loads from a server's own disk is learned, whether they take less or more time than loads
--- a/internal/controller/place.go
+++ b/internal/controller/place.go
@@ -13,12 +13,12 @@
 // is requested. Replicas without recent work are evicted to make room.
 
 const (
-	entryRefreshInterval = 500e6 // interval of the periodic recomputation of all entries
-	recentRequestSpan    = 3e9   // a key that was requested within this time gets at least one replica
-	maxDarkLoadTime      = 60e9  // a server that stopped answering may still be loading for this long
-	firstReportTimeout   = 10e9  // a new server without a report is assumed to load nothing after this time
-	newZoneScore         = 1_000_000
-	freeRoomScale        = 1000 // resolution of a server's share of free room in the score; less than newZoneScore
+	entryRefreshInterval   = 500e6 // interval of the periodic recomputation of all entries
+	recentRequestSpan      = 3e9   // a key that was requested within this time gets at least one replica
+	maxUnreachableLoadTime = 60e9  // a server that stopped answering may still be loading for this long
+	firstReportTimeout     = 10e9  // a new server without a report is assumed to load nothing after this time
+	newZoneScore           = 1_000_000
+	freeRoomScale          = 1000 // resolution of a server's share of free room in the score; less than newZoneScore
 )
 
 // tickPlacement runs the periodic work of placement on the leader.
@@ -30,7 +30,7 @@
 	c.beatList()
 	c.beatEye()
 	for _, s := range slices.Clone(c.fleet.ordered) {
-		c.beatServer(s)
+		c.tickServer(s)
 	}
 	if c.plan != nil && c.settled() {
 		c.updatePlacement()
@@ -50,20 +50,20 @@
 		return
 	}
 	atOnce, now := c.budget()
-	c.cancelDarkLoads()
+	c.cancelUnreachableLoads()
 	atOnce -= c.countPossibleLoads()
 	c.evictUnplanned()
 	c.advanceMoves()
 	c.placeRequests(min(atOnce, now))
 }
 
-// cancelDarkLoads cancels loads whose order cannot be sent because the server does not answer, so that another
+// cancelUnreachableLoads cancels loads whose order cannot be sent because the server does not answer, so that another
 // server may load the key.
-func (c *Core) cancelDarkLoads() {
+func (c *Core) cancelUnreachableLoads() {
 	for _, s := range c.servers {
-		for key, p := range s.spots {
+		for key, p := range s.replicas {
 			if s.dark && p.stage == Ordered && p.num == 0 {
-				c.removeSpot(s, key)
+				c.removeReplica(s, key)
 			}
 		}
 	}
@@ -73,8 +73,8 @@
 func (c *Core) countPossibleLoads() int {
 	n := 0
 	for _, s := range c.servers {
-		c.visit(len(s.spots))
-		for _, p := range s.spots {
+		c.visit(len(s.replicas))
+		for _, p := range s.replicas {
 			if p.stage == Ordered && c.loadMayBeRunning(s, p) {
 				n++
 			}
@@ -87,9 +87,9 @@
 }
 
 // loadMayBeRunning reports whether an ordered load may still be in progress; on an unreachable server it may be for
-// maxDarkLoadTime.
+// maxUnreachableLoadTime.
 func (c *Core) loadMayBeRunning(s *server, p *spot) bool {
-	return !s.dark || c.now.Sub(p.since) < maxDarkLoadTime
+	return !s.dark || c.now.Sub(p.since) < maxUnreachableLoadTime
 }
 
 // evictUnplanned evicts everything that the plan does not contain.
@@ -98,9 +98,9 @@
 		if !s.known || s.dark {
 			continue
 		}
-		c.visit(len(s.spots))
+		c.visit(len(s.replicas))
 		for _, key := range c.unplannedOn(s) {
-			if p := s.spots[key]; p.stage == Ready {
+			if p := s.replicas[key]; p.stage == Ready {
 				c.evict(s, p)
 			}
 		}
@@ -109,7 +109,7 @@
 
 // unplannedOn lists the keys on a server that the plan does not contain.
 func (c *Core) unplannedOn(s *server) (unplanned []ident.Key) {
-	for key := range s.spots {
+	for key := range s.replicas {
 		if _, planned := c.plan.Models[key]; !planned {
 			unplanned = append(unplanned, key)
 		}
@@ -130,7 +130,7 @@
 	set := replicaSet{zones: map[ident.Zone]bool{}}
 	for _, s := range c.holding(key) {
 		c.visit(1)
-		if p := s.spots[key]; p != nil && p.placed() && c.stays(s) {
+		if p := s.replicas[key]; p != nil && p.placed() && c.stays(s) {
 			set.count++
 			set.slots += s.slots
 			set.zones[s.Zone] = true
@@ -158,7 +158,7 @@
 			r.wanted = max(r.wanted, r.live+1)
 		}
 	}
-	if c.shifts[m.Key] != nil {
+	if c.moves[m.Key] != nil {
 		r.wanted = max(r.wanted, r.live) // during a move both replicas count, until the new one can replace the old one
 	} else if r.wanted == 0 && r.live == 0 && c.losingReplicas(m.Key) {
 		r.wanted = 1
@@ -235,7 +235,7 @@
 
 // startLoad marks a model as ordered on a server; the order itself is sent when due.
 func (c *Core) startLoad(s *server, m fleetplan.Model) {
-	c.putSpot(s, &spot{key: m.Key, size: m.Size, stage: Ordered, since: c.now})
+	c.putReplica(s, &spot{key: m.Key, size: m.Size, stage: Ordered, since: c.now})
 }
 
 // chooseServer returns the server for one more replica of a model. It prefers zones without a replica, then
@@ -264,7 +264,7 @@
 
 // mayHold reports whether a server may be ordered to load a key, regardless of its free room.
 func (c *Core) mayHold(s *server, key ident.Key) bool {
-	if !c.stays(s) || s.spots[key] != nil || s.odd != "" {
+	if !c.stays(s) || s.replicas[key] != nil || s.odd != "" {
 		return false
 	}
 	if s.plain || s.alien || s.Service != key.Service() {
--- a/internal/controller/reader.go
+++ b/internal/controller/reader.go
@@ -77,9 +77,9 @@
 	return q
 }
 
-// beatQuery sends the periodic majority read. With a claim, the read also acquires or renews the leadership
+// tickQueries sends the periodic majority read. With a claim, the read also acquires or renews the leadership
 // lease.
-func (c *Core) beatQuery() {
+func (c *Core) tickQueries() {
 	r := &c.reg
 	if c.now < r.next {
 		return
--- a/internal/controller/register.go
+++ b/internal/controller/register.go
@@ -102,7 +102,7 @@
 	}
 }
 
-func (c *Core) onTaken(e protocol.Env) { c.hearOfChosen(e.Body.(protocol.Taken).Ballot, e.From) }
+func (c *Core) onValueChosen(e protocol.Env) { c.hearOfChosen(e.Body.(protocol.Taken).Ballot, e.From) }
 
 // noteChosen learns the value of a ballot that another node knows to be chosen. If this node has accepted that
 // ballot, it has the value; otherwise it fetches the value from that node.
@@ -122,7 +122,7 @@
 	c.send(from, protocol.Fetch{Ballot: b})
 }
 
-func (c *Core) beatRegister() {
+func (c *Core) tickRegister() {
 	r := &c.reg
 	if o := r.op; o != nil {
 		switch {
@@ -143,7 +143,7 @@
 	c.beatForwards()
 	c.startNext()
 	c.dropReads()
-	c.beatQuery()
-	c.beatForm()
-	c.beatVoters()
+	c.tickQueries()
+	c.tickForming()
+	c.tickVoters()
 }
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -114,11 +114,11 @@
 // rollout tracks the newest configuration on its way to the routers, for the log: how many routers had to
 // receive it, how many leases expired meanwhile, and how long it took until it was in force everywhere.
 type rollout struct {
-	epoch  ident.Epoch
-	began  clock.Tick
-	links  int
-	lapsed int
-	active bool
+	epoch         ident.Epoch
+	began         clock.Tick
+	links         int
+	expiredLeases int
+	active        bool
 }
 
 // startRollout records that a configuration is sent to every router.
@@ -153,5 +153,5 @@
 
 func (c *Core) logRollout(text string) {
 	c.note(text, field("epoch", c.rollout.epoch), field("took_ms", c.now.Sub(c.rollout.began).Milliseconds()), field("routers", c.rollout.links),
-		field("lapsed", c.rollout.lapsed), field("behind", c.countBehind()), field("term", c.duty.num))
+		field("lapsed", c.rollout.expiredLeases), field("behind", c.countBehind()), field("term", c.duty.num))
 }
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -14,27 +14,27 @@
 // server is the leader's view of one model server.
 type server struct {
 	protocol.Listed
-	inc     ident.Inc // incarnation of the server, from its last report
-	room    int       // total room for models
-	slots   int       // maximum number of concurrent requests
-	spots   map[ident.Key]*spot
-	whole   *spot      // the server itself, for requests without a model
-	num     uint64     // number of the last order that the server accepted or was sent
-	asking  bool       // a request to the server is in progress
-	next    clock.Tick // when the server is polled next
-	fails   int        // consecutive requests without an answer
-	dark    bool       // the server doesn't answer
-	known   bool       // the server has reported during this term
-	ok      clock.Tick // when the latest received report was requested
-	first   clock.Tick // when the server was first listed
-	odd     string     // contradiction in the last report; such a server gets no load orders
-	plain   bool       // the server holds no models and accepts no orders
-	places  int        // places for adapters; 0 if they are not limited
-	busy    bool       // the server executes an order
-	alien   bool       // the order is from an earlier term, so its outcome is unknown
-	unsure  *spot      // the replica whose last order got no answer
-	asked   clock.Tick // time of the last request or order
-	ordered clock.Tick // time of the last order
+	inc      ident.Inc // incarnation of the server, from its last report
+	room     int       // total room for models
+	slots    int       // maximum number of concurrent requests
+	replicas map[ident.Key]*spot
+	whole    *spot      // the server itself, for requests without a model
+	num      uint64     // number of the last order that the server accepted or was sent
+	asking   bool       // a request to the server is in progress
+	next     clock.Tick // when the server is polled next
+	fails    int        // consecutive requests without an answer
+	dark     bool       // the server doesn't answer
+	known    bool       // the server has reported during this term
+	ok       clock.Tick // when the latest received report was requested
+	first    clock.Tick // when the server was first listed
+	odd      string     // contradiction in the last report; such a server gets no load orders
+	plain    bool       // the server holds no models and accepts no orders
+	places   int        // places for adapters; 0 if they are not limited
+	busy     bool       // the server executes an order
+	alien    bool       // the order is from an earlier term, so its outcome is unknown
+	unsure   *spot      // the replica whose last order got no answer
+	asked    clock.Tick // time of the last request or order
+	ordered  clock.Tick // time of the last order
 
 	doing     *spot      // the replica whose order the server has accepted and executes
 	confirms  int        // number of confirmation requests for that order
@@ -44,7 +44,7 @@
 // newServer returns the initial state of a newly listed server.
 func newServer(l protocol.Listed, now clock.Tick) *server {
 	return &server{
-		Listed: l, spots: map[ident.Key]*spot{}, first: now,
+		Listed: l, replicas: map[ident.Key]*spot{}, first: now,
 		whole: &spot{key: ident.ServiceKey(l.Service), stage: Ready, ready: now, since: now},
 	}
 }
@@ -54,13 +54,13 @@
 	if s.whole != nil && k == s.whole.key {
 		return s.whole
 	}
-	return s.spots[k]
+	return s.replicas[k]
 }
 
 // used returns the room that is occupied or reserved by orders.
 func (s *server) used() int {
 	n := 0
-	for _, p := range s.spots {
+	for _, p := range s.replicas {
 		n += p.size
 	}
 	return n
@@ -69,7 +69,7 @@
 // loading counts the ordered loads.
 func (s *server) loading() int {
 	n := 0
-	for _, p := range s.spots {
+	for _, p := range s.replicas {
 		if p.stage == Ordered {
 			n++
 		}
@@ -83,7 +83,7 @@
 // leaving returns the room of the replicas that are being unloaded.
 func (s *server) leaving() int {
 	n := 0
-	for _, p := range s.spots {
+	for _, p := range s.replicas {
 		if p.leaves() {
 			n += p.size
 		}
@@ -93,7 +93,7 @@
 
 // leavingKeys lists the keys that are being unloaded, sorted.
 func (s *server) leavingKeys() (keys []ident.Key) {
-	for key, p := range s.spots {
+	for key, p := range s.replicas {
 		if p.leaves() {
 			keys = append(keys, key)
 		}
@@ -105,7 +105,7 @@
 // pending counts the orders that a server has yet to complete.
 func (s *server) pending() int {
 	n := 0
-	for _, p := range s.spots {
+	for _, p := range s.replicas {
 		if p.stage != Ready {
 			n++
 		}
@@ -116,7 +116,7 @@
 // adapters counts the places for adapters that are occupied or reserved.
 func (s *server) adapters() int {
 	n := 0
-	for k := range s.spots {
+	for k := range s.replicas {
 		if k.IsAdapter() {
 			n++
 		}
@@ -126,7 +126,7 @@
 
 // baseReady reports whether the base model of an adapter is ready.
 func (s *server) based(k ident.Key) bool {
-	b := s.spots[k.Base()]
+	b := s.replicas[k.Base()]
 	return b != nil && b.stage == Ready
 }
 
@@ -139,7 +139,7 @@
 	var next *spot
 	over := s.room > 0 && s.used() > s.room
 	for _, k := range s.unsentKeys() {
-		p := s.spots[k]
+		p := s.replicas[k]
 		if p.stage == Ordered && (over || p.key.IsAdapter() && !s.canLoadAdapter(p.key)) {
 			continue // its room is not free yet, or its base model is not ready
 		}
@@ -152,7 +152,7 @@
 
 // unsentKeys lists the keys with an unsent order, sorted.
 func (s *server) unsentKeys() (keys []ident.Key) {
-	for key, p := range s.spots {
+	for key, p := range s.replicas {
 		if p.num == 0 && (p.stage == Ordered || p.stage == Unloading) {
 			keys = append(keys, key)
 		}
--- a/internal/controller/starved_reads_test.go
+++ b/internal/controller/starved_reads_test.go
@@ -126,7 +126,7 @@
 	n := c.nodes[node]
 	n.now, n.out = c.at, nil
 	n.reg.next = 0
-	n.beatQuery()
+	n.tickQueries()
 	return n.reg.newestQuery()
 }
 
--- a/internal/controller/voters.go
+++ b/internal/controller/voters.go
@@ -78,8 +78,8 @@
 	return ok && c.now.Sub(s.at) < clock.Span(rounds)*c.o.Round
 }
 
-// beatVoters makes the next change that the voter set needs, if any.
-func (c *Core) beatVoters() {
+// tickVoters makes the next change that the voter set needs, if any.
+func (c *Core) tickVoters() {
 	c.trackAbsences()
 	r := &c.reg
 	if !c.duty.mine || r.known == nil || r.changingVoters {
--- a/internal/controller/weigh.go
+++ b/internal/controller/weigh.go
@@ -35,15 +35,15 @@
 
 // placeByCost runs placement if its pause is over.
 func (c *Core) placeByCost() {
-	if c.now.Sub(c.weighed) < c.weighPause {
+	if c.now.Sub(c.lastPlacement) < c.placementPause {
 		return
 	}
 	before := c.tally.Visits
-	c.weighed = c.now
-	c.cancelDarkLoads()
+	c.lastPlacement = c.now
+	c.cancelUnreachableLoads()
 	c.evictUnplanned()
 	c.runPlacement(c.budget())
-	c.weighPause = max(placementInterval, clock.Span(c.tally.Visits-before)*pausePerVisit)
+	c.placementPause = max(placementInterval, clock.Span(c.tally.Visits-before)*pausePerVisit)
 }
 
 // runPlacement performs one run of placement. The store supports atOnce concurrent loads, of which toBegin may
@@ -82,8 +82,8 @@
 // remainingStoreLoads returns how many more loads the store supports in addition to those already ordered.
 func (c *Core) remainingStoreLoads(atOnce, toBegin int) int {
 	for _, s := range c.servers {
-		c.visit(len(s.spots))
-		for key, p := range s.spots {
+		c.visit(len(s.replicas))
+		for key, p := range s.replicas {
 			if p.stage != Ordered || key.IsAdapter() || c.sure(s, key) || !c.loadMayBeRunning(s, p) {
 				continue
 			}
@@ -121,14 +121,14 @@
 	if s.plain || s.free() >= 0 && !crowd || !s.known {
 		return
 	}
-	for _, p := range s.spots {
+	for _, p := range s.replicas {
 		if p.leaves() {
 			return
 		}
 	}
-	for key, p := range s.spots {
+	for key, p := range s.replicas {
 		if p.stage == Ordered && p.num == 0 {
-			c.removeSpot(s, key)
+			c.removeReplica(s, key)
 		}
 	}
 }
--- a/internal/controller/weigh_test.go
+++ b/internal/controller/weigh_test.go
@@ -21,12 +21,12 @@
 	c.plan, c.now, c.listed = p, 100e9, 1
 	c.duty.mine, c.duty.asked, c.duty.began = true, c.now, 1
 	c.reg.known = &protocol.Desired{Voters: []protocol.Voter{{Sibling: protocol.Sibling{ID: "me"}, Inc: 1}}}
-	c.rolls = map[ident.Node]ident.Inc{"me": 1}
+	c.registriesReceived = map[ident.Node]ident.Inc{"me": 1}
 	for id, l := range holds {
-		s := &server{Listed: beacon(string(id), "live", 1).Listed, known: true, slots: 8, spots: map[ident.Key]*spot{}}
+		s := &server{Listed: newAnnouncement(string(id), "live", 1).Listed, known: true, slots: 8, replicas: map[ident.Key]*spot{}}
 		s.room, s.places = p.Services["llm"].Room, p.Services["llm"].Places
 		for _, k := range l {
-			s.spots[k] = &spot{key: k, size: p.Models[k].Size, stage: Ready, num: 1, ready: 1}
+			s.replicas[k] = &spot{key: k, size: p.Models[k].Size, stage: Ready, num: 1, ready: 1}
 		}
 		c.addServer(s)
 		c.enlist(&enrolled{Beacon: protocol.Beacon{Listed: s.Listed}, heard: c.now, had: map[ident.Key]bool{}})
@@ -44,7 +44,7 @@
 func (c *Core) changes() string {
 	var l []string
 	for _, id := range generic.SortedKeys(c.servers) {
-		for k, p := range c.servers[id].spots {
+		for k, p := range c.servers[id].replicas {
 			switch {
 			case p.stage == Ordered && p.num == 0:
 				l = append(l, fmt.Sprintf("+%s@%s", k.Name(), id))
@@ -98,12 +98,12 @@
 		{"the least used key is evicted", 8, 9, keys{"s1": {x, y}}, demand{n: waits(1), x: {slow: 0.3}, y: {slow: 0.02}}, nil, "+n@s1 -y@s1"},
 		{"the least used key of all servers is evicted", 8, 9, keys{"s1": {x, m}, "s2": {y, z}}, demand{n: waits(1), m: {slow: 1}, x: {slow: 0.8}, y: {slow: 0.7}, z: {slow: 0.1}}, nil, "+n@s2 -z@s2"},
 		{"a surplus replica is evicted before an only one", 8, 9, keys{"s1": {x, y}, "s2": {x, z}}, demand{n: waits(1), x: {slow: 0.3}, y: {slow: 0.3}, z: {slow: 0.3}}, nil, "+n@s1 -x@s1"},
-		{"a key outside the plan is evicted first", 8, 9, keys{"s1": {x, "llm|lost"}}, demand{n: waits(1)}, func(c *Core) { c.servers["s1"].spots["llm|lost"].size = 4 }, "+n@s1 -lost@s1"},
+		{"a key outside the plan is evicted first", 8, 9, keys{"s1": {x, "llm|lost"}}, demand{n: waits(1)}, func(c *Core) { c.servers["s1"].replicas["llm|lost"].size = 4 }, "+n@s1 -lost@s1"},
 		{"two keys are evicted for a large one", 8, 9, keys{"s1": {x, y}}, demand{"llm|big": waits(1)}, nil, "+big@s1 -x@s1 -y@s1"},
 		{"a base is evicted with its adapters", 8, 9, keys{"s1": {m, "llm|m+1", "llm|m+2"}}, demand{"llm|big": waits(1)}, nil, "+big@s1 -m+1@s1 -m+2@s1 -m@s1"},
 		{"a key with waiting requests is not evicted", 8, 9, keys{"s1": {x, y}}, demand{n: waits(1), x: {wait: 1}, y: {slow: 0.1}}, nil, "+n@s1 -y@s1"},
 		{"nor a key that is requested far more often", 8, 9, keys{"s1": {x, y}}, demand{n: waits(1), x: {wait: 1}, y: {slow: 3}}, nil, ""},
-		{"nor a key that was loaded recently", 8, 9, keys{"s1": {x, y}}, demand{n: waits(1), y: {slow: 0.1}}, func(c *Core) { c.servers["s1"].spots[x].ready = c.now - 1e9 }, "+n@s1 -y@s1"},
+		{"nor a key that was loaded recently", 8, 9, keys{"s1": {x, y}}, demand{n: waits(1), y: {slow: 0.1}}, func(c *Core) { c.servers["s1"].replicas[x].ready = c.now - 1e9 }, "+n@s1 -y@s1"},
 		{"no only replica is evicted for a moderately loaded key", 8, 9, keys{"s1": {m, x}, "s2": {y, z}}, demand{m: {load: 0.4, now: 0.4}}, nil, ""},
 		{"an only replica is evicted for an overloaded key", 8, 9, keys{"s1": {m, x}, "s2": {y, z}}, demand{m: {load: 0.7, now: 0.7, rate: 5}, x: {slow: 1}, y: {slow: 1}}, nil, "+m@s2 -z@s2"},
 
@@ -199,7 +199,7 @@
 			c.serve(fmt.Sprint("s", i), all[(2*i)%8], all[(2*i+1)%8])
 		}
 		r, s := c.route("r"), c.route("s")
-		r.burden, s.burden = x.burden, x.burden
+		r.keyLoads, s.keyLoads = x.burden, x.burden
 		c.run(40e9)
 		was := len(c.ops)
 		c.run(60e9)
@@ -224,20 +224,20 @@
 	c.serve("s2", "llm|o", "llm|p")
 	c.serve("s3", "llm|q")
 	r := c.route("r")
-	r.burden = map[ident.Key]protocol.Burden{"llm|m": {Came: 4, Load: 0.04}, "llm|n": {Came: 1, Load: 0.01}, "llm|q": {Came: 1, Load: 0.01}}
+	r.keyLoads = map[ident.Key]protocol.Burden{"llm|m": {Came: 4, Load: 0.04}, "llm|n": {Came: 1, Load: 0.01}, "llm|q": {Came: 1, Load: 0.01}}
 	c.run(20e9)
 	require.Empty(t, c.ops)
-	r.burden["llm|m"] = protocol.Burden{Came: 40, Work: 3, Load: 0.4}
+	r.keyLoads["llm|m"] = protocol.Burden{Came: 40, Work: 3, Load: 0.4}
 	require.True(t, c.until(9e9, func() bool { return c.models["at-s3"].holds["llm|m"] }), "a server with free room")
 	require.True(t, c.until(20e9, func() bool { return c.models["at-s2"].holds["llm|m"] }), "a server with an eviction")
 	for _, o := range c.orders("unload") {
 		require.Contains(t, []ident.Key{"llm|o", "llm|p"}, o.Key, "keys without requests")
 	}
-	r.burden["llm|m"] = protocol.Burden{Came: 1, Load: 0.01}
+	r.keyLoads["llm|m"] = protocol.Burden{Came: 1, Load: 0.01}
 	was := len(c.ops)
 	c.run(60e9)
 	require.Empty(t, c.ops[was:], "no eviction while no other key needs the room")
-	r.burden["llm|o"], r.burden["llm|p"] = protocol.Burden{Came: 1, Wait: 1, Load: 0.01}, protocol.Burden{Came: 1, Wait: 1, Load: 0.01}
+	r.keyLoads["llm|o"], r.keyLoads["llm|p"] = protocol.Burden{Came: 1, Wait: 1, Load: 0.01}, protocol.Burden{Came: 1, Wait: 1, Load: 0.01}
 	c.run(20e9)
 	n := 0
 	for _, m := range c.models {
--- a/internal/controller/work_bench_test.go
+++ b/internal/controller/work_bench_test.go
@@ -30,7 +30,7 @@
 		owner, r := c.lead(), c.routers["r0001"]
 		for b.Loop() {
 			r.seq++
-			owner.Step(c.at, r.mail(protocol.Renew{Session: r.ses, Seq: r.seq, Gen: 1, Epoch: 1, Heard: r.heard, Burden: r.burden}))
+			owner.Step(c.at, r.mail(protocol.Renew{Session: r.ses, Seq: r.seq, Gen: 1, Epoch: 1, Heard: r.heard, Burden: r.keyLoads}))
 		}
 	})
 }
@@ -39,8 +39,8 @@
 	benchmarkFleets(b, func(b *testing.B, c *cluster, _ fleetSize) {
 		owner, s := c.lead(), c.models["at-s0001"]
 		for b.Loop() {
-			s.beats++
-			owner.Step(c.at, Announce{Token: 1 << 40, Beacon: protocol.Beacon{Listed: s.Listed, Count: s.beats}})
+			s.ticks++
+			owner.Step(c.at, Announce{Token: 1 << 40, Beacon: protocol.Beacon{Listed: s.Listed, Count: s.ticks}})
 		}
 	})
 }
--- a/internal/explorer/guards_test.go
+++ b/internal/explorer/guards_test.go
@@ -31,7 +31,7 @@
 	{"a majority takes a change", "cut-owner", "durably holds", []edit{{"return n > len(voters)/2", "return n >= len(voters)/2"}}},
 	{"expect the epoch", "cut-owner", "which expected epoch", []edit{{"if !a.Any && d.Epoch != a.Expect {", "if false {"}}},
 	{"a read sees the newest ballot", "cut-owner", "a read at|without change", []edit{{"if q.top.Less(b.Accepted) {", "if false {"}}},
-	{"redo no change", "race", "although it was taken", []edit{{"if x.ID == a.Change {\n\t\t\t\treturn d, failure.Repeated", "if x.ID == `no` {\n\t\t\t\treturn d, failure.Repeated"}, {"&& c.hasTaken(a.Change) {", "&& false {"}}},
+	{"redo no change", "race", "although it was taken", []edit{{"if x.ID == a.Change {\n\t\t\t\treturn d, failure.Repeated", "if x.ID == `no` {\n\t\t\t\treturn d, failure.Repeated"}, {"&& c.hasChosen(a.Change) {", "&& false {"}}},
 	{"keep a promise", "race-orders", "is chosen with plan|was confirmed for|without", []edit{
 		{"if b.Ballot.Less(c.vote.promised) {\n\t\tc.reply(e, protocol.Accepted{", "if false {\n\t\tc.reply(e, protocol.Accepted{"}}},
 	{"an emptied disk does not vote", "replace-orders", "durably holds|would go on", []edit{{"c.vote.inc = c.o.Inc", "c.vote.inc = 1"}}},
--- a/internal/simulator/bites_test.go
+++ b/internal/simulator/bites_test.go
@@ -50,7 +50,7 @@
 		{"internal/controller/duty.go", " || !d.free {", " {"}, {"internal/controller/reader.go", "q.claim && voterset.Majority(q.set, q.grant)", "q.claim"}}},
 	{"no new owner beside a held duty", "core", "two own the duty|two controllers", []edit{{"internal/controller/acceptor.go", "|| !held && !recentStart)", "|| !recentStart)"}, {"internal/controller/duty.go", "inc) || !d.free {", "inc) {"}}},
 	{"expect the epoch", "plans", "that expected epoch", []edit{{"internal/controller/changes.go", "if !a.Any && d.Epoch != a.Expect {", "if false {"}}},
-	{"redo no change", "core", "was reached by", []edit{{"internal/controller/changes.go", "if x.ID == a.Change {\n\t\t\t\treturn d, failure.Repeated", "if x.ID == `no` {\n\t\t\t\treturn d, failure.Repeated"}, {"internal/controller/changes.go", "&& c.hasTaken(a.Change) {", "&& false {"}}},
+	{"redo no change", "core", "was reached by", []edit{{"internal/controller/changes.go", "if x.ID == a.Change {\n\t\t\t\treturn d, failure.Repeated", "if x.ID == `no` {\n\t\t\t\treturn d, failure.Repeated"}, {"internal/controller/changes.go", "&& c.hasChosen(a.Change) {", "&& false {"}}},
 	{"see servers go", "servers", "after it was leaving or gone", []edit{
 		{"internal/controller/server.go", "return !s.dark && s.known && c.meant(s)", "return s.known && c.meant(s)"},
 		{"internal/controller/server.go", `return s.State == "live" && !c.empty`, "return !c.empty"}}},
--- a/internal/simulator/control_test.go
+++ b/internal/simulator/control_test.go
@@ -14,7 +14,7 @@
 		{"internal/controller/admin.go", "\t// A majority read that begins now shows whether the known value is the newest.\n",
 			"\tif v := c.reg.known; v != nil {\n\t\tc.receipt(Receipt{Token: a.Token, Epoch: v.Epoch, Plan: v.Plan})\n\t\treturn\n\t}\n"}}},
 	{"control: answer a repeat as before", "control-race", "operators' history fits no order: change", []edit{
-		{"internal/controller/changes.go", "if x.ID == a.Change {\n\t\t\t\treturn d, failure.Repeated", "if x.ID == `no` {\n\t\t\t\treturn d, failure.Repeated"}, {"internal/controller/changes.go", "&& c.hasTaken(a.Change) {", "&& false {"}}},
+		{"internal/controller/changes.go", "if x.ID == a.Change {\n\t\t\t\treturn d, failure.Repeated", "if x.ID == `no` {\n\t\t\t\treturn d, failure.Repeated"}, {"internal/controller/changes.go", "&& c.hasChosen(a.Change) {", "&& false {"}}},
 	{"control: expect the epoch", "control-race", "operators' history fits no order: a change that goes on version", []edit{
 		{"internal/controller/changes.go", "if !a.Any && d.Epoch != a.Expect {", "if false {"}}},
 	{"control: leave a joint set", "control-five", "still in a joint state", []edit{
