--- a/internal/controller/contention_test.go
+++ b/internal/controller/contention_test.go
@@ -62,7 +62,7 @@
 			open = remaining
 			c.out = nil // all receipts of this step have been read
 		}
-		t.Logf("delay %v: %d orders taken in 60 s, the slowest after %v", delay, taken, longest)
+		t.Logf("delay %v: %d changes confirmed in 60 s, the slowest after %v", delay, taken, longest)
 		require.Less(t, longest, 4*clock.Span(1e9))
 	}
 }
--- a/internal/controller/control_test.go
+++ b/internal/controller/control_test.go
@@ -136,7 +136,7 @@
 	away := c.other()
 	c.down(away)
 	c.run(10e9)
-	require.Empty(t, c.nodes[away].reg.absent, "a node that hears no majority counts nobody as absent")
+	require.Empty(t, c.nodes[away].reg.absent, "a node that hears no majority counts no other node as absent")
 	require.Contains(t, c.lead().reg.absent, ident.Node(away))
 	delete(c.parted, away)
 	c.run(2e9)
@@ -168,7 +168,7 @@
 	require.True(t, c.until(catchUp-c.at.Sub(start), func() bool {
 		k := c.nodes["f"].reg.known
 		return k != nil && voterset.Seats(k.Voters, "f") && len(k.Prior) == 0
-	}), "owner lost %v after the new node's start, messages take %v", after, delay)
+	}), "leader lost %v after the new node's start, messages take %v", after, delay)
 }
 
 // Losses follow each other as closely as the loss of two of five nodes allows: one voter for good, another for
@@ -232,7 +232,7 @@
 	lead.reg.next = c.at.Add(600e6) // no renewal is sent until then
 	c.run(500e6)
 	require.True(t, joint(), "the joint set must stay until a renewal under both sets")
-	require.True(t, c.until(500e6, func() bool { return !joint() }), "the old set must be dropped after the renewal")
+	require.True(t, c.until(500e6, func() bool { return !joint() }), "the old voter set must be left after the renewal")
 	durable := 0
 	for _, v := range c.lead().reg.known.Voters {
 		if c.nodes[string(v.ID)].vote.sure == c.lead().duty.num {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -541,9 +541,9 @@
 		{"one is missing", "", []protocol.Listed{x("a", "live"), x("b", "live"), x("c", "live")}, "abc"},
 		{"half are missing", "", []protocol.Listed{x("a", "live"), x("b", "live")}, "ab"},
 		{"most are missing", "", []protocol.Listed{x("a", "live")}, "abcd"},
-		{"most are missing, and dark", "bcd", []protocol.Listed{x("a", "live")}, "a"},
+		{"most are missing, and unreachable", "bcd", []protocol.Listed{x("a", "live")}, "a"},
 		{"an empty list", "", nil, "abcd"},
-		{"said to be gone", "", []protocol.Listed{x("a", "gone"), x("b", "gone"), x("c", "gone"), x("d", "live")}, "d"},
+		{"listed as gone", "", []protocol.Listed{x("a", "gone"), x("b", "gone"), x("c", "gone"), x("d", "live")}, "d"},
 	} {
 		k := New(Options{})
 		for _, id := range []string{"a", "b", "c", "d"} {
@@ -640,7 +640,7 @@
 	n.Step(n.at, protocol.Env{From: protocol.Sibling{ID: "a", Addr: "a"}, Body: protocol.State{Round: q.round, Inc: 5, Granted: true, Duty: q.num, Accepted: n.reg.at}})
 	require.False(t, n.rules())
 	n.run(9e9, func() bool { return n.rules() })
-	require.False(t, n.rules(), "it does not claim the duty for a while")
+	require.False(t, n.rules(), "the node does not claim the lease during the yield time")
 	n.run(9e9, func() bool { return n.rules() })
-	require.True(t, n.rules(), "it claims the duty again if no other node does")
+	require.True(t, n.rules(), "the node claims the lease again if no other node does")
 }
--- a/internal/controller/enrol_test.go
+++ b/internal/controller/enrol_test.go
@@ -93,7 +93,7 @@
 		s := ident.Server("s" + id)
 		ok, answered := c.announce(id, newAnnouncement(string(s), "live", 1))
 		require.True(t, ok && answered)
-		require.NotNil(t, c.lead().servers[s], "the owner knows of a new server at once")
+		require.NotNil(t, c.lead().servers[s], "the leader knows of a new server at once")
 		c.announce(id, newAnnouncement(string(s), "live", 2))
 		c.run(300e6)
 		for n, k := range c.nodes {
@@ -116,15 +116,15 @@
 		least  clock.Span // earliest time of the answer
 	}{
 		{"all are there", "c", nil, 0, true, 1, 0},
-		{"the owner does not hear", "c", []string{"a"}, 0, false, 1100e6, 800e6},
-		{"the owner hears later", "c", []string{"a"}, 300e6, true, 700e6, 300e6},
-		{"the other hears nothing", "c", []string{"b"}, 0, true, 1, 0},
-		{"nobody hears", "c", []string{"a", "b"}, 0, false, 1100e6, 800e6},
-		{"nobody hears at first", "c", []string{"a", "b"}, 500e6, true, 900e6, 500e6},
-		{"the owner is told", "a", nil, 0, true, 1, 0},
-		{"only the owner hears", "a", []string{"b", "c"}, 0, false, 1100e6, 800e6},
-		{"the owner and one of the others hear", "a", []string{"c"}, 0, true, 1, 0},
-		{"only the owner hears at first", "a", []string{"b", "c"}, 500e6, true, 900e6, 500e6},
+		{"the leader does not receive it", "c", []string{"a"}, 0, false, 1100e6, 800e6},
+		{"the leader receives it later", "c", []string{"a"}, 300e6, true, 700e6, 300e6},
+		{"the third node does not receive it", "c", []string{"b"}, 0, true, 1, 0},
+		{"no other node receives it", "c", []string{"a", "b"}, 0, false, 1100e6, 800e6},
+		{"no other node receives it at first", "c", []string{"a", "b"}, 500e6, true, 900e6, 500e6},
+		{"announced to the leader", "a", nil, 0, true, 1, 0},
+		{"only the leader receives it", "a", []string{"b", "c"}, 0, false, 1100e6, 800e6},
+		{"the leader and one other node receive it", "a", []string{"c"}, 0, true, 1, 0},
+		{"only the leader receives it at first", "a", []string{"b", "c"}, 500e6, true, 900e6, 500e6},
 	} {
 		for _, state := range []string{"leaving", "gone"} {
 			c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
@@ -155,7 +155,7 @@
 			if !ok {
 				continue
 			}
-			require.Equal(t, state, c.nodes["a"].roll["s"].State, "%s: the owner knows", x.name)
+			require.Equal(t, state, c.nodes["a"].roll["s"].State, "%s: the leader knows", x.name)
 			ok, answered = c.announce(x.told, b) // the first answer may have been lost
 			require.True(t, c.until(1e9, func() bool { ok, answered = c.answer(c.token); return answered }), x.name)
 			require.True(t, ok, "%s: a repeat is answered like the first", x.name)
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -199,7 +199,7 @@
 // replyForwarded sends the outcome of a forwarded change back to the node that forwarded it.
 func (c *Core) replyForwarded(e protocol.Env, number uint64, r Receipt) {
 	if r.Kind == failure.Full {
-		r.Why = fmt.Sprintf("%d changes are queued at the owner of the lease", mostQueued)
+		r.Why = fmt.Sprintf("%d changes are queued at the leader", mostQueued)
 	}
 	c.reply(e, protocol.Forwarded{Number: number, Kind: r.Kind, Why: r.Why, Faults: r.Faults, Epoch: r.Epoch, Empty: r.Empty, Chosen: c.reg.at})
 }
--- a/internal/controller/number_test.go
+++ b/internal/controller/number_test.go
@@ -110,7 +110,7 @@
 		for i, g := range got {
 			switch g().Kind {
 			case failure.None:
-				require.Equal(t, -1, won, "%s: two changes taken on the same epoch", x.name)
+				require.Equal(t, -1, won, "%s: two changes confirmed on the same epoch", x.name)
 				won = i
 			default:
 				require.Equal(t, failure.Conflict, g().Kind, x.name)
--- a/internal/controller/promises_test.go
+++ b/internal/controller/promises_test.go
@@ -196,11 +196,11 @@
 		change Admin
 		told   failure.Kind
 	}{
-		{"it goes on a version that is over", Admin{Op: "put", Raw: []byte("1"), Expect: 0, Change: "x"}, failure.Conflict},
-		{"it goes on a version that may come", Admin{Op: "put", Raw: []byte("1"), Expect: 2, Change: "x"}, failure.Unclear},
+		{"based on an older version", Admin{Op: "put", Raw: []byte("1"), Expect: 0, Change: "x"}, failure.Conflict},
+		{"based on a version that may still be chosen", Admin{Op: "put", Raw: []byte("1"), Expect: 2, Change: "x"}, failure.Unclear},
 		{"its number is too low for good", Admin{Op: "put", Raw: []byte("1"), Any: true, Number: 1, Change: "x"}, failure.Faulty},
-		{"it cannot be read, on the version that it goes on", Admin{Op: "patch", Raw: []byte(`{"bad": 1}`), Expect: 1, Change: "x"}, failure.Faulty},
-		{"it cannot be read, and goes on any version", Admin{Op: "patch", Raw: []byte(`{"bad": 1}`), Any: true, Change: "x"}, failure.Unclear},
+		{"malformed, based on the current version", Admin{Op: "patch", Raw: []byte(`{"bad": 1}`), Expect: 1, Change: "x"}, failure.Faulty},
+		{"malformed, based on any version", Admin{Op: "patch", Raw: []byte(`{"bad": 1}`), Any: true, Change: "x"}, failure.Unclear},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c, _, answer := handOver(t, x.change)
@@ -294,7 +294,7 @@
 	require.True(t, c.until(4e9, func() bool { return answer() != nil }))
 	require.Equal(t, failure.None, answer().Kind)
 	require.EqualValues(t, 3, answer().Epoch)
-	require.Equal(t, handed+1, c.nodes[owner].tally.ForwardsTaken, "the owner accepted it")
+	require.Equal(t, handed+1, c.nodes[owner].tally.ForwardsTaken, "the leader accepted it")
 }
 
 // If the forwarding node has proposed a change as well, it passes on the leader's refusal only if that holds for its own
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -30,7 +30,7 @@
 	Data     string   `help:"Data folder." required:"" type:"path"`
 	Platform string   `help:"The platform's address, ip:port." required:""`
 	HoldMs   int      `help:"Duration of a router's lease, in ms." default:"2000"`
-	DutyMs   int      `help:"Duration of the duty's lease, in ms." default:"1200"`
+	DutyMs   int      `help:"Duration of the leadership lease, in ms." default:"1200"`
 	LeadMs   int      `help:"Time before a maintenance window at which draining starts, in ms." default:"60000"`
 	SpareMs  int      `help:"Absence after which a voter is replaced by a spare, in ms." default:"6000"`
 }
--- a/internal/controller/serve_test.go
+++ b/internal/controller/serve_test.go
@@ -79,7 +79,7 @@
 		{"the plan's bytes are the same", "GET", "/plan", "", "", 200, odd},
 		{"status", "GET", "/status", "", "", 200, `"epoch":3`},
 		{"nodes", "GET", "/nodes", "", "", 200, `"voters"`},
-		{"replace by nobody", "POST", "/core/replace/a/b", "", "", 503, "not_ready"},
+		{"replacement by an unknown node", "POST", "/core/replace/a/b", "", "", 503, "not_ready"},
 		{"form where a core is", "POST", "/core/form", "", "", 409, "conflict"},
 		{"metrics", "GET", "/metrics", "", "", 200, "tidedeck_controller_changes_total 2"},
 		{"live", "GET", "/live", "", "", 200, "true"},
--- a/internal/controller/slow_rounds_test.go
+++ b/internal/controller/slow_rounds_test.go
@@ -22,7 +22,7 @@
 	noOwner, noFreshNode, length clock.Span // totals
 	sent, taken                  int
 	rounds                       uint64
-	longest                      clock.Span // longest time until a change was taken
+	longest                      clock.Span // longest time until a change was confirmed
 }
 
 // slowRoundsLength is how long changes are sent, and slowRoundsRest how much longer the last ones may take.
@@ -122,11 +122,11 @@
 					x := roundsRun{delay: delay, gap: gap, spread: spread, down: down}
 					t.Run(fmt.Sprintf("%v/%v/spread=%v/down=%d", delay, gap, spread, down), func(t *testing.T) {
 						o := x.run(t)
-						t.Logf("%d of %d changes taken, the slowest after %v, %d attempts; no leader for %v, no node knew the newest value for %v of %v",
+						t.Logf("%d of %d changes confirmed, the slowest after %v, %d attempts; no leader for %v, no node knew the newest value for %v of %v",
 							o.taken, o.sent, o.longest, o.rounds, o.noOwner, o.noFreshNode, o.length)
 						require.Zero(t, o.noOwner, "a leader that a majority renews must not lose its term because of slow messages")
 						require.LessOrEqual(t, 20*o.noFreshNode, o.length, "no node knew the newest value for %v of %v", o.noFreshNode, o.length)
-						require.GreaterOrEqual(t, 4*o.taken, 3*o.sent, "%d of %d changes were taken", o.taken, o.sent)
+						require.GreaterOrEqual(t, 4*o.taken, 3*o.sent, "%d of %d changes were confirmed", o.taken, o.sent)
 					})
 				}
 			}
--- a/internal/controller/starved_reads_test.go
+++ b/internal/controller/starved_reads_test.go
@@ -101,7 +101,7 @@
 					nodes = nodes[:1]
 				}
 				noOwner, noFreshNode, taken := c.quickChanges(nodes, x.gap, 12e9)
-				t.Logf("no leader for %v, no node knew the newest value for %v, %d changes taken", noOwner, noFreshNode, taken)
+				t.Logf("no leader for %v, no node knew the newest value for %v, %d changes confirmed", noOwner, noFreshNode, taken)
 				require.Zero(t, noOwner, "a leader that a majority renews must not lose its term because of new values")
 				require.Zero(t, noFreshNode, "some node must know the newest value")
 			})
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -20,12 +20,12 @@
 		after clock.Span
 		grant bool
 	}{
-		{"the last owner at once", "a", "a", 0, true},
+		{"the last leader at once", "a", "a", 0, true},
 		{"another at once", "a", "b", 0, false},
-		{"another a little before the hold's end", "a", "b", -20e6, false},
-		{"another after the hold's end", "a", "b", 20e6, true},
-		{"anybody, where nobody is on record, at once", "", "b", 0, false},
-		{"anybody, where nobody is on record, after it", "", "b", 20e6, true},
+		{"another node shortly before the grant expires", "a", "b", -20e6, false},
+		{"another node after the grant has expired", "a", "b", 20e6, true},
+		{"any node, without a recorded grant, at once", "", "b", 0, false},
+		{"any node, without a recorded grant, after the lease duration", "", "b", 20e6, true},
 	} {
 		k := New(Options{Me: protocol.Sibling{ID: "v", Addr: "v"}, Inc: 2})
 		k.Step(1e9, protocol.Start{Disk: map[string][]byte{
