--- a/internal/controller/address_test.go
+++ b/internal/controller/address_test.go
@@ -96,9 +96,9 @@
 // the intended server's health.
 func TestAnswerOfAnother(t *testing.T) {
 	for _, x := range []struct {
-		name  string
-		told  protocol.Told
-		state string
+		name   string
+		result protocol.Told
+		state  string
 	}{
 		{"of the intended server", protocol.Told{OK: true, Code: 200, Server: "s"}, "live"},
 		{"an answer without a server name", protocol.Told{OK: true, Code: 200}, "live"},
@@ -124,8 +124,8 @@
 		require.Len(t, k.out, 1)
 		a := k.out[0].(protocol.Ask)
 		require.Equal(t, ident.Server("s"), a.Server)
-		x.told.Token = a.Token
-		c.step("a", x.told)
+		x.result.Token = a.Token
+		c.step("a", x.result)
 		require.Equal(t, x.state, k.servers["s"].State, x.name)
 		require.Equal(t, x.state == "live", k.open(k.servers["s"]), x.name)
 	}
--- a/internal/controller/changes.go
+++ b/internal/controller/changes.go
@@ -10,10 +10,9 @@
 	"tidedeck/internal/protocol"
 )
 
-// Operators' changes of the desired state. Each change is forwarded to the leader. The leader
-// already holds a promise of the voters, so that a change takes one round, and changes that are queued share a round.
-// If there is no leader, or no outcome arrives in time, the node that received the request proposes the change
-// itself.
+// Operators' changes of the desired state. Each change is forwarded to the leader. The leader already
+// holds a promise of the voters, so that a change takes one round, and changes that are queued share a round. If there
+// is no leader, or no outcome arrives in time, the node that received the request proposes the change itself.
 
 // pendingChange is an operator's change whose outcome is not known yet.
 type pendingChange struct {
--- a/internal/controller/clear_room.go
+++ b/internal/controller/clear_room.go
@@ -78,7 +78,8 @@
 	return true
 }
 
-// idle reports whether a replica has been ready for at least MinResidence and has had no work for at least EvictableAfter.
+// idle reports whether a replica has been ready for at least MinResidence and has had no work for at least
+// EvictableAfter.
 func (c *Core) idle(p *spot) bool {
 	return p.stage == Ready && c.now.Sub(p.ready) >= c.o.Rest && p.work == 0 && c.now.Sub(p.busy) >= c.o.Lull
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -296,8 +296,8 @@
 	}
 }
 
-// Orders are derived from the stages of the replicas alone. The simulator (moves-cut, seed 9) found an unload that stayed
-// in a queue after its reason had ceased to apply and was sent a second time.
+// Orders are derived from the stages of the replicas alone. The simulator (moves-cut, seed 9) found an unload that
+// stayed in a queue after its reason had ceased to apply and was sent a second time.
 func TestNoOrderOutlivesItsReason(t *testing.T) {
 	n, _ := ready(t)
 	n.pass(3e9, has("m", "ready"))
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -47,7 +47,7 @@
 	Lead        clock.Span // servers are drained this long before a maintenance window closes them
 	Wall        func() time.Time
 
-	// Read parses plans; it should cache recent results. Merge applies a patch to a plan.
+	// ParsePlan parses plans; it should cache recent results. MergePatch applies a patch to a plan.
 	Read  func([]byte) (*fleetplan.Plan, fleetplan.Faults)
 	Merge func(plan, patch []byte) (merged []byte, f fleetplan.Faults)
 
@@ -119,7 +119,7 @@
 	empty              map[ident.Zone]bool
 	servers            map[ident.Server]*server
 	tokenTimes         map[ident.Key]pace // by base model
-	slowest            float64            // the slowest of the paces, as of slowestAt
+	slowest            float64            // the slowest token pace, as of slowestAt
 	slowestAt          clock.Tick
 	diskPart           float64 // load time from a server's own disk, as a fraction of that from the store
 	entries            map[ident.Key]*entry
@@ -322,7 +322,7 @@
 	c.mates.Reseed(seeds)
 }
 
-// tickStopping keeps a node that was told to stop among the voters until a spare has its seat.
+// tickStopping keeps a stopping node among the voters until a spare has its seat.
 func (c *Core) tickStopping() {
 	c.emit(c.mates.Beat(c.now)...)
 	c.tickRegister()
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -101,13 +101,13 @@
 }
 
 // recordArrivals adds the requests that a router received since its last renewal.
-func (c *Core) recordArrivals(k ident.Key, burden protocol.Burden) {
-	if c.asked == 0 && burden.Came > 0 {
+func (c *Core) recordArrivals(k ident.Key, keyLoad protocol.Burden) {
+	if c.asked == 0 && keyLoad.Came > 0 {
 		c.asked = c.now
 	}
 	if n := c.demand[k]; n != nil {
-		n.arrivals += float64(burden.Came)
-		n.workSeconds += burden.Load
+		n.arrivals += float64(keyLoad.Came)
+		n.workSeconds += keyLoad.Load
 	}
 }
 
--- a/internal/controller/demand_test.go
+++ b/internal/controller/demand_test.go
@@ -57,8 +57,8 @@
 			case r.ask:
 				c.onEntryRequest(protocol.Env{Body: protocol.Want{Session: session, Key: key, Waiting: r.waiting, Value: r.value}})
 			default:
-				burden := protocol.Burden{Wait: r.waiting, Top: r.value, Came: 1}
-				c.onRenew(protocol.Env{Body: protocol.Renew{Session: session, Burden: map[ident.Key]protocol.Burden{key: burden}}})
+				keyLoad := protocol.Burden{Wait: r.waiting, Top: r.value, Came: 1}
+				c.onRenew(protocol.Env{Body: protocol.Renew{Session: session, Burden: map[ident.Key]protocol.Burden{key: keyLoad}}})
 			}
 		}
 		n := c.demand[key]
--- a/internal/controller/enrol.go
+++ b/internal/controller/enrol.go
@@ -254,14 +254,14 @@
 		return
 	}
 	departure := &leaving{token: a.Token, since: c.now, announcements: []protocol.Beacon{e.Beacon}, knownBy: map[ident.Node]ident.Inc{}}
-	mark := c.mark
-	c.acks[mark] = departure
+	ackID := c.mark
+	c.acks[ackID] = departure
 	departure.ownerKnows = c.rules()
-	c.sendLeaving(mark, departure)
+	c.sendLeaving(ackID, departure)
 	c.persistLeavings(func() {
-		if c.acks[mark] == departure {
+		if c.acks[ackID] == departure {
 			departure.knownBy[c.o.Me.ID] = c.vote.inc
-			c.tryAcknowledge(mark, departure)
+			c.tryAcknowledge(ackID, departure)
 		}
 	})
 }
@@ -286,8 +286,8 @@
 }
 
 // restoreLeavings restores the departing servers that were stored on disk.
-func (c *Core) recall(beacons []protocol.Beacon) {
-	for _, b := range beacons {
+func (c *Core) recall(announcements []protocol.Beacon) {
+	for _, b := range announcements {
 		if b.ID != "" {
 			c.enlist(&enrolled{Beacon: b, heard: c.now, had: map[ident.Key]bool{}})
 		}
@@ -295,10 +295,10 @@
 }
 
 // sendLeaving sends a departure to the other core nodes.
-func (c *Core) sendLeaving(mark uint64, departure *leaving) {
+func (c *Core) sendLeaving(ackID uint64, departure *leaving) {
 	departure.lastSent = c.now
-	for _, sibling := range c.others() {
-		c.send(sibling, protocol.Beacons{Mark: mark, List: departure.announcements})
+	for _, peer := range c.others() {
+		c.send(peer, protocol.Beacons{Mark: ackID, List: departure.announcements})
 	}
 }
 
@@ -322,12 +322,12 @@
 }
 
 // tryAcknowledge acknowledges a departure once the leader and a majority know of it.
-func (c *Core) tryAcknowledge(mark uint64, departure *leaving) {
+func (c *Core) tryAcknowledge(ackID uint64, departure *leaving) {
 	value := c.latest()
 	if !departure.ownerKnows || value == nil || !voterset.Majority(*value, departure.knownBy) {
 		return
 	}
-	delete(c.acks, mark)
+	delete(c.acks, ackID)
 	c.checkLeaving(departure)
 	c.noteLeaving("leaving acknowledged", departure)
 	c.out = append(c.out, Announced{Token: departure.token, OK: true})
@@ -372,10 +372,10 @@
 	if len(c.relays) == 0 {
 		return
 	}
-	beacons := c.relays
+	announcements := c.relays
 	c.relays = nil
-	for _, sibling := range c.others() {
-		c.send(sibling, protocol.Beacons{List: beacons})
+	for _, peer := range c.others() {
+		c.send(peer, protocol.Beacons{List: announcements})
 	}
 }
 
@@ -388,18 +388,18 @@
 	if c.now.Sub(c.relayed) > relayInterval {
 		c.relayAnnouncements()
 	}
-	for _, mark := range generic.SortedKeys(c.acks) {
-		departure := c.acks[mark]
+	for _, ackID := range generic.SortedKeys(c.acks) {
+		departure := c.acks[ackID]
 		switch {
 		case c.now.Sub(departure.since) > leaveTimeout:
-			delete(c.acks, mark)
+			delete(c.acks, ackID)
 			c.tally.LeavesUnheard++
 			c.noteLeaving("leaving not acknowledged: too few core nodes know of it", departure)
 			c.out = append(c.out, Announced{Token: departure.token})
 		case c.now.Sub(departure.lastSent) > leaveResendInterval:
 			departure.ownerKnows = departure.ownerKnows || c.rules()
-			c.sendLeaving(mark, departure)
-			c.tryAcknowledge(mark, departure)
+			c.sendLeaving(ackID, departure)
+			c.tryAcknowledge(ackID, departure)
 		}
 	}
 	c.expireServers()
@@ -411,8 +411,8 @@
 	}
 	if !c.registryComplete() && c.now.Sub(c.called) > leaveResendInterval {
 		c.called = c.now
-		for _, sibling := range c.others() {
-			c.send(sibling, protocol.RollCall{Duty: c.duty.num, Life: c.o.Inc})
+		for _, peer := range c.others() {
+			c.send(peer, protocol.RollCall{Duty: c.duty.num, Life: c.o.Inc})
 		}
 	}
 	for _, s := range c.fleet.ordered {
@@ -483,9 +483,10 @@
 }
 
 // rebuildServers rebuilds the leader's view from the registry and, for servers that are unknown to this node in its
-// present incarnation, from the previous leader's last list. A listed server whose address an enrolled server has is skipped:
-// it is gone and was already removed here, or will announce itself soon. The other listed servers count as silent from
-// the start, so that they are polled at once: the start of a new term says nothing about whether they are reachable.
+// present incarnation, from the previous leader's last list. A listed server whose address an enrolled server has is
+// skipped: it is gone and was already removed here, or will announce itself soon. The other listed servers count as
+// silent from the start, so that they are polled at once: the start of a new term says nothing about whether they are
+// reachable.
 func (c *Core) callRoll() {
 	taken := map[string]bool{}
 	for _, e := range c.roll {
@@ -526,14 +527,14 @@
 
 // onRegistryQuery sends this node's registry.
 func (c *Core) onRegistryQuery(e protocol.Env) {
-	var beacons []protocol.Beacon
+	var announcements []protocol.Beacon
 	for _, id := range generic.SortedKeys(c.roll) {
 		if record := c.roll[id]; !record.presumedGone {
-			beacons = append(beacons, record.Beacon)
+			announcements = append(announcements, record.Beacon)
 		}
 	}
 	request := e.Body.(protocol.RollCall)
-	c.reply(e, protocol.Roll{Duty: request.Duty, Life: request.Life, Inc: c.vote.inc, Partial: !c.rollWhole, List: beacons})
+	c.reply(e, protocol.Roll{Duty: request.Duty, Life: request.Life, Inc: c.vote.inc, Partial: !c.rollWhole, List: announcements})
 }
 
 // requestRegistries asks the other nodes for their registries. It runs at a node with a new disk, which has lost the
@@ -544,8 +545,8 @@
 		return
 	}
 	c.called = c.now
-	for _, sibling := range c.others() {
-		c.send(sibling, protocol.RollCall{Life: c.o.Inc})
+	for _, peer := range c.others() {
+		c.send(peer, protocol.RollCall{Life: c.o.Inc})
 	}
 }
 
--- a/internal/controller/enrol_test.go
+++ b/internal/controller/enrol_test.go
@@ -107,13 +107,13 @@
 // A departure is acknowledged only when the leader and a majority know of it. The leader is a.
 func TestLeavingIsKnown(t *testing.T) {
 	for _, x := range []struct {
-		name   string
-		told   string // the node that receives the announcement
-		parted []string
-		heal   clock.Span // when the connections are restored; 0 for never
-		ok     bool
-		within clock.Span // latest time of the answer
-		least  clock.Span // earliest time of the answer
+		name     string
+		receiver string // the node that receives the announcement
+		parted   []string
+		heal     clock.Span // when the connections are restored; 0 for never
+		ok       bool
+		within   clock.Span // latest time of the answer
+		least    clock.Span // earliest time of the answer
 	}{
 		{"all are there", "c", nil, 0, true, 1, 0},
 		{"the leader does not receive it", "c", []string{"a"}, 0, false, 1100e6, 800e6},
@@ -136,7 +136,7 @@
 			}
 			at := c.at
 			b := newAnnouncement("s", state, 2)
-			_, answered := c.announce(x.told, b)
+			_, answered := c.announce(x.receiver, b)
 			token := c.token
 			heal := func() {
 				if x.heal != 0 && c.at.Sub(at) >= x.heal {
@@ -156,7 +156,7 @@
 				continue
 			}
 			require.Equal(t, state, c.nodes["a"].roll["s"].State, "%s: the leader knows", x.name)
-			ok, answered = c.announce(x.told, b) // the first answer may have been lost
+			ok, answered = c.announce(x.receiver, b) // the first answer may have been lost
 			require.True(t, c.until(1e9, func() bool { ok, answered = c.answer(c.token); return answered }), x.name)
 			require.True(t, ok, "%s: a repeat is answered like the first", x.name)
 		}
--- a/internal/controller/entries.go
+++ b/internal/controller/entries.go
@@ -37,7 +37,7 @@
 	return e
 }
 
-// buildEntry computes an entry from what the servers hold. Equal replica lists give equal marks.
+// buildEntry computes an entry from what the servers hold. Equal replica lists give equal digests.
 func (c *Core) buildEntry(k ident.Key, e *entry) {
 	e.replicas = nil
 	h := fnv.New64a()
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -22,8 +22,8 @@
 	require.Zero(t, c.ops[1].Expected)
 }
 
-// A server accepts an order of the old leader at the end of its lease, so that the new leader's first report doesn't show
-// it yet. A model that the new leader has placed there meanwhile must still get loaded, there or elsewhere.
+// A server accepts an order of the old leader at the end of its lease, so that the new leader's first report doesn't
+// show it yet. A model that the new leader has placed there meanwhile must still get loaded, there or elsewhere.
 func TestOrderInTheLastMoment(t *testing.T) {
 	for _, lag := range []clock.Span{100e6, 300e6, 500e6} {
 		c := newCluster(t, modelPlan(8, "llm|m", "llm|n", "llm|o"), "a", "b", "c")
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -143,8 +143,8 @@
 	c.tellKnown()
 }
 
-// acceptedForwards records the changes that other nodes have forwarded to this leader during its term, so that duplicates
-// are ignored.
+// acceptedForwards records the changes that other nodes have forwarded to this leader during its term, so that
+// duplicates are ignored.
 type forwardsTaken struct {
 	known map[forwardID]bool
 	order []forwardID
--- a/internal/controller/host.go
+++ b/internal/controller/host.go
@@ -38,12 +38,12 @@
 type HostOptions struct {
 	ID      string
 	Zone    string
-	Post    string                   // address for other nodes
-	Control string                   // address for servers and operators
-	Admin   string                   // address of the product's own interface for operators
-	Metrics string                   // additional address for metrics; none if empty
-	Bind    func(told string) string // maps an advertised address to the one to listen on
-	Regions map[ident.Zone]string    // region of each zone
+	Post    string                         // address for other nodes
+	Control string                         // address for servers and operators
+	Admin   string                         // address of the product's own interface for operators
+	Metrics string                         // additional address for metrics; none if empty
+	Bind    func(advertised string) string // maps an advertised address to the one to listen on
+	Regions map[ident.Zone]string          // region of each zone
 	Seeds   []string
 	Follow  func(step func(protocol.Reseed)) // subscribes to changes of the seeds; optional
 	Data    string
@@ -68,21 +68,21 @@
 	Rate    clock.Span // the limit on the store's load rate holds in every window of this length
 }
 
-// Hold derives the duration of a router's lease. The lease must end, on the leader's clock too, within each bound that it
-// must not exceed.
+// RouterLease derives the duration of a router's lease. The lease must end, on the leader's clock too, within each
+// bound that it must not exceed.
 func (t Timing) Hold() clock.Span {
 	return max(200e6, min(2000e6, min(t.Apply, t.Drain)*7/10))
 }
 
-// Duty derives the duration of the leadership lease: short enough to replace a lost leader quickly, and long enough for four
-// rounds.
+// LeadershipLease derives the duration of the leadership lease: short enough to replace a lost leader quickly, and
+// long enough for four rounds.
 func (t Timing) Duty() clock.Span { return max(400e6, min(1200e6, t.Hold()*4/7)) }
 
-// Spare derives how long a voter is absent before a spare node replaces it. By the time that a new node counts as
+// ReplaceAfter derives how long a voter is absent before a spare node replaces it. By the time that a new node counts as
 // available, it must be a voter and the previous voter set must no longer be in force.
 func (t Timing) Spare() clock.Span { return max(800e6, min(6000e6, t.CatchUp*3/10)) }
 
-// Silence derives how long a server may be silent before it is polled.
+// SilenceTimeout derives how long a server may be silent before it is polled.
 func (t Timing) Silence() clock.Span { return t.Period*2 + t.Period/4 }
 
 // hostedOptions returns the options of a core that runs under a hosting platform.
--- a/internal/controller/inspect.go
+++ b/internal/controller/inspect.go
@@ -11,8 +11,8 @@
 	"tidedeck/internal/protocol"
 )
 
-// Snapshot is a read-only view of the state that determines a core node's next steps in the register and the leadership lease. It is
-// intended for checkers. It shares pointers with the core, so callers must not modify it.
+// Snapshot is a read-only view of the state that determines a core node's next steps in the register and the leadership
+// lease. It is intended for checkers. It shares pointers with the core, so callers must not modify it.
 type Snapshot struct {
 	Began    bool // the node's incarnation is durable, so the node participates
 	Ending   bool
@@ -61,7 +61,7 @@
 	UnclearReads  int // consecutive majority reads that showed the same newer ballot that is not known to be chosen
 	UnclearBallot protocol.Ballot
 	Unequal       clock.Tick      // since when a voter has had an outdated copy
-	Unclear       clock.Tick      // since when reads have shown the unclear ballot
+	Unclear       clock.Tick      // since when reads have shown the unsettled ballot
 	Promised      protocol.Ballot // by a majority, for this node's next attempt
 	PromisedAt    protocol.Ballot // with the accept of this ballot
 	Forwards      []ForwardSnapshot
@@ -118,14 +118,14 @@
 	Owner    ident.Node
 }
 
-// SiblingSnapshot is the last state that a node received from another.
+// PeerSnapshot is the last state that a node received from another.
 type SiblingSnapshot struct {
 	ID    ident.Node
 	At    clock.Tick
 	State protocol.State
 }
 
-// DutySnapshot is a node's own view of the leadership lease.
+// LeadershipSnapshot is a node's own view of the leadership lease.
 type DutySnapshot struct {
 	Mine    bool
 	Number  ident.Duty
--- a/internal/controller/links.go
+++ b/internal/controller/links.go
@@ -438,7 +438,7 @@
 // maxItemsPerMessage limits the number of changes in one message.
 const maxItemsPerMessage = 128
 
-// Weigh returns the bytes of memory that a node uses for each of n callbacks of one router.
+// MeasureCallbackMemory returns the bytes of memory that a node uses for each of n callbacks of one router.
 func Weigh(c *Core, n int, heap func() uint64) float64 {
 	was := heap()
 	defer runtime.KeepAlive(c)
--- a/internal/controller/list.go
+++ b/internal/controller/list.go
@@ -10,7 +10,7 @@
 	"tidedeck/internal/protocol"
 )
 
-// Roll is the server list of a leader. Every core node keeps the latest one on disk, so that a new leader or
+// ServerList is the server list of a leader. Every core node keeps the latest one on disk, so that a new leader or
 // a restarted core has a list while the platform doesn't answer.
 type Roll struct {
 	Duty ident.Duty
@@ -148,7 +148,8 @@
 	}
 }
 
-// onReachQuery checks what this node can reach. A server answers an order of term 0 with a report and doesn't execute it.
+// onReachQuery checks what this node can reach. A server answers an order of term 0 with a report and
+// doesn't execute it.
 func (c *Core) onReachQuery(e protocol.Env) {
 	b := e.Body.(protocol.Look)
 	if len(b.List) > 1000 {
--- a/internal/controller/lives_test.go
+++ b/internal/controller/lives_test.go
@@ -44,8 +44,8 @@
 	require.False(t, ok, "the departure is acknowledged, but only this node's disk has a record of it")
 }
 
-// A node with an emptied disk requests the registries of the others. An answer to a request of an earlier incarnation lacks the
-// departures that were acknowledged since, so it must not count.
+// A node with an emptied disk requests the registries of the others. An answer to a request of an earlier incarnation
+// lacks the departures that were acknowledged since, so it must not count.
 func TestRollOfAnEarlierQuestion(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c")
 	c.plans["1"] = modelPlan(8, "llm|m")
--- a/internal/controller/missing_voters.go
+++ b/internal/controller/missing_voters.go
@@ -68,7 +68,7 @@
 }
 
 // logMissingVoters logs changes in what the core waits for. A voter counts as missing once it has been silent for
-// longer than voterFresh.
+// longer than voterFreshRounds.
 func (c *Core) watchMissing() {
 	missing, lacks := c.missingMajority()
 	c.tally.VotersMissing = len(missing.unavailable)
--- a/internal/controller/moves_test.go
+++ b/internal/controller/moves_test.go
@@ -134,9 +134,9 @@
 	ok := protocol.Held{Key: "a", Size: 2, Stage: "ready"}
 	with := func(f func(h *protocol.Held)) protocol.Held { h := ok; f(&h); return h }
 	for _, x := range []struct {
-		name string
-		r    protocol.Report
-		odd  bool
+		name          string
+		r             protocol.Report
+		contradictory bool
 	}{
 		{"consistent", protocol.Report{Room: 10, Slots: 4, Held: []protocol.Held{ok}}, false},
 		{"more held than its room", protocol.Report{Room: 1, Slots: 4, Held: []protocol.Held{ok}}, true},
@@ -150,14 +150,14 @@
 		{"empty key", protocol.Report{Room: 10, Slots: 4, Held: []protocol.Held{with(func(h *protocol.Held) { h.Key = "" })}}, true},
 		{"unknown stage", protocol.Report{Room: 10, Slots: 4, Held: []protocol.Held{with(func(h *protocol.Held) { h.Stage = "gone" })}}, true},
 	} {
-		require.Equal(t, x.odd, oddity(x.r) != "", x.name)
+		require.Equal(t, x.contradictory, oddity(x.r) != "", x.name)
 		c := newMoveCore(t, nil)
 		s := c.servers["s1"]
 		c.onReport(s, x.r, c.now)
 		used := s.used()
 		require.True(t, used >= 0 && used <= 2*mostSize, x.name)
-		require.Equal(t, !x.odd, c.mayHold(s, "d"), x.name)
-		require.Equal(t, x.odd, s.odd != "", x.name)
+		require.Equal(t, !x.contradictory, c.mayHold(s, "d"), x.name)
+		require.Equal(t, x.contradictory, s.odd != "", x.name)
 	}
 }
 
--- a/internal/controller/pace.go
+++ b/internal/controller/pace.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// tokenTimesUpdate returns the token times of the bases that a router uses, as far as they changed since the last update.
-// It returns nil if none changed.
+// tokenTimesUpdate returns the token times of the bases that a router uses, as far as they changed since the
+// last update. It returns nil if none changed.
 func (c *Core) tokenTimesUpdate(l *link) *protocol.Paces {
 	var update *protocol.Paces
 	if slowest := c.slowestPace(); differsEnough(l.slowest, slowest) {
--- a/internal/controller/pace_test.go
+++ b/internal/controller/pace_test.go
@@ -23,9 +23,9 @@
 	require.Len(t, c.tokenTimes, 2)
 
 	l := &link{holds: map[ident.Key]uint64{"llm|m": 1}}
-	told := c.tokenTimesUpdate(l)
-	require.Equal(t, map[ident.Key]float64{"llm|m": 40e3}, told.Bases, "only the bases that the router uses")
-	require.InDelta(t, 40e3, told.Slowest, 1)
+	update := c.tokenTimesUpdate(l)
+	require.Equal(t, map[ident.Key]float64{"llm|m": 40e3}, update.Bases, "only the bases that the router uses")
+	require.InDelta(t, 40e3, update.Slowest, 1)
 	require.Nil(t, c.tokenTimesUpdate(l), "no pace has changed")
 	l.holds["llm|n+a"] = 2
 	require.Equal(t, map[ident.Key]float64{"llm|n": 20e3}, c.tokenTimesUpdate(l).Bases, "an adapter uses the pace of its base")
--- a/internal/controller/promises_test.go
+++ b/internal/controller/promises_test.go
@@ -192,9 +192,9 @@
 // A refusal is reported only if it also holds for the forwarded copy, which may still arrive at a later version.
 func TestRefusalBesideACopyUnderWay(t *testing.T) {
 	for _, x := range []struct {
-		name   string
-		change Admin
-		told   failure.Kind
+		name    string
+		change  Admin
+		outcome failure.Kind
 	}{
 		{"based on an older version", Admin{Op: "put", Raw: []byte("1"), Expect: 0, Change: "x"}, failure.Conflict},
 		{"based on a version that may still be chosen", Admin{Op: "put", Raw: []byte("1"), Expect: 2, Change: "x"}, failure.Unclear},
@@ -205,7 +205,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			c, _, answer := handOver(t, x.change)
 			require.True(t, c.until(6e9, func() bool { return answer() != nil }))
-			require.Equal(t, x.told, answer().Kind)
+			require.Equal(t, x.outcome, answer().Kind)
 		})
 	}
 }
@@ -261,8 +261,8 @@
 	require.Zero(t, late)
 }
 
-// An outcome of a change from a node's earlier incarnation must not match a change that its present incarnation has forwarded, and
-// the leader must treat the change of the present incarnation as new.
+// An outcome of a change from a node's earlier incarnation must not match a change that its present incarnation has
+// forwarded, and the leader must treat the change of the present incarnation as new.
 func TestForwardsOfAnEarlierLife(t *testing.T) {
 	c := newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
 	c.run(2e9)
@@ -301,8 +301,8 @@
 // copy too.
 func TestRefusalBesideACopyOfOnesOwn(t *testing.T) {
 	for _, x := range []struct {
-		expect ident.Epoch
-		told   failure.Kind
+		expect  ident.Epoch
+		outcome failure.Kind
 	}{{0, failure.Conflict}, {5, failure.Unclear}} {
 		c := newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
 		c.run(2e9)
@@ -319,7 +319,7 @@
 				Body: protocol.Forwarded{Number: number, Kind: failure.Conflict, Epoch: 1}})
 		}
 		require.NotNil(t, answer())
-		require.Equal(t, x.told, answer().Kind, "expect %d", x.expect)
+		require.Equal(t, x.outcome, answer().Kind, "expect %d", x.expect)
 	}
 }
 
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -130,8 +130,8 @@
 	return b != nil && b.stage == Ready
 }
 
-// nextOrder finds a replica whose order has not been sent. Orders are derived from the replicas alone, so no order outlives
-// the reason for it.
+// nextOrder finds a replica whose order has not been sent. Orders are derived from the replicas alone, so no order
+// outlives the reason for it.
 func (s *server) due() *spot {
 	if !s.known || s.dark {
 		return nil
