--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -138,7 +138,7 @@
 	windows            []*window
 	shutZ              map[ident.Zone]bool
 	shutS              map[ident.Server]bool
-	shutAt             clock.Tick
+	nextWindowUpdate   clock.Tick
 	soonZ              map[ident.Zone]bool // closed soon: models that are only there are loaded elsewhere first
 	soonS              map[ident.Server]bool
 	moves              map[ident.Key]*shift
@@ -146,10 +146,10 @@
 	shifted            clock.Tick                 // when the last move began
 	roll               map[ident.Server]*enrolled // every server that announced itself; replicated on every core node
 	leavings           []byte                     // stored form of the servers that are leaving
-	relays             []protocol.Beacon          // announcements not yet relayed to the other core nodes
-	relayed            clock.Tick
-	summed             clock.Tick
-	seeded             clock.Tick
+	unrelayed          []protocol.Beacon          // announcements not yet relayed to the other core nodes
+	lastRelay          clock.Tick
+	lastRateUpdate     clock.Tick
+	lastPrefetch       clock.Tick
 	asked              clock.Tick        // when routers first reported demand to this leader
 	line               map[ident.Key]int // queue position of keys without a replica that the store's rate limit delays
 	acks               map[uint64]*leaving
@@ -160,11 +160,11 @@
 	linkSet            linkSet
 	workload           *workload.Index
 	tokensInProgress   map[ident.Server]int // tokens in progress from all routers, by server
-	mark               uint64
+	lastAckID          uint64
 	registriesReceived map[ident.Node]ident.Inc // core nodes whose list of enrolled servers this leader has received
 	recovered          map[ident.Node]ident.Inc // core nodes whose list this node has received since it lost its disk
 	rollWhole          bool                     // this node has heard of all acknowledged departures, or never lost any
-	called             clock.Tick
+	lastRegistryQuery  clock.Tick
 	begun              []clock.Tick // when the recent loads began
 	tally              Tally
 	began              bool
@@ -218,7 +218,7 @@
 	})
 	c.reg.init(o.Inc)
 	c.stall.Least = minStall
-	c.mark, c.eye.round = roundBaseOf(o.Inc), roundBaseOf(o.Inc)
+	c.lastAckID, c.eye.round = roundBaseOf(o.Inc), roundBaseOf(o.Inc)
 	return c
 }
 
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -113,11 +113,11 @@
 
 // updateRates converts the recorded arrivals into averaged rates.
 func (c *Core) updateRates() {
-	d := c.now.Sub(c.summed)
+	d := c.now.Sub(c.lastRateUpdate)
 	if d < rateInterval {
 		return
 	}
-	c.summed = c.now
+	c.lastRateUpdate = c.now
 	t := math.Min(d.Seconds(), maxRateInterval)
 	late, slow := 1-math.Exp(-t/recentTimeConstant), 1-math.Exp(-t/longTimeConstant)
 	for _, n := range c.demand {
--- a/internal/controller/duty.go
+++ b/internal/controller/duty.go
@@ -183,7 +183,7 @@
 	c.acceptedForwards = forwardsTaken{}
 	c.planned()
 	if c.duty.mine && c.o.Enrolled {
-		c.registriesReceived, c.called = map[ident.Node]ident.Inc{}, 0
+		c.registriesReceived, c.lastRegistryQuery = map[ident.Node]ident.Inc{}, 0
 		if c.rollWhole {
 			c.registriesReceived[c.o.Me.ID] = c.vote.inc
 		}
--- a/internal/controller/enrol.go
+++ b/internal/controller/enrol.go
@@ -235,7 +235,7 @@
 		b.State = "gone"
 	}
 	if c.enrol(b) {
-		c.relays = append(c.relays, b)
+		c.unrelayed = append(c.unrelayed, b)
 	}
 	if b.State == "live" {
 		if first {
@@ -247,14 +247,14 @@
 	}
 	// A repeated departure is acknowledged like the first one, because the first answer may have been lost.
 	c.tally.Leaves++
-	c.mark++
+	c.lastAckID++
 	e := c.roll[b.ID]
 	if e == nil {
 		c.out = append(c.out, Announced{Token: a.Token, OK: true}) // an unknown server: it was never offered
 		return
 	}
 	departure := &leaving{token: a.Token, since: c.now, announcements: []protocol.Beacon{e.Beacon}, knownBy: map[ident.Node]ident.Inc{}}
-	ackID := c.mark
+	ackID := c.lastAckID
 	c.acks[ackID] = departure
 	departure.ownerKnows = c.rules()
 	c.sendLeaving(ackID, departure)
@@ -368,12 +368,12 @@
 
 // relayAnnouncements sends the announcements that this node has received to the other core nodes.
 func (c *Core) relayAnnouncements() {
-	c.relayed = c.now
-	if len(c.relays) == 0 {
+	c.lastRelay = c.now
+	if len(c.unrelayed) == 0 {
 		return
 	}
-	announcements := c.relays
-	c.relays = nil
+	announcements := c.unrelayed
+	c.unrelayed = nil
 	for _, peer := range c.others() {
 		c.send(peer, protocol.Beacons{List: announcements})
 	}
@@ -385,7 +385,7 @@
 	if !c.o.Enrolled {
 		return
 	}
-	if c.now.Sub(c.relayed) > relayInterval {
+	if c.now.Sub(c.lastRelay) > relayInterval {
 		c.relayAnnouncements()
 	}
 	for _, ackID := range generic.SortedKeys(c.acks) {
@@ -409,8 +409,8 @@
 	if !c.rules() {
 		return
 	}
-	if !c.registryComplete() && c.now.Sub(c.called) > leaveResendInterval {
-		c.called = c.now
+	if !c.registryComplete() && c.now.Sub(c.lastRegistryQuery) > leaveResendInterval {
+		c.lastRegistryQuery = c.now
 		for _, peer := range c.others() {
 			c.send(peer, protocol.RollCall{Duty: c.duty.num, Life: c.o.Inc})
 		}
@@ -541,10 +541,10 @@
 // departures that it once acknowledged. Its own registry must not count towards a majority until it has received a
 // majority.
 func (c *Core) requestRegistries() {
-	if c.now.Sub(c.called) <= leaveResendInterval {
+	if c.now.Sub(c.lastRegistryQuery) <= leaveResendInterval {
 		return
 	}
-	c.called = c.now
+	c.lastRegistryQuery = c.now
 	for _, peer := range c.others() {
 		c.send(peer, protocol.RollCall{Life: c.o.Inc})
 	}
--- a/internal/controller/entries.go
+++ b/internal/controller/entries.go
@@ -15,7 +15,7 @@
 
 // entry is the routing information of a key.
 type entry struct {
-	mark        ident.Mark
+	digest      ident.Mark
 	unplaceable bool // no server could hold the key even if it were empty
 	replicas    []entryReplica
 }
@@ -55,7 +55,7 @@
 	if e.unplaceable {
 		fmt.Fprint(h, "never")
 	}
-	e.mark = ident.Mark(h.Sum64())
+	e.digest = ident.Mark(h.Sum64())
 }
 
 // fitsSomewhere reports whether the total room of any available server suffices for a key.
@@ -88,10 +88,10 @@
 	if e == nil {
 		return
 	}
-	was, old := e.mark, e.replicas
+	was, old := e.digest, e.replicas
 	c.buildEntry(k, e)
 	switch {
-	case e.mark == was:
+	case e.digest == was:
 	case c.o.Unfenced && !e.unplaceable && containsAll(e.replicas, old):
 		c.extendCallbacks(k, e)
 	default:
--- a/internal/controller/links.go
+++ b/internal/controller/links.go
@@ -235,7 +235,7 @@
 	if len(x.replicas) == 0 {
 		i.Soon = c.estimateReady(b.Key)
 	}
-	if b.Mark == x.mark && len(x.replicas) > 0 {
+	if b.Mark == x.digest && len(x.replicas) > 0 {
 		i.Same, i.Replicas = true, nil
 		c.tally.Sames++
 	}
@@ -302,7 +302,7 @@
 
 // wireEntry converts an entry to its form in messages.
 func (c *Core) wireEntry(k ident.Key, e *entry) protocol.Entry {
-	i := protocol.Entry{Key: k, Mark: e.mark, Never: e.unplaceable}
+	i := protocol.Entry{Key: k, Mark: e.digest, Never: e.unplaceable}
 	for _, r := range e.replicas {
 		p := r.wire
 		p.Warm = c.now.Sub(r.state.ready)
--- a/internal/controller/lives_test.go
+++ b/internal/controller/lives_test.go
@@ -39,7 +39,7 @@
 	c.down(rest...)
 	token := c.token + 1
 	c.announce(owner, newAnnouncement("s", "leaving", 2))
-	c.step(owner, from(rest[0], protocol.BeaconsHeard{Mark: c.nodes[owner].mark}))
+	c.step(owner, from(rest[0], protocol.BeaconsHeard{Mark: c.nodes[owner].lastAckID}))
 	ok, _ := c.answer(token)
 	require.False(t, ok, "the departure is acknowledged, but only this node's disk has a record of it")
 }
--- a/internal/controller/pace.go
+++ b/internal/controller/pace.go
@@ -78,8 +78,8 @@
 // slowestPace returns the longest time per token among all bases. It is recomputed with each update of the
 // demand rates.
 func (c *Core) slowestPace() float64 {
-	if c.slowestAt != c.summed || c.slowest == 0 {
-		c.slowestAt, c.slowest = c.summed, 0
+	if c.slowestAt != c.lastRateUpdate || c.slowest == 0 {
+		c.slowestAt, c.slowest = c.lastRateUpdate, 0
 		for _, p := range c.tokenTimes {
 			c.slowest = max(c.slowest, p.decayed(c.now))
 		}
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -12,7 +12,7 @@
 
 // applyDesired puts the newest desired state into force at this node.
 func (c *Core) planned() {
-	c.plan, c.empty, c.windows, c.shutAt = nil, map[ident.Zone]bool{}, nil, 0
+	c.plan, c.empty, c.windows, c.nextWindowUpdate = nil, map[ident.Zone]bool{}, nil, 0
 	value := c.reg.known
 	if value == nil {
 		return
--- a/internal/controller/weigh.go
+++ b/internal/controller/weigh.go
@@ -136,10 +136,10 @@
 // prefetch loads a model that no server has on its own disk while the store is idle. From a server's disk,
 // later loads take less time and do not use the store.
 func (c *Core) prefetch(l *look) {
-	if c.now.Sub(c.seeded) < prefetchInterval {
+	if c.now.Sub(c.lastPrefetch) < prefetchInterval {
 		return
 	}
-	c.seeded = c.now
+	c.lastPrefetch = c.now
 	for _, key := range c.bases().keys {
 		f := l.families[key]
 		if f.live == 0 && !c.onSomeDisk(key) {
--- a/internal/controller/windows.go
+++ b/internal/controller/windows.go
@@ -143,10 +143,10 @@
 // updateWindows updates the sets of closed zones and servers. Only this function depends on wall time. A clock that
 // jumps closes servers to new requests too early or too late, and has no other effect.
 func (c *Core) watchWindows() {
-	if c.o.Wall == nil || c.now < c.shutAt {
+	if c.o.Wall == nil || c.now < c.nextWindowUpdate {
 		return
 	}
-	c.shutAt = c.now.Add(1e9)
+	c.nextWindowUpdate = c.now.Add(1e9)
 	now := c.o.Wall()
 	zones, servers := map[ident.Zone]bool{}, map[ident.Server]bool{}
 	c.soonZ, c.soonS = map[ident.Zone]bool{}, map[ident.Server]bool{}
