--- a/internal/controller/address_test.go
+++ b/internal/controller/address_test.go
@@ -10,12 +10,12 @@
 )
 
 // Guards against orders that reach the wrong server. In simulator scenes narrow-owner (padana, seed 50) and
-// keys-troubles (corrib, seed 17), a server was told to unload a model while routers held promises of its
+// keys-troubles (corrib, seed 17), a server was ordered to unload a model while routers held callbacks on its
 // replica, and a server without models was ordered to load one.
 //
 // A server crashes silently and another one starts at its address. The next leader knows the crashed server from
 // its predecessor's list, requests a report from that address, gets the report of the other server and sends
-// orders based on it. The cause was that an address stood for an identity: entries of the last list were added
+// orders based on it. The cause was that an address was taken for an identity: entries of the last list were added
 // without a check of who has the address now, and requests and orders did not name the server.
 
 // setLastList makes a server known to a node only from the previous leader's list.
@@ -43,7 +43,7 @@
 	return c
 }
 
-// A server of the last list whose address now belongs to an enrolled server is dropped.
+// A server of the last list whose address now belongs to an enrolled server is removed.
 func TestCrashedServerFromTheList(t *testing.T) {
 	c := newListedCluster(t, "llm|m")
 	m := c.serve("new", "llm|m")
@@ -84,7 +84,7 @@
 // A server known only from the list is probed at once, and counts as unreachable after two missing answers.
 func TestServersFromTheListAreAskedAtOnce(t *testing.T) {
 	c := newListedCluster(t, "llm|m")
-	gone := beacon("old", "live", 1).Listed
+	gone := newAnnouncement("old", "live", 1).Listed
 	gone.Service = "llm"
 	c.setLastList("b", gone)
 	c.takeOver(t, "b")
@@ -96,9 +96,9 @@
 // the intended server's health.
 func TestAnswerOfAnother(t *testing.T) {
 	for _, x := range []struct {
-		name  string
-		told  protocol.Told
-		state string
+		name   string
+		result protocol.Told
+		state  string
 	}{
 		{"of the intended server", protocol.Told{OK: true, Code: 200, Server: "s"}, "live"},
 		{"an answer without a server name", protocol.Told{OK: true, Code: 200}, "live"},
@@ -111,7 +111,7 @@
 	} {
 		c := newCluster(t, modelPlan(12, "llm|m"), "a")
 		k := c.lead()
-		b := beacon("s", "live", 1)
+		b := newAnnouncement("s", "live", 1)
 		b.Service = "web"
 		v := k.plan.Services["llm"]
 		v.Plain, v.Keys = true, map[ident.Key]bool{"web|": true}
@@ -124,8 +124,8 @@
 		require.Len(t, k.out, 1)
 		a := k.out[0].(protocol.Ask)
 		require.Equal(t, ident.Server("s"), a.Server)
-		x.told.Token = a.Token
-		c.step("a", x.told)
+		x.result.Token = a.Token
+		c.step("a", x.result)
 		require.Equal(t, x.state, k.servers["s"].State, x.name)
 		require.Equal(t, x.state == "live", k.open(k.servers["s"]), x.name)
 	}
--- a/internal/controller/duty.go
+++ b/internal/controller/duty.go
@@ -12,8 +12,8 @@
 	"tidedeck/internal/workload"
 )
 
-// leadership is this node's view of the leadership lease. Its owner is the leader, and each grant by a majority
-// to a new owner begins a term, whose number is an ident.Duty.
+// leadership is this node's view of the leadership lease. Its holder is the leader, and each grant by a majority
+// to a new holder begins a term, whose number is an ident.Term.
 type leadership struct {
 	mine  bool
 	num   ident.Duty
@@ -23,7 +23,7 @@
 	began clock.Tick
 	top   ident.Duty       // highest term seen
 	who   protocol.Sibling // the leader as far as this node knows
-	free  bool             // the last majority read showed that no other node owns the lease
+	free  bool             // the last majority read showed that no other node holds the lease
 	shy   clock.Tick       // until when this node does not claim the lease
 	next  ident.Node       // successor named by the last leader when it released the lease
 	left  clock.Tick       // when that was
@@ -171,21 +171,21 @@
 
 // resetTerm discards all state that belongs to one term.
 func (c *Core) resetTerm() {
-	c.seats = map[ident.Server]int{}
+	c.tokensInProgress = map[ident.Server]int{}
 	c.links, c.tombs, c.wants = map[protocol.Session]*link{}, map[protocol.Session]clock.Tick{}, nil
 	c.linkSet, c.workload = newLinkSet(), workload.NewIndex()
 	c.beginVersions()
 	c.fleet = newServerIndex()
 	c.servers, c.entries = map[ident.Server]*server{}, map[ident.Key]*entry{}
 	c.demand = map[ident.Key]*need{}
-	c.shifts, c.uneven, c.shifted = map[ident.Key]*shift{}, 0, c.now
+	c.moves, c.uneven, c.shifted = map[ident.Key]*shift{}, 0, c.now
 	c.listing, c.listed, c.eye, c.begun, c.asked = false, 0, eye{round: c.eye.round}, nil, 0
-	c.taken = forwardsTaken{}
+	c.acceptedForwards = forwardsTaken{}
 	c.planned()
 	if c.duty.mine && c.o.Enrolled {
-		c.rolls, c.called = map[ident.Node]ident.Inc{}, 0
+		c.registriesReceived, c.lastRegistryQuery = map[ident.Node]ident.Inc{}, 0
 		if c.rollWhole {
-			c.rolls[c.o.Me.ID] = c.vote.inc
+			c.registriesReceived[c.o.Me.ID] = c.vote.inc
 		}
 		c.callRoll()
 	} else if c.duty.mine {
@@ -193,9 +193,9 @@
 	}
 }
 
-// beatDuty ends a term whose lease expired long ago. Until then nothing is granted or ordered, but the state is
-// kept: if a majority renews the same term, no other node owned the lease in between.
-func (c *Core) beatDuty() {
+// tickLeadership ends a term whose lease expired long ago. Until then nothing is granted or ordered, but the state is
+// kept: if a majority renews the same term, no other node held the lease in between.
+func (c *Core) tickLeadership() {
 	if c.duty.mine && c.now > c.duty.until(c).Add(lapseSpans*c.o.Duty) {
 		c.lose("the lease expired")
 	}
--- a/internal/controller/enrol.go
+++ b/internal/controller/enrol.go
@@ -16,7 +16,7 @@
 	Beacon protocol.Beacon
 }
 
-// Announced answers Announce. OK is false if a departure is not yet known to the owner and to a majority.
+// Announced answers Announce. OK is false if a departure is not yet known to the leader and to a majority.
 type Announced struct {
 	Token uint64
 	OK    bool
@@ -27,7 +27,7 @@
 	protocol.Beacon
 	heard          clock.Tick         // when the latest announcement arrived, directly or relayed
 	had            map[ident.Key]bool // models on the server's disk: true if certain, false if only held by an earlier start
-	presumedGone   bool               // assumed to be gone because another start has its address
+	presumedGone   bool               // presumed gone because another start has its address
 	announcedAgain clock.Tick         // first announcement after that assumption
 }
 
@@ -39,14 +39,15 @@
 }
 
 // leaving is an announcement that a server leaves or is gone, and that has not been acknowledged yet. Before that, the
-// owner must have broken every promise on the server, and a majority of the core must know, or the next owner might not.
+// leader must have broken every callback on the server, and a majority of the core must know, or the next leader might
+// not know.
 type leaving struct {
-	token      uint64
-	since      clock.Tick
-	lastSent   clock.Tick
-	beacons    []protocol.Beacon
-	knownBy    map[ident.Node]ident.Inc
-	ownerKnows bool
+	token         uint64
+	since         clock.Tick
+	lastSent      clock.Tick
+	announcements []protocol.Beacon
+	knownBy       map[ident.Node]ident.Inc
+	ownerKnows    bool
 }
 
 // stateRank orders the states of a server's life; a server never returns to an earlier state.
@@ -170,7 +171,7 @@
 	s.next = c.now // poll at once: the report lists what the server holds
 }
 
-// applyEnrolled copies the record of one server into the owner's view.
+// applyEnrolled copies the record of one server into the leader's view.
 func (c *Core) applyEnrolled(e *enrolled) {
 	if !c.duty.mine || !c.o.Enrolled {
 		return
@@ -210,7 +211,7 @@
 		s.slots = max(1, v.Slots)
 	}
 	s.room, s.places, s.plain = v.Room, v.Places, v.Plain
-	for k, p := range s.spots {
+	for k, p := range s.replicas {
 		p.size = c.sizeOf(k) // the server may have reported it before the plan with its size was known
 	}
 	if s.plain && !s.known {
@@ -234,11 +235,11 @@
 		b.State = "gone"
 	}
 	if c.enrol(b) {
-		c.relays = append(c.relays, b)
+		c.unrelayed = append(c.unrelayed, b)
 	}
 	if b.State == "live" {
 		if first {
-			c.relayBeacons()
+			c.relayAnnouncements()
 		}
 		// A node without contact to the core answers not OK, so that the server tries another node.
 		c.out = append(c.out, Announced{Token: a.Token, OK: c.reg.known == nil && !c.o.Joined || c.Ready()})
@@ -246,21 +247,21 @@
 	}
 	// A repeated departure is acknowledged like the first one, because the first answer may have been lost.
 	c.tally.Leaves++
-	c.mark++
+	c.lastAckID++
 	e := c.roll[b.ID]
 	if e == nil {
 		c.out = append(c.out, Announced{Token: a.Token, OK: true}) // an unknown server: it was never offered
 		return
 	}
-	departure := &leaving{token: a.Token, since: c.now, beacons: []protocol.Beacon{e.Beacon}, knownBy: map[ident.Node]ident.Inc{}}
-	mark := c.mark
-	c.acks[mark] = departure
+	departure := &leaving{token: a.Token, since: c.now, announcements: []protocol.Beacon{e.Beacon}, knownBy: map[ident.Node]ident.Inc{}}
+	ackID := c.lastAckID
+	c.acks[ackID] = departure
 	departure.ownerKnows = c.rules()
-	c.sendLeaving(mark, departure)
+	c.sendLeaving(ackID, departure)
 	c.persistLeavings(func() {
-		if c.acks[mark] == departure {
+		if c.acks[ackID] == departure {
 			departure.knownBy[c.o.Me.ID] = c.vote.inc
-			c.tryAcknowledge(mark, departure)
+			c.tryAcknowledge(ackID, departure)
 		}
 	})
 }
@@ -285,8 +286,8 @@
 }
 
 // restoreLeavings restores the departing servers that were stored on disk.
-func (c *Core) recall(beacons []protocol.Beacon) {
-	for _, b := range beacons {
+func (c *Core) recall(announcements []protocol.Beacon) {
+	for _, b := range announcements {
 		if b.ID != "" {
 			c.enlist(&enrolled{Beacon: b, heard: c.now, had: map[ident.Key]bool{}})
 		}
@@ -294,10 +295,10 @@
 }
 
 // sendLeaving sends a departure to the other core nodes.
-func (c *Core) sendLeaving(mark uint64, departure *leaving) {
+func (c *Core) sendLeaving(ackID uint64, departure *leaving) {
 	departure.lastSent = c.now
-	for _, sibling := range c.others() {
-		c.send(sibling, protocol.Beacons{Mark: mark, List: departure.beacons})
+	for _, peer := range c.others() {
+		c.send(peer, protocol.Beacons{Mark: ackID, List: departure.announcements})
 	}
 }
 
@@ -320,13 +321,13 @@
 	return nodes
 }
 
-// tryAcknowledge acknowledges a departure once the owner and a majority know of it.
-func (c *Core) tryAcknowledge(mark uint64, departure *leaving) {
+// tryAcknowledge acknowledges a departure once the leader and a majority know of it.
+func (c *Core) tryAcknowledge(ackID uint64, departure *leaving) {
 	value := c.latest()
 	if !departure.ownerKnows || value == nil || !voterset.Majority(*value, departure.knownBy) {
 		return
 	}
-	delete(c.acks, mark)
+	delete(c.acks, ackID)
 	c.checkLeaving(departure)
 	c.noteLeaving("leaving acknowledged", departure)
 	c.out = append(c.out, Announced{Token: departure.token, OK: true})
@@ -334,14 +335,14 @@
 
 // noteLeaving logs the outcome of a departure.
 func (c *Core) noteLeaving(text string, departure *leaving) {
-	for _, b := range departure.beacons {
+	for _, b := range departure.announcements {
 		c.note(text, field("server", b.ID), field("state", b.State), field("owner_knows", departure.ownerKnows),
 			field("known_at", generic.SortedKeys(departure.knownBy)), field("took_ms", c.now.Sub(departure.since).Milliseconds()))
 	}
 }
 
-// onBeacons handles announcements that another core node relays.
-func (c *Core) onBeacons(e protocol.Env) {
+// onAnnouncements handles announcements that another core node relays.
+func (c *Core) onAnnouncements(e protocol.Env) {
 	b := e.Body.(protocol.Beacons)
 	for _, beacon := range b.List {
 		c.enrol(beacon)
@@ -351,8 +352,8 @@
 	}
 }
 
-// onBeaconsHeard handles another node's confirmation that it has stored a departure.
-func (c *Core) onBeaconsHeard(e protocol.Env) {
+// onAnnouncementsAck handles another node's confirmation that it has stored a departure.
+func (c *Core) onAnnouncementsAck(e protocol.Env) {
 	b := e.Body.(protocol.BeaconsHeard)
 	departure := c.acks[b.Mark]
 	if departure == nil {
@@ -365,40 +366,40 @@
 	c.tryAcknowledge(b.Mark, departure)
 }
 
-// relayBeacons sends the announcements that this node has received to the other core nodes.
-func (c *Core) relayBeacons() {
-	c.relayed = c.now
-	if len(c.relays) == 0 {
+// relayAnnouncements sends the announcements that this node has received to the other core nodes.
+func (c *Core) relayAnnouncements() {
+	c.lastRelay = c.now
+	if len(c.unrelayed) == 0 {
 		return
 	}
-	beacons := c.relays
-	c.relays = nil
-	for _, sibling := range c.others() {
-		c.send(sibling, protocol.Beacons{List: beacons})
+	announcements := c.unrelayed
+	c.unrelayed = nil
+	for _, peer := range c.others() {
+		c.send(peer, protocol.Beacons{List: announcements})
 	}
 }
 
 // updateRegistry runs the periodic work of the registry: it relays announcements, gives up on departures that too few
-// nodes confirmed, requests missing registries, and has the owner check on silent servers.
+// nodes confirmed, requests missing registries, and has the leader check on silent servers.
 func (c *Core) beatRoll() {
 	if !c.o.Enrolled {
 		return
 	}
-	if c.now.Sub(c.relayed) > relayInterval {
-		c.relayBeacons()
+	if c.now.Sub(c.lastRelay) > relayInterval {
+		c.relayAnnouncements()
 	}
-	for _, mark := range generic.SortedKeys(c.acks) {
-		departure := c.acks[mark]
+	for _, ackID := range generic.SortedKeys(c.acks) {
+		departure := c.acks[ackID]
 		switch {
 		case c.now.Sub(departure.since) > leaveTimeout:
-			delete(c.acks, mark)
+			delete(c.acks, ackID)
 			c.tally.LeavesUnheard++
 			c.noteLeaving("leaving not acknowledged: too few core nodes know of it", departure)
 			c.out = append(c.out, Announced{Token: departure.token})
 		case c.now.Sub(departure.lastSent) > leaveResendInterval:
 			departure.ownerKnows = departure.ownerKnows || c.rules()
-			c.sendLeaving(mark, departure)
-			c.tryAcknowledge(mark, departure)
+			c.sendLeaving(ackID, departure)
+			c.tryAcknowledge(ackID, departure)
 		}
 	}
 	c.expireServers()
@@ -408,10 +409,10 @@
 	if !c.rules() {
 		return
 	}
-	if !c.registryComplete() && c.now.Sub(c.called) > leaveResendInterval {
-		c.called = c.now
-		for _, sibling := range c.others() {
-			c.send(sibling, protocol.RollCall{Duty: c.duty.num, Life: c.o.Inc})
+	if !c.registryComplete() && c.now.Sub(c.lastRegistryQuery) > leaveResendInterval {
+		c.lastRegistryQuery = c.now
+		for _, peer := range c.others() {
+			c.send(peer, protocol.RollCall{Duty: c.duty.num, Life: c.o.Inc})
 		}
 	}
 	for _, s := range c.fleet.ordered {
@@ -471,7 +472,7 @@
 	})
 }
 
-// noteAnswer records that a server has answered this owner, which counts like an announcement.
+// noteAnswer records that a server has answered this leader, which counts like an announcement.
 func (c *Core) spoke(s *server) {
 	if e := c.roll[s.ID]; e != nil {
 		e.heard = c.now
@@ -481,10 +482,11 @@
 	}
 }
 
-// rebuildServers rebuilds the owner's view from the registry and, for servers that are unknown to this node in its
-// present life, from the previous owner's last list. A listed server whose address an enrolled server has is skipped:
-// it is gone and was already removed here, or will announce itself soon. The other listed servers count as silent from
-// the start, so that they are polled at once: the start of a new term says nothing about whether they are reachable.
+// rebuildServers rebuilds the leader's view from the registry and, for servers that are unknown to this node in its
+// present incarnation, from the previous leader's last list. A listed server whose address an enrolled server has is
+// skipped: it is gone and was already removed here, or will announce itself soon. The other listed servers count as
+// silent from the start, so that they are polled at once: the start of a new term says nothing about whether they are
+// reachable.
 func (c *Core) callRoll() {
 	taken := map[string]bool{}
 	for _, e := range c.roll {
@@ -523,28 +525,28 @@
 	return c.disks[k][s.ID]
 }
 
-// onRollCall sends this node's registry.
-func (c *Core) onRollCall(e protocol.Env) {
-	var beacons []protocol.Beacon
+// onRegistryQuery sends this node's registry.
+func (c *Core) onRegistryQuery(e protocol.Env) {
+	var announcements []protocol.Beacon
 	for _, id := range generic.SortedKeys(c.roll) {
 		if record := c.roll[id]; !record.presumedGone {
-			beacons = append(beacons, record.Beacon)
+			announcements = append(announcements, record.Beacon)
 		}
 	}
 	request := e.Body.(protocol.RollCall)
-	c.reply(e, protocol.Roll{Duty: request.Duty, Life: request.Life, Inc: c.vote.inc, Partial: !c.rollWhole, List: beacons})
+	c.reply(e, protocol.Roll{Duty: request.Duty, Life: request.Life, Inc: c.vote.inc, Partial: !c.rollWhole, List: announcements})
 }
 
 // requestRegistries asks the other nodes for their registries. It runs at a node with a new disk, which has lost the
 // departures that it once acknowledged. Its own registry must not count towards a majority until it has received a
 // majority.
 func (c *Core) requestRegistries() {
-	if c.now.Sub(c.called) <= leaveResendInterval {
+	if c.now.Sub(c.lastRegistryQuery) <= leaveResendInterval {
 		return
 	}
-	c.called = c.now
-	for _, sibling := range c.others() {
-		c.send(sibling, protocol.RollCall{Life: c.o.Inc})
+	c.lastRegistryQuery = c.now
+	for _, peer := range c.others() {
+		c.send(peer, protocol.RollCall{Life: c.o.Inc})
 	}
 }
 
@@ -556,18 +558,18 @@
 	}
 	c.persistLeavings(func() {
 		c.rollWhole = true
-		c.rolls[c.o.Me.ID] = c.vote.inc
+		c.registriesReceived[c.o.Me.ID] = c.vote.inc
 	})
 }
 
-// registryComplete reports whether the owner has merged the registries of a majority, which contain every acknowledged
+// registryComplete reports whether the leader has merged the registries of a majority, which contain every acknowledged
 // departure.
 func (c *Core) registryComplete() bool {
-	return !c.o.Enrolled || c.reg.known != nil && voterset.Majority(*c.reg.known, c.rolls)
+	return !c.o.Enrolled || c.reg.known != nil && voterset.Majority(*c.reg.known, c.registriesReceived)
 }
 
-// onRoll merges another node's registry.
-func (c *Core) onRoll(e protocol.Env) {
+// onRegistryReply merges another node's registry.
+func (c *Core) onRegistryReply(e protocol.Env) {
 	b := e.Body.(protocol.Roll)
 	for _, beacon := range b.List {
 		c.enrol(beacon)
@@ -583,7 +585,7 @@
 		return
 	}
 	wasComplete := c.registryComplete()
-	c.rolls[e.From.ID] = b.Inc
+	c.registriesReceived[e.From.ID] = b.Inc
 	if !wasComplete && c.registryComplete() {
 		c.touchAll()
 	}
--- a/internal/controller/entries.go
+++ b/internal/controller/entries.go
@@ -15,7 +15,7 @@
 
 // entry is the routing information of a key.
 type entry struct {
-	mark        ident.Mark
+	digest      ident.Mark
 	unplaceable bool // no server could hold the key even if it were empty
 	replicas    []entryReplica
 }
@@ -37,7 +37,7 @@
 	return e
 }
 
-// buildEntry computes an entry from what the servers hold. Equal replica lists give equal marks.
+// buildEntry computes an entry from what the servers hold. Equal replica lists give equal digests.
 func (c *Core) buildEntry(k ident.Key, e *entry) {
 	e.replicas = nil
 	h := fnv.New64a()
@@ -55,7 +55,7 @@
 	if e.unplaceable {
 		fmt.Fprint(h, "never")
 	}
-	e.mark = ident.Mark(h.Sum64())
+	e.digest = ident.Mark(h.Sum64())
 }
 
 // fitsSomewhere reports whether the total room of any available server suffices for a key.
@@ -88,10 +88,10 @@
 	if e == nil {
 		return
 	}
-	was, old := e.mark, e.replicas
+	was, old := e.digest, e.replicas
 	c.buildEntry(k, e)
 	switch {
-	case e.mark == was:
+	case e.digest == was:
 	case c.o.Unfenced && !e.unplaceable && containsAll(e.replicas, old):
 		c.extendCallbacks(k, e)
 	default:
@@ -129,7 +129,7 @@
 	if s.whole != nil {
 		c.touch(s.whole.key)
 	}
-	for _, k := range generic.SortedKeys(s.spots) {
+	for _, k := range generic.SortedKeys(s.replicas) {
 		c.touch(k)
 	}
 }
--- a/internal/controller/inspect.go
+++ b/internal/controller/inspect.go
@@ -11,8 +11,8 @@
 	"tidedeck/internal/protocol"
 )
 
-// Snapshot is a read-only view of the state that determines a core node's next steps in the register and the duty. It is
-// intended for checkers. It shares pointers with the core, so callers must not modify it.
+// Snapshot is a read-only view of the state that determines a core node's next steps in the register and the leadership
+// lease. It is intended for checkers. It shares pointers with the core, so callers must not modify it.
 type Snapshot struct {
 	Began    bool // the node's incarnation is durable, so the node participates
 	Ending   bool
@@ -31,7 +31,7 @@
 	Value         *protocol.Desired
 	DurableBallot protocol.Ballot
 	DurableValue  *protocol.Desired
-	Started       clock.Tick // start of this life; grants from before may still be in force without this voter knowing
+	Started       clock.Tick // start of this incarnation; grants from before may still be in force without this voter knowing
 	Duty          ident.Duty
 	DurableDuty   ident.Duty
 	Owner         ident.Node
@@ -61,7 +61,7 @@
 	UnclearReads  int // consecutive majority reads that showed the same newer ballot that is not known to be chosen
 	UnclearBallot protocol.Ballot
 	Unequal       clock.Tick      // since when a voter has had an outdated copy
-	Unclear       clock.Tick      // since when reads have shown the unclear ballot
+	Unclear       clock.Tick      // since when reads have shown the unsettled ballot
 	Promised      protocol.Ballot // by a majority, for this node's next attempt
 	PromisedAt    protocol.Ballot // with the accept of this ballot
 	Forwards      []ForwardSnapshot
@@ -87,7 +87,7 @@
 	Base     protocol.Ballot // ballot of the newest value known to be chosen when the operation began
 }
 
-// ForwardSnapshot is a change that was forwarded to the owner of the leadership lease.
+// ForwardSnapshot is a change that was forwarded to the leader.
 type ForwardSnapshot struct {
 	Change    string
 	Owner     ident.Node
@@ -95,7 +95,7 @@
 	Unsettled bool
 	Proposed  bool
 	Answered  bool
-	Outcome   ident.Epoch // resulting version according to the owner, which this node does not know yet
+	Outcome   ident.Epoch // resulting version according to the leader, which this node does not know yet
 }
 
 // QuerySnapshot is a majority read.
@@ -118,14 +118,14 @@
 	Owner    ident.Node
 }
 
-// SiblingSnapshot is the last state that a node received from another.
+// PeerSnapshot is the last state that a node received from another.
 type SiblingSnapshot struct {
 	ID    ident.Node
 	At    clock.Tick
 	State protocol.State
 }
 
-// DutySnapshot is a node's own view of the duty.
+// LeadershipSnapshot is a node's own view of the leadership lease.
 type DutySnapshot struct {
 	Mine    bool
 	Number  ident.Duty
@@ -143,7 +143,7 @@
 func (c *Core) Inspect() Snapshot {
 	return Snapshot{
 		Began: c.began, Ending: c.ending,
-		Voter: c.inspectVoter(), Register: c.inspectRegister(), Duty: c.inspectDuty(),
+		Voter: c.inspectVoter(), Register: c.inspectRegister(), Duty: c.inspectLeadership(),
 		Members: c.mates.All(),
 	}
 }
@@ -206,7 +206,7 @@
 	}
 }
 
-func (c *Core) inspectDuty() DutySnapshot {
+func (c *Core) inspectLeadership() DutySnapshot {
 	d := &c.duty
 	return DutySnapshot{
 		Mine: d.mine, Number: d.num, Renewed: d.asked, Began: d.began, Highest: d.top, Owner: d.who.ID,
--- a/internal/controller/lives_test.go
+++ b/internal/controller/lives_test.go
@@ -14,7 +14,7 @@
 	return protocol.Env{From: protocol.Sibling{ID: ident.Node(node), Addr: node}, Body: body}
 }
 
-// nonOwners returns the two nodes of three that don't own the duty.
+// nonOwners returns the two nodes of three that are not the leader.
 func (c *cluster) nonOwners() (l []string) {
 	for _, id := range []string{"a", "b", "c"} {
 		if id != c.owner() {
@@ -31,21 +31,21 @@
 	c.plans["1"] = modelPlan(8, "llm|m")
 	c.told("a", Admin{Op: "put", Raw: []byte("1"), Number: 1, Change: "x"})
 	owner, rest := c.owner(), c.nonOwners()
-	c.announce(owner, beacon("s", "live", 1))
+	c.announce(owner, newAnnouncement("s", "live", 1))
 	c.run(1e9)
 	c.wipe(rest[0])
-	require.True(t, c.until(catchUp, func() bool { return c.settledSet(owner, "a", "b", "c") && c.nodes[rest[0]].rollWhole }))
+	require.True(t, c.until(catchUp, func() bool { return c.votersAre(owner, "a", "b", "c") && c.nodes[rest[0]].rollWhole }))
 	c.run(1e9)
 	c.down(rest...)
 	token := c.token + 1
-	c.announce(owner, beacon("s", "leaving", 2))
-	c.step(owner, from(rest[0], protocol.BeaconsHeard{Mark: c.nodes[owner].mark}))
+	c.announce(owner, newAnnouncement("s", "leaving", 2))
+	c.step(owner, from(rest[0], protocol.BeaconsHeard{Mark: c.nodes[owner].lastAckID}))
 	ok, _ := c.answer(token)
 	require.False(t, ok, "the departure is acknowledged, but only this node's disk has a record of it")
 }
 
-// A node with an emptied disk requests the registries of the others. An answer to a request of an earlier life lacks the
-// departures that were acknowledged since, so it must not count.
+// A node with an emptied disk requests the registries of the others. An answer to a request of an earlier incarnation
+// lacks the departures that were acknowledged since, so it must not count.
 func TestRollOfAnEarlierQuestion(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c")
 	c.plans["1"] = modelPlan(8, "llm|m")
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -10,8 +10,8 @@
 	"tidedeck/internal/protocol"
 )
 
-// A restarted voter doesn't know what it granted before. It grants the duty to the last owner at once, since
-// that owner's previous grant is over, and to other nodes only after a forgotten grant must have expired.
+// A restarted voter doesn't know what it granted before. It grants the lease to the last leader at once, since
+// that leader's previous grant is over, and to other nodes only after a forgotten grant must have expired.
 func TestVoterAfterItsRestart(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -20,12 +20,12 @@
 		after clock.Span
 		grant bool
 	}{
-		{"the last owner at once", "a", "a", 0, true},
+		{"the last leader at once", "a", "a", 0, true},
 		{"another at once", "a", "b", 0, false},
-		{"another a little before the hold's end", "a", "b", -20e6, false},
-		{"another after the hold's end", "a", "b", 20e6, true},
-		{"anybody, where nobody is on record, at once", "", "b", 0, false},
-		{"anybody, where nobody is on record, after it", "", "b", 20e6, true},
+		{"another node shortly before the grant expires", "a", "b", -20e6, false},
+		{"another node after the grant has expired", "a", "b", 20e6, true},
+		{"any node, without a recorded grant, at once", "", "b", 0, false},
+		{"any node, without a recorded grant, after the lease duration", "", "b", 20e6, true},
 	} {
 		k := New(Options{Me: protocol.Sibling{ID: "v", Addr: "v"}, Inc: 2})
 		k.Step(1e9, protocol.Start{Disk: map[string][]byte{
@@ -55,7 +55,7 @@
 	}
 }
 
-// After a power loss of the whole core, the last owner regains the duty within one lease duration.
+// After a power loss of the whole core, the last leader regains the lease within one lease duration.
 func TestDutyBackAfterPower(t *testing.T) {
 	c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
 	c.run(2e9)
--- a/internal/controller/voters.go
+++ b/internal/controller/voters.go
@@ -78,8 +78,8 @@
 	return ok && c.now.Sub(s.at) < clock.Span(rounds)*c.o.Round
 }
 
-// beatVoters makes the next change that the voter set needs, if any.
-func (c *Core) beatVoters() {
+// tickVoters makes the next change that the voter set needs, if any.
+func (c *Core) tickVoters() {
 	c.trackAbsences()
 	r := &c.reg
 	if !c.duty.mine || r.known == nil || r.changingVoters {
@@ -188,7 +188,7 @@
 // regionOf returns a voter's region. Without a table of regions, all zones belong to one region.
 func (c *Core) regionOf(v protocol.Voter) string { return c.o.Regions[v.Zone] }
 
-// HandingOver reports whether this node, which was told to stop, still holds a seat that a spare can take over.
+// HandingOver reports whether this node, which is to stop, still holds a seat that a spare can take over.
 // Until then it should keep answering: what it and a lost voter know may be known to no other majority.
 func (c *Core) HandingOver() bool {
 	if !c.ending || !c.o.HandOver || c.reg.known == nil {
