--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -13,16 +13,16 @@
 )
 
 func main() {
-	if flags, ok := host.Hosted(os.Args[1:], "controller"); ok {
-		boot, err := platform.Load()
+	if flags, ok := host.ParseHosted(os.Args[1:], "controller"); ok {
+		boot, err := platform.LoadSettings()
 		exitOn(err)
-		host.Confine(boot.MemoryMB, boot.Processors)
+		host.LimitResources(boot.MemoryMB, boot.Processors)
 		exitOn(controller.Host(controller.HostOptions{
-			ID: string(boot.Node), Zone: string(boot.Zone), Regions: boot.Zones, Post: boot.Post(0), Control: boot.Controller, Admin: boot.Post(1),
-			Seeds: boot.SeedPosts(0), Follow: followSeeds, Data: boot.Data, First: boot.First, Logs: flags.Lines(), Metrics: flags.MetricsAt(boot.IP), Bind: flags.Bind, Losses: boot.Losses,
-			Dialect: controller.Dialect{Servers: platform.PathServers, Plan: platform.PathConfiguration, Beacon: platform.ReadBeacon,
-				Revision: platform.Revision, Target: platform.Target, Read: platform.ReadPlan, Merge: platform.Merge, Tell: platform.Tell},
-			Timing: controller.Timing{Apply: boot.Bounds.Apply, Drain: boot.Bounds.Drain, CatchUp: boot.Bounds.CatchUp, Period: boot.Period,
+			ID: string(boot.Node), Zone: string(boot.Zone), Regions: boot.Zones, PeerAddr: boot.NodeAddr(0), ControlAddr: boot.Controller, AdminAddr: boot.NodeAddr(1),
+			Seeds: boot.SeedAddrs(0), FollowSeeds: followSeeds, Data: boot.DataDir, FirstStart: boot.FirstStart, LogOutput: flags.LogWriter(), MetricsAddr: flags.MetricsAddr(boot.IP), Bind: flags.ListenAddr, Losses: boot.MachineLosses,
+			Dialect: controller.Dialect{ServersPath: platform.PathServers, PlanPath: platform.PathConfiguration, ReadBeacon: platform.ReadBeacon,
+				ReadRevision: platform.ReadRevision, AnnounceReply: platform.AnnounceReply, ReadPlan: platform.ReadPlan, MergePatch: platform.MergePatch, Send: platform.Send},
+			Timing: controller.Timing{Apply: boot.Bounds.Apply, Drain: boot.Bounds.Drain, CatchUp: boot.Bounds.Convergence, Period: boot.Period,
 				Rate: boot.Bounds.PeakWindow, Tenure: boot.Bounds.Tenure},
 		}))
 		return
@@ -32,8 +32,8 @@
 	exitOn(controller.Main(s))
 }
 
-func followSeeds(step func(protocol.Reseed)) {
-	host.FollowSeeds(platform.SettingsPath(), func() ([]string, error) { return platform.LoadSeedPosts(0) }, step)
+func followSeeds(step func(protocol.SeedsChanged)) {
+	host.WatchSeeds(platform.SettingsPath(), func() ([]string, error) { return platform.LoadSeedAddrs(0) }, step)
 }
 
 func exitOn(err error) {
--- a/cmd/localfleet/main.go
+++ b/cmd/localfleet/main.go
@@ -79,14 +79,14 @@
 	startedAt := time.Now()
 	progress := func(message string) { fmt.Printf("%6.2fs  %s\n", time.Since(startedAt).Seconds(), message) }
 	progress("all processes started")
-	if err := localfleet.Until(startCtx, "core nodes ready", func() bool {
+	if err := localfleet.WaitUntil(startCtx, "core nodes ready", func() bool {
 		return localFleet.CoreNodeReady("controller-1") && localFleet.CoreNodeReady("controller-2") && localFleet.CoreNodeReady("controller-3")
 	}); err != nil {
 		return err
 	}
 	progress("core formed")
 	var reply localfleet.PlanReply
-	if err := localfleet.Until(startCtx, "plan accepted", func() bool {
+	if err := localfleet.WaitUntil(startCtx, "plan accepted", func() bool {
 		var code int
 		reply, code, err = localFleet.PutPlan("controller-2", raw, "0", "first") // retries with the same change id are idempotent
 		return err == nil && code == 200
@@ -94,16 +94,16 @@
 		return fmt.Errorf("%w: %s %s %v", err, reply.Kind, reply.Why, reply.Faults)
 	}
 	progress(fmt.Sprintf("plan accepted under epoch %d", reply.Epoch))
-	if err := localfleet.Until(startCtx, "plan in force at every router", func() bool { return localFleet.InForceAt(reply.Epoch, localFleet.RouterAddrs...) }); err != nil {
+	if err := localfleet.WaitUntil(startCtx, "plan in force at every router", func() bool { return localFleet.InForceAt(reply.Epoch, localFleet.RouterAddrs...) }); err != nil {
 		return err
 	}
 	progress("plan in force at every router")
-	if err := localfleet.Until(startCtx, "replica floors met", localFleet.FloorsMet); err != nil {
+	if err := localfleet.WaitUntil(startCtx, "replica floors met", localFleet.FloorsMet); err != nil {
 		return err
 	}
 	progress("replica floors met")
-	mix := standin.NewMix(parsedPlan, seed)
-	report := standin.Calls(ctx, standin.CallOptions{Routers: localFleet.RouterAddrs, Next: mix.Next, Rate: rate, Total: total, Again: true})
+	mix := standin.NewWorkload(parsedPlan, seed)
+	report := standin.RunCalls(ctx, standin.CallOptions{Routers: localFleet.RouterAddrs, Next: mix.Next, Rate: rate, Total: total, RepeatDropped: true})
 	progress("all requests done")
 	localFleet.Report(os.Stdout, report)
 	for name := range localFleet.RouterByName {
--- a/cmd/replay/main.go
+++ b/cmd/replay/main.go
@@ -57,7 +57,7 @@
 		}
 	case "replay <file>":
 		for i, a := range flags.Replay.Routers {
-			for _, fault := range host.Addr(fmt.Sprintf("routers[%d]", i), a) {
+			for _, fault := range host.CheckAddr(fmt.Sprintf("routers[%d]", i), a) {
 				fail(fmt.Errorf("%s: %s", fault.Path, fault.Why))
 			}
 		}
@@ -73,7 +73,7 @@
 		}
 		tag := flags.Replay.Tag
 		if tag == "" {
-			tag = fmt.Sprintf("%x-", host.NewInc())
+			tag = fmt.Sprintf("%x-", host.NewIncarnation())
 		}
 		run := replay.Replay(recording, flags.Replay.Routers, flags.Replay.Speed, tag)
 		run.Record = flags.Replay.File
--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -13,16 +13,16 @@
 )
 
 func main() {
-	if flags, ok := host.Hosted(os.Args[1:], "router"); ok {
-		boot, err := platform.Load()
+	if flags, ok := host.ParseHosted(os.Args[1:], "router"); ok {
+		boot, err := platform.LoadSettings()
 		exitOn(err)
-		host.Confine(boot.MemoryMB, boot.Processors)
+		host.LimitResources(boot.MemoryMB, boot.Processors)
 		bounds := boot.Bounds
-		exitOn(router.Host(router.HostOptions{
-			ID: string(boot.Node), Zone: string(boot.Zone), Ingress: boot.Ingress, Readiness: boot.Readiness,
-			Post: boot.Post(2), Admin: boot.Post(3), Seeds: boot.SeedPosts(0), Follow: followSeeds, Logs: flags.Lines(), Metrics: flags.MetricsAt(boot.IP), Bind: flags.Bind,
-			Dialect: platform.Dialect{}, Read: platform.ReadPlan, Grace: bounds.Grace, Bodies: int64(boot.MemoryMB) << 20 / bodyMemoryDivisor,
-			Lend: float64(bounds.RetryMargin) * freshMarginFraction, LendAgain: float64(bounds.RetryMargin) * (1 - freshMarginFraction), Window: bounds.RetryWindow, Fraction: bounds.RetryFraction, First: boot.First,
+		exitOn(router.RunHosted(router.HostOptions{
+			ID: string(boot.Node), Zone: string(boot.Zone), IngressAddr: boot.Ingress, ReadinessAddr: boot.Readiness,
+			AgentAddr: boot.NodeAddr(2), AdminAddr: boot.NodeAddr(3), Seeds: boot.SeedAddrs(0), FollowSeeds: followSeeds, LogOutput: flags.LogWriter(), MetricsAddr: flags.MetricsAddr(boot.IP), Bind: flags.ListenAddr,
+			Dialect: platform.Dialect{}, ReadPlan: platform.ReadPlan, Grace: bounds.StopTimeout, BodyBudget: int64(boot.MemoryMB) << 20 / bodyMemoryDivisor,
+			RetryMargin: float64(bounds.RetryMargin) * freshMarginFraction, RestartRetryMargin: float64(bounds.RetryMargin) * (1 - freshMarginFraction), RetryWindow: bounds.RetryWindow, RetryFraction: bounds.RetryFraction, FirstStart: boot.FirstStart,
 		}))
 		return
 	}
@@ -38,8 +38,8 @@
 // bodyMemoryDivisor is the divisor of the machine's memory that gives the memory for request bodies.
 const bodyMemoryDivisor = 8
 
-func followSeeds(step func(protocol.Reseed)) {
-	host.FollowSeeds(platform.SettingsPath(), func() ([]string, error) { return platform.LoadSeedPosts(0) }, step)
+func followSeeds(step func(protocol.SeedsChanged)) {
+	host.WatchSeeds(platform.SettingsPath(), func() ([]string, error) { return platform.LoadSeedAddrs(0) }, step)
 }
 
 func exitOn(err error) {
--- a/cmd/simulator/main.go
+++ b/cmd/simulator/main.go
@@ -27,7 +27,7 @@
 	kong.Parse(&s, kong.Name("simulator"), kong.Description("simulator runs the state machines of all programs in virtual time, deterministically from seeds."))
 	if s.List {
 		for _, c := range simulator.Scenes {
-			fmt.Printf("%-12s %s\n", c.Name, c.About)
+			fmt.Printf("%-12s %s\n", c.Name, c.Description)
 		}
 		return
 	}
@@ -40,7 +40,7 @@
 		simulator.Measure(os.Stdout, simulator.Options{Seed: s.Seed, Routers: localfleet.Shapes[s.Fleet].Routers, Servers: localfleet.Shapes[s.Fleet].Servers, Plan: raw}, s.Seeds)
 		return
 	}
-	if _, ok := simulator.Find(s.Scene); !ok && s.Scene != "all" || s.Seeds < 1 {
+	if _, ok := simulator.FindScene(s.Scene); !ok && s.Scene != "all" || s.Seeds < 1 {
 		fmt.Fprintln(os.Stderr, "simulator: unknown scene, or --seeds is below 1; --list prints the scenes")
 		os.Exit(2)
 	}
@@ -66,12 +66,12 @@
 				mu.Lock()
 				defer mu.Unlock()
 				fmt.Printf("%-12s seed %d trace %016x: %s\n", c.Name, o.Seed, w.Hash(), seen)
-				if len(w.Check.Bad) == 0 {
+				if len(w.Check.Violations) == 0 {
 					pass++
 					return
 				}
 				fail++
-				for _, b := range w.Check.Bad {
+				for _, b := range w.Check.Violations {
 					fmt.Println("   BAD", b)
 				}
 				fmt.Printf("   replay: go run ./cmd/simulator --scene %s --fleet %s --seed %d --trace\n", c.Name, s.Fleet, o.Seed)
--- a/internal/agent/contact.go
+++ b/internal/agent/contact.go
@@ -22,19 +22,19 @@
 // coreContact tracks whether the core is reachable, independent of the current leader. Only answers from a core node
 // in contact with a majority count; a node without a majority is partitioned itself.
 type coreContact struct {
-	lastAnswer     clock.Tick // when such a node last answered
-	awaitingAnswer bool       // a renewal was sent since lastAnswer
-	lastQueryAll   clock.Tick // when every core node was last queried at once, since lastAnswer
+	lastAnswer     clock.Instant // when such a node last answered
+	awaitingAnswer bool          // a renewal was sent since lastAnswer
+	lastQueryAll   clock.Instant // when every core node was last queried at once, since lastAnswer
 	partitioned    bool
 	// inconclusive counts the answers since lastAnswer of nodes that could not determine the newest configuration.
 	inconclusive int
 }
 
-func (k *coreContact) noteAnswer(now clock.Tick) {
+func (k *coreContact) noteAnswer(now clock.Instant) {
 	k.lastAnswer, k.awaitingAnswer, k.lastQueryAll, k.inconclusive = now, false, 0, 0
 }
 
-func (k *coreContact) noteRequest(now clock.Tick) {
+func (k *coreContact) noteRequest(now clock.Instant) {
 	k.awaitingAnswer = true
 	if k.lastAnswer == 0 {
 		k.lastAnswer = now // measure from the first request
@@ -46,7 +46,7 @@
 
 // queryDue reports whether every core node should be queried now. A partitioned machine queries twice as often,
 // because it has to learn that the core accepts changes again well before such changes take effect.
-func (k *coreContact) queryDue(now clock.Tick) bool {
+func (k *coreContact) queryDue(now clock.Instant) bool {
 	interval := 2 * queryTimeout
 	if k.partitioned {
 		interval = queryTimeout
@@ -55,7 +55,7 @@
 }
 
 // timedOut reports whether every core node was queried and had time to answer, and none did.
-func (k *coreContact) timedOut(now clock.Tick) bool {
+func (k *coreContact) timedOut(now clock.Instant) bool {
 	return k.lastQueryAll != 0 && now.Sub(k.lastQueryAll) > queryTimeout && now.Sub(k.lastAnswer) > partitionedAfter
 }
 
@@ -90,8 +90,8 @@
 	c.contact.lastQueryAll = c.now
 	c.tally.Sweeps++
 	query := c.renewal()
-	query.Burden = outstanding(c.keyLoads) // arrival counts are reported once, in a regular renewal
+	query.KeyLoads = outstanding(c.keyLoads) // arrival counts are reported once, in a regular renewal
 	for _, node := range c.coreNodes() {
-		c.send(protocol.Env{From: c.o.Me, To: node, Body: query})
+		c.send(protocol.Envelope{From: c.o.Self, To: node, Body: query})
 	}
 }
--- a/internal/agent/contact_test.go
+++ b/internal/agent/contact_test.go
@@ -10,8 +10,8 @@
 )
 
 // lastLease returns the last lease sent to the router.
-func (r *harness) lastLease() protocol.Hold {
-	h, _, _ := lastSent[protocol.Hold](r)
+func (r *harness) lastLease() protocol.RouterLease {
+	h, _, _ := lastSent[protocol.RouterLease](r)
 	return h
 }
 
@@ -25,13 +25,13 @@
 	}{
 		{"no answer", func(*harness, protocol.Renew) {}, true},
 		{"leader grants", func(r *harness, n protocol.Renew) {
-			r.deliver(newPeer("a2"), protocol.Grant{Session: n.Session, Seq: n.Seq, Len: 1e9, Duty: 1})
+			r.deliver(newPeer("a2"), protocol.Grant{Session: n.Session, Seq: n.Seq, Length: 1e9, Term: 1})
 		}, false},
 		{"leader withholds the lease until an acknowledgement", func(r *harness, n protocol.Renew) {
-			r.deliver(newPeer("a2"), protocol.Grant{Session: n.Session, Seq: n.Seq, Duty: 1})
+			r.deliver(newPeer("a2"), protocol.Grant{Session: n.Session, Seq: n.Seq, Term: 1})
 		}, false},
 		{"node in contact with a majority", func(r *harness, n protocol.Renew) {
-			r.deliver(newPeer("a2"), protocol.NotOwner{Session: n.Session, Seq: n.Seq, Gen: 1, Epoch: 9, Fresh: 1e9})
+			r.deliver(newPeer("a2"), protocol.NotOwner{Session: n.Session, Seq: n.Seq, Gen: 1, Epoch: 9, ConfigLease: 1e9})
 		}, false},
 		{"node in contact with a majority, newest configuration undetermined", func(r *harness, n protocol.Renew) {
 			r.deliver(newPeer("a2"), protocol.NotOwner{Session: n.Session, Seq: n.Seq, Gen: 1, Epoch: 9, Majority: true})
@@ -40,7 +40,7 @@
 			r.deliver(newPeer("a2"), protocol.NotOwner{Session: n.Session, Seq: n.Seq, Gen: 1, Epoch: 9})
 		}, true},
 		{"leader without this session", func(r *harness, n protocol.Renew) {
-			r.deliver(newPeer("a2"), protocol.NotOwner{Session: n.Session, Gone: true})
+			r.deliver(newPeer("a2"), protocol.NotOwner{Session: n.Session, SessionEnded: true})
 		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -51,12 +51,12 @@
 			for r.clock < was.Add(4e9) {
 				r.sent = nil
 				r.advance(20e6)
-				for _, e := range append([]protocol.Env{}, r.sent...) {
+				for _, e := range append([]protocol.Envelope{}, r.sent...) {
 					if n, ok := e.Body.(protocol.Renew); ok && e.To.Addr == "a2" {
 						c.answer(r, n)
 					}
 				}
-				parted = parted || r.lastLease().Parted
+				parted = parted || r.lastLease().Partitioned
 				if r.clock < was.Add(partitionedAfter-250e6) {
 					require.False(t, parted, "reported as partitioned too early")
 				}
@@ -71,15 +71,15 @@
 func TestStallDiscardsQuery(t *testing.T) {
 	r := newHarness()
 	r.advance(20e6)
-	r.deliver(newPeer("a1"), protocol.Grant{Session: r.Session(), Seq: r.seq, Len: 1400e6, Duty: 1})
+	r.deliver(newPeer("a1"), protocol.Grant{Session: r.Session(), Seq: r.seq, Length: 1400e6, Term: 1})
 	r.advance(queryAllAfter + 500e6)
 	require.NotZero(t, r.contact.lastQueryAll)
 	r.clock = r.clock.Add(3e9) // the process stalls
 	r.sent = nil
 	r.advance(queryTimeout - 100e6)
-	require.False(t, r.lastLease().Parted)
+	require.False(t, r.lastLease().Partitioned)
 	r.advance(300e6)
-	require.True(t, r.lastLease().Parted)
+	require.True(t, r.lastLease().Partitioned)
 }
 
 // A core node's confirmation of the configuration counts from the time of the request, and only for a router that has
@@ -90,10 +90,10 @@
 		answer protocol.NotOwner
 		counts bool
 	}{
-		{"node has the same configuration", protocol.NotOwner{Gen: 0, Epoch: 2, Fresh: 900e6}, true},
-		{"node has an older configuration", protocol.NotOwner{Gen: 0, Epoch: 1, Fresh: 900e6}, true},
-		{"node has a newer configuration", protocol.NotOwner{Gen: 0, Epoch: 3, Fresh: 900e6}, false},
-		{"core was formed anew", protocol.NotOwner{Gen: 1, Epoch: 1, Fresh: 900e6}, false},
+		{"node has the same configuration", protocol.NotOwner{Gen: 0, Epoch: 2, ConfigLease: 900e6}, true},
+		{"node has an older configuration", protocol.NotOwner{Gen: 0, Epoch: 1, ConfigLease: 900e6}, true},
+		{"node has a newer configuration", protocol.NotOwner{Gen: 0, Epoch: 3, ConfigLease: 900e6}, false},
+		{"core was formed anew", protocol.NotOwner{Gen: 1, Epoch: 1, ConfigLease: 900e6}, false},
 		{"node without a majority", protocol.NotOwner{Gen: 0, Epoch: 2}, false},
 	} {
 		r := newHarness()
@@ -104,16 +104,16 @@
 		c.answer.Session, c.answer.Seq, c.answer.Leaving = n.Session, n.Seq, nil
 		r.deliver(newPeer("a2"), c.answer)
 		if !c.counts {
-			require.Zero(t, r.lastLease().Current, c.name)
+			require.Zero(t, r.lastLease().ConfigLeaseEnd, c.name)
 			continue
 		}
-		require.Equal(t, queried.Add(clock.Span(900e6)), r.lastLease().Current, c.name)
+		require.Equal(t, queried.Add(clock.Span(900e6)), r.lastLease().ConfigLeaseEnd, c.name)
 		c.answer.Seq += 5
-		c.answer.Fresh = 9e9
+		c.answer.ConfigLease = 9e9
 		r.deliver(newPeer("a2"), c.answer)
-		require.Equal(t, queried.Add(clock.Span(900e6)), r.lastLease().Current, "answer to a request that was never sent")
-		r.deliver(newPeer("router"), protocol.Hello{Router: 8, Epoch: 1})
-		require.Zero(t, r.lastLease().Current, "a restarted router has another configuration")
+		require.Equal(t, queried.Add(clock.Span(900e6)), r.lastLease().ConfigLeaseEnd, "answer to a request that was never sent")
+		r.deliver(newPeer("router"), protocol.RouterReport{Incarnation: 8, Epoch: 1})
+		require.Zero(t, r.lastLease().ConfigLeaseEnd, "a restarted router has another configuration")
 	}
 }
 
@@ -122,15 +122,15 @@
 	r := newHarness()
 	was := r.Session()
 	r.advance(20e6)
-	r.deliver(newPeer("a1"), protocol.NotOwner{Session: was, Gone: true})
+	r.deliver(newPeer("a1"), protocol.NotOwner{Session: was, SessionEnded: true})
 	require.NotEqual(t, was, r.Session())
 	r.sent = nil
 	d := &protocol.Desired{Epoch: 5}
-	r.deliver(newPeer("a1"), protocol.News{Session: was, Duty: 1, Items: []protocol.Item{{Num: 1, Break: "m"}, {Num: 2, Desired: d}}})
-	n, e, ok := lastSent[protocol.News](r)
+	r.deliver(newPeer("a1"), protocol.Updates{Session: was, Term: 1, Items: []protocol.Update{{Num: 1, Break: "m"}, {Num: 2, Desired: d}}})
+	n, e, ok := lastSent[protocol.Updates](r)
 	require.True(t, ok)
 	require.Equal(t, "router", e.To.Addr)
-	require.Equal(t, protocol.News{Items: []protocol.Item{{Desired: d}}}, n, "no other update of that session is delivered")
+	require.Equal(t, protocol.Updates{Items: []protocol.Update{{Desired: d}}}, n, "no other update of that session is delivered")
 }
 
 // An agent forwards the router's requests only after a leader has answered in the current session. Otherwise the
@@ -140,14 +140,14 @@
 	r := newHarness()
 	r.sent = nil
 	forwarded := func() bool {
-		r.deliver(newPeer("router"), protocol.Want{Session: r.Session(), Key: "m"})
-		_, _, up := lastSent[protocol.Want](r)
+		r.deliver(newPeer("router"), protocol.EntryRequest{Session: r.Session(), Key: "m"})
+		_, _, up := lastSent[protocol.EntryRequest](r)
 		return up
 	}
 	require.False(t, forwarded())
-	r.deliver(newPeer("a1"), protocol.Grant{Session: r.Session(), Seq: r.seq, Duty: 1})
+	r.deliver(newPeer("a1"), protocol.Grant{Session: r.Session(), Seq: r.seq, Term: 1})
 	require.True(t, forwarded(), "a leader that withholds the lease still has the session")
-	r.deliver(newPeer("a1"), protocol.NotOwner{Session: r.Session(), Gone: true})
+	r.deliver(newPeer("a1"), protocol.NotOwner{Session: r.Session(), SessionEnded: true})
 	r.sent = nil
 	require.False(t, forwarded(), "a new session")
 }
@@ -156,7 +156,7 @@
 func TestCutOffKeepsQuerying(t *testing.T) {
 	r := newHarness()
 	r.advance(partitionedAfter + queryTimeout + 200e6)
-	require.True(t, r.lastLease().Parted)
+	require.True(t, r.lastLease().Partitioned)
 	swept := r.contact.lastQueryAll
 	r.sent = nil
 	r.advance(queryTimeout + 100e6)
@@ -172,5 +172,5 @@
 	}
 	n, _, _ := lastSent[protocol.Renew](r)
 	r.deliver(newPeer("a2"), protocol.NotOwner{Session: n.Session, Seq: n.Seq, Majority: true})
-	require.False(t, r.lastLease().Parted)
+	require.False(t, r.lastLease().Partitioned)
 }
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -15,52 +15,52 @@
 
 // Options configures an agent. Life distinguishes the starts of the agent process in its sessions with the router.
 type Options struct {
-	Me     protocol.Sibling
-	Zone   ident.Zone
-	Inc    ident.Inc
-	Life   ident.Inc // start number of this agent, sent to the router; a later start on the same machine has a higher one
-	Seeds  []protocol.Sibling
-	Router protocol.Sibling
-	Rand   *rand.Rand
-	Keep   clock.Span // interval between lease renewals
-	Wait   clock.Span // time without an answer after which another path is tried
-	Brisk  bool       // renew more often with fewer routers, since renewals report each router's load
+	Self          protocol.Peer
+	Zone          ident.Zone
+	Inc           ident.Incarnation
+	Life          ident.Incarnation // start number of this agent, sent to the router; a later start on the same machine has a higher one
+	Seeds         []protocol.Peer
+	Router        protocol.Peer
+	Rand          *rand.Rand
+	RenewInterval clock.Span // interval between lease renewals
+	AnswerTimeout clock.Span // time without an answer after which another path is tried
+	FastRenewal   bool       // renew more often with fewer routers, since renewals report each router's load
 }
 
 // Core is the agent's state machine. It performs no I/O.
 type Core struct {
 	o       Options
-	now     clock.Tick
+	now     clock.Instant
 	out     []any
 	members *membership.Core
 
-	router           ident.Inc
+	router           ident.Incarnation
 	gen              uint64
 	epoch            ident.Epoch
-	keyLoads         map[ident.Key]protocol.Burden
+	keyLoads         map[ident.Key]protocol.KeyLoad
 	tokensInProgress map[ident.Server]int
 	tokenTimes       map[ident.Key]float64 // shortest observed time per token since the last renewal
 	routers          int
 
 	session            protocol.Session
 	seq                uint64
-	sentAt             map[uint64]clock.Tick
-	leaseEnd           clock.Tick
-	term               ident.Duty
+	sentAt             map[uint64]clock.Instant
+	leaseEnd           clock.Instant
+	term               ident.Term
 	fresh              bool
 	ackedNum           uint64
-	nextRenewal        clock.Tick
-	contact            coreContact // whether any core node is reachable, independent of the current leader
-	configCurrentUntil clock.Tick  // until when a core node has confirmed the router's configuration as current
+	nextRenewal        clock.Instant
+	contact            coreContact   // whether any core node is reachable, independent of the current leader
+	configCurrentUntil clock.Instant // until when a core node has confirmed the router's configuration as current
 	leaving            []ident.Server
-	lastLeaderAnswer   clock.Tick // when a leader last answered in this session
-	pathChangedAt      clock.Tick
+	lastLeaderAnswer   clock.Instant // when a leader last answered in this session
+	pathChangedAt      clock.Instant
 	path               corePath
-	directTriedAt      clock.Tick // when a direct path was last tried while relaying through a peer
-	advertisedCores    []protocol.Sibling
+	directTriedAt      clock.Instant // when a direct path was last tried while relaying through a peer
+	advertisedCores    []protocol.Peer
 	pathIndex          int
 	newestDesired      *protocol.Desired
-	stall              clock.Stall
+	stall              clock.StallDetector
 	tally              Tally
 }
 
@@ -69,8 +69,8 @@
 
 // corePath is the path to the leader: direct, or relayed through a peer.
 type corePath struct {
-	to  protocol.Sibling
-	via protocol.Sibling
+	to  protocol.Peer
+	via protocol.Peer
 }
 
 // Tally counts an agent's events.
@@ -86,11 +86,11 @@
 
 // New returns an agent with the given options.
 func New(o Options) *Core {
-	generic.SetDefault(&o.Keep, 400e6)
-	generic.SetDefault(&o.Wait, 350e6)
-	c := &Core{o: o, sentAt: map[uint64]clock.Tick{}, advertisedCores: o.Seeds, stall: clock.Stall{Least: minStall}}
+	generic.SetDefault(&o.RenewInterval, 400e6)
+	generic.SetDefault(&o.AnswerTimeout, 350e6)
+	c := &Core{o: o, sentAt: map[uint64]clock.Instant{}, advertisedCores: o.Seeds, stall: clock.StallDetector{MinGap: minStall}}
 	c.members = membership.New(membership.Options{
-		Me:    protocol.Member{Sibling: o.Me, Role: "agent", Zone: o.Zone, Inc: o.Inc},
+		Self:  protocol.Member{Peer: o.Self, Role: "agent", Zone: o.Zone, Incarnation: o.Inc},
 		Seeds: o.Seeds, Rand: o.Rand,
 	})
 	if len(o.Seeds) > 0 {
@@ -101,46 +101,46 @@
 }
 
 // Step processes one input and returns the resulting outputs.
-func (c *Core) Step(now clock.Tick, in any) []any {
+func (c *Core) Step(now clock.Instant, in any) []any {
 	c.now, c.out = now, nil
 	switch v := in.(type) {
-	case protocol.Env:
+	case protocol.Envelope:
 		c.receive(v)
-	case protocol.Reseed:
+	case protocol.SeedsChanged:
 		c.o.Seeds = v.Seeds
-		c.members.Reseed(v.Seeds)
-	case protocol.Beat:
+		c.members.SetSeeds(v.Seeds)
+	case protocol.TimerTick:
 		c.tick()
 	}
 	return c.out
 }
 
-func (c *Core) send(messages ...protocol.Env) {
+func (c *Core) send(messages ...protocol.Envelope) {
 	for _, e := range messages {
 		c.out = append(c.out, e)
 	}
 }
 
 func (c *Core) logEvent(text string, fields ...protocol.Field) {
-	c.out = append(c.out, protocol.Note{Text: text, Fields: fields})
+	c.out = append(c.out, protocol.LogLine{Text: text, Fields: fields})
 }
 
 func (c *Core) sendToCore(body any) {
-	c.send(protocol.Env{From: c.o.Me, To: c.path.to, Via: c.path.via, Body: body})
+	c.send(protocol.Envelope{From: c.o.Self, To: c.path.to, Via: c.path.via, Body: body})
 }
 
 func (c *Core) sendToRouter(body any) {
-	c.send(protocol.Env{From: c.o.Me, To: c.o.Router, Body: body})
+	c.send(protocol.Envelope{From: c.o.Self, To: c.o.Router, Body: body})
 }
 
 // beginSession starts a new session. The router has to revalidate all of its cached state.
 func (c *Core) beginSession(why string) {
-	c.session = protocol.Session{Node: c.o.Me.ID, Agent: c.o.Life, Router: c.router, N: c.session.N + 1}
+	c.session = protocol.Session{Node: c.o.Self.ID, AgentIncarnation: c.o.Life, RouterIncarnation: c.router, Num: c.session.Num + 1}
 	c.leaseEnd, c.term, c.fresh, c.ackedNum = 0, 0, true, 0
-	c.sentAt = map[uint64]clock.Tick{}
+	c.sentAt = map[uint64]clock.Instant{}
 	c.nextRenewal = c.now
 	c.tally.Sessions++
-	c.logEvent("session started", protocol.Field{Name: "session", Value: c.session.N}, protocol.Field{Name: "why", Value: why}, protocol.Field{Name: "way", Value: c.path.to.Addr},
+	c.logEvent("session started", protocol.Field{Name: "session", Value: c.session.Num}, protocol.Field{Name: "why", Value: why}, protocol.Field{Name: "way", Value: c.path.to.Addr},
 		protocol.Field{Name: "epoch", Value: c.epoch})
 	c.sendLease()
 }
@@ -148,53 +148,53 @@
 func (c *Core) sendLease() { c.sendToRouter(c.currentLease()) }
 
 // currentLease returns the router's current lease, and the terms on which it may continue without one.
-func (c *Core) currentLease() protocol.Hold {
-	return protocol.Hold{Session: c.session, Until: c.leaseEnd, Duty: c.term, Parted: c.contact.partitioned, Current: c.configCurrentUntil, Leaving: c.leaving}
+func (c *Core) currentLease() protocol.RouterLease {
+	return protocol.RouterLease{Session: c.session, Until: c.leaseEnd, Term: c.term, Partitioned: c.contact.partitioned, ConfigLeaseEnd: c.configCurrentUntil, Leaving: c.leaving}
 }
 
-func (c *Core) receive(e protocol.Env) {
+func (c *Core) receive(e protocol.Envelope) {
 	// A peer without a direct path to the core relays through this agent. Only core traffic is relayed.
-	if e.To.ID != "" && e.To.ID != c.o.Me.ID {
-		if e.By.ID == "" {
+	if e.To.ID != "" && e.To.ID != c.o.Self.ID {
+		if e.RelayedBy.ID == "" {
 			c.tally.Carried++
-			c.send(e.Carry(c.o.Me))
+			c.send(e.Relay(c.o.Self))
 		}
 		return
 	}
-	if replies, mine := c.members.Take(c.now, e); mine {
+	if replies, mine := c.members.Receive(c.now, e); mine {
 		c.send(replies...)
 		return
 	}
 	switch body := e.Body.(type) {
-	case protocol.Hello:
-		if body.Router == 0 {
+	case protocol.RouterReport:
+		if body.Incarnation == 0 {
 			return // a running router has a non-zero start number
 		}
 		if body.Gen != c.gen || body.Epoch != c.epoch {
 			c.nextRenewal = c.now // the leader waits for this acknowledgement
 		}
-		c.gen, c.epoch, c.tokensInProgress = body.Gen, body.Epoch, body.Seats
-		c.mergeKeyLoads(body.Burden)
-		c.mergeTokenTimes(body.Paces)
-		if body.Router != c.router {
-			c.router = body.Router
+		c.gen, c.epoch, c.tokensInProgress = body.Gen, body.Epoch, body.TokensInProgress
+		c.mergeKeyLoads(body.KeyLoads)
+		c.mergeTokenTimes(body.TokenTimes)
+		if body.Incarnation != c.router {
+			c.router = body.Incarnation
 			c.configCurrentUntil, c.leaving = 0, nil // these applied to the previous router's configuration
 			c.beginSession("router restarted")
 			c.tick()
 		} else if body.Session != c.session {
 			c.sendLease()
 		}
-	case protocol.Want:
+	case protocol.EntryRequest:
 		// Before a leader has answered in this session, it does not know the session. It would reject the request as
 		// belonging to an unknown session, and the next session would start with the same request.
 		if body.Session == c.session && !c.fresh {
 			c.sendToCore(body)
 		}
-	case protocol.Removal:
+	case protocol.DroppedEntries:
 		if body.Session == c.session {
 			c.sendToCore(body)
 		}
-	case protocol.Heard:
+	case protocol.Ack:
 		if body.Session == c.session {
 			c.ackedNum = max(c.ackedNum, body.Num)
 			c.sendToCore(body)
@@ -203,18 +203,18 @@
 		c.onGrant(e, body)
 	case protocol.NotOwner:
 		c.onNotOwner(body)
-	case protocol.News:
+	case protocol.Updates:
 		c.onUpdates(e, body)
-	case protocol.Kept:
+	case protocol.RecoveryReply:
 		c.rememberDesired(body.Value)
-	case protocol.Keep:
-		c.send(e.Reply(c.o.Me, protocol.Kept{Round: body.Round, Value: c.newestDesired}))
+	case protocol.RecoveryQuery:
+		c.send(e.Reply(c.o.Self, protocol.RecoveryReply{Round: body.Round, Value: c.newestDesired}))
 	}
 }
 
 // acceptFromLeader reports whether a leader's message belongs to this session. A message from a leader with a higher
 // term ends the session.
-func (c *Core) acceptFromLeader(session protocol.Session, term ident.Duty) bool {
+func (c *Core) acceptFromLeader(session protocol.Session, term ident.Term) bool {
 	if session != c.session {
 		return false
 	}
@@ -228,13 +228,13 @@
 	return true
 }
 
-func (c *Core) onGrant(e protocol.Env, grant protocol.Grant) {
+func (c *Core) onGrant(e protocol.Envelope, grant protocol.Grant) {
 	c.noteCoreAnswer()
-	if !c.acceptFromLeader(grant.Session, grant.Duty) {
+	if !c.acceptFromLeader(grant.Session, grant.Term) {
 		return
 	}
-	c.path = corePath{to: e.From, via: e.By}
-	if grant.Len <= 0 {
+	c.path = corePath{to: e.From, via: e.RelayedBy}
+	if grant.Length <= 0 {
 		c.tally.Withheld++
 		return
 	}
@@ -249,14 +249,14 @@
 	}
 	c.tally.Grants++
 	c.routers = grant.Routers
-	c.leaseEnd = max(c.leaseEnd, sentAt.Add(grant.Len))
+	c.leaseEnd = max(c.leaseEnd, sentAt.Add(grant.Length))
 	lease := c.currentLease()
-	lease.Routers, lease.Seats, lease.Paces = grant.Routers, grant.Seats, grant.Paces
+	lease.Routers, lease.TokensInProgress, lease.TokenTimes = grant.Routers, grant.TokensInProgress, grant.TokenTimes
 	c.sendToRouter(lease)
 }
 
 func (c *Core) onNotOwner(answer protocol.NotOwner) {
-	if answer.Gone || answer.Majority || answer.Fresh > 0 {
+	if answer.SessionEnded || answer.Majority || answer.ConfigLease > 0 {
 		c.noteCoreAnswer() // a node without a majority does not count as contact with the core
 	} else {
 		c.tally.Unvouched++
@@ -265,16 +265,16 @@
 	if answer.Session != c.session {
 		return
 	}
-	if len(answer.Cores) > 0 {
-		c.advertisedCores = answer.Cores
+	if len(answer.CoreNodes) > 0 {
+		c.advertisedCores = answer.CoreNodes
 	}
 	c.extendConfigCurrent(answer)
-	if answer.Gone {
+	if answer.SessionEnded {
 		c.beginSession("session unknown to the leader")
 		return
 	}
-	if answer.Hint.ID != "" && answer.Hint.Addr != c.path.to.Addr {
-		c.path = corePath{to: answer.Hint, via: c.path.via}
+	if answer.OwnerHint.ID != "" && answer.OwnerHint.Addr != c.path.to.Addr {
+		c.path = corePath{to: answer.OwnerHint, via: c.path.via}
 		c.nextRenewal, c.pathChangedAt = c.now, c.now
 	}
 }
@@ -283,18 +283,18 @@
 // starts when the request was sent.
 func (c *Core) extendConfigCurrent(answer protocol.NotOwner) {
 	sentAt, ok := c.sentAt[answer.Seq]
-	if !ok || answer.Fresh <= 0 || answer.Gen > c.gen || answer.Gen == c.gen && answer.Epoch > c.epoch {
+	if !ok || answer.ConfigLease <= 0 || answer.Gen > c.gen || answer.Gen == c.gen && answer.Epoch > c.epoch {
 		return
 	}
 	c.leaving = answer.Leaving
-	c.configCurrentUntil = max(c.configCurrentUntil, sentAt.Add(answer.Fresh))
+	c.configCurrentUntil = max(c.configCurrentUntil, sentAt.Add(answer.ConfigLease))
 	c.tally.Vouched++
 	c.sendLease()
 }
 
-func (c *Core) onUpdates(e protocol.Env, updates protocol.News) {
+func (c *Core) onUpdates(e protocol.Envelope, updates protocol.Updates) {
 	c.noteCoreAnswer()
-	if !c.acceptFromLeader(updates.Session, updates.Duty) {
+	if !c.acceptFromLeader(updates.Session, updates.Term) {
 		c.forwardStaleConfig(updates)
 		return
 	}
@@ -307,16 +307,16 @@
 // forwardStaleConfig forwards the configurations among updates whose session has ended, and drops the rest. A chosen
 // configuration remains valid in any session, and a router to which delivery takes longer than a session lasts would
 // otherwise never receive it.
-func (c *Core) forwardStaleConfig(updates protocol.News) {
+func (c *Core) forwardStaleConfig(updates protocol.Updates) {
 	c.tally.StaleNews += uint64(len(updates.Items))
-	var late protocol.News // carries no session
+	var late protocol.Updates // carries no session
 	for _, item := range updates.Items {
 		if item.Desired == nil {
 			continue
 		}
 		c.rememberDesired(item.Desired)
-		late.Items = append(late.Items, protocol.Item{Desired: item.Desired})
-		c.logEvent("configuration received after its session ended", protocol.Field{Name: "session", Value: updates.Session.N}, protocol.Field{Name: "now", Value: c.session.N},
+		late.Items = append(late.Items, protocol.Update{Desired: item.Desired})
+		c.logEvent("configuration received after its session ended", protocol.Field{Name: "session", Value: updates.Session.Num}, protocol.Field{Name: "now", Value: c.session.Num},
 			protocol.Field{Name: "its_epoch", Value: item.Desired.Epoch}, protocol.Field{Name: "epoch", Value: c.epoch})
 	}
 	if len(late.Items) > 0 {
@@ -332,12 +332,12 @@
 }
 
 func (c *Core) tick() {
-	if gap := c.stall.Beat(c.now); gap > 0 {
+	if gap := c.stall.Observe(c.now); gap > 0 {
 		c.tally.Stalls++
 		c.logEvent("process stalled", protocol.Field{Name: "ms", Value: gap.Milliseconds()})
 		c.contact.discardQuery() // answers that arrived during the stall may still be unread
 	}
-	c.send(c.members.Beat(c.now)...)
+	c.send(c.members.Tick(c.now)...)
 	if c.router == 0 {
 		return
 	}
@@ -348,15 +348,15 @@
 	if c.now < c.nextRenewal {
 		return
 	}
-	if c.now.Sub(c.lastLeaderAnswer) > c.o.Keep+c.o.Wait && c.now.Sub(c.pathChangedAt) > c.o.Wait {
+	if c.now.Sub(c.lastLeaderAnswer) > c.o.RenewInterval+c.o.AnswerTimeout && c.now.Sub(c.pathChangedAt) > c.o.AnswerTimeout {
 		c.switchPath()
 	}
 	if c.path.via.ID != "" && c.now.Sub(c.directTriedAt) > relayDuration {
-		c.directTriedAt, c.path.via = c.now, protocol.Sibling{} // retry the direct path, so that relaying lasts no longer than necessary
+		c.directTriedAt, c.path.via = c.now, protocol.Peer{} // retry the direct path, so that relaying lasts no longer than necessary
 	}
 	c.nextRenewal = c.now.Add(c.renewInterval())
-	if c.now.Sub(c.lastLeaderAnswer) > c.o.Keep+c.o.Wait {
-		c.nextRenewal = c.now.Add(c.o.Wait / 2)
+	if c.now.Sub(c.lastLeaderAnswer) > c.o.RenewInterval+c.o.AnswerTimeout {
+		c.nextRenewal = c.now.Add(c.o.AnswerTimeout / 2)
 	}
 	c.tally.Renews++
 	c.sendToCore(c.renewal())
@@ -365,22 +365,22 @@
 
 // renewInterval returns the time until the next renewal.
 func (c *Core) renewInterval() clock.Span {
-	if !c.o.Brisk || c.routers == 0 {
-		return c.o.Keep
+	if !c.o.FastRenewal || c.routers == 0 {
+		return c.o.RenewInterval
 	}
-	return min(c.o.Keep, max(c.o.Keep*3/8, c.o.Keep/60*clock.Span(c.routers)))
+	return min(c.o.RenewInterval, max(c.o.RenewInterval*3/8, c.o.RenewInterval/60*clock.Span(c.routers)))
 }
 
 // mergeKeyLoads records the router's current load and adds the counts accumulated since the last renewal.
-func (c *Core) mergeKeyLoads(reported map[ident.Key]protocol.Burden) {
-	merged := map[ident.Key]protocol.Burden{}
+func (c *Core) mergeKeyLoads(reported map[ident.Key]protocol.KeyLoad) {
+	merged := map[ident.Key]protocol.KeyLoad{}
 	for key, load := range reported {
-		load.Came, load.Load = load.Came+c.keyLoads[key].Came, load.Load+c.keyLoads[key].Load
+		load.Arrived, load.ServerSeconds = load.Arrived+c.keyLoads[key].Arrived, load.ServerSeconds+c.keyLoads[key].ServerSeconds
 		merged[key] = load
 	}
 	for key, load := range c.keyLoads {
-		if _, ok := merged[key]; !ok && load.Came > 0 {
-			merged[key] = protocol.Burden{Came: load.Came, Load: load.Load}
+		if _, ok := merged[key]; !ok && load.Arrived > 0 {
+			merged[key] = protocol.KeyLoad{Arrived: load.Arrived, ServerSeconds: load.ServerSeconds}
 		}
 	}
 	c.keyLoads = merged
@@ -414,14 +414,14 @@
 		}
 	}
 	c.contact.noteRequest(c.now)
-	return protocol.Renew{Session: c.session, Seq: c.seq, Fresh: c.fresh, Gen: c.gen, Epoch: c.epoch, Heard: c.ackedNum, Burden: c.keyLoads, Seats: c.tokensInProgress, Paces: c.tokenTimes}
+	return protocol.Renew{Session: c.session, Seq: c.seq, NewSession: c.fresh, Gen: c.gen, Epoch: c.epoch, AckedNum: c.ackedNum, KeyLoads: c.keyLoads, TokensInProgress: c.tokensInProgress, TokenTimes: c.tokenTimes}
 }
 
 // outstanding returns the waiting and running requests of a load report, without the counts of new arrivals.
-func outstanding(burden map[ident.Key]protocol.Burden) map[ident.Key]protocol.Burden {
-	result := map[ident.Key]protocol.Burden{}
+func outstanding(burden map[ident.Key]protocol.KeyLoad) map[ident.Key]protocol.KeyLoad {
+	result := map[ident.Key]protocol.KeyLoad{}
 	for key, load := range burden {
-		if load.Came, load.Load = 0, 0; load.Wait > 0 || load.Work > 0 {
+		if load.Arrived, load.ServerSeconds = 0, 0; load.Waiting > 0 || load.Running > 0 {
 			result[key] = load
 		}
 	}
@@ -429,8 +429,8 @@
 }
 
 // coreNodes lists all core nodes known to this agent.
-func (c *Core) coreNodes() (nodes []protocol.Sibling) {
-	add := func(node protocol.Sibling) {
+func (c *Core) coreNodes() (nodes []protocol.Peer) {
+	add := func(node protocol.Peer) {
 		for _, known := range nodes {
 			if known.Addr == node.Addr {
 				return
@@ -439,9 +439,9 @@
 		nodes = append(nodes, node)
 	}
 	for _, m := range c.members.Alive("controller") {
-		add(m.Sibling)
+		add(m.Peer)
 	}
-	for _, node := range append(append([]protocol.Sibling{}, c.advertisedCores...), c.o.Seeds...) {
+	for _, node := range append(append([]protocol.Peer{}, c.advertisedCores...), c.o.Seeds...) {
 		add(node)
 	}
 	return nodes
@@ -457,10 +457,10 @@
 	}
 	c.pathIndex++
 	next := corePath{to: nodes[c.pathIndex%len(nodes)]}
-	var peers []protocol.Sibling
+	var peers []protocol.Peer
 	for _, m := range c.members.Alive("agent") {
-		if m.ID != c.o.Me.ID {
-			peers = append(peers, m.Sibling)
+		if m.ID != c.o.Self.ID {
+			peers = append(peers, m.Peer)
 		}
 	}
 	// Passes over the core nodes alternate between direct paths and paths through a peer.
@@ -477,7 +477,7 @@
 func (c *Core) Counts() Tally { return c.tally }
 
 // HasLease reports whether the lease is valid at the given time.
-func (c *Core) Held(now clock.Tick) bool { return now < c.leaseEnd }
+func (c *Core) HasLease(now clock.Instant) bool { return now < c.leaseEnd }
 
 // Members lists the members known to this agent.
-func (c *Core) Members() []protocol.Member { return c.members.All() }
+func (c *Core) Members() []protocol.Member { return c.members.Members() }
--- a/internal/agent/fuzz_test.go
+++ b/internal/agent/fuzz_test.go
@@ -14,19 +14,19 @@
 // FuzzStep delivers arbitrary envelopes, one per line, in the agent's current session. Everything that the agent
 // sends can be encoded, and it still renews its lease.
 func FuzzStep(f *testing.F) {
-	me := protocol.Member{Sibling: newPeer("a9"), Role: "agent", Inc: 4, Life: "alive"}
-	session := protocol.Session{Node: "agent", Router: 7, N: 1}
+	me := protocol.Member{Peer: newPeer("a9"), Role: "agent", Incarnation: 4, Status: "alive"}
+	session := protocol.Session{Node: "agent", RouterIncarnation: 7, Num: 1}
 	var messages [][]byte
 	for _, body := range []any{
-		protocol.Grant{Session: session, Seq: 1, Len: 2e9, Duty: 1, Routers: 3},
-		protocol.News{Session: session, Duty: 1, Items: []protocol.Item{{Num: 1, Desired: &protocol.Desired{Epoch: 1}}, {Num: 2, Break: "k"}}},
-		protocol.Hello{Router: 7, Session: session, Burden: map[ident.Key]protocol.Burden{"k": {Came: 1, Load: 1}}},
-		protocol.NotOwner{Session: session, Hint: newPeer("a2"), Cores: []protocol.Sibling{newPeer("a3")}},
-		protocol.Probe{Seq: 1, News: []protocol.Member{me}},
-		protocol.ProbeFor{Seq: 1, Target: newPeer("a9")},
-		protocol.Keep{Round: 1},
+		protocol.Grant{Session: session, Seq: 1, Length: 2e9, Term: 1, Routers: 3},
+		protocol.Updates{Session: session, Term: 1, Items: []protocol.Update{{Num: 1, Desired: &protocol.Desired{Epoch: 1}}, {Num: 2, Break: "k"}}},
+		protocol.RouterReport{Incarnation: 7, Session: session, KeyLoads: map[ident.Key]protocol.KeyLoad{"k": {Arrived: 1, ServerSeconds: 1}}},
+		protocol.NotOwner{Session: session, OwnerHint: newPeer("a2"), CoreNodes: []protocol.Peer{newPeer("a3")}},
+		protocol.Probe{Seq: 1, Gossip: []protocol.Member{me}},
+		protocol.IndirectProbe{Seq: 1, Target: newPeer("a9")},
+		protocol.RecoveryQuery{Round: 1},
 	} {
-		raw, err := protocol.Pack(protocol.Env{From: newPeer("a1"), To: newPeer("agent"), Body: body})
+		raw, err := protocol.Pack(protocol.Envelope{From: newPeer("a1"), To: newPeer("agent"), Body: body})
 		require.NoError(f, err)
 		f.Add(raw)
 		messages = append(messages, raw)
--- a/internal/agent/gather_test.go
+++ b/internal/agent/gather_test.go
@@ -12,7 +12,7 @@
 	"tidedeck/internal/protocol"
 )
 
-type keyLoads = map[ident.Key]protocol.Burden
+type keyLoads = map[ident.Key]protocol.KeyLoad
 
 // renewals returns the renewals sent since the last call.
 func (r *harness) renewals() (l []protocol.Renew) {
@@ -34,18 +34,18 @@
 		second  keyLoads // in the next renewal, without a report in between
 	}{
 		{"nothing", nil, keyLoads{}, keyLoads{}},
-		{"one report", []keyLoads{{"m": {Came: 3, Load: 0.5}}}, keyLoads{"m": {Came: 3, Load: 0.5}}, keyLoads{}},
-		{"counts add up", []keyLoads{{"m": {Came: 3, Load: 0.5}}, {"m": {Came: 4, Load: 0.25}}}, keyLoads{"m": {Came: 7, Load: 0.75}}, keyLoads{}},
-		{"gauges are the latest", []keyLoads{{"m": {Wait: 9, Work: 9, Top: 9}}, {"m": {Wait: 1, Work: 2, Top: 3}}}, keyLoads{"m": {Wait: 1, Work: 2, Top: 3}}, keyLoads{"m": {Wait: 1, Work: 2, Top: 3}}},
-		{"a key missing from a later report keeps its count", []keyLoads{{"m": {Came: 3, Load: 0.5, Wait: 2, Work: 1}}, {"n": {Came: 1}}}, keyLoads{"m": {Came: 3, Load: 0.5}, "n": {Came: 1}}, keyLoads{}},
-		{"an empty report keeps the counts", []keyLoads{{"m": {Came: 3, Load: 0.5}}, {}, {}}, keyLoads{"m": {Came: 3, Load: 0.5}}, keyLoads{}},
-		{"gauges stay until the next report", []keyLoads{{"m": {Came: 3, Load: 0.5, Wait: 2, Work: 1, Top: 4}}}, keyLoads{"m": {Came: 3, Load: 0.5, Wait: 2, Work: 1, Top: 4}}, keyLoads{"m": {Wait: 2, Work: 1, Top: 4}}},
+		{"one report", []keyLoads{{"m": {Arrived: 3, ServerSeconds: 0.5}}}, keyLoads{"m": {Arrived: 3, ServerSeconds: 0.5}}, keyLoads{}},
+		{"counts add up", []keyLoads{{"m": {Arrived: 3, ServerSeconds: 0.5}}, {"m": {Arrived: 4, ServerSeconds: 0.25}}}, keyLoads{"m": {Arrived: 7, ServerSeconds: 0.75}}, keyLoads{}},
+		{"gauges are the latest", []keyLoads{{"m": {Waiting: 9, Running: 9, TopValue: 9}}, {"m": {Waiting: 1, Running: 2, TopValue: 3}}}, keyLoads{"m": {Waiting: 1, Running: 2, TopValue: 3}}, keyLoads{"m": {Waiting: 1, Running: 2, TopValue: 3}}},
+		{"a key missing from a later report keeps its count", []keyLoads{{"m": {Arrived: 3, ServerSeconds: 0.5, Waiting: 2, Running: 1}}, {"n": {Arrived: 1}}}, keyLoads{"m": {Arrived: 3, ServerSeconds: 0.5}, "n": {Arrived: 1}}, keyLoads{}},
+		{"an empty report keeps the counts", []keyLoads{{"m": {Arrived: 3, ServerSeconds: 0.5}}, {}, {}}, keyLoads{"m": {Arrived: 3, ServerSeconds: 0.5}}, keyLoads{}},
+		{"gauges stay until the next report", []keyLoads{{"m": {Arrived: 3, ServerSeconds: 0.5, Waiting: 2, Running: 1, TopValue: 4}}}, keyLoads{"m": {Arrived: 3, ServerSeconds: 0.5, Waiting: 2, Running: 1, TopValue: 4}}, keyLoads{"m": {Waiting: 2, Running: 1, TopValue: 4}}},
 	} {
 		r := newHarness()
 		r.advance(20e6)
 		r.renewals()
 		for _, b := range c.reports {
-			r.deliver(newPeer("router"), protocol.Hello{Router: 7, Session: r.Session(), Epoch: 2, Burden: b})
+			r.deliver(newPeer("router"), protocol.RouterReport{Incarnation: 7, Session: r.Session(), Epoch: 2, KeyLoads: b})
 		}
 		for i, want := range []keyLoads{c.first, c.second} {
 			var l []protocol.Renew
@@ -55,7 +55,7 @@
 			}
 			require.Len(t, l, 1, c.name)
 			got := keyLoads{}
-			for k, u := range l[0].Burden {
+			for k, u := range l[0].KeyLoads {
 				got[k] = u
 			}
 			require.Equal(t, want, got, "%s: renewal %d", c.name, i+1)
@@ -73,7 +73,7 @@
 		var copies []string
 		drain := func() {
 			for _, n := range r.renewals() {
-				sent, copies = append(sent, n), append(copies, fmt.Sprint(n.Burden))
+				sent, copies = append(sent, n), append(copies, fmt.Sprint(n.KeyLoads))
 			}
 		}
 		drain()
@@ -86,19 +86,19 @@
 						continue
 					}
 					n := rng.IntN(4)
-					b[k] = protocol.Burden{Came: n, Load: float64(n) / 4, Wait: rng.IntN(2), Work: rng.IntN(2)}
+					b[k] = protocol.KeyLoad{Arrived: n, ServerSeconds: float64(n) / 4, Waiting: rng.IntN(2), Running: rng.IntN(2)}
 					came[k] += n
 					load[k] += float64(n) / 4
 				}
-				r.deliver(newPeer("router"), protocol.Hello{Router: 7, Session: r.Session(), Epoch: 2, Burden: b})
+				r.deliver(newPeer("router"), protocol.RouterReport{Incarnation: 7, Session: r.Session(), Epoch: 2, KeyLoads: b})
 			case 3:
 				if len(sent) > 0 {
 					n := sent[len(sent)-1]
-					r.deliver(newPeer("a1"), protocol.Grant{Session: n.Session, Seq: n.Seq, Len: 1e9, Duty: 1})
+					r.deliver(newPeer("a1"), protocol.Grant{Session: n.Session, Seq: n.Seq, Length: 1e9, Term: 1})
 				}
 			case 4:
 				if rng.IntN(10) == 0 {
-					r.deliver(newPeer("a1"), protocol.NotOwner{Session: r.Session(), Gone: true})
+					r.deliver(newPeer("a1"), protocol.NotOwner{Session: r.Session(), SessionEnded: true})
 				}
 			default:
 				r.advance(clock.Span(rng.IntN(300)) * 1e6)
@@ -108,10 +108,10 @@
 		r.advance(5e9)
 		drain()
 		for i, n := range sent {
-			require.Equal(t, copies[i], fmt.Sprint(n.Burden), "seed %d: renewal %d changed after it was sent", seed, i)
-			for k, u := range n.Burden {
-				came[k] -= u.Came
-				load[k] -= u.Load
+			require.Equal(t, copies[i], fmt.Sprint(n.KeyLoads), "seed %d: renewal %d changed after it was sent", seed, i)
+			for k, u := range n.KeyLoads {
+				came[k] -= u.Arrived
+				load[k] -= u.ServerSeconds
 			}
 		}
 		for _, k := range []ident.Key{"m", "n", "o"} {
--- a/internal/agent/parted_test.go
+++ b/internal/agent/parted_test.go
@@ -15,20 +15,20 @@
 	r := newHarness()
 	parted := func() (is bool) {
 		for _, e := range r.sent {
-			if h, ok := e.Body.(protocol.Hold); ok {
-				is = h.Parted
+			if h, ok := e.Body.(protocol.RouterLease); ok {
+				is = h.Partitioned
 			}
 		}
 		return is
 	}
 	grant := func() {
-		r.deliver(newPeer("controller-1"), protocol.Grant{Session: r.Session(), Seq: r.seq, Len: 1400e6, Duty: 1})
+		r.deliver(newPeer("controller-1"), protocol.Grant{Session: r.Session(), Seq: r.seq, Length: 1400e6, Term: 1})
 	}
 	r.advance(20e6)
 	grant()
 	for range 100 { // updates but no grants: the lease expires
 		r.advance(50e6)
-		r.deliver(newPeer("controller-1"), protocol.News{Session: r.Session(), Duty: 1})
+		r.deliver(newPeer("controller-1"), protocol.Updates{Session: r.Session(), Term: 1})
 		require.False(t, parted())
 	}
 	r.sent = nil
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -30,13 +30,13 @@
 
 // Check returns the faults found in the settings.
 func (s *Settings) Check() (faults fleetplan.Faults) {
-	faults = append(faults, host.Addr("listen", s.Listen)...)
-	_, more := host.Bind(s.Bind, s.Listen)
+	faults = append(faults, host.CheckAddr("listen", s.Listen)...)
+	_, more := host.ListenAddr(s.Bind, s.Listen)
 	faults = append(faults, more...)
-	faults = append(faults, host.Near("near", s.Near)...)
-	faults = append(faults, host.Near("router", s.Router)...)
-	faults = append(faults, host.Addr("admin", s.Admin)...)
-	faults = append(faults, host.Seeds(s.Seeds)...)
+	faults = append(faults, host.CheckLoopbackAddr("near", s.Near)...)
+	faults = append(faults, host.CheckLoopbackAddr("router", s.Router)...)
+	faults = append(faults, host.CheckAddr("admin", s.Admin)...)
+	faults = append(faults, host.CheckSeeds(s.Seeds)...)
 	if s.KeepMs < 50 || s.KeepMs > 10_000 {
 		faults = append(faults, fleetplan.Fault{Path: "keep-ms", Why: "must be an integer from 50 to 10000"})
 	}
@@ -45,26 +45,26 @@
 
 // Main runs an agent until it is signalled to stop.
 func Main(s Settings) error {
-	ring := host.NewRing(s.ID, os.Stderr)
-	bind, _ := host.Bind(s.Bind, s.Listen)
+	ring := host.NewLog(s.ID, os.Stderr)
+	bind, _ := host.ListenAddr(s.Bind, s.Listen)
 	core := New(Options{
-		Me: protocol.Sibling{ID: ident.Node(s.ID), Addr: s.Listen}, Zone: ident.Zone(s.Zone), Inc: host.NewInc(), Life: ident.Inc(host.Now()),
-		Seeds: host.Siblings(s.Seeds), Rand: host.NewRand(), Keep: clock.Span(s.KeepMs) * 1e6,
-		Router: protocol.Sibling{ID: "router", Addr: s.Router},
+		Self: protocol.Peer{ID: ident.Node(s.ID), Addr: s.Listen}, Zone: ident.Zone(s.Zone), Inc: host.NewIncarnation(), Life: ident.Incarnation(host.Now()),
+		Seeds: host.SeedPeers(s.Seeds), Rand: host.NewRand(), RenewInterval: clock.Span(s.KeepMs) * 1e6,
+		Router: protocol.Peer{ID: "router", Addr: s.Router},
 	})
-	server := host.New(host.Options{Core: core, Listen: []string{bind, s.Near}, Told: s.Listen, Beat: 20 * time.Millisecond, Ring: ring, Else: func(any) {}})
+	server := host.New(host.Options{Core: core, Listen: []string{bind, s.Near}, Advertised: s.Listen, TickInterval: 20 * time.Millisecond, Log: ring, HandleOutput: func(any) {}})
 	if err := server.Run(); err != nil {
 		return err
 	}
 	defer server.Stop()
 	mux := flow.New()
-	host.Life(mux, "", func() (ok bool, _ map[string]any) {
-		server.With(func(now clock.Tick) { ok = core.Held(now) })
+	host.AddHealthEndpoints(mux, "", func() (ok bool, _ map[string]any) {
+		server.Locked(func(now clock.Instant) { ok = core.HasLease(now) })
 		return ok, nil
 	})
-	mux.Handle("/metrics", host.Metrics(server.Times(), host.Tallies{Name: "agent", Get: func() (t any) {
-		server.With(func(clock.Tick) { t = core.Counts() })
+	mux.Handle("/metrics", host.MetricsHandler(server.WorkTimes(), host.StructMetrics{Name: "agent", Read: func() (t any) {
+		server.Locked(func(clock.Instant) { t = core.Counts() })
 		return t
 	}}), http.MethodGet)
-	return host.Web(s.Admin, mux, ring, nil, 5*time.Second)
+	return host.ServeUntilSignal(s.Admin, mux, ring, nil, 5*time.Second)
 }
--- a/internal/controller/address_test.go
+++ b/internal/controller/address_test.go
@@ -19,17 +19,17 @@
 // without a check of who has the address now, and requests and orders did not name the server.
 
 // setLastList makes a server known to a node only from the previous leader's list.
-func (c *cluster) setLastList(node string, l protocol.Listed) {
+func (c *cluster) setLastList(node string, l protocol.ListedServer) {
 	k := c.nodes[node]
-	k.delist(l.ID)
-	k.list = Roll{Duty: k.duty.top, List: []protocol.Listed{l}}
+	k.removeEnrolled(l.ID)
+	k.list = ServerList{Duty: k.leadership.highestTerm, List: []protocol.ListedServer{l}}
 }
 
 // takeOver partitions leaders until the given node is the leader.
 func (c *cluster) takeOver(t *testing.T, next string) {
 	for _, id := range []string{"a", "b", "c"} {
 		if id != next && c.owner() == id {
-			c.parted[id] = true
+			c.partitioned[id] = true
 		}
 	}
 	require.True(t, c.until(9e9, func() bool { return c.owner() == next }))
@@ -37,7 +37,7 @@
 
 // newListedCluster returns a cluster whose leader is not b, so that b can take over.
 func newListedCluster(t *testing.T, keys ...ident.Key) *cluster {
-	c := newTunedCluster(t, floor(modelPlan(12, keys...), 1, keys...), func(*Options) {}, "a", "b", "c")
+	c := newTunedCluster(t, withFloor(modelPlan(12, keys...), 1, keys...), func(*Options) {}, "a", "b", "c")
 	c.run(1e9)
 	require.NotEqual(t, "b", c.owner())
 	return c
@@ -48,14 +48,14 @@
 	c := newListedCluster(t, "llm|m")
 	m := c.serve("new", "llm|m")
 	c.run(2e9)
-	old := m.Listed
+	old := m.ListedServer
 	old.ID = "old"
 	c.setLastList("b", old)
 	c.takeOver(t, "b")
-	require.Nil(t, c.lead().servers["old"])
+	require.Nil(t, c.leader().servers["old"])
 	c.run(5e9)
-	require.Nil(t, c.lead().servers["old"])
-	require.NotNil(t, c.lead().servers["new"])
+	require.Nil(t, c.leader().servers["old"])
+	require.NotNil(t, c.leader().servers["new"])
 }
 
 // If a server from the last list has lost its address to one that is not yet known, that one carries out no
@@ -63,18 +63,18 @@
 func TestOrderAtAnAddressOfAnother(t *testing.T) {
 	c := newListedCluster(t, "llm|m", "llm|n")
 	m := c.serve("new", "llm|m")
-	m.silent = true
-	old := m.Listed
+	m.unannounced = true
+	old := m.ListedServer
 	old.ID = "old"
 	c.setLastList("b", old)
 	c.takeOver(t, "b")
 	c.run(10e9)
 	require.Zero(t, m.count, "an order for one server must not be carried out by another")
-	require.Equal(t, "gone", c.lead().servers["old"].State)
+	require.Equal(t, "gone", c.leader().servers["old"].State)
 	refused := 0
-	for _, o := range c.ops {
+	for _, o := range c.sentOrders {
 		if o.node == "b" {
-			require.Equal(t, notThisOne, o.code)
+			require.Equal(t, statusWrongServer, o.code)
 			refused++
 		}
 	}
@@ -84,12 +84,12 @@
 // A server known only from the list is probed at once, and counts as unreachable after two missing answers.
 func TestServersFromTheListAreAskedAtOnce(t *testing.T) {
 	c := newListedCluster(t, "llm|m")
-	gone := newAnnouncement("old", "live", 1).Listed
+	gone := newAnnouncement("old", "live", 1).ListedServer
 	gone.Service = "llm"
 	c.setLastList("b", gone)
 	c.takeOver(t, "b")
-	require.True(t, c.lead().servers["old"].silent(c.lead()), "the start of a term must not count as an announcement of the server")
-	require.True(t, c.until(3*c.lead().o.Wait+1e9, func() bool { return c.lead().servers["old"].dark }))
+	require.True(t, c.leader().servers["old"].silent(c.leader()), "the start of a term must not count as an announcement of the server")
+	require.True(t, c.until(3*c.leader().o.ServerTimeout+1e9, func() bool { return c.leader().servers["old"].unreachable }))
 }
 
 // An answer that names another server, or that says that the intended server is not there, proves nothing about
@@ -97,20 +97,20 @@
 func TestAnswerOfAnother(t *testing.T) {
 	for _, x := range []struct {
 		name   string
-		result protocol.Told
+		result protocol.HTTPResult
 		state  string
 	}{
-		{"of the intended server", protocol.Told{OK: true, Code: 200, Server: "s"}, "live"},
-		{"an answer without a server name", protocol.Told{OK: true, Code: 200}, "live"},
-		{"unhealthy, its own", protocol.Told{OK: true, Code: 503, Server: "s"}, "live"},
-		{"of another server", protocol.Told{OK: true, Code: 200, Server: "other"}, "gone"},
-		{"unhealthy, of another server", protocol.Told{OK: true, Code: 503, Server: "other"}, "gone"},
-		{"misdirected", protocol.Told{OK: true, Code: 421}, "gone"},
-		{"misdirected, with another server's name", protocol.Told{OK: true, Code: 421, Server: "other"}, "gone"},
-		{"misdirected, but with its own name", protocol.Told{OK: true, Code: 421, Server: "s"}, "live"},
+		{"of the intended server", protocol.HTTPResult{OK: true, Code: 200, Server: "s"}, "live"},
+		{"an answer without a server name", protocol.HTTPResult{OK: true, Code: 200}, "live"},
+		{"unhealthy, its own", protocol.HTTPResult{OK: true, Code: 503, Server: "s"}, "live"},
+		{"of another server", protocol.HTTPResult{OK: true, Code: 200, Server: "other"}, "gone"},
+		{"unhealthy, of another server", protocol.HTTPResult{OK: true, Code: 503, Server: "other"}, "gone"},
+		{"misdirected", protocol.HTTPResult{OK: true, Code: 421}, "gone"},
+		{"misdirected, with another server's name", protocol.HTTPResult{OK: true, Code: 421, Server: "other"}, "gone"},
+		{"misdirected, but with its own name", protocol.HTTPResult{OK: true, Code: 421, Server: "s"}, "live"},
 	} {
 		c := newCluster(t, modelPlan(12, "llm|m"), "a")
-		k := c.lead()
+		k := c.leader()
 		b := newAnnouncement("s", "live", 1)
 		b.Service = "web"
 		v := k.plan.Services["llm"]
@@ -120,9 +120,9 @@
 		s := k.servers["s"]
 		require.True(t, s.plain, x.name)
 		k.out = nil
-		k.inquire(s)
+		k.checkAlive(s)
 		require.Len(t, k.out, 1)
-		a := k.out[0].(protocol.Ask)
+		a := k.out[0].(protocol.HTTPRequest)
 		require.Equal(t, ident.Server("s"), a.Server)
 		x.result.Token = a.Token
 		c.step("a", x.result)
--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -33,15 +33,15 @@
 
 // Receipt is the answer to an Admin.
 type Receipt struct {
-	Token  uint64            `json:"-"`
-	Kind   failure.Kind      `json:"kind,omitempty"`
-	Why    string            `json:"why,omitempty"`
-	Faults fleetplan.Faults  `json:"faults,omitempty"`
-	Epoch  ident.Epoch       `json:"epoch,omitempty"`
-	Empty  []ident.Zone      `json:"empty,omitempty"`
-	Plan   []byte            `json:"-"`
-	Owner  *protocol.Sibling `json:"owner,omitempty"`
-	View   map[string]any    `json:"view,omitempty"`
+	Token  uint64           `json:"-"`
+	Kind   failure.Kind     `json:"kind,omitempty"`
+	Why    string           `json:"why,omitempty"`
+	Faults fleetplan.Faults `json:"faults,omitempty"`
+	Epoch  ident.Epoch      `json:"epoch,omitempty"`
+	Empty  []ident.Zone     `json:"empty,omitempty"`
+	Plan   []byte           `json:"-"`
+	Owner  *protocol.Peer   `json:"owner,omitempty"`
+	View   map[string]any   `json:"view,omitempty"`
 }
 
 // adminHandlers maps operations to their handlers.
@@ -80,18 +80,18 @@
 // predatesHistory reports whether a change is based on a version older than the oldest change in the history. Such a
 // change may already have been committed, so its repeat must not be reported as refused.
 func predatesHistory(d protocol.Desired, a Admin) bool {
-	return a.Change != "" && len(d.Done) == maxChanges && a.Expect < d.Done[0].Epoch
+	return a.Change != "" && len(d.AppliedChanges) == maxChanges && a.Expect < d.AppliedChanges[0].Epoch
 }
 
 // hasChosen reports whether the newest value known to be chosen includes a change.
 func (c *Core) hasChosen(change string) bool {
-	k := c.reg.known
-	return change != "" && k != nil && slices.ContainsFunc(k.Done, func(x protocol.Change) bool { return x.ID == change })
+	k := c.register.known
+	return change != "" && k != nil && slices.ContainsFunc(k.AppliedChanges, func(x protocol.Change) bool { return x.ID == change })
 }
 
 func (c *Core) putPlan(a Admin) {
-	if _, faults := c.o.Read(a.Raw); faults != nil {
-		c.answer(a, Receipt{Kind: failure.Faulty, Faults: faults})
+	if _, faults := c.o.ParsePlan(a.Raw); faults != nil {
+		c.answer(a, Receipt{Kind: failure.FaultyPlan, Faults: faults})
 		return
 	}
 	c.change(a, func(d *protocol.Desired) (failure.Kind, fleetplan.Faults) {
@@ -101,7 +101,7 @@
 }
 
 func (c *Core) patchPlan(a Admin) {
-	if _, f := fleetplan.Open(a.Raw); len(*f) > 0 {
+	if _, f := fleetplan.ParseJSON(a.Raw); len(*f) > 0 {
 		c.answer(a, Receipt{Kind: failure.Malformed, Faults: *f})
 		return
 	}
@@ -109,12 +109,12 @@
 		if len(d.Plan) == 0 {
 			return failure.Unknown, fleetplan.Faults{{Path: "$", Why: "there is no plan to patch yet"}}
 		}
-		merged, f := c.o.Merge(d.Plan, a.Raw)
+		merged, f := c.o.MergePatch(d.Plan, a.Raw)
 		if f != nil {
 			return failure.Malformed, f
 		}
-		if _, f := c.o.Read(merged); f != nil {
-			return failure.Faulty, f
+		if _, f := c.o.ParsePlan(merged); f != nil {
+			return failure.FaultyPlan, f
 		}
 		d.Plan = merged
 		return failure.None, nil
@@ -136,54 +136,54 @@
 		return
 	}
 	// A majority read that begins now shows whether the known value is the newest.
-	c.reg.reads = append(c.reg.reads, reader{a.Token, c.now})
-	c.reg.next = c.now
+	c.register.reads = append(c.register.reads, pendingRead{a.Token, c.now})
+	c.register.nextQuery = c.now
 	c.tickQueries()
 }
 
 // pendingRead is an operator's read that waits for a majority read.
-type reader struct {
+type pendingRead struct {
 	token uint64
-	at    clock.Tick
+	at    clock.Instant
 }
 
 // serveReads answers the reads that arrived before the start of a majority read that showed nothing newer.
-func (c *Core) serveReads(at clock.Tick) {
-	reads := c.reg.reads
-	c.reg.reads = nil
+func (c *Core) serveReads(at clock.Instant) {
+	reads := c.register.reads
+	c.register.reads = nil
 	for _, r := range reads {
 		if r.at > at {
-			c.reg.reads = append(c.reg.reads, r)
+			c.register.reads = append(c.register.reads, r)
 			continue
 		}
-		value := c.reg.known
+		value := c.register.known
 		c.checkRead(value.Epoch)
-		c.receipt(Receipt{Token: r.token, Epoch: value.Epoch, Empty: value.Empty, Plan: value.Plan})
+		c.receipt(Receipt{Token: r.token, Epoch: value.Epoch, Empty: value.EmptiedZones, Plan: value.Plan})
 	}
 }
 
 // expireReads fails reads that have waited for a majority for too long.
-func (c *Core) dropReads() {
-	reads := c.reg.reads
-	c.reg.reads = nil
+func (c *Core) expireReads() {
+	reads := c.register.reads
+	c.register.reads = nil
 	for _, r := range reads {
 		if c.now.Sub(r.at) > 4e9 {
 			c.receipt(Receipt{Token: r.token, Kind: failure.NotReady, Why: "no majority of the core answers"})
 			continue
 		}
-		c.reg.reads = append(c.reg.reads, r)
+		c.register.reads = append(c.register.reads, r)
 	}
 }
 
 func (c *Core) emptyZone(a Admin) {
 	c.change(a, func(d *protocol.Desired) (failure.Kind, fleetplan.Faults) {
-		for _, z := range d.Empty {
+		for _, z := range d.EmptiedZones {
 			if z == a.Zone {
 				return failure.None, nil
 			}
 		}
-		d.Empty = append(d.Empty, a.Zone)
-		sort.Slice(d.Empty, func(i, j int) bool { return d.Empty[i] < d.Empty[j] })
+		d.EmptiedZones = append(d.EmptiedZones, a.Zone)
+		sort.Slice(d.EmptiedZones, func(i, j int) bool { return d.EmptiedZones[i] < d.EmptiedZones[j] })
 		return failure.None, nil
 	})
 }
@@ -191,27 +191,27 @@
 func (c *Core) refillZone(a Admin) {
 	c.change(a, func(d *protocol.Desired) (failure.Kind, fleetplan.Faults) {
 		var remaining []ident.Zone
-		for _, z := range d.Empty {
+		for _, z := range d.EmptiedZones {
 			if z != a.Zone {
 				remaining = append(remaining, z)
 			}
 		}
-		d.Empty = remaining
+		d.EmptiedZones = remaining
 		return failure.None, nil
 	})
 }
 
 // replaceVoter handles an operator's request to replace a voter.
 func (c *Core) replaceVoter(a Admin) {
-	candidate, ok := c.reg.lives[a.New]
-	value := c.reg.known
-	if value == nil || !ok || len(value.Prior) > 0 {
+	candidate, ok := c.register.states[a.New]
+	value := c.register.known
+	if value == nil || !ok || len(value.PriorVoters) > 0 {
 		c.receipt(Receipt{Token: a.Token, Kind: failure.NotReady, Why: "the new node is not known, or a change of the voters is in progress"})
 		return
 	}
 	for i, v := range value.Voters {
-		if v.ID == a.Old && !voterset.Seats(value.Voters, a.New) {
-			c.reshape(*value, voterset.Replace(value.Voters, i, protocol.Voter{Sibling: candidate.sib, Zone: v.Zone, Inc: candidate.state.Inc}))
+		if v.ID == a.Old && !voterset.ContainsNode(value.Voters, a.New) {
+			c.changeVoters(*value, voterset.Replace(value.Voters, i, protocol.Voter{Peer: candidate.sibling, Zone: v.Zone, Incarnation: candidate.state.Incarnation}))
 			c.receipt(Receipt{Token: a.Token})
 			return
 		}
@@ -224,26 +224,26 @@
 		c.receipt(Receipt{Token: a.Token, Kind: failure.Conflict, Why: "this node knows a core"})
 		return
 	}
-	c.reg.force = true
+	c.register.forceForming = true
 	c.receipt(Receipt{Token: a.Token})
 }
 
 func (c *Core) viewNodes(a Admin) {
-	view := map[string]any{"members": c.mates.All()}
+	view := map[string]any{"members": c.members.Members()}
 	if value := c.latest(); value != nil {
-		view["voters"], view["prior"], view["gen"] = value.Voters, value.Prior, value.Gen
+		view["voters"], view["prior"], view["gen"] = value.Voters, value.PriorVoters, value.Gen
 	}
-	if c.duty.who.ID != "" {
-		view["owner"] = c.duty.who
+	if c.leadership.owner.ID != "" {
+		view["owner"] = c.leadership.owner
 	}
 	c.receipt(Receipt{Token: a.Token, View: view})
 }
 
 // answerAsOwner answers a request for data that only the leader has. Other nodes name the leader instead.
 func (c *Core) answerAsOwner(a Admin, view func() map[string]any) {
-	if !c.rules() {
+	if !c.holdsLease() {
 		receipt := Receipt{Token: a.Token, Kind: failure.NotReady, Why: "this node is not the leader"}
-		if owner := c.duty.who; owner.ID != "" && owner.ID != c.o.Me.ID {
+		if owner := c.leadership.owner; owner.ID != "" && owner.ID != c.o.Self.ID {
 			receipt.Owner = &owner
 		}
 		c.receipt(receipt)
@@ -253,7 +253,7 @@
 }
 
 func (c *Core) viewServers(a Admin) {
-	if c.rules() && !c.registryComplete() {
+	if c.holdsLease() && !c.registryComplete() {
 		c.receipt(Receipt{Token: a.Token, Kind: failure.NotReady, Why: "the leader has not yet received the server registries of a majority of the core"})
 		return
 	}
@@ -264,31 +264,31 @@
 			var replicas []map[string]any
 			for _, k := range generic.SortedKeys(s.replicas) {
 				p := s.replicas[k]
-				replicas = append(replicas, map[string]any{"key": k, "stage": p.stage, "size": p.size, "active": p.work})
+				replicas = append(replicas, map[string]any{"key": k, "stage": p.stage, "size": p.size, "active": p.running})
 			}
-			servers = append(servers, map[string]any{"id": id, "zone": s.Zone, "state": s.State, "dark": s.dark, "known": s.known,
-				"odd": s.odd, "room": s.room, "used": s.used(), "slots": s.slots, "holds": replicas, "offered": c.open(s)})
+			servers = append(servers, map[string]any{"id": id, "zone": s.Zone, "state": s.State, "dark": s.unreachable, "known": s.known,
+				"odd": s.contradiction, "room": s.room, "used": s.used(), "slots": s.slots, "holds": replicas, "offered": c.open(s)})
 		}
-		return map[string]any{"servers": servers, "duty": c.duty.num, "lacks": c.lacks(), "moves": len(c.moves)}
+		return map[string]any{"servers": servers, "duty": c.leadership.term, "lacks": c.shortfalls(), "moves": len(c.moves)}
 	})
 }
 
 func (c *Core) viewHolds(a Admin) {
 	c.answerAsOwner(a, func() map[string]any {
 		var links []map[string]any
-		for _, link := range c.sorted() {
-			links = append(links, map[string]any{"router": link.ses.Node, "session": link.ses, "callbacks": len(link.holds), "unacknowledged": len(link.items),
-				"left_ms": link.until.Sub(c.now).Milliseconds()})
+		for _, link := range c.sortedLinks() {
+			links = append(links, map[string]any{"router": link.session.Node, "session": link.session, "callbacks": len(link.callbacks), "unacknowledged": len(link.unacked),
+				"left_ms": link.leaseEnd.Sub(c.now).Milliseconds()})
 		}
-		return map[string]any{"links": links, "duty": c.duty.num}
+		return map[string]any{"links": links, "duty": c.leadership.term}
 	})
 }
 
 func (c *Core) viewStatus(a Admin) {
-	view := map[string]any{"node": c.o.Me, "zone": c.o.Zone, "ready": c.Ready(), "epoch": c.Epoch(), "duty": c.duty.num, "owns": c.rules(),
-		"owner": c.duty.who, "tally": c.tally, "blank": c.vote.safeV == nil, "disk": c.vote.inc}
-	if value := c.reg.known; value != nil {
-		view["gen"], view["empty"] = value.Gen, value.Empty
+	view := map[string]any{"node": c.o.Self, "zone": c.o.Zone, "ready": c.Ready(), "epoch": c.Epoch(), "duty": c.leadership.term, "owns": c.holdsLease(),
+		"owner": c.leadership.owner, "tally": c.tally, "blank": c.acceptor.durableValue == nil, "disk": c.acceptor.inc}
+	if value := c.register.known; value != nil {
+		view["gen"], view["empty"] = value.Gen, value.EmptiedZones
 	}
 	if missing, lacks := c.missingMajority(); lacks {
 		view["waits_for"] = missing.String()
--- a/internal/controller/changes.go
+++ b/internal/controller/changes.go
@@ -18,10 +18,10 @@
 type pendingChange struct {
 	admin   Admin
 	modify  func(d *protocol.Desired) (failure.Kind, fleetplan.Faults) // must not access the core: it may run outside its step
-	arrived clock.Tick
+	arrived clock.Instant
 
-	owner          protocol.Sibling // the node that the change was forwarded to
-	sent           clock.Tick
+	owner          protocol.Peer // the node that the change was forwarded to
+	sent           clock.Instant
 	maybeCommitted bool     // it was forwarded, so the leader may have committed it
 	proposed       bool     // by this node
 	outcome        *Receipt // from the leader; withheld until this node knows the version that it names
@@ -35,7 +35,7 @@
 		return
 	}
 	p := &pendingChange{admin: a, modify: modify, arrived: c.now}
-	if owner, other := c.proposerElsewhere(); other && a.reply == nil && len(c.forwards.open) < mostQueued {
+	if owner, other := c.remoteProposer(); other && a.reply == nil && len(c.forwards.pending) < maxQueued {
 		c.forward(p, owner)
 		return
 	}
@@ -45,8 +45,8 @@
 // proposeChange has this node propose a change to the voters.
 func (c *Core) proposeChange(p *pendingChange) {
 	p.proposed = true
-	o := c.newOp(mutation{beside: true, apply: p.apply, done: func(a applied) { c.answerChange(p, a) }})
-	o.came, o.risky = p.arrived, p.maybeCommitted
+	o := c.newProposal(mutation{concurrent: true, apply: p.apply, done: func(a applyResult) { c.answerChange(p, a) }})
+	o.enqueuedAt, o.uncertain = p.arrived, p.maybeCommitted
 	c.enqueue(o)
 }
 
@@ -54,7 +54,7 @@
 func (p *pendingChange) apply(d protocol.Desired) (protocol.Desired, failure.Kind, fleetplan.Faults) {
 	a := p.admin
 	if a.Change != "" {
-		for _, x := range d.Done {
+		for _, x := range d.AppliedChanges {
 			if x.ID == a.Change {
 				return d, failure.Repeated, nil
 			}
@@ -67,17 +67,17 @@
 		return d, failure.Conflict, nil
 	}
 	if a.Number != 0 && a.Number <= d.Epoch {
-		return d, failure.Faulty, fleetplan.Faults{{Path: "$", Why: fmt.Sprintf("the number of the change is %d, but %d is in force", a.Number, d.Epoch)}}
+		return d, failure.FaultyPlan, fleetplan.Faults{{Path: "$", Why: fmt.Sprintf("the number of the change is %d, but %d is in force", a.Number, d.Epoch)}}
 	}
 	next := d
-	next.Empty = append([]ident.Zone{}, d.Empty...)
+	next.EmptiedZones = append([]ident.Zone{}, d.EmptiedZones...)
 	if kind, faults := p.modify(&next); kind != failure.None {
 		return d, kind, faults
 	}
 	if next.Epoch++; a.Number != 0 {
 		next.Epoch = a.Number
 	}
-	next.Done = remember(d.Done, a.Change, next.Epoch)
+	next.AppliedChanges = remember(d.AppliedChanges, a.Change, next.Epoch)
 	return next, failure.None, nil
 }
 
@@ -100,7 +100,7 @@
 	switch {
 	case a.Number != 0 && a.Number <= epoch, !a.Any && a.Expect < epoch:
 		return true
-	case k == failure.Faulty || k == failure.Malformed:
+	case k == failure.FaultyPlan || k == failure.Malformed:
 		return !a.Any // with a given base version, the result depends on that version only
 	}
 	return false
@@ -115,26 +115,26 @@
 const unclearReason = "it is not known whether the change was committed; repeat it under the same change id, or read the plan"
 
 // answerChange sends the receipt of a change that this node proposed.
-func (c *Core) answerChange(p *pendingChange, r applied) {
+func (c *Core) answerChange(p *pendingChange, r applyResult) {
 	if p.answered {
 		return // the leader's outcome arrived first
 	}
-	v, k, a := r.after, r.kind, p.admin
+	v, k, a := r.value, r.kind, p.admin
 	refused := isRefusal(k)
 	if refused && c.hasChosen(a.Change) {
 		// Another copy of the change was committed in the same rounds, so this one must not be reported as refused.
-		v, k, refused = *c.reg.known, failure.Repeated, false
+		v, k, refused = *c.register.known, failure.Repeated, false
 	}
 	if refused && p.maybeCommitted && !p.refusalIsFinal(k, v.Epoch) {
 		k = failure.Unclear
 	}
-	receipt := Receipt{Kind: k, Epoch: v.Epoch, Faults: r.faults, Empty: v.Empty}
+	receipt := Receipt{Kind: k, Epoch: v.Epoch, Faults: r.faults, Empty: v.EmptiedZones}
 	switch k {
 	case failure.None:
 		c.tally.Changes++
 	case failure.Repeated: // already committed: report its epoch
 		receipt.Kind = failure.None
-		for _, x := range v.Done {
+		for _, x := range v.AppliedChanges {
 			if x.ID == a.Change {
 				receipt.Epoch = x.Epoch
 			}
@@ -154,7 +154,7 @@
 	if a.reply == nil && r.Kind == failure.None {
 		c.noteAcknowledged(r.Epoch)
 	}
-	c.note("operator's change answered", field("op", a.Op), field("change", a.Change), field("expected", a.Expect),
+	c.logEvent("operator's change answered", field("op", a.Op), field("change", a.Change), field("expected", a.Expect),
 		field("number", a.Number), field("outcome", r.Kind), field("epoch", r.Epoch), field("took_ms", c.now.Sub(p.arrived).Milliseconds()),
 		field("handed_to", p.owner.ID))
 	c.answer(a, r)
--- a/internal/controller/clear_room.go
+++ b/internal/controller/clear_room.go
@@ -15,7 +15,7 @@
 	if !req.noReplica {
 		return // a further replica does not justify evicting the only replica of another key
 	}
-	var victims []*spot
+	var victims []*modelReplica
 	var target *server
 	for _, id := range generic.SortedKeys(c.servers) {
 		s := c.servers[id]
@@ -43,10 +43,10 @@
 
 // evictableFor lists the replicas on a server that may be evicted for a request, least recently used first.
 // Adapters come before bases, and a base is listed only if all of its adapters may be evicted.
-func (c *Core) evictableFor(s *server, req placementRequest) []*spot {
+func (c *Core) evictableFor(s *server, req placementRequest) []*modelReplica {
 	keys := generic.SortedKeys(s.replicas)
 	free := map[ident.Key]bool{}
-	var l []*spot
+	var l []*modelReplica
 	for _, key := range keys {
 		if p := s.replicas[key]; key.IsAdapter() && c.mayEvict(p, req) {
 			free[key] = true
@@ -63,7 +63,7 @@
 		if a.key.IsAdapter() != b.key.IsAdapter() {
 			return a.key.IsAdapter()
 		}
-		return a.busy < b.busy
+		return a.lastActive < b.lastActive
 	})
 	return l
 }
@@ -80,13 +80,13 @@
 
 // idle reports whether a replica has been ready for at least MinResidence and has had no work for at least
 // EvictableAfter.
-func (c *Core) idle(p *spot) bool {
-	return p.stage == Ready && c.now.Sub(p.ready) >= c.o.Rest && p.work == 0 && c.now.Sub(p.busy) >= c.o.Lull
+func (c *Core) idle(p *modelReplica) bool {
+	return p.stage == Ready && c.now.Sub(p.readySince) >= c.o.MinResidence && p.running == 0 && c.now.Sub(p.lastActive) >= c.o.EvictableAfter
 }
 
 // mayEvict reports whether a replica may be evicted for a request: it is idle, and its key either has more
 // replicas than required or has a lower value.
-func (c *Core) mayEvict(p *spot, req placementRequest) bool {
+func (c *Core) mayEvict(p *modelReplica, req placementRequest) bool {
 	if p.key == req.model.Key.Base() || !c.idle(p) {
 		return false
 	}
@@ -96,5 +96,5 @@
 		return true
 	}
 	// A requested key, too, loses a replica above its floor to a key that has a higher value and no replica.
-	return r.live > m.Floor && r.value < req.value
+	return r.live > m.MinReplicas && r.value < req.value
 }
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -17,28 +17,28 @@
 // cluster is a core with the model servers enrolled with it and the routers connected to it, on a common
 // simulated clock and without I/O.
 type cluster struct {
-	seeds         []protocol.Sibling // seeds for nodes that start from now on
+	seeds         []protocol.Peer // seeds for nodes that start from now on
 	t             testing.TB
-	at            clock.Tick
+	at            clock.Instant
 	plans         map[string]*fleetplan.Plan
 	nodes         map[string]*Core
 	disks         map[string]map[string][]byte
 	newNode       func(id string) *Core
-	parted        map[string]bool // partitioned nodes and routers
+	partitioned   map[string]bool // partitioned nodes and routers
 	models        map[string]*modelServer
 	routers       map[string]*router
-	out           []any // outputs of nodes that are neither messages nor requests to servers
+	outputs       []any // outputs of nodes that are neither messages nor requests to servers
 	httpRequests  []pendingRequest
 	delay         clock.Span // of messages between nodes, which take half to two and a half times this
 	inFlight      []inFlightMessage
 	rng           *rand.Rand
 	confirmations int // orders that only query whether an order is done
-	ops           []sentOrder
-	begun         []clock.Tick // start times of loads from the store
+	sentOrders    []sentOrder
+	loadStarts    []clock.Instant // start times of loads from the store
 	token         uint64
-	beside        func(run func())        // runs the computations that a core offloads
-	loses         func(protocol.Env) bool // selects messages between nodes that are lost
-	processors    map[string]*processor   // processors of nodes whose CPU time is limited
+	runConcurrent func(run func())             // runs the computations that a core offloads
+	dropsMessage  func(protocol.Envelope) bool // selects messages between nodes that are lost
+	processors    map[string]*processor        // processors of nodes whose CPU time is limited
 }
 
 // tickLength is the time between two ticks of a cluster.
@@ -46,22 +46,22 @@
 
 // inFlightMessage is a message that has not arrived yet.
 type inFlightMessage struct {
-	at       clock.Tick
+	at       clock.Instant
 	from, to string
-	protocol.Env
+	protocol.Envelope
 }
 
 // pendingRequest is a request to a server that is not answered yet.
 type pendingRequest struct {
 	node    string
-	at      clock.Tick // time of the answer
-	request protocol.Ask
-	result  *protocol.Told // nil if the server's state at that time is the answer
+	at      clock.Instant // time of the answer
+	request protocol.HTTPRequest
+	result  *protocol.HTTPResult // nil if the server's state at that time is the answer
 }
 
 // sentOrder is an order as sent.
 type sentOrder struct {
-	at   clock.Tick
+	at   clock.Instant
 	node string
 	addr string
 	protocol.Order
@@ -75,38 +75,38 @@
 // newTunedCluster starts a cluster whose options are adjusted by a function.
 func newTunedCluster(t testing.TB, plan *fleetplan.Plan, tune func(*Options), ids ...string) *cluster {
 	c := &cluster{
-		t: t, at: 1e9, plans: map[string]*fleetplan.Plan{}, nodes: map[string]*Core{}, disks: map[string]map[string][]byte{}, parted: map[string]bool{},
+		t: t, at: 1e9, plans: map[string]*fleetplan.Plan{}, nodes: map[string]*Core{}, disks: map[string]map[string][]byte{}, partitioned: map[string]bool{},
 		models: map[string]*modelServer{}, routers: map[string]*router{}, rng: rand.New(rand.NewPCG(3, 4)),
-		beside: func(run func()) { run() }, loses: func(protocol.Env) bool { return false },
+		runConcurrent: func(run func()) { run() }, dropsMessage: func(protocol.Envelope) bool { return false },
 	}
-	v := protocol.Desired{Gen: 1, Shape: 1}
+	v := protocol.Desired{Gen: 1, VoterSet: 1}
 	if plan != nil {
 		c.plans["1"] = plan
 		v.Epoch, v.Plan = 1, []byte("1")
 	}
 	for _, id := range ids {
 		v.Voters = append(v.Voters, voter(id, 5))
-		c.seeds = append(c.seeds, protocol.Sibling{Addr: id})
+		c.seeds = append(c.seeds, protocol.Peer{Addr: id})
 	}
 	starts := uint64(0)
 	c.newNode = func(id string) *Core {
 		starts++
 		o := Options{
-			Me: protocol.Sibling{ID: ident.Node(id), Addr: id}, Inc: ident.Inc(5 + starts), Seeds: c.seeds, Rand: rand.New(rand.NewPCG(starts-1, 2)),
-			Enrolled: true, Unfenced: true, Joined: true,
-			Read: func(raw []byte) (*fleetplan.Plan, fleetplan.Faults) {
+			Self: protocol.Peer{ID: ident.Node(id), Addr: id}, Inc: ident.Incarnation(5 + starts), Seeds: c.seeds, Rand: rand.New(rand.NewPCG(starts-1, 2)),
+			Enrolled: true, Unfenced: true, CoreExists: true,
+			ParsePlan: func(raw []byte) (*fleetplan.Plan, fleetplan.Faults) {
 				if p := c.plans[string(raw)]; p != nil {
 					return p, nil
 				}
 				return nil, fleetplan.Faults{{Path: "$", Why: "is no plan"}}
 			},
-			Merge: func(_, patch []byte) ([]byte, fleetplan.Faults) { return patch, nil },
+			MergePatch: func(_, patch []byte) ([]byte, fleetplan.Faults) { return patch, nil },
 		}
 		tune(&o)
 		return New(o)
 	}
 	for _, id := range ids {
-		c.disks[id] = map[string][]byte{diskInc: []byte("5"), diskV: jot(safe{protocol.Ballot{N: 1, By: "a"}, &v}), diskB: jot(protocol.Ballot{N: 1, By: "a"})}
+		c.disks[id] = map[string][]byte{keyIncarnation: []byte("5"), keyAccepted: marshal(storedAccept{protocol.Ballot{N: 1, By: "a"}, &v}), keyPromised: marshal(protocol.Ballot{N: 1, By: "a"})}
 		c.reboot(id)
 	}
 	c.until(6e9, func() bool { return c.owner() != "" })
@@ -127,7 +127,7 @@
 // owner returns the ID of the leader, or an empty string.
 func (c *cluster) owner() string {
 	for _, id := range generic.SortedKeys(c.nodes) {
-		if c.nodes[id].rules() && !c.parted[id] {
+		if c.nodes[id].holdsLease() && !c.partitioned[id] {
 			return id
 		}
 	}
@@ -135,12 +135,12 @@
 }
 
 // leader returns the leader, or nil.
-func (c *cluster) lead() *Core { return c.nodes[c.owner()] }
+func (c *cluster) leader() *Core { return c.nodes[c.owner()] }
 
 // follower returns the ID of a reachable node that is not the leader.
-func (c *cluster) other() string {
+func (c *cluster) follower() string {
 	for _, id := range generic.SortedKeys(c.nodes) {
-		if id != c.owner() && !c.parted[id] {
+		if id != c.owner() && !c.partitioned[id] {
 			return id
 		}
 	}
@@ -177,10 +177,10 @@
 		x := pending[0]
 		pending = pending[1:]
 		switch v := x.o.(type) {
-		case protocol.Env:
-			to := v.Hop().Addr
+		case protocol.Envelope:
+			to := v.NextHop().Addr
 			switch {
-			case to != x.id && (c.parted[x.id] || c.parted[to] || c.loses(v)):
+			case to != x.id && (c.partitioned[x.id] || c.partitioned[to] || c.dropsMessage(v)):
 			case c.nodes[to] != nil && to != x.id && c.delay > 0:
 				c.inFlight = append(c.inFlight, inFlightMessage{c.at.Add(c.delay/2 + clock.Span(c.rng.Int64N(int64(2*c.delay)))), x.id, to, v})
 			case c.nodes[to] != nil:
@@ -194,26 +194,26 @@
 			maps.Copy(c.disks[x.id], v.Puts)
 			put(x.id, protocol.Saved{Token: v.Token})
 		case protocol.Compute:
-			c.beside(v.Run)
+			c.runConcurrent(v.Run)
 			put(x.id, protocol.Computed{Token: v.Token})
-		case protocol.Ask:
+		case protocol.HTTPRequest:
 			c.send(x.id, v)
 		default:
-			c.out = append(c.out, x.o)
+			c.outputs = append(c.outputs, x.o)
 		}
 	}
 }
 
 // send delivers a request to its server, which answers a little later.
-func (c *cluster) send(node string, v protocol.Ask) {
+func (c *cluster) send(node string, v protocol.HTTPRequest) {
 	o := v.Body.(protocol.Order)
 	k := c.nodes[node]
-	require.Equal(c.t, k.duty.until(k), v.Until, "no request outlives the lease")
-	require.Greater(c.t, v.Until, c.at)
+	require.Equal(c.t, k.leadership.expiresAt(k), v.NotAfter, "no request outlives the lease")
+	require.Greater(c.t, v.NotAfter, c.at)
 	require.NotEmpty(c.t, v.Server, "every request names its server")
 	m := c.models[v.Addr]
-	a := pendingRequest{node: node, at: c.at.Add(v.Wait), request: v, result: &protocol.Told{Token: v.Token}}
-	if m != nil && !m.mute && !c.parted[node] {
+	a := pendingRequest{node: node, at: c.at.Add(v.Timeout), request: v, result: &protocol.HTTPResult{Token: v.Token}}
+	if m != nil && !m.unresponsive && !c.partitioned[node] {
 		a.at = c.at.Add(20e6)
 		a.result = nil
 	}
@@ -226,20 +226,20 @@
 			}
 			switch {
 			case v.Server != m.ID:
-				x.code = notThisOne
+				x.code = statusWrongServer
 			case taken:
 				x.code = m.take(o)
 			}
-			a.result = &protocol.Told{Token: v.Token, OK: true, Code: x.code}
+			a.result = &protocol.HTTPResult{Token: v.Token, OK: true, Code: x.code}
 			if !taken || !heard {
-				a.at, a.result = c.at.Add(v.Wait), &protocol.Told{Token: v.Token}
+				a.at, a.result = c.at.Add(v.Timeout), &protocol.HTTPResult{Token: v.Token}
 			}
 		}
-		if o.Confirms {
+		if o.QueriesCompletion {
 			require.True(c.t, x.code != 202 || m.whileBusy == 202, "a query about an order must not start the order again")
 			c.confirmations++
 		} else {
-			c.ops = append(c.ops, x)
+			c.sentOrders = append(c.sentOrders, x)
 		}
 	}
 	c.httpRequests = append(c.httpRequests, a)
@@ -253,15 +253,15 @@
 		switch {
 		case e.at > c.at:
 			c.inFlight = append(c.inFlight, e)
-		case !c.parted[e.from] && !c.parted[e.to]:
-			c.step(e.to, e.Env)
+		case !c.partitioned[e.from] && !c.partitioned[e.to]:
+			c.step(e.to, e.Envelope)
 		}
 	}
 	for _, id := range generic.SortedKeys(c.models) {
 		c.models[id].advance()
 	}
 	for _, id := range generic.SortedKeys(c.nodes) {
-		c.step(id, protocol.Beat{})
+		c.step(id, protocol.TimerTick{})
 	}
 	for _, id := range generic.SortedKeys(c.routers) {
 		c.routers[id].advance()
@@ -277,9 +277,9 @@
 			continue
 		}
 		if a.result == nil {
-			a.result = &protocol.Told{Token: a.request.Token, OK: true, Code: 200, Body: jot(c.models[a.request.Addr].report())}
+			a.result = &protocol.HTTPResult{Token: a.request.Token, OK: true, Code: 200, Body: marshal(c.models[a.request.Addr].report())}
 		}
-		if !c.parted[a.node] {
+		if !c.partitioned[a.node] {
 			c.step(a.node, *a.result)
 		}
 	}
@@ -299,14 +299,14 @@
 
 // announce delivers an announcement of a server to a node. It returns whether the node answered at once and, if
 // so, whether it acknowledged the announcement.
-func (c *cluster) announce(node string, b protocol.Beacon) (ok, answered bool) {
+func (c *cluster) announce(node string, b protocol.Announcement) (ok, answered bool) {
 	c.token++
 	c.step(node, Announce{Token: c.token, Beacon: b})
 	return c.answer(c.token)
 }
 
 func (c *cluster) answer(token uint64) (ok, answered bool) {
-	for _, o := range c.out {
+	for _, o := range c.outputs {
 		if a, is := o.(Announced); is && a.Token == token {
 			require.False(c.t, answered, "answered twice")
 			ok, answered = a.OK, true
@@ -320,7 +320,7 @@
 	a.Token = c.token
 	c.step(node, a)
 	return func() *Receipt {
-		for _, o := range c.out {
+		for _, o := range c.outputs {
 			if r, is := o.(Receipt); is && r.Token == a.Token {
 				return &r
 			}
@@ -329,46 +329,46 @@
 	}
 }
 
-func newAnnouncement(id, state string, count uint64) protocol.Beacon {
-	return protocol.Beacon{Listed: protocol.Listed{ID: ident.Server(id), Addr: "at-" + id, Zone: "z", State: state, Service: "llm", Slots: 8}, Count: count}
+func newAnnouncement(id, state string, count uint64) protocol.Announcement {
+	return protocol.Announcement{ListedServer: protocol.ListedServer{ID: ident.Server(id), Addr: "at-" + id, Zone: "z", State: state, Service: "llm", Slots: 8}, Count: count}
 }
 
 // modelServer is a server that holds models, executes one order at a time, counts the orders accepted, and
 // reports its state with a lag.
 type modelServer struct {
 	c *cluster
-	protocol.Listed
-	silent    bool // sends no announcements
-	mute      bool // answers no requests
-	lag       clock.Span
-	slow      clock.Span // least duration of every order
-	count     uint64     // number of accepted orders
-	ticks     uint64
-	next      clock.Tick
-	holds     map[ident.Key]bool
-	had       map[ident.Key]bool
-	doing     protocol.Order
-	until     clock.Tick
-	past      []pastReport
-	lost      func(protocol.Order) (taken, heard bool) // whether an order arrives, and whether its answer does
-	whileBusy int                                      // status code for a repeat of the order in progress; 409 if 0
-	diskPart  float64                                  // load time from the server's own disk, as a fraction of that from the store; 1 if 0
-	strict    bool                                     // also check that refused orders would fit
+	protocol.ListedServer
+	unannounced  bool // sends no announcements
+	unresponsive bool // answers no requests
+	lag          clock.Span
+	slow         clock.Span // least duration of every order
+	count        uint64     // number of accepted orders
+	ticks        uint64
+	next         clock.Instant
+	holds        map[ident.Key]bool
+	onDisk       map[ident.Key]bool
+	current      protocol.Order
+	until        clock.Instant
+	reports      []pastReport
+	lost         func(protocol.Order) (taken, heard bool) // whether an order arrives, and whether its answer does
+	whileBusy    int                                      // status code for a repeat of the order in progress; 409 if 0
+	diskPart     float64                                  // load time from the server's own disk, as a fraction of that from the store; 1 if 0
+	strict       bool                                     // also check that refused orders would fit
 }
 
 // pastReport is a server's state at a time in the past.
 type pastReport struct {
-	at clock.Tick
-	r  protocol.Report
+	at clock.Instant
+	r  protocol.ServerReport
 }
 
 // serve starts a model server that holds some keys.
 func (c *cluster) serve(id string, holds ...ident.Key) *modelServer {
-	m := &modelServer{c: c, Listed: newAnnouncement(id, "live", 0).Listed, lag: 300e6, holds: map[ident.Key]bool{}, had: map[ident.Key]bool{}}
+	m := &modelServer{c: c, ListedServer: newAnnouncement(id, "live", 0).ListedServer, lag: 300e6, holds: map[ident.Key]bool{}, onDisk: map[ident.Key]bool{}}
 	for _, k := range holds {
-		m.holds[k], m.had[k] = true, true
+		m.holds[k], m.onDisk[k] = true, true
 	}
-	m.snap()
+	m.snapshot()
 	c.models[m.Addr] = m
 	return m
 }
@@ -385,17 +385,17 @@
 }
 
 // snapshot records the server's current state for later reports.
-func (m *modelServer) snap() {
-	r := protocol.Report{Num: m.count, Busy: m.doing.Op != ""}
+func (m *modelServer) snapshot() {
+	r := protocol.ServerReport{Num: m.count, Busy: m.current.Op != ""}
 	for _, k := range generic.SortedKeys(m.holds) {
-		r.Held = append(r.Held, protocol.Held{Key: k, Stage: "ready"})
+		r.Held = append(r.Held, protocol.HeldKey{Key: k, Stage: "ready"})
 	}
-	m.past = append(m.past, pastReport{m.c.at, r})
+	m.reports = append(m.reports, pastReport{m.c.at, r})
 }
 
-func (m *modelServer) report() protocol.Report {
-	r := m.past[0].r
-	for _, x := range m.past {
+func (m *modelServer) report() protocol.ServerReport {
+	r := m.reports[0].r
+	for _, x := range m.reports {
 		if m.c.at.Sub(x.at) >= m.lag {
 			r = x.r
 		}
@@ -405,10 +405,10 @@
 
 // advance finishes the order in progress if it is due, and sends an announcement if one is due.
 func (m *modelServer) advance() {
-	if m.doing.Op != "" && m.c.at >= m.until {
-		k := m.doing.Key
-		if m.doing.Op == "load" {
-			m.holds[k], m.had[k] = true, true
+	if m.current.Op != "" && m.c.at >= m.until {
+		k := m.current.Key
+		if m.current.Op == "load" {
+			m.holds[k], m.onDisk[k] = true, true
 		} else {
 			for _, x := range generic.SortedKeys(m.holds) {
 				if x == k || x.Base() == k {
@@ -416,18 +416,18 @@
 				}
 			}
 		}
-		m.doing = protocol.Order{}
+		m.current = protocol.Order{}
 	}
-	m.snap()
-	if len(m.past) > 100 {
-		m.past = m.past[50:]
+	m.snapshot()
+	if len(m.reports) > 100 {
+		m.reports = m.reports[50:]
 	}
-	if !m.silent && m.c.at >= m.next {
+	if !m.unannounced && m.c.at >= m.next {
 		m.ticks++
 		m.next = m.c.at.Add(1000e6)
 		ids := generic.SortedKeys(m.c.nodes)
-		if id := ids[int(m.ticks)%len(ids)]; !m.c.parted[id] {
-			m.c.announce(id, protocol.Beacon{Listed: m.Listed, Count: m.ticks})
+		if id := ids[int(m.ticks)%len(ids)]; !m.c.partitioned[id] {
+			m.c.announce(id, protocol.Announcement{ListedServer: m.ListedServer, Count: m.ticks})
 		}
 	}
 }
@@ -449,12 +449,12 @@
 			add(k)
 		}
 	}
-	if m.doing.Op == "load" && m.doing.Key != o.Key {
-		add(m.doing.Key)
+	if m.current.Op == "load" && m.current.Key != o.Key {
+		add(m.current.Key)
 	}
-	require.LessOrEqual(m.c.t, size, v.Room, "%s is ordered to load %s beside %v and %v", m.ID, o.Key, generic.SortedKeys(m.holds), m.doing)
-	if v.Places > 0 {
-		require.LessOrEqual(m.c.t, adapters, v.Places, "%s is ordered to load %s beside %v", m.ID, o.Key, generic.SortedKeys(m.holds))
+	require.LessOrEqual(m.c.t, size, v.WeightCapacity, "%s is ordered to load %s beside %v and %v", m.ID, o.Key, generic.SortedKeys(m.holds), m.current)
+	if v.AdapterCapacity > 0 {
+		require.LessOrEqual(m.c.t, adapters, v.AdapterCapacity, "%s is ordered to load %s beside %v", m.ID, o.Key, generic.SortedKeys(m.holds))
 	}
 }
 
@@ -463,10 +463,10 @@
 	if o.Op == "load" && m.strict {
 		m.checkLimits(o)
 	}
-	if m.doing.Op != "" && m.whileBusy != 0 && o.Op == m.doing.Op && o.Key == m.doing.Key && o.Expected == m.count {
+	if m.current.Op != "" && m.whileBusy != 0 && o.Op == m.current.Op && o.Key == m.current.Key && o.Expected == m.count {
 		return m.whileBusy
 	}
-	if m.doing.Op != "" || o.Expected != m.count {
+	if m.current.Op != "" || o.Expected != m.count {
 		return 409
 	}
 	took := clock.Span(60e6)
@@ -478,12 +478,12 @@
 	case o.Op == "load":
 		m.checkLimits(o)
 		if !o.Key.IsAdapter() {
-			took = m.c.plan().Models[o.Key].Load
-			if m.had[o.Key] && m.diskPart > 0 {
+			took = m.c.plan().Models[o.Key].LoadTime
+			if m.onDisk[o.Key] && m.diskPart > 0 {
 				took = clock.Span(float64(took) * m.diskPart)
 			}
-			if !m.had[o.Key] {
-				m.c.begun = append(m.c.begun, m.c.at)
+			if !m.onDisk[o.Key] {
+				m.c.loadStarts = append(m.c.loadStarts, m.c.at)
 			}
 		}
 	default:
@@ -497,31 +497,31 @@
 		}
 	}
 	m.count++
-	m.doing, m.until = o, m.c.at.Add(max(took, m.slow))
-	m.snap()
+	m.current, m.until = o, m.c.at.Add(max(took, m.slow))
+	m.snapshot()
 	return 202
 }
 
 // router models a router's session and the entries it may send by.
 type router struct {
-	c        *cluster
-	id       string
-	ses      protocol.Session
-	seq      uint64
-	heard    uint64
-	fresh    bool
-	sent     map[uint64]clock.Tick
-	until    clock.Tick
-	next     clock.Tick
-	entries  map[ident.Key][]protocol.Replica
-	asked    map[ident.Key]clock.Tick
-	keyLoads map[ident.Key]protocol.Burden // reported with every renewal
-	holdup   bool                          // acknowledges no changes
-	grants   []protocol.Grant
+	c            *cluster
+	id           string
+	session      protocol.Session
+	seq          uint64
+	heard        uint64
+	fresh        bool
+	sent         map[uint64]clock.Instant
+	until        clock.Instant
+	next         clock.Instant
+	entries      map[ident.Key][]protocol.Replica
+	asked        map[ident.Key]clock.Instant
+	keyLoads     map[ident.Key]protocol.KeyLoad // reported with every renewal
+	withholdAcks bool                           // acknowledges no changes
+	grants       []protocol.Grant
 }
 
 func (c *cluster) route(id string) *router {
-	r := &router{c: c, id: id, keyLoads: map[ident.Key]protocol.Burden{}, ses: protocol.Session{Node: ident.Node(id), Agent: 1, Router: 1}}
+	r := &router{c: c, id: id, keyLoads: map[ident.Key]protocol.KeyLoad{}, session: protocol.Session{Node: ident.Node(id), AgentIncarnation: 1, RouterIncarnation: 1}}
 	r.resetSession()
 	c.routers[id] = r
 	return r
@@ -529,14 +529,14 @@
 
 // resetSession begins a new session without lease or entries.
 func (r *router) resetSession() {
-	r.ses.N++
+	r.session.Num++
 	r.until, r.heard, r.fresh, r.next = 0, 0, true, r.c.at
-	r.sent, r.entries, r.asked = map[uint64]clock.Tick{}, map[ident.Key][]protocol.Replica{}, map[ident.Key]clock.Tick{}
+	r.sent, r.entries, r.asked = map[uint64]clock.Instant{}, map[ident.Key][]protocol.Replica{}, map[ident.Key]clock.Instant{}
 }
 
-func (r *router) mail(body any) protocol.Env {
+func (r *router) mail(body any) protocol.Envelope {
 	to := r.c.owner()
-	return protocol.Env{From: protocol.Sibling{ID: ident.Node(r.id), Addr: r.id}, To: protocol.Sibling{ID: ident.Node(to), Addr: to}, Body: body}
+	return protocol.Envelope{From: protocol.Peer{ID: ident.Node(r.id), Addr: r.id}, To: protocol.Peer{ID: ident.Node(to), Addr: to}, Body: body}
 }
 
 // advance renews the lease and requests missing entries as they are due.
@@ -544,19 +544,19 @@
 	if r.until != 0 && r.c.at > r.until {
 		r.resetSession()
 	}
-	if r.c.owner() == "" || r.c.parted[r.id] {
+	if r.c.owner() == "" || r.c.partitioned[r.id] {
 		return
 	}
 	if r.c.at >= r.next {
 		r.next = r.c.at.Add(400e6)
 		r.seq++
 		r.sent[r.seq] = r.c.at
-		k := r.c.lead().reg.known
-		b := map[ident.Key]protocol.Burden{}
+		k := r.c.leader().register.known
+		b := map[ident.Key]protocol.KeyLoad{}
 		for k, u := range r.keyLoads {
 			b[k] = u
 		}
-		r.c.step(r.c.owner(), r.mail(protocol.Renew{Session: r.ses, Seq: r.seq, Fresh: r.fresh, Gen: k.Gen, Epoch: k.Epoch, Heard: r.heard, Burden: b}))
+		r.c.step(r.c.owner(), r.mail(protocol.Renew{Session: r.session, Seq: r.seq, NewSession: r.fresh, Gen: k.Gen, Epoch: k.Epoch, AckedNum: r.heard, KeyLoads: b}))
 	}
 	if r.fresh || r.c.owner() == "" {
 		return
@@ -564,25 +564,25 @@
 	for _, k := range generic.SortedKeys(r.keyLoads) {
 		if _, ok := r.entries[k]; !ok && r.c.at.Sub(r.asked[k]) > 400e6 {
 			r.asked[k] = r.c.at
-			r.c.step(r.c.owner(), r.mail(protocol.Want{Session: r.ses, Key: k, Waiting: r.keyLoads[k].Wait, Value: 1}))
+			r.c.step(r.c.owner(), r.mail(protocol.EntryRequest{Session: r.session, Key: k, Waiting: r.keyLoads[k].Waiting, Value: 1}))
 		}
 	}
 }
 
-func (r *router) take(e protocol.Env) []protocol.Env {
+func (r *router) take(e protocol.Envelope) []protocol.Envelope {
 	switch b := e.Body.(type) {
 	case protocol.Grant:
-		if b.Session == r.ses {
+		if b.Session == r.session {
 			r.fresh = false
 			r.grants = append(r.grants, b)
-			r.until = max(r.until, r.sent[b.Seq].Add(b.Len))
+			r.until = max(r.until, r.sent[b.Seq].Add(b.Length))
 		}
 	case protocol.NotOwner:
-		if b.Session == r.ses && b.Gone {
+		if b.Session == r.session && b.SessionEnded {
 			r.resetSession()
 		}
-	case protocol.News:
-		if b.Session != r.ses || r.holdup {
+	case protocol.Updates:
+		if b.Session != r.session || r.withholdAcks {
 			return nil
 		}
 		for _, i := range b.Items {
@@ -595,7 +595,7 @@
 			}
 			delete(r.entries, i.Break)
 		}
-		return []protocol.Env{r.mail(protocol.Heard{Session: r.ses, Num: r.heard})}
+		return []protocol.Envelope{r.mail(protocol.Ack{Session: r.session, Num: r.heard})}
 	}
 	return nil
 }
@@ -616,19 +616,19 @@
 // ask reports waiting requests for one key, and none for any other.
 func (r *router) ask(k ident.Key) {
 	clear(r.keyLoads)
-	r.keyLoads[k] = protocol.Burden{Wait: 3, Came: 3, Load: 0.1}
+	r.keyLoads[k] = protocol.KeyLoad{Waiting: 3, Arrived: 3, ServerSeconds: 0.1}
 }
 
 // modelPlan returns a plan with the service "llm", whose servers hold models of size 4 and adapters of size 1 in
 // the given room, and the plain service "web".
 func modelPlan(room int, models ...ident.Key) *fleetplan.Plan {
-	p := &fleetplan.Plan{Loads: 2, Models: map[ident.Key]fleetplan.Model{}, Services: map[string]fleetplan.Service{
-		"llm": {Keys: map[ident.Key]bool{}, Slots: 8, Tokens: 10_000, Room: room, Places: 3, Loads: 2}, "web": {Plain: true, Slots: 3},
+	p := &fleetplan.Plan{ConcurrentLoads: 2, Models: map[ident.Key]fleetplan.Model{}, Services: map[string]fleetplan.Service{
+		"llm": {Keys: map[ident.Key]bool{}, MaxRunning: 8, TokenCapacity: 10_000, WeightCapacity: room, AdapterCapacity: 3, LoadRate: 2}, "web": {Plain: true, MaxRunning: 3},
 	}}
 	for _, k := range models {
-		m := fleetplan.Model{Key: k, Size: 4, Most: 9, Load: 1000e6}
+		m := fleetplan.Model{Key: k, Size: 4, MaxReplicas: 9, LoadTime: 1000e6}
 		if k.IsAdapter() {
-			m.Size, m.Load = 1, 0
+			m.Size, m.LoadTime = 1, 0
 		}
 		p.Models[k] = m
 		p.Services["llm"].Keys[k] = true
@@ -637,7 +637,7 @@
 }
 
 func (c *cluster) orders(op string) (l []sentOrder) {
-	for _, o := range c.ops {
+	for _, o := range c.sentOrders {
 		if op == "" || o.Op == op {
 			l = append(l, o)
 		}
--- a/internal/controller/confirm.go
+++ b/internal/controller/confirm.go
@@ -19,102 +19,102 @@
 	maxConfirmInterval   = clock.Span(200e6)
 	maxConfirms          = 10 // confirmation requests before the leader polls for a report instead
 
-	diskPartBegin  = 0.25 // load time from a server's own disk as a fraction of that from the store, before any was measured
-	diskLoadDecay  = 0.9  // factor on the fraction if a load had already ended by the first confirmation request
-	diskLoadWeight = 0.5  // weight of the latest measurement in the moving average
+	initialDiskLoadFraction = 0.25 // load time from a server's own disk as a fraction of that from the store, before any was measured
+	diskLoadDecay           = 0.9  // factor on the fraction if a load had already ended by the first confirmation request
+	diskLoadWeight          = 0.5  // weight of the latest measurement in the moving average
 )
 
 // canConfirm reports whether a server executes an order that the leader may send again to confirm it.
-func (s *server) mayConfirm() bool {
-	return s.doing != nil && s.unsure == nil && s.known && s.confirms < maxConfirms && verbs[s.doing.stage] != ""
+func (s *server) canConfirm() bool {
+	return s.executing != nil && s.unanswered == nil && s.known && s.confirmsSent < maxConfirms && orderOps[s.executing.stage] != ""
 }
 
 // confirm asks a server whether the order in progress is complete.
 func (c *Core) confirm(s *server) {
-	p := s.doing
+	p := s.executing
 	order := c.orderFor(s, p)
-	order.Confirms = true
-	s.asking, s.asked = true, c.now
-	s.confirms++
+	order.QueriesCompletion = true
+	s.polling, s.lastContact = true, c.now
+	s.confirmsSent++
 	c.tally.Confirms++
-	duty := c.duty.num
-	c.askServer(s, ordersPath, order, func(t protocol.Told) {
-		if c.duty.mine && c.duty.num == duty && c.servers[s.ID] == s {
+	duty := c.leadership.term
+	c.askServer(s, ordersPath, order, func(t protocol.HTTPResult) {
+		if c.leadership.held && c.leadership.term == duty && c.servers[s.ID] == s {
 			c.onConfirmed(s, p, t)
 		}
 	})
 }
 
 // onConfirmed handles a server's answer to a confirmation request.
-func (c *Core) onConfirmed(s *server, p *spot, t protocol.Told) {
-	s.asking = false
-	if s.doing != p {
+func (c *Core) onConfirmed(s *server, p *modelReplica, t protocol.HTTPResult) {
+	s.polling = false
+	if s.executing != p {
 		return // a report arrived first
 	}
 	switch {
-	case t.OK && c.elsewhere(s, t):
-		s.doing = nil
-	case t.OK && t.Code == holdsAlready:
-		c.orderDone(s, p)
-	case t.OK && (t.Code == underWay || t.Code == taken): // a server may answer either code for an order in progress
-		s.next = c.now.Add(min(maxConfirmInterval, firstConfirmInterval<<(s.confirms-1)))
-	case t.OK && t.Code == higherDuty:
+	case t.OK && c.answeredByOther(s, t):
+		s.executing = nil
+	case t.OK && t.Code == statusAlreadyHeld:
+		c.completeOrder(s, p)
+	case t.OK && (t.Code == statusConflict || t.Code == statusAccepted): // a server may answer either code for an order in progress
+		s.nextPoll = c.now.Add(min(maxConfirmInterval, firstConfirmInterval<<(s.confirmsSent-1)))
+	case t.OK && t.Code == statusHigherTerm:
 		c.tally.OrdersRefused++
-		c.lose("a server has accepted a higher term")
+		c.endTerm("a server has accepted a higher term")
 	default: // the next report shows the outcome
-		s.doing, s.next = nil, c.now
+		s.executing, s.nextPoll = nil, c.now
 	}
 }
 
 // completeOrder records that a server has completed an order. Reports requested before this point are older than that.
-func (c *Core) orderDone(s *server, p *spot) {
+func (c *Core) completeOrder(s *server, p *modelReplica) {
 	c.learnDiskLoad(s, p)
-	s.doing, s.busy, s.alien = nil, false, false
-	s.confirmed, s.fails, s.next = c.now, 0, c.now.Add(pollIdle)
-	c.spoke(s)
+	s.executing, s.busy, s.foreignOrder = nil, false, false
+	s.lastConfirmed, s.failures, s.nextPoll = c.now, 0, c.now.Add(idlePollInterval)
+	c.noteAnswer(s)
 	if p.stage == Ordered {
-		if e := c.roll[s.ID]; e != nil {
+		if e := c.enrolledServers[s.ID]; e != nil {
 			c.noteOnDisk(e, p.key, true)
 		}
-		c.becameReady(s, p)
+		c.markReady(s, p)
 	} else {
 		for _, key := range generic.SortedKeys(s.replicas) {
 			if key == p.key || !p.key.IsAdapter() && key.Base() == p.key {
-				c.dropSpot(s, key)
+				c.forgetReplica(s, key)
 			}
 		}
 	}
-	c.steer(s) // sends orders that waited for this one
+	c.driveServer(s) // sends orders that waited for this one
 }
 
 // expectedDuration returns the delay from sending an order to the first confirmation request.
-func (c *Core) expected(s *server, p *spot) clock.Span {
+func (c *Core) expectedDuration(s *server, p *modelReplica) clock.Span {
 	span := unloadEstimate
 	if p.stage == Ordered && !p.key.IsAdapter() {
-		span = c.loadSpan(s, c.plan.Models[p.key])
+		span = c.loadDuration(s, c.plan.Models[p.key])
 	}
 	return span + confirmDelay
 }
 
 // loadDuration returns how long a server takes to load a base model. A load from the server's own disk takes a learned
 // fraction of the time from the store.
-func (c *Core) loadSpan(s *server, m fleetplan.Model) clock.Span {
-	if c.has(s, m.Key) {
-		return clock.Span(float64(m.Load) * c.diskPart)
+func (c *Core) loadDuration(s *server, m fleetplan.Model) clock.Span {
+	if c.mayHaveOnDisk(s, m.Key) {
+		return clock.Span(float64(m.LoadTime) * c.diskPart)
 	}
-	return m.Load
+	return m.LoadTime
 }
 
 // learnDiskLoad updates the estimate of load times from servers' own disks after a load has ended.
-func (c *Core) learnDiskLoad(s *server, p *spot) {
-	full := c.plan.Models[p.key].Load
-	if p.stage != Ordered || p.key.IsAdapter() || p.cold || full <= 0 || s.doing != p {
+func (c *Core) learnDiskLoad(s *server, p *modelReplica) {
+	full := c.plan.Models[p.key].LoadTime
+	if p.stage != Ordered || p.key.IsAdapter() || p.fromStore || full <= 0 || s.executing != p {
 		return
 	}
-	if s.confirms <= 1 {
+	if s.confirmsSent <= 1 {
 		c.diskPart *= diskLoadDecay // the load had ended by the first request, so the measured time is only an upper bound
 		return
 	}
-	seen := c.now.Sub(p.ordered).Seconds() / full.Seconds()
+	seen := c.now.Sub(p.orderedAt).Seconds() / full.Seconds()
 	c.diskPart += (seen - c.diskPart) * diskLoadWeight
 }
--- a/internal/controller/confirm_test.go
+++ b/internal/controller/confirm_test.go
@@ -48,7 +48,7 @@
 	c.run(3e9)
 	r.ask("llm|m")
 	require.True(t, c.until(9e9, func() bool { return r.sends("llm|m", "s") }))
-	c.lead().servers["s"].next = c.at // its report is requested now
+	c.leader().servers["s"].nextPoll = c.at // its report is requested now
 	for end := c.at.Add(2e9); c.at < end; c.tick() {
 		require.True(t, r.sends("llm|m", "s"))
 	}
@@ -68,7 +68,7 @@
 	require.True(t, c.until(3e9, func() bool { return r.sends("llm|n", "s") }))
 	c.run(2e9)
 	require.False(t, r.sends("llm|m", "s"))
-	require.Len(t, c.ops, 2)
+	require.Len(t, c.sentOrders, 2)
 }
 
 // If a confirmation is lost, or a load takes much longer than expected, reports show the result.
@@ -80,7 +80,7 @@
 		n := 0
 		s.lost = func(protocol.Order) (bool, bool) { n++; return true, n == 1 }
 		r := c.route("r")
-		r.keyLoads["llm|m"] = protocol.Burden{Wait: 1, Came: 1, Load: 0.1}
+		r.keyLoads["llm|m"] = protocol.KeyLoad{Waiting: 1, Arrived: 1, ServerSeconds: 0.1}
 		require.True(t, c.until(20e9, func() bool { return r.sends("llm|m", ident.Server("s")) }), slow)
 		require.Len(t, c.orders("load"), 1, slow)
 	}
@@ -101,16 +101,16 @@
 	r.ask("llm|n")
 	confirmation := func() *pendingRequest {
 		for i := range c.httpRequests {
-			if o := c.httpRequests[i].request.Body.(protocol.Order); o.Confirms && c.httpRequests[i].result != nil && c.httpRequests[i].result.Code == holdsAlready {
+			if o := c.httpRequests[i].request.Body.(protocol.Order); o.QueriesCompletion && c.httpRequests[i].result != nil && c.httpRequests[i].result.Code == statusAlreadyHeld {
 				return &c.httpRequests[i]
 			}
 		}
 		return nil
 	}
 	require.True(t, c.until(9e9, func() bool { return confirmation() != nil }))
-	k := c.lead()
+	k := c.leader()
 	for _, out := range k.Step(c.at.Add(clock.Span(5e9)), *confirmation().result) {
-		if a, is := out.(protocol.Ask); is {
+		if a, is := out.(protocol.HTTPRequest); is {
 			require.Empty(t, a.Body.(protocol.Order).Op, "the lease has expired")
 		}
 	}
--- a/internal/controller/contention_test.go
+++ b/internal/controller/contention_test.go
@@ -16,7 +16,7 @@
 // pendingOrder is an order that operators resend, to any node, until it is taken.
 type pendingOrder struct {
 	admin       Admin
-	first, last clock.Tick
+	first, last clock.Instant
 	answers     []func() *Receipt
 }
 
@@ -60,7 +60,7 @@
 				}
 			}
 			open = remaining
-			c.out = nil // all receipts of this step have been read
+			c.outputs = nil // all receipts of this step have been read
 		}
 		t.Logf("delay %v: %d changes confirmed in 60 s, the slowest after %v", delay, taken, longest)
 		require.Less(t, longest, 4*clock.Span(1e9))
--- a/internal/controller/control_test.go
+++ b/internal/controller/control_test.go
@@ -23,7 +23,7 @@
 func hostedTimes(o *Options) {
 	timing := Timing{Apply: 2000e6, Drain: 2000e6, CatchUp: catchUp, Period: 1200e6, Tenure: 3000e6, Rate: 5e9}
 	o.HandOver = true
-	o.Duty, o.Round, o.Hold, o.Spare = timing.Duty(), timing.Duty()/4, timing.Hold(), timing.Spare()
+	o.LeadershipLease, o.ReadInterval, o.RouterLease, o.ReplaceAfter = timing.LeadershipLease(), timing.LeadershipLease()/4, timing.RouterLease(), timing.ReplaceAfter()
 }
 
 // spare starts a core node with an empty disk.
@@ -33,34 +33,34 @@
 }
 
 // partition partitions core nodes; their disks stay.
-func (c *cluster) down(ids ...string) {
+func (c *cluster) partition(ids ...string) {
 	for _, id := range ids {
-		c.parted[id] = true
+		c.partitioned[id] = true
 	}
 }
 
 // restart restarts core nodes from their disks.
-func (c *cluster) back(ids ...string) {
+func (c *cluster) restart(ids ...string) {
 	for _, id := range ids {
-		delete(c.parted, id)
+		delete(c.partitioned, id)
 	}
 	c.reboot(ids...)
 }
 
 // restartEmpty restarts a core node with an empty disk.
-func (c *cluster) wipe(id string) {
-	delete(c.parted, id)
+func (c *cluster) restartEmpty(id string) {
+	delete(c.partitioned, id)
 	c.spare(id)
 }
 
 // votersAre reports whether a node knows a voter set of exactly these nodes and no joint set.
 func (c *cluster) votersAre(node string, ids ...string) bool {
-	k := c.nodes[node].reg.known
-	if k == nil || len(k.Prior) > 0 || len(k.Voters) != len(ids) {
+	k := c.nodes[node].register.known
+	if k == nil || len(k.PriorVoters) > 0 || len(k.Voters) != len(ids) {
 		return false
 	}
 	for _, id := range ids {
-		if !voterset.Seats(k.Voters, ident.Node(id)) {
+		if !voterset.ContainsNode(k.Voters, ident.Node(id)) {
 			return false
 		}
 	}
@@ -76,12 +76,12 @@
 	s := c.serve("s", "llm|m", "llm|n")
 	// Without a plan, a server's service is not known to be one of models.
 	c.run(3e9)
-	require.NotEmpty(t, c.lead().servers)
-	require.Equal(t, failure.None, c.told(c.owner(), Admin{Op: "put", Raw: []byte("1"), Number: 1, Change: "x"}).Kind)
+	require.NotEmpty(t, c.leader().servers)
+	require.Equal(t, failure.None, c.submit(c.owner(), Admin{Op: "put", Raw: []byte("1"), Number: 1, Change: "x"}).Kind)
 	r := c.route("r")
 	r.asked["llm|o"] = c.at
 	c.run(200e6)
-	require.Equal(t, 8, c.lead().servers[s.ID].used(), "both models on the server must have their size")
+	require.Equal(t, 8, c.leader().servers[s.ID].used(), "both models on the server must have their size")
 }
 
 // A repeated change that was taken is never refused, however many changes were taken since: it is acknowledged
@@ -95,20 +95,20 @@
 	}
 	const changes = maxChanges + 90
 	for n := range changes {
-		require.Equal(t, failure.None, c.told("a", change(n)).Kind, n)
+		require.Equal(t, failure.None, c.submit("a", change(n)).Kind, n)
 	}
 	for _, n := range []int{changes - 1, changes - 65, changes - 300, changes - maxChanges} {
-		r := c.told("b", change(n))
+		r := c.submit("b", change(n))
 		require.Equal(t, failure.None, r.Kind, "change %d of %d again", n, changes)
 		require.EqualValues(t, n+1, r.Epoch)
 	}
 	for _, n := range []int{0, changes - maxChanges - 1} {
-		require.Equal(t, failure.Unclear, c.told("c", change(n)).Kind, "change %d of %d again", n, changes)
+		require.Equal(t, failure.Unclear, c.submit("c", change(n)).Kind, "change %d of %d again", n, changes)
 	}
 	lost := change(changes - 100)
 	lost.Change = "another change on the same version"
-	require.Equal(t, failure.Conflict, c.told("c", lost).Kind)
-	require.Len(t, c.nodes["a"].reg.known.Done, maxChanges)
+	require.Equal(t, failure.Conflict, c.submit("c", lost).Kind)
+	require.Len(t, c.nodes["a"].register.known.AppliedChanges, maxChanges)
 }
 
 // Of two absent voters, the spare replaces the one absent longer, even if the leader was elected after both were
@@ -116,32 +116,32 @@
 func TestLongestAbsentIsReplacedFirst(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c", "d", "e")
 	owner := c.owner()
-	first := c.other()
-	c.down(first)
+	first := c.follower()
+	c.partition(first)
 	c.run(400e6)
-	c.down(owner)
+	c.partition(owner)
 	c.run(2500e6) // both are absent for longer than the delay before a replacement
 	c.spare("f")
 	require.True(t, c.until(catchUp, func() bool {
-		lead := c.lead()
-		return lead != nil && voterset.Seats(lead.reg.known.Voters, "f") && len(lead.reg.known.Prior) == 0
+		lead := c.leader()
+		return lead != nil && voterset.ContainsNode(lead.register.known.Voters, "f") && len(lead.register.known.PriorVoters) == 0
 	}), "the spare is a voter in time")
-	require.False(t, voterset.Seats(c.lead().reg.known.Voters, ident.Node(first)), "%s was lost first", first)
-	require.True(t, voterset.Seats(c.lead().reg.known.Voters, ident.Node(owner)), "%s was lost last", owner)
+	require.False(t, voterset.ContainsNode(c.leader().register.known.Voters, ident.Node(first)), "%s was lost first", first)
+	require.True(t, voterset.ContainsNode(c.leader().register.known.Voters, ident.Node(owner)), "%s was lost last", owner)
 }
 
 // A node that was cut off is counted as absent by the others, but on its return counts none of them as absent.
 func TestAbsenceIsCountedInTouchOnly(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c")
-	away := c.other()
-	c.down(away)
+	away := c.follower()
+	c.partition(away)
 	c.run(10e9)
-	require.Empty(t, c.nodes[away].reg.absent, "a node that hears no majority counts no other node as absent")
-	require.Contains(t, c.lead().reg.absent, ident.Node(away))
-	delete(c.parted, away)
+	require.Empty(t, c.nodes[away].register.absentSince, "a node that hears no majority counts no other node as absent")
+	require.Contains(t, c.leader().register.absentSince, ident.Node(away))
+	delete(c.partitioned, away)
 	c.run(2e9)
 	for id, n := range c.nodes {
-		require.Empty(t, n.reg.absent, id)
+		require.Empty(t, n.register.absentSince, id)
 	}
 }
 
@@ -158,16 +158,16 @@
 func ownerLostDuringAReplacement(t *testing.T, after, delay clock.Span) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c", "d", "e")
 	c.delay = delay
-	lost := c.other()
-	c.down(lost)
+	lost := c.follower()
+	c.partition(lost)
 	c.run(500e6)
 	c.spare("f")
 	start := c.at
 	c.run(after)
-	c.down(c.owner())
+	c.partition(c.owner())
 	require.True(t, c.until(catchUp-c.at.Sub(start), func() bool {
-		k := c.nodes["f"].reg.known
-		return k != nil && voterset.Seats(k.Voters, "f") && len(k.Prior) == 0
+		k := c.nodes["f"].register.known
+		return k != nil && voterset.ContainsNode(k.Voters, "f") && len(k.PriorVoters) == 0
 	}), "leader lost %v after the new node's start, messages take %v", after, delay)
 }
 
@@ -184,13 +184,13 @@
 		for round := range 6 {
 			// One voter is lost for good and an empty node starts half a second later; another voter has no power meanwhile.
 			lost, dark := pick(round), pick(round+2)
-			c.down(lost)
+			c.partition(lost)
 			c.run(500e6)
 			fresh := fmt.Sprint("n", next)
 			next++
 			c.spare(fresh)
 			c.run(clock.Span(seed%4) * 150e6)
-			c.down(dark)
+			c.partition(dark)
 			for i, id := range live {
 				if id == lost {
 					live[i] = fresh
@@ -203,17 +203,17 @@
 			if wiped == dark {
 				wiped = pick(round + 4)
 			}
-			c.down(wiped)
+			c.partition(wiped)
 			c.run(1e9)
-			c.wipe(wiped)
+			c.restartEmpty(wiped)
 			c.run(2e9)
-			c.back(dark)
+			c.restart(dark)
 			c.run(catchUp)
 			asked := pick(round + 1)
-			r := c.told(asked, Admin{Op: "put", Raw: []byte("p"), Expect: ident.Epoch(version), Number: ident.Epoch(version + 1), Change: fmt.Sprint(seed, version)})
+			r := c.submit(asked, Admin{Op: "put", Raw: []byte("p"), Expect: ident.Epoch(version), Number: ident.Epoch(version + 1), Change: fmt.Sprint(seed, version)})
 			require.Equal(t, failure.None, r.Kind, "seed %d round %d: %v at %s", seed, round, r, asked)
 			version++
-			require.True(t, c.votersAre(c.owner(), live...), "seed %d round %d: %v", seed, round, c.lead().reg.known.Voters)
+			require.True(t, c.votersAre(c.owner(), live...), "seed %d round %d: %v", seed, round, c.leader().register.known.Voters)
 		}
 	}
 }
@@ -222,20 +222,20 @@
 // knows the term, so that it cannot be granted to another node.
 func TestJointSetIsLeftAfterARenewal(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c")
-	lost := c.other()
-	c.down(lost)
+	lost := c.follower()
+	c.partition(lost)
 	c.run(500e6)
 	c.spare("d")
-	joint := func() bool { return c.lead() != nil && len(c.lead().reg.known.Prior) > 0 }
+	joint := func() bool { return c.leader() != nil && len(c.leader().register.known.PriorVoters) > 0 }
 	require.True(t, c.until(catchUp, joint))
-	lead := c.lead()
-	lead.reg.next = c.at.Add(600e6) // no renewal is sent until then
+	lead := c.leader()
+	lead.register.nextQuery = c.at.Add(600e6) // no renewal is sent until then
 	c.run(500e6)
 	require.True(t, joint(), "the joint set must stay until a renewal under both sets")
 	require.True(t, c.until(500e6, func() bool { return !joint() }), "the old voter set must be left after the renewal")
 	durable := 0
-	for _, v := range c.lead().reg.known.Voters {
-		if c.nodes[string(v.ID)].vote.sure == c.lead().duty.num {
+	for _, v := range c.leader().register.known.Voters {
+		if c.nodes[string(v.ID)].acceptor.durableTerm == c.leader().leadership.term {
 			durable++
 		}
 	}
@@ -249,7 +249,7 @@
 	c.step(stopping, protocol.Stop{})
 	require.False(t, c.nodes[stopping].HandingOver(), "no spare can take its seat")
 	c.run(500e6)
-	c.back(stopping)
+	c.restart(stopping)
 	c.run(catchUp)
 
 	c.spare("d")
@@ -261,10 +261,10 @@
 	c.step(stopping, protocol.Stop{})
 	require.True(t, c.nodes[stopping].HandingOver())
 	require.True(t, c.until(2e9, func() bool { return !c.nodes[stopping].HandingOver() }))
-	c.down(stopping)
+	c.partition(stopping)
 	require.True(t, c.until(catchUp, func() bool { return c.owner() != "" }))
-	require.False(t, voterset.Seats(c.lead().reg.known.Voters, ident.Node(stopping)))
-	require.True(t, voterset.Seats(c.lead().reg.known.Voters, "d"))
+	require.False(t, voterset.ContainsNode(c.leader().register.known.Voters, ident.Node(stopping)))
+	require.True(t, voterset.ContainsNode(c.leader().register.known.Voters, "d"))
 }
 
 // Spares that know of a core are not reported as Blank, so a wiped node whose seeds are all such spares does not form a
@@ -284,26 +284,26 @@
 func TestRollOfAnEmptiedNode(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c")
 	c.plans["1"] = modelPlan(8, "llm|m")
-	c.told("a", Admin{Op: "put", Raw: []byte("1"), Number: 1, Change: "x"})
-	wiped := c.other()
-	c.down(wiped)
+	c.submit("a", Admin{Op: "put", Raw: []byte("1"), Number: 1, Change: "x"})
+	wiped := c.follower()
+	c.partition(wiped)
 	c.announce(c.owner(), newAnnouncement("s", "live", 1))
 	c.announce(c.owner(), newAnnouncement("s", "leaving", 2))
 	c.run(1e9)
-	c.wipe(wiped)
-	require.False(t, c.nodes[wiped].rollWhole)
+	c.restartEmpty(wiped)
+	require.False(t, c.nodes[wiped].departuresComplete)
 	c.run(catchUp)
-	require.True(t, c.nodes[wiped].rollWhole)
-	require.Equal(t, "leaving", c.nodes[wiped].roll["s"].State)
-	require.NotEmpty(t, c.disks[wiped][diskR])
+	require.True(t, c.nodes[wiped].departuresComplete)
+	require.Equal(t, "leaving", c.nodes[wiped].enrolledServers["s"].State)
+	require.NotEmpty(t, c.disks[wiped][keyDepartures])
 }
 
 // A core node that knows no core, and was not among those forming it, acknowledges no announcement, since no
 // other node may receive it.
 func TestAnnouncementsAtANodeWithoutACore(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c")
-	away := c.other()
-	c.down(away)
+	away := c.follower()
+	c.partition(away)
 	c.disks[away] = map[string][]byte{}
 	c.reboot(away)
 	ok, answered := c.announce(away, newAnnouncement("s", "live", 1))
@@ -316,22 +316,22 @@
 func TestSeedsChange(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c")
 	living := c.seeds
-	c.seeds = []protocol.Sibling{{Addr: "gone"}}
+	c.seeds = []protocol.Peer{{Addr: "gone"}}
 	c.spare("d")
 	c.run(3e9)
-	require.Nil(t, c.nodes["d"].reg.known)
-	c.step("d", protocol.Reseed{Seeds: living})
+	require.Nil(t, c.nodes["d"].register.known)
+	c.step("d", protocol.SeedsChanged{Seeds: living})
 	require.True(t, c.until(catchUp, func() bool { return c.votersAre("d", "a", "b", "c") }))
 
-	forming := New(Options{Me: protocol.Sibling{ID: "n", Addr: "n"}, Seeds: living})
-	forming.Step(1, protocol.Reseed{Seeds: c.seeds})
+	forming := New(Options{Self: protocol.Peer{ID: "n", Addr: "n"}, Seeds: living})
+	forming.Step(1, protocol.SeedsChanged{Seeds: c.seeds})
 	require.Equal(t, living, forming.o.Seeds)
 }
 
 // Seats are assigned so that the loss of one zone, or of one region, leaves a majority.
 func TestSeatsSpreadOverZonesAndRegions(t *testing.T) {
 	seat := func(id, zone string) protocol.Voter {
-		return protocol.Voter{Sibling: protocol.Sibling{ID: ident.Node(id)}, Zone: ident.Zone(zone)}
+		return protocol.Voter{Peer: protocol.Peer{ID: ident.Node(id)}, Zone: ident.Zone(zone)}
 	}
 	seats := func(zones ...string) (l []protocol.Voter) {
 		for i, z := range zones {
@@ -372,16 +372,16 @@
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c")
 	c.plans["p"] = modelPlan(8, "llm|m")
 	c.delay = 5e6
-	c.down(c.other())
+	c.partition(c.follower())
 	c.run(500e6)
 	c.spare("d")
 	n := 0
 	require.True(t, c.until(catchUp, func() bool {
-		for lead := c.lead(); len(lead.reg.queue) < 8; n++ {
+		for lead := c.leader(); len(lead.register.queue) < 8; n++ {
 			c.admin(c.owner(), Admin{Op: "put", Raw: []byte("p"), Any: true, Change: fmt.Sprint(n)})
 		}
-		k := c.lead().reg.known
-		return voterset.Seats(k.Voters, "d") && len(k.Prior) == 0
+		k := c.leader().register.known
+		return voterset.ContainsNode(k.Voters, "d") && len(k.PriorVoters) == 0
 	}), "after %d changes", n)
 }
 
@@ -390,17 +390,17 @@
 func TestAnnouncementsToAPartitionedNode(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c")
 	c.plans["1"] = modelPlan(8, "llm|m")
-	require.Equal(t, failure.None, c.told("a", Admin{Op: "put", Raw: []byte("1"), Number: 1, Change: "x"}).Kind)
+	require.Equal(t, failure.None, c.submit("a", Admin{Op: "put", Raw: []byte("1"), Number: 1, Change: "x"}).Kind)
 	s := c.serve("s", "llm|m")
 	c.run(3e9)
-	parted := c.other()
-	c.down(parted)
-	s.silent = true // announces nothing by itself; the test announces it to the partitioned node
+	parted := c.follower()
+	c.partition(parted)
+	s.unannounced = true // announces nothing by itself; the test announces it to the partitioned node
 	for count := uint64(100); count < 106; count++ {
 		c.run(1e9)
 		ok, answered := c.announce(parted, newAnnouncement("s", "live", count))
 		require.True(t, answered)
 		require.Equal(t, count == 100, ok, "announcement %d: the node hears no majority", count-99)
-		require.False(t, c.lead().servers["s"].dark, "the server answers the leader's queries")
+		require.False(t, c.leader().servers["s"].unreachable, "the server answers the leader's queries")
 	}
 }
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -19,81 +19,81 @@
 
 // Options configures a core node.
 type Options struct {
-	Me       protocol.Sibling
+	Self     protocol.Peer
 	Zone     ident.Zone
-	Inc      ident.Inc // incarnation of this process
-	Seeds    []protocol.Sibling
+	Inc      ident.Incarnation // incarnation of this process
+	Seeds    []protocol.Peer
 	Platform string
 	Rand     *rand.Rand
 
-	Hold        clock.Span // a router's lease, counted from when the router sent its renewal
-	Duty        clock.Span // the leadership lease, counted from when the leader requested it
-	ClockMargin clock.Span // a grantor waits longer than a grantee by this and by ClockDrift
-	ClockDrift  float64
-	Round       clock.Span // interval between two majority reads
-	Poll        clock.Span // interval between two requests for a server's report
-	Wait        clock.Span // timeout for a server's answer
-	Spare       clock.Span // a voter absent for this long is replaced by a spare
-	Form        clock.Span // every seed must be seen blank for this long before a core forms
-	Most        int        // maximum number of callbacks kept for one router
-	Pending     int        // maximum number of unacknowledged changes for one router
-	Rest        clock.Span // minimum time between the arrival of a replica and its eviction
-	Lull        clock.Span // a replica without work for this long may be evicted
-	Blind       clock.Span // a leader that reaches too few servers for this long asks the other core nodes
-	Shy         clock.Span // a leader that yields to a node reaching more does not claim the lease for this long
-	Even        clock.Span // an imbalance must last this long before a move, and moves are at least this far apart
-	Gap         float64    // smallest imbalance that justifies a move, as a fraction of a server's room
-	Recent      clock.Span // only keys that had work within this time are moved
-	Lead        clock.Span // servers are drained this long before a maintenance window closes them
-	Wall        func() time.Time
+	RouterLease       clock.Span // a router's lease, counted from when the router sent its renewal
+	LeadershipLease   clock.Span // the leadership lease, counted from when the leader requested it
+	ClockMargin       clock.Span // a grantor waits longer than a grantee by this and by ClockDrift
+	ClockDrift        float64
+	ReadInterval      clock.Span // interval between two majority reads
+	ReportInterval    clock.Span // interval between two requests for a server's report
+	ServerTimeout     clock.Span // timeout for a server's answer
+	ReplaceAfter      clock.Span // a voter absent for this long is replaced by a spare
+	FormAfter         clock.Span // every seed must be seen blank for this long before a core forms
+	MaxCallbacks      int        // maximum number of callbacks kept for one router
+	MaxUnacknowledged int        // maximum number of unacknowledged changes for one router
+	MinResidence      clock.Span // minimum time between the arrival of a replica and its eviction
+	EvictableAfter    clock.Span // a replica without work for this long may be evicted
+	UnreachableAfter  clock.Span // a leader that reaches too few servers for this long asks the other core nodes
+	YieldTime         clock.Span // a leader that yields to a node reaching more does not claim the lease for this long
+	RebalanceInterval clock.Span // an imbalance must last this long before a move, and moves are at least this far apart
+	MinImbalance      float64    // smallest imbalance that justifies a move, as a fraction of a server's room
+	MoveRecency       clock.Span // only keys that had work within this time are moved
+	DrainLead         clock.Span // servers are drained this long before a maintenance window closes them
+	WallClock         func() time.Time
 
 	// ParsePlan parses plans; it should cache recent results. MergePatch applies a patch to a plan.
-	Read  func([]byte) (*fleetplan.Plan, fleetplan.Faults)
-	Merge func(plan, patch []byte) (merged []byte, f fleetplan.Faults)
-
-	Enrolled bool                  // servers announce themselves; there is no platform that lists them
-	Silence  clock.Span            // an announced server counts as unreachable after this long without an announcement
-	Unfenced bool                  // servers check no fencing token; they count orders instead
-	Settle   clock.Span            // a leader of unfenced servers waits this long before it sends orders
-	Tenure   clock.Span            // two nodes do not take turns ordering a server within this time
-	Voters   int                   // target size of the voter set; 0 keeps its initial size
-	Warm     bool                  // preload models that no server has on disk while the store is idle
-	Rate     clock.Span            // the store's rate limit holds in every window of this length
-	Regions  map[ident.Zone]string // region of each zone, if there are several
-	HandOver bool                  // a stopping node's seat goes to a spare at once, not only after ReplaceAfter
-	Alone    bool                  // changes are never forwarded to the leader
-	Joined   bool                  // the core already exists: an empty disk forms none
+	ParsePlan  func([]byte) (*fleetplan.Plan, fleetplan.Faults)
+	MergePatch func(plan, patch []byte) (merged []byte, f fleetplan.Faults)
+
+	Enrolled       bool                  // servers announce themselves; there is no platform that lists them
+	SilenceTimeout clock.Span            // an announced server counts as unreachable after this long without an announcement
+	Unfenced       bool                  // servers check no fencing token; they count orders instead
+	SettleTime     clock.Span            // a leader of unfenced servers waits this long before it sends orders
+	Tenure         clock.Span            // two nodes do not take turns ordering a server within this time
+	Voters         int                   // target size of the voter set; 0 keeps its initial size
+	Preload        bool                  // preload models that no server has on disk while the store is idle
+	RateWindow     clock.Span            // the store's rate limit holds in every window of this length
+	Regions        map[ident.Zone]string // region of each zone, if there are several
+	HandOver       bool                  // a stopping node's seat goes to a spare at once, not only after ReplaceAfter
+	NoForwarding   bool                  // changes are never forwarded to the leader
+	CoreExists     bool                  // the core already exists: an empty disk forms none
 }
 
 // Defaults returns the options with defaults for unset fields.
 func (o Options) Defaults() Options {
-	generic.SetDefault(&o.Hold, 2000e6)
-	generic.SetDefault(&o.Duty, 1200e6)
+	generic.SetDefault(&o.RouterLease, 2000e6)
+	generic.SetDefault(&o.LeadershipLease, 1200e6)
 	generic.SetDefault(&o.ClockMargin, 50e6)
-	generic.SetDefault(&o.Round, 250e6)
-	generic.SetDefault(&o.Poll, 250e6)
-	generic.SetDefault(&o.Wait, 600e6)
-	generic.SetDefault(&o.Spare, 6000e6)
-	generic.SetDefault(&o.Form, 1500e6)
-	generic.SetDefault(&o.Rest, 4000e6)
-	generic.SetDefault(&o.Lull, 2000e6)
-	generic.SetDefault(&o.Lead, 60e9)
-	generic.SetDefault(&o.Even, 5000e6)
-	generic.SetDefault(&o.Recent, 60e9)
-	generic.SetDefault(&o.Blind, 4000e6)
-	generic.SetDefault(&o.Shy, 15e9)
+	generic.SetDefault(&o.ReadInterval, 250e6)
+	generic.SetDefault(&o.ReportInterval, 250e6)
+	generic.SetDefault(&o.ServerTimeout, 600e6)
+	generic.SetDefault(&o.ReplaceAfter, 6000e6)
+	generic.SetDefault(&o.FormAfter, 1500e6)
+	generic.SetDefault(&o.MinResidence, 4000e6)
+	generic.SetDefault(&o.EvictableAfter, 2000e6)
+	generic.SetDefault(&o.DrainLead, 60e9)
+	generic.SetDefault(&o.RebalanceInterval, 5000e6)
+	generic.SetDefault(&o.MoveRecency, 60e9)
+	generic.SetDefault(&o.UnreachableAfter, 4000e6)
+	generic.SetDefault(&o.YieldTime, 15e9)
 	generic.SetDefault(&o.ClockDrift, 0.02)
-	generic.SetDefault(&o.Gap, 0.35)
-	generic.SetDefault(&o.Most, 1024)
-	generic.SetDefault(&o.Pending, 4096)
-	generic.SetDefault(&o.Silence, 3600e6)
-	generic.SetDefault(&o.Settle, o.Wait+reportLag)
-	generic.SetDefault(&o.Rate, 5e9)
-	if o.Read == nil {
-		o.Read = (&fleetplan.Memo{Read: fleetplan.ReadPlan}).Plan
+	generic.SetDefault(&o.MinImbalance, 0.35)
+	generic.SetDefault(&o.MaxCallbacks, 1024)
+	generic.SetDefault(&o.MaxUnacknowledged, 4096)
+	generic.SetDefault(&o.SilenceTimeout, 3600e6)
+	generic.SetDefault(&o.SettleTime, o.ServerTimeout+maxReportAge)
+	generic.SetDefault(&o.RateWindow, 5e9)
+	if o.ParsePlan == nil {
+		o.ParsePlan = (&fleetplan.Memo{Read: fleetplan.ReadPlan}).Plan
 	}
-	if o.Merge == nil {
-		o.Merge = mergePatch
+	if o.MergePatch == nil {
+		o.MergePatch = mergePatch
 	}
 	return o
 }
@@ -101,80 +101,80 @@
 // Core is the state machine of a core node, without I/O. Step is its only entry point. A Core is not safe for
 // concurrent use.
 type Core struct {
-	o     Options
-	now   clock.Tick
-	out   []any
-	mates *membership.Core
-
-	vote  acceptorState
-	reg   register
-	duty  leadership
-	links map[protocol.Session]*link
-	tombs map[protocol.Session]clock.Tick
-	wants []protocol.Env
+	o       Options
+	now     clock.Instant
+	out     []any
+	members *membership.Core
+
+	acceptor      acceptorState
+	register      register
+	leadership    leadership
+	links         map[protocol.Session]*link
+	endedSessions map[protocol.Session]clock.Instant
+	deferredWants []protocol.Envelope
 
 	plan      *fleetplan.Plan
 	planBases planBases
 
 	empty              map[ident.Zone]bool
 	servers            map[ident.Server]*server
-	tokenTimes         map[ident.Key]pace // by base model
-	slowest            float64            // the slowest token pace, as of slowestAt
-	slowestAt          clock.Tick
+	tokenTimes         map[ident.Key]tokenPace // by base model
+	slowest            float64                 // the slowest token pace, as of slowestAt
+	slowestAt          clock.Instant
 	diskPart           float64 // load time from a server's own disk, as a fraction of that from the store
 	entries            map[ident.Key]*entry
-	pendingAsks        map[uint64]func(protocol.Told)
+	pendingAsks        map[uint64]func(protocol.HTTPResult)
 	token              uint64
-	saves              map[uint64]func() // continuations of outstanding saves and computations
+	continuations      map[uint64]func() // continuations of outstanding saves and computations
 	forwards           forwards
-	acceptedForwards   forwardsTaken
-	demand             map[ident.Key]*need
-	listed             clock.Tick
-	listing            bool
-	list               Roll       // the last server list that a leader had
-	seenAt             clock.Tick // when the platform last sent a list
-	eye                eye
-	swept              clock.Tick
+	acceptedForwards   acceptedForwards
+	demand             map[ident.Key]*keyDemand
+	lastListRequest    clock.Instant
+	listPending        bool
+	list               ServerList    // the last server list that a leader had
+	listedAt           clock.Instant // when the platform last sent a list
+	reachability       reachCheck
+	lastSweep          clock.Instant
 	windows            []*window
-	shutZ              map[ident.Zone]bool
-	shutS              map[ident.Server]bool
-	nextWindowUpdate   clock.Tick
-	soonZ              map[ident.Zone]bool // closed soon: models that are only there are loaded elsewhere first
-	soonS              map[ident.Server]bool
-	moves              map[ident.Key]*shift
-	uneven             clock.Tick                 // since when the servers' load is imbalanced
-	shifted            clock.Tick                 // when the last move began
-	roll               map[ident.Server]*enrolled // every server that announced itself; replicated on every core node
+	closedZones        map[ident.Zone]bool
+	closedServers      map[ident.Server]bool
+	nextWindowUpdate   clock.Instant
+	closingZones       map[ident.Zone]bool // closed soon: models that are only there are loaded elsewhere first
+	closingServers     map[ident.Server]bool
+	moves              map[ident.Key]*replicaMove
+	imbalancedSince    clock.Instant              // since when the servers' load is imbalanced
+	lastMoveAt         clock.Instant              // when the last move began
+	enrolledServers    map[ident.Server]*enrolled // every server that announced itself; replicated on every core node
 	leavings           []byte                     // stored form of the servers that are leaving
-	unrelayed          []protocol.Beacon          // announcements not yet relayed to the other core nodes
-	lastRelay          clock.Tick
-	lastRateUpdate     clock.Tick
-	lastPrefetch       clock.Tick
-	asked              clock.Tick        // when routers first reported demand to this leader
-	line               map[ident.Key]int // queue position of keys without a replica that the store's rate limit delays
+	unrelayed          []protocol.Announcement    // announcements not yet relayed to the other core nodes
+	lastRelay          clock.Instant
+	lastRateUpdate     clock.Instant
+	lastPrefetch       clock.Instant
+	demandSince        clock.Instant     // when routers first reported demand to this leader
+	loadQueue          map[ident.Key]int // queue position of keys without a replica that the store's rate limit delays
 	acks               map[uint64]*leaving
-	lastPlacement      clock.Tick
+	lastPlacement      clock.Instant
 	placementPause     clock.Span // until the next placement pass
-	fleet              serverIndex
+	serverIndex        serverIndex
 	disks              diskIndex
 	linkSet            linkSet
 	workload           *workload.Index
 	tokensInProgress   map[ident.Server]int // tokens in progress from all routers, by server
 	lastAckID          uint64
-	registriesReceived map[ident.Node]ident.Inc // core nodes whose list of enrolled servers this leader has received
-	recovered          map[ident.Node]ident.Inc // core nodes whose list this node has received since it lost its disk
-	rollWhole          bool                     // this node has heard of all acknowledged departures, or never lost any
-	lastRegistryQuery  clock.Tick
-	begun              []clock.Tick // when the recent loads began
+	registriesReceived map[ident.Node]ident.Incarnation // core nodes whose list of enrolled servers this leader has received
+	recovered          map[ident.Node]ident.Incarnation // core nodes whose list this node has received since it lost its disk
+	departuresComplete bool                             // this node has heard of all acknowledged departures, or never lost any
+	lastRegistryQuery  clock.Instant
+	loadStarts         []clock.Instant // when the recent loads began
 	tally              Tally
 	began              bool
-	ackedEpoch         ident.Epoch       // the highest epoch that this node has acknowledged
-	ending             bool              // a planned stop is in progress; the lease is no longer claimed
-	rollout            rollout           // rollout of the newest configuration, while this node is the leader
-	versions           []version         // versions chosen during this node's term, oldest first
-	newest             *protocol.Desired // as sent to routers
-	newestBytes        *protocol.Packed  // the same, encoded once for all routers
-	stall              clock.Stall       // stalls of this process
+	ackedEpoch         ident.Epoch              // the highest epoch that this node has acknowledged
+	stopping           bool                     // a planned stop is in progress; the lease is no longer claimed
+	rollout            rollout                  // rollout of the newest configuration, while this node is the leader
+	versions           []version                // versions chosen during this node's term, oldest first
+	newest             *protocol.Desired        // as sent to routers
+	newestBytes        *protocol.SharedEncoding // the same, encoded once for all routers
+	stall              clock.StallDetector      // stalls of this process
 }
 
 // Tally counts a core node's operations; its fields are published as metrics.
@@ -204,59 +204,59 @@
 func New(o Options) *Core {
 	o = o.Defaults()
 	c := &Core{
-		o: o, diskPart: diskPartBegin, tokenTimes: map[ident.Key]pace{},
-		fleet: newServerIndex(), disks: diskIndex{}, linkSet: newLinkSet(), workload: workload.NewIndex(),
-		links: map[protocol.Session]*link{}, tombs: map[protocol.Session]clock.Tick{},
+		o: o, diskPart: initialDiskLoadFraction, tokenTimes: map[ident.Key]tokenPace{},
+		serverIndex: newServerIndex(), disks: diskIndex{}, linkSet: newLinkSet(), workload: workload.NewIndex(),
+		links: map[protocol.Session]*link{}, endedSessions: map[protocol.Session]clock.Instant{},
 		servers: map[ident.Server]*server{}, entries: map[ident.Key]*entry{},
-		pendingAsks: map[uint64]func(protocol.Told){}, saves: map[uint64]func(){}, forwards: forwards{open: map[uint64]*pendingChange{}},
-		demand: map[ident.Key]*need{}, moves: map[ident.Key]*shift{}, empty: map[ident.Zone]bool{},
-		tokensInProgress: map[ident.Server]int{}, roll: map[ident.Server]*enrolled{}, acks: map[uint64]*leaving{}, registriesReceived: map[ident.Node]ident.Inc{}, recovered: map[ident.Node]ident.Inc{},
+		pendingAsks: map[uint64]func(protocol.HTTPResult){}, continuations: map[uint64]func(){}, forwards: forwards{pending: map[uint64]*pendingChange{}},
+		demand: map[ident.Key]*keyDemand{}, moves: map[ident.Key]*replicaMove{}, empty: map[ident.Zone]bool{},
+		tokensInProgress: map[ident.Server]int{}, enrolledServers: map[ident.Server]*enrolled{}, acks: map[uint64]*leaving{}, registriesReceived: map[ident.Node]ident.Incarnation{}, recovered: map[ident.Node]ident.Incarnation{},
 	}
-	c.mates = membership.New(membership.Options{
-		Me:    protocol.Member{Sibling: o.Me, Role: "controller", Zone: o.Zone, Inc: o.Inc},
+	c.members = membership.New(membership.Options{
+		Self:  protocol.Member{Peer: o.Self, Role: "controller", Zone: o.Zone, Incarnation: o.Inc},
 		Seeds: o.Seeds, Rand: o.Rand,
 	})
-	c.reg.init(o.Inc)
-	c.stall.Least = minStall
-	c.lastAckID, c.eye.round = roundBaseOf(o.Inc), roundBaseOf(o.Inc)
+	c.register.init(o.Inc)
+	c.stall.MinGap = minStall
+	c.lastAckID, c.reachability.round = roundBaseOf(o.Inc), roundBaseOf(o.Inc)
 	return c
 }
 
 // Step handles one input and returns the resulting outputs.
-func (c *Core) Step(now clock.Tick, in any) []any {
+func (c *Core) Step(now clock.Instant, in any) []any {
 	c.now, c.out = now, nil
 	switch v := in.(type) {
 	case protocol.Start:
 		c.onStart(v)
 	case protocol.Saved:
-		if f := c.saves[v.Token]; f != nil {
-			delete(c.saves, v.Token)
+		if f := c.continuations[v.Token]; f != nil {
+			delete(c.continuations, v.Token)
 			f()
 		}
 	case protocol.Computed:
-		if f := c.saves[v.Token]; f != nil {
-			delete(c.saves, v.Token)
+		if f := c.continuations[v.Token]; f != nil {
+			delete(c.continuations, v.Token)
 			f()
 		}
-	case protocol.Told:
+	case protocol.HTTPResult:
 		if f := c.pendingAsks[v.Token]; f != nil {
 			delete(c.pendingAsks, v.Token)
 			f(v)
 		}
-	case protocol.Env:
+	case protocol.Envelope:
 		c.dispatch(v)
 	case Admin:
 		c.admin(v)
 	case Announce:
 		c.onAnnounce(v)
-	case protocol.Reseed:
+	case protocol.SeedsChanged:
 		c.updateSeeds(v.Seeds)
 	case protocol.Stop:
 		c.beginStop()
-	case protocol.Beat:
+	case protocol.TimerTick:
 		switch {
 		case !c.began:
-		case c.ending:
+		case c.stopping:
 			c.tickStopping()
 		default:
 			c.tick()
@@ -267,14 +267,14 @@
 }
 
 // dispatch passes a message to the membership protocol or to the handler of its kind.
-func (c *Core) dispatch(e protocol.Env) {
+func (c *Core) dispatch(e protocol.Envelope) {
 	if !c.began {
 		return
 	}
-	if e.To.ID != "" && e.To.ID != c.o.Me.ID {
+	if e.To.ID != "" && e.To.ID != c.o.Self.ID {
 		return
 	}
-	if l, mine := c.mates.Take(c.now, e); mine {
+	if l, mine := c.members.Receive(c.now, e); mine {
 		c.emit(l...)
 		return
 	}
@@ -284,10 +284,10 @@
 }
 
 // handlers maps each kind of message to its handler.
-var handlers map[string]func(*Core, protocol.Env)
+var handlers map[string]func(*Core, protocol.Envelope)
 
 func init() {
-	handlers = map[string]func(*Core, protocol.Env){
+	handlers = map[string]func(*Core, protocol.Envelope){
 		"Prepare": (*Core).onPrepare, "Accept": (*Core).onAccept, "Query": (*Core).onQuery, "Release": (*Core).onRelease, "Fetch": (*Core).onFetch,
 		"Promise": (*Core).onPromise, "Accepted": (*Core).onAccepted, "State": (*Core).onState, "Value": (*Core).onValue,
 		"Listing": (*Core).onServerList, "Look": (*Core).onReachQuery, "Looked": (*Core).onReachReply,
@@ -301,95 +301,95 @@
 const minStall = clock.Span(250e6)
 
 func (c *Core) tick() {
-	if gap := c.stall.Beat(c.now); gap > 0 {
+	if gap := c.stall.Observe(c.now); gap > 0 {
 		c.tally.Stalls++
-		c.note("process stalled", field("ms", gap.Milliseconds()), field("owns", c.rules()))
+		c.logEvent("process stalled", field("ms", gap.Milliseconds()), field("owns", c.holdsLease()))
 	}
-	c.emit(c.mates.Beat(c.now)...)
+	c.emit(c.members.Tick(c.now)...)
 	c.tickRegister()
 	c.tickLeadership()
-	c.beatLinks()
-	c.beatRoll()
-	c.beatPlace()
+	c.tickLinks()
+	c.updateRegistry()
+	c.tickPlacement()
 }
 
 // updateSeeds replaces the seeds. While a core may still form from the initial seeds, they are kept.
-func (c *Core) updateSeeds(seeds []protocol.Sibling) {
-	if c.latest() == nil && !c.o.Joined {
+func (c *Core) updateSeeds(seeds []protocol.Peer) {
+	if c.latest() == nil && !c.o.CoreExists {
 		return
 	}
 	c.o.Seeds = seeds
-	c.mates.Reseed(seeds)
+	c.members.SetSeeds(seeds)
 }
 
 // tickStopping keeps a stopping node among the voters until a spare has its seat.
 func (c *Core) tickStopping() {
-	c.emit(c.mates.Beat(c.now)...)
+	c.emit(c.members.Tick(c.now)...)
 	c.tickRegister()
 }
 
-func (c *Core) emit(l ...protocol.Env) {
+func (c *Core) emit(l ...protocol.Envelope) {
 	for _, e := range l {
 		c.out = append(c.out, e)
 	}
 }
 
-func (c *Core) send(to protocol.Sibling, body any) {
-	c.emit(protocol.Env{From: c.o.Me, To: to, Body: body})
+func (c *Core) send(to protocol.Peer, body any) {
+	c.emit(protocol.Envelope{From: c.o.Self, To: to, Body: body})
 }
 
-func (c *Core) reply(e protocol.Env, body any) { c.emit(e.Reply(c.o.Me, body)) }
+func (c *Core) reply(e protocol.Envelope, body any) { c.emit(e.Reply(c.o.Self, body)) }
 
 // save writes entries to disk, and calls then once they are durable.
 func (c *Core) save(puts map[string][]byte, then func()) {
 	c.token++
-	c.saves[c.token] = then
+	c.continuations[c.token] = then
 	c.out = append(c.out, protocol.Save{Token: c.token, Puts: puts})
 }
 
 // compute requests that run be executed concurrently with the core, and calls then once run is done.
 func (c *Core) compute(run, then func()) {
 	c.token++
-	c.saves[c.token], c.out = then, append(c.out, protocol.Compute{Token: c.token, Run: run})
+	c.continuations[c.token], c.out = then, append(c.out, protocol.Compute{Token: c.token, Run: run})
 }
 
-func (c *Core) ask(addr, path string, body any, wait clock.Span, then func(protocol.Told)) {
+func (c *Core) ask(addr, path string, body any, wait clock.Span, then func(protocol.HTTPResult)) {
 	c.queueAsk("", addr, path, body, wait, then)
 }
 
 // askServer sends a request or an order to one server. The request names the server, because an address is no
 // identity: another server may have received the address since, and must neither carry out the order nor answer
 // for the intended server.
-func (c *Core) askServer(s *server, path string, order protocol.Order, then func(protocol.Told)) {
-	c.queueAsk(s.ID, s.Addr, path, order, c.o.Wait, then)
+func (c *Core) askServer(s *server, path string, order protocol.Order, then func(protocol.HTTPResult)) {
+	c.queueAsk(s.ID, s.Addr, path, order, c.o.ServerTimeout, then)
 }
 
-func (c *Core) queueAsk(server ident.Server, addr, path string, body any, wait clock.Span, then func(protocol.Told)) {
+func (c *Core) queueAsk(server ident.Server, addr, path string, body any, wait clock.Span, then func(protocol.HTTPResult)) {
 	c.token++
 	c.pendingAsks[c.token] = then
-	a := protocol.Ask{Token: c.token, Addr: addr, Server: server, Path: path, Body: body, Wait: wait}
+	a := protocol.HTTPRequest{Token: c.token, Addr: addr, Server: server, Path: path, Body: body, Timeout: wait}
 	if o, ok := body.(protocol.Order); ok {
-		a.Kept = o.Op == "" && c.o.Unfenced
+		a.ReuseConn = o.Op == "" && c.o.Unfenced
 	}
-	if c.duty.mine {
-		a.Until = c.duty.until(c) // a leader that was suspended must not send orders after its lease has expired
+	if c.leadership.held {
+		a.NotAfter = c.leadership.expiresAt(c) // a leader that was suspended must not send orders after its lease has expired
 	}
 	c.out = append(c.out, a)
 }
 
 // logEvent logs an event with its fields.
-func (c *Core) note(s string, fields ...protocol.Field) {
-	c.out = append(c.out, protocol.Note{Text: s, Fields: fields})
+func (c *Core) logEvent(s string, fields ...protocol.Field) {
+	c.out = append(c.out, protocol.LogLine{Text: s, Fields: fields})
 }
 
 // field returns a named value of a log line.
 func field(name string, value any) protocol.Field { return protocol.Field{Name: name, Value: value} }
 
 // logError logs an error.
-func (c *Core) oops(s string) { c.out = append(c.out, protocol.Oops{Text: s}) }
+func (c *Core) logError(s string) { c.out = append(c.out, protocol.ErrorReport{Text: s}) }
 
 // marshal encodes a value as JSON.
-func jot(v any) []byte {
+func marshal(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
 		panic(err) // only types of this program, which always encode, are passed
@@ -398,31 +398,31 @@
 }
 
 // countVisits counts the servers, replicas or links that a decision examines: its cost, independent of the machine.
-func (c *Core) visit(n int) { c.tally.Visits += uint64(n) }
+func (c *Core) countVisits(n int) { c.tally.Visits += uint64(n) }
 
 // Counts returns the tally so far.
 func (c *Core) Counts() Tally { return c.tally }
 
 // Owns reports whether this node holds the leadership lease now, and returns its term.
-func (c *Core) Owns(now clock.Tick) (ident.Duty, bool) {
-	return c.duty.num, c.duty.mine && now <= c.duty.until(c)
+func (c *Core) Owns(now clock.Instant) (ident.Term, bool) {
+	return c.leadership.term, c.leadership.held && now <= c.leadership.expiresAt(c)
 }
 
 // Epoch returns the newest epoch that this node knows to be chosen, or 0.
 func (c *Core) Epoch() ident.Epoch {
-	if c.reg.known == nil {
+	if c.register.known == nil {
 		return 0
 	}
-	return c.reg.known.Epoch
+	return c.register.known.Epoch
 }
 
 // Ready reports whether this node can serve operators: it knows a voter set and hears a majority.
 func (c *Core) Ready() bool {
-	return c.reg.known != nil && c.reg.answered != 0 && c.now.Sub(c.reg.answered) < 3*c.o.Round+c.o.Duty
+	return c.register.known != nil && c.register.answered != 0 && c.now.Sub(c.register.answered) < 3*c.o.ReadInterval+c.o.LeadershipLease
 }
 
 // hearsMajority reports whether a majority of the core has answered this node within the length of a router's
 // lease.
 func (c *Core) hearsMajority() bool {
-	return c.reg.known != nil && c.reg.answered != 0 && c.now.Sub(c.reg.answered) < c.o.Hold
+	return c.register.known != nil && c.register.answered != 0 && c.now.Sub(c.register.answered) < c.o.RouterLease
 }
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -26,19 +26,19 @@
 )
 
 // keyDemand is the demand for one key.
-type need struct {
-	at           clock.Tick // time of the last report from any router
-	lookupAt     clock.Tick // time of the last lookup that reported more waiting requests than all renewals did
-	waitingSince clock.Tick // since when at least one request waits; zero if none does
-	wait         int        // waiting requests at all routers
-	value        int        // highest value among the waiting requests
-
-	arrivals    float64 // requests since the last rate update
-	workSeconds float64 // seconds of server time that these requests take
-	rate        float64 // requests per second, recent average
-	slow        float64 // requests per second, long-term average
-	load        float64 // servers' worth of work, recent average
-	now         float64 // servers' worth of work, current average
+type keyDemand struct {
+	reportedAt   clock.Instant // time of the last report from any router
+	lookupAt     clock.Instant // time of the last lookup that reported more waiting requests than all renewals did
+	waitingSince clock.Instant // since when at least one request waits; zero if none does
+	waiting      int           // waiting requests at all routers
+	value        int           // highest value among the waiting requests
+
+	arrivals     float64 // requests since the last rate update
+	workSeconds  float64 // seconds of server time that these requests take
+	rate         float64 // requests per second, recent average
+	longTermRate float64 // requests per second, long-term average
+	load         float64 // servers' worth of work, recent average
+	currentLoad  float64 // servers' worth of work, current average
 }
 
 // reportWaiting records how many requests wait for a key at one router, and the highest value among them.
@@ -51,40 +51,40 @@
 	}
 	n := c.demand[k]
 	if n == nil {
-		n = &need{}
+		n = &keyDemand{}
 		c.demand[k] = n
 	}
-	if wait == 0 && n.wait == 0 {
-		n.at = c.now // still no request waits
+	if wait == 0 && n.waiting == 0 {
+		n.reportedAt = c.now // still no request waits
 		return
 	}
-	c.visit(1)
-	c.workload.Expire(c.now.Add(-freshSpan))
+	c.countVisits(1)
+	c.workload.Expire(c.now.Add(-freshness))
 	n.report(c.now, wait, value, c.workload.Waiting(k))
 }
 
 // report combines the report of one router with the sum over the renewals of all routers. A lookup reports a
 // request before the next renewal of its router includes it. For lookupGrace, renewals of other routers
 // therefore don't reset the count.
-func (n *need) report(now clock.Tick, wait, value int, renewed workload.Waiting) {
-	stale := now.Sub(n.at) > freshSpan
+func (n *keyDemand) report(now clock.Instant, wait, value int, renewed workload.Waiting) {
+	stale := now.Sub(n.reportedAt) > freshness
 	switch {
 	case wait > renewed.Requests:
-		n.lookupAt, n.wait, n.value = now, wait, max(value, renewed.Value)
+		n.lookupAt, n.waiting, n.value = now, wait, max(value, renewed.Value)
 	case renewed.Requests > 0 || now.Sub(n.lookupAt) > lookupGrace:
-		n.wait, n.value = renewed.Requests, renewed.Value
+		n.waiting, n.value = renewed.Requests, renewed.Value
 	}
-	if n.wait == 0 || stale {
+	if n.waiting == 0 || stale {
 		n.waitingSince = 0
 	}
-	if n.wait > 0 && n.waitingSince == 0 {
+	if n.waiting > 0 && n.waitingSince == 0 {
 		n.waitingSince = now
 	}
-	n.at = now
+	n.reportedAt = now
 }
 
 // waitAge returns how many seconds requests have waited for a key, at most maxWaitAge.
-func (n *need) age(now clock.Tick) float64 {
+func (n *keyDemand) waitAge(now clock.Instant) float64 {
 	if n.waitingSince == 0 {
 		return 0
 	}
@@ -94,20 +94,20 @@
 // expireDemand deletes keys that no router has reported for demandRetention.
 func (c *Core) expireDemand() {
 	for key, n := range c.demand {
-		if c.now.Sub(n.at) > demandRetention {
+		if c.now.Sub(n.reportedAt) > demandRetention {
 			delete(c.demand, key)
 		}
 	}
 }
 
 // recordArrivals adds the requests that a router received since its last renewal.
-func (c *Core) recordArrivals(k ident.Key, keyLoad protocol.Burden) {
-	if c.asked == 0 && keyLoad.Came > 0 {
-		c.asked = c.now
+func (c *Core) recordArrivals(k ident.Key, keyLoad protocol.KeyLoad) {
+	if c.demandSince == 0 && keyLoad.Arrived > 0 {
+		c.demandSince = c.now
 	}
 	if n := c.demand[k]; n != nil {
-		n.arrivals += float64(keyLoad.Came)
-		n.workSeconds += keyLoad.Load
+		n.arrivals += float64(keyLoad.Arrived)
+		n.workSeconds += keyLoad.ServerSeconds
 	}
 }
 
@@ -122,16 +122,18 @@
 	late, slow := 1-math.Exp(-t/recentTimeConstant), 1-math.Exp(-t/longTimeConstant)
 	for _, n := range c.demand {
 		n.rate += (n.arrivals/t - n.rate) * late
-		n.slow += (n.arrivals/t - n.slow) * slow
+		n.longTermRate += (n.arrivals/t - n.longTermRate) * slow
 		n.load += (n.workSeconds/t - n.load) * late
-		n.now += (n.workSeconds/t - n.now) * (1 - math.Exp(-t/currentTimeConstant))
+		n.currentLoad += (n.workSeconds/t - n.currentLoad) * (1 - math.Exp(-t/currentTimeConstant))
 		n.arrivals, n.workSeconds = 0, 0
 	}
 }
 
 // forecastLoad predicts the load of a key at the time when a load that starts now completes. A rising load is
 // extrapolated by trendWeight; a falling load follows the slower average.
-func (n *need) forecastLoad() float64 { return math.Max(n.load, n.now+(n.now-n.load)*trendWeight) }
+func (n *keyDemand) forecastLoad() float64 {
+	return math.Max(n.load, n.currentLoad+(n.currentLoad-n.load)*trendWeight)
+}
 
 // updateTokensInProgress replaces what a router reported as running at each server.
 func (c *Core) updateTokensInProgress(l *link, seats map[ident.Server]int) {
@@ -152,8 +154,8 @@
 		return nil
 	}
 	m := map[ident.Server]int{}
-	for k := range l.holds {
-		c.visit(1)
+	for k := range l.callbacks {
+		c.countVisits(1)
 		if e := c.entries[k]; e != nil {
 			for _, r := range e.replicas {
 				if n := c.tokensInProgress[r.wire.Server]; n > 0 {
--- a/internal/controller/demand_test.go
+++ b/internal/controller/demand_test.go
@@ -40,30 +40,30 @@
 		{"a lookup that no renewal follows", []report{{router: 1, waiting: 1, value: 5, ask: true}, {router: 2}, {router: 2}, {router: 2}}, 0, 0, 0},
 		{"a router without messages for a long time", []report{{router: 1, waiting: 1, value: 5}, {silent: true}, {router: 2}}, 0, 0, 0},
 	} {
-		c := weighed(modelPlan(8, key), keys{"s1": {}})
+		c := newPlacementCore(modelPlan(8, key), heldKeys{"s1": {}})
 		for _, n := range []uint64{1, 2} {
-			session := protocol.Session{Node: "router", N: n}
-			c.addLink(&link{ses: session, until: c.now.Add(60e9), holds: map[ident.Key]uint64{}})
+			session := protocol.Session{Node: "router", Num: n}
+			c.addLink(&link{session: session, leaseEnd: c.now.Add(60e9), callbacks: map[ident.Key]uint64{}})
 		}
 		for i, r := range test.reports {
 			if i > 0 {
 				c.now = c.now.Add(interval)
 			}
-			session := protocol.Session{Node: "router", N: r.router}
+			session := protocol.Session{Node: "router", Num: r.router}
 			switch {
 			case r.silent:
-				c.now = c.now.Add(2 * freshSpan)
-				c.duty.asked = c.now // the node still holds the term
+				c.now = c.now.Add(2 * freshness)
+				c.leadership.renewedAt = c.now // the node still holds the term
 			case r.ask:
-				c.onEntryRequest(protocol.Env{Body: protocol.Want{Session: session, Key: key, Waiting: r.waiting, Value: r.value}})
+				c.onEntryRequest(protocol.Envelope{Body: protocol.EntryRequest{Session: session, Key: key, Waiting: r.waiting, Value: r.value}})
 			default:
-				keyLoad := protocol.Burden{Wait: r.waiting, Top: r.value, Came: 1}
-				c.onRenew(protocol.Env{Body: protocol.Renew{Session: session, Burden: map[ident.Key]protocol.Burden{key: keyLoad}}})
+				keyLoad := protocol.KeyLoad{Waiting: r.waiting, TopValue: r.value, Arrived: 1}
+				c.onRenew(protocol.Envelope{Body: protocol.Renew{Session: session, KeyLoads: map[ident.Key]protocol.KeyLoad{key: keyLoad}}})
 			}
 		}
 		n := c.demand[key]
 		require.NotNil(t, n, test.name)
-		require.Equal(t, test.waiting, n.wait, "%s: waiting requests", test.name)
+		require.Equal(t, test.waiting, n.waiting, "%s: waiting requests", test.name)
 		require.Equal(t, test.value, n.value, "%s: highest value among the waiting requests", test.name)
 		age := clock.Span(0)
 		if n.waitingSince != 0 {
--- a/internal/controller/enrol.go
+++ b/internal/controller/enrol.go
@@ -13,7 +13,7 @@
 // Announce passes a server's announcement to a core node.
 type Announce struct {
 	Token  uint64
-	Beacon protocol.Beacon
+	Beacon protocol.Announcement
 }
 
 // Announced answers Announce. OK is false if a departure is not yet known to the leader and to a majority.
@@ -24,11 +24,11 @@
 
 // enrolled is a core node's record of a server that has announced itself.
 type enrolled struct {
-	protocol.Beacon
-	heard          clock.Tick         // when the latest announcement arrived, directly or relayed
-	had            map[ident.Key]bool // models on the server's disk: true if certain, false if only held by an earlier start
+	protocol.Announcement
+	lastHeard      clock.Instant      // when the latest announcement arrived, directly or relayed
+	onDisk         map[ident.Key]bool // models on the server's disk: true if certain, false if only held by an earlier start
 	presumedGone   bool               // presumed gone because another start has its address
-	announcedAgain clock.Tick         // first announcement after that assumption
+	announcedAgain clock.Instant      // first announcement after that assumption
 }
 
 // recordHeld adds the models that a server reports to hold to those known to be on its disk.
@@ -43,10 +43,10 @@
 // not know.
 type leaving struct {
 	token         uint64
-	since         clock.Tick
-	lastSent      clock.Tick
-	announcements []protocol.Beacon
-	knownBy       map[ident.Node]ident.Inc
+	since         clock.Instant
+	lastSent      clock.Instant
+	announcements []protocol.Announcement
+	knownBy       map[ident.Node]ident.Incarnation
 	ownerKnows    bool
 }
 
@@ -61,32 +61,32 @@
 )
 
 // enrol processes a server's announcement, which may be delayed, and reports whether it contains anything new.
-func (c *Core) enrol(b protocol.Beacon) bool {
+func (c *Core) enrol(b protocol.Announcement) bool {
 	if b.ID == "" || stateRank[b.State] == 0 && b.State != "live" {
 		return false
 	}
-	e := c.roll[b.ID]
+	e := c.enrolledServers[b.ID]
 	if e == nil {
 		if b.Addr == "" && b.State != "gone" {
 			return false
 		}
-		e = &enrolled{Beacon: b, heard: c.now, had: map[ident.Key]bool{}}
+		e = &enrolled{Announcement: b, lastHeard: c.now, onDisk: map[ident.Key]bool{}}
 		// If another start had this address, that start is gone, but its disk may be the same.
-		for _, id := range generic.SortedKeys(c.roll) {
-			other := c.roll[id]
+		for _, id := range generic.SortedKeys(c.enrolledServers) {
+			other := c.enrolledServers[id]
 			if b.Addr == "" || other.Addr != b.Addr || b.State == "gone" {
 				continue
 			}
 			if other.Service == b.Service && other.Zone == b.Zone {
-				for k := range other.had {
-					e.had[k] = false
+				for k := range other.onDisk {
+					e.onDisk[k] = false
 				}
 			}
-			c.retire(other)
+			c.presumeGone(other)
 		}
 		c.noteEnrolled(b)
-		c.enlist(e)
-		c.recordHeld(e, b.Held)
+		c.addEnrolled(e)
+		c.recordHeld(e, b.ReadyKeys)
 		c.applyEnrolled(e)
 		return true
 	}
@@ -94,7 +94,7 @@
 		if e.State == "gone" && !e.presumedGone {
 			return false
 		}
-		e.State, e.presumedGone, e.heard = "gone", false, c.now
+		e.State, e.presumedGone, e.lastHeard = "gone", false, c.now
 		c.applyEnrolled(e)
 		return true
 	}
@@ -107,10 +107,10 @@
 		if e.announcedAgain == 0 {
 			e.announcedAgain = c.now
 		}
-		holder := clock.Tick(0)
-		for _, other := range c.roll {
+		holder := clock.Instant(0)
+		for _, other := range c.enrolledServers {
 			if other != e && other.Addr == b.Addr && other.State != "gone" {
-				holder = max(holder, other.heard)
+				holder = max(holder, other.lastHeard)
 			}
 		}
 		if c.now.Sub(e.announcedAgain) < relayInterval*5 || holder > e.announcedAgain {
@@ -120,36 +120,36 @@
 			return false
 		}
 		e.presumedGone, e.announcedAgain, e.State = false, 0, "live"
-		for _, id := range generic.SortedKeys(c.roll) {
-			if other := c.roll[id]; other != e && other.Addr == b.Addr {
-				c.retire(other)
+		for _, id := range generic.SortedKeys(c.enrolledServers) {
+			if other := c.enrolledServers[id]; other != e && other.Addr == b.Addr {
+				c.presumeGone(other)
 			}
 		}
 	}
 	if stateRank[b.State] < stateRank[e.State] {
 		b.State = e.State
 	}
-	previous := e.Beacon
-	e.Beacon, e.heard = b, c.now
-	c.recordHeld(e, b.Held)
-	if previous.State != b.State || previous.Listed != b.Listed {
+	previous := e.Announcement
+	e.Announcement, e.lastHeard = b, c.now
+	c.recordHeld(e, b.ReadyKeys)
+	if previous.State != b.State || previous.ListedServer != b.ListedServer {
 		c.applyEnrolled(e)
-	} else if s := c.servers[b.ID]; s != nil && s.dark && !s.silent(c) {
+	} else if s := c.servers[b.ID]; s != nil && s.unreachable && !s.silent(c) {
 		c.markReachable(s)
 	}
 	return true
 }
 
 // noteEnrolled counts and logs a new server.
-func (c *Core) noteEnrolled(b protocol.Beacon) {
+func (c *Core) noteEnrolled(b protocol.Announcement) {
 	c.tally.Enrolments++
-	c.note("server enrolled", field("server", b.ID), field("address", b.Addr), field("state", b.State))
+	c.logEvent("server enrolled", field("server", b.ID), field("address", b.Addr), field("state", b.State))
 }
 
 // presumeGone presumes that a server is gone because another start has its address.
-func (c *Core) retire(o *enrolled) {
+func (c *Core) presumeGone(o *enrolled) {
 	if o.State != "gone" {
-		c.note("server's address is now used by another start; the server is presumed gone", field("server", o.ID), field("address", o.Addr))
+		c.logEvent("server's address is now used by another start; the server is presumed gone", field("server", o.ID), field("address", o.Addr))
 		o.State, o.presumedGone = "gone", true
 		c.applyEnrolled(o)
 	}
@@ -157,23 +157,23 @@
 
 // silent reports whether an enrolled server has not announced itself for longer than allowed.
 func (s *server) silent(c *Core) bool {
-	e := c.roll[s.ID]
-	return e != nil && c.now.Sub(e.heard) > c.o.Silence
+	e := c.enrolledServers[s.ID]
+	return e != nil && c.now.Sub(e.lastHeard) > c.o.SilenceTimeout
 }
 
 // markReachable handles an announcement from a server that was unreachable.
 func (c *Core) markReachable(s *server) {
 	if s.plain {
-		s.dark, s.fails = false, 0
-		c.touchOn(s)
+		s.unreachable, s.failures = false, 0
+		c.refreshEntriesOf(s)
 		return
 	}
-	s.next = c.now // poll at once: the report lists what the server holds
+	s.nextPoll = c.now // poll at once: the report lists what the server holds
 }
 
 // applyEnrolled copies the record of one server into the leader's view.
 func (c *Core) applyEnrolled(e *enrolled) {
-	if !c.duty.mine || !c.o.Enrolled {
+	if !c.leadership.held || !c.o.Enrolled {
 		return
 	}
 	s := c.servers[e.ID]
@@ -181,21 +181,21 @@
 		if e.State == "gone" {
 			return
 		}
-		s = newServer(e.Listed, c.now)
+		s = newServer(e.ListedServer, c.now)
 		c.addServer(s)
 		c.applyService(s)
-		c.touchAll()
+		c.refreshAllEntries()
 		return
 	}
-	if s.Listed == e.Listed {
+	if s.ListedServer == e.ListedServer {
 		return
 	}
 	if s.Addr != e.Addr {
 		s.known = false
 	}
-	s.Listed = e.Listed
+	s.ListedServer = e.ListedServer
 	c.applyService(s)
-	c.touchOn(s)
+	c.refreshEntriesOf(s)
 }
 
 // applyService sets a server's properties from its announcement and from its service in the plan.
@@ -208,15 +208,15 @@
 		return
 	}
 	if s.slots = s.Slots; s.slots <= 0 {
-		s.slots = max(1, v.Slots)
+		s.slots = max(1, v.MaxRunning)
 	}
-	s.room, s.places, s.plain = v.Room, v.Places, v.Plain
+	s.room, s.places, s.plain = v.WeightCapacity, v.AdapterCapacity, v.Plain
 	for k, p := range s.replicas {
 		p.size = c.sizeOf(k) // the server may have reported it before the plan with its size was known
 	}
 	if s.plain && !s.known {
 		s.known, s.room = true, 0
-		c.touchOn(s)
+		c.refreshEntriesOf(s)
 	}
 }
 
@@ -224,14 +224,14 @@
 func (c *Core) onAnnounce(a Announce) {
 	b := a.Beacon
 	c.tally.Beacons++
-	if !c.began || c.ending {
+	if !c.began || c.stopping {
 		c.out = append(c.out, Announced{Token: a.Token})
 		return
 	}
-	known := c.roll[b.ID]
+	known := c.enrolledServers[b.ID]
 	first := known == nil || known.State != b.State
 	if b.State == "gone" && known != nil {
-		b.Listed, b.Count = known.Listed, known.Count
+		b.ListedServer, b.Count = known.ListedServer, known.Count
 		b.State = "gone"
 	}
 	if c.enrol(b) {
@@ -242,25 +242,25 @@
 			c.relayAnnouncements()
 		}
 		// A node without contact to the core answers not OK, so that the server tries another node.
-		c.out = append(c.out, Announced{Token: a.Token, OK: c.reg.known == nil && !c.o.Joined || c.Ready()})
+		c.out = append(c.out, Announced{Token: a.Token, OK: c.register.known == nil && !c.o.CoreExists || c.Ready()})
 		return
 	}
 	// A repeated departure is acknowledged like the first one, because the first answer may have been lost.
 	c.tally.Leaves++
 	c.lastAckID++
-	e := c.roll[b.ID]
+	e := c.enrolledServers[b.ID]
 	if e == nil {
 		c.out = append(c.out, Announced{Token: a.Token, OK: true}) // an unknown server: it was never offered
 		return
 	}
-	departure := &leaving{token: a.Token, since: c.now, announcements: []protocol.Beacon{e.Beacon}, knownBy: map[ident.Node]ident.Inc{}}
+	departure := &leaving{token: a.Token, since: c.now, announcements: []protocol.Announcement{e.Announcement}, knownBy: map[ident.Node]ident.Incarnation{}}
 	ackID := c.lastAckID
 	c.acks[ackID] = departure
-	departure.ownerKnows = c.rules()
+	departure.ownerKnows = c.holdsLease()
 	c.sendLeaving(ackID, departure)
 	c.persistLeavings(func() {
 		if c.acks[ackID] == departure {
-			departure.knownBy[c.o.Me.ID] = c.vote.inc
+			departure.knownBy[c.o.Self.ID] = c.acceptor.inc
 			c.tryAcknowledge(ackID, departure)
 		}
 	})
@@ -268,28 +268,28 @@
 
 // persistLeavings writes the servers that leave or are gone to disk before calling then, which may acknowledge them.
 func (c *Core) persistLeavings(then func()) {
-	var departing []protocol.Beacon
-	for _, id := range generic.SortedKeys(c.roll) {
-		if e := c.roll[id]; e.State != "live" && !e.presumedGone {
-			departing = append(departing, e.Beacon)
+	var departing []protocol.Announcement
+	for _, id := range generic.SortedKeys(c.enrolledServers) {
+		if e := c.enrolledServers[id]; e.State != "live" && !e.presumedGone {
+			departing = append(departing, e.Announcement)
 		}
 	}
-	encoded := jot(departing)
+	encoded := marshal(departing)
 	if string(encoded) == string(c.leavings) {
 		then()
 		return
 	}
-	c.save(map[string][]byte{diskR: encoded}, func() {
+	c.save(map[string][]byte{keyDepartures: encoded}, func() {
 		c.leavings = encoded
 		then()
 	})
 }
 
 // restoreLeavings restores the departing servers that were stored on disk.
-func (c *Core) recall(announcements []protocol.Beacon) {
+func (c *Core) restoreLeavings(announcements []protocol.Announcement) {
 	for _, b := range announcements {
 		if b.ID != "" {
-			c.enlist(&enrolled{Beacon: b, heard: c.now, had: map[ident.Key]bool{}})
+			c.addEnrolled(&enrolled{Announcement: b, lastHeard: c.now, onDisk: map[ident.Key]bool{}})
 		}
 	}
 }
@@ -298,23 +298,23 @@
 func (c *Core) sendLeaving(ackID uint64, departure *leaving) {
 	departure.lastSent = c.now
 	for _, peer := range c.others() {
-		c.send(peer, protocol.Beacons{Mark: ackID, List: departure.announcements})
+		c.send(peer, protocol.Announcements{AckID: ackID, Announcements: departure.announcements})
 	}
 }
 
 // others lists the other core nodes: voters and live members.
-func (c *Core) others() (nodes []protocol.Sibling) {
-	byID := map[ident.Node]protocol.Sibling{}
+func (c *Core) others() (nodes []protocol.Peer) {
+	byID := map[ident.Node]protocol.Peer{}
 	if value := c.latest(); value != nil {
-		for _, p := range voterset.Addresses(*value) {
+		for _, p := range voterset.Peers(*value) {
 			byID[p.ID] = p
 		}
 	}
-	for _, m := range c.mates.Alive("controller") {
-		byID[m.ID] = m.Sibling
+	for _, m := range c.members.Alive("controller") {
+		byID[m.ID] = m.Peer
 	}
 	for _, id := range generic.SortedKeys(byID) {
-		if id != c.o.Me.ID {
+		if id != c.o.Self.ID {
 			nodes = append(nodes, byID[id])
 		}
 	}
@@ -336,34 +336,36 @@
 // noteLeaving logs the outcome of a departure.
 func (c *Core) noteLeaving(text string, departure *leaving) {
 	for _, b := range departure.announcements {
-		c.note(text, field("server", b.ID), field("state", b.State), field("owner_knows", departure.ownerKnows),
+		c.logEvent(text, field("server", b.ID), field("state", b.State), field("owner_knows", departure.ownerKnows),
 			field("known_at", generic.SortedKeys(departure.knownBy)), field("took_ms", c.now.Sub(departure.since).Milliseconds()))
 	}
 }
 
 // onAnnouncements handles announcements that another core node relays.
-func (c *Core) onAnnouncements(e protocol.Env) {
-	b := e.Body.(protocol.Beacons)
-	for _, beacon := range b.List {
+func (c *Core) onAnnouncements(e protocol.Envelope) {
+	b := e.Body.(protocol.Announcements)
+	for _, beacon := range b.Announcements {
 		c.enrol(beacon)
 	}
-	if b.Mark != 0 && !c.ending {
-		c.persistLeavings(func() { c.reply(e, protocol.BeaconsHeard{Mark: b.Mark, Inc: c.vote.inc, Ruled: c.rules()}) })
+	if b.AckID != 0 && !c.stopping {
+		c.persistLeavings(func() {
+			c.reply(e, protocol.AnnouncementsAck{AckID: b.AckID, Incarnation: c.acceptor.inc, OwnerConfirmed: c.holdsLease()})
+		})
 	}
 }
 
 // onAnnouncementsAck handles another node's confirmation that it has stored a departure.
-func (c *Core) onAnnouncementsAck(e protocol.Env) {
-	b := e.Body.(protocol.BeaconsHeard)
-	departure := c.acks[b.Mark]
+func (c *Core) onAnnouncementsAck(e protocol.Envelope) {
+	b := e.Body.(protocol.AnnouncementsAck)
+	departure := c.acks[b.AckID]
 	if departure == nil {
 		return
 	}
-	if b.Inc != 0 {
-		departure.knownBy[e.From.ID] = b.Inc
+	if b.Incarnation != 0 {
+		departure.knownBy[e.From.ID] = b.Incarnation
 	}
-	departure.ownerKnows = departure.ownerKnows || b.Ruled
-	c.tryAcknowledge(b.Mark, departure)
+	departure.ownerKnows = departure.ownerKnows || b.OwnerConfirmed
+	c.tryAcknowledge(b.AckID, departure)
 }
 
 // relayAnnouncements sends the announcements that this node has received to the other core nodes.
@@ -375,13 +377,13 @@
 	announcements := c.unrelayed
 	c.unrelayed = nil
 	for _, peer := range c.others() {
-		c.send(peer, protocol.Beacons{List: announcements})
+		c.send(peer, protocol.Announcements{Announcements: announcements})
 	}
 }
 
 // updateRegistry runs the periodic work of the registry: it relays announcements, gives up on departures that too few
 // nodes confirmed, requests missing registries, and has the leader check on silent servers.
-func (c *Core) beatRoll() {
+func (c *Core) updateRegistry() {
 	if !c.o.Enrolled {
 		return
 	}
@@ -397,27 +399,27 @@
 			c.noteLeaving("leaving not acknowledged: too few core nodes know of it", departure)
 			c.out = append(c.out, Announced{Token: departure.token})
 		case c.now.Sub(departure.lastSent) > leaveResendInterval:
-			departure.ownerKnows = departure.ownerKnows || c.rules()
+			departure.ownerKnows = departure.ownerKnows || c.holdsLease()
 			c.sendLeaving(ackID, departure)
 			c.tryAcknowledge(ackID, departure)
 		}
 	}
 	c.expireServers()
-	if !c.rollWhole {
+	if !c.departuresComplete {
 		c.requestRegistries()
 	}
-	if !c.rules() {
+	if !c.holdsLease() {
 		return
 	}
 	if !c.registryComplete() && c.now.Sub(c.lastRegistryQuery) > leaveResendInterval {
 		c.lastRegistryQuery = c.now
 		for _, peer := range c.others() {
-			c.send(peer, protocol.RollCall{Duty: c.duty.num, Life: c.o.Inc})
+			c.send(peer, protocol.RegistryQuery{Term: c.leadership.term, AskerIncarnation: c.o.Inc})
 		}
 	}
-	for _, s := range c.fleet.ordered {
-		if !s.dark && !s.asking && s.State != "gone" && s.silent(c) && c.now.Sub(s.asked) > c.o.Poll {
-			c.inquire(s)
+	for _, s := range c.serverIndex.sorted {
+		if !s.unreachable && !s.polling && s.State != "gone" && s.silent(c) && c.now.Sub(s.lastContact) > c.o.ReportInterval {
+			c.checkAlive(s)
 		}
 	}
 }
@@ -428,57 +430,57 @@
 // expireServers presumes that servers are gone after a long silence, and removes those that have been gone for a while.
 func (c *Core) expireServers() {
 	var expired []ident.Server
-	for id, e := range c.roll {
-		if silence := c.now.Sub(e.heard); e.State == "gone" && silence > goneEnrolmentRetention || e.State != "gone" && silence > goneAfterSilences*c.o.Silence {
+	for id, e := range c.enrolledServers {
+		if silence := c.now.Sub(e.lastHeard); e.State == "gone" && silence > goneEnrolmentRetention || e.State != "gone" && silence > goneAfterSilences*c.o.SilenceTimeout {
 			expired = append(expired, id)
 		}
 	}
 	slices.Sort(expired)
 	for _, id := range expired {
-		if e := c.roll[id]; e.State != "gone" {
+		if e := c.enrolledServers[id]; e.State != "gone" {
 			e.State = "gone"
 			c.applyEnrolled(e)
 		}
-		c.delist(id) // a later announcement enrols the server again
+		c.removeEnrolled(id) // a later announcement enrols the server again
 	}
 }
 
 // checkAlive polls a silent server, because its announcements may reach a core node that is disconnected from this one.
 // Only a server that doesn't answer either is marked unreachable.
-func (c *Core) inquire(s *server) {
+func (c *Core) checkAlive(s *server) {
 	if !s.plain {
-		c.survey(s)
+		c.requestReport(s)
 		return
 	}
-	s.asking, s.asked = true, c.now
-	duty := c.duty.num
-	c.askServer(s, c.plan.Services[s.Service].Probe, protocol.Order{Key: ident.ServiceKey(s.Service)}, func(t protocol.Told) {
-		if !c.duty.mine || c.duty.num != duty || c.servers[s.ID] != s {
+	s.polling, s.lastContact = true, c.now
+	duty := c.leadership.term
+	c.askServer(s, c.plan.Services[s.Service].Probe, protocol.Order{Key: ident.ServiceKey(s.Service)}, func(t protocol.HTTPResult) {
+		if !c.leadership.held || c.leadership.term != duty || c.servers[s.ID] != s {
 			return
 		}
-		s.asking = false
-		if t.OK && c.elsewhere(s, t) {
+		s.polling = false
+		if t.OK && c.answeredByOther(s, t) {
 			return
 		}
 		if t.OK {
-			c.spoke(s)
+			c.noteAnswer(s)
 			return
 		}
-		if s.fails++; s.fails > 1 && !s.dark {
-			s.dark = true
-			c.note("server is silent and does not answer", field("server", s.ID))
-			c.touchOn(s)
+		if s.failures++; s.failures > 1 && !s.unreachable {
+			s.unreachable = true
+			c.logEvent("server is silent and does not answer", field("server", s.ID))
+			c.refreshEntriesOf(s)
 		}
 	})
 }
 
 // noteAnswer records that a server has answered this leader, which counts like an announcement.
-func (c *Core) spoke(s *server) {
-	if e := c.roll[s.ID]; e != nil {
-		e.heard = c.now
+func (c *Core) noteAnswer(s *server) {
+	if e := c.enrolledServers[s.ID]; e != nil {
+		e.lastHeard = c.now
 	}
 	if s.plain {
-		s.fails = 0
+		s.failures = 0
 	}
 }
 
@@ -487,25 +489,25 @@
 // skipped: it is gone and was already removed here, or will announce itself soon. The other listed servers count as
 // silent from the start, so that they are polled at once: the start of a new term says nothing about whether they are
 // reachable.
-func (c *Core) callRoll() {
+func (c *Core) rebuildServers() {
 	taken := map[string]bool{}
-	for _, e := range c.roll {
+	for _, e := range c.enrolledServers {
 		taken[e.Addr] = taken[e.Addr] || e.State != "gone"
 	}
 	for _, x := range c.list.List {
-		if c.roll[x.ID] == nil && x.State != "gone" && !taken[x.Addr] {
-			c.enlist(&enrolled{Beacon: protocol.Beacon{Listed: x}, heard: c.now.Add(-c.o.Silence - 1), had: map[ident.Key]bool{}})
+		if c.enrolledServers[x.ID] == nil && x.State != "gone" && !taken[x.Addr] {
+			c.addEnrolled(&enrolled{Announcement: protocol.Announcement{ListedServer: x}, lastHeard: c.now.Add(-c.o.SilenceTimeout - 1), onDisk: map[ident.Key]bool{}})
 		}
 	}
-	for _, id := range generic.SortedKeys(c.roll) {
-		c.applyEnrolled(c.roll[id])
+	for _, id := range generic.SortedKeys(c.enrolledServers) {
+		c.applyEnrolled(c.enrolledServers[id])
 	}
-	c.listed = c.now
+	c.lastListRequest = c.now
 }
 
 // leavingServers lists the servers that this node knows to be leaving or gone.
-func (c *Core) knownToLeave() (servers []ident.Server) {
-	for id, e := range c.roll {
+func (c *Core) leavingServers() (servers []ident.Server) {
+	for id, e := range c.enrolledServers {
 		if e.State != "live" {
 			servers = append(servers, id)
 		}
@@ -515,26 +517,26 @@
 }
 
 // mayHaveOnDisk reports whether a server probably has a model on its own disk.
-func (c *Core) has(s *server, k ident.Key) bool {
+func (c *Core) mayHaveOnDisk(s *server, k ident.Key) bool {
 	_, ok := c.disks[k][s.ID]
 	return ok
 }
 
 // hasOnDisk reports whether a server certainly has a model on its own disk.
-func (c *Core) sure(s *server, k ident.Key) bool {
+func (c *Core) hasOnDisk(s *server, k ident.Key) bool {
 	return c.disks[k][s.ID]
 }
 
 // onRegistryQuery sends this node's registry.
-func (c *Core) onRegistryQuery(e protocol.Env) {
-	var announcements []protocol.Beacon
-	for _, id := range generic.SortedKeys(c.roll) {
-		if record := c.roll[id]; !record.presumedGone {
-			announcements = append(announcements, record.Beacon)
+func (c *Core) onRegistryQuery(e protocol.Envelope) {
+	var announcements []protocol.Announcement
+	for _, id := range generic.SortedKeys(c.enrolledServers) {
+		if record := c.enrolledServers[id]; !record.presumedGone {
+			announcements = append(announcements, record.Announcement)
 		}
 	}
-	request := e.Body.(protocol.RollCall)
-	c.reply(e, protocol.Roll{Duty: request.Duty, Life: request.Life, Inc: c.vote.inc, Partial: !c.rollWhole, List: announcements})
+	request := e.Body.(protocol.RegistryQuery)
+	c.reply(e, protocol.RegistryReply{Term: request.Term, AskerIncarnation: request.AskerIncarnation, Incarnation: c.acceptor.inc, Partial: !c.departuresComplete, Announcements: announcements})
 }
 
 // requestRegistries asks the other nodes for their registries. It runs at a node with a new disk, which has lost the
@@ -546,47 +548,47 @@
 	}
 	c.lastRegistryQuery = c.now
 	for _, peer := range c.others() {
-		c.send(peer, protocol.RollCall{Life: c.o.Inc})
+		c.send(peer, protocol.RegistryQuery{AskerIncarnation: c.o.Inc})
 	}
 }
 
 // finishRecovery marks this node's registry as complete once it has merged a majority's registries and stored them on
 // disk.
 func (c *Core) finishRecovery() {
-	if c.reg.known == nil || !voterset.Majority(*c.reg.known, c.recovered) {
+	if c.register.known == nil || !voterset.Majority(*c.register.known, c.recovered) {
 		return
 	}
 	c.persistLeavings(func() {
-		c.rollWhole = true
-		c.registriesReceived[c.o.Me.ID] = c.vote.inc
+		c.departuresComplete = true
+		c.registriesReceived[c.o.Self.ID] = c.acceptor.inc
 	})
 }
 
 // registryComplete reports whether the leader has merged the registries of a majority, which contain every acknowledged
 // departure.
 func (c *Core) registryComplete() bool {
-	return !c.o.Enrolled || c.reg.known != nil && voterset.Majority(*c.reg.known, c.registriesReceived)
+	return !c.o.Enrolled || c.register.known != nil && voterset.Majority(*c.register.known, c.registriesReceived)
 }
 
 // onRegistryReply merges another node's registry.
-func (c *Core) onRegistryReply(e protocol.Env) {
-	b := e.Body.(protocol.Roll)
-	for _, beacon := range b.List {
+func (c *Core) onRegistryReply(e protocol.Envelope) {
+	b := e.Body.(protocol.RegistryReply)
+	for _, beacon := range b.Announcements {
 		c.enrol(beacon)
 	}
-	if b.Partial || b.Life != c.o.Inc {
+	if b.Partial || b.AskerIncarnation != c.o.Inc {
 		return // may lack departures that were acknowledged since
 	}
-	if !c.rollWhole {
-		c.recovered[e.From.ID] = b.Inc
+	if !c.departuresComplete {
+		c.recovered[e.From.ID] = b.Incarnation
 		c.finishRecovery()
 	}
-	if !c.duty.mine || b.Duty != c.duty.num {
+	if !c.leadership.held || b.Term != c.leadership.term {
 		return
 	}
 	wasComplete := c.registryComplete()
-	c.registriesReceived[e.From.ID] = b.Inc
+	c.registriesReceived[e.From.ID] = b.Incarnation
 	if !wasComplete && c.registryComplete() {
-		c.touchAll()
+		c.refreshAllEntries()
 	}
 }
--- a/internal/controller/enrol_test.go
+++ b/internal/controller/enrol_test.go
@@ -50,7 +50,7 @@
 			b.Addr = w.addr
 			require.Equal(t, c.isNew[i], k.enrol(b), "%s: announcement %d", c.name, i+1)
 		}
-		e := k.roll["s"]
+		e := k.enrolledServers["s"]
 		if c.state == "" {
 			require.Nil(t, e, c.name)
 			continue
@@ -66,23 +66,23 @@
 	c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
 	m := c.serve("old", "llm|m")
 	r := c.route("r")
-	r.keyLoads["llm|m"] = protocol.Burden{Came: 1}
+	r.keyLoads["llm|m"] = protocol.KeyLoad{Arrived: 1}
 	require.True(t, c.until(9e9, func() bool { return r.sends("llm|m", "old") }))
 	delete(c.models, m.Addr)
 	n := c.serve("new")
 	delete(c.models, n.Addr)
 	n.Addr = m.Addr
 	c.models[n.Addr] = n
-	require.True(t, c.until(9e9, func() bool { return c.lead().servers["new"] != nil }))
+	require.True(t, c.until(9e9, func() bool { return c.leader().servers["new"] != nil }))
 	c.run(100e6)
-	require.Equal(t, "gone", c.lead().roll["old"].State)
+	require.Equal(t, "gone", c.leader().enrolledServers["old"].State)
 	require.False(t, r.sends("llm|m", "old"), "no requests go to the address under the old id")
 	c.announce(c.owner(), newAnnouncement("old", "live", 99))
-	c.announce(c.other(), newAnnouncement("old", "live", 98))
+	c.announce(c.follower(), newAnnouncement("old", "live", 98))
 	c.run(400e6)
 	for id, k := range c.nodes {
-		require.Equal(t, "gone", k.roll["old"].State, id)
-		require.Equal(t, "live", k.roll["new"].State, id)
+		require.Equal(t, "gone", k.enrolledServers["old"].State, id)
+		require.Equal(t, "live", k.enrolledServers["new"].State, id)
 	}
 }
 
@@ -93,14 +93,14 @@
 		s := ident.Server("s" + id)
 		ok, answered := c.announce(id, newAnnouncement(string(s), "live", 1))
 		require.True(t, ok && answered)
-		require.NotNil(t, c.lead().servers[s], "the leader knows of a new server at once")
+		require.NotNil(t, c.leader().servers[s], "the leader knows of a new server at once")
 		c.announce(id, newAnnouncement(string(s), "live", 2))
 		c.run(300e6)
 		for n, k := range c.nodes {
-			require.NotNil(t, k.roll[s], n)
-			require.EqualValues(t, 2, k.roll[s].Count, n)
+			require.NotNil(t, k.enrolledServers[s], n)
+			require.EqualValues(t, 2, k.enrolledServers[s].Count, n)
 		}
-		require.Len(t, c.lead().servers, i+1)
+		require.Len(t, c.leader().servers, i+1)
 	}
 }
 
@@ -132,7 +132,7 @@
 			c.announce("c", newAnnouncement("s", "live", 1))
 			c.run(500e6)
 			for _, id := range x.parted {
-				c.parted[id] = true
+				c.partitioned[id] = true
 			}
 			at := c.at
 			b := newAnnouncement("s", state, 2)
@@ -140,7 +140,7 @@
 			token := c.token
 			heal := func() {
 				if x.heal != 0 && c.at.Sub(at) >= x.heal {
-					c.parted = map[string]bool{}
+					c.partitioned = map[string]bool{}
 				}
 			}
 			ok := false
@@ -155,7 +155,7 @@
 			if !ok {
 				continue
 			}
-			require.Equal(t, state, c.nodes["a"].roll["s"].State, "%s: the leader knows", x.name)
+			require.Equal(t, state, c.nodes["a"].enrolledServers["s"].State, "%s: the leader knows", x.name)
 			ok, answered = c.announce(x.receiver, b) // the first answer may have been lost
 			require.True(t, c.until(1e9, func() bool { ok, answered = c.answer(c.token); return answered }), x.name)
 			require.True(t, ok, "%s: a repeat is answered like the first", x.name)
@@ -167,7 +167,7 @@
 func TestUnknownGoing(t *testing.T) {
 	c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
 	for _, id := range generic.SortedKeys(c.nodes) {
-		b := protocol.Beacon{Listed: protocol.Listed{ID: "nobody", State: "gone"}}
+		b := protocol.Announcement{ListedServer: protocol.ListedServer{ID: "nobody", State: "gone"}}
 		ok, answered := c.announce(id, b)
 		if !answered {
 			c.run(1e9)
@@ -175,7 +175,7 @@
 		}
 		require.True(t, ok, id)
 	}
-	require.Empty(t, c.lead().servers)
+	require.Empty(t, c.leader().servers)
 }
 
 // No router may send to a server whose departure is acknowledged: its promises are broken before, or expire with the
@@ -185,17 +185,17 @@
 	m := c.serve("s", "llm|m")
 	r, stuck := c.route("r"), c.route("stuck")
 	for _, x := range []*router{r, stuck} {
-		x.keyLoads["llm|m"] = protocol.Burden{Came: 1}
+		x.keyLoads["llm|m"] = protocol.KeyLoad{Arrived: 1}
 	}
 	require.True(t, c.until(9e9, func() bool { return r.sends("llm|m", "s") && stuck.sends("llm|m", "s") }))
-	stuck.holdup = true
-	m.silent = true
+	stuck.withholdAcks = true
+	m.unannounced = true
 	b := newAnnouncement("s", "leaving", 99)
 	ok, _ := c.announce("b", b)
 	require.True(t, ok)
 	c.run(20e6)
 	require.False(t, r.sends("llm|m", "s"))
-	c.run(c.lead().o.Hold)
+	c.run(c.leader().o.RouterLease)
 	require.False(t, stuck.sends("llm|m", "s"), "the lease is not extended after a promise is broken")
 }
 
@@ -206,9 +206,9 @@
 	m, w := c.serve("s", "llm|m"), c.serve("w")
 	w.Service = "web"
 	r := c.route("r")
-	r.keyLoads["llm|m"], r.keyLoads["web|"] = protocol.Burden{Came: 1}, protocol.Burden{Came: 1}
+	r.keyLoads["llm|m"], r.keyLoads["web|"] = protocol.KeyLoad{Arrived: 1}, protocol.KeyLoad{Arrived: 1}
 	require.True(t, c.until(9e9, func() bool { return r.sends("llm|m", "s") && r.sends("web|", "w") }))
-	m.silent, w.silent = true, true
+	m.unannounced, w.unannounced = true, true
 	for range 1000 {
 		c.tick()
 		require.True(t, r.sends("llm|m", "s"))
@@ -221,17 +221,17 @@
 	c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
 	m := c.serve("s", "llm|m")
 	r := c.route("r")
-	r.keyLoads["llm|m"] = protocol.Burden{Came: 1}
+	r.keyLoads["llm|m"] = protocol.KeyLoad{Arrived: 1}
 	require.True(t, c.until(9e9, func() bool { return r.sends("llm|m", "s") }))
 	c.run(10e9)
 	require.True(t, r.sends("llm|m", "s"), "the server announces itself")
-	m.silent, m.mute = true, true
-	c.run(c.lead().o.Silence - 1100e6)
+	m.unannounced, m.unresponsive = true, true
+	c.run(c.leader().o.SilenceTimeout - 1100e6)
 	require.True(t, r.sends("llm|m", "s"), "the next announcement is not overdue yet")
-	c.run(1500e6 + 2*(c.lead().o.Wait+c.lead().o.Poll))
+	c.run(1500e6 + 2*(c.leader().o.ServerTimeout+c.leader().o.ReportInterval))
 	require.False(t, r.sends("llm|m", "s"))
-	require.True(t, c.lead().servers["s"].dark)
-	m.silent, m.mute = false, false
+	require.True(t, c.leader().servers["s"].unreachable)
+	m.unannounced, m.unresponsive = false, false
 	require.True(t, c.until(2e9, func() bool { return r.sends("llm|m", "s") }), "an announcement makes it reachable again")
 }
 
@@ -242,16 +242,16 @@
 	w := c.serve("w")
 	w.Service = "web"
 	c.run(3e9)
-	require.Len(t, c.lead().servers, 2)
-	require.Empty(t, c.ops)
+	require.Len(t, c.leader().servers, 2)
+	require.Empty(t, c.sentOrders)
 	p := modelPlan(12, "llm|m", "llm|n")
-	p.Models["llm|n"] = fleetplan.Model{Key: "llm|n", Size: 4, Floor: 1, Most: 1, Load: 1e9}
+	p.Models["llm|n"] = fleetplan.Model{Key: "llm|n", Size: 4, MinReplicas: 1, MaxReplicas: 1, LoadTime: 1e9}
 	c.plans["new"] = p
 	got := c.admin("b", Admin{Op: "put", Raw: []byte("new"), Expect: 0, Number: 7})
 	require.True(t, c.until(2e9, func() bool { return got() != nil }))
 	require.Equal(t, failure.None, got().Kind)
 	r := c.route("r")
-	r.keyLoads["llm|m"], r.keyLoads["web|"] = protocol.Burden{Came: 1}, protocol.Burden{Came: 1}
+	r.keyLoads["llm|m"], r.keyLoads["web|"] = protocol.KeyLoad{Arrived: 1}, protocol.KeyLoad{Arrived: 1}
 	require.True(t, c.until(3e9, func() bool { return r.sends("llm|m", "s") && r.sends("web|", "w") }))
 	require.True(t, c.until(9e9, func() bool { return m.holds["llm|n"] }), "the floor of n is met")
 }
@@ -263,7 +263,7 @@
 	s, w := c.serve("s", "llm|m"), c.serve("w")
 	w.Service = "web"
 	r := c.route("r")
-	r.keyLoads["llm|m"], r.keyLoads["web|"] = protocol.Burden{Came: 1}, protocol.Burden{Came: 1}
+	r.keyLoads["llm|m"], r.keyLoads["web|"] = protocol.KeyLoad{Arrived: 1}, protocol.KeyLoad{Arrived: 1}
 	require.True(t, c.until(9e9, func() bool { return r.sends("llm|m", "s") && r.sends("web|", "w") }))
 	c.run(1e9)
 	for _, id := range []string{"b", "c"} {
@@ -272,17 +272,17 @@
 	for _, known := range []bool{true, false} {
 		if !known {
 			for _, id := range generic.SortedKeys(c.nodes) {
-				c.nodes[id].roll = map[ident.Server]*enrolled{} // as after a restart
+				c.nodes[id].enrolledServers = map[ident.Server]*enrolled{} // as after a restart
 			}
 		}
-		s.silent, w.silent = true, true
+		s.unannounced, w.unannounced = true, true
 		was := c.owner()
-		c.parted[was] = true
+		c.partitioned[was] = true
 		require.True(t, c.until(5e9, func() bool { return c.owner() != "" && c.owner() != was }))
-		require.Len(t, c.lead().servers, 2)
+		require.Len(t, c.leader().servers, 2)
 		require.True(t, c.until(3e9, func() bool { return r.sends("llm|m", "s") && r.sends("web|", "w") }))
-		c.parted = map[string]bool{}
-		s.silent, w.silent = false, false
+		c.partitioned = map[string]bool{}
+		s.unannounced, w.unannounced = false, false
 		c.run(4e9)
 	}
 }
@@ -291,20 +291,20 @@
 func TestPlainServers(t *testing.T) {
 	c := newCluster(t, modelPlan(8, "llm|m", "llm|n", "llm|o"), "a")
 	r := c.route("r")
-	r.keyLoads["web|"] = protocol.Burden{Came: 5, Load: 1}
+	r.keyLoads["web|"] = protocol.KeyLoad{Arrived: 5, ServerSeconds: 1}
 	c.run(2e9)
 	w := c.serve("w")
 	w.Service = "web"
 	require.True(t, c.until(600e6, func() bool { return r.sends("web|", "w") }))
 	c.serve("s", "llm|m", "llm|n")
-	r.keyLoads["llm|o"] = protocol.Burden{Wait: 5, Came: 5, Load: 1}
+	r.keyLoads["llm|o"] = protocol.KeyLoad{Waiting: 5, Arrived: 5, ServerSeconds: 1}
 	delete(r.keyLoads, "web|")
 	c.run(20e9)
-	r.keyLoads["web|"] = protocol.Burden{Came: 1}
+	r.keyLoads["web|"] = protocol.KeyLoad{Arrived: 1}
 	c.run(1e9)
 	require.True(t, r.sends("web|", "w"))
-	require.NotEmpty(t, c.ops)
-	for _, o := range c.ops {
+	require.NotEmpty(t, c.sentOrders)
+	for _, o := range c.sentOrders {
 		require.NotEqual(t, w.Addr, o.addr)
 	}
 }
@@ -314,18 +314,18 @@
 func TestServersOfferedWithoutModel(t *testing.T) {
 	c := newCluster(t, modelPlan(8, "llm|m", "llm|n", "llm|o"), "a", "b", "c")
 	r := c.route("r")
-	r.keyLoads["llm|"] = protocol.Burden{Came: 5, Load: 1}
+	r.keyLoads["llm|"] = protocol.KeyLoad{Arrived: 5, ServerSeconds: 1}
 	c.serve("s", "llm|m", "llm|n")
 	c.serve("empty")
 	require.True(t, c.until(4e9, func() bool { return r.sends("llm|", "s") && r.sends("llm|", "empty") }))
-	r.keyLoads["llm|o"] = protocol.Burden{Wait: 5, Came: 5, Load: 1}
+	r.keyLoads["llm|o"] = protocol.KeyLoad{Waiting: 5, Arrived: 5, ServerSeconds: 1}
 	c.run(10e9)
 	require.True(t, r.sends("llm|", "s") && r.sends("llm|", "empty"))
-	for _, o := range c.ops {
+	for _, o := range c.sentOrders {
 		require.NotEqual(t, ident.Key("llm|"), o.Key)
 	}
-	c.models["at-s"].silent = true
-	c.announce(c.other(), protocol.Beacon{Listed: newAnnouncement("s", "leaving", 1000).Listed, Count: 1000})
+	c.models["at-s"].unannounced = true
+	c.announce(c.follower(), protocol.Announcement{ListedServer: newAnnouncement("s", "leaving", 1000).ListedServer, Count: 1000})
 	require.True(t, c.until(4e9, func() bool { return !r.sends("llm|", "s") }))
 	require.True(t, r.sends("llm|", "empty"))
 }
@@ -334,11 +334,11 @@
 func TestDarkServerNotOfferedWithoutModel(t *testing.T) {
 	c := newCluster(t, modelPlan(8, "llm|m"), "a", "b", "c")
 	r := c.route("r")
-	r.keyLoads["llm|"] = protocol.Burden{Came: 5, Load: 1}
+	r.keyLoads["llm|"] = protocol.KeyLoad{Arrived: 5, ServerSeconds: 1}
 	s := c.serve("s", "llm|m")
 	c.serve("t", "llm|m")
 	require.True(t, c.until(4e9, func() bool { return r.sends("llm|", "s") && r.sends("llm|", "t") }))
-	s.silent, s.mute = true, true
+	s.unannounced, s.unresponsive = true, true
 	require.True(t, c.until(20e9, func() bool { return !r.sends("llm|", "s") }))
 	require.True(t, r.sends("llm|", "t"))
 }
@@ -348,21 +348,21 @@
 func TestBrokenEntryKeepsItsOtherServers(t *testing.T) {
 	c := newCluster(t, modelPlan(8, "llm|m"), "a", "b", "c")
 	r := c.route("r")
-	r.keyLoads["web|"] = protocol.Burden{Came: 5, Load: 1}
+	r.keyLoads["web|"] = protocol.KeyLoad{Arrived: 5, ServerSeconds: 1}
 	for _, id := range []string{"w1", "w2", "w3"} {
 		c.serve(id).Service = "web"
 	}
 	all := func() bool { return r.sends("web|", "w1") && r.sends("web|", "w2") && r.sends("web|", "w3") }
 	require.True(t, c.until(4e9, all))
 	delete(r.keyLoads, "web|") // the router has no demand that would request the entry again
-	leaving := newAnnouncement("w1", "leaving", 1000).Listed
+	leaving := newAnnouncement("w1", "leaving", 1000).ListedServer
 	leaving.Service = "web"
-	c.models["at-w1"].silent = true
-	c.announce(c.other(), protocol.Beacon{Listed: leaving, Count: 1000})
+	c.models["at-w1"].unannounced = true
+	c.announce(c.follower(), protocol.Announcement{ListedServer: leaving, Count: 1000})
 	require.True(t, c.until(4e9, func() bool { return !r.sends("web|", "w1") }))
 	require.True(t, r.sends("web|", "w2"))
 	require.True(t, r.sends("web|", "w3"))
-	c.parted["r"] = true
+	c.partitioned["r"] = true
 	c.run(200e6)
 	require.True(t, r.sends("web|", "w2"))
 }
