--- a/internal/controller/entries.go
+++ b/internal/controller/entries.go
@@ -15,7 +15,7 @@
 
 // entry is the routing information of a key.
 type entry struct {
-	digest      ident.Mark
+	digest      ident.Digest
 	unplaceable bool // no server could hold the key even if it were empty
 	replicas    []entryReplica
 }
@@ -23,7 +23,7 @@
 // entryReplica is one server in an entry: its form in messages, and the state of the replica on it.
 type entryReplica struct {
 	wire  protocol.Replica
-	state *spot
+	state *modelReplica
 }
 
 // entryOf returns the entry of a key and creates it on first use.
@@ -41,26 +41,26 @@
 func (c *Core) buildEntry(k ident.Key, e *entry) {
 	e.replicas = nil
 	h := fnv.New64a()
-	for _, s := range c.holding(k) {
-		c.visit(1)
-		p := s.spotOf(k)
+	for _, s := range c.holdersOf(k) {
+		c.countVisits(1)
+		p := s.spotFor(k)
 		if p == nil || p.stage != Ready || !c.open(s) {
 			continue
 		}
-		r := protocol.Replica{Server: s.ID, Addr: s.Addr, Zone: s.Zone, Inc: s.inc, Slots: s.slots}
+		r := protocol.Replica{Server: s.ID, Addr: s.Addr, Zone: s.Zone, Incarnation: s.life, Slots: s.slots}
 		e.replicas = append(e.replicas, entryReplica{r, p})
-		fmt.Fprintf(h, "%s|%s|%d|%d;", r.Server, r.Addr, r.Inc, r.Slots)
+		fmt.Fprintf(h, "%s|%s|%d|%d;", r.Server, r.Addr, r.Incarnation, r.Slots)
 	}
-	e.unplaceable = len(e.replicas) == 0 && c.plan != nil && c.settled() && !c.fitsSomewhere(k)
+	e.unplaceable = len(e.replicas) == 0 && c.plan != nil && c.serversKnown() && !c.fitsSomewhere(k)
 	if e.unplaceable {
 		fmt.Fprint(h, "never")
 	}
-	e.digest = ident.Mark(h.Sum64())
+	e.digest = ident.Digest(h.Sum64())
 }
 
 // fitsSomewhere reports whether the total room of any available server suffices for a key.
 func (c *Core) fitsSomewhere(k ident.Key) bool {
-	if k.Plain() {
+	if k.IsWholeService() {
 		_, planned := c.plan.Services[k.Service()]
 		return planned // servers of a planned service may appear at any time
 	}
@@ -74,7 +74,7 @@
 	}
 	for _, s := range c.servers {
 		// A server that does not answer or has not reported yet may return at any time.
-		if c.meant(s) && (s.room >= size || !s.known) {
+		if c.inService(s) && (s.room >= size || !s.known) {
 			return true
 		}
 	}
@@ -83,7 +83,7 @@
 
 // refreshEntry recomputes the entry of a key. If the entry changed, every callback on it is broken or, where
 // the change only adds replicas, extended at once.
-func (c *Core) touch(k ident.Key) {
+func (c *Core) refreshEntry(k ident.Key) {
 	e := c.entries[k]
 	if e == nil {
 		return
@@ -118,18 +118,18 @@
 }
 
 // refreshAllEntries recomputes every entry.
-func (c *Core) touchAll() {
+func (c *Core) refreshAllEntries() {
 	for _, k := range generic.SortedKeys(c.entries) {
-		c.touch(k)
+		c.refreshEntry(k)
 	}
 }
 
 // refreshEntriesOf recomputes the entries of all keys that a server holds, and of its service.
-func (c *Core) touchOn(s *server) {
-	if s.whole != nil {
-		c.touch(s.whole.key)
+func (c *Core) refreshEntriesOf(s *server) {
+	if s.self != nil {
+		c.refreshEntry(s.self.key)
 	}
 	for _, k := range generic.SortedKeys(s.replicas) {
-		c.touch(k)
+		c.refreshEntry(k)
 	}
 }
--- a/internal/controller/evict.go
+++ b/internal/controller/evict.go
@@ -8,7 +8,7 @@
 // and the server receives the unload order.
 
 // evict starts the eviction of a replica by breaking the callbacks of routers.
-func (c *Core) evict(s *server, p *spot) {
+func (c *Core) evict(s *server, p *modelReplica) {
 	if c.o.Unfenced && !p.key.IsAdapter() {
 		for _, k := range generic.SortedKeys(s.replicas) {
 			if k != p.key && k.Base() == p.key {
@@ -19,8 +19,8 @@
 	if !p.fire(Evict, c.now) {
 		return
 	}
-	c.touch(p.key)
-	p.waits = c.pendingBreaks(p.key)
+	c.refreshEntry(p.key)
+	p.unackedBreaks = c.pendingBreaks(p.key)
 }
 
 // drainDelay is how long a request that was already sent to a server may take to start there. A model is not
@@ -28,19 +28,19 @@
 const drainDelay = 800e6
 
 // advanceEviction moves a replica that is being evicted to its next stage when the conditions are met.
-func (c *Core) beatSpot(s *server, p *spot) {
-	quiet := c.now > c.duty.began.Add(c.pad(c.o.Hold))
+func (c *Core) advanceEviction(s *server, p *modelReplica) {
+	quiet := c.now > c.leadership.begunAt.Add(c.withDrift(c.o.RouterLease))
 	switch p.stage {
 	case Breaking:
 		// Callbacks granted by the previous leader are unknown to this node, so their leases must have expired
 		// first.
-		if quiet && c.dropped(p.waits) {
-			p.fire(Dropped, c.now)
+		if quiet && c.allAcked(p.unackedBreaks) {
+			p.fire(CallbacksReleased, c.now)
 		}
 	case Draining:
 		if c.drained(s, p) {
-			p.fire(Idle, c.now)
-			p.num = 0
+			p.fire(WorkEnded, c.now)
+			p.orderNum = 0
 			c.tally.Drained++
 		}
 	}
@@ -48,15 +48,15 @@
 
 // drained reports whether all requests for a replica have ended. With servers that check a fencing token, only
 // a report that was requested after the last callback was given up proves this.
-func (c *Core) drained(s *server, p *spot) bool {
+func (c *Core) drained(s *server, p *modelReplica) bool {
 	if c.o.Unfenced {
-		return c.unloadsSeparately(s, p) && !c.adaptersRemain(s, p) && (c.now.Sub(p.since) > drainDelay || !c.hasRunningRequests(p.key))
+		return c.unloadsSeparately(s, p) && !c.adaptersRemain(s, p) && (c.now.Sub(p.stageSince) > drainDelay || !c.hasRunningRequests(p.key))
 	}
-	return s.ok > p.since && p.work == 0 && !c.hasAdapters(s, p)
+	return s.reportedAt > p.stageSince && p.running == 0 && !c.hasAdapters(s, p)
 }
 
 // hasAdapters reports whether a base still carries adapters, which must be removed first.
-func (c *Core) hasAdapters(s *server, p *spot) bool {
+func (c *Core) hasAdapters(s *server, p *modelReplica) bool {
 	for k := range s.replicas {
 		if k != p.key && k.Base() == p.key {
 			return true
@@ -66,12 +66,12 @@
 }
 
 // adaptersRemain reports whether routers may still hold callbacks for adapters on a base.
-func (c *Core) adaptersRemain(s *server, p *spot) bool {
+func (c *Core) adaptersRemain(s *server, p *modelReplica) bool {
 	for k, a := range s.replicas {
 		if k == p.key || k.Base() != p.key || a.stage == Draining || a.stage == Unloading {
 			continue
 		}
-		if a.stage == Ordered && a.num == 0 {
+		if a.stage == Ordered && a.orderNum == 0 {
 			c.removeReplica(s, k) // its load was never ordered and is no longer needed
 			continue
 		}
@@ -82,7 +82,7 @@
 
 // unloadsSeparately reports whether a replica needs its own unload order. An adapter whose base is evicted too
 // is removed with the base.
-func (c *Core) unloadsSeparately(s *server, p *spot) bool {
+func (c *Core) unloadsSeparately(s *server, p *modelReplica) bool {
 	if !p.key.IsAdapter() {
 		return true
 	}
--- a/internal/controller/eviction_cost.go
+++ b/internal/controller/eviction_cost.go
@@ -29,19 +29,19 @@
 
 // eviction is a set of replicas to evict from a server, and its cost.
 type eviction struct {
-	spots []*spot
-	cost  float64
+	replicas []*modelReplica
+	cost     float64
 }
 
 // planEviction finds the cheapest evictions that free the given room on a server for a family. It returns
 // false if all candidates together don't free enough.
-func (c *Core) makeWay(s *server, f *family, l families, size int) (eviction, bool) {
+func (c *Core) planEviction(s *server, f *family, l families, size int) (eviction, bool) {
 	var out eviction
-	for _, candidate := range c.candidates(s, f, l) {
+	for _, candidate := range c.evictionCandidates(s, f, l) {
 		if size <= 0 {
 			break
 		}
-		out.spots = append(out.spots, candidate.spot)
+		out.replicas = append(out.replicas, candidate.replica)
 		out.cost += candidate.cost
 		size -= candidate.size
 	}
@@ -50,46 +50,46 @@
 
 // evictionCandidate is a replica that may be evicted, the cost of doing so, and the room that it frees
 // together with its adapters.
-type candidate struct {
-	spot *spot
-	cost float64
-	size int
+type evictionCandidate struct {
+	replica *modelReplica
+	cost    float64
+	size    int
 }
 
 // evictionCandidates lists the bases that may be evicted from a server for a family, lowest cost per size
 // first.
-func (c *Core) candidates(s *server, f *family, l families) []candidate {
-	c.visit(len(s.replicas))
-	var all []candidate
+func (c *Core) evictionCandidates(s *server, f *family, l families) []evictionCandidate {
+	c.countVisits(len(s.replicas))
+	var all []evictionCandidate
 	for key, p := range s.replicas {
 		if key.IsAdapter() || key == f.model.Key.Base() || !c.mayRemove(p) {
 			continue
 		}
 		switch other := l[key]; {
 		case other == nil:
-			all = append(all, candidate{p, 0, s.sizeWithAdapters(p)}) // not in the plan
+			all = append(all, evictionCandidate{p, 0, s.sizeWithAdapters(p)}) // not in the plan
 		case c.canSpare(s, other, f):
-			all = append(all, candidate{p, other.costOfRemoval(), s.sizeWithAdapters(p)})
+			all = append(all, evictionCandidate{p, other.costOfRemoval(), s.sizeWithAdapters(p)})
 		}
 	}
-	slices.SortFunc(all, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.cost*float64(b.spot.size), b.cost*float64(a.spot.size)), cmp.Compare(a.spot.key, b.spot.key))
+	slices.SortFunc(all, func(a, b evictionCandidate) int {
+		return cmp.Or(cmp.Compare(a.cost*float64(b.replica.size), b.cost*float64(a.replica.size)), cmp.Compare(a.replica.key, b.replica.key))
 	})
 	return all
 }
 
 // mayRemove reports whether a replica has been ready for at least freshness and is not part of a move.
-func (c *Core) mayRemove(p *spot) bool {
-	return p.stage == Ready && c.now.Sub(p.ready) >= freshSpan && c.moves[p.key] == nil
+func (c *Core) mayRemove(p *modelReplica) bool {
+	return p.stage == Ready && c.now.Sub(p.readySince) >= freshness && c.moves[p.key] == nil
 }
 
 // canSpare reports whether a family can lose a replica on a server in favour of another family.
 func (c *Core) canSpare(s *server, f, requester *family) bool {
-	if f.live <= f.model.Floor || f.waiting > 0 && f.live <= f.wanted {
+	if f.live <= f.model.MinReplicas || f.waiting > 0 && f.live <= f.wanted {
 		return false
 	}
-	if requester.spare { // a prefetch may evict only rarely requested models that the server has on its own disk
-		return f.live <= 1 && f.longTermRate <= maxRateForPrefetch && c.has(s, f.model.Key)
+	if requester.prefetch { // a prefetch may evict only rarely requested models that the server has on its own disk
+		return f.live <= 1 && f.longTermRate <= maxRateForPrefetch && c.mayHaveOnDisk(s, f.model.Key)
 	}
 	return true
 }
@@ -97,12 +97,12 @@
 // costOfRemoval is the cost of one replica less: the requests that suffer until it could be loaded again.
 func (f *family) costOfRemoval() float64 {
 	if f.live <= 1 {
-		return lastReplicaCost + (lastReplicaRecentWeight*f.rate+lastReplicaLongTermWeight*f.longTermRate)*f.model.Load.Seconds()
+		return lastReplicaCost + (lastReplicaRecentWeight*f.rate+lastReplicaLongTermWeight*f.longTermRate)*f.model.LoadTime.Seconds()
 	}
 	switch left := f.load / float64(f.live-1); {
 	case left > overloadThreshold:
 		return overloadedCost.forRate(f.rate)
-	case left > goodLoad:
+	case left > targetLoad:
 		return aboveTargetCost.forRate(f.rate)
 	default:
 		return belowTargetCost.forRate(f.rate)
@@ -110,7 +110,7 @@
 }
 
 // sizeWithAdapters returns the room taken by a base and the adapters that are evicted with it.
-func (s *server) sizeWithAdapters(base *spot) int {
+func (s *server) sizeWithAdapters(base *modelReplica) int {
 	sum := base.size
 	for key, p := range s.replicas {
 		if key != base.key && key.Base() == base.key {
@@ -121,12 +121,12 @@
 }
 
 // evictAll starts the eviction of replicas from a server and updates the replica counts of their families.
-func (l *look) evictAll(s *server, out []*spot) {
+func (l *placementPass) evictAll(s *server, out []*modelReplica) {
 	for _, p := range out {
 		l.core.evict(s, p)
 		if f := l.families[p.key]; f != nil {
 			f.live--
 		}
-		l.changed(p.key, s)
+		l.invalidateHolders(p.key, s)
 	}
 }
--- a/internal/controller/family.go
+++ b/internal/controller/family.go
@@ -13,7 +13,7 @@
 // number of base replicas follows from the work of the whole family.
 
 const (
-	goodLoad          = 0.4  // target share of a server's time for one replica
+	targetLoad        = 0.4  // target share of a server's time for one replica
 	overloadThreshold = 0.6  // load above which another replica may displace the only replica of a less used key
 	targetSlotShare   = 0.15 // target share of a server's slots for the requests of one family
 
@@ -39,7 +39,7 @@
 	age          float64 // seconds for which requests have waited
 	value        int     // highest value among the waiting requests
 	rank         int     // position of the value among those of the plan; 0 is the highest
-	spare        bool    // loaded ahead of demand; may not displace models that are in use
+	prefetch     bool    // loaded ahead of demand; may not displace models that are in use
 }
 
 // families maps each base of the plan to its family.
@@ -47,9 +47,9 @@
 
 // planBases lists the bases of a plan in order. The list is computed once per plan.
 type planBases struct {
-	plan *fleetplan.Plan
-	keys []ident.Key
-	load clock.Span // mean load time from the store
+	plan     *fleetplan.Plan
+	keys     []ident.Key
+	meanLoad clock.Span // mean load time from the store
 }
 
 // bases returns the bases of the current plan.
@@ -62,12 +62,12 @@
 	for key, m := range c.plan.Models {
 		if !key.IsAdapter() {
 			b.keys = append(b.keys, key)
-			sum += m.Load
+			sum += m.LoadTime
 		}
 	}
 	slices.Sort(b.keys)
 	if len(b.keys) > 0 {
-		b.load = sum / clock.Span(len(b.keys))
+		b.meanLoad = sum / clock.Span(len(b.keys))
 	}
 	c.planBases = b
 	return &c.planBases
@@ -87,8 +87,8 @@
 		}
 	}
 	for _, s := range c.servers {
-		c.visit(len(s.replicas))
-		if c.stays(s) {
+		c.countVisits(len(s.replicas))
+		if c.staysInService(s) {
 			l.addReplicas(s)
 		}
 	}
@@ -102,14 +102,14 @@
 }
 
 // addDemand adds the demand for one key to its family.
-func (f *family) addDemand(n *need, now clock.Tick) {
+func (f *family) addDemand(n *keyDemand, now clock.Instant) {
 	f.load += n.forecastLoad()
-	f.longTermRate += n.slow
+	f.longTermRate += n.longTermRate
 	f.rate += n.rate
-	if now.Sub(n.at) < freshSpan && n.wait > 0 {
-		f.waiting = max(f.waiting, n.wait)
+	if now.Sub(n.reportedAt) < freshness && n.waiting > 0 {
+		f.waiting = max(f.waiting, n.waiting)
 		f.value = max(f.value, n.value)
-		f.age = math.Max(f.age, n.age(now))
+		f.age = math.Max(f.age, n.waitAge(now))
 	}
 }
 
@@ -124,15 +124,15 @@
 
 // setWanted computes how many replicas a family should have.
 func (c *Core) setWanted(f *family) {
-	warmingUp := c.asked == 0 || c.now.Sub(c.asked) < demandWarmup
+	warmingUp := c.demandSince == 0 || c.now.Sub(c.demandSince) < demandWarmup
 	if warmingUp && f.live > 1 {
 		// The demand is not fully known yet. The existing replicas indicate which families were busy.
-		f.load = math.Max(f.load, goodLoad*float64(f.live))
+		f.load = math.Max(f.load, targetLoad*float64(f.live))
 	}
-	slots := float64(max(1, c.plan.Services[f.model.Key.Service()].Slots))
-	byLoad := int(math.Ceil(f.load / goodLoad))
+	slots := float64(max(1, c.plan.Services[f.model.Key.Service()].MaxRunning))
+	byLoad := int(math.Ceil(f.load / targetLoad))
 	byRequests := int(float64(f.underWay)/(slots*targetSlotShare) + 0.5)
-	f.wanted = min(max(f.model.Floor, byLoad, byRequests), f.model.Most)
+	f.wanted = min(max(f.model.MinReplicas, byLoad, byRequests), f.model.MaxReplicas)
 	if f.waiting > 0 {
 		f.wanted = max(f.wanted, 1)
 	}
@@ -141,14 +141,14 @@
 // gain is the benefit of one more replica: the requests that wait for it, and those that arrive while it
 // loads, as far as the existing replicas cannot serve them well.
 func (f *family) gain() float64 {
-	if f.spare {
+	if f.prefetch {
 		return prefetchGain
 	}
 	if f.live == 0 {
 		weight := priorityWeight / float64(1+f.rank)
 		return (float64(f.waiting)+f.age)*weight + rateWeight*f.rate
 	}
-	return f.rate * (f.unserved(goodLoad) + f.unserved(overloadThreshold))
+	return f.rate * (f.unserved(targetLoad) + f.unserved(overloadThreshold))
 }
 
 // unserved returns the share of the load that remains when each replica takes the given load.
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -14,12 +14,12 @@
 
 // An order that was lost in transit is sent again with the same expected count.
 func TestLostOrderIsSentAgain(t *testing.T) {
-	c := newCluster(t, floor(modelPlan(12, "llm|m"), 1, "llm|m"), "a")
+	c := newCluster(t, withFloor(modelPlan(12, "llm|m"), 1, "llm|m"), "a")
 	m := c.serve("s")
-	m.lost = first(false, false)
+	m.lost = loseFirstOrder(false, false)
 	require.True(t, c.until(15e9, func() bool { return m.holds["llm|m"] }))
-	require.Len(t, c.ops, 2)
-	require.Zero(t, c.ops[1].Expected)
+	require.Len(t, c.sentOrders, 2)
+	require.Zero(t, c.sentOrders[1].Expected)
 }
 
 // A server accepts an order of the old leader at the end of its lease, so that the new leader's first report doesn't
@@ -30,11 +30,11 @@
 		m := c.serve("s", "llm|m")
 		m.lag, m.slow = lag, 5e9
 		c.run(3e9)
-		r, old := c.route("r"), c.lead()
-		c.parted["a"] = true
-		c.until(5e9, func() bool { return c.at >= old.duty.until(old)-20e6 })
+		r, old := c.route("r"), c.leader()
+		c.partitioned["a"] = true
+		c.until(5e9, func() bool { return c.at >= old.leadership.expiresAt(old)-20e6 })
 		require.Equal(t, 202, m.take(protocol.Order{Op: "load", Key: "llm|n", Size: 4, Expected: m.count}), "no order is in progress")
-		r.keyLoads["llm|o"] = protocol.Burden{Wait: 9, Came: 3, Load: 0.1}
+		r.keyLoads["llm|o"] = protocol.KeyLoad{Waiting: 9, Arrived: 3, ServerSeconds: 0.1}
 		require.True(t, c.until(40e9, func() bool { return m.holds["llm|o"] }), "%v", lag)
 	}
 }
@@ -44,14 +44,14 @@
 	c := newCluster(t, modelPlan(10, "llm|m", "llm|m+1", "llm|n"), "a")
 	m := c.serve("s", "llm|m")
 	r := c.route("r")
-	r.keyLoads["llm|m"] = protocol.Burden{Came: 1}
+	r.keyLoads["llm|m"] = protocol.KeyLoad{Arrived: 1}
 	require.True(t, c.until(9e9, func() bool { return r.sends("llm|m", "s") }))
 	c.run(3e9)
-	s := c.lead().servers["s"]
-	s.busy, s.next = true, c.at.Add(3e9) // as after a refused order
-	r.keyLoads = map[ident.Key]protocol.Burden{"llm|m+1": {Wait: 1, Came: 1}}
+	s := c.leader().servers["s"]
+	s.busy, s.nextPoll = true, c.at.Add(3e9) // as after a refused order
+	r.keyLoads = map[ident.Key]protocol.KeyLoad{"llm|m+1": {Waiting: 1, Arrived: 1}}
 	require.True(t, c.until(3e9, func() bool { return s.replicas["llm|m+1"] != nil }))
-	require.Zero(t, s.replicas["llm|m+1"].num)
+	require.Zero(t, s.replicas["llm|m+1"].orderNum)
 	c.plans["2"] = modelPlan(10, "llm|n")
 	c.admin("a", Admin{Op: "put", Raw: []byte("2"), Any: true})
 	require.True(t, c.until(30e9, func() bool { return !m.holds["llm|m"] }))
@@ -65,13 +65,13 @@
 	}
 	p := modelPlan(10, append([]ident.Key{"llm|m"}, keys...)...)
 	v := p.Services["llm"]
-	v.Places = 4
+	v.AdapterCapacity = 4
 	p.Services["llm"] = v
 	c := newCluster(t, p, "a")
 	c.serve("s", "llm|m", keys[0], keys[1], keys[2], keys[3])
 	c.run(6e9)
 	r := c.route("r")
-	r.keyLoads[keys[4]] = protocol.Burden{Wait: 1, Came: 1, Load: 0.01}
+	r.keyLoads[keys[4]] = protocol.KeyLoad{Waiting: 1, Arrived: 1, ServerSeconds: 0.01}
 	require.True(t, c.until(9e9, func() bool { return r.sends(keys[4], "s") }))
 	c.run(3e9)
 	require.Len(t, c.orders("unload"), 1)
@@ -83,15 +83,15 @@
 		c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
 		m := c.serve("s", "llm|m")
 		r := c.route("r")
-		r.keyLoads["llm|m"] = protocol.Burden{Came: 1}
+		r.keyLoads["llm|m"] = protocol.KeyLoad{Arrived: 1}
 		require.True(t, c.until(9e9, func() bool { return r.sends("llm|m", "s") }))
-		c.parted["b"] = true
+		c.partitioned["b"] = true
 		c.run(100e6)
-		m.silent = true
+		m.unannounced = true
 		ok, _ := c.announce("c", newAnnouncement("s", state, 99))
 		require.True(t, ok)
 		c.run(100e6)
-		c.parted = map[string]bool{"a": true}
+		c.partitioned = map[string]bool{"a": true}
 		require.True(t, c.until(6e9, func() bool { return c.owner() != "" }))
 		for range 200 {
 			c.tick()
@@ -113,8 +113,8 @@
 	k.now = k.now.Add(1200e6)
 	now.Count = 3
 	require.True(t, k.enrol(now), "it keeps announcing itself, and the other start does not")
-	require.Equal(t, "live", k.roll["new"].State)
-	require.Equal(t, "gone", k.roll["old"].State)
+	require.Equal(t, "live", k.enrolledServers["new"].State)
+	require.Equal(t, "gone", k.enrolledServers["old"].State)
 }
 
 // A server that was disconnected from the core for a long time is used again after its next announcement.
@@ -123,11 +123,11 @@
 		c := newCluster(t, modelPlan(12, "llm|m"), "a", "b", "c")
 		m := c.serve("s", "llm|m")
 		r := c.route("r")
-		r.keyLoads["llm|m"] = protocol.Burden{Came: 1}
+		r.keyLoads["llm|m"] = protocol.KeyLoad{Arrived: 1}
 		require.True(t, c.until(9e9, func() bool { return r.sends("llm|m", "s") }))
-		m.silent = true
+		m.unannounced = true
 		c.run(s)
-		m.silent = false
+		m.unannounced = false
 		require.True(t, c.until(9e9, func() bool { return r.sends("llm|m", "s") }), "%v", s)
 	}
 }
@@ -135,12 +135,12 @@
 // A key at its floor is not evicted while another one can be.
 func TestFloorIsKept(t *testing.T) {
 	p := modelPlan(8, "llm|f", "llm|x", "llm|n")
-	p.Models["llm|f"] = fleetplan.Model{Key: "llm|f", Size: 4, Floor: 1, Most: 3, Load: 1e9}
-	k := weighed(p, keys{"s1": {"llm|f", "llm|x"}})
-	k.demand["llm|n"] = &need{at: k.now, wait: 1}
-	k.demand["llm|x"] = &need{slow: 0.1}
-	weighNow(k, 9)
-	require.Equal(t, "+n@s1 -x@s1", k.changes())
+	p.Models["llm|f"] = fleetplan.Model{Key: "llm|f", Size: 4, MinReplicas: 1, MaxReplicas: 3, LoadTime: 1e9}
+	k := newPlacementCore(p, heldKeys{"s1": {"llm|f", "llm|x"}})
+	k.demand["llm|n"] = &keyDemand{reportedAt: k.now, waiting: 1}
+	k.demand["llm|x"] = &keyDemand{longTermRate: 0.1}
+	runPlacementNow(k, 9)
+	require.Equal(t, "+n@s1 -x@s1", k.placementChanges())
 }
 
 // A model that the plan doesn't contain occupies room too, and a new leader doesn't know how much.
@@ -148,7 +148,7 @@
 	c := newCluster(t, modelPlan(8, "llm|m", "llm|n"), "a")
 	m := c.serve("s", "llm|m", "llm|lost")
 	r := c.route("r")
-	r.keyLoads["llm|n"] = protocol.Burden{Wait: 1, Came: 1}
+	r.keyLoads["llm|n"] = protocol.KeyLoad{Waiting: 1, Arrived: 1}
 	require.True(t, c.until(20e9, func() bool { return len(c.orders("load")) > 0 }))
 	require.False(t, m.holds["llm|lost"], "it is unloaded before anything is loaded")
 }
--- a/internal/controller/fenced.go
+++ b/internal/controller/fenced.go
@@ -19,20 +19,20 @@
 
 // tickServer advances the replicas on a server and sends the request that is due.
 func (c *Core) tickServer(s *server) {
-	c.visit(len(s.replicas))
+	c.countVisits(len(s.replicas))
 	for _, key := range s.leavingKeys() {
 		if p := s.replicas[key]; p != nil { // dropping one replica may drop others
-			c.beatSpot(s, p)
+			c.advanceEviction(s, p)
 		}
 	}
 	switch {
-	case s.State == "gone" && (s.fails > 0 || c.o.Enrolled):
+	case s.State == "gone" && (s.failures > 0 || c.o.Enrolled):
 		c.forgetReplicas(s)
-		if c.now.Sub(max(s.ok, s.first)) > serverRemovalDelay {
+		if c.now.Sub(max(s.reportedAt, s.listedAt)) > serverRemovalDelay {
 			c.removeServer(s.ID)
 		}
 	case c.o.Unfenced:
-		c.steer(s)
+		c.driveServer(s)
 	default:
 		c.sendFenced(s)
 	}
@@ -41,41 +41,41 @@
 // forgetReplicas forgets all replicas of a server that is gone or has restarted.
 func (c *Core) forgetReplicas(s *server) {
 	for _, key := range generic.SortedKeys(s.replicas) {
-		c.dropSpot(s, key)
+		c.forgetReplica(s, key)
 	}
 }
 
 // forgetReplica forgets the replica of a key that a server no longer holds.
-func (c *Core) dropSpot(s *server, key ident.Key) {
-	s.replicas[key].fire(SeeNone, c.now)
+func (c *Core) forgetReplica(s *server, key ident.Key) {
+	s.replicas[key].fire(ReportedAbsent, c.now)
 	c.removeReplica(s, key)
-	c.touch(key)
+	c.refreshEntry(key)
 }
 
 // sendFenced keeps one request outstanding: the order that is due, or a request for the report.
 func (c *Core) sendFenced(s *server) {
-	p := s.due()
-	if s.asking || p == nil && c.now < s.next {
+	p := s.nextOrder()
+	if s.polling || p == nil && c.now < s.nextPoll {
 		return
 	}
 	s.num++
-	order := protocol.Order{Duty: c.duty.num, Num: s.num}
+	order := protocol.Order{Term: c.leadership.term, Num: s.num}
 	if p != nil {
-		p.num = s.num
-		order.Op, order.Key, order.Size, order.Inc = verbs[p.stage], p.key, p.size, s.inc
+		p.orderNum = s.num
+		order.Op, order.Key, order.Size, order.Incarnation = orderOps[p.stage], p.key, p.size, s.life
 		c.countOrder(p)
 	}
-	s.asking = true
-	at, duty := c.now, c.duty.num
-	c.ask(s.Addr, "/orders", order, c.o.Wait, func(t protocol.Told) {
-		if c.duty.mine && c.duty.num == duty && c.servers[s.ID] == s {
+	s.polling = true
+	at, duty := c.now, c.leadership.term
+	c.ask(s.Addr, "/orders", order, c.o.ServerTimeout, func(t protocol.HTTPResult) {
+		if c.leadership.held && c.leadership.term == duty && c.servers[s.ID] == s {
 			c.onFencedAnswer(s, t, at)
 		}
 	})
 }
 
 // countOrder counts an order.
-func (c *Core) countOrder(p *spot) {
+func (c *Core) countOrder(p *modelReplica) {
 	if p.stage == Ordered {
 		c.tally.Loads++
 	} else {
@@ -84,40 +84,40 @@
 }
 
 // onFencedAnswer handles the answer to a request sent at the given time, or its failure.
-func (c *Core) onFencedAnswer(s *server, t protocol.Told, at clock.Tick) {
-	s.asking = false
-	s.next = c.now.Add(c.o.Poll)
-	var r protocol.Report
+func (c *Core) onFencedAnswer(s *server, t protocol.HTTPResult, at clock.Instant) {
+	s.polling = false
+	s.nextPoll = c.now.Add(c.o.ReportInterval)
+	var r protocol.ServerReport
 	if t.OK && json.Unmarshal(t.Body, &r) == nil && r.Server == s.ID {
 		c.onReport(s, r, at)
 		return
 	}
-	s.fails++
+	s.failures++
 	// A request that failed early is retried once at once; one that timed out is not.
-	if c.now.Sub(at) < c.o.Wait && s.fails <= 1 {
-		s.next = c.now
+	if c.now.Sub(at) < c.o.ServerTimeout && s.failures <= 1 {
+		s.nextPoll = c.now
 		return
 	}
-	if !s.dark && s.known {
-		s.dark = true
-		c.note(fmt.Sprintf("server %s does not answer", s.ID))
-		c.touchOn(s)
+	if !s.unreachable && s.known {
+		s.unreachable = true
+		c.logEvent(fmt.Sprintf("server %s does not answer", s.ID))
+		c.refreshEntriesOf(s)
 	}
 }
 
 // onReport handles a report that was requested at the given time.
-func (c *Core) onReport(s *server, r protocol.Report, at clock.Tick) {
-	if r.Drop == failure.Stale {
+func (c *Core) onReport(s *server, r protocol.ServerReport, at clock.Instant) {
+	if r.RefusedAs == failure.StaleOrder {
 		c.onStale(s, r)
 		return
 	}
-	changed := s.dark || !s.known
-	s.fails, s.ok, s.dark, s.known = 0, at, false, true
+	changed := s.unreachable || !s.known
+	s.failures, s.reportedAt, s.unreachable, s.known = 0, at, false, true
 	changed = c.updateServer(s, r) || changed
-	if odd := oddity(r); odd != s.odd {
-		if s.odd = odd; odd != "" {
+	if odd := contradiction(r); odd != s.contradiction {
+		if s.contradiction = odd; odd != "" {
 			c.tally.Odd++
-			c.oops(fmt.Sprintf("server %s sent an inconsistent report: %s", s.ID, odd))
+			c.logError(fmt.Sprintf("server %s sent an inconsistent report: %s", s.ID, odd))
 		}
 	}
 	held := map[ident.Key]bool{}
@@ -126,63 +126,63 @@
 		c.updateHeld(s, r.Num, h)
 	}
 	for _, key := range generic.SortedKeys(s.replicas) {
-		if !held[key] && !s.replicas[key].unsent(r.Num) {
-			c.dropSpot(s, key)
+		if !held[key] && !s.replicas[key].orderUnreported(r.Num) {
+			c.forgetReplica(s, key)
 		}
 	}
 	if changed {
-		c.touchOn(s)
+		c.refreshEntriesOf(s)
 	}
 }
 
 // onStale handles the refusal of an order whose term is too low or whose number the server has passed.
-func (c *Core) onStale(s *server, r protocol.Report) {
+func (c *Core) onStale(s *server, r protocol.ServerReport) {
 	c.tally.Fences++
-	if r.Duty > c.duty.num {
-		c.duty.top = max(c.duty.top, r.Duty)
-		c.lose("a server has accepted a higher term")
+	if r.Term > c.leadership.term {
+		c.leadership.highestTerm = max(c.leadership.highestTerm, r.Term)
+		c.endTerm("a server has accepted a higher term")
 		return
 	}
 	s.num = max(s.num, r.Num)
 }
 
 // updateServer records a server's incarnation, room and slots, and reports whether any of them changed.
-func (c *Core) updateServer(s *server, r protocol.Report) bool {
-	room, slots := min(max(r.Room, 0), mostSize), min(max(r.Slots, 1), mostSize)
-	if r.Inc == s.inc && room == s.room && slots == s.slots {
+func (c *Core) updateServer(s *server, r protocol.ServerReport) bool {
+	room, slots := min(max(r.Room, 0), maxSize), min(max(r.Slots, 1), maxSize)
+	if r.Incarnation == s.life && room == s.room && slots == s.slots {
 		return false
 	}
-	if r.Inc != s.inc {
+	if r.Incarnation != s.life {
 		c.forgetReplicas(s)
 	}
-	s.inc, s.room, s.slots = r.Inc, room, slots
+	s.life, s.room, s.slots = r.Incarnation, room, slots
 	return true
 }
 
 // updateHeld records the state of one key from a report that answers a request.
-func (c *Core) updateHeld(s *server, num uint64, h protocol.Held) {
-	h.Size, h.Active, h.AgeMs = min(max(h.Size, c.sizeOf(h.Key)), mostSize), max(h.Active, 0), max(h.AgeMs, 0)
+func (c *Core) updateHeld(s *server, num uint64, h protocol.HeldKey) {
+	h.Size, h.Active, h.AgeMs = min(max(h.Size, c.sizeOf(h.Key)), maxSize), max(h.Active, 0), max(h.AgeMs, 0)
 	p := s.replicas[h.Key]
 	if p == nil {
-		p = &spot{key: h.Key, size: h.Size, stage: Ordered, since: c.now, num: num}
+		p = &modelReplica{key: h.Key, size: h.Size, stage: Ordered, stageSince: c.now, orderNum: num}
 		c.putReplica(s, p)
 	}
-	if p.unsent(num) {
+	if p.orderUnreported(num) {
 		return
 	}
-	p.size, p.work = h.Size, h.Active
+	p.size, p.running = h.Size, h.Active
 	if h.Active > 0 {
-		p.busy = c.now
+		p.lastActive = c.now
 	}
-	before, trigger := p.stage, SeeLoading
+	before, trigger := p.stage, ReportedLoading
 	if h.Stage == "ready" {
-		trigger = SeeReady
+		trigger = ReportedReady
 	}
 	if !p.fire(trigger, c.now) {
 		return
 	}
-	if before == Ordered && trigger == SeeReady {
-		p.ready = c.now - clock.Tick(h.AgeMs)*1e6
+	if before == Ordered && trigger == ReportedReady {
+		p.readySince = c.now - clock.Instant(h.AgeMs)*1e6
 	}
-	c.touch(h.Key)
+	c.refreshEntry(h.Key)
 }
--- a/internal/controller/forming.go
+++ b/internal/controller/forming.go
@@ -14,49 +14,49 @@
 // tickForming forms a new core once all seeds have been seen blank for long enough; if forced, any of them suffice. The
 // blank seed with the lowest ID proposes the first value.
 func (c *Core) tickForming() {
-	r := &c.reg
-	if c.latest() != nil || r.op != nil || c.o.Joined && !r.force {
+	r := &c.register
+	if c.latest() != nil || r.active != nil || c.o.CoreExists && !r.forceForming {
 		return
 	}
 	var l []protocol.Voter
 	for _, s := range c.o.Seeds {
-		for _, id := range generic.SortedKeys(r.lives) {
-			v := r.lives[id]
-			if v.sib.Addr == s.Addr && v.state.Blank && c.now.Sub(v.at) < 2*c.o.Round+c.o.ClockMargin {
+		for _, id := range generic.SortedKeys(r.states) {
+			v := r.states[id]
+			if v.sibling.Addr == s.Addr && v.state.Blank && c.now.Sub(v.at) < 2*c.o.ReadInterval+c.o.ClockMargin {
 				zone := ident.Zone("")
-				for _, m := range c.mates.All() {
+				for _, m := range c.members.Members() {
 					if m.ID == id {
 						zone = m.Zone
 					}
 				}
-				l = append(l, protocol.Voter{Sibling: v.sib, Zone: zone, Inc: v.state.Inc})
+				l = append(l, protocol.Voter{Peer: v.sibling, Zone: zone, Incarnation: v.state.Incarnation})
 			}
 		}
 	}
 	sort.Slice(l, func(i, j int) bool { return l[i].ID < l[j].ID })
-	all := len(l) == len(c.o.Seeds) || r.force && len(l) > 0
-	if !all || l[0].ID != c.o.Me.ID {
+	all := len(l) == len(c.o.Seeds) || r.forceForming && len(l) > 0
+	if !all || l[0].ID != c.o.Self.ID {
 		r.blankSince = 0
 		return
 	}
 	if r.blankSince == 0 {
 		r.blankSince, r.agentCopy = c.now, nil
 	}
-	for _, m := range c.mates.Alive("agent") {
-		c.send(m.Sibling, protocol.Keep{Round: uint64(r.blankSince)})
+	for _, m := range c.members.Alive("agent") {
+		c.send(m.Peer, protocol.RecoveryQuery{Round: uint64(r.blankSince)})
 	}
-	if c.now.Sub(r.blankSince) < c.o.Form {
+	if c.now.Sub(r.blankSince) < c.o.FormAfter {
 		return
 	}
 	r.blankSince = 0
 	// The generation number is the disk incarnation of the forming node, so that it exceeds those of lost cores.
-	d := protocol.Desired{Gen: uint64(c.vote.inc), Voters: l, Shape: 1}
+	d := protocol.Desired{Gen: uint64(c.acceptor.inc), Voters: l, VoterSet: 1}
 	if old := r.agentCopy; old != nil {
 		// Everything confirmed is lost except the copies that agents hold. The newest copy is adopted, with an epoch far
 		// past any that the lost core may have reached.
-		d.Gen, d.Plan, d.Empty, d.Windows, d.Epoch = max(d.Gen, old.Gen+1), old.Plan, old.Empty, old.Windows, old.Epoch+1000
-		d.Shape = old.Shape + 1000
-		c.oops("core disks lost: forming a new generation from an agent's copy of the configuration")
+		d.Gen, d.Plan, d.EmptiedZones, d.Windows, d.Epoch = max(d.Gen, old.Gen+1), old.Plan, old.EmptiedZones, old.Windows, old.Epoch+1000
+		d.VoterSet = old.VoterSet + 1000
+		c.logError("core disks lost: forming a new generation from an agent's copy of the configuration")
 	}
 	r.hint = &d
 	c.fullRead(func(kind failure.Kind) {
@@ -66,8 +66,8 @@
 	})
 }
 
-func (c *Core) onRecoveryReply(e protocol.Env) {
-	b, r := e.Body.(protocol.Kept), &c.reg
+func (c *Core) onRecoveryReply(e protocol.Envelope) {
+	b, r := e.Body.(protocol.RecoveryReply), &c.register
 	if b.Value == nil || r.blankSince == 0 || b.Round != uint64(r.blankSince) {
 		return
 	}
@@ -78,13 +78,13 @@
 
 // raiseGeneration raises the generation past one that a router still knows. A core that formed after a total loss, on a
 // clock that was set back, would otherwise be taken for an older one forever.
-func (c *Core) lift(gen uint64) {
-	if c.reg.op != nil || len(c.reg.queue) > 0 {
+func (c *Core) raiseGeneration(gen uint64) {
+	if c.register.active != nil || len(c.register.queue) > 0 {
 		return
 	}
-	c.oops(fmt.Sprintf("a router knows generation %d, newer than this core's: raising this core's generation past it", gen))
+	c.logError(fmt.Sprintf("a router knows generation %d, newer than this core's: raising this core's generation past it", gen))
 	c.propose(mutation{apply: func(d protocol.Desired) (protocol.Desired, failure.Kind, fleetplan.Faults) {
 		d.Gen = max(d.Gen, gen+1)
 		return d, failure.None, nil
-	}, done: func(applied) {}})
+	}, done: func(applyResult) {}})
 }
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -13,10 +13,10 @@
 // Forwarding of changes to the leader, and handling of forwarded changes at the leader.
 
 // remoteProposer returns the node that proposes all changes, if a node other than this one is the leader and answers.
-func (c *Core) proposerElsewhere() (protocol.Sibling, bool) {
-	owner := c.duty.who
-	if c.o.Alone || c.duty.mine || owner.ID == "" || owner.ID == c.o.Me.ID || !c.answered(owner.ID, voterFresh) {
-		return protocol.Sibling{}, false
+func (c *Core) remoteProposer() (protocol.Peer, bool) {
+	owner := c.leadership.owner
+	if c.o.NoForwarding || c.leadership.held || owner.ID == "" || owner.ID == c.o.Self.ID || !c.answeredWithin(owner.ID, voterFreshRounds) {
+		return protocol.Peer{}, false
 	}
 	return owner, true
 }
@@ -25,57 +25,57 @@
 	minForwardRounds    = 1 // lower bound of the timeout, in intervals between two reads
 	initialForwardTrips = 6 // timeout before the first outcome was measured, in timeouts of a read
 	maxForwardDoublings = 3 // bounds the exponential backoff: each consecutive timeout doubles the next one
-	maxForwardTimeout   = leastChangeWait
+	maxForwardTimeout   = minChangeWait
 )
 
 // forwards holds the changes that this node has forwarded.
 type forwards struct {
-	open        map[uint64]*pendingChange // changes without an outcome, by the number in the Forward message
-	lastOutcome clock.Tick                // when the last outcome arrived
+	pending     map[uint64]*pendingChange // changes without an outcome, by the number in the Forward message
+	lastOutcome clock.Instant             // when the last outcome arrived
 	timeouts    int                       // number of changes since then without an outcome in time
 }
 
 // forwardTimeout returns how long to wait for the outcome of a forwarded change.
 func (c *Core) forwardTimeout() clock.Span {
-	wait := c.reg.trips.forwards.Timeout()
-	if !c.reg.trips.forwards.Known() {
-		wait = initialForwardTrips * c.reg.trips.reads.Timeout()
+	wait := c.register.roundTrips.forwards.Timeout()
+	if !c.register.roundTrips.forwards.Known() {
+		wait = initialForwardTrips * c.register.roundTrips.reads.Timeout()
 	}
-	wait = max(wait, minForwardRounds*c.o.Round) << min(c.forwards.timeouts, maxForwardDoublings)
+	wait = max(wait, minForwardRounds*c.o.ReadInterval) << min(c.forwards.timeouts, maxForwardDoublings)
 	return min(wait, maxForwardTimeout)
 }
 
 // forwardDeadline returns when this node proposes a forwarded change itself. As long as outcomes of other changes
 // arrive, the leader is working and the change is still in its queue, so the deadline moves with the last outcome.
-func (c *Core) forwardDeadline(p *pendingChange) clock.Tick {
+func (c *Core) forwardDeadline(p *pendingChange) clock.Instant {
 	return min(max(p.sent, c.forwards.lastOutcome).Add(c.forwardTimeout()), p.sent.Add(maxForwardTimeout))
 }
 
 // forward sends a change to the leader.
-func (c *Core) forward(p *pendingChange, owner protocol.Sibling) {
-	c.reg.round++ // round numbers differ between incarnations of this node, so an old outcome cannot match
-	number := c.reg.round
+func (c *Core) forward(p *pendingChange, owner protocol.Peer) {
+	c.register.round++ // round numbers differ between incarnations of this node, so an old outcome cannot match
+	number := c.register.round
 	p.owner, p.sent, p.maybeCommitted = owner, c.now, true
-	c.forwards.open[number] = p
+	c.forwards.pending[number] = p
 	c.tally.Forwards++
 	if p.admin.Change == "" { // the change may be proposed twice: the id marks the duplicate
-		p.admin.Change = fmt.Sprintf("%s-%d-%d", c.o.Me.ID, c.o.Inc, number)
+		p.admin.Change = fmt.Sprintf("%s-%d-%d", c.o.Self.ID, c.o.Inc, number)
 	}
 	a := p.admin
-	c.send(owner, protocol.Forward{
-		Number: number, Term: c.duty.top, Op: a.Op, Raw: a.Raw, Expect: a.Expect, Any: a.Any, Revision: a.Number, Change: a.Change, Zone: a.Zone,
+	c.send(owner, protocol.ForwardChange{
+		Number: number, Term: c.leadership.highestTerm, Op: a.Op, Raw: a.Raw, Expect: a.Expect, AnyEpoch: a.Any, Revision: a.Number, ChangeID: a.Change, Zone: a.Zone,
 	})
 }
 
 // reportKnownOutcomes sends the receipts of forwarded changes once this node knows the version that each one produced.
 // Otherwise a later read at this node could return an older version.
-func (c *Core) tellKnown() {
-	for _, number := range generic.SortedKeys(c.forwards.open) {
-		p := c.forwards.open[number]
+func (c *Core) reportKnownOutcomes() {
+	for _, number := range generic.SortedKeys(c.forwards.pending) {
+		p := c.forwards.pending[number]
 		if p.outcome == nil || p.answered || p.outcome.Kind == failure.None && c.Epoch() < p.outcome.Epoch {
 			continue
 		}
-		delete(c.forwards.open, number)
+		delete(c.forwards.pending, number)
 		c.finishChange(p, *p.outcome)
 	}
 }
@@ -96,32 +96,32 @@
 }
 
 // retryForwards proposes forwarded changes at this node if their outcome is overdue or the leader has lost the lease.
-func (c *Core) beatForwards() {
-	for _, number := range generic.SortedKeys(c.forwards.open) {
-		p := c.forwards.open[number]
+func (c *Core) retryForwards() {
+	for _, number := range generic.SortedKeys(c.forwards.pending) {
+		p := c.forwards.pending[number]
 		if p.answered {
-			delete(c.forwards.open, number)
+			delete(c.forwards.pending, number)
 			continue
 		}
 		if p.outcome != nil {
 			c.expireOutcome(p)
 			continue
 		}
-		owner, other := c.proposerElsewhere()
+		owner, other := c.remoteProposer()
 		late := c.now >= c.forwardDeadline(p)
 		if p.proposed || other && owner.ID == p.owner.ID && !late {
 			continue
 		}
-		c.forwards.timeouts += generic.One(late)
+		c.forwards.timeouts += generic.BoolToInt(late)
 		c.tally.ForwardsUnanswered++
 		c.proposeChange(p)
 	}
 }
 
 // onForwarded handles the outcome of a forwarded change.
-func (c *Core) onForwarded(e protocol.Env) {
-	b := e.Body.(protocol.Forwarded)
-	p := c.forwards.open[b.Number]
+func (c *Core) onForwarded(e protocol.Envelope) {
+	b := e.Body.(protocol.ForwardReply)
+	p := c.forwards.pending[b.Number]
 	if p == nil || p.answered || p.outcome != nil || p.owner.ID != e.From.ID {
 		return
 	}
@@ -132,20 +132,20 @@
 		}
 		return
 	}
-	c.reg.trips.forwards.Observe(c.now.Sub(p.sent))
+	c.register.roundTrips.forwards.Observe(c.now.Sub(p.sent))
 	c.forwards.lastOutcome, c.forwards.timeouts = c.now, 0
-	r := Receipt{Kind: b.Kind, Why: b.Why, Faults: b.Faults, Epoch: b.Epoch, Empty: b.Empty}
+	r := Receipt{Kind: b.Kind, Why: b.Reason, Faults: b.Faults, Epoch: b.Epoch, Empty: b.Empty}
 	if p.proposed && isRefusal(b.Kind) && !p.refusalIsFinal(b.Kind, b.Epoch) {
 		r = Receipt{Kind: failure.Unclear, Why: unclearReason}
 	}
 	p.outcome = &r
-	c.hearOfChosen(b.Chosen, e.From)
-	c.tellKnown()
+	c.noteChosen(b.Chosen, e.From)
+	c.reportKnownOutcomes()
 }
 
 // acceptedForwards records the changes that other nodes have forwarded to this leader during its term, so that
 // duplicates are ignored.
-type forwardsTaken struct {
+type acceptedForwards struct {
 	known map[forwardID]bool
 	order []forwardID
 }
@@ -160,7 +160,7 @@
 const maxRememberedForwards = 1024
 
 // recordIfNew records a change and reports whether it arrived for the first time.
-func (t *forwardsTaken) recordIfNew(id forwardID) bool {
+func (t *acceptedForwards) recordIfNew(id forwardID) bool {
 	if t.known[id] {
 		return false
 	}
@@ -180,10 +180,10 @@
 var forwardableOps = map[string]bool{"put": true, "patch": true, "empty": true, "refill": true, "windows": true}
 
 // onForward proposes a change that another node has forwarded.
-func (c *Core) onForward(e protocol.Env) {
-	b := e.Body.(protocol.Forward)
-	if !c.rules() || b.Term != c.duty.num || !forwardableOps[b.Op] {
-		c.reply(e, protocol.Forwarded{Number: b.Number, NotOwner: true})
+func (c *Core) onForward(e protocol.Envelope) {
+	b := e.Body.(protocol.ForwardChange)
+	if !c.holdsLease() || b.Term != c.leadership.term || !forwardableOps[b.Op] {
+		c.reply(e, protocol.ForwardReply{Number: b.Number, NotOwner: true})
 		return
 	}
 	if !c.acceptedForwards.recordIfNew(forwardID{e.From.ID, b.Number}) {
@@ -191,15 +191,15 @@
 	}
 	c.tally.ForwardsTaken++
 	adminHandlers[b.Op](c, Admin{
-		Op: b.Op, Raw: b.Raw, Expect: b.Expect, Any: b.Any, Number: b.Revision, Change: b.Change, Zone: b.Zone,
+		Op: b.Op, Raw: b.Raw, Expect: b.Expect, Any: b.AnyEpoch, Number: b.Revision, Change: b.ChangeID, Zone: b.Zone,
 		reply: func(r Receipt) { c.replyForwarded(e, b.Number, r) },
 	})
 }
 
 // replyForwarded sends the outcome of a forwarded change back to the node that forwarded it.
-func (c *Core) replyForwarded(e protocol.Env, number uint64, r Receipt) {
+func (c *Core) replyForwarded(e protocol.Envelope, number uint64, r Receipt) {
 	if r.Kind == failure.Full {
-		r.Why = fmt.Sprintf("%d changes are queued at the leader", mostQueued)
+		r.Why = fmt.Sprintf("%d changes are queued at the leader", maxQueued)
 	}
-	c.reply(e, protocol.Forwarded{Number: number, Kind: r.Kind, Why: r.Why, Faults: r.Faults, Epoch: r.Epoch, Empty: r.Empty, Chosen: c.reg.at})
+	c.reply(e, protocol.ForwardReply{Number: number, Kind: r.Kind, Reason: r.Why, Faults: r.Faults, Epoch: r.Epoch, Empty: r.Empty, Chosen: c.register.knownBallot})
 }
--- a/internal/controller/holders.go
+++ b/internal/controller/holders.go
@@ -11,8 +11,8 @@
 // serverIndex lists the leader's servers ordered by ID, and by the keys they hold, so that a look-up of a key's
 // replicas reads only these servers.
 type serverIndex struct {
-	ordered []*server
-	byKey   map[ident.Key][]*server // ordered by ID
+	sorted []*server
+	byKey  map[ident.Key][]*server // ordered by ID
 }
 
 func newServerIndex() serverIndex { return serverIndex{byKey: map[ident.Key][]*server{}} }
@@ -55,9 +55,9 @@
 // addServer adds a server to the leader's view.
 func (c *Core) addServer(s *server) {
 	c.servers[s.ID] = s
-	c.fleet.ordered = insertServer(c.fleet.ordered, s)
+	c.serverIndex.sorted = insertServer(c.serverIndex.sorted, s)
 	for key := range s.replicas {
-		c.fleet.addHolder(s, key)
+		c.serverIndex.addHolder(s, key)
 	}
 }
 
@@ -68,31 +68,31 @@
 		return
 	}
 	for key := range s.replicas {
-		c.fleet.removeHolder(s, key)
+		c.serverIndex.removeHolder(s, key)
 	}
 	delete(c.servers, id)
-	c.fleet.ordered = deleteServer(c.fleet.ordered, id)
+	c.serverIndex.sorted = deleteServer(c.serverIndex.sorted, id)
 }
 
 // putReplica records that a server holds a key, or is about to.
-func (c *Core) putReplica(s *server, p *spot) {
+func (c *Core) putReplica(s *server, p *modelReplica) {
 	s.replicas[p.key] = p
-	c.fleet.addHolder(s, p.key)
+	c.serverIndex.addHolder(s, p.key)
 }
 
 // removeReplica records that a server no longer holds a key.
 func (c *Core) removeReplica(s *server, key ident.Key) {
 	delete(s.replicas, key)
-	c.fleet.removeHolder(s, key)
+	c.serverIndex.removeHolder(s, key)
 }
 
 // holdersOf returns the servers that have a key in any stage, ordered by ID; for a key that stands for a whole
 // service, all servers.
-func (c *Core) holding(key ident.Key) []*server {
-	if key.Plain() {
-		return c.fleet.ordered
+func (c *Core) holdersOf(key ident.Key) []*server {
+	if key.IsWholeService() {
+		return c.serverIndex.sorted
 	}
-	return c.fleet.byKey[key]
+	return c.serverIndex.byKey[key]
 }
 
 // diskIndex lists, for each key, the enrolled servers that have it on their own disk: certainly (true) or
@@ -119,27 +119,27 @@
 
 // noteOnDisk records that an enrolled server has a key on its own disk, certainly or probably.
 func (c *Core) noteOnDisk(e *enrolled, key ident.Key, sure bool) {
-	if was, known := e.had[key]; known && was == sure {
+	if was, known := e.onDisk[key]; known && was == sure {
 		return
 	}
-	e.had[key] = sure
+	e.onDisk[key] = sure
 	c.disks.set(e.ID, key, sure)
 }
 
 // addEnrolled adds a server that announced itself, in place of any earlier entry with its ID.
-func (c *Core) enlist(e *enrolled) {
-	c.delist(e.ID)
-	c.roll[e.ID] = e
-	for key, sure := range e.had {
+func (c *Core) addEnrolled(e *enrolled) {
+	c.removeEnrolled(e.ID)
+	c.enrolledServers[e.ID] = e
+	for key, sure := range e.onDisk {
 		c.disks.set(e.ID, key, sure)
 	}
 }
 
 // removeEnrolled removes a server that announced itself.
-func (c *Core) delist(id ident.Server) {
-	if e := c.roll[id]; e != nil {
-		c.disks.removeServer(id, e.had)
-		delete(c.roll, id)
+func (c *Core) removeEnrolled(id ident.Server) {
+	if e := c.enrolledServers[id]; e != nil {
+		c.disks.removeServer(id, e.onDisk)
+		delete(c.enrolledServers, id)
 	}
 }
 
--- a/internal/controller/host.go
+++ b/internal/controller/host.go
@@ -24,34 +24,34 @@
 // Dialect defines the HTTP paths and formats that a deployment's servers and operators use with core nodes. It contains
 // no logic of the core.
 type Dialect struct {
-	Servers  string // path prefix of servers' announcements; the server's id follows it
-	Plan     string // path of the plan
-	Beacon   func(id string, raw []byte) (protocol.Beacon, error)
-	Revision func(raw []byte) (uint64, error)
-	Target   func(addr string) []byte
-	Read     func([]byte) (*fleetplan.Plan, fleetplan.Faults)
-	Merge    func(plan, patch []byte) ([]byte, fleetplan.Faults)
-	Tell     func(context.Context, *http.Client, protocol.Ask) protocol.Told
+	ServersPath   string // path prefix of servers' announcements; the server's id follows it
+	PlanPath      string // path of the plan
+	ReadBeacon    func(id string, raw []byte) (protocol.Announcement, error)
+	ReadRevision  func(raw []byte) (uint64, error)
+	AnnounceReply func(addr string) []byte
+	ReadPlan      func([]byte) (*fleetplan.Plan, fleetplan.Faults)
+	MergePatch    func(plan, patch []byte) ([]byte, fleetplan.Faults)
+	Send          func(context.Context, *http.Client, protocol.HTTPRequest) protocol.HTTPResult
 }
 
 // HostOptions configures a core node that runs under a hosting platform.
 type HostOptions struct {
-	ID      string
-	Zone    string
-	Post    string                         // address for other nodes
-	Control string                         // address for servers and operators
-	Admin   string                         // address of the product's own interface for operators
-	Metrics string                         // additional address for metrics; none if empty
-	Bind    func(advertised string) string // maps an advertised address to the one to listen on
-	Regions map[ident.Zone]string          // region of each zone
-	Seeds   []string
-	Follow  func(step func(protocol.Reseed)) // subscribes to changes of the seeds; optional
-	Data    string
-	First   bool // this is the first start of the whole system
-	Logs    io.Writer
-	Dialect Dialect
-	Timing  Timing
-	Losses  int // number of core nodes that may be lost at once, including their disks
+	ID          string
+	Zone        string
+	PeerAddr    string                         // address for other nodes
+	ControlAddr string                         // address for servers and operators
+	AdminAddr   string                         // address of the product's own interface for operators
+	MetricsAddr string                         // additional address for metrics; none if empty
+	Bind        func(advertised string) string // maps an advertised address to the one to listen on
+	Regions     map[ident.Zone]string          // region of each zone
+	Seeds       []string
+	FollowSeeds func(step func(protocol.SeedsChanged)) // subscribes to changes of the seeds; optional
+	Data        string
+	FirstStart  bool // this is the first start of the whole system
+	LogOutput   io.Writer
+	Dialect     Dialect
+	Timing      Timing
+	Losses      int // number of core nodes that may be lost at once, including their disks
 }
 
 // dialTimeout bounds a connection attempt to another machine. A machine without power doesn't refuse a connection, and
@@ -70,42 +70,42 @@
 
 // RouterLease derives the duration of a router's lease. The lease must end, on the leader's clock too, within each
 // bound that it must not exceed.
-func (t Timing) Hold() clock.Span {
+func (t Timing) RouterLease() clock.Span {
 	return max(200e6, min(2000e6, min(t.Apply, t.Drain)*7/10))
 }
 
 // LeadershipLease derives the duration of the leadership lease: short enough to replace a lost leader quickly, and
 // long enough for four rounds.
-func (t Timing) Duty() clock.Span { return max(400e6, min(1200e6, t.Hold()*4/7)) }
+func (t Timing) LeadershipLease() clock.Span { return max(400e6, min(1200e6, t.RouterLease()*4/7)) }
 
 // ReplaceAfter derives how long a voter is absent before a spare node replaces it. By the time that a new node counts as
 // available, it must be a voter and the previous voter set must no longer be in force.
-func (t Timing) Spare() clock.Span { return max(800e6, min(6000e6, t.CatchUp*3/10)) }
+func (t Timing) ReplaceAfter() clock.Span { return max(800e6, min(6000e6, t.CatchUp*3/10)) }
 
 // SilenceTimeout derives how long a server may be silent before it is polled.
-func (t Timing) Silence() clock.Span { return t.Period*2 + t.Period/4 }
+func (t Timing) SilenceTimeout() clock.Span { return t.Period*2 + t.Period/4 }
 
 // hostedOptions returns the options of a core that runs under a hosting platform.
 func hostedOptions(h HostOptions) Options {
 	return Options{
-		Me: protocol.Sibling{ID: ident.Node(h.ID), Addr: h.Post}, Zone: ident.Zone(h.Zone), Inc: host.NewInc(),
-		Seeds: host.Siblings(h.Seeds), Rand: host.NewRand(), Wall: time.Now,
-		Duty: h.Timing.Duty(), Round: h.Timing.Duty() / 4, Hold: h.Timing.Hold(), Spare: h.Timing.Spare(), Silence: h.Timing.Silence(), Rate: h.Timing.Rate, Tenure: h.Timing.Tenure,
-		Read: h.Dialect.Read, Merge: h.Dialect.Merge, Enrolled: true, Unfenced: true, Warm: true, Voters: 2*h.Losses + 1, HandOver: true, Joined: !h.First, Regions: h.Regions,
+		Self: protocol.Peer{ID: ident.Node(h.ID), Addr: h.PeerAddr}, Zone: ident.Zone(h.Zone), Inc: host.NewIncarnation(),
+		Seeds: host.SeedPeers(h.Seeds), Rand: host.NewRand(), WallClock: time.Now,
+		LeadershipLease: h.Timing.LeadershipLease(), ReadInterval: h.Timing.LeadershipLease() / 4, RouterLease: h.Timing.RouterLease(), ReplaceAfter: h.Timing.ReplaceAfter(), SilenceTimeout: h.Timing.SilenceTimeout(), RateWindow: h.Timing.Rate, Tenure: h.Timing.Tenure,
+		ParsePlan: h.Dialect.ReadPlan, MergePatch: h.Dialect.MergePatch, Enrolled: true, Unfenced: true, Preload: true, Voters: 2*h.Losses + 1, HandOver: true, CoreExists: !h.FirstStart, Regions: h.Regions,
 	}
 }
 
 // Host runs a core node under a hosting platform until the process receives a signal to stop.
 func Host(h HostOptions) error {
-	ring := host.NewRingWith(host.RingOptions{Name: h.ID, Out: os.Stderr, Lines: h.Logs})
-	plans := &fleetplan.Memo{Read: h.Dialect.Read}
-	h.Dialect.Read = plans.Plan
-	h.Dialect.Merge = (&fleetplan.MergeMemo{Merge: h.Dialect.Merge}).Apply
+	ring := host.NewLogWith(host.LogOptions{Name: h.ID, DumpTo: os.Stderr, JSONLines: h.LogOutput})
+	plans := &fleetplan.Memo{Read: h.Dialect.ReadPlan}
+	h.Dialect.ReadPlan = plans.Plan
+	h.Dialect.MergePatch = (&fleetplan.MergeMemo{Merge: h.Dialect.MergePatch}).Apply
 	core := New(hostedOptions(h))
 	admin := &adminServer{waiting: map[uint64]chan Receipt{}}
 	handler := &controlHandler{waiting: map[uint64]chan bool{}, admin: admin, options: h}
-	admin.process = host.New(host.Options{Core: core, Listen: []string{h.Bind(h.Post)}, Told: h.Post, Data: h.Data, Beat: 25 * time.Millisecond, Dial: dialTimeout, Ring: ring,
-		Before: h.preparsePlan, Tell: h.Dialect.Tell, Else: func(o any) {
+	admin.process = host.New(host.Options{Core: core, Listen: []string{h.Bind(h.PeerAddr)}, Advertised: h.PeerAddr, DataDir: h.Data, TickInterval: 25 * time.Millisecond, DialTimeout: dialTimeout, Log: ring,
+		OnMessage: h.preparsePlan, SendRequest: h.Dialect.Send, HandleOutput: func(o any) {
 			admin.handleOutput(o)
 			handler.handleOutput(o)
 		}})
@@ -113,25 +113,25 @@
 		return err
 	}
 	defer admin.process.Stop()
-	if h.Follow != nil {
-		h.Follow(func(r protocol.Reseed) { admin.process.Step(r) })
+	if h.FollowSeeds != nil {
+		h.FollowSeeds(func(r protocol.SeedsChanged) { admin.process.Step(r) })
 	}
-	defer host.ServeBeside(ring, admin.routes(core), h.Bind(h.Admin), h.Bind(h.Metrics))()
-	err := host.Web(h.Bind(h.Control), handler, ring, nil, 2*time.Second)
+	defer host.ServeOperators(ring, admin.routes(core), h.Bind(h.AdminAddr), h.Bind(h.MetricsAddr))()
+	err := host.ServeUntilSignal(h.Bind(h.ControlAddr), handler, ring, nil, 2*time.Second)
 	admin.stop(core)
 	return err
 }
 
 // preparsePlan parses a plan in another node's message in advance, so that parsing doesn't block a step of the core.
-func (h HostOptions) preparsePlan(e protocol.Env) {
+func (h HostOptions) preparsePlan(e protocol.Envelope) {
 	switch b := e.Body.(type) {
 	case protocol.Accept:
 		h.parsePlan(b.Value.Plan)
-	case protocol.Value:
+	case protocol.FetchedValue:
 		if b.Value != nil {
 			h.parsePlan(b.Value.Plan)
 		}
-	case protocol.Forward:
+	case protocol.ForwardChange:
 		if b.Op == "put" {
 			h.parsePlan(b.Raw)
 		}
@@ -141,7 +141,7 @@
 // parsePlan parses a plan to fill the cache of parsed plans.
 func (h HostOptions) parsePlan(raw []byte) {
 	if len(raw) > 0 {
-		_, _ = h.Dialect.Read(raw)
+		_, _ = h.Dialect.ReadPlan(raw)
 	}
 }
 
@@ -170,11 +170,11 @@
 
 // ServeHTTP handles servers' announcements, and operators' reads and changes of the plan.
 func (h *controlHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if id, ok := strings.CutPrefix(r.URL.Path, h.options.Dialect.Servers); ok {
+	if id, ok := strings.CutPrefix(r.URL.Path, h.options.Dialect.ServersPath); ok {
 		h.serveAnnouncement(w, r, id)
 		return
 	}
-	if r.URL.Path != h.options.Dialect.Plan {
+	if r.URL.Path != h.options.Dialect.PlanPath {
 		http.NotFound(w, r)
 		return
 	}
@@ -192,15 +192,15 @@
 
 // serveAnnouncement handles an announcement of a server: PUT for its state, DELETE if it is gone.
 func (h *controlHandler) serveAnnouncement(w http.ResponseWriter, r *http.Request, id string) {
-	b := protocol.Beacon{Listed: protocol.Listed{ID: ident.Server(id), State: "gone"}}
+	b := protocol.Announcement{ListedServer: protocol.ListedServer{ID: ident.Server(id), State: "gone"}}
 	switch r.Method {
 	case http.MethodPut:
 		raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 1<<20))
 		if err != nil {
 			return
 		}
-		if b, err = h.options.Dialect.Beacon(id, raw); err != nil {
-			host.Error(w, failure.Malformed, 0, fleetplan.Faults{{Path: "$", Why: err.Error()}})
+		if b, err = h.options.Dialect.ReadBeacon(id, raw); err != nil {
+			host.WriteError(w, failure.Malformed, 0, fleetplan.Faults{{Path: "$", Why: err.Error()}})
 			return
 		}
 	case http.MethodDelete:
@@ -229,7 +229,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(h.options.Dialect.Target(""))
+	_, _ = w.Write(h.options.Dialect.AnnounceReply(""))
 }
 
 // servePlan returns the newest plan.
@@ -237,9 +237,9 @@
 	receipt := h.admin.request(Admin{Op: "get"})
 	switch {
 	case receipt.Kind != failure.None:
-		host.Error(w, failure.NotReady, 0, nil)
+		host.WriteError(w, failure.NotReady, 0, nil)
 	case len(receipt.Plan) == 0:
-		host.Error(w, failure.Unknown, 0, nil)
+		host.WriteError(w, failure.Unknown, 0, nil)
 	default:
 		w.Header().Set("Content-Type", "application/json")
 		w.Header().Set("ETag", fmt.Sprint(receipt.Epoch))
@@ -250,18 +250,18 @@
 // serveChange handles an operator's change. The change id is a digest of the request, so that every node recognizes a
 // repeat.
 func (h *controlHandler) serveChange(w http.ResponseWriter, r *http.Request, op string) {
-	raw, ok := host.Body(w, r, 2*fleetplan.MostPlan)
+	raw, ok := host.ReadBody(w, r, 2*fleetplan.MaxPlanBytes)
 	if !ok {
 		return
 	}
-	revision, err := h.options.Dialect.Revision(raw)
+	revision, err := h.options.Dialect.ReadRevision(raw)
 	if err != nil {
-		host.Error(w, failure.Malformed, 0, fleetplan.Faults{{Path: "$", Why: err.Error()}})
+		host.WriteError(w, failure.Malformed, 0, fleetplan.Faults{{Path: "$", Why: err.Error()}})
 		return
 	}
 	base, err := strconv.ParseUint(strings.Trim(strings.TrimSpace(r.Header.Get("If-Match")), `"`), 10, 64)
 	if err != nil {
-		host.Error(w, failure.Malformed, 0, fleetplan.Faults{{Path: "If-Match", Why: "wants the revision of the plan that the change is based on"}})
+		host.WriteError(w, failure.Malformed, 0, fleetplan.Faults{{Path: "If-Match", Why: "wants the revision of the plan that the change is based on"}})
 		return
 	}
 	if op == "put" {
@@ -273,12 +273,12 @@
 	receipt := h.admin.request(Admin{Op: op, Raw: raw, Expect: ident.Epoch(base), Number: ident.Epoch(revision), Change: hex.EncodeToString(digest.Sum(nil)[:12])})
 	switch receipt.Kind {
 	case failure.None:
-		host.JSON(w, http.StatusOK, receipt)
+		host.WriteJSON(w, http.StatusOK, receipt)
 	case failure.Conflict:
-		host.JSON(w, http.StatusPreconditionFailed, receipt)
-	case failure.Faulty, failure.Malformed, failure.Unknown:
-		host.JSON(w, http.StatusBadRequest, receipt)
+		host.WriteJSON(w, http.StatusPreconditionFailed, receipt)
+	case failure.FaultyPlan, failure.Malformed, failure.Unknown:
+		host.WriteJSON(w, http.StatusBadRequest, receipt)
 	default:
-		host.JSON(w, http.StatusServiceUnavailable, receipt)
+		host.WriteJSON(w, http.StatusServiceUnavailable, receipt)
 	}
 }
--- a/internal/controller/link_set.go
+++ b/internal/controller/link_set.go
@@ -18,7 +18,7 @@
 
 // compareSessions orders sessions by node, then by the incarnations of agent and router, then by number.
 func compareSessions(a, b protocol.Session) int {
-	return cmp.Or(cmp.Compare(a.Node, b.Node), cmp.Compare(a.Agent, b.Agent), cmp.Compare(a.N, b.N))
+	return cmp.Or(cmp.Compare(a.Node, b.Node), cmp.Compare(a.AgentIncarnation, b.AgentIncarnation), cmp.Compare(a.Num, b.Num))
 }
 
 // add inserts a new link.
@@ -39,7 +39,7 @@
 }
 
 func (s *linkSet) find(l *link) (at int, found bool) {
-	return slices.BinarySearchFunc(s.ordered, l, func(a, b *link) int { return compareSessions(a.ses, b.ses) })
+	return slices.BinarySearchFunc(s.ordered, l, func(a, b *link) int { return compareSessions(a.session, b.session) })
 }
 
 // takeUnsent returns the links with unsent changes in session order, and clears the set.
@@ -52,6 +52,6 @@
 		due = append(due, l)
 	}
 	clear(s.unsent)
-	slices.SortFunc(due, func(a, b *link) int { return compareSessions(a.ses, b.ses) })
+	slices.SortFunc(due, func(a, b *link) int { return compareSessions(a.session, b.session) })
 	return due
 }
--- a/internal/controller/links.go
+++ b/internal/controller/links.go
@@ -14,19 +14,19 @@
 // link is the leader's side of the connection to one router: the changes sent in order, those that the router
 // acknowledged, and the keys for which it holds a callback.
 type link struct {
-	ses              protocol.Session
-	replyTo          protocol.Env // last message received; answers return along its path
-	items            []change
+	session          protocol.Session
+	replyTo          protocol.Envelope // last message received; answers return along its path
+	unacked          []change
 	lastNum          uint64
 	gen              uint64      // of the newest configuration that the router is known to have
 	epoch            ident.Epoch // of the same configuration
-	heard            uint64
-	sent             uint64
-	sentAt           clock.Tick
-	until            clock.Tick // end of the router's lease on this node's clock; the router's own lease ends earlier
-	pendingRenewal   uint64     // sequence number of a renewal that waits for acknowledgements
-	lastHeard        clock.Tick
-	holds            map[ident.Key]uint64
+	ackedNum         uint64
+	sentNum          uint64
+	sentAt           clock.Instant
+	leaseEnd         clock.Instant // end of the router's lease on this node's clock; the router's own lease ends earlier
+	pendingRenewal   uint64        // sequence number of a renewal that waits for acknowledgements
+	lastHeard        clock.Instant
+	callbacks        map[ident.Key]uint64
 	callbackOrder    []ident.Key // oldest first; the oldest are shed first
 	tokensInProgress map[ident.Server]int
 	overflowed       bool
@@ -38,81 +38,81 @@
 // change is a numbered change on a link. Its creation time limits the router's lease until the change is
 // acknowledged.
 type change struct {
-	protocol.Item
-	createdAt clock.Tick
+	protocol.Update
+	createdAt clock.Instant
 }
 
 // boundsLease reports whether the router's lease is limited until it acknowledges the change. This applies to
 // broken callbacks and to configurations.
 func (i change) boundsLease() bool { return i.Break != "" || i.Desired != nil }
 
-func (c *Core) linkOf(e protocol.Env, s protocol.Session) *link {
-	if !c.rules() {
+func (c *Core) linkOf(e protocol.Envelope, s protocol.Session) *link {
+	if !c.holdsLease() {
 		c.reply(e, c.notOwner(e, s))
 		return nil
 	}
 	l := c.links[s]
 	if l == nil {
-		c.reply(e, protocol.NotOwner{Session: s, Gone: true, Cores: c.coreNodes()})
+		c.reply(e, protocol.NotOwner{Session: s, SessionEnded: true, CoreNodes: c.coreNodes()})
 		return nil
 	}
 	l.replyTo, l.lastHeard = e, c.now
-	c.workload.Heard(s, c.now)
+	c.workload.MarkActive(s, c.now)
 	return l
 }
 
 // notOwner builds the answer of a node that is not the leader. It confirms the newest configuration if a
 // recent majority read showed nothing newer.
-func (c *Core) notOwner(e protocol.Env, s protocol.Session) protocol.NotOwner {
-	answer := protocol.NotOwner{Session: s, Hint: c.duty.who, Cores: c.coreNodes(), Majority: c.hearsMajority()}
-	if answer.Hint.ID == c.o.Me.ID {
-		answer.Hint = protocol.Sibling{}
+func (c *Core) notOwner(e protocol.Envelope, s protocol.Session) protocol.NotOwner {
+	answer := protocol.NotOwner{Session: s, OwnerHint: c.leadership.owner, CoreNodes: c.coreNodes(), Majority: c.hearsMajority()}
+	if answer.OwnerHint.ID == c.o.Self.ID {
+		answer.OwnerHint = protocol.Peer{}
 	}
 	renewal, renews := e.Body.(protocol.Renew)
-	if known := c.reg.known; renews && known != nil && c.reg.heard != 0 {
+	if known := c.register.known; renews && known != nil && c.register.knownSince != 0 {
 		answer.Seq, answer.Gen, answer.Epoch = renewal.Seq, known.Gen, known.Epoch
-		answer.Fresh = max(0, c.o.Hold-c.now.Sub(c.reg.heard))
-		answer.Leaving = c.knownToLeave()
+		answer.ConfigLease = max(0, c.o.RouterLease-c.now.Sub(c.register.knownSince))
+		answer.Leaving = c.leavingServers()
 	}
 	return answer
 }
 
-func (c *Core) coreNodes() []protocol.Sibling {
+func (c *Core) coreNodes() []protocol.Peer {
 	if k := c.latest(); k != nil {
-		return voterset.Addresses(*k)
+		return voterset.Peers(*k)
 	}
 	return c.o.Seeds
 }
 
-func (c *Core) onRenew(e protocol.Env) {
+func (c *Core) onRenew(e protocol.Envelope) {
 	b := e.Body.(protocol.Renew)
-	if c.rules() && c.links[b.Session] == nil && b.Fresh && c.tombs[b.Session] == 0 && c.reg.known != nil {
+	if c.holdsLease() && c.links[b.Session] == nil && b.NewSession && c.endedSessions[b.Session] == 0 && c.register.known != nil {
 		// Any new link may hold a lease, so the link counts as leased until its first grant.
-		c.addLink(&link{ses: b.Session, until: c.now.Add(c.pad(c.o.Hold)), holds: map[ident.Key]uint64{}})
+		c.addLink(&link{session: b.Session, leaseEnd: c.now.Add(c.withDrift(c.o.RouterLease)), callbacks: map[ident.Key]uint64{}})
 	}
-	if c.rules() && c.reg.known != nil && b.Gen > c.reg.known.Gen {
-		c.lift(b.Gen)
+	if c.holdsLease() && c.register.known != nil && b.Gen > c.register.known.Gen {
+		c.raiseGeneration(b.Gen)
 	}
 	l := c.linkOf(e, b.Session)
 	if l == nil {
 		return
 	}
-	c.updateTokensInProgress(l, b.Seats)
-	c.recordTokenTimes(b.Paces)
-	c.workload.Report(b.Session, b.Burden, c.now)
-	for _, k := range generic.SortedKeys(b.Burden) {
-		if u := b.Burden[k]; u.Wait > 0 || u.Came > 0 {
-			c.reportWaiting(k, u.Wait, u.Top)
+	c.updateTokensInProgress(l, b.TokensInProgress)
+	c.recordTokenTimes(b.TokenTimes)
+	c.workload.Report(b.Session, b.KeyLoads, c.now)
+	for _, k := range generic.SortedKeys(b.KeyLoads) {
+		if u := b.KeyLoads[k]; u.Waiting > 0 || u.Arrived > 0 {
+			c.reportWaiting(k, u.Waiting, u.TopValue)
 			c.recordArrivals(k, u)
 		}
 	}
-	c.acknowledge(l, b.Heard)
+	c.acknowledge(l, b.AckedNum)
 	l.markKnown(b.Gen, b.Epoch)
 	c.offerDesired(l)
 	l.pendingRenewal = max(l.pendingRenewal, b.Seq)
-	if !c.grant(l) && c.rules() {
+	if !c.grant(l) && c.holdsLease() {
 		c.tally.Withheld++
-		c.reply(l.replyTo, protocol.Grant{Session: l.ses, Seq: b.Seq, Duty: c.duty.num})
+		c.reply(l.replyTo, protocol.Grant{Session: l.session, Seq: b.Seq, Term: c.leadership.term})
 	}
 }
 
@@ -120,34 +120,34 @@
 // ends when it would have ended if granted just before that change, so that it expires instead of outliving
 // the change. It reports whether a lease was granted.
 func (c *Core) grant(l *link) bool {
-	if l.pendingRenewal == 0 || !c.rules() {
+	if l.pendingRenewal == 0 || !c.holdsLease() {
 		return false
 	}
 	old := c.now.Sub(c.knownSince())
-	n := c.o.Hold - old
-	if since, owes := c.owedSince(l); owes {
-		n = min(n, c.o.Hold-c.now.Sub(since))
+	n := c.o.RouterLease - old
+	if since, owes := c.unackedSince(l); owes {
+		n = min(n, c.o.RouterLease-c.now.Sub(since))
 	}
 	if l.overflowed || n <= 0 {
 		return false
 	}
-	l.until = max(l.until, c.now.Add(c.pad(n)))
+	l.leaseEnd = max(l.leaseEnd, c.now.Add(c.withDrift(n)))
 	c.tally.Grants++
-	c.reply(l.replyTo, protocol.Grant{Session: l.ses, Seq: l.pendingRenewal, Len: n, Duty: c.duty.num, Routers: max(len(c.links), c.mates.CountAlive("agent")), Seats: c.tokensInProgressFor(l), Paces: c.tokenTimesUpdate(l)})
+	c.reply(l.replyTo, protocol.Grant{Session: l.session, Seq: l.pendingRenewal, Length: n, Term: c.leadership.term, Routers: max(len(c.links), c.members.CountAlive("agent")), TokensInProgress: c.tokensInProgressFor(l), TokenTimes: c.tokenTimesUpdate(l)})
 	l.pendingRenewal = 0
 	return true
 }
 
 // knownSince returns the time from which leases count: by then this node held the term and knew the newest
 // configuration.
-func (c *Core) knownSince() clock.Tick { return min(c.duty.asked, c.reg.heard) }
+func (c *Core) knownSince() clock.Instant { return min(c.leadership.renewedAt, c.register.knownSince) }
 
 // owesChange reports whether an unacknowledged change limits the lease of a link.
-func (l *link) owesChange() bool { return slices.ContainsFunc(l.items, change.boundsLease) }
+func (l *link) owesChange() bool { return slices.ContainsFunc(l.unacked, change.boundsLease) }
 
-// owedSince returns the creation time of the oldest change that limits the lease of a router.
-func (c *Core) owedSince(l *link) (since clock.Tick, owes bool) {
-	for _, i := range l.items {
+// unackedSince returns the creation time of the oldest change that limits the lease of a router.
+func (c *Core) unackedSince(l *link) (since clock.Instant, owes bool) {
+	for _, i := range l.unacked {
 		if i.Break != "" && (!owes || i.createdAt < since) {
 			since, owes = i.createdAt, true
 		}
@@ -169,7 +169,7 @@
 // the data, as repeats of a large plan would otherwise displace all other traffic.
 func (l *link) resendDelay() clock.Span {
 	n := 0
-	for _, i := range l.items {
+	for _, i := range l.unacked {
 		if i.Desired != nil {
 			n += len(i.Desired.Plan)
 		}
@@ -177,34 +177,34 @@
 	return minResendDelay + clock.Span(n)*resendDelayPerByte
 }
 
-func (c *Core) queueItem(l *link, i protocol.Item) uint64 {
+func (c *Core) queueItem(l *link, i protocol.Update) uint64 {
 	l.lastNum++
 	i.Num = l.lastNum
-	l.items = append(l.items, change{i, c.now})
+	l.unacked = append(l.unacked, change{i, c.now})
 	c.linkSet.unsent[l] = true
 	return l.lastNum
 }
 
 func (c *Core) acknowledge(l *link, num uint64) {
-	if num <= l.heard {
+	if num <= l.ackedNum {
 		return
 	}
-	l.heard = min(num, l.lastNum)
+	l.ackedNum = min(num, l.lastNum)
 	n := 0
-	for n < len(l.items) && l.items[n].Num <= l.heard {
-		if l.items[n].Break != "" {
+	for n < len(l.unacked) && l.unacked[n].Num <= l.ackedNum {
+		if l.unacked[n].Break != "" {
 			c.tally.Acks++
 		}
-		if d := l.items[n].Desired; d != nil {
+		if d := l.unacked[n].Desired; d != nil {
 			l.markKnown(d.Gen, d.Epoch)
 		}
 		n++
 	}
-	l.items = l.items[n:]
+	l.unacked = l.unacked[n:]
 }
 
-func (c *Core) onAck(e protocol.Env) {
-	b := e.Body.(protocol.Heard)
+func (c *Core) onAck(e protocol.Envelope) {
+	b := e.Body.(protocol.Ack)
 	if l := c.linkOf(e, b.Session); l != nil {
 		c.acknowledge(l, b.Num)
 		c.offerDesired(l)
@@ -213,57 +213,57 @@
 }
 
 // onEntryRequest registers a callback and sends the entry, or only confirms that the router's copy is current.
-func (c *Core) onEntryRequest(e protocol.Env) {
-	b := e.Body.(protocol.Want)
+func (c *Core) onEntryRequest(e protocol.Envelope) {
+	b := e.Body.(protocol.EntryRequest)
 	l := c.linkOf(e, b.Session)
 	if l == nil {
 		return
 	}
 	c.reportWaiting(b.Key, b.Waiting, b.Value)
-	if !c.settled() {
-		if len(c.wants) < 10_000 {
-			c.wants = append(c.wants, e)
+	if !c.serversKnown() {
+		if len(c.deferredWants) < 10_000 {
+			c.deferredWants = append(c.deferredWants, e)
 		}
 		return
 	}
 	c.tally.Wants++
-	if l.holds[b.Key] > l.heard || l.overflowed {
+	if l.callbacks[b.Key] > l.ackedNum || l.overflowed {
 		return // the entry is on its way, or the link is overflowed and its lease will expire
 	}
 	x := c.entryOf(b.Key)
 	i := c.wireEntry(b.Key, x)
 	if len(x.replicas) == 0 {
-		i.Soon = c.estimateReady(b.Key)
+		i.ReadyIn = c.estimateReady(b.Key)
 	}
-	if b.Mark == x.digest && len(x.replicas) > 0 {
-		i.Same, i.Replicas = true, nil
+	if b.Digest == x.digest && len(x.replicas) > 0 {
+		i.Unchanged, i.Replicas = true, nil
 		c.tally.Sames++
 	}
-	if _, ok := l.holds[b.Key]; !ok {
+	if _, ok := l.callbacks[b.Key]; !ok {
 		l.callbackOrder = append(l.callbackOrder, b.Key)
 	}
-	l.holds[b.Key] = c.queueItem(l, protocol.Item{Entry: &i})
+	l.callbacks[b.Key] = c.queueItem(l, protocol.Update{Entry: &i})
 	// Above the limit, the oldest callbacks are broken to free their memory (section 3.1 of the design paper, Howard
 	// et al., 1988).
-	for len(l.holds) > c.o.Most {
+	for len(l.callbacks) > c.o.MaxCallbacks {
 		k := l.callbackOrder[0]
 		l.callbackOrder = l.callbackOrder[1:]
-		if _, ok := l.holds[k]; ok {
+		if _, ok := l.callbacks[k]; ok {
 			c.tally.Sheds++
 			c.breakCallback(l, k)
 		}
 	}
 }
 
-func (c *Core) onDroppedEntries(e protocol.Env) {
-	b := e.Body.(protocol.Removal)
+func (c *Core) onDroppedEntries(e protocol.Envelope) {
+	b := e.Body.(protocol.DroppedEntries)
 	l := c.linkOf(e, b.Session)
 	if l == nil {
 		return
 	}
 	for _, d := range b.Drops {
 		// A removal with an older number refers to a copy that a later delivery has replaced.
-		if n, ok := l.holds[d.Key]; ok && n == d.Num {
+		if n, ok := l.callbacks[d.Key]; ok && n == d.Num {
 			l.removeCallback(d.Key)
 			c.tally.Removals++
 		}
@@ -271,7 +271,7 @@
 }
 
 func (l *link) removeCallback(k ident.Key) {
-	delete(l.holds, k)
+	delete(l.callbacks, k)
 	for i, o := range l.callbackOrder {
 		if o == k {
 			l.callbackOrder = append(l.callbackOrder[:i:i], l.callbackOrder[i+1:]...)
@@ -282,9 +282,9 @@
 
 func (c *Core) breakCallback(l *link, k ident.Key) {
 	l.removeCallback(k)
-	c.queueItem(l, protocol.Item{Break: k})
+	c.queueItem(l, protocol.Update{Break: k})
 	c.tally.Breaks++
-	if len(l.items) > c.o.Pending {
+	if len(l.unacked) > c.o.MaxUnacknowledged {
 		l.overflowed = true
 	}
 }
@@ -292,20 +292,20 @@
 // extendCallbacks sends an entry that gained replicas to every holder. The copies of the holders contain no
 // wrong replica, so no callback is broken, and no router has to ask again.
 func (c *Core) extendCallbacks(k ident.Key, e *entry) {
-	i, packed := c.wireEntry(k, e), &protocol.Packed{}
-	for _, l := range c.sorted() {
-		if _, ok := l.holds[k]; ok && !l.overflowed {
-			l.holds[k] = c.queueItem(l, protocol.Item{Entry: &i, Packed: packed})
+	i, packed := c.wireEntry(k, e), &protocol.SharedEncoding{}
+	for _, l := range c.sortedLinks() {
+		if _, ok := l.callbacks[k]; ok && !l.overflowed {
+			l.callbacks[k] = c.queueItem(l, protocol.Update{Entry: &i, Shared: packed})
 		}
 	}
 }
 
 // wireEntry converts an entry to its form in messages.
 func (c *Core) wireEntry(k ident.Key, e *entry) protocol.Entry {
-	i := protocol.Entry{Key: k, Mark: e.digest, Never: e.unplaceable}
+	i := protocol.Entry{Key: k, Digest: e.digest, Unplaceable: e.unplaceable}
 	for _, r := range e.replicas {
 		p := r.wire
-		p.Warm = c.now.Sub(r.state.ready)
+		p.ReadyFor = c.now.Sub(r.state.readySince)
 		i.Replicas = append(i.Replicas, p)
 	}
 	return i
@@ -315,15 +315,15 @@
 // follows at once: its other replicas are still valid, and the holders need not ask a leader that may have
 // failed by then.
 func (c *Core) breakCallbacks(k ident.Key, e *entry) {
-	i, packed := c.wireEntry(k, e), &protocol.Packed{}
-	for _, l := range c.sorted() {
-		if _, ok := l.holds[k]; !ok {
+	i, packed := c.wireEntry(k, e), &protocol.SharedEncoding{}
+	for _, l := range c.sortedLinks() {
+		if _, ok := l.callbacks[k]; !ok {
 			continue
 		}
 		c.breakCallback(l, k)
 		if c.o.Unfenced && len(e.replicas) > 0 && !l.overflowed {
 			l.callbackOrder = append(l.callbackOrder, k)
-			l.holds[k] = c.queueItem(l, protocol.Item{Entry: &i, Packed: packed})
+			l.callbacks[k] = c.queueItem(l, protocol.Update{Entry: &i, Shared: packed})
 		}
 	}
 }
@@ -333,7 +333,7 @@
 func (c *Core) pendingBreaks(k ident.Key) map[protocol.Session]uint64 {
 	w := map[protocol.Session]uint64{}
 	for s, l := range c.links {
-		for _, i := range l.items {
+		for _, i := range l.unacked {
 			if i.Break == k || i.Entry != nil && i.Entry.Key == k {
 				w[s] = max(w[s], i.Num)
 			}
@@ -342,10 +342,10 @@
 	return w
 }
 
-// dropped reports whether every link has acknowledged its change or no longer exists.
-func (c *Core) dropped(w map[protocol.Session]uint64) bool {
+// allAcked reports whether every link has acknowledged its change or no longer exists.
+func (c *Core) allAcked(w map[protocol.Session]uint64) bool {
 	for s, n := range w {
-		if l := c.links[s]; l != nil && l.heard < n {
+		if l := c.links[s]; l != nil && l.ackedNum < n {
 			return false
 		}
 	}
@@ -354,57 +354,57 @@
 
 // sortedLinks returns the links in session order. Links must not be added or removed during an iteration over
 // the list.
-func (c *Core) sorted() []*link {
-	c.visit(len(c.linkSet.ordered))
+func (c *Core) sortedLinks() []*link {
+	c.countVisits(len(c.linkSet.ordered))
 	return c.linkSet.ordered
 }
 
 // addLink adds the link of a new session.
 func (c *Core) addLink(l *link) {
-	c.links[l.ses] = l
+	c.links[l.session] = l
 	c.linkSet.add(l)
 }
 
 // removeLink deletes a link and everything that its router has reported.
 func (c *Core) removeLink(l *link) {
 	c.updateTokensInProgress(l, nil)
-	c.workload.Forget(l.ses)
-	delete(c.links, l.ses)
+	c.workload.Forget(l.session)
+	delete(c.links, l.session)
 	c.linkSet.remove(l)
-	c.tombs[l.ses] = c.now
+	c.endedSessions[l.session] = c.now
 }
 
-func (c *Core) beatLinks() {
-	if !c.rules() {
+func (c *Core) tickLinks() {
+	if !c.holdsLease() {
 		return
 	}
-	for _, l := range slices.Clone(c.sorted()) {
-		if c.now > l.until {
-			if len(l.items) > 0 {
+	for _, l := range slices.Clone(c.sortedLinks()) {
+		if c.now > l.leaseEnd {
+			if len(l.unacked) > 0 {
 				c.tally.Lapses++
 				c.rollout.expiredLeases++
-				c.note("router lease expired with unacknowledged changes", field("router", l.ses.Node), field("session", l.ses.N),
-					field("unacknowledged", len(l.items)), field("owes", l.owesChange()), field("configuration", l.desiredPending()),
+				c.logEvent("router lease expired with unacknowledged changes", field("router", l.session.Node), field("session", l.session.Num),
+					field("unacknowledged", len(l.unacked)), field("owes", l.owesChange()), field("configuration", l.desiredPending()),
 					field("waited_ms", c.now.Sub(l.sentAt).Milliseconds()))
 			}
 			c.removeLink(l)
 			continue
 		}
-		if len(l.items) > 0 && c.now.Sub(l.sentAt) > l.resendDelay() {
+		if len(l.unacked) > 0 && c.now.Sub(l.sentAt) > l.resendDelay() {
 			c.replaceStaleDesired(l)
-			l.sent = l.heard // unacknowledged changes are sent again
+			l.sentNum = l.ackedNum // unacknowledged changes are sent again
 			c.linkSet.unsent[l] = true
 		}
 	}
 	c.checkRollout()
-	for s, t := range c.tombs {
+	for s, t := range c.endedSessions {
 		if c.now.Sub(t) > 60e9 {
-			delete(c.tombs, s)
+			delete(c.endedSessions, s)
 		}
 	}
-	if c.settled() && len(c.wants) > 0 {
-		l := c.wants
-		c.wants = nil
+	if c.serversKnown() && len(c.deferredWants) > 0 {
+		l := c.deferredWants
+		c.deferredWants = nil
 		for _, e := range l {
 			c.onEntryRequest(e)
 		}
@@ -413,23 +413,23 @@
 
 // flush sends the changes that have not been sent yet on each link.
 func (c *Core) flush() {
-	if !c.rules() {
+	if !c.holdsLease() {
 		return
 	}
 	for _, l := range c.linkSet.takeUnsent() {
-		c.visit(1)
-		if l.sent >= l.lastNum || len(l.items) == 0 {
+		c.countVisits(1)
+		if l.sentNum >= l.lastNum || len(l.unacked) == 0 {
 			continue
 		}
-		n := protocol.News{Session: l.ses, Duty: c.duty.num}
-		for _, i := range l.items {
-			if i.Num > l.sent && len(n.Items) < maxItemsPerMessage {
-				n.Items = append(n.Items, i.Item)
+		n := protocol.Updates{Session: l.session, Term: c.leadership.term}
+		for _, i := range l.unacked {
+			if i.Num > l.sentNum && len(n.Items) < maxItemsPerMessage {
+				n.Items = append(n.Items, i.Update)
 			}
 		}
-		l.sent, l.sentAt = n.Items[len(n.Items)-1].Num, c.now
+		l.sentNum, l.sentAt = n.Items[len(n.Items)-1].Num, c.now
 		c.reply(l.replyTo, n)
-		if l.sent < l.lastNum {
+		if l.sentNum < l.lastNum {
 			c.linkSet.unsent[l] = true // the rest follows with the next input
 		}
 	}
@@ -439,14 +439,14 @@
 const maxItemsPerMessage = 128
 
 // MeasureCallbackMemory returns the bytes of memory that a node uses for each of n callbacks of one router.
-func Weigh(c *Core, n int, heap func() uint64) float64 {
+func MeasureCallbackMemory(c *Core, n int, heap func() uint64) float64 {
 	was := heap()
 	defer runtime.KeepAlive(c)
-	l := &link{holds: map[ident.Key]uint64{}}
+	l := &link{callbacks: map[ident.Key]uint64{}}
 	c.links[protocol.Session{Node: "weighed"}] = l
 	for i := range n {
 		k := ident.Key("model-" + string(rune('a'+i%26)) + "+adapter-" + string(rune('a'+i/26%26)) + string(rune('a'+i/676)))
-		l.holds[k] = uint64(i)
+		l.callbacks[k] = uint64(i)
 		l.callbackOrder = append(l.callbackOrder, k)
 	}
 	return (float64(heap()) - float64(was)) / float64(n)
--- a/internal/controller/list.go
+++ b/internal/controller/list.go
@@ -12,24 +12,24 @@
 
 // ServerList is the server list of a leader. Every core node keeps the latest one on disk, so that a new leader or
 // a restarted core has a list while the platform doesn't answer.
-type Roll struct {
-	Duty ident.Duty
-	List []protocol.Listed
+type ServerList struct {
+	Duty ident.Term
+	List []protocol.ListedServer
 }
 
 // reachCheck is the state of a leader with poor connectivity that checks whether a peer reaches more servers.
-type eye struct {
-	since         clock.Tick // when connectivity became insufficient; 0 if it is sufficient
-	lastLook      clock.Tick
+type reachCheck struct {
+	since         clock.Instant // when connectivity became insufficient; 0 if it is sufficient
+	lastLook      clock.Instant
 	round         uint64
-	lastBroadcast clock.Tick // when the list was last sent to the peers
+	lastBroadcast clock.Instant // when the list was last sent to the peers
 }
 
 // listedStates are the valid states of a listed server.
 var listedStates = map[string]bool{"live": true, "leaving": true, "gone": true}
 
 // validList reports whether a server list is well-formed.
-func validList(list []protocol.Listed) bool {
+func validList(list []protocol.ListedServer) bool {
 	seen := map[ident.Server]bool{}
 	for _, listed := range list {
 		if listed.ID == "" || listed.Addr == "" || listed.Zone == "" || !listedStates[listed.State] || seen[listed.ID] {
@@ -42,21 +42,21 @@
 
 // retainOmitted guards against a truncated list. If a list omits more than half of the reachable servers, these keep
 // their state for as long as they answer. The entries that a list does have always apply.
-func (c *Core) retainOmitted(list []protocol.Listed) []protocol.Listed {
+func (c *Core) retainOmitted(list []protocol.ListedServer) []protocol.ListedServer {
 	seen := map[ident.Server]bool{}
 	for _, listed := range list {
 		seen[listed.ID] = true
 	}
 	there := 0
-	var lost []protocol.Listed
+	var lost []protocol.ListedServer
 	for _, id := range generic.SortedKeys(c.servers) {
 		s := c.servers[id]
-		if s.State == "gone" || s.dark {
+		if s.State == "gone" || s.unreachable {
 			continue
 		}
 		there++
 		if !seen[id] {
-			lost = append(lost, s.Listed)
+			lost = append(lost, s.ListedServer)
 		}
 	}
 	if 2*len(lost) <= there {
@@ -64,46 +64,46 @@
 	}
 	c.tally.Doubts++
 	if c.tally.Doubts%100 == 1 {
-		c.oops(fmt.Sprintf("the platform no longer lists %d of %d servers that answer: they are kept", len(lost), there))
+		c.logError(fmt.Sprintf("the platform no longer lists %d of %d servers that answer: they are kept", len(lost), there))
 	}
-	return append(append([]protocol.Listed{}, list...), lost...)
+	return append(append([]protocol.ListedServer{}, list...), lost...)
 }
 
 // broadcastList sends the list in use to every core node, on each change and periodically.
 func (c *Core) broadcastList() {
-	var servers []protocol.Listed
+	var servers []protocol.ListedServer
 	for _, id := range generic.SortedKeys(c.servers) {
 		if s := c.servers[id]; s.State != "gone" {
-			servers = append(servers, s.Listed)
+			servers = append(servers, s.ListedServer)
 		}
 	}
-	list := Roll{c.duty.num, servers}
-	if string(jot(list)) == string(jot(c.list)) && (c.o.Enrolled || c.now.Sub(c.eye.lastBroadcast) < 3e9) {
+	list := ServerList{c.leadership.term, servers}
+	if string(marshal(list)) == string(marshal(c.list)) && (c.o.Enrolled || c.now.Sub(c.reachability.lastBroadcast) < 3e9) {
 		return
 	}
-	c.eye.lastBroadcast = c.now
+	c.reachability.lastBroadcast = c.now
 	c.storeList(list)
-	for _, member := range c.mates.Alive("controller") {
-		if member.ID != c.o.Me.ID {
-			c.send(member.Sibling, protocol.Listing{Duty: list.Duty, List: list.List})
+	for _, member := range c.members.Alive("controller") {
+		if member.ID != c.o.Self.ID {
+			c.send(member.Peer, protocol.ServerList{Term: list.Duty, Servers: list.List})
 		}
 	}
 }
 
 // storeList keeps a list and writes it to disk, unless it is older than the stored one or equal to it.
-func (c *Core) storeList(list Roll) {
-	if list.Duty < c.list.Duty || string(jot(list)) == string(jot(c.list)) {
+func (c *Core) storeList(list ServerList) {
+	if list.Duty < c.list.Duty || string(marshal(list)) == string(marshal(c.list)) {
 		return
 	}
 	c.list = list
-	c.save(map[string][]byte{diskL: jot(list)}, func() {})
+	c.save(map[string][]byte{keyServerList: marshal(list)}, func() {})
 }
 
 // onServerList handles the leader's server list.
-func (c *Core) onServerList(e protocol.Env) {
-	b := e.Body.(protocol.Listing)
-	if !c.duty.mine && validList(b.List) {
-		c.storeList(Roll{b.Duty, b.List})
+func (c *Core) onServerList(e protocol.Envelope) {
+	b := e.Body.(protocol.ServerList)
+	if !c.leadership.held && validList(b.Servers) {
+		c.storeList(ServerList{b.Term, b.Servers})
 	}
 }
 
@@ -114,7 +114,7 @@
 			continue
 		}
 		should++
-		if s.known && !s.dark {
+		if s.known && !s.unreachable {
 			reached++
 		}
 	}
@@ -123,55 +123,55 @@
 
 // checkReach asks peers what they can reach after this leader's connectivity has been insufficient for a while, that
 // is, it can't reach the platform or reaches less than half of the servers.
-func (c *Core) beatEye() {
+func (c *Core) checkReach() {
 	if c.o.Enrolled {
 		return // servers announce themselves to the core, so a node doesn't need to reach a platform
 	}
 	should, reached := c.countReachable()
-	if c.now.Sub(c.seenAt) < c.o.Blind && 2*reached >= should {
-		c.eye.since = 0
+	if c.now.Sub(c.listedAt) < c.o.UnreachableAfter && 2*reached >= should {
+		c.reachability.since = 0
 		return
 	}
-	if c.eye.since == 0 {
-		c.eye.since = c.now
+	if c.reachability.since == 0 {
+		c.reachability.since = c.now
 	}
-	if c.now.Sub(c.eye.since) < c.o.Blind/2 || c.now.Sub(c.duty.began) < c.o.Blind || c.now.Sub(c.eye.lastLook) < 1e9 {
+	if c.now.Sub(c.reachability.since) < c.o.UnreachableAfter/2 || c.now.Sub(c.leadership.begunAt) < c.o.UnreachableAfter || c.now.Sub(c.reachability.lastLook) < 1e9 {
 		return
 	}
-	c.eye.lastLook = c.now
-	c.eye.round++
+	c.reachability.lastLook = c.now
+	c.reachability.round++
 	c.tally.Looks++
-	for _, voter := range c.reg.known.Voters {
-		if voter.ID != c.o.Me.ID {
-			c.send(voter.Sibling, protocol.Look{Round: c.eye.round, List: c.list.List})
+	for _, voter := range c.register.known.Voters {
+		if voter.ID != c.o.Self.ID {
+			c.send(voter.Peer, protocol.ReachQuery{Round: c.reachability.round, Servers: c.list.List})
 		}
 	}
 }
 
 // onReachQuery checks what this node can reach. A server answers an order of term 0 with a report and
 // doesn't execute it.
-func (c *Core) onReachQuery(e protocol.Env) {
-	b := e.Body.(protocol.Look)
-	if len(b.List) > 1000 {
+func (c *Core) onReachQuery(e protocol.Envelope) {
+	b := e.Body.(protocol.ReachQuery)
+	if len(b.Servers) > 1000 {
 		return
 	}
-	remaining := len(b.List) + 1
-	result := protocol.Looked{Round: b.Round}
+	remaining := len(b.Servers) + 1
+	result := protocol.ReachReply{Round: b.Round}
 	finish := func() {
 		if remaining--; remaining == 0 {
 			c.reply(e, result)
 		}
 	}
-	c.ask(c.o.Platform, "/servers", nil, c.o.Wait, func(t protocol.Told) {
-		var list []protocol.Listed
+	c.ask(c.o.Platform, "/servers", nil, c.o.ServerTimeout, func(t protocol.HTTPResult) {
+		var list []protocol.ListedServer
 		result.Platform = t.OK && t.Code == 200 && json.Unmarshal(t.Body, &list) == nil && validList(list)
 		finish()
 	})
-	for _, listed := range b.List {
-		c.ask(listed.Addr, "/orders", protocol.Order{}, c.o.Wait, func(t protocol.Told) {
-			var report protocol.Report
+	for _, listed := range b.Servers {
+		c.ask(listed.Addr, "/orders", protocol.Order{}, c.o.ServerTimeout, func(t protocol.HTTPResult) {
+			var report protocol.ServerReport
 			if t.OK && json.Unmarshal(t.Body, &report) == nil && report.Server == listed.ID {
-				result.Servers++
+				result.Reachable++
 			}
 			finish()
 		})
@@ -179,16 +179,16 @@
 }
 
 // onReachReply hands the leadership lease over to a peer with clearly better connectivity.
-func (c *Core) onReachReply(e protocol.Env) {
-	b := e.Body.(protocol.Looked)
-	if !c.rules() || b.Round != c.eye.round || c.eye.since == 0 {
+func (c *Core) onReachReply(e protocol.Envelope) {
+	b := e.Body.(protocol.ReachReply)
+	if !c.holdsLease() || b.Round != c.reachability.round || c.reachability.since == 0 {
 		return
 	}
 	should, reached := c.countReachable()
-	blind := c.now.Sub(c.seenAt) >= c.o.Blind
-	if blind && b.Platform && b.Servers >= reached || 2*reached < should && b.Servers > reached && 2*b.Servers >= should && (b.Platform || blind) {
+	blind := c.now.Sub(c.listedAt) >= c.o.UnreachableAfter
+	if blind && b.Platform && b.Reachable >= reached || 2*reached < should && b.Reachable > reached && 2*b.Reachable >= should && (b.Platform || blind) {
 		c.tally.Yields++
-		c.giveBack(fmt.Sprintf("%s reaches %d of %d servers, this node %d", e.From.ID, b.Servers, should, reached), e.From.ID)
-		c.duty.shy = c.now.Add(c.o.Shy)
+		c.releaseLease(fmt.Sprintf("%s reaches %d of %d servers, this node %d", e.From.ID, b.Reachable, should, reached), e.From.ID)
+		c.leadership.declineUntil = c.now.Add(c.o.YieldTime)
 	}
 }
--- a/internal/controller/lives_test.go
+++ b/internal/controller/lives_test.go
@@ -10,8 +10,8 @@
 )
 
 // from returns a message from a node.
-func from(node string, body any) protocol.Env {
-	return protocol.Env{From: protocol.Sibling{ID: ident.Node(node), Addr: node}, Body: body}
+func from(node string, body any) protocol.Envelope {
+	return protocol.Envelope{From: protocol.Peer{ID: ident.Node(node), Addr: node}, Body: body}
 }
 
 // nonOwners returns the two nodes of three that are not the leader.
@@ -29,17 +29,17 @@
 func TestLeavingHeardByALostDisk(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c")
 	c.plans["1"] = modelPlan(8, "llm|m")
-	c.told("a", Admin{Op: "put", Raw: []byte("1"), Number: 1, Change: "x"})
+	c.submit("a", Admin{Op: "put", Raw: []byte("1"), Number: 1, Change: "x"})
 	owner, rest := c.owner(), c.nonOwners()
 	c.announce(owner, newAnnouncement("s", "live", 1))
 	c.run(1e9)
-	c.wipe(rest[0])
-	require.True(t, c.until(catchUp, func() bool { return c.votersAre(owner, "a", "b", "c") && c.nodes[rest[0]].rollWhole }))
+	c.restartEmpty(rest[0])
+	require.True(t, c.until(catchUp, func() bool { return c.votersAre(owner, "a", "b", "c") && c.nodes[rest[0]].departuresComplete }))
 	c.run(1e9)
-	c.down(rest...)
+	c.partition(rest...)
 	token := c.token + 1
 	c.announce(owner, newAnnouncement("s", "leaving", 2))
-	c.step(owner, from(rest[0], protocol.BeaconsHeard{Mark: c.nodes[owner].lastAckID}))
+	c.step(owner, from(rest[0], protocol.AnnouncementsAck{AckID: c.nodes[owner].lastAckID}))
 	ok, _ := c.answer(token)
 	require.False(t, ok, "the departure is acknowledged, but only this node's disk has a record of it")
 }
@@ -49,15 +49,15 @@
 func TestRollOfAnEarlierQuestion(t *testing.T) {
 	c := newTunedCluster(t, nil, hostedTimes, "a", "b", "c")
 	c.plans["1"] = modelPlan(8, "llm|m")
-	c.told("a", Admin{Op: "put", Raw: []byte("1"), Number: 1, Change: "x"})
+	c.submit("a", Admin{Op: "put", Raw: []byte("1"), Number: 1, Change: "x"})
 	wiped := c.nonOwners()[0]
-	c.wipe(wiped)
-	require.True(t, c.until(catchUp, func() bool { return c.nodes[wiped].reg.known != nil }))
-	c.nodes[wiped].rollWhole, c.nodes[wiped].recovered = false, map[ident.Node]ident.Inc{}
+	c.restartEmpty(wiped)
+	require.True(t, c.until(catchUp, func() bool { return c.nodes[wiped].register.known != nil }))
+	c.nodes[wiped].departuresComplete, c.nodes[wiped].recovered = false, map[ident.Node]ident.Incarnation{}
 	for _, id := range []string{"a", "b", "c"} {
 		if id != wiped {
-			c.step(wiped, from(id, protocol.Roll{Inc: 5}))
+			c.step(wiped, from(id, protocol.RegistryReply{Incarnation: 5}))
 		}
 	}
-	require.False(t, c.nodes[wiped].rollWhole)
+	require.False(t, c.nodes[wiped].departuresComplete)
 }
--- a/internal/controller/missing_voters.go
+++ b/internal/controller/missing_voters.go
@@ -26,19 +26,19 @@
 	if set == nil {
 		return missingVoters{}, false
 	}
-	answering := map[ident.Node]ident.Inc{c.o.Me.ID: c.vote.inc}
-	for id, s := range c.reg.lives {
-		if c.answered(id, voterFresh) {
-			answering[id] = s.state.Inc
+	answering := map[ident.Node]ident.Incarnation{c.o.Self.ID: c.acceptor.inc}
+	for id, s := range c.register.states {
+		if c.answeredWithin(id, voterFreshRounds) {
+			answering[id] = s.state.Incarnation
 		}
 	}
 	if voterset.Majority(*set, answering) {
 		return missingVoters{}, false
 	}
-	missing := missingVoters{voters: voterIDs(set.Voters), prior: voterIDs(set.Prior), chosen: set == c.reg.known}
+	missing := missingVoters{voters: voterIDs(set.Voters), prior: voterIDs(set.PriorVoters), chosen: set == c.register.known}
 	seen := map[ident.Node]bool{}
-	for _, v := range append(append([]protocol.Voter{}, set.Voters...), set.Prior...) {
-		if inc, answers := answering[v.ID]; !seen[v.ID] && (!answers || inc != v.Inc) {
+	for _, v := range append(append([]protocol.Voter{}, set.Voters...), set.PriorVoters...) {
+		if inc, answers := answering[v.ID]; !seen[v.ID] && (!answers || inc != v.Incarnation) {
 			missing.unavailable = append(missing.unavailable, v.ID)
 		}
 		seen[v.ID] = true
@@ -69,21 +69,21 @@
 
 // logMissingVoters logs changes in what the core waits for. A voter counts as missing once it has been silent for
 // longer than voterFreshRounds.
-func (c *Core) watchMissing() {
+func (c *Core) logMissingVoters() {
 	missing, lacks := c.missingMajority()
 	c.tally.VotersMissing = len(missing.unavailable)
 	text := ""
 	if lacks {
 		text = missing.String()
 	}
-	if text == c.reg.waitsFor {
+	if text == c.register.waitsFor {
 		return
 	}
-	c.reg.waitsFor = text
+	c.register.waitsFor = text
 	switch {
 	case !lacks:
-		c.note("a majority of the voters answers again")
-	case c.reg.known != nil:
-		c.oops("the core cannot go on: " + text)
+		c.logEvent("a majority of the voters answers again")
+	case c.register.known != nil:
+		c.logError("the core cannot go on: " + text)
 	}
 }
--- a/internal/controller/missing_voters_test.go
+++ b/internal/controller/missing_voters_test.go
@@ -11,7 +11,7 @@
 
 // A core without a majority reports the missing voters in its status, its log and its metrics.
 func TestCoreTellsWhomItWaitsFor(t *testing.T) {
-	c := newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c", "d", "e")
+	c := newTunedCluster(t, modelPlan(8, "llm|m"), largeFleetTimes, "a", "b", "c", "d", "e")
 	c.run(2e9)
 	status := func(id string) (string, bool) {
 		answer := c.admin(id, Admin{Op: "status"})
@@ -20,24 +20,24 @@
 	}
 	_, waits := status("a")
 	require.False(t, waits)
-	c.parted["d"], c.parted["e"] = true, true
+	c.partitioned["d"], c.partitioned["e"] = true, true
 	c.run(2e9)
 	_, waits = status("a")
 	require.False(t, waits, "three of five are a majority")
 	require.Zero(t, c.nodes["a"].tally.VotersMissing)
-	c.parted["c"] = true
-	c.out = nil
+	c.partitioned["c"] = true
+	c.outputs = nil
 	c.run(3e9)
 	text, waits := status("a")
 	require.True(t, waits)
 	require.Equal(t, "a majority of the voters [a b c d e] must answer: [c d e] do not answer or have lost their disks", text)
 	require.Equal(t, 3, c.nodes["a"].tally.VotersMissing)
-	require.Equal(t, 2, linesWith(c.out, "the core cannot go on: "+text), "each of the two remaining nodes logs it once")
-	clear(c.parted)
+	require.Equal(t, 2, linesWith(c.outputs, "the core cannot go on: "+text), "each of the two remaining nodes logs it once")
+	clear(c.partitioned)
 	c.run(2e9)
 	_, waits = status("a")
 	require.False(t, waits)
-	require.NotZero(t, linesWith(c.out, "a majority of the voters answers again"))
+	require.NotZero(t, linesWith(c.outputs, "a majority of the voters answers again"))
 }
 
 // linesWith counts the log lines that contain a text.
@@ -45,9 +45,9 @@
 	for _, o := range out {
 		line := ""
 		switch v := o.(type) {
-		case protocol.Oops:
+		case protocol.ErrorReport:
 			line = v.Text
-		case protocol.Note:
+		case protocol.LogLine:
 			line = v.Text
 		}
 		if strings.Contains(line, text) {
@@ -60,16 +60,16 @@
 // The report names both sets while two sets are in force, and says if the newest one is not confirmed. A voter that has
 // lost its disk counts as missing although its node answers.
 func TestCoreTellsOfAJointSet(t *testing.T) {
-	c := newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
+	c := newTunedCluster(t, modelPlan(8, "llm|m"), largeFleetTimes, "a", "b", "c")
 	c.run(2e9)
 	n := c.nodes["a"]
-	joint := *n.reg.known
-	joint.Prior, joint.Shape = joint.Voters, joint.Shape+1
+	joint := *n.register.known
+	joint.PriorVoters, joint.VoterSet = joint.Voters, joint.VoterSet+1
 	joint.Voters = []protocol.Voter{voter("a", 5), voter("b", 5), voter("f", 9)}
-	n.reg.hint = &joint
+	n.register.hint = &joint
 	_, lacks := n.missingMajority()
 	require.False(t, lacks, "a and b are a majority of both")
-	c.parted["b"] = true
+	c.partitioned["b"] = true
 	c.run(3e9)
 	m, lacks := n.missingMajority()
 	require.True(t, lacks)
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -12,10 +12,10 @@
 )
 
 // withFloor sets the floor of the given keys in a plan.
-func floor(p *fleetplan.Plan, n int, keys ...ident.Key) *fleetplan.Plan {
+func withFloor(p *fleetplan.Plan, n int, keys ...ident.Key) *fleetplan.Plan {
 	for _, k := range keys {
 		m := p.Models[k]
-		m.Floor = n
+		m.MinReplicas = n
 		p.Models[k] = m
 	}
 	return p
@@ -24,19 +24,19 @@
 // An order carries the count that the server last reported, and is sent only after the settle delay, when
 // orders of a previous leader can no longer arrive.
 func TestOrdersCount(t *testing.T) {
-	c := newCluster(t, floor(modelPlan(12, "llm|m", "llm|n", "llm|o"), 1, "llm|m", "llm|n", "llm|o"), "a")
-	began := c.lead().duty.began
+	c := newCluster(t, withFloor(modelPlan(12, "llm|m", "llm|n", "llm|o"), 1, "llm|m", "llm|n", "llm|o"), "a")
+	began := c.leader().leadership.begunAt
 	m := c.serve("s")
-	m.count, m.past = 7, nil
-	m.snap()
+	m.count, m.reports = 7, nil
+	m.snapshot()
 	require.True(t, c.until(20e9, func() bool { return len(m.holds) == 3 }))
-	require.Len(t, c.ops, 3)
-	for i, o := range c.ops {
-		require.Greater(t, o.at.Sub(began), c.lead().o.Settle)
+	require.Len(t, c.sentOrders, 3)
+	for i, o := range c.sentOrders {
+		require.Greater(t, o.at.Sub(began), c.leader().o.SettleTime)
 		require.EqualValues(t, 7+i, o.Expected)
 		require.Equal(t, "load", o.Op)
 		require.Equal(t, 202, o.code)
-		require.Equal(t, c.lead().duty.num, o.Duty)
+		require.Equal(t, c.leader().leadership.term, o.Term)
 		require.EqualValues(t, "a", o.Owner)
 	}
 	require.EqualValues(t, 10, m.count)
@@ -54,8 +54,8 @@
 		{"accepted", func(*modelServer) {}, []uint64{0}, []int{202}},
 		{"accepted, with old reports", func(m *modelServer) { m.lag = 450e6 }, []uint64{0}, []int{202}},
 		{"accepted, and slow", func(m *modelServer) { m.slow = 8e9 }, []uint64{0}, []int{202}},
-		{"accepted, its answer lost", func(m *modelServer) { m.lost = first(true, false) }, []uint64{0}, []int{202}},
-		{"accepted, its answer lost, and slow", func(m *modelServer) { m.slow, m.lost = 8e9, first(true, false) }, []uint64{0}, []int{202}},
+		{"accepted, its answer lost", func(m *modelServer) { m.lost = loseFirstOrder(true, false) }, []uint64{0}, []int{202}},
+		{"accepted, its answer lost, and slow", func(m *modelServer) { m.slow, m.lost = 8e9, loseFirstOrder(true, false) }, []uint64{0}, []int{202}},
 		{"an order of another sender in between", func(m *modelServer) {
 			once := true
 			m.lag = 0
@@ -75,16 +75,16 @@
 			}
 		}, []uint64{0}, []int{200}},
 	} {
-		c := newCluster(t, floor(modelPlan(12, "llm|m"), 1, "llm|m"), "a")
+		c := newCluster(t, withFloor(modelPlan(12, "llm|m"), 1, "llm|m"), "a")
 		m := c.serve("s")
 		x.setup(m)
 		r := c.route("r")
-		r.keyLoads["llm|m"] = protocol.Burden{Came: 1}
+		r.keyLoads["llm|m"] = protocol.KeyLoad{Arrived: 1}
 		require.True(t, c.until(15e9, func() bool { return r.sends("llm|m", "s") }), x.name)
 		c.run(5e9)
 		var counts []uint64
 		var codes []int
-		for _, o := range c.ops {
+		for _, o := range c.sentOrders {
 			counts, codes = append(counts, o.Expected), append(codes, o.code)
 		}
 		require.Equal(t, x.counts, counts, x.name)
@@ -93,7 +93,7 @@
 }
 
 // loseFirstOrder drops the first order, or only its answer.
-func first(taken, heard bool) func(protocol.Order) (bool, bool) {
+func loseFirstOrder(taken, heard bool) func(protocol.Order) (bool, bool) {
 	n := 0
 	return func(protocol.Order) (bool, bool) {
 		n++
@@ -104,10 +104,10 @@
 // An order that arrives after its sender gave up on it is still executed at most once.
 func TestLateOrder(t *testing.T) {
 	for _, late := range []clock.Span{700e6, 1000e6, 1500e6, 2500e6} {
-		c := newCluster(t, floor(modelPlan(8, "llm|m", "llm|n"), 1, "llm|m", "llm|n"), "a")
+		c := newCluster(t, withFloor(modelPlan(8, "llm|m", "llm|n"), 1, "llm|m", "llm|n"), "a")
 		m := c.serve("s")
 		var delayed *protocol.Order
-		var lostAt clock.Tick
+		var lostAt clock.Instant
 		m.lost = func(o protocol.Order) (bool, bool) {
 			if lostAt == 0 {
 				delayed, lostAt = &o, c.at
@@ -134,25 +134,25 @@
 		keepsTerm bool
 		known     bool
 	}{{412, false, false}, {421, true, false}, {400, true, true}, {409, true, true}, {503, true, true}} {
-		c := newCluster(t, floor(modelPlan(12, "llm|m"), 1, "llm|m"), "a")
+		c := newCluster(t, withFloor(modelPlan(12, "llm|m"), 1, "llm|m"), "a")
 		c.serve("s")
-		k := c.lead()
-		num := k.duty.num
-		require.True(t, c.until(9e9, func() bool { return len(c.ops) == 1 }))
+		k := c.leader()
+		num := k.leadership.term
+		require.True(t, c.until(9e9, func() bool { return len(c.sentOrders) == 1 }))
 		for i, a := range c.httpRequests {
 			if a.request.Body.(protocol.Order).Op != "" {
 				c.httpRequests = append(c.httpRequests[:i:i], c.httpRequests[i+1:]...)
-				c.step("a", protocol.Told{Token: a.request.Token, OK: true, Code: x.code})
+				c.step("a", protocol.HTTPResult{Token: a.request.Token, OK: true, Code: x.code})
 				break
 			}
 		}
-		require.Equal(t, x.keepsTerm, k.duty.mine && k.duty.num == num, x.code)
+		require.Equal(t, x.keepsTerm, k.leadership.held && k.leadership.term == num, x.code)
 		if x.keepsTerm {
 			require.Equal(t, x.known, k.servers["s"].known, x.code)
 			require.Equal(t, Ordered, k.servers["s"].replicas["llm|m"].stage, x.code)
 		}
 		c.run(60e6)
-		require.Len(t, c.ops, 1, "%d: a report must come first", x.code)
+		require.Len(t, c.sentOrders, 1, "%d: a report must come first", x.code)
 	}
 }
 
@@ -161,19 +161,19 @@
 func TestOldReports(t *testing.T) {
 	for _, x := range []struct {
 		name  string
-		r     protocol.Report
+		r     protocol.ServerReport
 		stage string
 	}{
-		{"before the order", protocol.Report{Num: 4}, Ordered},
-		{"before the order, with a key held then", protocol.Report{Num: 4, Held: []protocol.Held{{Key: "llm|n"}}}, Ordered},
-		{"in progress", protocol.Report{Num: 5, Busy: true}, Ordered},
-		{"completed", protocol.Report{Num: 5, Held: []protocol.Held{{Key: "llm|m"}}}, Ready},
-		{"failed", protocol.Report{Num: 5}, ""},
+		{"before the order", protocol.ServerReport{Num: 4}, Ordered},
+		{"before the order, with a key held then", protocol.ServerReport{Num: 4, Held: []protocol.HeldKey{{Key: "llm|n"}}}, Ordered},
+		{"in progress", protocol.ServerReport{Num: 5, Busy: true}, Ordered},
+		{"completed", protocol.ServerReport{Num: 5, Held: []protocol.HeldKey{{Key: "llm|m"}}}, Ready},
+		{"failed", protocol.ServerReport{Num: 5}, ""},
 	} {
 		c := newCluster(t, modelPlan(12, "llm|m", "llm|n"), "a")
-		k := c.lead()
-		s := &server{Listed: newAnnouncement("s", "live", 1).Listed, known: true, room: 12, slots: 4, num: 6, replicas: map[ident.Key]*spot{}}
-		k.putReplica(s, &spot{key: "llm|m", size: 4, stage: Ordered, num: 6})
+		k := c.leader()
+		s := &server{ListedServer: newAnnouncement("s", "live", 1).ListedServer, known: true, room: 12, slots: 4, num: 6, replicas: map[ident.Key]*modelReplica{}}
+		k.putReplica(s, &modelReplica{key: "llm|m", size: 4, stage: Ordered, orderNum: 6})
 		k.addServer(s)
 		k.now = c.at
 		k.onReportAnswer(s, x.r, c.at)
@@ -204,30 +204,30 @@
 		}
 		r := c.route("r")
 		for round := range 12 {
-			r.keyLoads = map[ident.Key]protocol.Burden{}
+			r.keyLoads = map[ident.Key]protocol.KeyLoad{}
 			for range 3 {
 				k := keys[rng.IntN(len(keys))]
 				n := 1 + rng.IntN(9)
-				r.keyLoads[k] = protocol.Burden{Wait: n, Came: n, Load: float64(n) / 20}
+				r.keyLoads[k] = protocol.KeyLoad{Waiting: n, Arrived: n, ServerSeconds: float64(n) / 20}
 			}
-			r.holdup = rng.IntN(4) == 0
+			r.withholdAcks = rng.IntN(4) == 0
 			if round%5 == 4 {
-				c.parted[c.owner()] = true
+				c.partitioned[c.owner()] = true
 				require.True(t, c.until(6e9, func() bool { return c.owner() != "" }))
 			}
 			c.run(4e9)
-			c.parted = map[string]bool{}
+			c.partitioned = map[string]bool{}
 		}
 		v := p.Services["llm"]
-		window := c.lead().o.Rate
-		for i, from := range c.begun {
+		window := c.leader().o.RateWindow
+		for i, from := range c.loadStarts {
 			n := 0
-			for _, at := range c.begun[i:] {
+			for _, at := range c.loadStarts[i:] {
 				if at.Sub(from) < window {
 					n++
 				}
 			}
-			require.LessOrEqual(t, n, int(v.Loads*window.Seconds()*1.1)+3, "seed %d", seed)
+			require.LessOrEqual(t, n, int(v.LoadRate*window.Seconds()*1.1)+3, "seed %d", seed)
 		}
 		require.NotEmpty(t, c.orders("load"), "seed %d", seed)
 		require.NotEmpty(t, c.orders("unload"), "seed %d", seed)
@@ -244,16 +244,16 @@
 			m.strict, m.slow, m.lag = true, slow, lag
 			c.run(3e9)
 			r := c.route("r")
-			r.keyLoads["llm|n"] = protocol.Burden{Wait: 2, Came: 1, Load: 0.01}
-			require.True(t, c.until(9e9, func() bool { return m.doing.Op == "load" }))
-			c.parted[c.owner()] = true
+			r.keyLoads["llm|n"] = protocol.KeyLoad{Waiting: 2, Arrived: 1, ServerSeconds: 0.01}
+			require.True(t, c.until(9e9, func() bool { return m.current.Op == "load" }))
+			c.partitioned[c.owner()] = true
 			delete(r.keyLoads, "llm|n")
-			r.keyLoads["llm|o"] = protocol.Burden{Wait: 9, Came: 3, Load: 0.1}
+			r.keyLoads["llm|o"] = protocol.KeyLoad{Waiting: 9, Arrived: 3, ServerSeconds: 0.1}
 			require.True(t, c.until(6e9, func() bool { return c.owner() != "" }))
 			for end := c.at.Add(3*slow + 10e9); c.at < end && !m.holds["llm|o"]; {
 				c.tick()
-				if k := c.lead(); k != nil && m.doing.Key == "llm|n" && k.servers["s"] != nil && k.servers["s"].known && k.servers["s"].busy {
-					require.True(t, k.servers["s"].alien, "the order in progress is not from this term")
+				if k := c.leader(); k != nil && m.current.Key == "llm|n" && k.servers["s"] != nil && k.servers["s"].known && k.servers["s"].busy {
+					require.True(t, k.servers["s"].foreignOrder, "the order in progress is not from this term")
 				}
 			}
 			require.True(t, m.holds["llm|o"], "%v, %v: the key is loaded in the end", slow, lag)
@@ -276,11 +276,11 @@
 		c := newCluster(t, modelPlan(10, "llm|m", "llm|m+1", "llm|m+2", "llm|n"), "a")
 		m := c.serve("s", x.holds...)
 		r := c.route("r")
-		r.keyLoads[x.key] = protocol.Burden{Came: 1}
+		r.keyLoads[x.key] = protocol.KeyLoad{Arrived: 1}
 		require.True(t, c.until(9e9, func() bool { return r.sends(x.key, "s") }), x.name)
 		c.run(3e9)
-		r.holdup = true
-		k := c.lead()
+		r.withholdAcks = true
+		k := c.leader()
 		k.now, k.out = c.at, nil
 		k.evict(k.servers["s"], k.servers["s"].replicas["llm|m"])
 		for _, h := range x.holds {
@@ -304,17 +304,17 @@
 	for _, hold := range []clock.Span{2e9, 5e9, 9e9} {
 		c := newCluster(t, modelPlan(4, "llm|m", "llm|n"), "a", "b", "c")
 		for _, k := range c.nodes {
-			k.o.Hold = hold
+			k.o.RouterLease = hold
 		}
 		m := c.serve("s", "llm|m")
 		r := c.route("r")
-		r.keyLoads["llm|m"] = protocol.Burden{Came: 1}
+		r.keyLoads["llm|m"] = protocol.KeyLoad{Arrived: 1}
 		require.True(t, c.until(9e9, func() bool { return r.sends("llm|m", "s") }))
 		c.run(1e9)
-		c.parted["r"], c.parted[c.owner()] = true, true
+		c.partitioned["r"], c.partitioned[c.owner()] = true, true
 		require.True(t, c.until(6e9, func() bool { return c.owner() != "" }))
-		require.True(t, c.until(3e9, func() bool { s := c.lead().servers["s"]; return s.known && s.replicas["llm|m"] != nil }))
-		k := c.lead()
+		require.True(t, c.until(3e9, func() bool { s := c.leader().servers["s"]; return s.known && s.replicas["llm|m"] != nil }))
+		k := c.leader()
 		k.now, k.out = c.at, nil
 		k.evict(k.servers["s"], k.servers["s"].replicas["llm|m"])
 		require.True(t, r.sends("llm|m", "s"), "%v", hold)
@@ -331,14 +331,14 @@
 	m.strict, m.slow = true, 2e9
 	c.run(4e9)
 	r := c.route("r")
-	r.keyLoads["llm|n"] = protocol.Burden{Wait: 3, Came: 3, Load: 0.1}
+	r.keyLoads["llm|n"] = protocol.KeyLoad{Waiting: 3, Arrived: 3, ServerSeconds: 0.1}
 	require.True(t, c.until(20e9, func() bool { return r.sends("llm|n", "s") }))
 	var got []string
-	for _, o := range c.ops {
+	for _, o := range c.sentOrders {
 		got = append(got, o.Op+" "+string(o.Key))
 	}
 	require.Equal(t, []string{"unload llm|m", "load llm|n"}, got)
-	require.GreaterOrEqual(t, c.ops[1].at.Sub(c.ops[0].at), clock.Span(2e9))
+	require.GreaterOrEqual(t, c.sentOrders[1].at.Sub(c.sentOrders[0].at), clock.Span(2e9))
 }
 
 // When many models are needed at once, loads from the store neither exceed its rate nor fall far below it.
@@ -351,13 +351,13 @@
 		rate float64
 		load clock.Span
 	}{{0.5, 1e9}, {1, 2e9}, {2.1, 2e9}, {2.1, 200e6}, {4, 1e9}} {
-		p := floor(modelPlan(8, keys...), 1, keys...)
+		p := withFloor(modelPlan(8, keys...), 1, keys...)
 		v := p.Services["llm"]
-		v.Loads = x.rate
+		v.LoadRate = x.rate
 		p.Services["llm"] = v
 		for _, k := range keys {
 			m := p.Models[k]
-			m.Load = x.load
+			m.LoadTime = x.load
 			p.Models[k] = m
 		}
 		c := newCluster(t, p, "a")
@@ -365,10 +365,10 @@
 			c.serve("s" + string(rune('a'+i)))
 		}
 		c.run(30e9)
-		window, most := c.lead().o.Rate, 0
-		for i, from := range c.begun {
+		window, most := c.leader().o.RateWindow, 0
+		for i, from := range c.loadStarts {
 			n := 0
-			for _, at := range c.begun[i:] {
+			for _, at := range c.loadStarts[i:] {
 				if at.Sub(from) < window {
 					n++
 				}
@@ -376,8 +376,8 @@
 			most = max(most, n)
 		}
 		bound := x.rate * window.Seconds()
-		t.Logf("%+v: %d loads started, at most %d in %v; the store supports %.1f", x, len(c.begun), most, window, bound)
+		t.Logf("%+v: %d loads started, at most %d in %v; the store supports %.1f", x, len(c.loadStarts), most, window, bound)
 		require.LessOrEqual(t, float64(most), bound*1.1+3, "%+v", x)
-		require.GreaterOrEqual(t, float64(len(c.begun)), min(40, x.rate*30*0.4), "%+v", x)
+		require.GreaterOrEqual(t, float64(len(c.loadStarts)), min(40, x.rate*30*0.4), "%+v", x)
 	}
 }
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -42,9 +42,9 @@
 	}
 	p := modelPlan(modelSize*size.heldPerServer, models...)
 	service := p.Services["llm"]
-	service.Loads, service.Slots = storeLoadsPerSecond, 96
+	service.LoadRate, service.MaxRunning = storeLoadsPerSecond, 96
 	p.Services["llm"] = service
-	p.Loads = storeConcurrentLoads
+	p.ConcurrentLoads = storeConcurrentLoads
 	return p, models
 }
 
@@ -56,9 +56,9 @@
 		m := c.serve(fmt.Sprintf("s%04d", i))
 		for j := range size.heldPerServer {
 			key := models[(i*size.heldPerServer+j)%size.models]
-			m.holds[key], m.had[key] = true, true
+			m.holds[key], m.onDisk[key] = true, true
 		}
-		m.snap()
+		m.snapshot()
 	}
 	for i := range size.routers {
 		c.route(fmt.Sprintf("r%04d", i))
@@ -75,7 +75,7 @@
 		clear(r.keyLoads)
 		for len(r.keyLoads) < size.requestedPerRouter {
 			key := models[int(rng.Float64()*rng.Float64()*float64(len(models)))]
-			r.keyLoads[key] = protocol.Burden{}
+			r.keyLoads[key] = protocol.KeyLoad{}
 		}
 	}
 }
@@ -88,12 +88,12 @@
 		r := c.routers[fmt.Sprintf("r%04d", i)]
 		for key := range r.keyLoads {
 			all++
-			u := protocol.Burden{Came: requestsPerRenewal, Load: requestLoad, Top: 1}
+			u := protocol.KeyLoad{Arrived: requestsPerRenewal, ServerSeconds: requestLoad, TopValue: 1}
 			if c.at < r.until && len(r.entries[key]) > 0 {
 				sent++
-				u.Work = 1
+				u.Running = 1
 			} else {
-				u.Wait = 1
+				u.Waiting = 1
 			}
 			r.keyLoads[key] = u
 		}
@@ -130,7 +130,7 @@
 	c, models := newLargeFleet(t, size)
 	setRequests(c, models[:size.models*2/3], size, seed)
 	meanServed(c, size, 8e9)
-	c.bound(ownerCPUShare)
+	c.limitProcessors(ownerCPUShare)
 	before = meanServed(c, size, 2e9)
 	require.Greater(t, before, 0.95, "the fleet serves its requests")
 	return c, func() { setRequests(c, models[size.models/3:], size, seed+100) }, before
@@ -149,7 +149,7 @@
 			after := meanServed(c, largeFleet, 2e9)
 			require.GreaterOrEqual(t, after, 0.95*before, "the fleet serves as much after the shift as before")
 			require.Equal(t, owner, c.owner(), "the leader keeps its term")
-			require.Zero(t, c.lead().tally.Lapses, "no router lease expires")
+			require.Zero(t, c.leader().tally.Lapses, "no router lease expires")
 		})
 	}
 }
@@ -174,7 +174,7 @@
 
 // countVisits returns how many objects the leader examines for one input.
 func countVisits(c *cluster, in any) int {
-	owner := c.lead()
+	owner := c.leader()
 	before := owner.tally.Visits
 	c.step(c.owner(), in)
 	return int(owner.tally.Visits - before)
@@ -191,14 +191,14 @@
 		r := c.routers["r0001"]
 		r.seq++
 		for key := range r.keyLoads {
-			r.keyLoads[key] = protocol.Burden{Wait: 1, Came: 1}
+			r.keyLoads[key] = protocol.KeyLoad{Waiting: 1, Arrived: 1}
 		}
-		renewal := protocol.Renew{Session: r.ses, Seq: r.seq, Gen: 1, Epoch: 1, Heard: r.heard, Burden: r.keyLoads}
+		renewal := protocol.Renew{Session: r.session, Seq: r.seq, Gen: 1, Epoch: 1, AckedNum: r.heard, KeyLoads: r.keyLoads}
 		s := c.models["at-s0001"]
 		s.ticks++
 		return work{
 			renewal: countVisits(c, r.mail(renewal)),
-			beacon:  countVisits(c, Announce{Token: 1 << 32, Beacon: protocol.Beacon{Listed: s.Listed, Count: s.ticks}}),
+			beacon:  countVisits(c, Announce{Token: 1 << 32, Beacon: protocol.Announcement{ListedServer: s.ListedServer, Count: s.ticks}}),
 		}
 	}
 	small, large := measure(largeFleet.part(1, 10)), measure(largeFleet)
--- a/internal/controller/pace.go
+++ b/internal/controller/pace.go
@@ -18,13 +18,13 @@
 )
 
 // tokenPace is the shortest observed time per token of a base.
-type pace struct {
+type tokenPace struct {
 	ns     float64
-	seenAt clock.Tick
+	seenAt clock.Instant
 }
 
 // decayed returns the pace, increased by its age.
-func (p pace) decayed(now clock.Tick) float64 {
+func (p tokenPace) decayed(now clock.Instant) float64 {
 	return p.ns * (1 + paceDecayPerSecond*now.Sub(p.seenAt).Seconds())
 }
 
@@ -38,36 +38,36 @@
 			continue
 		}
 		if was, ok := c.tokenTimes[base]; !ok || ns < was.decayed(c.now) {
-			c.tokenTimes[base] = pace{ns, c.now}
+			c.tokenTimes[base] = tokenPace{ns, c.now}
 		}
 	}
 }
 
 // tokenTimesUpdate returns the token times of the bases that a router uses, as far as they changed since the
 // last update. It returns nil if none changed.
-func (c *Core) tokenTimesUpdate(l *link) *protocol.Paces {
-	var update *protocol.Paces
+func (c *Core) tokenTimesUpdate(l *link) *protocol.TokenTimes {
+	var update *protocol.TokenTimes
 	if slowest := c.slowestPace(); differsEnough(l.slowest, slowest) {
 		l.slowest = slowest
-		update = &protocol.Paces{}
+		update = &protocol.TokenTimes{}
 	}
-	for key := range l.holds { // the order is irrelevant: each base is handled separately
+	for key := range l.callbacks { // the order is irrelevant: each base is handled separately
 		base := key.Base()
 		p, ok := c.tokenTimes[base]
 		if !ok || !differsEnough(l.tokenTimes[base], p.decayed(c.now)) {
 			continue
 		}
 		if update == nil {
-			update = &protocol.Paces{}
+			update = &protocol.TokenTimes{}
 		}
-		if update.Bases == nil {
-			update.Bases = map[ident.Key]float64{}
+		if update.ByBase == nil {
+			update.ByBase = map[ident.Key]float64{}
 		}
 		if l.tokenTimes == nil {
 			l.tokenTimes = map[ident.Key]float64{}
 		}
 		l.tokenTimes[base] = p.decayed(c.now)
-		update.Bases[base] = l.tokenTimes[base]
+		update.ByBase[base] = l.tokenTimes[base]
 	}
 	if update != nil {
 		update.Slowest = l.slowest
--- a/internal/controller/pace_test.go
+++ b/internal/controller/pace_test.go
@@ -14,7 +14,7 @@
 // and is sent when it has changed.
 func TestPaces(t *testing.T) {
 	c := New(Options{})
-	c.plan, c.now = modelPlan(8, "llm|m", "llm|n"), clock.Tick(1e9)
+	c.plan, c.now = modelPlan(8, "llm|m", "llm|n"), clock.Instant(1e9)
 	c.recordTokenTimes(map[ident.Key]float64{"llm|m": 50e3, "llm|n": 20e3, "llm|none": 1})
 	c.recordTokenTimes(map[ident.Key]float64{"llm|m": 80e3})
 	c.recordTokenTimes(map[ident.Key]float64{"llm|m": 40e3, "llm|n": math.Inf(1)})
@@ -22,13 +22,13 @@
 	c.recordTokenTimes(map[ident.Key]float64{"llm|m": math.NaN()})
 	require.Len(t, c.tokenTimes, 2)
 
-	l := &link{holds: map[ident.Key]uint64{"llm|m": 1}}
+	l := &link{callbacks: map[ident.Key]uint64{"llm|m": 1}}
 	update := c.tokenTimesUpdate(l)
-	require.Equal(t, map[ident.Key]float64{"llm|m": 40e3}, update.Bases, "only the bases that the router uses")
+	require.Equal(t, map[ident.Key]float64{"llm|m": 40e3}, update.ByBase, "only the bases that the router uses")
 	require.InDelta(t, 40e3, update.Slowest, 1)
 	require.Nil(t, c.tokenTimesUpdate(l), "no pace has changed")
-	l.holds["llm|n+a"] = 2
-	require.Equal(t, map[ident.Key]float64{"llm|n": 20e3}, c.tokenTimesUpdate(l).Bases, "an adapter uses the pace of its base")
+	l.callbacks["llm|n+a"] = 2
+	require.Equal(t, map[ident.Key]float64{"llm|n": 20e3}, c.tokenTimesUpdate(l).ByBase, "an adapter uses the pace of its base")
 
 	c.now = c.now.Add(clock.Span(10e9))
 	c.recordTokenTimes(map[ident.Key]float64{"llm|m": 43e3})
@@ -52,6 +52,6 @@
 			require.True(t, c.until(20e9, func() bool { return r.sends(key, "s") }), "%v: %d", part, i)
 			c.run(2e9)
 		}
-		require.InDelta(t, part, c.lead().diskPart, 0.15+part*0.25, "%v", part)
+		require.InDelta(t, part, c.leader().diskPart, 0.15+part*0.25, "%v", part)
 	}
 }
--- a/internal/controller/place.go
+++ b/internal/controller/place.go
@@ -22,22 +22,22 @@
 )
 
 // tickPlacement runs the periodic work of placement on the leader.
-func (c *Core) beatPlace() {
-	if !c.rules() {
+func (c *Core) tickPlacement() {
+	if !c.holdsLease() {
 		return
 	}
-	c.watchWindows()
-	c.beatList()
-	c.beatEye()
-	for _, s := range slices.Clone(c.fleet.ordered) {
+	c.updateWindows()
+	c.refreshList()
+	c.checkReach()
+	for _, s := range slices.Clone(c.serverIndex.sorted) {
 		c.tickServer(s)
 	}
-	if c.plan != nil && c.settled() {
+	if c.plan != nil && c.serversKnown() {
 		c.updatePlacement()
 	}
-	if c.now.Sub(c.swept) > entryRefreshInterval {
-		c.swept = c.now
-		c.touchAll()
+	if c.now.Sub(c.lastSweep) > entryRefreshInterval {
+		c.lastSweep = c.now
+		c.refreshAllEntries()
 	}
 	c.updateRates()
 	c.expireDemand()
@@ -49,7 +49,7 @@
 		c.placeByCost()
 		return
 	}
-	atOnce, now := c.budget()
+	atOnce, now := c.loadBudget()
 	c.cancelUnreachableLoads()
 	atOnce -= c.countPossibleLoads()
 	c.evictUnplanned()
@@ -62,7 +62,7 @@
 func (c *Core) cancelUnreachableLoads() {
 	for _, s := range c.servers {
 		for key, p := range s.replicas {
-			if s.dark && p.stage == Ordered && p.num == 0 {
+			if s.unreachable && p.stage == Ordered && p.orderNum == 0 {
 				c.removeReplica(s, key)
 			}
 		}
@@ -73,13 +73,13 @@
 func (c *Core) countPossibleLoads() int {
 	n := 0
 	for _, s := range c.servers {
-		c.visit(len(s.replicas))
+		c.countVisits(len(s.replicas))
 		for _, p := range s.replicas {
 			if p.stage == Ordered && c.loadMayBeRunning(s, p) {
 				n++
 			}
 		}
-		if !s.known && !s.dark && s.State == "live" && c.now.Sub(s.first) < firstReportTimeout {
+		if !s.known && !s.unreachable && s.State == "live" && c.now.Sub(s.listedAt) < firstReportTimeout {
 			n++ // whether this server is loading is not known yet
 		}
 	}
@@ -88,17 +88,17 @@
 
 // loadMayBeRunning reports whether an ordered load may still be in progress; on an unreachable server it may be for
 // maxUnreachableLoadTime.
-func (c *Core) loadMayBeRunning(s *server, p *spot) bool {
-	return !s.dark || c.now.Sub(p.since) < maxUnreachableLoadTime
+func (c *Core) loadMayBeRunning(s *server, p *modelReplica) bool {
+	return !s.unreachable || c.now.Sub(p.stageSince) < maxUnreachableLoadTime
 }
 
 // evictUnplanned evicts everything that the plan does not contain.
 func (c *Core) evictUnplanned() {
-	for _, s := range c.fleet.ordered {
-		if !s.known || s.dark {
+	for _, s := range c.serverIndex.sorted {
+		if !s.known || s.unreachable {
 			continue
 		}
-		c.visit(len(s.replicas))
+		c.countVisits(len(s.replicas))
 		for _, key := range c.unplannedOn(s) {
 			if p := s.replicas[key]; p.stage == Ready {
 				c.evict(s, p)
@@ -128,9 +128,9 @@
 // replicasOf summarizes the replicas of a key that are ready or ordered, on servers that stay available.
 func (c *Core) replicasOf(key ident.Key) replicaSet {
 	set := replicaSet{zones: map[ident.Zone]bool{}}
-	for _, s := range c.holding(key) {
-		c.visit(1)
-		if p := s.replicas[key]; p != nil && p.placed() && c.stays(s) {
+	for _, s := range c.holdersOf(key) {
+		c.countVisits(1)
+		if p := s.replicas[key]; p != nil && p.placed() && c.staysInService(s) {
 			set.count++
 			set.slots += s.slots
 			set.zones[s.Zone] = true
@@ -149,8 +149,8 @@
 // requirementOf computes how many replicas a key should have.
 func (c *Core) requirementOf(m fleetplan.Model) requirement {
 	has := c.replicasOf(m.Key)
-	r := requirement{wanted: m.Floor, live: has.count}
-	if n := c.demand[m.Key]; n != nil && c.now.Sub(n.at) < recentRequestSpan {
+	r := requirement{wanted: m.MinReplicas, live: has.count}
+	if n := c.demand[m.Key]; n != nil && c.now.Sub(n.reportedAt) < recentRequestSpan {
 		r.value = n.value
 		r.wanted = max(r.wanted, 1)
 		// With more than three quarters of its slots in use, the key gets one more replica.
@@ -163,12 +163,12 @@
 	} else if r.wanted == 0 && r.live == 0 && c.losingReplicas(m.Key) {
 		r.wanted = 1
 	}
-	r.wanted = min(r.wanted, m.Most)
+	r.wanted = min(r.wanted, m.MaxReplicas)
 	return r
 }
 
 // underWay counts the waiting and running requests for a key at all routers.
-func (c *Core) underWay(key ident.Key) int { return c.workload.UnderWay(key) }
+func (c *Core) underWay(key ident.Key) int { return c.workload.Outstanding(key) }
 
 // placementRequest is a key that needs one more replica.
 type placementRequest struct {
@@ -214,7 +214,7 @@
 	if len(requests) == 0 && budget > 0 {
 		c.rebalance()
 	} else {
-		c.uneven = 0
+		c.imbalancedSince = 0
 	}
 }
 
@@ -235,7 +235,7 @@
 
 // startLoad marks a model as ordered on a server; the order itself is sent when due.
 func (c *Core) startLoad(s *server, m fleetplan.Model) {
-	c.putReplica(s, &spot{key: m.Key, size: m.Size, stage: Ordered, since: c.now})
+	c.putReplica(s, &modelReplica{key: m.Key, size: m.Size, stage: Ordered, stageSince: c.now})
 }
 
 // chooseServer returns the server for one more replica of a model. It prefers zones without a replica, then
@@ -264,14 +264,14 @@
 
 // mayHold reports whether a server may be ordered to load a key, regardless of its free room.
 func (c *Core) mayHold(s *server, key ident.Key) bool {
-	if !c.stays(s) || s.replicas[key] != nil || s.odd != "" {
+	if !c.staysInService(s) || s.replicas[key] != nil || s.contradiction != "" {
 		return false
 	}
-	if s.plain || s.alien || s.Service != key.Service() {
+	if s.plain || s.foreignOrder || s.Service != key.Service() {
 		return false
 	}
 	if key.IsAdapter() {
-		return s.based(key) && (s.places == 0 || s.adapters() < s.places)
+		return s.baseReady(key) && (s.places == 0 || s.adapters() < s.places)
 	}
 	return true
 }
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -11,36 +11,36 @@
 // The plan in force at this node, and whether the leader knows enough about the servers to apply it.
 
 // applyDesired puts the newest desired state into force at this node.
-func (c *Core) planned() {
+func (c *Core) applyDesired() {
 	c.plan, c.empty, c.windows, c.nextWindowUpdate = nil, map[ident.Zone]bool{}, nil, 0
-	value := c.reg.known
+	value := c.register.known
 	if value == nil {
 		return
 	}
-	for _, z := range value.Empty {
+	for _, z := range value.EmptiedZones {
 		c.empty[z] = true
 	}
 	c.windows, _ = readWindows(value.Windows)
 	if len(value.Plan) > 0 {
-		c.plan, _ = c.o.Read(value.Plan)
+		c.plan, _ = c.o.ParsePlan(value.Plan)
 	}
-	if c.duty.mine {
+	if c.leadership.held {
 		for _, id := range generic.SortedKeys(c.servers) {
 			c.applyService(c.servers[id])
 		}
-		c.touchAll()
+		c.refreshAllEntries()
 	}
 }
 
 // serversKnown reports whether the leader knows enough about the servers to answer for them.
-func (c *Core) settled() bool {
-	if !c.rules() || c.listed == 0 {
+func (c *Core) serversKnown() bool {
+	if !c.holdsLease() || c.lastListRequest == 0 {
 		return false
 	}
 	if !c.registryComplete() {
 		return false
 	}
-	if c.now.Sub(c.duty.began) > c.o.Wait+c.o.Poll {
+	if c.now.Sub(c.leadership.begunAt) > c.o.ServerTimeout+c.o.ReportInterval {
 		return true
 	}
 	for _, s := range c.servers {
@@ -79,7 +79,7 @@
 func (c *Core) stableCapacity() stableCapacity {
 	total := stableCapacity{zones: map[ident.Zone]bool{}}
 	for _, s := range c.servers {
-		if c.stays(s) {
+		if c.staysInService(s) {
 			total.count++
 			total.room += s.room
 			total.largest = max(total.largest, s.room)
@@ -90,15 +90,15 @@
 }
 
 // shortfalls lists the requirements of the plan that the servers cannot meet, for operators.
-func (c *Core) lacks() (faults []fleetplan.Fault) {
-	if c.plan == nil || !c.settled() {
+func (c *Core) shortfalls() (faults []fleetplan.Fault) {
+	if c.plan == nil || !c.serversKnown() {
 		return nil
 	}
 	capacity := c.stableCapacity()
 	floors := 0
 	for _, key := range generic.SortedKeys(c.plan.Models) {
 		m := c.plan.Models[key]
-		floors += m.Floor * m.Size
+		floors += m.MinReplicas * m.Size
 		if fault := c.shortfall(m, capacity); fault != nil {
 			faults = append(faults, *fault)
 		}
@@ -113,13 +113,13 @@
 func (c *Core) shortfall(m fleetplan.Model, capacity stableCapacity) *fleetplan.Fault {
 	replicas, path := c.replicasOf(m.Key), planPath(m.Key)
 	switch {
-	case m.Floor > capacity.count:
-		return &fleetplan.Fault{Path: path + ".floor", Why: fmt.Sprintf("%d replicas, but %d servers", m.Floor, capacity.count)}
+	case m.MinReplicas > capacity.count:
+		return &fleetplan.Fault{Path: path + ".floor", Why: fmt.Sprintf("%d replicas, but %d servers", m.MinReplicas, capacity.count)}
 	case m.Size > capacity.largest:
 		return &fleetplan.Fault{Path: path + ".size", Why: fmt.Sprintf("%d, but no server has more room than %d", m.Size, capacity.largest)}
-	case replicas.count < m.Floor:
-		return &fleetplan.Fault{Path: path + ".floor", Why: fmt.Sprintf("only %d of %d replicas exist", replicas.count, m.Floor)}
-	case m.Floor > 1 && len(replicas.zones) < 2 && len(capacity.zones) > 1:
+	case replicas.count < m.MinReplicas:
+		return &fleetplan.Fault{Path: path + ".floor", Why: fmt.Sprintf("only %d of %d replicas exist", replicas.count, m.MinReplicas)}
+	case m.MinReplicas > 1 && len(replicas.zones) < 2 && len(capacity.zones) > 1:
 		return &fleetplan.Fault{Path: path + ".floor", Why: "every replica is in one zone"}
 	}
 	return nil
--- a/internal/controller/processor_test.go
+++ b/internal/controller/processor_test.go
@@ -16,12 +16,12 @@
 type processor struct {
 	share     float64
 	node      string
-	busyUntil clock.Tick
+	busyUntil clock.Instant
 	queued    []any
 }
 
 // limitProcessors gives every node the same share of a CPU core.
-func (c *cluster) bound(share float64) {
+func (c *cluster) limitProcessors(share float64) {
 	c.processors = map[string]*processor{}
 	for id := range c.nodes {
 		c.processors[id] = &processor{share: share, node: id, busyUntil: c.at}
@@ -29,13 +29,13 @@
 }
 
 // freeze stops the processor for a while.
-func (p *processor) freeze(now clock.Tick, span clock.Span) { p.busyUntil = now.Add(span) }
+func (p *processor) freeze(now clock.Instant, span clock.Span) { p.busyUntil = now.Add(span) }
 
 // queue appends an input. As with a real timer, a tick is lost if the previous one is still queued.
 func (p *processor) queue(in any) {
-	if _, beat := in.(protocol.Beat); beat {
+	if _, beat := in.(protocol.TimerTick); beat {
 		for _, w := range p.queued {
-			if _, beat := w.(protocol.Beat); beat {
+			if _, beat := w.(protocol.TimerTick); beat {
 				return
 			}
 		}
@@ -58,7 +58,7 @@
 
 // costOf returns the cost of an input apart from what it examines.
 func costOf(in any) clock.Span {
-	e, ok := in.(protocol.Env)
+	e, ok := in.(protocol.Envelope)
 	if !ok {
 		return messageCost
 	}
--- a/internal/controller/promises_test.go
+++ b/internal/controller/promises_test.go
@@ -16,7 +16,7 @@
 // bodiesOf returns the message bodies of type T among a step's outputs.
 func bodiesOf[T any](out []any) (l []T) {
 	for _, o := range out {
-		if e, is := o.(protocol.Env); is {
+		if e, is := o.(protocol.Envelope); is {
 			if body, is := e.Body.(T); is {
 				l = append(l, body)
 			}
@@ -29,17 +29,17 @@
 // ballots between the accepted and the promised one.
 func TestPromiseIsOnDiskWithTheAccept(t *testing.T) {
 	c := newCluster(t, modelPlan(8, "llm|m"), "a", "b", "c")
-	node := c.other()
+	node := c.follower()
 	n := c.nodes[node]
-	ballot := protocol.Ballot{N: n.reg.top + 1, By: "z", Life: 1}
-	next := protocol.Ballot{N: ballot.N + 1, By: "z", Life: 1}
-	value := *n.reg.known
+	ballot := protocol.Ballot{N: n.register.highestNumber + 1, By: "z", Incarnation: 1}
+	next := protocol.Ballot{N: ballot.N + 1, By: "z", Incarnation: 1}
+	value := *n.register.known
 	value.Epoch++
 	c.step(node, from("z", protocol.Accept{Round: 1, Ballot: ballot, Value: value, Next: next}))
 	c.reboot(node)
 	n = c.nodes[node]
-	require.Equal(t, ballot, n.vote.accepted)
-	between := protocol.Ballot{N: next.N, By: "y", Life: 1}
+	require.Equal(t, ballot, n.acceptor.accepted)
+	between := protocol.Ballot{N: next.N, By: "y", Incarnation: 1}
 	promise := func(b protocol.Ballot) protocol.Promise {
 		n.Step(c.at, from("y", protocol.Prepare{Round: 2, Ballot: b}))
 		out := n.Step(c.at, protocol.Saved{Token: n.token})
@@ -49,25 +49,25 @@
 		return l[0]
 	}
 	require.False(t, promise(between).OK)
-	require.True(t, promise(protocol.Ballot{N: next.N + 1, By: "y", Life: 1}).OK)
+	require.True(t, promise(protocol.Ballot{N: next.N + 1, By: "y", Incarnation: 1}).OK)
 }
 
 // A repeated accept gets the same answer as the first, although a later ballot is promised by then. Other accepts below
 // that promise are refused.
 func TestAcceptIsAnsweredAgain(t *testing.T) {
 	c := newCluster(t, modelPlan(8, "llm|m"), "a", "b", "c")
-	node := c.other()
+	node := c.follower()
 	n := c.nodes[node]
-	ballot := protocol.Ballot{N: n.reg.top + 1, By: "z", Life: 1}
-	next := protocol.Ballot{N: ballot.N + 1, By: "z", Life: 1}
-	accept := protocol.Accept{Round: 1, Ballot: ballot, Value: *n.reg.known, Next: next}
+	ballot := protocol.Ballot{N: n.register.highestNumber + 1, By: "z", Incarnation: 1}
+	next := protocol.Ballot{N: ballot.N + 1, By: "z", Incarnation: 1}
+	accept := protocol.Accept{Round: 1, Ballot: ballot, Value: *n.register.known, Next: next}
 	require.Empty(t, bodiesOf[protocol.Accepted](n.Step(c.at, from("z", accept))), "the disk has not confirmed the write")
 	require.Empty(t, bodiesOf[protocol.Accepted](n.Step(c.at, from("z", accept))), "the write is still not confirmed")
 	require.Len(t, bodiesOf[protocol.Accepted](n.Step(c.at, protocol.Saved{Token: n.token})), 1)
 	again := bodiesOf[protocol.Accepted](n.Step(c.at, from("z", accept)))
 	require.Len(t, again, 1)
 	require.True(t, again[0].OK)
-	accept.Ballot = protocol.Ballot{N: next.N, By: "y", Life: 1}
+	accept.Ballot = protocol.Ballot{N: next.N, By: "y", Incarnation: 1}
 	refused := bodiesOf[protocol.Accepted](n.Step(c.at, from("y", accept)))
 	require.Len(t, refused, 1)
 	require.False(t, refused[0].OK)
@@ -77,7 +77,7 @@
 // A leader uses the ballot that a majority promised with its last accept, so that a change takes one round. Each ballot
 // proposes only one value, even if the voters have promised a later ballot meanwhile.
 func TestPromiseIsUsedOnce(t *testing.T) {
-	c := newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
+	c := newTunedCluster(t, modelPlan(8, "llm|m"), largeFleetTimes, "a", "b", "c")
 	owner := c.owner()
 	n := c.nodes[owner]
 	put := func(name string) func() *Receipt {
@@ -86,23 +86,23 @@
 	}
 	first := put("first")
 	require.True(t, c.until(2e9, func() bool { return first() != nil }))
-	require.NotNil(t, n.reg.promised)
+	require.NotNil(t, n.register.reserved)
 	was := n.tally.RoundsPromised
 	second := put("second")
 	require.True(t, c.until(2e9, func() bool { return second() != nil }))
 	require.Equal(t, was+1, n.tally.RoundsPromised, "no prepare was needed")
 
 	// The other voters promise a later ballot to a rival.
-	rival := protocol.Ballot{N: n.reg.promised.ballot.N + 5, By: "z", Life: 1}
+	rival := protocol.Ballot{N: n.register.reserved.ballot.N + 5, By: "z", Incarnation: 1}
 	for id := range c.nodes {
 		if id != owner {
-			c.nodes[id].vote.promised = rival
+			c.nodes[id].acceptor.promised = rival
 		}
 	}
 	ballots := map[protocol.Ballot]int{}
 	third := put("third")
 	require.True(t, c.until(4e9, func() bool {
-		if o := n.reg.op; o != nil {
+		if o := n.register.active; o != nil {
 			ballots[o.ballot]++
 		}
 		return third() != nil
@@ -113,13 +113,13 @@
 	require.Equal(t, failure.None, fourth().Kind)
 	require.Equal(t, ident.Epoch(5), n.Epoch(), "each change was committed once")
 	for id, other := range c.nodes {
-		require.Equal(t, "fourth", string(other.reg.known.Plan), id)
+		require.Equal(t, "fourth", string(other.register.known.Plan), id)
 	}
 }
 
 // forwardTo returns a message that forwards a change to a leader.
-func forwardTo(n *Core, number uint64) protocol.Forward {
-	return protocol.Forward{Number: number, Term: n.duty.num, Op: "put", Raw: []byte("1"), Any: true, Change: fmt.Sprint("change-", number)}
+func forwardTo(n *Core, number uint64) protocol.ForwardChange {
+	return protocol.ForwardChange{Number: number, Term: n.leadership.term, Op: "put", Raw: []byte("1"), AnyEpoch: true, ChangeID: fmt.Sprint("change-", number)}
 }
 
 // A forwarded change is accepted only under the term that it names, and duplicates of the message have no effect.
@@ -129,32 +129,32 @@
 	n := c.nodes[owner]
 	forward := forwardTo(n, 1)
 	forward.Term--
-	refused := bodiesOf[protocol.Forwarded](n.Step(c.at, from("z", forward)))
-	require.Equal(t, []protocol.Forwarded{{Number: 1, NotOwner: true}}, refused)
+	refused := bodiesOf[protocol.ForwardReply](n.Step(c.at, from("z", forward)))
+	require.Equal(t, []protocol.ForwardReply{{Number: 1, NotOwner: true}}, refused)
 	forward = forwardTo(n, 2)
-	forward.Change = ""
+	forward.ChangeID = ""
 	for range 3 {
 		c.step(owner, from("z", forward))
 		c.run(300e6)
 	}
 	require.EqualValues(t, 2, n.Epoch())
-	other := c.nodes[c.other()]
-	require.Equal(t, []protocol.Forwarded{{Number: 3, NotOwner: true}}, bodiesOf[protocol.Forwarded](other.Step(c.at, from("z", forwardTo(n, 3)))))
+	other := c.nodes[c.follower()]
+	require.Equal(t, []protocol.ForwardReply{{Number: 3, NotOwner: true}}, bodiesOf[protocol.ForwardReply](other.Step(c.at, from("z", forwardTo(n, 3)))))
 	form := forwardTo(n, 4)
 	form.Op = "form"
-	require.True(t, bodiesOf[protocol.Forwarded](n.Step(c.at, from("z", form)))[0].NotOwner, "only changes may be forwarded")
+	require.True(t, bodiesOf[protocol.ForwardReply](n.Step(c.at, from("z", form)))[0].NotOwner, "only changes may be forwarded")
 }
 
 // handOver sends a change to a node that is not the leader, and drops the message that forwards it to the leader.
 func handOver(t *testing.T, a Admin) (c *cluster, node string, answer func() *Receipt) {
-	c = newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
+	c = newTunedCluster(t, modelPlan(8, "llm|m"), largeFleetTimes, "a", "b", "c")
 	c.run(2e9)
-	node = c.other()
+	node = c.follower()
 	owner := c.owner()
-	c.parted[owner] = true
+	c.partitioned[owner] = true
 	answer = c.admin(node, a)
-	c.parted[owner] = false
-	require.Len(t, c.nodes[node].forwards.open, 1)
+	c.partitioned[owner] = false
+	require.Len(t, c.nodes[node].forwards.pending, 1)
 	return c, node, answer
 }
 
@@ -162,23 +162,23 @@
 func TestForwardWithoutAnOutcome(t *testing.T) {
 	c, node, answer := handOver(t, Admin{Op: "put", Raw: []byte("1"), Any: true, Change: "x"})
 	wait := c.nodes[node].forwardTimeout()
-	require.LessOrEqual(t, wait, 4*c.nodes[node].o.Round)
+	require.LessOrEqual(t, wait, 4*c.nodes[node].o.ReadInterval)
 	require.True(t, c.until(2*wait, func() bool { return answer() != nil }))
 	require.Equal(t, failure.None, answer().Kind)
 	require.EqualValues(t, 2, answer().Epoch)
 	require.EqualValues(t, 1, c.nodes[node].tally.ForwardsUnanswered)
 	c.run(1e9)
-	require.Empty(t, c.nodes[node].forwards.open)
+	require.Empty(t, c.nodes[node].forwards.pending)
 }
 
 // A change without an id gets one when it is forwarded. If its outcome is lost and the forwarding node proposes it too,
 // the id marks the duplicate.
 func TestForwardWithoutAnIDIsTakenOnce(t *testing.T) {
-	c := newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
+	c := newTunedCluster(t, modelPlan(8, "llm|m"), largeFleetTimes, "a", "b", "c")
 	c.run(2e9)
-	node := c.other()
-	c.loses = func(e protocol.Env) bool {
-		_, is := e.Body.(protocol.Forwarded)
+	node := c.follower()
+	c.dropsMessage = func(e protocol.Envelope) bool {
+		_, is := e.Body.(protocol.ForwardReply)
 		return is
 	}
 	answer := c.admin(node, Admin{Op: "put", Raw: []byte("1"), Expect: 1})
@@ -198,8 +198,8 @@
 	}{
 		{"based on an older version", Admin{Op: "put", Raw: []byte("1"), Expect: 0, Change: "x"}, failure.Conflict},
 		{"based on a version that may still be chosen", Admin{Op: "put", Raw: []byte("1"), Expect: 2, Change: "x"}, failure.Unclear},
-		{"its number is too low for good", Admin{Op: "put", Raw: []byte("1"), Any: true, Number: 1, Change: "x"}, failure.Faulty},
-		{"malformed, based on the current version", Admin{Op: "patch", Raw: []byte(`{"bad": 1}`), Expect: 1, Change: "x"}, failure.Faulty},
+		{"its number is too low for good", Admin{Op: "put", Raw: []byte("1"), Any: true, Number: 1, Change: "x"}, failure.FaultyPlan},
+		{"malformed, based on the current version", Admin{Op: "patch", Raw: []byte(`{"bad": 1}`), Expect: 1, Change: "x"}, failure.FaultyPlan},
 		{"malformed, based on any version", Admin{Op: "patch", Raw: []byte(`{"bad": 1}`), Any: true, Change: "x"}, failure.Unclear},
 	} {
 		t.Run(x.name, func(t *testing.T) {
@@ -215,16 +215,16 @@
 	ahead := map[string]bool{} // plans that were parsed beside the core
 	inStep, late := true, 0
 	tune := func(o *Options) {
-		grownTimes(o)
-		read := o.Read
-		o.Read = func(raw []byte) (*fleetplan.Plan, fleetplan.Faults) {
+		largeFleetTimes(o)
+		read := o.ParsePlan
+		o.ParsePlan = func(raw []byte) (*fleetplan.Plan, fleetplan.Faults) {
 			if inStep && !ahead[string(raw)] {
 				late++
 			}
 			ahead[string(raw)] = true
 			return read(raw)
 		}
-		o.Merge = func(plan, patch []byte) ([]byte, fleetplan.Faults) {
+		o.MergePatch = func(plan, patch []byte) ([]byte, fleetplan.Faults) {
 			if inStep {
 				late++
 			}
@@ -233,7 +233,7 @@
 	}
 	c := newTunedCluster(t, modelPlan(8, "llm|m"), tune, "a", "b", "c")
 	c.delay = 20e6
-	c.beside = func(run func()) {
+	c.runConcurrent = func(run func()) {
 		inStep = false
 		run()
 		inStep = true
@@ -264,32 +264,32 @@
 // An outcome of a change from a node's earlier incarnation must not match a change that its present incarnation has
 // forwarded, and the leader must treat the change of the present incarnation as new.
 func TestForwardsOfAnEarlierLife(t *testing.T) {
-	c := newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
+	c := newTunedCluster(t, modelPlan(8, "llm|m"), largeFleetTimes, "a", "b", "c")
 	c.run(2e9)
-	node, owner := c.other(), c.owner()
+	node, owner := c.follower(), c.owner()
 	for _, plan := range []string{"early", "late"} {
 		c.plans[plan] = c.plans["1"]
 	}
-	c.loses = func(e protocol.Env) bool {
-		_, is := e.Body.(protocol.Forwarded)
+	c.dropsMessage = func(e protocol.Envelope) bool {
+		_, is := e.Body.(protocol.ForwardReply)
 		return is
 	}
 	c.admin(node, Admin{Op: "put", Raw: []byte("early"), Any: true, Change: "early"})
 	c.run(20e6)
-	var early protocol.Forwarded
-	for number := range c.nodes[node].forwards.open {
-		early = protocol.Forwarded{Number: number, Epoch: c.nodes[owner].Epoch()}
+	var early protocol.ForwardReply
+	for number := range c.nodes[node].forwards.pending {
+		early = protocol.ForwardReply{Number: number, Epoch: c.nodes[owner].Epoch()}
 	}
 	require.NotZero(t, early.Number)
 	c.reboot(node)
-	require.True(t, c.until(3e9, func() bool { _, other := c.nodes[node].proposerElsewhere(); return other }))
-	c.loses = func(protocol.Env) bool { return false }
+	require.True(t, c.until(3e9, func() bool { _, other := c.nodes[node].remoteProposer(); return other }))
+	c.dropsMessage = func(protocol.Envelope) bool { return false }
 	c.delay = 100e6
 	handed := c.nodes[owner].tally.ForwardsTaken
 	c.nodes[node].token = early.Number - 1 // a counter that restarts in each incarnation would reach the same number
 	answer := c.admin(node, Admin{Op: "put", Raw: []byte("late"), Any: true, Change: "late"})
-	require.Len(t, c.nodes[node].forwards.open, 1)
-	c.step(node, protocol.Env{From: protocol.Sibling{ID: ident.Node(owner), Addr: owner}, To: protocol.Sibling{ID: ident.Node(node), Addr: node}, Body: early})
+	require.Len(t, c.nodes[node].forwards.pending, 1)
+	c.step(node, protocol.Envelope{From: protocol.Peer{ID: ident.Node(owner), Addr: owner}, To: protocol.Peer{ID: ident.Node(node), Addr: node}, Body: early})
 	require.Nil(t, answer(), "the outcome is not known yet")
 	require.True(t, c.until(4e9, func() bool { return answer() != nil }))
 	require.Equal(t, failure.None, answer().Kind)
@@ -304,19 +304,19 @@
 		expect  ident.Epoch
 		outcome failure.Kind
 	}{{0, failure.Conflict}, {5, failure.Unclear}} {
-		c := newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
+		c := newTunedCluster(t, modelPlan(8, "llm|m"), largeFleetTimes, "a", "b", "c")
 		c.run(2e9)
-		node, owner := c.other(), c.owner()
+		node, owner := c.follower(), c.owner()
 		c.delay = 60e6
 		answer := c.admin(node, Admin{Op: "put", Raw: []byte("1"), Expect: x.expect, Change: "x"})
 		n := c.nodes[node]
-		require.Len(t, n.forwards.open, 1)
-		for number, p := range n.forwards.open {
+		require.Len(t, n.forwards.pending, 1)
+		for number, p := range n.forwards.pending {
 			n.now = c.at
 			n.proposeChange(p)
 			require.True(t, p.proposed)
-			c.step(node, protocol.Env{From: protocol.Sibling{ID: ident.Node(owner), Addr: owner}, To: protocol.Sibling{ID: ident.Node(node), Addr: node},
-				Body: protocol.Forwarded{Number: number, Kind: failure.Conflict, Epoch: 1}})
+			c.step(node, protocol.Envelope{From: protocol.Peer{ID: ident.Node(owner), Addr: owner}, To: protocol.Peer{ID: ident.Node(node), Addr: node},
+				Body: protocol.ForwardReply{Number: number, Kind: failure.Conflict, Epoch: 1}})
 		}
 		require.NotNil(t, answer())
 		require.Equal(t, x.outcome, answer().Kind, "expect %d", x.expect)
@@ -326,21 +326,21 @@
 // A forwarding node acknowledges a change only once it knows the new version itself, so that no read that it serves
 // afterwards returns an older version, whenever the read began.
 func TestOutcomeIsToldOnceItIsKnown(t *testing.T) {
-	c := newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
+	c := newTunedCluster(t, modelPlan(8, "llm|m"), largeFleetTimes, "a", "b", "c")
 	c.run(2e9)
-	node := c.other()
+	node := c.follower()
 	n := c.nodes[node]
 	blind := true
-	c.loses = func(e protocol.Env) bool {
+	c.dropsMessage = func(e protocol.Envelope) bool {
 		switch e.Body.(type) {
-		case protocol.Accept, protocol.Taken, protocol.Value, protocol.State:
+		case protocol.Accept, protocol.ValueChosen, protocol.FetchedValue, protocol.State:
 			return blind && string(e.To.ID) == node
 		}
 		return false
 	}
 	answer := c.admin(node, Admin{Op: "put", Raw: []byte("1"), Any: true, Change: "x"})
 	c.run(200e6)
-	require.EqualValues(t, 2, c.lead().Epoch(), "the change is committed")
+	require.EqualValues(t, 2, c.leader().Epoch(), "the change is committed")
 	require.EqualValues(t, 1, n.Epoch())
 	require.Nil(t, answer(), "the node does not know the new version yet")
 	blind = false
@@ -351,12 +351,12 @@
 
 // If the forwarding node never learns the committed version, it reports the change as unclear.
 func TestOutcomeThatIsNeverKnownIsUnclear(t *testing.T) {
-	c := newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
+	c := newTunedCluster(t, modelPlan(8, "llm|m"), largeFleetTimes, "a", "b", "c")
 	c.run(2e9)
-	node := c.other()
-	c.loses = func(e protocol.Env) bool {
+	node := c.follower()
+	c.dropsMessage = func(e protocol.Envelope) bool {
 		switch e.Body.(type) {
-		case protocol.Forwarded, protocol.Forward:
+		case protocol.ForwardReply, protocol.ForwardChange:
 			return false
 		}
 		return string(e.To.ID) == node
--- a/internal/controller/proposer_timing.go
+++ b/internal/controller/proposer_timing.go
@@ -23,22 +23,22 @@
 
 // answerWait returns how long an attempt waits for the answers of a majority before it is resent.
 func (c *Core) answerWait() clock.Span {
-	wait := c.reg.trips.rounds.Timeout()
-	if !c.reg.trips.rounds.Known() {
-		wait = 2 * c.reg.trips.reads.Timeout() // a message with a value takes longer than a query
+	wait := c.register.roundTrips.rounds.Timeout()
+	if !c.register.roundTrips.rounds.Known() {
+		wait = 2 * c.register.roundTrips.reads.Timeout() // a message with a value takes longer than a query
 	}
-	return min(max(wait, minAnswerRounds*c.o.Round), maxAnswerRounds*c.o.Round)
+	return min(max(wait, minAnswerRounds*c.o.ReadInterval), maxAnswerRounds*c.o.ReadInterval)
 }
 
 const (
-	leastChangeWait = clock.Span(4e9)
-	mostChangeWait  = clock.Span(12e9)
-	changeAttempts  = 4 // attempts, of two phases each, that a change is given time for
+	minChangeWait  = clock.Span(4e9)
+	maxChangeWait  = clock.Span(12e9)
+	changeAttempts = 4 // attempts, of two phases each, that a change is given time for
 )
 
 // changeWait returns how long a change may wait for its turn and its attempts.
 func (c *Core) changeWait() clock.Span {
-	return min(max(leastChangeWait, 2*changeAttempts*c.answerWait()), mostChangeWait)
+	return min(max(minChangeWait, 2*changeAttempts*c.answerWait()), maxChangeWait)
 }
 
 const (
@@ -48,19 +48,19 @@
 
 // rivalWait returns how long another proposer counts as active after its last message.
 func (c *Core) rivalWait() clock.Span {
-	round := float64(c.o.Round)
-	return clock.Span(min(max(float64(c.reg.trips.reads.Timeout()), minRivalRounds*round), maxRivalRounds*round))
+	round := float64(c.o.ReadInterval)
+	return clock.Span(min(max(float64(c.register.roundTrips.reads.Timeout()), minRivalRounds*round), maxRivalRounds*round))
 }
 
 // rivalActive reports whether this voter has promised a ballot of another proposer whose value is not yet known
 // to be chosen. A new ballot now would invalidate that proposer's attempt, and the two would invalidate each
 // other's for as long as changes arrive.
 func (c *Core) rivalActive() bool {
-	at := c.vote.promised
-	if at == c.vote.reserved {
-		at = c.vote.accepted // a reserved ballot is used only once its proposer has another change
+	at := c.acceptor.promised
+	if at == c.acceptor.reserved {
+		at = c.acceptor.accepted // a reserved ballot is used only once its proposer has another change
 	}
-	return at.By != c.o.Me.ID && c.reg.at.Less(at) && c.vote.asked != 0 && c.now.Sub(c.vote.asked) < c.rivalWait()
+	return at.By != c.o.Self.ID && c.register.knownBallot.Less(at) && c.acceptor.proposerHeardAt != 0 && c.now.Sub(c.acceptor.proposerHeardAt) < c.rivalWait()
 }
 
 // rivalMemory is how long after its last message another proposer is taken into account.
@@ -68,30 +68,30 @@
 
 // recordRounds records how long an attempt took and when it ended. Another proposer needs about half of that
 // time to learn of the end and to have its own prepare received.
-func (c *Core) recordRounds(o *op) {
-	c.reg.lastDuration = c.now.Sub(o.beganAt)
-	c.reg.lastFinishedAt = c.now
+func (c *Core) recordRounds(o *proposal) {
+	c.register.lastDuration = c.now.Sub(o.beganAt)
+	c.register.lastFinishedAt = c.now
 }
 
 // yieldsTurn reports whether a change waits to let other proposers go first, because this node has just finished
 // an attempt. Otherwise a node with many changes would begin the next one before others have learned that the
 // last one is over.
-func (c *Core) yieldsTurn(o *op) bool {
-	hasRivals := c.vote.rivalHeardAt != 0 && c.now.Sub(c.vote.rivalHeardAt) < rivalMemory
-	return hasRivals && !c.urgent(o) && c.now.Sub(c.reg.lastFinishedAt) <= c.reg.lastDuration/2
+func (c *Core) yieldsTurn(o *proposal) bool {
+	hasRivals := c.acceptor.rivalHeardAt != 0 && c.now.Sub(c.acceptor.rivalHeardAt) < rivalMemory
+	return hasRivals && !c.urgent(o) && c.now.Sub(c.register.lastFinishedAt) <= c.register.lastDuration/2
 }
 
 // hastenRetry shortens the back-off of a change that lost to another proposer, since a value was chosen.
 func (c *Core) hastenRetry() {
-	o := c.reg.op
-	if o == nil || o.phase != queued || c.now >= o.wake {
+	o := c.register.active
+	if o == nil || o.phase != queued || c.now >= o.retryAt {
 		return
 	}
 	retry := c.now
 	if !c.urgent(o) {
 		retry = c.now.Add(clock.Span(c.o.Rand.Int64N(int64(c.baseBackoff()))))
 	}
-	o.wake = min(o.wake, retry)
+	o.retryAt = min(o.retryAt, retry)
 }
 
 // urgentAfter is the least time a change waits before it takes precedence. Its back-off no longer grows from
@@ -99,7 +99,9 @@
 const urgentAfter = clock.Span(1e9)
 
 // urgent reports whether a change has waited so long that it takes precedence.
-func (c *Core) urgent(o *op) bool { return c.now.Sub(o.came) > max(urgentAfter, c.answerWait()) }
+func (c *Core) urgent(o *proposal) bool {
+	return c.now.Sub(o.enqueuedAt) > max(urgentAfter, c.answerWait())
+}
 
 // After a lost attempt, a change waits for up to the base back-off, which doubles with each further loss up to
 // backoffDoublings times.
@@ -111,14 +113,14 @@
 
 // baseBackoff returns the longest wait after a first lost attempt.
 func (c *Core) baseBackoff() clock.Span {
-	return max(minBackoff, min(c.reg.trips.reads.Mean(), maxRivalRounds*c.o.Round)/backoffDivisor)
+	return max(minBackoff, min(c.register.roundTrips.reads.Mean(), maxRivalRounds*c.o.ReadInterval)/backoffDivisor)
 }
 
 // backoff returns a random wait after a lost attempt.
-func (c *Core) backoff(o *op) clock.Span {
+func (c *Core) backoff(o *proposal) clock.Span {
 	wait := c.baseBackoff()
 	if !c.urgent(o) {
-		wait <<= min(o.fails, backoffDoublings)
+		wait <<= min(o.failures, backoffDoublings)
 	}
 	return wait/2 + clock.Span(c.o.Rand.Int64N(int64(wait)))
 }
--- a/internal/controller/reader.go
+++ b/internal/controller/reader.go
@@ -12,31 +12,31 @@
 // query is one majority read. Several may be outstanding: a read that takes longer than the read interval
 // continues, so that a core whose nodes answer slowly still learns the newest value.
 type query struct {
-	round       uint64
-	at          clock.Tick
-	claim       bool
-	num         ident.Duty
-	uncontested bool // no answering voter has granted the lease to another node since this node last held it
-	set         protocol.Desired
-	yes         map[ident.Node]ident.Inc
-	grant       map[ident.Node]ident.Inc
-	vacant      map[ident.Node]ident.Inc // voters that have granted the lease to nobody but this node
-	others      map[ident.Node]ident.Inc // voters that have granted this node's own term to another node
-	acc         map[ident.Node]protocol.Ballot
-	top         protocol.Ballot // highest ballot accepted by the voters that answered
-	shape       uint64          // highest voter set version that these voters have accepted
-	asked       bool            // the value of ballot top is being fetched
-	read        bool            // a majority has answered
-	ended       bool            // a value as new as top is known: no newer value was chosen before the read began
-	won         bool            // a majority has granted the term
-	dutyN       ident.Duty
-	owner       protocol.Sibling
+	round            uint64
+	at               clock.Instant
+	claim            bool
+	term             ident.Term
+	uncontested      bool // no answering voter has granted the lease to another node since this node last held it
+	set              protocol.Desired
+	responders       map[ident.Node]ident.Incarnation
+	grantors         map[ident.Node]ident.Incarnation
+	vacant           map[ident.Node]ident.Incarnation // voters that have granted the lease to nobody but this node
+	grantedElsewhere map[ident.Node]ident.Incarnation // voters that have granted this node's own term to another node
+	accepted         map[ident.Node]protocol.Ballot
+	top              protocol.Ballot // highest ballot accepted by the voters that answered
+	shape            uint64          // highest voter set version that these voters have accepted
+	fetching         bool            // the value of ballot top is being fetched
+	answered         bool            // a majority has answered
+	completed        bool            // a value as new as top is known: no newer value was chosen before the read began
+	won              bool            // a majority has granted the term
+	highestTerm      ident.Term
+	owner            protocol.Peer
 }
 
-func newQuery(round uint64, at clock.Tick) *query {
+func newQuery(round uint64, at clock.Instant) *query {
 	return &query{
-		round: round, at: at, uncontested: true, yes: map[ident.Node]ident.Inc{}, grant: map[ident.Node]ident.Inc{}, vacant: map[ident.Node]ident.Inc{},
-		others: map[ident.Node]ident.Inc{}, acc: map[ident.Node]protocol.Ballot{},
+		round: round, at: at, uncontested: true, responders: map[ident.Node]ident.Incarnation{}, grantors: map[ident.Node]ident.Incarnation{}, vacant: map[ident.Node]ident.Incarnation{},
+		grantedElsewhere: map[ident.Node]ident.Incarnation{}, accepted: map[ident.Node]protocol.Ballot{},
 	}
 }
 
@@ -64,7 +64,7 @@
 
 // beginQuery adds a new majority read to the outstanding ones.
 func (c *Core) beginQuery() *query {
-	r := &c.reg
+	r := &c.register
 	r.round++
 	q := newQuery(r.round, c.now)
 	r.queries = append(r.queries, q)
@@ -80,24 +80,24 @@
 // tickQueries sends the periodic majority read. With a claim, the read also acquires or renews the leadership
 // lease.
 func (c *Core) tickQueries() {
-	r := &c.reg
-	if c.now < r.next {
+	r := &c.register
+	if c.now < r.nextQuery {
 		return
 	}
-	r.next = c.now.Add(c.o.Round)
+	r.nextQuery = c.now.Add(c.o.ReadInterval)
 	c.repairUnsettled()
 	q := c.beginQuery()
-	recipients := map[ident.Node]protocol.Sibling{}
+	recipients := map[ident.Node]protocol.Peer{}
 	if set := c.latest(); set != nil {
 		q.set = *set
-		q.claim, q.num = c.shouldClaim(q.set)
-		for _, p := range voterset.Addresses(*set) {
+		q.claim, q.term = c.shouldClaim(q.set)
+		for _, p := range voterset.Peers(*set) {
 			recipients[p.ID] = p
 		}
 	}
-	ask := func(p protocol.Sibling) { c.send(p, protocol.Query{Round: q.round, Claim: q.claim, Duty: q.num}) }
-	for _, m := range c.mates.Alive("controller") {
-		recipients[m.ID] = m.Sibling
+	ask := func(p protocol.Peer) { c.send(p, protocol.Query{Round: q.round, Claim: q.claim, Term: q.term}) }
+	for _, m := range c.members.Alive("controller") {
+		recipients[m.ID] = m.Peer
 	}
 	for _, id := range generic.SortedKeys(recipients) {
 		ask(recipients[id])
@@ -123,16 +123,16 @@
 // chosen. Its proposer may have failed, and then only a full read can decide the value. If each read shows a
 // different value, changes make progress, and a full read would only delay them.
 func (c *Core) repairUnsettled() {
-	r, q := &c.reg, c.reg.queryByRound(c.reg.lastRead)
-	if q == nil || r.known != nil && !r.at.Less(q.top) {
-		r.odd = 0
+	r, q := &c.register, c.register.queryByRound(c.register.lastRead)
+	if q == nil || r.known != nil && !r.knownBallot.Less(q.top) {
+		r.unsettledCount = 0
 		return
 	}
-	if q.top != r.oddTop {
-		r.odd, r.oddTop, r.oddSince = 0, q.top, c.now
+	if q.top != r.unsettledBallot {
+		r.unsettledCount, r.unsettledBallot, r.unsettledSince = 0, q.top, c.now
 	}
-	if r.odd++; r.odd >= unsettledReads && c.now.Sub(r.oddSince) >= c.unsettledWait() && r.op == nil && len(r.queue) == 0 {
-		r.odd = 0
+	if r.unsettledCount++; r.unsettledCount >= unsettledReads && c.now.Sub(r.unsettledSince) >= c.unsettledWait() && r.active == nil && len(r.queue) == 0 {
+		r.unsettledCount = 0
 		c.fullRead(func(failure.Kind) {})
 	}
 }
@@ -141,27 +141,27 @@
 // begins a full read: the accept may still be on its way. If another node holds the leadership lease, that node
 // is given time to repair it first.
 func (c *Core) unsettledWait() clock.Span {
-	trip := min(c.reg.trips.reads.Timeout(), maxRivalRounds*c.o.Round)
-	if _, other := c.proposerElsewhere(); other {
-		return minAnswerRounds*c.o.Round + 2*trip
+	trip := min(c.register.roundTrips.reads.Timeout(), maxRivalRounds*c.o.ReadInterval)
+	if _, other := c.remoteProposer(); other {
+		return minAnswerRounds*c.o.ReadInterval + 2*trip
 	}
 	return trip
 }
 
-func (c *Core) onState(e protocol.Env) {
-	r, b := &c.reg, e.Body.(protocol.State)
-	r.top = max(r.top, b.Accepted.N)
+func (c *Core) onState(e protocol.Envelope) {
+	r, b := &c.register, e.Body.(protocol.State)
+	r.highestNumber = max(r.highestNumber, b.Accepted.N)
 	if b.Round <= r.roundBase {
 		return // answers a query of an earlier incarnation
 	}
-	if b.Round >= r.lives[e.From.ID].state.Round { // otherwise it arrived after a later answer and may be out of date
-		r.lives[e.From.ID] = stateReport{at: c.now, state: b, sib: e.From}
+	if b.Round >= r.states[e.From.ID].state.Round { // otherwise it arrived after a later answer and may be out of date
+		r.states[e.From.ID] = stateReport{at: c.now, state: b, sibling: e.From}
 		set := c.latest()
-		if !b.Blank && (set == nil || b.Shape > set.Shape) {
-			c.send(e.From, protocol.Fetch{})
+		if !b.Blank && (set == nil || b.VoterSet > set.VoterSet) {
+			c.send(e.From, protocol.FetchValue{})
 		}
 	}
-	c.hearOfChosen(b.Chosen, e.From)
+	c.noteChosen(b.Chosen, e.From)
 	q := r.queryByRound(b.Round)
 	if q == nil {
 		return
@@ -175,38 +175,38 @@
 
 // recordAnswer adds a voter's answer to a majority read.
 func (c *Core) recordAnswer(q *query, from ident.Node, b protocol.State) {
-	q.yes[from] = b.Inc
+	q.responders[from] = b.Incarnation
 	if b.Granted {
-		q.grant[from] = b.Inc
+		q.grantors[from] = b.Incarnation
 	}
-	q.dutyN = max(q.dutyN, b.Duty)
-	if b.Owner.ID == "" || b.Owner.ID == c.o.Me.ID {
-		q.vacant[from] = b.Inc
+	q.highestTerm = max(q.highestTerm, b.Term)
+	if b.Owner.ID == "" || b.Owner.ID == c.o.Self.ID {
+		q.vacant[from] = b.Incarnation
 	}
-	if b.Owner.ID != "" && b.Owner.ID != c.o.Me.ID && b.Duty == c.duty.num {
-		q.others[from] = b.Inc
+	if b.Owner.ID != "" && b.Owner.ID != c.o.Self.ID && b.Term == c.leadership.term {
+		q.grantedElsewhere[from] = b.Incarnation
 	}
-	if b.Owner.ID != "" && b.Duty >= q.dutyN {
+	if b.Owner.ID != "" && b.Term >= q.highestTerm {
 		q.owner = b.Owner
 	}
-	if voterset.In(q.set, from, b.Inc) {
-		q.acc[from] = b.Accepted
-		q.shape = max(q.shape, b.Shape)
+	if voterset.IsVoter(q.set, from, b.Incarnation) {
+		q.accepted[from] = b.Accepted
+		q.shape = max(q.shape, b.VoterSet)
 		if q.top.Less(b.Accepted) {
 			q.top = b.Accepted
 		}
 	}
-	if b.Prior != c.o.Me.ID {
+	if b.PriorGrantee != c.o.Self.ID {
 		q.uncontested = false
 	}
-	q.won = q.won || q.claim && voterset.Majority(q.set, q.grant)
-	if voterset.Majority(q.set, q.yes) {
-		if !q.read {
-			c.reg.trips.reads.Observe(c.now.Sub(q.at))
+	q.won = q.won || q.claim && voterset.Majority(q.set, q.grantors)
+	if voterset.Majority(q.set, q.responders) {
+		if !q.answered {
+			c.register.roundTrips.reads.Observe(c.now.Sub(q.at))
 		}
-		q.read = true
-		c.reg.answered = c.now
-		c.reg.lastRead = max(c.reg.lastRead, q.round)
+		q.answered = true
+		c.register.answered = c.now
+		c.register.lastRead = max(c.register.lastRead, q.round)
 	}
 }
 
@@ -219,16 +219,16 @@
 // known proves nothing: a majority of the newer set may have chosen further values, none of which need show
 // among the answers of the older set.
 func (c *Core) completeQueries() {
-	r := &c.reg
+	r := &c.register
 	if r.known == nil {
 		return
 	}
 	for i := len(r.queries) - 1; i >= 0; i-- {
 		q := r.queries[i]
-		if q.ended && !q.winsTerm(c) {
+		if q.completed && !q.winsTerm(c) {
 			return
 		}
-		if !q.read || r.at.Less(q.top) || q.set.Shape < r.known.Shape {
+		if !q.answered || r.knownBallot.Less(q.top) || q.set.VoterSet < r.known.VoterSet {
 			continue
 		}
 		for _, old := range r.queries[:i] {
@@ -241,35 +241,35 @@
 }
 
 // winsTerm reports whether a majority has granted a term that this node has not begun.
-func (q *query) winsTerm(c *Core) bool { return q.won && !c.duty.mine }
+func (q *query) winsTerm(c *Core) bool { return q.won && !c.leadership.held }
 
 // fetchNewest learns the newest value that a majority read showed, if a majority of the voters have accepted it.
 // The value is then chosen and only needs to be fetched.
 func (c *Core) fetchNewest(q *query) {
-	if !q.read || q.ended || q.top == (protocol.Ballot{}) || !c.reg.at.Less(q.top) && c.reg.known != nil {
+	if !q.answered || q.completed || q.top == (protocol.Ballot{}) || !c.register.knownBallot.Less(q.top) && c.register.known != nil {
 		return
 	}
 	accepted := q.acceptedTop()
 	if !voterset.Majority(q.set, accepted) {
 		return
 	}
-	if c.vote.value != nil && c.vote.accepted == q.top {
-		c.learnChosen(q.top, *c.vote.value)
+	if c.acceptor.value != nil && c.acceptor.accepted == q.top {
+		c.learnChosen(q.top, *c.acceptor.value)
 		return
 	}
-	if q.asked {
+	if q.fetching {
 		return
 	}
-	q.asked = true
-	c.send(c.reg.lives[generic.SortedKeys(accepted)[0]].sib, protocol.Fetch{Round: q.round, Ballot: q.top})
+	q.fetching = true
+	c.send(c.register.states[generic.SortedKeys(accepted)[0]].sibling, protocol.FetchValue{Round: q.round, Ballot: q.top})
 }
 
 // acceptedTop returns the voters that have accepted the newest value that a majority read showed.
-func (q *query) acceptedTop() map[ident.Node]ident.Inc {
-	accepted := map[ident.Node]ident.Inc{}
-	for id, b := range q.acc {
+func (q *query) acceptedTop() map[ident.Node]ident.Incarnation {
+	accepted := map[ident.Node]ident.Incarnation{}
+	for id, b := range q.accepted {
 		if b == q.top {
-			accepted[id] = q.yes[id]
+			accepted[id] = q.responders[id]
 		}
 	}
 	return accepted
@@ -277,9 +277,9 @@
 
 // completeQuery records that no value newer than the known one was chosen before a read began.
 func (c *Core) completeQuery(q *query) {
-	q.ended = true
-	c.reg.heard = max(c.reg.heard, q.at)
-	c.reg.completedAt = c.now
+	q.completed = true
+	c.register.knownSince = max(c.register.knownSince, q.at)
+	c.register.completedAt = c.now
 	c.serveReads(q.at)
 	if q.won {
 		c.beginTerm(q)
@@ -289,9 +289,9 @@
 // countQuery counts the outcome of a majority read that is no longer waited for.
 func (c *Core) countQuery(q *query) {
 	switch {
-	case q.ended:
+	case q.completed:
 		c.tally.QueriesEnded++
-	case q.read:
+	case q.answered:
 		c.tally.QueriesOvertaken++
 	default:
 		c.tally.QueriesUnanswered++
@@ -301,48 +301,48 @@
 // repairStaleVoter begins a full read if a voter's copy stays out of date. A full read brings all copies up to
 // date.
 func (c *Core) repairStaleVoter() {
-	r := &c.reg
-	if r.known == nil || r.op != nil {
+	r := &c.register
+	if r.known == nil || r.active != nil {
 		return
 	}
 	stale := false
 	for _, v := range r.known.Voters {
-		s, ok := r.lives[v.ID]
-		if ok && c.now.Sub(s.at) < 2*c.o.Round && s.state.Inc == v.Inc && s.state.Accepted.Less(r.at) {
+		s, ok := r.states[v.ID]
+		if ok && c.now.Sub(s.at) < 2*c.o.ReadInterval && s.state.Incarnation == v.Incarnation && s.state.Accepted.Less(r.knownBallot) {
 			stale = true
 		}
 	}
 	if !stale {
-		r.unequal = 0
+		r.staleSince = 0
 		return
 	}
-	if r.unequal == 0 {
-		r.unequal = c.now
+	if r.staleSince == 0 {
+		r.staleSince = c.now
 	}
-	if c.now.Sub(r.unequal) > c.answerWait() {
-		r.unequal = 0
+	if c.now.Sub(r.staleSince) > c.answerWait() {
+		r.staleSince = 0
 		c.tally.Repairs++
 		c.fullRead(func(failure.Kind) {})
 	}
 }
 
-func (c *Core) onValue(e protocol.Env) {
-	b := e.Body.(protocol.Value)
+func (c *Core) onValue(e protocol.Envelope) {
+	b := e.Body.(protocol.FetchedValue)
 	if b.Value == nil {
 		return
 	}
 	if b.Chosen || c.seenChosen(b.Accepted) {
 		c.learnChosen(b.Accepted, *b.Value)
 	}
-	if set := c.latest(); set == nil || b.Value.Shape > set.Shape {
-		c.reg.hint = b.Value
+	if set := c.latest(); set == nil || b.Value.VoterSet > set.VoterSet {
+		c.register.hint = b.Value
 	}
 }
 
 // seenChosen reports whether a majority read has shown that a majority accepted a ballot.
 func (c *Core) seenChosen(b protocol.Ballot) bool {
-	for _, q := range c.reg.queries {
-		if q.asked && q.top == b {
+	for _, q := range c.register.queries {
+		if q.fetching && q.top == b {
 			return true
 		}
 	}
--- a/internal/controller/register.go
+++ b/internal/controller/register.go
@@ -12,46 +12,46 @@
 // register is the state of the proposer and the reader.
 type register struct {
 	known           *protocol.Desired // newest value known to be chosen
-	at              protocol.Ballot
+	knownBallot     protocol.Ballot
 	hint            *protocol.Desired // a value, perhaps not chosen, whose voter set may be newer
 	round           uint64            // round of the last query or attempt
 	roundBase       uint64            // round before the first one of this incarnation
-	top             uint64            // highest ballot number seen anywhere
-	op              *op
-	queue           []*op
-	reads           []reader
+	highestNumber   uint64            // highest ballot number seen anywhere
+	active          *proposal
+	queue           []*proposal
+	reads           []pendingRead
 	queries         []*query        // majority reads since the last completed one, oldest first
 	lastRead        uint64          // round of the newest one that a majority has answered
-	wanted          protocol.Ballot // ballot of the chosen value fetched last
-	wantedAt        clock.Tick
-	next            clock.Tick
-	heard           clock.Tick // when the last completed majority read began: no newer value was chosen before
-	completedAt     clock.Tick // when the last majority read completed
-	answered        clock.Tick // when a majority last answered, whether or not the read completed
-	lives           map[ident.Node]stateReport
-	blankSince      clock.Tick // since when all seeds are seen blank
+	fetchedBallot   protocol.Ballot // ballot of the chosen value fetched last
+	fetchedAt       clock.Instant
+	nextQuery       clock.Instant
+	knownSince      clock.Instant // when the last completed majority read began: no newer value was chosen before
+	completedAt     clock.Instant // when the last majority read completed
+	answered        clock.Instant // when a majority last answered, whether or not the read completed
+	states          map[ident.Node]stateReport
+	blankSince      clock.Instant // since when all seeds are seen blank
 	agentCopy       *protocol.Desired
-	force           bool
-	unequal         clock.Tick                // since when a voter's copy is out of date
-	lastDuration    clock.Span                // duration of this node's last attempt
-	lastFinishedAt  clock.Tick                // when that attempt ended
-	odd             int                       // consecutive reads that showed one newer value that is not known to be chosen
-	oddSince        clock.Tick                // when the first of these reads was counted
-	oddTop          protocol.Ballot           // ballot of that value
-	promised        *reservation              // by a majority, together with this node's last accept
-	trips           roundTrips                // measured round trips
-	changingVoters  bool                      // a change of the voter set is in progress
-	majorityReached bool                      // a majority answers, as last logged
-	readsStalled    bool                      // a majority answers but reads do not complete, as last logged
-	waitsFor        string                    // what the core waits for, as last logged
-	absent          map[ident.Node]clock.Tick // voters that do not answer, and since when
+	forceForming    bool
+	staleSince      clock.Instant                // since when a voter's copy is out of date
+	lastDuration    clock.Span                   // duration of this node's last attempt
+	lastFinishedAt  clock.Instant                // when that attempt ended
+	unsettledCount  int                          // consecutive reads that showed one newer value that is not known to be chosen
+	unsettledSince  clock.Instant                // when the first of these reads was counted
+	unsettledBallot protocol.Ballot              // ballot of that value
+	reserved        *reservation                 // by a majority, together with this node's last accept
+	roundTrips      roundTrips                   // measured round trips
+	changingVoters  bool                         // a change of the voter set is in progress
+	majorityReached bool                         // a majority answers, as last logged
+	readsStalled    bool                         // a majority answers but reads do not complete, as last logged
+	waitsFor        string                       // what the core waits for, as last logged
+	absentSince     map[ident.Node]clock.Instant // voters that do not answer, and since when
 }
 
 // stateReport is the last State message received from a core node.
 type stateReport struct {
-	at    clock.Tick
-	state protocol.State
-	sib   protocol.Sibling
+	at      clock.Instant
+	state   protocol.State
+	sibling protocol.Peer
 }
 
 // roundBits is the width of the round numbers of one incarnation: each has 2^roundBits of them.
@@ -60,89 +60,91 @@
 // roundBaseOf returns the number before the first round of an incarnation. Incarnations use disjoint round
 // numbers, so that a late answer to a query of the previous incarnation is never taken for an answer to a query
 // of this one.
-func roundBaseOf(life ident.Inc) uint64 { return uint64(life) << roundBits }
+func roundBaseOf(life ident.Incarnation) uint64 { return uint64(life) << roundBits }
 
-func (r *register) init(life ident.Inc) {
+func (r *register) init(life ident.Incarnation) {
 	r.roundBase = roundBaseOf(life)
 	r.round = r.roundBase
-	r.lives = map[ident.Node]stateReport{}
-	r.absent = map[ident.Node]clock.Tick{}
+	r.states = map[ident.Node]stateReport{}
+	r.absentSince = map[ident.Node]clock.Instant{}
 }
 
 // learnChosen stores a value that is known to be chosen, unless a newer one is known.
 func (c *Core) learnChosen(b protocol.Ballot, v protocol.Desired) {
-	r := &c.reg
-	if r.known != nil && b.Less(r.at) {
+	r := &c.register
+	if r.known != nil && b.Less(r.knownBallot) {
 		return
 	}
-	c.checkChosen(r.known, r.at, b, v)
-	r.at = b
+	c.checkChosen(r.known, r.knownBallot, b, v)
+	r.knownBallot = b
 	previous := r.known
 	r.known = &v
-	if r.hint != nil && r.hint.Shape <= v.Shape {
+	if r.hint != nil && r.hint.VoterSet <= v.VoterSet {
 		r.hint = &v
 	}
 	if previous == nil || previous.Epoch != v.Epoch || previous.Gen != v.Gen || !bytes.Equal(previous.Plan, v.Plan) {
-		c.planned()
-		if c.duty.mine {
-			c.pushAll()
+		c.applyDesired()
+		if c.leadership.held {
+			c.broadcastDesired()
 		}
 	}
 	c.hastenRetry()
 	c.completeQueries()
-	c.tellKnown()
+	c.reportKnownOutcomes()
 }
 
 // announceChosen notifies the other voters that a value was chosen.
 func (c *Core) announceChosen(b protocol.Ballot, v protocol.Desired) {
-	for _, p := range voterset.Addresses(v) {
-		if p.ID != c.o.Me.ID {
-			c.send(p, protocol.Taken{Epoch: v.Epoch, Ballot: b})
+	for _, p := range voterset.Peers(v) {
+		if p.ID != c.o.Self.ID {
+			c.send(p, protocol.ValueChosen{Epoch: v.Epoch, Ballot: b})
 		}
 	}
 }
 
-func (c *Core) onValueChosen(e protocol.Env) { c.hearOfChosen(e.Body.(protocol.Taken).Ballot, e.From) }
+func (c *Core) onValueChosen(e protocol.Envelope) {
+	c.noteChosen(e.Body.(protocol.ValueChosen).Ballot, e.From)
+}
 
 // noteChosen learns the value of a ballot that another node knows to be chosen. If this node has accepted that
 // ballot, it has the value; otherwise it fetches the value from that node.
-func (c *Core) hearOfChosen(b protocol.Ballot, from protocol.Sibling) {
-	r := &c.reg
-	if !r.at.Less(b) {
+func (c *Core) noteChosen(b protocol.Ballot, from protocol.Peer) {
+	r := &c.register
+	if !r.knownBallot.Less(b) {
 		return
 	}
-	if c.vote.value != nil && c.vote.accepted == b {
-		c.learnChosen(b, *c.vote.value)
+	if c.acceptor.value != nil && c.acceptor.accepted == b {
+		c.learnChosen(b, *c.acceptor.value)
 		return
 	}
-	if !r.wanted.Less(b) && c.now.Sub(r.wantedAt) < max(c.o.Round, r.trips.reads.Timeout()) {
+	if !r.fetchedBallot.Less(b) && c.now.Sub(r.fetchedAt) < max(c.o.ReadInterval, r.roundTrips.reads.Timeout()) {
 		return // already requested
 	}
-	r.wanted, r.wantedAt = b, c.now
-	c.send(from, protocol.Fetch{Ballot: b})
+	r.fetchedBallot, r.fetchedAt = b, c.now
+	c.send(from, protocol.FetchValue{Ballot: b})
 }
 
 func (c *Core) tickRegister() {
-	r := &c.reg
-	if o := r.op; o != nil {
+	r := &c.register
+	if o := r.active; o != nil {
 		switch {
-		case c.now > o.end:
-			r.op = nil
+		case c.now > o.deadline:
+			r.active = nil
 			kind := o.timeoutKind()
 			r.queue = append(o.batched, r.queue...) // each has its own deadline
-			o.done(applied{kind: kind})
-		case o.awaitsAnswers() && c.now.Sub(o.sent) > c.answerWait()<<o.resent:
+			o.done(applyResult{kind: kind})
+		case o.awaitsAnswers() && c.now.Sub(o.sentAt) > c.answerWait()<<o.resent:
 			c.resend(o)
 		}
 	}
-	for len(r.queue) > 0 && c.now > r.queue[0].end {
+	for len(r.queue) > 0 && c.now > r.queue[0].deadline {
 		o := r.queue[0]
 		r.queue = r.queue[1:]
-		o.done(applied{kind: o.timeoutKind()})
+		o.done(applyResult{kind: o.timeoutKind()})
 	}
-	c.beatForwards()
+	c.retryForwards()
 	c.startNext()
-	c.dropReads()
+	c.expireReads()
 	c.tickQueries()
 	c.tickForming()
 	c.tickVoters()
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -12,7 +12,7 @@
 type version struct {
 	gen   uint64
 	epoch ident.Epoch
-	since clock.Tick
+	since clock.Instant
 }
 
 // maxVersions limits how many recent versions the leader remembers.
@@ -20,9 +20,9 @@
 
 // resetVersions restarts the version list at the beginning of a term. When the newest version was chosen is
 // unknown to a new leader, so a router that lacks it gets no lease.
-func (c *Core) beginVersions() {
+func (c *Core) resetVersions() {
 	c.versions, c.rollout = nil, rollout{}
-	if known := c.reg.known; known != nil {
+	if known := c.register.known; known != nil {
 		c.versions = append(c.versions, version{gen: known.Gen, epoch: known.Epoch})
 	}
 }
@@ -32,14 +32,14 @@
 // A router may use the previous version until its lease ends, and no lease may end later than RouterLease after a
 // newer version was chosen. The leader may learn of a version some time after it was chosen. The version was
 // not chosen before the last majority read that did not show it, so the time of that read is a safe bound.
-func (c *Core) pushAll() {
+func (c *Core) broadcastDesired() {
 	d := c.sharedDesired()
-	c.versions = append(c.versions, version{gen: d.Gen, epoch: d.Epoch, since: min(c.now, c.reg.heard)})
+	c.versions = append(c.versions, version{gen: d.Gen, epoch: d.Epoch, since: min(c.now, c.register.knownSince)})
 	if n := len(c.versions) - maxVersions; n > 0 {
 		c.versions = c.versions[n:]
 	}
 	c.startRollout(d.Epoch)
-	for _, l := range c.sorted() {
+	for _, l := range c.sortedLinks() {
 		c.offerDesired(l)
 	}
 }
@@ -47,10 +47,10 @@
 // sharedDesired returns the newest desired state in a form shared by all links, so that it is encoded only
 // once.
 func (c *Core) sharedDesired() *protocol.Desired {
-	known := c.reg.known
+	known := c.register.known
 	if c.newest == nil || c.newest.Gen != known.Gen || c.newest.Epoch != known.Epoch {
 		d := *known
-		c.newest, c.newestBytes = &d, &protocol.Packed{}
+		c.newest, c.newestBytes = &d, &protocol.SharedEncoding{}
 	}
 	return c.newest
 }
@@ -58,19 +58,19 @@
 // offerDesired sends the newest desired state to a router that lacks it. While an earlier one is
 // unacknowledged, the newer one waits. A slow router thus receives only the latest version, not every version.
 func (c *Core) offerDesired(l *link) {
-	known := c.reg.known
+	known := c.register.known
 	if known == nil || !l.lacks(known) || l.desiredPending() {
 		return
 	}
-	c.queueItem(l, protocol.Item{Desired: c.sharedDesired(), Packed: c.newestBytes})
+	c.queueItem(l, protocol.Update{Desired: c.sharedDesired(), Shared: c.newestBytes})
 }
 
 // replaceStaleDesired replaces an outdated desired state that is about to be sent again by the newest one.
 func (c *Core) replaceStaleDesired(l *link) {
 	stale := false
-	for i := range l.items {
-		if d := l.items[i].Desired; d != nil && c.reg.known.Newer(d) {
-			l.items[i].Desired, stale = nil, true // only the number is sent
+	for i := range l.unacked {
+		if d := l.unacked[i].Desired; d != nil && c.register.known.Newer(d) {
+			l.unacked[i].Desired, stale = nil, true // only the number is sent
 		}
 	}
 	if stale {
@@ -85,9 +85,9 @@
 		return
 	}
 	l.gen, l.epoch = gen, epoch
-	for i := range l.items {
-		if d := l.items[i].Desired; d != nil && (d.Gen < gen || d.Gen == gen && d.Epoch <= epoch) {
-			l.items[i].Desired = nil
+	for i := range l.unacked {
+		if d := l.unacked[i].Desired; d != nil && (d.Gen < gen || d.Gen == gen && d.Epoch <= epoch) {
+			l.unacked[i].Desired = nil
 		}
 	}
 }
@@ -98,8 +98,8 @@
 }
 
 // missingSince returns the recorded time of the oldest version that a router lacks.
-func (c *Core) missingSince(l *link) (since clock.Tick, lacks bool) {
-	known := c.reg.known
+func (c *Core) missingSince(l *link) (since clock.Instant, lacks bool) {
+	known := c.register.known
 	if known == nil || !l.lacks(known) {
 		return 0, false
 	}
@@ -115,7 +115,7 @@
 // receive it, how many leases expired meanwhile, and how long it took until it was in force everywhere.
 type rollout struct {
 	epoch         ident.Epoch
-	began         clock.Tick
+	began         clock.Instant
 	links         int
 	expiredLeases int
 	active        bool
@@ -148,10 +148,10 @@
 }
 
 func (l *link) desiredPending() bool {
-	return slices.ContainsFunc(l.items, func(i change) bool { return i.Desired != nil })
+	return slices.ContainsFunc(l.unacked, func(i change) bool { return i.Desired != nil })
 }
 
 func (c *Core) logRollout(text string) {
-	c.note(text, field("epoch", c.rollout.epoch), field("took_ms", c.now.Sub(c.rollout.began).Milliseconds()), field("routers", c.rollout.links),
-		field("lapsed", c.rollout.expiredLeases), field("behind", c.countBehind()), field("term", c.duty.num))
+	c.logEvent(text, field("epoch", c.rollout.epoch), field("took_ms", c.now.Sub(c.rollout.began).Milliseconds()), field("routers", c.rollout.links),
+		field("lapsed", c.rollout.expiredLeases), field("behind", c.countBehind()), field("term", c.leadership.term))
 }
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -37,12 +37,12 @@
 
 // Check lists the faults in the settings.
 func (s *Settings) Check() (faults fleetplan.Faults) {
-	faults = append(faults, host.Addr("listen", s.Listen)...)
-	_, more := host.Bind(s.Bind, s.Listen)
+	faults = append(faults, host.CheckAddr("listen", s.Listen)...)
+	_, more := host.ListenAddr(s.Bind, s.Listen)
 	faults = append(faults, more...)
-	faults = append(faults, host.Addr("admin", s.Admin)...)
-	faults = append(faults, host.Addr("platform", s.Platform)...)
-	faults = append(faults, host.Seeds(s.Seeds)...)
+	faults = append(faults, host.CheckAddr("admin", s.Admin)...)
+	faults = append(faults, host.CheckAddr("platform", s.Platform)...)
+	faults = append(faults, host.CheckSeeds(s.Seeds)...)
 	for _, setting := range []struct {
 		path     string
 		val, low int
@@ -84,9 +84,9 @@
 }
 
 const (
-	receiptTimeout       = mostChangeWait + time.Second // for the receipt of a request
-	handoverTimeout      = 3 * time.Second              // for a spare to replace a stopping node as voter
-	handoverPollInterval = 50 * time.Millisecond        // between two checks whether the spare has
+	receiptTimeout       = maxChangeWait + time.Second // for the receipt of a request
+	handoverTimeout      = 3 * time.Second             // for a spare to replace a stopping node as voter
+	handoverPollInterval = 50 * time.Millisecond       // between two checks whether the spare has
 )
 
 // stop has the core release its leases, and waits until a spare node, if there is one, has replaced it as voter.
@@ -94,7 +94,7 @@
 	s.process.Step(protocol.Stop{})
 	handing := true
 	for end := time.Now().Add(handoverTimeout); handing && time.Now().Before(end); time.Sleep(handoverPollInterval) {
-		s.process.With(func(clock.Tick) { handing = core.HandingOver() })
+		s.process.Locked(func(clock.Instant) { handing = core.HandingOver() })
 	}
 	s.process.Flush(300 * time.Millisecond)
 }
@@ -115,21 +115,21 @@
 
 // Main runs a core node until the process receives a signal to stop.
 func Main(s Settings) error {
-	ring := host.NewRing(s.ID, os.Stderr)
-	listen, _ := host.Bind(s.Bind, s.Listen)
+	ring := host.NewLog(s.ID, os.Stderr)
+	listen, _ := host.ListenAddr(s.Bind, s.Listen)
 	core := New(Options{
-		Me: protocol.Sibling{ID: ident.Node(s.ID), Addr: s.Listen}, Zone: ident.Zone(s.Zone), Inc: host.NewInc(),
-		Seeds: host.Siblings(s.Seeds), Platform: s.Platform, Rand: host.NewRand(),
-		Hold: clock.Span(s.HoldMs) * 1e6, Duty: clock.Span(s.DutyMs) * 1e6, Spare: clock.Span(s.SpareMs) * 1e6,
-		Lead: clock.Span(s.LeadMs) * 1e6, Wall: time.Now,
+		Self: protocol.Peer{ID: ident.Node(s.ID), Addr: s.Listen}, Zone: ident.Zone(s.Zone), Inc: host.NewIncarnation(),
+		Seeds: host.SeedPeers(s.Seeds), Platform: s.Platform, Rand: host.NewRand(),
+		RouterLease: clock.Span(s.HoldMs) * 1e6, LeadershipLease: clock.Span(s.DutyMs) * 1e6, ReplaceAfter: clock.Span(s.SpareMs) * 1e6,
+		DrainLead: clock.Span(s.LeadMs) * 1e6, WallClock: time.Now,
 	})
 	admin := &adminServer{waiting: map[uint64]chan Receipt{}}
-	admin.process = host.New(host.Options{Core: core, Listen: []string{listen}, Told: s.Listen, Data: s.Data, Beat: 20 * time.Millisecond, Ring: ring, Else: admin.handleOutput})
+	admin.process = host.New(host.Options{Core: core, Listen: []string{listen}, Advertised: s.Listen, DataDir: s.Data, TickInterval: 20 * time.Millisecond, Log: ring, HandleOutput: admin.handleOutput})
 	if err := admin.process.Run(); err != nil {
 		return err
 	}
 	defer admin.process.Stop()
-	err := host.Web(s.Admin, admin.routes(core), ring, nil, 10*time.Second)
+	err := host.ServeUntilSignal(s.Admin, admin.routes(core), ring, nil, 10*time.Second)
 	admin.stop(core)
 	return err
 }
@@ -139,39 +139,39 @@
 	mux := flow.New()
 	writeReceipt := func(w http.ResponseWriter, a Receipt) {
 		if a.Kind == failure.None {
-			host.JSON(w, http.StatusOK, a)
+			host.WriteJSON(w, http.StatusOK, a)
 			return
 		}
-		response := failure.Receipts[a.Kind]
-		if response.Back > 0 {
-			w.Header().Set("Retry-After", fmt.Sprint(int64((response.Back+time.Second-1)/time.Second)))
+		response := failure.Responses[a.Kind]
+		if response.RetryAfter > 0 {
+			w.Header().Set("Retry-After", fmt.Sprint(int64((response.RetryAfter+time.Second-1)/time.Second)))
 		}
-		host.JSON(w, response.Status, a)
+		host.WriteJSON(w, response.Status, a)
 	}
 	change := func(op string, body bool) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			a := Admin{Op: op, Zone: ident.Zone(r.PathValue("zone")), Change: r.Header.Get("X-Change-Id")}
 			if body {
-				b, ok := host.Body(w, r, fleetplan.MostPlan)
+				b, ok := host.ReadBody(w, r, fleetplan.MaxPlanBytes)
 				if !ok {
 					return
 				}
 				a.Raw = b
 			}
 			if a.Zone != "" && len(a.Zone) > 128 || len(a.Change) > 128 {
-				host.Error(w, failure.Malformed, 0, fleetplan.Faults{{Path: "X-Change-Id", Why: "a name has at most 128 bytes"}})
+				host.WriteError(w, failure.Malformed, 0, fleetplan.Faults{{Path: "X-Change-Id", Why: "a name has at most 128 bytes"}})
 				return
 			}
 			switch expected := r.Header.Get("X-Expect-Epoch"); expected {
 			case "":
-				host.Error(w, failure.Malformed, 0, fleetplan.Faults{{Path: "X-Expect-Epoch", Why: "is missing: wants the epoch that the change is based on, or any"}})
+				host.WriteError(w, failure.Malformed, 0, fleetplan.Faults{{Path: "X-Expect-Epoch", Why: "is missing: wants the epoch that the change is based on, or any"}})
 				return
 			case "any":
 				a.Any = true
 			default:
 				n, err := strconv.ParseUint(expected, 10, 64)
 				if err != nil {
-					host.Error(w, failure.Malformed, 0, fleetplan.Faults{{Path: "X-Expect-Epoch", Why: "wants a whole number, or any"}})
+					host.WriteError(w, failure.Malformed, 0, fleetplan.Faults{{Path: "X-Expect-Epoch", Why: "wants a whole number, or any"}})
 					return
 				}
 				a.Expect = ident.Epoch(n)
@@ -204,12 +204,12 @@
 		writeReceipt(w, s.request(Admin{Op: "replace", Old: ident.Node(r.PathValue("old")), New: ident.Node(r.PathValue("new"))}))
 	}, http.MethodPost)
 	mux.HandleFunc("/core/form", func(w http.ResponseWriter, r *http.Request) { writeReceipt(w, s.request(Admin{Op: "form"})) }, http.MethodPost)
-	host.Life(mux, "", func() (ok bool, _ map[string]any) {
-		s.process.With(func(clock.Tick) { ok = core.Ready() })
+	host.AddHealthEndpoints(mux, "", func() (ok bool, _ map[string]any) {
+		s.process.Locked(func(clock.Instant) { ok = core.Ready() })
 		return ok, nil
 	})
-	mux.Handle("/metrics", host.Metrics(s.process.Times(), host.Tallies{Name: "controller", Get: func() (tally any) {
-		s.process.With(func(clock.Tick) { tally = core.Counts() })
+	mux.Handle("/metrics", host.MetricsHandler(s.process.WorkTimes(), host.StructMetrics{Name: "controller", Read: func() (tally any) {
+		s.process.Locked(func(clock.Instant) { tally = core.Counts() })
 		return tally
 	}}), http.MethodGet)
 	return mux
--- a/internal/controller/serve_test.go
+++ b/internal/controller/serve_test.go
@@ -22,13 +22,13 @@
 // with the kind and the paths of its faults; an accepted plan is read back byte for byte.
 func TestAdminAPI(t *testing.T) {
 	dir := t.TempDir()
-	v := protocol.Desired{Gen: 1, Epoch: 1, Plan: []byte(onePlan), Shape: 1, Voters: []protocol.Voter{voter("a", 5)}}
-	core := New(Options{Me: protocol.Sibling{ID: "a", Addr: "a"}, Inc: 6, Platform: "127.0.0.1:1", Rand: host.NewRand()})
+	v := protocol.Desired{Gen: 1, Epoch: 1, Plan: []byte(onePlan), VoterSet: 1, Voters: []protocol.Voter{voter("a", 5)}}
+	core := New(Options{Self: protocol.Peer{ID: "a", Addr: "a"}, Inc: 6, Platform: "127.0.0.1:1", Rand: host.NewRand()})
 	d := &adminServer{waiting: map[uint64]chan Receipt{}}
 	// A single-node core sends messages only to itself, so they are fed back as input.
 	loop := &loopback{core: core}
-	d.process = host.New(host.Options{Core: loop, Beat: time.Millisecond, Ring: host.NewRing("a", io.Discard), Data: dir, Else: d.handleOutput})
-	loop.disk = map[string][]byte{diskInc: []byte("5"), diskV: jot(safe{protocol.Ballot{N: 1, By: "a"}, &v}), diskB: jot(protocol.Ballot{N: 1, By: "a"})}
+	d.process = host.New(host.Options{Core: loop, TickInterval: time.Millisecond, Log: host.NewLog("a", io.Discard), DataDir: dir, HandleOutput: d.handleOutput})
+	loop.disk = map[string][]byte{keyIncarnation: []byte("5"), keyAccepted: marshal(storedAccept{protocol.Ballot{N: 1, By: "a"}, &v}), keyPromised: marshal(protocol.Ballot{N: 1, By: "a"})}
 	require.NoError(t, d.process.Run())
 	t.Cleanup(d.process.Stop)
 	s := httptest.NewServer(d.routes(core))
@@ -67,7 +67,7 @@
 		{"stale epoch", "PUT", "/plan", "0", onePlan, 409, `"epoch":1`},
 		{"malformed", "PUT", "/plan", "1", `{`, 422, "malformed JSON"},
 		{"every faulty path", "PUT", "/plan", "1", strings.Replace(onePlan, `"size":4`, `"size":-4,"sze":1`, 2), 422, "$.models.n.sze"},
-		{"oversize", "PUT", "/plan", "1", strings.Repeat(" ", fleetplan.MostPlan+1), 413, "oversize"},
+		{"oversize", "PUT", "/plan", "1", strings.Repeat(" ", fleetplan.MaxPlanBytes+1), 413, "oversize"},
 		{"patch that is no JSON", "PATCH", "/plan", "1", `{"a"`, 400, "malformed"},
 		{"no such method", "DELETE", "/plan", "", "", 405, ""},
 		{"no such path", "GET", "/plans", "", "", 404, ""},
@@ -101,7 +101,7 @@
 }
 
 // Step runs a step of the core and of every message that it sends to itself, and returns the other outputs.
-func (e *loopback) Step(now clock.Tick, in any) (out []any) {
+func (e *loopback) Step(now clock.Instant, in any) (out []any) {
 	if s, ok := in.(protocol.Start); ok && len(s.Disk) == 0 {
 		in = protocol.Start{Disk: e.disk}
 	}
@@ -110,7 +110,7 @@
 		l := e.core.Step(now, q[0])
 		q = q[1:]
 		for _, o := range l {
-			if m, ok := o.(protocol.Env); ok {
+			if m, ok := o.(protocol.Envelope); ok {
 				q = append(q, m)
 			} else {
 				out = append(out, o)
--- a/internal/controller/slow_rounds_test.go
+++ b/internal/controller/slow_rounds_test.go
@@ -34,7 +34,7 @@
 func (x roundsRun) run(t *testing.T) outcome {
 	c, others := newSlowCluster(t, x.delay)
 	for _, id := range others[len(others)-x.down:] {
-		c.parted[id] = true
+		c.partitioned[id] = true
 	}
 	others = others[:len(others)-x.down]
 	if !x.spread {
@@ -48,7 +48,7 @@
 // and no node that knows the newest value.
 func (c *cluster) changesAt(nodes []string, gap clock.Span) outcome {
 	type change struct {
-		at     clock.Tick
+		at     clock.Instant
 		answer func() *Receipt
 		done   bool
 	}
@@ -96,7 +96,7 @@
 
 func (c *cluster) anyoneKnowsNewest() bool {
 	for id := range c.nodes {
-		if !c.parted[id] && c.knowsNewest(id) {
+		if !c.partitioned[id] && c.knowsNewest(id) {
 			return true
 		}
 	}
--- a/internal/controller/spot.go
+++ b/internal/controller/spot.go
@@ -25,74 +25,78 @@
 
 // Triggers of stage changes.
 const (
-	SeeLoading = "see loading"
-	SeeReady   = "see ready"
-	SeeNone    = "see none"
-	Evict      = "evict"
-	Dropped    = "dropped"
-	Idle       = "idle"
+	ReportedLoading   = "see loading"
+	ReportedReady     = "see ready"
+	ReportedAbsent    = "see none"
+	Evict             = "evict"
+	CallbacksReleased = "dropped"
+	WorkEnded         = "idle"
 )
 
 // modelReplica is one key on one server.
-type spot struct {
-	key   ident.Key
-	size  int
-	stage string
-	num   uint64                      // count of the last order sent for the replica; zero if none was sent
-	ready clock.Tick                  // since when the replica is ready
-	busy  clock.Tick                  // when the replica last had work
-	work  int                         // requests in progress, as last reported
-	since clock.Tick                  // since when the replica is in its stage
-	waits map[protocol.Session]uint64 // the change that each router must acknowledge before draining starts
-	cold  bool                        // the load comes from the store
+type modelReplica struct {
+	key           ident.Key
+	size          int
+	stage         string
+	orderNum      uint64                      // count of the last order sent for the replica; zero if none was sent
+	readySince    clock.Instant               // since when the replica is ready
+	lastActive    clock.Instant               // when the replica last had work
+	running       int                         // requests in progress, as last reported
+	stageSince    clock.Instant               // since when the replica is in its stage
+	unackedBreaks map[protocol.Session]uint64 // the change that each router must acknowledge before draining starts
+	fromStore     bool                        // the load comes from the store
 
-	ordered clock.Tick // when the order for the current stage was sent
+	orderedAt clock.Instant // when the order for the current stage was sent
 }
 
 // replicaContextKey is the context key of the replica that the state machine works on.
-type tag struct{}
+type replicaContextKey struct{}
 
 // replicaMachine is the state machine of replicas, shared by all of them.
-var spots = func() *stateless.StateMachine {
+var replicaMachine = func() *stateless.StateMachine {
 	s := stateless.NewStateMachineWithExternalStorage(
-		func(c context.Context) (stateless.State, error) { return c.Value(tag{}).(*spot).stage, nil },
+		func(c context.Context) (stateless.State, error) {
+			return c.Value(replicaContextKey{}).(*modelReplica).stage, nil
+		},
 		func(c context.Context, s stateless.State) error {
-			c.Value(tag{}).(*spot).stage = s.(string)
+			c.Value(replicaContextKey{}).(*modelReplica).stage = s.(string)
 			return nil
 		}, stateless.FiringImmediate)
-	s.Configure(Ordered).Permit(SeeReady, Ready).Permit(SeeNone, Gone).Ignore(SeeLoading)
-	s.Configure(Ready).Permit(SeeNone, Gone).Permit(SeeLoading, Ordered).Permit(Evict, Breaking).Ignore(SeeReady)
-	s.Configure(Breaking).Permit(SeeNone, Gone).Permit(Dropped, Draining).Ignore(SeeReady)
-	s.Configure(Draining).Permit(SeeNone, Gone).Permit(Idle, Unloading).Ignore(SeeReady)
-	s.Configure(Unloading).Permit(SeeNone, Gone).Permit(SeeReady, Draining)
+	s.Configure(Ordered).Permit(ReportedReady, Ready).Permit(ReportedAbsent, Gone).Ignore(ReportedLoading)
+	s.Configure(Ready).Permit(ReportedAbsent, Gone).Permit(ReportedLoading, Ordered).Permit(Evict, Breaking).Ignore(ReportedReady)
+	s.Configure(Breaking).Permit(ReportedAbsent, Gone).Permit(CallbacksReleased, Draining).Ignore(ReportedReady)
+	s.Configure(Draining).Permit(ReportedAbsent, Gone).Permit(WorkEnded, Unloading).Ignore(ReportedReady)
+	s.Configure(Unloading).Permit(ReportedAbsent, Gone).Permit(ReportedReady, Draining)
 	s.OnUnhandledTrigger(func(context.Context, stateless.State, stateless.Trigger, []string) error { return nil })
 	return s
 }()
 
 // fire applies a trigger to a replica and reports whether the stage changed.
-func (s *spot) fire(what string, now clock.Tick) bool {
+func (s *modelReplica) fire(what string, now clock.Instant) bool {
 	was := s.stage
-	_ = spots.FireCtx(context.WithValue(context.Background(), tag{}, s), what)
+	_ = replicaMachine.FireCtx(context.WithValue(context.Background(), replicaContextKey{}, s), what)
 	if s.stage != was {
-		s.since = now
+		s.stageSince = now
 		if s.stage == Ready {
-			s.ready = now
+			s.readySince = now
 		}
 	}
 	return s.stage != was
 }
 
 // orderOps maps the stages that require an order to its operation.
-var verbs = map[string]string{Ordered: "load", Unloading: "unload"}
+var orderOps = map[string]string{Ordered: "load", Unloading: "unload"}
 
 // placed reports whether a replica is ready or ordered.
-func (p *spot) placed() bool { return p.stage == Ordered || p.stage == Ready }
+func (p *modelReplica) placed() bool { return p.stage == Ordered || p.stage == Ready }
 
 // leaving reports whether a replica is being evicted.
-func (p *spot) leaves() bool {
+func (p *modelReplica) leaving() bool {
 	return p.stage == Breaking || p.stage == Draining || p.stage == Unloading
 }
 
 // orderUnreported reports whether a report with the given order count cannot reflect the replica's last order
 // yet.
-func (p *spot) unsent(num uint64) bool { return p.num > num || p.num == 0 && verbs[p.stage] != "" }
+func (p *modelReplica) orderUnreported(num uint64) bool {
+	return p.orderNum > num || p.orderNum == 0 && orderOps[p.stage] != ""
+}
