--- a/internal/controller/starved_reads_test.go
+++ b/internal/controller/starved_reads_test.go
@@ -16,10 +16,10 @@
 
 // largeFleetTimes sets the timing of a deployment of about sixty routers, whose bounds are wider than those of a
 // small one.
-func grownTimes(o *Options) {
+func largeFleetTimes(o *Options) {
 	timing := Timing{Apply: 2500e6, Drain: 2500e6, CatchUp: catchUp, Period: 1200e6, Tenure: 3000e6, Rate: 5e9}
 	o.HandOver = true
-	o.Duty, o.Round, o.Hold, o.Spare = timing.Duty(), timing.Duty()/4, timing.Hold(), timing.Spare()
+	o.LeadershipLease, o.ReadInterval, o.RouterLease, o.ReplaceAfter = timing.LeadershipLease(), timing.LeadershipLease()/4, timing.RouterLease(), timing.ReplaceAfter()
 }
 
 // outage measures the longest continuous time for which a condition does not hold.
@@ -40,7 +40,7 @@
 // knowsNewest reports whether a node can confirm to a router that its configuration is the newest.
 func (c *cluster) knowsNewest(id string) bool {
 	n := c.nodes[id]
-	return n.reg.heard != 0 && c.at.Sub(n.reg.heard) < n.o.Hold
+	return n.register.knownSince != 0 && c.at.Sub(n.register.knownSince) < n.o.RouterLease
 }
 
 // quickChanges submits a change at a fixed interval for a while, to the nodes in turn, each on whatever epoch is
@@ -65,7 +65,7 @@
 		}
 		unknowing.observe(known)
 	}
-	for _, o := range c.out {
+	for _, o := range c.outputs {
 		if r, is := o.(Receipt); is && r.Kind == "" {
 			taken++
 		}
@@ -75,7 +75,7 @@
 
 // newSlowCluster starts five nodes with slow messages between them, and returns the IDs of all but the leader.
 func newSlowCluster(t *testing.T, delay clock.Span) (c *cluster, others []string) {
-	c = newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c", "d", "e")
+	c = newTunedCluster(t, modelPlan(8, "llm|m"), largeFleetTimes, "a", "b", "c", "d", "e")
 	c.run(2e9)
 	c.delay = delay
 	c.run(2e9)
@@ -112,10 +112,10 @@
 // answerRead answers a node's newest majority read on behalf of a voter.
 func (c *cluster) answerRead(to, voter string, change func(s *protocol.State)) {
 	n := c.nodes[to]
-	q := n.reg.newestQuery()
+	q := n.register.newestQuery()
 	s := protocol.State{
-		Round: q.round, Inc: 5, Accepted: n.reg.at, Epoch: n.reg.known.Epoch, Shape: n.reg.known.Shape, Granted: q.claim, Duty: q.num,
-		Owner: protocol.Sibling{ID: ident.Node(to), Addr: to}, Last: ident.Node(to), Prior: ident.Node(to),
+		Round: q.round, Incarnation: 5, Accepted: n.register.knownBallot, Epoch: n.register.known.Epoch, VoterSet: n.register.known.VoterSet, Granted: q.claim, Term: q.term,
+		Owner: protocol.Peer{ID: ident.Node(to), Addr: to}, LastGrantee: ident.Node(to), PriorGrantee: ident.Node(to),
 	}
 	change(&s)
 	c.step(to, from(voter, s))
@@ -125,16 +125,18 @@
 func (c *cluster) beginRead(node string) *query {
 	n := c.nodes[node]
 	n.now, n.out = c.at, nil
-	n.reg.next = 0
+	n.register.nextQuery = 0
 	n.tickQueries()
-	return n.reg.newestQuery()
+	return n.register.newestQuery()
 }
 
 // A term continues if a majority renews it, even if all of its voters show a newer value; router leases still
 // count from when this node last knew the newest value. A majority that has accepted another voter set does not
 // renew the term.
 func TestTermAndKnowledgeAreTwoFacts(t *testing.T) {
-	newer := func(n *Core) protocol.Ballot { return protocol.Ballot{N: n.reg.at.N + 10, By: "z", Life: 1} }
+	newer := func(n *Core) protocol.Ballot {
+		return protocol.Ballot{N: n.register.knownBallot.N + 10, By: "z", Incarnation: 1}
+	}
 	for _, x := range []struct {
 		name   string
 		answer func(n *Core, s *protocol.State)
@@ -143,34 +145,34 @@
 	}{
 		{"nothing newer", func(*Core, *protocol.State) {}, true, true},
 		{"a newer value", func(n *Core, s *protocol.State) { s.Accepted = newer(n) }, true, false},
-		{"a newer voter set", func(n *Core, s *protocol.State) { s.Accepted, s.Shape = newer(n), s.Shape+1 }, false, false},
+		{"a newer voter set", func(n *Core, s *protocol.State) { s.Accepted, s.VoterSet = newer(n), s.VoterSet+1 }, false, false},
 		{"no grant", func(n *Core, s *protocol.State) { s.Granted = false }, false, true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			c := newTunedCluster(t, nil, grownTimes, "a", "b", "c")
+			c := newTunedCluster(t, nil, largeFleetTimes, "a", "b", "c")
 			c.run(2e9)
 			owner := c.owner()
 			n := c.nodes[owner]
-			c.parted[owner] = true
+			c.partitioned[owner] = true
 			c.run(300e6)
 			q := c.beginRead(owner)
-			was, heard := n.duty.asked, n.reg.heard
+			was, heard := n.leadership.renewedAt, n.register.knownSince
 			for _, id := range []string{"a", "b", "c"} {
 				if id != owner {
 					c.answerRead(owner, id, func(s *protocol.State) { x.answer(n, s) })
 				}
 			}
-			require.Equal(t, x.renews, n.duty.asked == q.at, "the term")
-			require.Equal(t, x.knows, n.reg.heard == q.at, "knowledge of the newest value")
+			require.Equal(t, x.renews, n.leadership.renewedAt == q.at, "the term")
+			require.Equal(t, x.knows, n.register.knownSince == q.at, "knowledge of the newest value")
 			if !x.renews {
-				require.Equal(t, was, n.duty.asked)
+				require.Equal(t, was, n.leadership.renewedAt)
 			}
 			if !x.knows {
-				require.Equal(t, heard, n.reg.heard)
+				require.Equal(t, heard, n.register.knownSince)
 			}
 			require.True(t, n.hearsMajority())
-			require.LessOrEqual(t, n.knownSince(), n.reg.heard, "no router lease counts from later")
-			require.LessOrEqual(t, n.knownSince(), n.duty.asked)
+			require.LessOrEqual(t, n.knownSince(), n.register.knownSince, "no router lease counts from later")
+			require.LessOrEqual(t, n.knownSince(), n.leadership.renewedAt)
 		})
 	}
 }
@@ -178,29 +180,29 @@
 // A leader that keeps its term but does not know the newest value grants no router lease beyond the last time it
 // did.
 func TestNoLeaseBeyondWhatIsKnown(t *testing.T) {
-	n, s := ready(t)
-	n.mail(protocol.Renew{Session: s, Seq: 2, Gen: 1, Epoch: 1, Heard: 1})
-	n.granted()
-	n.reg.heard = n.at.Add(-n.o.Hold / 2)
-	n.duty.asked = n.at
-	n.mail(protocol.Renew{Session: s, Seq: 3, Gen: 1, Epoch: 1, Heard: 1})
-	l := n.granted()
+	n, s := newReadyOwner(t)
+	n.fromRouter(protocol.Renew{Session: s, Seq: 2, Gen: 1, Epoch: 1, AckedNum: 1})
+	n.takeGrants()
+	n.register.knownSince = n.at.Add(-n.o.RouterLease / 2)
+	n.leadership.renewedAt = n.at
+	n.fromRouter(protocol.Renew{Session: s, Seq: 3, Gen: 1, Epoch: 1, AckedNum: 1})
+	l := n.takeGrants()
 	require.Len(t, l, 1)
-	require.Equal(t, n.o.Hold/2, l[0].Len)
-	n.reg.heard = n.at.Add(-n.o.Hold)
-	n.mail(protocol.Renew{Session: s, Seq: 4, Gen: 1, Epoch: 1, Heard: 1})
-	l = n.granted()
+	require.Equal(t, n.o.RouterLease/2, l[0].Length)
+	n.register.knownSince = n.at.Add(-n.o.RouterLease)
+	n.fromRouter(protocol.Renew{Session: s, Seq: 4, Gen: 1, Epoch: 1, AckedNum: 1})
+	l = n.takeGrants()
 	require.Len(t, l, 1)
-	require.Zero(t, l[0].Len, "the grant has no length, but the answer is sent")
+	require.Zero(t, l[0].Length, "the grant has no length, but the answer is sent")
 }
 
 // newPartedNode starts a cluster in which one node other than the leader is partitioned, so that a test can
 // answer its reads.
 func newPartedNode(t *testing.T) (c *cluster, node string) {
-	c = newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
+	c = newTunedCluster(t, modelPlan(8, "llm|m"), largeFleetTimes, "a", "b", "c")
 	c.run(2e9)
-	node = c.other()
-	c.parted[node] = true
+	node = c.follower()
+	c.partitioned[node] = true
 	c.run(300e6)
 	return c, node
 }
@@ -210,56 +212,56 @@
 func TestReadsEndByWhatIsLearnedLater(t *testing.T) {
 	c, other := newPartedNode(t)
 	n := c.nodes[other]
-	heard := n.reg.heard
+	heard := n.register.knownSince
 	first := c.beginRead(other)
-	top := protocol.Ballot{N: n.reg.at.N + 10, By: "z", Life: 1}
+	top := protocol.Ballot{N: n.register.knownBallot.N + 10, By: "z", Incarnation: 1}
 	for _, id := range []string{"a", "b", "c"} {
 		if id != other {
 			c.answerRead(other, id, func(s *protocol.State) { s.Accepted = top; top.N++ })
 		}
 	}
-	require.True(t, first.read)
-	require.Equal(t, heard, n.reg.heard)
+	require.True(t, first.answered)
+	require.Equal(t, heard, n.register.knownSince)
 	c.run(300e6)
 	second := c.beginRead(other)
 	require.NotEqual(t, first.round, second.round)
-	value := *n.reg.known
+	value := *n.register.known
 	value.Epoch++
-	c.step(other, from("z", protocol.Value{Accepted: top, Value: &value}))
-	require.Equal(t, heard, n.reg.heard, "an accepted value is not known to be chosen")
-	c.step(other, from("z", protocol.Value{Accepted: top, Value: &value, Chosen: true}))
+	c.step(other, from("z", protocol.FetchedValue{Accepted: top, Value: &value}))
+	require.Equal(t, heard, n.register.knownSince, "an accepted value is not known to be chosen")
+	c.step(other, from("z", protocol.FetchedValue{Accepted: top, Value: &value, Chosen: true}))
 	require.Equal(t, value.Epoch, n.Epoch())
-	require.Equal(t, first.at, n.reg.heard)
-	require.False(t, second.ended)
+	require.Equal(t, first.at, n.register.knownSince)
+	require.False(t, second.completed)
 }
 
 // A node that has accepted a ballot learns its value as soon as it hears that the ballot was chosen, without a
 // fetch. A node that has not accepted it fetches the value from the sender.
 func TestChosenValuesAreLearnedAtOnce(t *testing.T) {
-	c := newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
+	c := newTunedCluster(t, modelPlan(8, "llm|m"), largeFleetTimes, "a", "b", "c")
 	c.run(2e9)
-	other := c.other()
+	other := c.follower()
 	n := c.nodes[other]
-	ballot := protocol.Ballot{N: n.reg.top + 1, By: "z", Life: 1}
-	value := *n.reg.known
+	ballot := protocol.Ballot{N: n.register.highestNumber + 1, By: "z", Incarnation: 1}
+	value := *n.register.known
 	value.Epoch += 3
-	fetches := func(out []any) (l []protocol.Fetch) {
+	fetches := func(out []any) (l []protocol.FetchValue) {
 		for _, o := range out {
-			if e, is := o.(protocol.Env); is {
-				if f, is := e.Body.(protocol.Fetch); is {
+			if e, is := o.(protocol.Envelope); is {
+				if f, is := e.Body.(protocol.FetchValue); is {
 					l = append(l, f)
 				}
 			}
 		}
 		return l
 	}
-	out := n.Step(c.at, from("z", protocol.Taken{Epoch: value.Epoch, Ballot: ballot}))
-	require.Equal(t, []protocol.Fetch{{Ballot: ballot}}, fetches(out))
-	require.Empty(t, fetches(n.Step(c.at, from("y", protocol.Taken{Epoch: value.Epoch, Ballot: ballot}))), "a fetch is already outstanding")
-	next := protocol.Ballot{N: ballot.N + 1, By: "z", Life: 1}
+	out := n.Step(c.at, from("z", protocol.ValueChosen{Epoch: value.Epoch, Ballot: ballot}))
+	require.Equal(t, []protocol.FetchValue{{Ballot: ballot}}, fetches(out))
+	require.Empty(t, fetches(n.Step(c.at, from("y", protocol.ValueChosen{Epoch: value.Epoch, Ballot: ballot}))), "a fetch is already outstanding")
+	next := protocol.Ballot{N: ballot.N + 1, By: "z", Incarnation: 1}
 	n.Step(c.at, from("z", protocol.Accept{Round: 1, Ballot: next, Value: value}))
 	require.NotEqual(t, value.Epoch, n.Epoch())
-	require.Empty(t, fetches(n.Step(c.at, from("z", protocol.Taken{Epoch: value.Epoch, Ballot: next}))))
+	require.Empty(t, fetches(n.Step(c.at, from("z", protocol.ValueChosen{Epoch: value.Epoch, Ballot: next}))))
 	require.Equal(t, value.Epoch, n.Epoch())
 }
 
@@ -268,22 +270,22 @@
 func TestReadsOfAnOldVoterSetTellNothing(t *testing.T) {
 	c, other := newPartedNode(t)
 	n := c.nodes[other]
-	heard := n.reg.heard
+	heard := n.register.knownSince
 	q := c.beginRead(other)
-	top := protocol.Ballot{N: n.reg.at.N + 10, By: "z", Life: 1}
+	top := protocol.Ballot{N: n.register.knownBallot.N + 10, By: "z", Incarnation: 1}
 	for _, id := range []string{"a", "b", "c"} {
 		if id != other {
-			c.answerRead(other, id, func(s *protocol.State) { s.Accepted, s.Shape = top, s.Shape+1 })
+			c.answerRead(other, id, func(s *protocol.State) { s.Accepted, s.VoterSet = top, s.VoterSet+1 })
 		}
 	}
-	require.True(t, q.read)
-	value := *n.reg.known
-	value.Prior = value.Voters
-	value.Shape++
-	c.step(other, from("z", protocol.Value{Accepted: top, Value: &value, Chosen: true}))
-	require.Equal(t, value.Shape, n.reg.known.Shape)
-	require.Equal(t, heard, n.reg.heard)
-	require.False(t, q.ended)
+	require.True(t, q.answered)
+	value := *n.register.known
+	value.PriorVoters = value.Voters
+	value.VoterSet++
+	c.step(other, from("z", protocol.FetchedValue{Accepted: top, Value: &value, Chosen: true}))
+	require.Equal(t, value.VoterSet, n.register.known.VoterSet)
+	require.Equal(t, heard, n.register.knownSince)
+	require.False(t, q.completed)
 }
 
 // A value that a minority has accepted, and whose proposer has failed, is decided by a full read even if answers
@@ -292,12 +294,12 @@
 func TestUnsettledValuesAreDecidedUnderSlowAnswers(t *testing.T) {
 	chosen, excluded := 0, 0
 	for seed := range uint64(12) {
-		c := newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
+		c := newTunedCluster(t, modelPlan(8, "llm|m"), largeFleetTimes, "a", "b", "c")
 		c.rng = rand.New(rand.NewPCG(seed, 4))
 		c.run(2e9)
-		other := c.other()
-		top := protocol.Ballot{N: c.nodes[other].reg.top + 1, By: "z", Life: 1}
-		value := *c.nodes[other].reg.known
+		other := c.follower()
+		top := protocol.Ballot{N: c.nodes[other].register.highestNumber + 1, By: "z", Incarnation: 1}
+		value := *c.nodes[other].register.known
 		value.Epoch++
 		c.step(other, from("z", protocol.Accept{Round: 1, Ballot: top, Value: value}))
 		c.delay = 250e6 // a query and its answer take twice that and more
@@ -306,7 +308,7 @@
 			clear(epochs)
 			for _, n := range c.nodes {
 				epochs[n.Epoch()] = true
-				if n.reg.at.Less(top) {
+				if n.register.knownBallot.Less(top) {
 					return false
 				}
 			}
@@ -328,16 +330,16 @@
 func TestCutOffNodeDoesNotReportStalledReads(t *testing.T) {
 	for _, delay := range []clock.Span{0, 2e6, 20e6, 60e6, 100e6} {
 		for offset := range clock.Span(13) {
-			c := newTunedCluster(t, modelPlan(8, "llm|m"), grownTimes, "a", "b", "c")
+			c := newTunedCluster(t, modelPlan(8, "llm|m"), largeFleetTimes, "a", "b", "c")
 			c.delay = delay
 			c.run(3e9 + offset*20e6)
-			node := c.other()
-			c.out = nil
-			c.parted[node] = true
+			node := c.follower()
+			c.outputs = nil
+			c.partitioned[node] = true
 			c.run(4e9)
 			reports := 0
-			for _, o := range c.out {
-				if report, is := o.(protocol.Oops); is {
+			for _, o := range c.outputs {
+				if report, is := o.(protocol.ErrorReport); is {
 					require.NotContains(t, report.Text, "majority reads do not complete", "delay %v, offset %v", delay, offset)
 					if strings.Contains(report.Text, "no majority of the core answers") {
 						reports++
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -13,15 +13,15 @@
 func (c *Core) storeRate() float64 {
 	rate := 0.0
 	for _, service := range c.plan.Services {
-		rate += service.Loads
+		rate += service.LoadRate
 	}
 	return rate
 }
 
 // loadBudget returns how many loads the store allows at once, and how many more may begin now.
-func (c *Core) budget() (atOnce, toBegin int) {
+func (c *Core) loadBudget() (atOnce, toBegin int) {
 	if !c.o.Unfenced {
-		return c.plan.Loads, c.plan.Loads
+		return c.plan.ConcurrentLoads, c.plan.ConcurrentLoads
 	}
 	rate := c.storeRate()
 	return c.concurrentLoads(rate), c.loadsToBegin(rate)
@@ -31,18 +31,18 @@
 func (c *Core) concurrentLoads(rate float64) int {
 	bases := c.bases()
 	if len(bases.keys) == 0 {
-		return c.plan.Loads
+		return c.plan.ConcurrentLoads
 	}
-	return max(minConcurrentLoads, int(rate*bases.load.Seconds()+0.5))
+	return max(minConcurrentLoads, int(rate*bases.meanLoad.Seconds()+0.5))
 }
 
 // loadsToBegin returns how many more loads may begin now within the store's rate limit.
 func (c *Core) loadsToBegin(rate float64) int {
-	for len(c.begun) > 0 && c.now.Sub(c.begun[0]) > c.o.Rate {
-		c.begun = c.begun[1:]
+	for len(c.loadStarts) > 0 && c.now.Sub(c.loadStarts[0]) > c.o.RateWindow {
+		c.loadStarts = c.loadStarts[1:]
 	}
-	left := int(rate*c.o.Rate.Seconds()) + 1 - len(c.begun)
-	if c.now.Sub(c.duty.began) < c.o.Rate {
+	left := int(rate*c.o.RateWindow.Seconds()) + 1 - len(c.loadStarts)
+	if c.now.Sub(c.leadership.begunAt) < c.o.RateWindow {
 		left = min(left, newTermLoads)
 	}
 	return left
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -27,23 +27,23 @@
 		{"any node, without a recorded grant, at once", "", "b", 0, false},
 		{"any node, without a recorded grant, after the lease duration", "", "b", 20e6, true},
 	} {
-		k := New(Options{Me: protocol.Sibling{ID: "v", Addr: "v"}, Inc: 2})
+		k := New(Options{Self: protocol.Peer{ID: "v", Addr: "v"}, Inc: 2})
 		k.Step(1e9, protocol.Start{Disk: map[string][]byte{
-			diskInc: []byte("5"), diskD: jot(pledge{Duty: 7, Owner: protocol.Sibling{ID: ident.Node(c.owner)}}),
+			keyIncarnation: []byte("5"), keyLeaseGrant: marshal(storedGrant{Duty: 7, Owner: protocol.Peer{ID: ident.Node(c.owner)}}),
 		}})
-		at := clock.Tick(1e9)
+		at := clock.Instant(1e9)
 		if c.after != 0 {
-			at = at.Add(k.pad(k.o.Duty) + c.after)
+			at = at.Add(k.withDrift(k.o.LeadershipLease) + c.after)
 		}
 		granted := false
-		out := k.Step(at, protocol.Env{From: protocol.Sibling{ID: ident.Node(c.asks), Addr: c.asks}, To: protocol.Sibling{ID: "v"}, Body: protocol.Query{Round: 1, Claim: true, Duty: 8}})
+		out := k.Step(at, protocol.Envelope{From: protocol.Peer{ID: ident.Node(c.asks), Addr: c.asks}, To: protocol.Peer{ID: "v"}, Body: protocol.Query{Round: 1, Claim: true, Term: 8}})
 		for len(out) > 0 {
 			var next []any
 			for _, o := range out {
 				switch v := o.(type) {
 				case protocol.Save:
 					next = append(next, k.Step(at, protocol.Saved{Token: v.Token})...)
-				case protocol.Env:
+				case protocol.Envelope:
 					if s, ok := v.Body.(protocol.State); ok {
 						granted = granted || s.Granted
 					}
@@ -65,24 +65,24 @@
 	at := c.at
 	require.True(t, c.until(9e9, func() bool { return c.owner() != "" }))
 	require.Equal(t, was, c.owner())
-	require.Less(t, c.at.Sub(at), c.lead().o.Duty)
+	require.Less(t, c.at.Sub(at), c.leader().o.LeadershipLease)
 }
 
 // Keys that had several replicas before keep them until the demand is known.
 func TestReplicasUntilDemandIsKnown(t *testing.T) {
 	p := modelPlan(8, "llm|hot", "llm|x", "llm|y", "llm|n")
-	k := weighed(p, keys{"s1": {"llm|hot", "llm|x"}, "s2": {"llm|hot", "llm|y"}})
-	k.asked = k.now - 1e9
-	k.demand["llm|n"] = &need{at: k.now, wait: 9}
-	weighNow(k, 9)
-	require.NotContains(t, k.changes(), "-hot")
-	k = weighed(p, keys{"s1": {"llm|hot", "llm|x"}, "s2": {"llm|hot", "llm|y"}})
-	k.asked = k.now - 9e9
-	k.demand["llm|n"] = &need{at: k.now, wait: 9}
-	k.demand["llm|x"] = &need{slow: 1, rate: 1, load: 0.3, now: 0.3}
-	k.demand["llm|y"] = &need{slow: 1, rate: 1, load: 0.3, now: 0.3}
-	weighNow(k, 9)
-	require.Contains(t, k.changes(), "-hot", "a replica without demand is evicted")
+	k := newPlacementCore(p, heldKeys{"s1": {"llm|hot", "llm|x"}, "s2": {"llm|hot", "llm|y"}})
+	k.demandSince = k.now - 1e9
+	k.demand["llm|n"] = &keyDemand{reportedAt: k.now, waiting: 9}
+	runPlacementNow(k, 9)
+	require.NotContains(t, k.placementChanges(), "-hot")
+	k = newPlacementCore(p, heldKeys{"s1": {"llm|hot", "llm|x"}, "s2": {"llm|hot", "llm|y"}})
+	k.demandSince = k.now - 9e9
+	k.demand["llm|n"] = &keyDemand{reportedAt: k.now, waiting: 9}
+	k.demand["llm|x"] = &keyDemand{longTermRate: 1, rate: 1, load: 0.3, currentLoad: 0.3}
+	k.demand["llm|y"] = &keyDemand{longTermRate: 1, rate: 1, load: 0.3, currentLoad: 0.3}
+	runPlacementNow(k, 9)
+	require.Contains(t, k.placementChanges(), "-hot", "a replica without demand is evicted")
 }
 
 // A core that formed with three seeds grows to five voters if the options ask for five, and then survives two emptied
@@ -94,13 +94,13 @@
 			c.nodes[id].o.Voters = want
 		}
 		for _, id := range []string{"d", "e"} {
-			c.disks[id] = map[string][]byte{diskInc: []byte("9")}
+			c.disks[id] = map[string][]byte{keyIncarnation: []byte("9")}
 			c.reboot(id)
 			c.nodes[id].o.Voters = want
 		}
 		c.run(15e9)
-		k := c.lead().reg.known
-		require.Empty(t, k.Prior)
+		k := c.leader().register.known
+		require.Empty(t, k.PriorVoters)
 		if want == 0 {
 			require.Len(t, k.Voters, 3)
 			continue
@@ -110,6 +110,6 @@
 		c.disks["a"], c.disks["b"] = map[string][]byte{}, map[string][]byte{}
 		c.reboot("a", "b", "c", "d", "e")
 		require.True(t, c.until(9e9, func() bool { return c.owner() != "" }))
-		require.Equal(t, epoch, c.lead().Epoch())
+		require.Equal(t, epoch, c.leader().Epoch())
 	}
 }
--- a/internal/controller/voters.go
+++ b/internal/controller/voters.go
@@ -15,84 +15,84 @@
 
 const (
 	spareFreshRounds = 3 // read intervals within which a spare must have answered to join the voter set
-	voterFresh       = 4 // read intervals within which a voter must have answered not to count as absent
+	voterFreshRounds = 4 // read intervals within which a voter must have answered not to count as absent
 )
 
 // trackAbsences records since when each voter is absent. Every core node does so, so that a new leader need not
 // start counting. A node that has not recently heard a majority knows nothing about the absence of others: it
 // may itself have been cut off.
 func (c *Core) trackAbsences() {
-	r := &c.reg
-	inTouch := r.known != nil && c.now.Sub(r.answered) <= voterFresh*c.o.Round
+	r := &c.register
+	inTouch := r.known != nil && c.now.Sub(r.answered) <= voterFreshRounds*c.o.ReadInterval
 	c.logMajority(inTouch)
 	c.logReadProgress(inTouch)
-	c.watchMissing()
+	c.logMissingVoters()
 	if !inTouch {
-		clear(r.absent)
+		clear(r.absentSince)
 		return
 	}
 	for _, v := range r.known.Voters {
-		if c.answered(v.ID, voterFresh) {
-			delete(r.absent, v.ID)
-		} else if r.absent[v.ID] == 0 {
-			r.absent[v.ID] = c.now
+		if c.answeredWithin(v.ID, voterFreshRounds) {
+			delete(r.absentSince, v.ID)
+		} else if r.absentSince[v.ID] == 0 {
+			r.absentSince[v.ID] = c.now
 		}
 	}
 }
 
 // logMajority logs when a majority starts and stops answering, once this node knows a chosen value.
 func (c *Core) logMajority(inTouch bool) {
-	r := &c.reg
+	r := &c.register
 	if r.known == nil || inTouch == r.majorityReached {
 		return
 	}
 	r.majorityReached = inTouch
 	if inTouch {
-		c.note("a majority of the core answers")
+		c.logEvent("a majority of the core answers")
 		return
 	}
-	c.oops("no majority of the core answers: this node refuses changes and reads until one does")
+	c.logError("no majority of the core answers: this node refuses changes and reads until one does")
 }
 
 // logReadProgress logs when majority reads stop completing although a majority answers, and when they complete
 // again.
 func (c *Core) logReadProgress(inTouch bool) {
-	r := &c.reg
+	r := &c.register
 	// A node that has just been cut off received its last answers and completed its last read at about the same
 	// time, so the limit is longer than the one for absence.
-	stalled := inTouch && r.completedAt != 0 && c.now.Sub(r.completedAt) > (voterFresh+1)*c.o.Round+r.trips.reads.Timeout()
+	stalled := inTouch && r.completedAt != 0 && c.now.Sub(r.completedAt) > (voterFreshRounds+1)*c.o.ReadInterval+r.roundTrips.reads.Timeout()
 	if stalled == r.readsStalled {
 		return
 	}
 	r.readsStalled = stalled
 	if stalled {
-		c.oops("majority reads do not complete: a majority answers, but shows a newer value than this node has learned")
+		c.logError("majority reads do not complete: a majority answers, but shows a newer value than this node has learned")
 		return
 	}
-	c.note("majority reads complete again", field("in_touch", inTouch))
+	c.logEvent("majority reads complete again", field("in_touch", inTouch))
 }
 
 // answeredWithin reports whether a core node has answered within the given number of read intervals.
-func (c *Core) answered(id ident.Node, rounds int) bool {
-	s, ok := c.reg.lives[id]
-	return ok && c.now.Sub(s.at) < clock.Span(rounds)*c.o.Round
+func (c *Core) answeredWithin(id ident.Node, rounds int) bool {
+	s, ok := c.register.states[id]
+	return ok && c.now.Sub(s.at) < clock.Span(rounds)*c.o.ReadInterval
 }
 
 // tickVoters makes the next change that the voter set needs, if any.
 func (c *Core) tickVoters() {
 	c.trackAbsences()
-	r := &c.reg
-	if !c.duty.mine || r.known == nil || r.changingVoters {
+	r := &c.register
+	if !c.leadership.held || r.known == nil || r.changingVoters {
 		return
 	}
 	known := *r.known
-	if len(known.Prior) > 0 {
+	if len(known.PriorVoters) > 0 {
 		c.leaveJoint(known)
 		return
 	}
 	if next := c.nextVoters(known.Voters); next != nil {
-		c.note(voterset.Describe(known.Voters, next))
-		c.reshape(known, next)
+		c.logEvent(voterset.Describe(known.Voters, next))
+		c.changeVoters(known, next)
 		return
 	}
 	c.repairStaleVoter()
@@ -102,8 +102,8 @@
 // hold a lease that only the old set knows of, and a majority of the new set has this term on disk, so that it
 // can never be granted to a later leader.
 func (c *Core) leaveJoint(k protocol.Desired) {
-	if c.duty.shape == k.Shape {
-		c.reshape(k, nil)
+	if c.leadership.shape == k.VoterSet {
+		c.changeVoters(k, nil)
 	}
 }
 
@@ -135,12 +135,12 @@
 // new address.
 func (c *Core) readmit(voters []protocol.Voter) []protocol.Voter {
 	for i, v := range voters {
-		s := c.reg.lives[v.ID]
-		if !c.answered(v.ID, voterFresh) || s.state.Inc == v.Inc && s.sib.Addr == v.Addr {
+		s := c.register.states[v.ID]
+		if !c.answeredWithin(v.ID, voterFreshRounds) || s.state.Incarnation == v.Incarnation && s.sibling.Addr == v.Addr {
 			continue
 		}
 		updated := v
-		updated.Inc, updated.Sibling = s.state.Inc, s.sib
+		updated.Incarnation, updated.Peer = s.state.Incarnation, s.sibling
 		return voterset.Replace(voters, i, updated)
 	}
 	return nil
@@ -148,10 +148,10 @@
 
 // spares returns the core nodes that answer and are not voters, ordered by ID.
 func (c *Core) spares(voters []protocol.Voter) (l []protocol.Voter) {
-	for _, m := range c.mates.Alive("controller") {
-		s := c.reg.lives[m.ID]
-		if c.answered(m.ID, spareFreshRounds) && !s.state.Leaving && !voterset.Seats(voters, m.ID) {
-			l = append(l, protocol.Voter{Sibling: m.Sibling, Zone: m.Zone, Inc: s.state.Inc})
+	for _, m := range c.members.Alive("controller") {
+		s := c.register.states[m.ID]
+		if c.answeredWithin(m.ID, spareFreshRounds) && !s.state.Leaving && !voterset.ContainsNode(voters, m.ID) {
+			l = append(l, protocol.Voter{Peer: m.Peer, Zone: m.Zone, Incarnation: s.state.Incarnation})
 		}
 	}
 	return l
@@ -162,14 +162,14 @@
 func (c *Core) voterToReplace(voters []protocol.Voter) int {
 	longest := -1
 	for i, v := range voters {
-		if c.answered(v.ID, voterFresh) && c.reg.lives[v.ID].state.Leaving {
+		if c.answeredWithin(v.ID, voterFreshRounds) && c.register.states[v.ID].state.Leaving {
 			return i
 		}
-		since := c.reg.absent[v.ID]
-		if since == 0 || c.now.Sub(since) <= c.o.Spare {
+		since := c.register.absentSince[v.ID]
+		if since == 0 || c.now.Sub(since) <= c.o.ReplaceAfter {
 			continue
 		}
-		if longest < 0 || since < c.reg.absent[voters[longest].ID] {
+		if longest < 0 || since < c.register.absentSince[voters[longest].ID] {
 			longest = i
 		}
 	}
@@ -178,7 +178,7 @@
 
 func (c *Core) anyAbsent(voters []protocol.Voter) bool {
 	for _, v := range voters {
-		if c.reg.absent[v.ID] != 0 {
+		if c.register.absentSince[v.ID] != 0 {
 			return true
 		}
 	}
@@ -191,18 +191,18 @@
 // HandingOver reports whether this node, which is to stop, still holds a seat that a spare can take over.
 // Until then it should keep answering: what it and a lost voter know may be known to no other majority.
 func (c *Core) HandingOver() bool {
-	if !c.ending || !c.o.HandOver || c.reg.known == nil {
+	if !c.stopping || !c.o.HandOver || c.register.known == nil {
 		return false
 	}
-	known := *c.reg.known
-	return voterset.In(known, c.o.Me.ID, c.vote.inc) && len(c.spares(known.Voters)) > 0
+	known := *c.register.known
+	return voterset.IsVoter(known, c.o.Self.ID, c.acceptor.inc) && len(c.spares(known.Voters)) > 0
 }
 
 // absentVoters returns the voters that are absent.
 func (c *Core) absentVoters(voters []protocol.Voter) map[ident.Node]bool {
 	absent := map[ident.Node]bool{}
 	for _, v := range voters {
-		if c.reg.absent[v.ID] != 0 {
+		if c.register.absentSince[v.ID] != 0 {
 			absent[v.ID] = true
 		}
 	}
@@ -214,12 +214,12 @@
 // removed for its absence must not have returned, which it would show by its promise.
 func (c *Core) stillJustified(from, to []protocol.Voter, absent map[ident.Node]bool) bool {
 	for _, v := range to {
-		if v.ID != c.o.Me.ID && !voterset.Names(from, v.ID, v.Inc) && !c.answered(v.ID, spareFreshRounds) {
+		if v.ID != c.o.Self.ID && !voterset.Contains(from, v.ID, v.Incarnation) && !c.answeredWithin(v.ID, spareFreshRounds) {
 			return false
 		}
 	}
 	for _, v := range from {
-		if absent[v.ID] && !voterset.Seats(to, v.ID) && c.reg.op.yes[v.ID] == v.Inc {
+		if absent[v.ID] && !voterset.ContainsNode(to, v.ID) && c.register.active.responders[v.ID] == v.Incarnation {
 			return false
 		}
 	}
@@ -228,26 +228,26 @@
 
 // changeVoters changes the voter set in two changes: the first requires both sets, and the second, with no set given,
 // drops the old one.
-func (c *Core) reshape(from protocol.Desired, to []protocol.Voter) {
-	version := from.Shape
+func (c *Core) changeVoters(from protocol.Desired, to []protocol.Voter) {
+	version := from.VoterSet
 	absent := c.absentVoters(from.Voters)
-	c.reg.changingVoters = true
+	c.register.changingVoters = true
 	c.proposeAtFront(mutation{needsPrepare: true, apply: func(d protocol.Desired) (protocol.Desired, failure.Kind, fleetplan.Faults) {
-		if d.Shape != version || (to == nil) != (len(d.Prior) > 0) || to != nil && !c.stillJustified(d.Voters, to, absent) {
+		if d.VoterSet != version || (to == nil) != (len(d.PriorVoters) > 0) || to != nil && !c.stillJustified(d.Voters, to, absent) {
 			return d, failure.Conflict, nil
 		}
 		if to != nil {
-			d.Prior, d.Voters = d.Voters, to
+			d.PriorVoters, d.Voters = d.Voters, to
 		} else {
-			d.Prior = nil
+			d.PriorVoters = nil
 		}
-		d.Shape++
+		d.VoterSet++
 		return d, failure.None, nil
-	}, done: func(a applied) {
-		c.reg.changingVoters = false
+	}, done: func(a applyResult) {
+		c.register.changingVoters = false
 		if a.kind == failure.None && to != nil {
 			c.tally.Admit++
-			c.note("voter set changed")
+			c.logEvent("voter set changed")
 		}
 	}})
 }
--- a/internal/controller/weigh.go
+++ b/internal/controller/weigh.go
@@ -22,7 +22,7 @@
 	prefetchMinBudget = 2     // loads that the store must have free before one of them is used ahead of demand
 	reservedDivisor   = 3     // one in so many of the store's concurrent loads is reserved for bases without a replica
 
-	freshSpan = 1500e6 // replicas younger than this are not evicted, and demand older than this is outdated
+	freshness = 1500e6 // replicas younger than this are not evicted, and demand older than this is outdated
 )
 
 // Costs of a server as the place of one more replica, in equivalent seconds of waiting.
@@ -30,7 +30,7 @@
 	pendingOrderCost = 1.5 // for each order that the server has to execute first
 	serverLoadCost   = 4.0 // for each server's worth of load on it
 	sameZoneCost     = 0.2 // if the zone already has a replica
-	evictCost        = 0.5 // if replicas must be evicted, in addition to their own cost
+	evictionCost     = 0.5 // if replicas must be evicted, in addition to their own cost
 )
 
 // placeByCost runs placement if its pause is over.
@@ -42,32 +42,32 @@
 	c.lastPlacement = c.now
 	c.cancelUnreachableLoads()
 	c.evictUnplanned()
-	c.runPlacement(c.budget())
+	c.runPlacement(c.loadBudget())
 	c.placementPause = max(placementInterval, clock.Span(c.tally.Visits-before)*pausePerVisit)
 }
 
 // runPlacement performs one run of placement. The store supports atOnce concurrent loads, of which toBegin may
 // start now.
 func (c *Core) runPlacement(atOnce, toBegin int) {
-	l := c.newLook()
+	l := c.newPlacementPass()
 	left := c.remainingStoreLoads(atOnce, toBegin)
-	for _, s := range c.fleet.ordered {
+	for _, s := range c.serverIndex.sorted {
 		c.cancelExcessLoads(s)
 	}
 	short := l.families.lackingReplicas(c.bases().keys)
-	c.line = map[ident.Key]int{}
+	c.loadQueue = map[ident.Key]int{}
 	for _, f := range short {
 		if c.placeReplica(f, l, left > reservedLoads(f, atOnce)) {
 			left--
 		}
 		if f.live == 0 {
-			c.line[f.model.Key] = len(c.line) + 1
+			c.loadQueue[f.model.Key] = len(c.loadQueue) + 1
 		}
 	}
-	if c.o.Warm && len(short) == 0 && left >= prefetchMinBudget {
+	if c.o.Preload && len(short) == 0 && left >= prefetchMinBudget {
 		c.prefetch(l)
 	}
-	c.weighAdapters(l)
+	c.placeAdapters(l)
 }
 
 // reservedLoads returns how many of the store's concurrent loads a family must leave to others. Bases without
@@ -82,13 +82,13 @@
 // remainingStoreLoads returns how many more loads the store supports in addition to those already ordered.
 func (c *Core) remainingStoreLoads(atOnce, toBegin int) int {
 	for _, s := range c.servers {
-		c.visit(len(s.replicas))
+		c.countVisits(len(s.replicas))
 		for key, p := range s.replicas {
-			if p.stage != Ordered || key.IsAdapter() || c.sure(s, key) || !c.loadMayBeRunning(s, p) {
+			if p.stage != Ordered || key.IsAdapter() || c.hasOnDisk(s, key) || !c.loadMayBeRunning(s, p) {
 				continue
 			}
 			atOnce--
-			if p.num == 0 {
+			if p.orderNum == 0 {
 				toBegin-- // its order will be sent soon
 			}
 		}
@@ -122,12 +122,12 @@
 		return
 	}
 	for _, p := range s.replicas {
-		if p.leaves() {
+		if p.leaving() {
 			return
 		}
 	}
 	for key, p := range s.replicas {
-		if p.stage == Ordered && p.num == 0 {
+		if p.stage == Ordered && p.orderNum == 0 {
 			c.removeReplica(s, key)
 		}
 	}
@@ -135,7 +135,7 @@
 
 // prefetch loads a model that no server has on its own disk while the store is idle. From a server's disk,
 // later loads take less time and do not use the store.
-func (c *Core) prefetch(l *look) {
+func (c *Core) prefetch(l *placementPass) {
 	if c.now.Sub(c.lastPrefetch) < prefetchInterval {
 		return
 	}
@@ -143,7 +143,7 @@
 	for _, key := range c.bases().keys {
 		f := l.families[key]
 		if f.live == 0 && !c.onSomeDisk(key) {
-			f.spare = true
+			f.prefetch = true
 			c.placeReplica(f, l, true)
 			return
 		}
@@ -162,20 +162,20 @@
 
 // placeReplica starts a load of a family on the server where it costs least, and evicts what must leave first.
 // The store is used only if allowStore is set. It reports whether the load comes from the store.
-func (c *Core) placeReplica(f *family, l *look, allowStore bool) bool {
-	var best *place
-	var evictions way
+func (c *Core) placeReplica(f *family, l *placementPass, allowStore bool) bool {
+	var best *loadTarget
+	var evictions evictionPlan
 	least := math.Inf(1)
 	zones := c.replicasOf(f.model.Key).zones
-	for _, p := range l.placesFor(f, allowStore) {
-		c.visit(1)
-		candidate, ok := l.wayFor(p, f)
+	for _, p := range l.targetsFor(f, allowStore) {
+		c.countVisits(1)
+		candidate, ok := l.planEvictions(p, f)
 		if !ok {
 			continue
 		}
 		cost := c.placementCost(p, f, zones[p.server.Zone])
-		if candidate.leaves > 0 {
-			cost += candidate.cost + evictCost
+		if candidate.count > 0 {
+			cost += candidate.cost + evictionCost
 		}
 		if cost < least {
 			best, evictions, least = p, candidate, cost
@@ -184,16 +184,16 @@
 	if best == nil {
 		return false
 	}
-	l.leave(best, evictions)
+	l.beginEvictions(best, evictions)
 	c.startLoad(best.server, f.model)
 	f.live++
-	l.changed(f.model.Key, best.server)
-	return !c.sure(best.server, f.model.Key)
+	l.invalidateHolders(f.model.Key, best.server)
+	return !c.hasOnDisk(best.server, f.model.Key)
 }
 
 // placementCost returns the cost of a server as the place of one more replica.
-func (c *Core) placementCost(p *place, f *family, sameZone bool) float64 {
-	cost := c.loadSpan(p.server, f.model).Seconds()
+func (c *Core) placementCost(p *loadTarget, f *family, sameZone bool) float64 {
+	cost := c.loadDuration(p.server, f.model).Seconds()
 	cost += float64(p.pending) * pendingOrderCost
 	cost += serverLoadCost * p.load
 	if sameZone {
--- a/internal/controller/windows.go
+++ b/internal/controller/windows.go
@@ -142,21 +142,21 @@
 
 // updateWindows updates the sets of closed zones and servers. Only this function depends on wall time. A clock that
 // jumps closes servers to new requests too early or too late, and has no other effect.
-func (c *Core) watchWindows() {
-	if c.o.Wall == nil || c.now < c.nextWindowUpdate {
+func (c *Core) updateWindows() {
+	if c.o.WallClock == nil || c.now < c.nextWindowUpdate {
 		return
 	}
 	c.nextWindowUpdate = c.now.Add(1e9)
-	now := c.o.Wall()
+	now := c.o.WallClock()
 	zones, servers := map[ident.Zone]bool{}, map[ident.Server]bool{}
-	c.soonZ, c.soonS = map[ident.Zone]bool{}, map[ident.Server]bool{}
+	c.closingZones, c.closingServers = map[ident.Zone]bool{}, map[ident.Server]bool{}
 	for _, w := range c.windows {
-		if !w.openAt(now, c.o.Lead) {
+		if !w.openAt(now, c.o.DrainLead) {
 			// Twice the lead before the window, models that have no other replica are loaded elsewhere.
-			if w.openAt(now, 2*c.o.Lead) && w.zone != "" {
-				c.soonZ[w.zone] = true
-			} else if w.openAt(now, 2*c.o.Lead) {
-				c.soonS[w.server] = true
+			if w.openAt(now, 2*c.o.DrainLead) && w.zone != "" {
+				c.closingZones[w.zone] = true
+			} else if w.openAt(now, 2*c.o.DrainLead) {
+				c.closingServers[w.server] = true
 			}
 			continue
 		}
@@ -166,26 +166,28 @@
 			servers[w.server] = true
 		}
 	}
-	unchanged := len(zones) == len(c.shutZ) && len(servers) == len(c.shutS)
+	unchanged := len(zones) == len(c.closedZones) && len(servers) == len(c.closedServers)
 	for z := range zones {
-		unchanged = unchanged && c.shutZ[z]
+		unchanged = unchanged && c.closedZones[z]
 	}
 	for s := range servers {
-		unchanged = unchanged && c.shutS[s]
+		unchanged = unchanged && c.closedServers[s]
 	}
 	if !unchanged {
-		c.shutZ, c.shutS = zones, servers
-		c.note(fmt.Sprintf("maintenance windows: %d zones and %d servers closed to new requests", len(zones), len(servers)))
-		c.touchAll()
+		c.closedZones, c.closedServers = zones, servers
+		c.logEvent(fmt.Sprintf("maintenance windows: %d zones and %d servers closed to new requests", len(zones), len(servers)))
+		c.refreshAllEntries()
 	}
 }
 
 // closed reports whether a maintenance window is open for a server or its zone.
-func (c *Core) closed(z ident.Zone, s ident.Server) bool { return c.shutZ[z] || c.shutS[s] }
+func (c *Core) closed(z ident.Zone, s ident.Server) bool {
+	return c.closedZones[z] || c.closedServers[s]
+}
 
 func (c *Core) putWindows(a Admin) {
 	if _, faults := readWindows(a.Raw); faults != nil {
-		c.answer(a, Receipt{Kind: failure.Faulty, Faults: faults})
+		c.answer(a, Receipt{Kind: failure.FaultyPlan, Faults: faults})
 		return
 	}
 	c.change(a, func(d *protocol.Desired) (failure.Kind, fleetplan.Faults) {
--- a/internal/controller/work_bench_test.go
+++ b/internal/controller/work_bench_test.go
@@ -18,38 +18,38 @@
 			c, models := newLargeFleet(b, size)
 			setRequests(c, models[:size.models*2/3], size, 1)
 			meanServed(c, size, 3e9)
-			visits := c.lead().tally.Visits
+			visits := c.leader().tally.Visits
 			measure(b, c, size)
-			b.ReportMetric(float64(c.lead().tally.Visits-visits)/float64(b.N), "visits/op")
+			b.ReportMetric(float64(c.leader().tally.Visits-visits)/float64(b.N), "visits/op")
 		})
 	}
 }
 
 func BenchmarkOwnerRenewal(b *testing.B) {
 	benchmarkFleets(b, func(b *testing.B, c *cluster, _ fleetSize) {
-		owner, r := c.lead(), c.routers["r0001"]
+		owner, r := c.leader(), c.routers["r0001"]
 		for b.Loop() {
 			r.seq++
-			owner.Step(c.at, r.mail(protocol.Renew{Session: r.ses, Seq: r.seq, Gen: 1, Epoch: 1, Heard: r.heard, Burden: r.keyLoads}))
+			owner.Step(c.at, r.mail(protocol.Renew{Session: r.session, Seq: r.seq, Gen: 1, Epoch: 1, AckedNum: r.heard, KeyLoads: r.keyLoads}))
 		}
 	})
 }
 
 func BenchmarkOwnerAnnouncement(b *testing.B) {
 	benchmarkFleets(b, func(b *testing.B, c *cluster, _ fleetSize) {
-		owner, s := c.lead(), c.models["at-s0001"]
+		owner, s := c.leader(), c.models["at-s0001"]
 		for b.Loop() {
 			s.ticks++
-			owner.Step(c.at, Announce{Token: 1 << 40, Beacon: protocol.Beacon{Listed: s.Listed, Count: s.ticks}})
+			owner.Step(c.at, Announce{Token: 1 << 40, Beacon: protocol.Announcement{ListedServer: s.ListedServer, Count: s.ticks}})
 		}
 	})
 }
 
 func BenchmarkOwnerBeat(b *testing.B) {
 	benchmarkFleets(b, func(b *testing.B, c *cluster, _ fleetSize) {
-		owner := c.lead()
+		owner := c.leader()
 		for b.Loop() {
-			owner.Step(c.at, protocol.Beat{})
+			owner.Step(c.at, protocol.TimerTick{})
 		}
 	})
 }
@@ -60,7 +60,7 @@
 		_, models := largePlan(size)
 		setRequests(c, models[size.models/3:], size, 2)
 		c.run(800e6)
-		owner := c.lead()
+		owner := c.leader()
 		short := 0
 		for b.Loop() {
 			b.StopTimer()
--- a/internal/experiment/explain.go
+++ b/internal/experiment/explain.go
@@ -83,7 +83,7 @@
 // targetOf returns the kind of target that a request names.
 func targetOf(trace router.RequestTrace) string {
 	switch {
-	case trace.Key.Plain() || trace.Key == "":
+	case trace.Key.IsWholeService() || trace.Key == "":
 		return "service"
 	case trace.Key.IsAdapter():
 		return "adapter"
--- a/internal/explorer/cluster.go
+++ b/internal/explorer/cluster.go
@@ -17,7 +17,7 @@
 // message is an envelope in flight whose delivery is explored.
 type message struct {
 	number int
-	env    protocol.Env
+	env    protocol.Envelope
 }
 
 // node is a controller node with its disk.
@@ -42,7 +42,7 @@
 type Cluster struct {
 	scenario           Scenario
 	options            clusterOptions
-	now                clock.Tick
+	now                clock.Instant
 	nodes              []*node
 	inFlight           []message
 	sentCount          int
@@ -75,7 +75,7 @@
 	return constantSource(low + uint64(position)*step)
 }
 
-func peer(id ident.Node) protocol.Sibling { return protocol.Sibling{ID: id, Addr: string(id)} }
+func peer(id ident.Node) protocol.Peer { return protocol.Peer{ID: id, Addr: string(id)} }
 
 func (c *Cluster) boot(n *node) {
 	position := 0
@@ -84,17 +84,17 @@
 			position = i
 		}
 	}
-	var seeds []protocol.Sibling
+	var seeds []protocol.Peer
 	for _, id := range c.scenario.Voters {
-		seeds = append(seeds, protocol.Sibling{Addr: string(id)})
+		seeds = append(seeds, protocol.Peer{Addr: string(id)})
 	}
 	n.incarnation++
 	n.core = controller.New(controller.Options{
-		Me: peer(n.id), Zone: ident.Zone("zone-" + n.id), Inc: ident.Inc(n.incarnation), Seeds: seeds,
-		Rand:  rand.New(randSource(position)),
-		Round: tickInterval, Duty: leadershipLease, Spare: spareTimeout, Form: formTimeout,
-		Read:     func([]byte) (*fleetplan.Plan, fleetplan.Faults) { return &fleetplan.Plan{}, nil },
-		Enrolled: true, Unfenced: true, Joined: c.options.joined, Alone: !c.scenario.ForwardsChanges,
+		Self: peer(n.id), Zone: ident.Zone("zone-" + n.id), Inc: ident.Incarnation(n.incarnation), Seeds: seeds,
+		Rand:         rand.New(randSource(position)),
+		ReadInterval: tickInterval, LeadershipLease: leadershipLease, ReplaceAfter: spareTimeout, FormAfter: formTimeout,
+		ParsePlan: func([]byte) (*fleetplan.Plan, fleetplan.Faults) { return &fleetplan.Plan{}, nil },
+		Enrolled:  true, Unfenced: true, CoreExists: c.options.joined, NoForwarding: !c.scenario.ForwardsChanges,
 	})
 	c.enqueue(n, protocol.Start{Disk: maps.Clone(n.disk)})
 }
@@ -125,7 +125,7 @@
 func (c *Cluster) step(n *node, input any) {
 	for _, out := range c.stepCore(n, input) {
 		switch o := out.(type) {
-		case protocol.Env:
+		case protocol.Envelope:
 			c.send(n, o)
 		case protocol.Save:
 			c.save(n, o)
@@ -175,8 +175,8 @@
 }
 
 // send delivers an envelope to its own sender at once and to other nodes through the network.
-func (c *Cluster) send(from *node, e protocol.Env) {
-	to := c.node(ident.Node(e.Hop().Addr))
+func (c *Cluster) send(from *node, e protocol.Envelope) {
+	to := c.node(ident.Node(e.NextHop().Addr))
 	if to == nil {
 		return
 	}
@@ -204,11 +204,11 @@
 
 // isReachable reports whether a message in flight can arrive now. Its sender may have stopped in the meantime.
 func (c *Cluster) isReachable(m message) bool {
-	from, to := c.node(m.env.From.ID), c.node(ident.Node(m.env.Hop().Addr))
+	from, to := c.node(m.env.From.ID), c.node(ident.Node(m.env.NextHop().Addr))
 	return to.up() && !to.isolated && !from.isolated
 }
 
-func (c *Cluster) receiver(m message) *node { return c.node(ident.Node(m.env.Hop().Addr)) }
+func (c *Cluster) receiver(m message) *node { return c.node(ident.Node(m.env.NextHop().Addr)) }
 
 // removeInFlight removes a message from those in flight and returns it.
 func (c *Cluster) removeInFlight(number int) (message, bool) {
@@ -243,7 +243,7 @@
 	c.now = c.now.Add(tickInterval)
 	for _, n := range c.nodes {
 		if n.up() {
-			c.enqueue(n, protocol.Beat{})
+			c.enqueue(n, protocol.TimerTick{})
 			c.drain()
 		}
 	}
--- a/internal/explorer/enabled.go
+++ b/internal/explorer/enabled.go
@@ -351,7 +351,7 @@
 	}
 	var sets [][]protocol.Voter
 	for _, value := range append(c.acceptedOnDisks(), c.history.inForce) {
-		sets = append(sets, value.Voters, value.Prior)
+		sets = append(sets, value.Voters, value.PriorVoters)
 	}
 	for _, voters := range sets {
 		lost := 0
@@ -382,5 +382,5 @@
 // diskIntact reports whether the disk of a voter seat still exists, regardless of whether its node is up.
 func (c *Cluster) diskIntact(v protocol.Voter) bool {
 	n := c.node(v.ID)
-	return n != nil && !n.lost && n.vote.Incarnation == v.Inc
+	return n != nil && !n.lost && n.vote.Incarnation == v.Incarnation
 }
--- a/internal/explorer/fingerprint.go
+++ b/internal/explorer/fingerprint.go
@@ -21,7 +21,7 @@
 // the newest ballot known to be chosen, and rounds to the current round of the node.
 type fingerprinter struct {
 	digest     *xxhash.Digest
-	now        clock.Tick
+	now        clock.Instant
 	baseBallot uint64
 	buffer     [8]byte
 }
@@ -57,7 +57,7 @@
 }
 
 // timestamp hashes a time as its distance from the current time. The zero time means that the time is not set.
-func (f *fingerprinter) timestamp(t clock.Tick) {
+func (f *fingerprinter) timestamp(t clock.Instant) {
 	if t == 0 {
 		f.number(0)
 		return
@@ -72,14 +72,14 @@
 	}
 	f.number(1<<62 + b.N - f.baseBallot)
 	f.text(string(b.By))
-	f.number(uint64(b.Life))
+	f.number(uint64(b.Incarnation))
 }
 
 func (f *fingerprinter) voters(list []protocol.Voter) {
 	f.number(uint64(len(list)))
 	for _, v := range list {
 		f.text(string(v.ID))
-		f.number(uint64(v.Inc))
+		f.number(uint64(v.Incarnation))
 	}
 }
 
@@ -90,17 +90,17 @@
 	}
 	f.number(uint64(d.Epoch))
 	f.text(string(d.Plan))
-	f.number(d.Shape)
+	f.number(d.VoterSet)
 	f.voters(d.Voters)
-	f.voters(d.Prior)
-	f.number(uint64(len(d.Done)))
-	for _, x := range d.Done {
+	f.voters(d.PriorVoters)
+	f.number(uint64(len(d.AppliedChanges)))
+	for _, x := range d.AppliedChanges {
 		f.text(x.ID)
 		f.number(uint64(x.Epoch))
 	}
 }
 
-func (f *fingerprinter) incarnations(m map[ident.Node]ident.Inc) {
+func (f *fingerprinter) incarnations(m map[ident.Node]ident.Incarnation) {
 	f.number(uint64(len(m)))
 	for _, id := range generic.SortedKeys(m) {
 		f.text(string(id))
@@ -130,7 +130,7 @@
 	f.value(n.vote.Value)
 	if !n.up() {
 		f.ballot(n.vote.Promised)
-		f.number(uint64(n.vote.Duty))
+		f.number(uint64(n.vote.Term))
 		f.text(string(n.vote.Owner))
 		return
 	}
@@ -138,11 +138,11 @@
 	f.flag(s.Began)
 	f.voter(s.Voter)
 	f.register(s.Register)
-	f.leadership(s.Duty)
+	f.leadership(s.Leadership)
 	f.number(uint64(len(s.Members)))
 	for _, m := range s.Members {
 		f.text(string(m.ID))
-		f.text(m.Life)
+		f.text(m.Status)
 	}
 }
 
@@ -152,11 +152,11 @@
 	f.ballot(v.Accepted)
 	f.value(v.Value)
 	f.timestamp(v.Started)
-	f.number(uint64(v.Duty))
-	f.number(uint64(v.DurableDuty))
+	f.number(uint64(v.Term))
+	f.number(uint64(v.DurableTerm))
 	f.text(string(v.Owner))
 	f.timestamp(v.GrantUntil)
-	f.timestamp(v.Asked)
+	f.timestamp(v.ProposerHeardAt)
 }
 
 func (f *fingerprinter) register(r controller.RegisterSnapshot) {
@@ -190,17 +190,17 @@
 	for _, at := range r.Reads {
 		f.timestamp(at)
 	}
-	for _, s := range r.Siblings {
+	for _, s := range r.Peers {
 		f.peer(s)
 	}
 	for _, id := range generic.SortedKeys(r.Absent) {
 		f.text(string(id))
 		f.timestamp(r.Absent[id])
 	}
-	f.number(uint64(r.UnclearReads))
-	f.ballot(r.UnclearBallot)
-	f.timestamp(r.Unclear)
-	f.timestamp(r.Unequal)
+	f.number(uint64(r.UnsettledReads))
+	f.ballot(r.UnsettledBallot)
+	f.timestamp(r.UnsettledSince)
+	f.timestamp(r.StaleSince)
 	f.ballot(r.Promised)
 	f.ballot(r.PromisedAt)
 	f.number(uint64(len(r.Forwards)))
@@ -223,58 +223,58 @@
 	f.text(o.Phase)
 	f.ballot(o.Ballot)
 	f.value(&o.Set)
-	f.ballot(o.Best)
+	f.ballot(o.HighestAccepted)
 	f.value(o.Value)
 	f.value(&o.Next)
 	f.text(o.Kind)
 	f.incarnations(o.Answered)
-	f.timestamp(o.Sent)
-	f.timestamp(o.Wake)
-	f.timestamp(o.End)
-	f.flag(o.Unclear)
-	f.number(uint64(min(o.Fails, 4)))
+	f.timestamp(o.SentAt)
+	f.timestamp(o.RetryAt)
+	f.timestamp(o.Deadline)
+	f.flag(o.Uncertain)
+	f.number(uint64(min(o.Failures, 4)))
 	f.number(uint64(o.Resent))
-	f.ballot(o.Base)
+	f.ballot(o.BaseBallot)
 }
 
 func (f *fingerprinter) query(q *controller.QuerySnapshot) {
 	f.timestamp(q.At)
 	f.flag(q.Claim)
-	f.number(uint64(q.Number))
+	f.number(uint64(q.Term))
 	f.value(&q.Set)
 	f.incarnations(q.Answered)
 	f.incarnations(q.Granted)
 	f.ballot(q.Top)
-	f.number(q.Shape)
+	f.number(q.VoterSet)
 	f.flag(q.Fetching)
 	f.flag(q.Read)
-	f.flag(q.Ended)
+	f.flag(q.Completed)
 	f.flag(q.Won)
-	f.number(uint64(q.Duty))
+	f.number(uint64(q.HighestTerm))
 	f.text(string(q.Owner))
 }
 
-func (f *fingerprinter) peer(s controller.SiblingSnapshot) {
+func (f *fingerprinter) peer(s controller.PeerSnapshot) {
 	f.text(string(s.ID))
 	f.timestamp(s.At)
-	f.number(uint64(s.State.Inc))
+	f.number(uint64(s.State.Incarnation))
 	f.ballot(s.State.Accepted)
-	f.number(uint64(s.State.Duty))
-	f.text(string(s.State.Last))
-	f.flag(s.State.Shy)
+	f.number(uint64(s.State.Term))
+	f.text(string(s.State.LastGrantee))
+	f.flag(s.State.Declining)
 	f.flag(s.State.Blank)
 }
 
-func (f *fingerprinter) leadership(d controller.DutySnapshot) {
-	f.flag(d.Mine)
-	f.number(uint64(d.Number))
+func (f *fingerprinter) leadership(d controller.LeadershipSnapshot) {
+	f.flag(d.Held)
+	f.number(uint64(d.Term))
 	f.timestamp(d.Renewed)
-	f.number(uint64(d.Highest))
+	f.number(uint64(d.HighestTerm))
 	f.text(string(d.Owner))
-	f.flag(d.Free)
-	f.timestamp(d.ShyTill)
-	f.text(string(d.Next))
-	f.timestamp(d.Left)
+	f.flag(d.Vacant)
+	f.timestamp(d.DeclineUntil)
+	f.text(string(d.Successor))
+	f.timestamp(d.ReleasedAt)
 }
 
 // inFlight hashes the messages in flight. With delivery by message, any of them may arrive first, so their order is
@@ -297,12 +297,12 @@
 
 // envelope formats a message. The round number is replaced by whether the sender of the request that the message
 // carries or answers is still in that round.
-func (f *fingerprinter) envelope(c *Cluster, e protocol.Env) string {
+func (f *fingerprinter) envelope(c *Cluster, e protocol.Envelope) string {
 	return envelopeText(f.relative(c, e))
 }
 
 // relative returns a message with its ballots relative to the base ballot and its round normalized.
-func (f *fingerprinter) relative(c *Cluster, e protocol.Env) protocol.Env {
+func (f *fingerprinter) relative(c *Cluster, e protocol.Envelope) protocol.Envelope {
 	shift := func(b protocol.Ballot) protocol.Ballot {
 		if b != (protocol.Ballot{}) {
 			b.N += 1<<32 - f.baseBallot
@@ -342,19 +342,19 @@
 	case protocol.State:
 		b.Round, b.Accepted, b.Chosen = query(e.To.ID, b.Round), shift(b.Accepted), shift(b.Chosen)
 		e.Body = b
-	case protocol.Fetch:
+	case protocol.FetchValue:
 		b.Round, b.Ballot = query(e.From.ID, b.Round), shift(b.Ballot)
 		e.Body = b
-	case protocol.Value:
+	case protocol.FetchedValue:
 		b.Round, b.Accepted = query(e.To.ID, b.Round), shift(b.Accepted)
 		e.Body = b
-	case protocol.Taken:
+	case protocol.ValueChosen:
 		b.Ballot = shift(b.Ballot)
 		e.Body = b
-	case protocol.Forward:
+	case protocol.ForwardChange:
 		b.Number = 0 // the change id identifies the message
 		e.Body = b
-	case protocol.Forwarded:
+	case protocol.ForwardReply:
 		b.Number, b.Chosen = 0, shift(b.Chosen)
 		e.Body = b
 	}
--- a/internal/explorer/guards_test.go
+++ b/internal/explorer/guards_test.go
@@ -33,25 +33,25 @@
 	{"a read sees the newest ballot", "cut-owner", "a read at|without change", []edit{{"if q.top.Less(b.Accepted) {", "if false {"}}},
 	{"redo no change", "race", "although it was taken", []edit{{"if x.ID == a.Change {\n\t\t\t\treturn d, failure.Repeated", "if x.ID == `no` {\n\t\t\t\treturn d, failure.Repeated"}, {"&& c.hasChosen(a.Change) {", "&& false {"}}},
 	{"keep a promise", "race-orders", "is chosen with plan|was confirmed for|without", []edit{
-		{"if b.Ballot.Less(c.vote.promised) {\n\t\tc.reply(e, protocol.Accepted{", "if false {\n\t\tc.reply(e, protocol.Accepted{"}}},
-	{"an emptied disk does not vote", "replace-orders", "durably holds|would go on", []edit{{"c.vote.inc = c.o.Inc", "c.vote.inc = 1"}}},
-	{"sync before an answer", "power", "durably holds|would go on", []edit{{"c.saves[c.token] = then", "then()\n\tc.saves[c.token] = func() {}"}}},
-	{"admit a wiped voter again", "replace", "is not filled", []edit{{"s.state.Inc == v.Inc && s.sib.Addr == v.Addr {", "s.sib.Addr == v.Addr {"}}},
-	{"leave a joint set", "replace-five", "joint voter set is not left", []edit{{"c.reshape(k, nil)", "_ = k"}}},
-	{"go on the newest accepted", "returner", "without", []edit{{"if value != nil && o.best.Less(b.Accepted) {", "if value != nil && o.value == nil {"}}},
+		{"if b.Ballot.Less(c.acceptor.promised) {\n\t\tc.reply(e, protocol.Accepted{", "if false {\n\t\tc.reply(e, protocol.Accepted{"}}},
+	{"an emptied disk does not vote", "replace-orders", "durably holds|would go on", []edit{{"c.acceptor.inc = c.o.Inc", "c.acceptor.inc = 1"}}},
+	{"sync before an answer", "power", "durably holds|would go on", []edit{{"c.continuations[c.token] = then", "then()\n\tc.continuations[c.token] = func() {}"}}},
+	{"admit a wiped voter again", "replace", "is not filled", []edit{{"s.state.Incarnation == v.Incarnation && s.sibling.Addr == v.Addr {", "s.sibling.Addr == v.Addr {"}}},
+	{"leave a joint set", "replace-five", "joint voter set is not left", []edit{{"c.changeVoters(k, nil)", "_ = k"}}},
+	{"go on the newest accepted", "returner", "without", []edit{{"if value != nil && o.highestAccepted.Less(b.Accepted) {", "if value != nil && o.value == nil {"}}},
 	{"a restarted voter waits", "duty-restarts", "own the duty at once", []edit{
-		{"recentStart := c.now.Sub(c.vote.started) < grantSpan", "recentStart := false"}}},
+		{"recentStart := c.now.Sub(c.acceptor.started) < grantSpan", "recentStart := false"}}},
 	{"no new owner beside a held duty", "duty-takeover", "own the duty at once", []edit{
-		{"|| !held && !recentStart)", "|| !recentStart)"}, {"inc) || !d.free {", "inc) {"}}},
+		{"|| !held && !recentStart)", "|| !recentStart)"}, {"inc) || !d.vacant {", "inc) {"}}},
 	{"a ballot names its proposer's life", "stalled-proposer", "would go on without|durably holds|is chosen with plan|without change", []edit{
-		{"By: c.o.Me.ID, Life: c.o.Inc}", "By: c.o.Me.ID}"}}},
+		{"By: c.o.Self.ID, Incarnation: c.o.Inc}", "By: c.o.Self.ID}"}}},
 	{"a promise outlives a restart", "promised", "would go on without|durably holds|is chosen with plan|without change", []edit{
-		{"diskB: jot(c.vote.promised), diskV", "diskB: jot(b.Ballot), diskV"}}},
+		{"keyPromised: marshal(c.acceptor.promised), keyAccepted", "keyPromised: marshal(b.Ballot), keyAccepted"}}},
 	{"a promise is used once", "promised-again", "would go on without|durably holds|is chosen with plan|without change", []edit{
-		{"\tr.promised = nil\n\tif p == nil || r.top > p.ballot.N || p.at.Less(r.at) {", "\tif p == nil {"}}},
+		{"\tr.reserved = nil\n\tif p == nil || r.highestNumber > p.ballot.N || p.acceptedBallot.Less(r.knownBallot) {", "\tif p == nil {"}}},
 	{"lives have numbers of their own", "late-answers", "without change", []edit{{"return uint64(life) << roundBits", "return 0 * uint64(life)"}}},
 	{"a majority for the duty", "duty-restarts", "own the duty at once|was owned by", []edit{
-		{"q.claim && voterset.Majority(q.set, q.grant)", "q.claim"}, {"inc) || !d.free {", "inc) {"}}},
+		{"q.claim && voterset.Majority(q.set, q.grantors)", "q.claim"}, {"inc) || !d.vacant {", "inc) {"}}},
 }
 
 // maxGuardStates limits the search for each broken guard.
@@ -113,7 +113,7 @@
 			program := buildBroken(t, g.edits)
 			// The explorer exits with an error when it finds a violation.
 			run := exec.Command(program, "--scenario", g.scenario, "--states", fmt.Sprint(maxGuardStates))
-			run.Env = append(os.Environ(), strict.Variable+"="+strict.Off)
+			run.Env = append(os.Environ(), strict.EnvVariable+"="+strict.EnvOff)
 			out, _ := run.CombinedOutput()
 			t.Logf("%s", out)
 			_, violation, found := strings.Cut(string(out), "VIOLATION: ")
--- a/internal/explorer/history.go
+++ b/internal/explorer/history.go
@@ -41,7 +41,7 @@
 	chosenPlans     map[ident.Epoch]string // plans of values known to be chosen
 	inForce         *protocol.Desired      // the newest value known to be chosen
 	inForceBallot   protocol.Ballot
-	leaderByTerm    map[ident.Duty]ident.Node
+	leaderByTerm    map[ident.Term]ident.Node
 	durabilityDirty bool // durable state may have changed since the last check
 	violation       string
 	answers         []controller.Receipt // answers to operators
@@ -50,7 +50,7 @@
 func newHistory() history {
 	return history{
 		attempts: map[string]int{}, confirmed: map[string]ident.Epoch{},
-		chosenPlans: map[ident.Epoch]string{}, leaderByTerm: map[ident.Duty]ident.Node{},
+		chosenPlans: map[ident.Epoch]string{}, leaderByTerm: map[ident.Term]ident.Node{},
 	}
 }
 
@@ -84,7 +84,7 @@
 	if d == nil {
 		return 0, false
 	}
-	for _, x := range d.Done {
+	for _, x := range d.AppliedChanges {
 		if x.ID == change {
 			return x.Epoch, true
 		}
@@ -143,7 +143,7 @@
 		return
 	}
 	var current ident.Epoch
-	for _, x := range known.Done {
+	for _, x := range known.AppliedChanges {
 		if x.ID == q.change && current != q.expectedEpoch {
 			h.reportViolation("%s applied change %s, which expected epoch %d, to epoch %d", n.id, q.change, q.expectedEpoch, current)
 		}
@@ -169,7 +169,7 @@
 
 // checkRefusal checks that a repeat of an applied change is not refused.
 func (h *history) checkRefusal(n *node, q *request, r controller.Receipt, known *protocol.Desired) {
-	if q.change == "" || r.Kind != failure.Conflict && r.Kind != failure.Faulty {
+	if q.change == "" || r.Kind != failure.Conflict && r.Kind != failure.FaultyPlan {
 		return
 	}
 	_, taken := doneEpoch(known, q.change)
@@ -207,7 +207,7 @@
 
 // checkRefused checks that no change is in force for which every request was refused.
 func (h *history) checkRefused(n *node, v *protocol.Desired) {
-	for _, x := range v.Done {
+	for _, x := range v.AppliedChanges {
 		requested, allRefused := false, true
 		for _, q := range h.requests {
 			if q.change == x.ID {
@@ -252,7 +252,7 @@
 		return
 	}
 	h.durabilityDirty = false
-	for _, set := range [][]protocol.Voter{h.inForce.Voters, h.inForce.Prior} {
+	for _, set := range [][]protocol.Voter{h.inForce.Voters, h.inForce.PriorVoters} {
 		holding := 0
 		for _, v := range set {
 			if !c.diskIntact(v) || h.holdsConfirmed(c.node(v.ID).vote.Value) {
@@ -279,7 +279,7 @@
 // checkQuorums checks every quorum of intact seats: the newest value accepted there must contain all confirmed changes.
 func (h *history) checkQuorums(c *Cluster) {
 	seats := map[ident.Node]protocol.Voter{}
-	for _, v := range append(slices.Clone(h.inForce.Voters), h.inForce.Prior...) {
+	for _, v := range append(slices.Clone(h.inForce.Voters), h.inForce.PriorVoters...) {
 		if c.diskIntact(v) {
 			seats[v.ID] = v
 		}
@@ -308,10 +308,10 @@
 }
 
 func (h *history) isQuorum(members []ident.Node, seats map[ident.Node]protocol.Voter) bool {
-	for _, set := range [][]protocol.Voter{h.inForce.Voters, h.inForce.Prior} {
+	for _, set := range [][]protocol.Voter{h.inForce.Voters, h.inForce.PriorVoters} {
 		count := 0
 		for _, v := range set {
-			if slices.Contains(members, v.ID) && seats[v.ID].Inc == v.Inc {
+			if slices.Contains(members, v.ID) && seats[v.ID].Incarnation == v.Incarnation {
 				count++
 			}
 		}
--- a/internal/explorer/scenario.go
+++ b/internal/explorer/scenario.go
@@ -40,7 +40,7 @@
 	Spares        []ident.Node
 	MaxLostVoters int // seats of one voter set whose disks may be lost at the same time
 
-	Intercepts  func(protocol.Env) bool // selects the messages whose delivery is explored; others arrive at once
+	Intercepts  func(protocol.Envelope) bool // selects the messages whose delivery is explored; others arrive at once
 	Granularity Granularity
 	PassTicks   int
 	Setup       []Action // runs after the election, before exploration begins; no implicit settle follows
@@ -66,7 +66,7 @@
 const passTicks = 6
 
 // isRegisterMessage selects the messages of the consensus protocol.
-func isRegisterMessage(e protocol.Env) bool {
+func isRegisterMessage(e protocol.Envelope) bool {
 	switch e.Body.(type) {
 	case protocol.Prepare, protocol.Promise, protocol.Accept, protocol.Accepted:
 		return true
@@ -75,16 +75,16 @@
 }
 
 // isRegisterOrForwardMessage also selects forwarded changes and their answers.
-func isRegisterOrForwardMessage(e protocol.Env) bool {
+func isRegisterOrForwardMessage(e protocol.Envelope) bool {
 	switch e.Body.(type) {
-	case protocol.Forward, protocol.Forwarded:
+	case protocol.ForwardChange, protocol.ForwardReply:
 		return true
 	}
 	return isRegisterMessage(e)
 }
 
 // isClaimMessage selects the messages that claim, grant and release the leadership lease.
-func isClaimMessage(e protocol.Env) bool {
+func isClaimMessage(e protocol.Envelope) bool {
 	switch b := e.Body.(type) {
 	case protocol.Query:
 		return b.Claim
@@ -97,7 +97,7 @@
 }
 
 // noMessage selects no message, so that only faults and ticks are explored.
-func noMessage(protocol.Env) bool { return false }
+func noMessage(protocol.Envelope) bool { return false }
 
 func nodeIDs(ids ...ident.Node) []ident.Node { return ids }
 
--- a/internal/fleetplan/fleetplan.go
+++ b/internal/fleetplan/fleetplan.go
@@ -58,7 +58,7 @@
 }
 
 // Cursor is a position in a decoded document.
-type Pen struct {
+type Cursor struct {
 	location *location
 	value    any
 	present  bool
@@ -66,9 +66,9 @@
 }
 
 // ParseJSON parses JSON and returns a cursor at its root. Duplicate keys and syntax errors are faults.
-func Open(raw []byte) (Pen, *Faults) {
+func ParseJSON(raw []byte) (Cursor, *Faults) {
 	faults := &Faults{}
-	root := Pen{faults: faults}
+	root := Cursor{faults: faults}
 	if !utf8.Valid(raw) {
 		root.Fault("not valid UTF-8")
 		return root, faults
@@ -153,19 +153,19 @@
 }
 
 // Fault records a fault at this position.
-func (p Pen) Fault(why string) { *p.faults = append(*p.faults, Fault{p.location.String(), why}) }
+func (p Cursor) Fault(why string) { *p.faults = append(*p.faults, Fault{p.location.String(), why}) }
 
 // IsSet reports whether the position holds a value other than null.
-func (p Pen) Has() bool { return p.present && p.value != nil }
+func (p Cursor) IsSet() bool { return p.present && p.value != nil }
 
 // Path returns the path of this position.
-func (p Pen) Path() string { return p.location.String() }
+func (p Cursor) Path() string { return p.location.String() }
 
 // Value returns the decoded value: a map, a list, a string, a json.Number, a boolean, or nil.
-func (p Pen) Value() any { return p.value }
+func (p Cursor) Value() any { return p.value }
 
 // RejectUnknown reports every key that is not in the given list as a fault.
-func (p Pen) Only(keys ...string) Pen {
+func (p Cursor) RejectUnknown(keys ...string) Cursor {
 	object, ok := p.object()
 	if !ok {
 		return p
@@ -183,8 +183,8 @@
 }
 
 // Field moves to the value of a key.
-func (p Pen) At(key string) Pen {
-	child := Pen{location: &location{parent: p.location, key: key, index: -1}, faults: p.faults}
+func (p Cursor) Field(key string) Cursor {
+	child := Cursor{location: &location{parent: p.location, key: key, index: -1}, faults: p.faults}
 	if object, ok := p.value.(map[string]any); ok {
 		child.value, child.present = object[key]
 		_, child.present = object[key]
@@ -193,7 +193,7 @@
 }
 
 // EachKey calls a function for each key of an object, in sorted order.
-func (p Pen) Keys(each func(key string, n Pen)) {
+func (p Cursor) EachKey(each func(key string, n Cursor)) {
 	object, ok := p.object()
 	if !ok {
 		return
@@ -203,13 +203,13 @@
 			*p.faults = append(*p.faults, Fault{p.location.String() + "." + k, "key must have 1 to 128 bytes"})
 			continue
 		}
-		each(k, p.At(k))
+		each(k, p.Field(k))
 	}
 }
 
 // EachItem calls a function for each item of a list.
-func (p Pen) List(maxItems int, each func(n Pen)) {
-	if !p.Has() {
+func (p Cursor) EachItem(maxItems int, each func(n Cursor)) {
+	if !p.IsSet() {
 		return
 	}
 	items, ok := p.value.([]any)
@@ -222,14 +222,14 @@
 		return
 	}
 	for i, item := range items {
-		each(Pen{location: &location{parent: p.location, index: i}, value: item, present: true, faults: p.faults})
+		each(Cursor{location: &location{parent: p.location, index: i}, value: item, present: true, faults: p.faults})
 	}
 }
 
 // Text reads a string. An absent value yields an empty string, and is a fault if the string is required. Null is
 // always a fault.
-func (p Pen) Text(required bool, maxBytes int) string {
-	if !p.Has() {
+func (p Cursor) Text(required bool, maxBytes int) string {
+	if !p.IsSet() {
 		if required || p.present {
 			p.Fault("wants a text")
 		}
@@ -248,7 +248,7 @@
 }
 
 // Int reads an integer within bounds; an absent value yields the default.
-func (p Pen) Int(low, high, def int) int {
+func (p Cursor) Int(low, high, def int) int {
 	if !p.present {
 		return def
 	}
@@ -271,7 +271,7 @@
 }
 
 // Bool reads a boolean; an absent value yields the default.
-func (p Pen) Bool(def bool) bool {
+func (p Cursor) Bool(def bool) bool {
 	if !p.present {
 		return def
 	}
@@ -283,7 +283,7 @@
 	return b
 }
 
-func (p Pen) object() (map[string]any, bool) {
+func (p Cursor) object() (map[string]any, bool) {
 	if !p.present {
 		return nil, false
 	}
--- a/internal/fleetplan/fleetplan_test.go
+++ b/internal/fleetplan/fleetplan_test.go
@@ -61,7 +61,7 @@
 	}
 	_, faults := ReadPlan([]byte(strings.Repeat("[", 100_000)))
 	require.NotEmpty(t, faults, "deep nesting is rejected without recursion to full depth")
-	_, faults = ReadPlan(make([]byte, MostPlan+1))
+	_, faults = ReadPlan(make([]byte, MaxPlanBytes+1))
 	require.Len(t, faults, 1)
 }
 
@@ -105,7 +105,7 @@
 		{"boolean is not a boolean", `{"id":"1","model":"m","kind":"k","repeatable":"yes"}`, "$.repeatable"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, f := ReadCall([]byte(c.raw))
+			_, f := ReadRequest([]byte(c.raw))
 			if c.path == "" {
 				require.Nil(t, f, "a valid call yields nil faults, not an empty list")
 				return
--- a/internal/fleetplan/hosts.go
+++ b/internal/fleetplan/hosts.go
@@ -33,10 +33,10 @@
 }
 
 // isHostRoute reports whether a route is selected by host.
-func isHostRoute(n Pen) bool { return n.At("host").present || n.At("prefix").present }
+func isHostRoute(n Cursor) bool { return n.Field("host").present || n.Field("prefix").present }
 
 // Number reads a number within bounds; an absent value yields the default.
-func (p Pen) Number(low, high, def float64) float64 {
+func (p Cursor) Number(low, high, def float64) float64 {
 	if !p.present {
 		return def
 	}
@@ -54,64 +54,66 @@
 }
 
 // durationMs reads a duration of at least one millisecond; an absent value yields the default.
-func (p Pen) durationMs(def int) clock.Span { return clock.Span(p.Int(1, MostWait, def)) * 1_000_000 }
+func (p Cursor) durationMs(def int) clock.Span {
+	return clock.Span(p.Int(1, MaxWaitMs, def)) * 1_000_000
+}
 
 // servers reads a service's description of its servers.
-func (h *hostReader) servers(name string, n Pen, s *Service) {
+func (h *hostReader) servers(name string, n Cursor, s *Service) {
 	for _, k := range []string{"plain", "probe", "connections", "slots", "tokens", "room", "places", "loads_per_s"} {
-		h.hostServices[name] = h.hostServices[name] || n.At(k).present
+		h.hostServices[name] = h.hostServices[name] || n.Field(k).present
 	}
-	s.Plain = n.At("plain").Bool(false)
-	s.Probe = n.At("probe").Text(n.At("probe").present, 4096)
+	s.Plain = n.Field("plain").Bool(false)
+	s.Probe = n.Field("probe").Text(n.Field("probe").present, 4096)
 	if s.Probe != "" && s.Probe[0] != '/' {
-		n.At("probe").Fault("must begin with /")
-	}
-	s.Conns = n.At("connections").Int(1, maxServerCapacity, 0)
-	s.Slots = n.At("slots").Int(1, maxServerCapacity, 0)
-	s.Tokens = n.At("tokens").Int(1, maxServerCapacity, 0)
-	s.Room = n.At("room").Int(1, maxServerCapacity, 0)
-	s.Places = n.At("places").Int(1, maxServerCapacity, 0)
-	s.Loads = n.At("loads_per_s").Number(0, maxLoadRate, 0)
+		n.Field("probe").Fault("must begin with /")
+	}
+	s.MaxConnections = n.Field("connections").Int(1, maxServerCapacity, 0)
+	s.MaxRunning = n.Field("slots").Int(1, maxServerCapacity, 0)
+	s.TokenCapacity = n.Field("tokens").Int(1, maxServerCapacity, 0)
+	s.WeightCapacity = n.Field("room").Int(1, maxServerCapacity, 0)
+	s.AdapterCapacity = n.Field("places").Int(1, maxServerCapacity, 0)
+	s.LoadRate = n.Field("loads_per_s").Number(0, maxLoadRate, 0)
 	if !s.Plain {
 		return
 	}
 	for _, k := range []string{"models", "adapters", "tokens", "room", "places", "loads_per_s"} {
-		if n.At(k).present {
-			n.At(k).Fault("not allowed for a plain service, which has no models")
+		if n.Field(k).present {
+			n.Field(k).Fault("not allowed for a plain service, which has no models")
 		}
 	}
 }
 
 // route reads a route selected by host and path prefix.
-func (h *hostReader) route(name string, n Pen) {
-	n.Only("host", "prefix", "service", "split", "mode", "resume", "tries", "value", "wait_ms", "aim_ms", "pause_ms", "quit_ms", "model_optional", "unkeyed")
+func (h *hostReader) route(name string, n Cursor) {
+	n.RejectUnknown("host", "prefix", "service", "split", "mode", "resume", "tries", "value", "wait_ms", "aim_ms", "pause_ms", "quit_ms", "model_optional", "unkeyed")
 	r := &Route{
-		Name: name, Host: n.At("host").Text(true, 255), Prefix: n.At("prefix").Text(true, 4096), Mode: Once,
-		Resume: n.At("resume").Bool(false), Tries: n.At("tries").Int(1, maxAttempts, 1),
+		Name: name, Host: n.Field("host").Text(true, 255), Prefix: n.Field("prefix").Text(true, 4096), Mode: Once,
+		Resume: n.Field("resume").Bool(false), MaxAttempts: n.Field("tries").Int(1, maxAttempts, 1),
 		Class: Class{
-			Value: n.At("value").Int(0, 1_000_000, 1), Wait: n.At("wait_ms").durationMs(10_000),
-			Aim: n.At("aim_ms").durationMs(0), Pause: n.At("pause_ms").durationMs(0), Quit: n.At("quit_ms").durationMs(0),
+			Value: n.Field("value").Int(0, 1_000_000, 1), MaxWait: n.Field("wait_ms").durationMs(10_000),
+			TargetLatency: n.Field("aim_ms").durationMs(0), TargetGap: n.Field("pause_ms").durationMs(0), GiveUpAfter: n.Field("quit_ms").durationMs(0),
 		},
-		ModelOptional: n.At("model_optional").Bool(false),
-		Unkeyed:       n.At("unkeyed").Bool(false),
+		ModelOptional: n.Field("model_optional").Bool(false),
+		Unkeyed:       n.Field("unkeyed").Bool(false),
 	}
 	if r.Host != strings.ToLower(r.Host) || strings.ContainsAny(r.Host, ":/ ") {
-		n.At("host").Fault("must be a lower-case host name without a port")
+		n.Field("host").Fault("must be a lower-case host name without a port")
 	}
 	if r.Prefix != "" && (r.Prefix[0] != '/' || !strings.HasSuffix(r.Prefix, "/")) {
-		n.At("prefix").Fault("must begin and end with /")
+		n.Field("prefix").Fault("must begin and end with /")
 	}
-	if m := n.At("mode"); m.present {
+	if m := n.Field("mode"); m.present {
 		if r.Mode = m.Text(true, 128); r.Mode != "" && !modes[r.Mode] {
 			m.Fault("must be once, idempotent or continuous")
 		}
 	}
 	if r.Mode != Continuous {
 		if r.Resume {
-			n.At("resume").Fault("only continuous routes can resume a stream")
+			n.Field("resume").Fault("only continuous routes can resume a stream")
 		}
-		if r.Class.Pause > 0 {
-			n.At("pause_ms").Fault("only continuous routes have a limit on pauses between events")
+		if r.Class.TargetGap > 0 {
+			n.Field("pause_ms").Fault("only continuous routes have a limit on pauses between events")
 		}
 	}
 	h.target(n, r)
@@ -124,14 +126,14 @@
 		h.plan.Hosts[r.Host] = routes
 	}
 	if existing := routes[r.Prefix]; existing != nil && r.Prefix != "" {
-		n.At("prefix").Fault(fmt.Sprintf("route %q has the same host and prefix", existing.Name))
+		n.Field("prefix").Fault(fmt.Sprintf("route %q has the same host and prefix", existing.Name))
 	}
 	routes[r.Prefix] = r
 }
 
 // target reads the target of a host route: one service, or several with weights.
-func (h *hostReader) target(n Pen, r *Route) {
-	service, split := n.At("service"), n.At("split")
+func (h *hostReader) target(n Cursor, r *Route) {
+	service, split := n.Field("service"), n.Field("split")
 	if service.present == split.present {
 		service.Fault("must have either a service or a split")
 		return
@@ -141,14 +143,14 @@
 		return
 	}
 	sum, seen := 0, map[string]bool{}
-	split.List(maxSplit, func(n Pen) {
-		n.Only("service", "weight")
-		s := Share{Service: h.service(n.At("service")), Weight: n.At("weight").Int(0, maxWeight, 0)}
-		if !n.At("weight").present {
-			n.At("weight").Fault("is required")
+	split.EachItem(maxSplit, func(n Cursor) {
+		n.RejectUnknown("service", "weight")
+		s := Share{Service: h.service(n.Field("service")), Weight: n.Field("weight").Int(0, maxWeight, 0)}
+		if !n.Field("weight").present {
+			n.Field("weight").Fault("is required")
 		}
 		if seen[s.Service] && s.Service != "" {
-			n.At("service").Fault(fmt.Sprintf("service %q is listed twice", s.Service))
+			n.Field("service").Fault(fmt.Sprintf("service %q is listed twice", s.Service))
 		}
 		seen[s.Service] = true
 		sum += s.Weight
@@ -159,7 +161,7 @@
 	}
 }
 
-func (h *hostReader) service(n Pen) string {
+func (h *hostReader) service(n Cursor) string {
 	name := n.Text(true, 128)
 	if _, ok := h.plan.Services[name]; !ok && name != "" {
 		n.Fault(fmt.Sprintf("no service named %q", name))
@@ -170,10 +172,10 @@
 
 // qualifyModels adds the service name to the model keys of host-routed services, because each of these services has
 // its own servers. A model that only such services list is kept only under their names.
-func (h *hostReader) qualifyModels(services Pen) {
+func (h *hostReader) qualifyModels(services Cursor) {
 	pathKeys, qualified := map[ident.Key]bool{}, map[ident.Key]bool{}
 	for _, name := range generic.SortedKeys(h.plan.Services) {
-		s, n := h.plan.Services[name], services.At(name)
+		s, n := h.plan.Services[name], services.Field(name)
 		if !h.hostServices[name] {
 			for k := range s.Keys {
 				pathKeys[k] = true
@@ -191,8 +193,8 @@
 			keys[ident.ServiceKey(name)] = true
 		} else {
 			for _, k := range []string{"room", "loads_per_s"} {
-				if !n.At(k).present {
-					n.At(k).Fault("is required: without it, no model could be loaded")
+				if !n.Field(k).present {
+					n.Field(k).Fault("is required: without it, no model could be loaded")
 				}
 			}
 		}
@@ -205,10 +207,10 @@
 				n.Fault(fmt.Sprintf("%q: model names of a host-routed service must not contain |", k))
 			}
 			if !s.Keys[k.Base()] {
-				n.At("adapters").Fault(fmt.Sprintf("%q is not one of the service's models", k.Base()))
+				n.Field("adapters").Fault(fmt.Sprintf("%q is not one of the service's models", k.Base()))
 			}
 			qualified[k] = true
-			model.Key = k.In(name)
+			model.Key = k.InService(name)
 			h.plan.Models[model.Key], keys[model.Key] = model, true
 		}
 		s.Keys = keys
--- a/internal/fleetplan/hosts_test.go
+++ b/internal/fleetplan/hosts_test.go
@@ -28,9 +28,9 @@
 	p, f := ReadPlan([]byte(validHostPlan))
 	require.Nil(t, f)
 	const ms = time.Millisecond
-	m := Model{Size: 4, Floor: 1, Most: 2, Load: 950 * ms}
-	a := Model{Size: 1, Most: 1000}
-	n := Model{Size: 3, Most: 1000}
+	m := Model{Size: 4, MinReplicas: 1, MaxReplicas: 2, LoadTime: 950 * ms}
+	a := Model{Size: 1, MaxReplicas: 1000}
+	n := Model{Size: 3, MaxReplicas: 1000}
 	want := map[ident.Key]Model{}
 	for k, x := range map[ident.Key]Model{"m": m, "n": n, "m+a": a, "s|m": m, "s|m+a": a} {
 		x.Key = k
@@ -38,16 +38,16 @@
 	}
 	require.Equal(t, want, p.Models)
 	require.Equal(t, map[string]Service{
-		"s": {Keys: map[ident.Key]bool{"s|m": true, "s|m+a": true}, Probe: "/well", Conns: 9, Slots: 6, Tokens: 500, Room: 8, Places: 3, Loads: 2.5},
-		"t": {Keys: map[ident.Key]bool{"t|": true}, Plain: true, Slots: 2},
+		"s": {Keys: map[ident.Key]bool{"s|m": true, "s|m+a": true}, Probe: "/well", MaxConnections: 9, MaxRunning: 6, TokenCapacity: 500, WeightCapacity: 8, AdapterCapacity: 3, LoadRate: 2.5},
+		"t": {Keys: map[ident.Key]bool{"t|": true}, Plain: true, MaxRunning: 2},
 		"u": {Keys: map[ident.Key]bool{"m": true, "n": true, "m+a": true}},
 	}, p.Services)
 	require.Equal(t, map[string]Route{"/r": {Service: "u", Kinds: map[string]bool{"k": true}}}, p.Routes)
 	require.Equal(t, map[string]map[string]*Route{"h.example": {
-		"/a/": {Name: "one", Host: "h.example", Prefix: "/a/", Service: "s", Mode: Continuous, Resume: true, Tries: 2,
-			Class: Class{Value: 7, Wait: 4000 * ms, Aim: 600 * ms, Pause: 400 * ms, Quit: 3200 * ms}},
-		"/a/b/": {Name: "two", Host: "h.example", Prefix: "/a/b/", Mode: Once, Tries: 1,
-			Split: []Share{{"t", 3}, {"s", 1}}, Class: Class{Value: 1, Wait: 10_000 * ms}},
+		"/a/": {Name: "one", Host: "h.example", Prefix: "/a/", Service: "s", Mode: Continuous, Resume: true, MaxAttempts: 2,
+			Class: Class{Value: 7, MaxWait: 4000 * ms, TargetLatency: 600 * ms, TargetGap: 400 * ms, GiveUpAfter: 3200 * ms}},
+		"/a/b/": {Name: "two", Host: "h.example", Prefix: "/a/b/", Mode: Once, MaxAttempts: 1,
+			Split: []Share{{"t", 3}, {"s", 1}}, Class: Class{Value: 1, MaxWait: 10_000 * ms}},
 	}}, p.Hosts)
 }
 
@@ -86,7 +86,7 @@
 		{"h.example", "/r", "m", "", "", "", failure.NoRoute},
 		{"x.example", "/a/x", "m", "", "", "", failure.NoRoute},
 	} {
-		m, why := p.Match(Query{ID: "1", Host: c.host, Path: c.path, Base: c.base, Extra: c.extra})
+		m, why := p.Match(Query{ID: "1", Host: c.host, Path: c.path, Model: c.base, Adapter: c.extra})
 		require.Equal(t, c.why, why, fmt.Sprint(c))
 		require.Equal(t, c.key, m.Key, fmt.Sprint(c))
 		if c.route != "" {
@@ -95,7 +95,7 @@
 	}
 	chosen := map[ident.Key]int{}
 	for i := range 400 {
-		m, why := p.Match(Query{ID: fmt.Sprint(i), Host: "h.example", Path: "/a/b/c", Base: "m"})
+		m, why := p.Match(Query{ID: fmt.Sprint(i), Host: "h.example", Path: "/a/b/c", Model: "m"})
 		require.Equal(t, failure.None, why)
 		require.Equal(t, "two", m.Route.Name)
 		chosen[m.Key]++
@@ -185,14 +185,14 @@
 	p, f := ReadPlan(raw)
 	require.Nil(t, f)
 	require.Equal(t, []ident.Key{"engines|grouper-s", "engines|triage-m", "engines|triage-m+acme"}, generic.SortedKeys(p.Models))
-	require.Equal(t, 2.6, p.Services["engines"].Loads)
-	m, why := p.Match(Query{ID: "1", Host: "notes.example", Path: "/triage/tags/7", Base: "triage-m", Extra: "acme"})
+	require.Equal(t, 2.6, p.Services["engines"].LoadRate)
+	m, why := p.Match(Query{ID: "1", Host: "notes.example", Path: "/triage/tags/7", Model: "triage-m", Adapter: "acme"})
 	require.Equal(t, failure.None, why)
 	require.Equal(t, ident.Key("engines|triage-m+acme"), m.Key)
 	require.Equal(t, "tags", m.Route.Name)
 	m, why = p.Match(Query{ID: "1", Host: "notes.example", Path: "/receipts/7"})
 	require.Equal(t, failure.None, why)
-	require.True(t, m.Key.Plain())
+	require.True(t, m.Key.IsWholeService())
 }
 
 func FuzzReadPlan(f *testing.F) {
@@ -209,15 +209,15 @@
 		}
 		for _, l := range p.Hosts {
 			for _, r := range l {
-				require.Positive(t, r.Tries)
-				require.Positive(t, r.Class.Wait)
+				require.Positive(t, r.MaxAttempts)
+				require.Positive(t, r.Class.MaxWait)
 				require.Contains(t, p.Services, r.chooseService("1"))
 			}
 		}
 		for name, s := range p.Services {
 			require.NotEmpty(t, s.Keys)
 			for k := range s.Keys {
-				require.True(t, k.Plain() || p.Models[k].Key == k)
+				require.True(t, k.IsWholeService() || p.Models[k].Key == k)
 				require.True(t, !s.Plain || k.Service() == name)
 			}
 		}
--- a/internal/fleetplan/match_test.go
+++ b/internal/fleetplan/match_test.go
@@ -41,7 +41,7 @@
 		{"i", "/v1/x", "other"}, {"i", "/v2/x", ""}, {"i", "/", ""}, {"j", "/v1/x", ""}, {"H", "/v1/x", ""},
 	} {
 		got := ""
-		if r := p.Find(c.host, c.path); r != nil {
+		if r := p.FindRoute(c.host, c.path); r != nil {
 			got = r.Name
 		}
 		require.Equal(t, c.route, got, "%+v", c)
@@ -58,17 +58,17 @@
 		why  failure.Kind
 	}{
 		{"plain service, no model", Query{Host: "h", Path: "/x"}, "web|", failure.None},
-		{"plain service, with a model", Query{Host: "h", Path: "/x", Base: "m"}, "web|", failure.None},
-		{"model", Query{Host: "h", Path: "/v1/x", Base: "m"}, "llm|m", failure.None},
-		{"adapter", Query{Host: "h", Path: "/v1/x", Base: "m", Extra: "a"}, "llm|m+a", failure.None},
-		{"unknown model", Query{Host: "h", Path: "/v1/x", Base: "n"}, "", failure.NoModel},
-		{"unknown adapter", Query{Host: "h", Path: "/v1/x", Base: "m", Extra: "b"}, "", failure.NoModel},
+		{"plain service, with a model", Query{Host: "h", Path: "/x", Model: "m"}, "web|", failure.None},
+		{"model", Query{Host: "h", Path: "/v1/x", Model: "m"}, "llm|m", failure.None},
+		{"adapter", Query{Host: "h", Path: "/v1/x", Model: "m", Adapter: "a"}, "llm|m+a", failure.None},
+		{"unknown model", Query{Host: "h", Path: "/v1/x", Model: "n"}, "", failure.NoModel},
+		{"unknown adapter", Query{Host: "h", Path: "/v1/x", Model: "m", Adapter: "b"}, "", failure.NoModel},
 		{"no model", Query{Host: "h", Path: "/v1/x"}, "", failure.NoModel},
 		{"no model, model optional", Query{Host: "h", Path: "/any/x"}, "llm|", failure.None},
-		{"model, model optional", Query{Host: "h", Path: "/any/x", Base: "m", Extra: "a"}, "llm|m+a", failure.None},
-		{"unknown model, model optional", Query{Host: "h", Path: "/any/x", Base: "n"}, "", failure.NoModel},
-		{"adapter without a model, model optional", Query{Host: "h", Path: "/any/x", Extra: "a"}, "", failure.NoModel},
-		{"unknown host", Query{Host: "j", Path: "/v1/x", Base: "m"}, "", failure.NoRoute},
+		{"model, model optional", Query{Host: "h", Path: "/any/x", Model: "m", Adapter: "a"}, "llm|m+a", failure.None},
+		{"unknown model, model optional", Query{Host: "h", Path: "/any/x", Model: "n"}, "", failure.NoModel},
+		{"adapter without a model, model optional", Query{Host: "h", Path: "/any/x", Adapter: "a"}, "", failure.NoModel},
+		{"unknown host", Query{Host: "j", Path: "/v1/x", Model: "m"}, "", failure.NoRoute},
 		{"unknown path", Query{Host: "i", Path: "/x"}, "", failure.NoRoute},
 	} {
 		m, why := p.Match(c.q)
@@ -76,7 +76,7 @@
 		require.Equal(t, c.key, m.Key, c.name)
 		if why == failure.None {
 			require.Equal(t, 7, m.Class.Value, c.name)
-			require.Equal(t, p.Find(c.q.Host, c.q.Path), m.Route, c.name)
+			require.Equal(t, p.FindRoute(c.q.Host, c.q.Path), m.Route, c.name)
 		}
 	}
 }
--- a/internal/fleetplan/plan.go
+++ b/internal/fleetplan/plan.go
@@ -14,43 +14,43 @@
 // Limits for plans and requests: bytes of a plan and of a request body, wait in milliseconds, size of a model, and
 // tokens of an answer.
 const (
-	MostPlan        = 4 << 20
-	MostBody        = 1 << 20
-	MostWait        = 600_000
+	MaxPlanBytes    = 4 << 20
+	MaxBodyBytes    = 1 << 20
+	MaxWaitMs       = 600_000
 	maxModelSize    = 1_000_000
 	maxAnswerTokens = 100_000
 )
 
 // Model is a base model or an adapter.
 type Model struct {
-	Key   ident.Key
-	Size  int
-	Floor int        // minimum number of ready replicas
-	Most  int        // maximum number of replicas
-	Load  clock.Span // load time at full rate; 0 if unknown
+	Key         ident.Key
+	Size        int
+	MinReplicas int        // minimum number of ready replicas
+	MaxReplicas int        // maximum number of replicas
+	LoadTime    clock.Span // load time at full rate; 0 if unknown
 }
 
 // Class is a class of requests: their value and their time limits.
 type Class struct {
-	Value int
-	Wait  clock.Span
-	Aim   clock.Span // an answer that begins within this time has the highest value; 0 if unset
-	Pause clock.Span // likewise for the time between two events; 0 if unset
-	Quit  clock.Span // callers give up if an answer has not begun within this time; 0 if unset
+	Value         int
+	MaxWait       clock.Span
+	TargetLatency clock.Span // an answer that begins within this time has the highest value; 0 if unset
+	TargetGap     clock.Span // likewise for the time between two events; 0 if unset
+	GiveUpAfter   clock.Span // callers give up if an answer has not begun within this time; 0 if unset
 }
 
 // Service is the target of a route, with the keys that requests may use. A plain service has servers without models;
 // the servers of any other service are identical.
 type Service struct {
-	Keys   map[ident.Key]bool
-	Plain  bool
-	Probe  string  // path of the health check
-	Conns  int     // connections that one server accepts, from all callers together
-	Slots  int     // concurrent requests of one server
-	Tokens int     // token capacity shared by running requests and cached prompts
-	Room   int     // capacity for weights, in the unit of model sizes
-	Places int     // number of adapters that one server can hold
-	Loads  float64 // loads per second that the store supports, over all servers of the service
+	Keys            map[ident.Key]bool
+	Plain           bool
+	Probe           string  // path of the health check
+	MaxConnections  int     // connections that one server accepts, from all callers together
+	MaxRunning      int     // concurrent requests of one server
+	TokenCapacity   int     // token capacity shared by running requests and cached prompts
+	WeightCapacity  int     // capacity for weights, in the unit of model sizes
+	AdapterCapacity int     // number of adapters that one server can hold
+	LoadRate        float64 // loads per second that the store supports, over all servers of the service
 }
 
 // Modes of a route: whether requests may be repeated, and how answers are delivered.
@@ -72,14 +72,14 @@
 	Service string
 	Kinds   map[string]bool
 
-	Name   string
-	Host   string
-	Prefix string
-	Mode   string
-	Resume bool // a stream may be resumed on another server
-	Class  Class
-	Tries  int // servers to which one request may be sent
-	Split  []Share
+	Name        string
+	Host        string
+	Prefix      string
+	Mode        string
+	Resume      bool // a stream may be resumed on another server
+	Class       Class
+	MaxAttempts int // servers to which one request may be sent
+	Split       []Share
 
 	// ModelOptional allows requests without a model; these may go to any server of a service with models.
 	ModelOptional bool
@@ -90,17 +90,17 @@
 
 // Plan is a validated fleet plan.
 type Plan struct {
-	Name     string
-	Loads    int // concurrent loads that the weight store supports
-	Models   map[ident.Key]Model
-	Kinds    map[string]Class
-	Services map[string]Service
-	Routes   map[string]Route
-	Hosts    map[string]map[string]*Route // by host and prefix
-	Idle     clock.Span                   // idle timeout of callers' connections; 0 if unset
-	HeadMost int                          // maximum bytes of a request's header; 0 if unset
-	BodyMost int                          // maximum bytes of a request's body; 0 if unset
-	HeadWait clock.Span                   // timeout for reading a request's header; 0 if unset
+	Name            string
+	ConcurrentLoads int // concurrent loads that the weight store supports
+	Models          map[ident.Key]Model
+	Kinds           map[string]Class
+	Services        map[string]Service
+	Routes          map[string]Route
+	Hosts           map[string]map[string]*Route // by host and prefix
+	IdleTimeout     clock.Span                   // idle timeout of callers' connections; 0 if unset
+	MaxHeaderBytes  int                          // maximum bytes of a request's header; 0 if unset
+	MaxBodyBytes    int                          // maximum bytes of a request's body; 0 if unset
+	HeaderTimeout   clock.Span                   // timeout for reading a request's header; 0 if unset
 
 	tenants *Tenants // nil if the plan has no tenants and requires no keys
 	ranks   map[int]int
@@ -129,7 +129,7 @@
 
 // Query contains the attributes of a request that determine its route and its tenant.
 type Query struct {
-	ID, Host, Path, Kind, Base, Extra string
+	ID, Host, Path, Kind, Model, Adapter string
 
 	Credential Credential
 }
@@ -140,8 +140,8 @@
 	Class Class
 	Route *Route // the matched host route; nil for path routes
 
-	Keyed  bool   // the plan has tenants: the caller's key must not be forwarded
-	Tenant string // name of the tenant; empty if none
+	HasTenants bool   // the plan has tenants: the caller's key must not be forwarded
+	Tenant     string // name of the tenant; empty if none
 }
 
 // Match routes a request according to the plan.
@@ -149,7 +149,7 @@
 	if query.Host == "" {
 		return p.matchPath(query)
 	}
-	r := p.Find(query.Host, query.Path)
+	r := p.FindRoute(query.Host, query.Path)
 	if r == nil {
 		return Match{}, failure.NoRoute
 	}
@@ -159,11 +159,11 @@
 	}
 	name := r.chooseService(query.ID)
 	s := p.Services[name]
-	if s.Plain || r.ModelOptional && query.Base == "" && query.Extra == "" {
+	if s.Plain || r.ModelOptional && query.Model == "" && query.Adapter == "" {
 		m.Key = ident.ServiceKey(name)
 		return m, failure.None
 	}
-	key := ident.KeyOf(query.Base, query.Extra).In(name)
+	key := ident.NewKey(query.Model, query.Adapter).InService(name)
 	if !s.Keys[key] {
 		return m, failure.NoModel
 	}
@@ -181,12 +181,12 @@
 	if !p.authorize(&m, query.Credential, r.Unkeyed) {
 		return m, failure.NoKey
 	}
-	m.Key, _, why = p.Allows(query.Path, query.Kind, query.Base, query.Extra)
+	m.Key, _, why = p.Allows(query.Path, query.Kind, query.Model, query.Adapter)
 	return m, why
 }
 
 // FindRoute returns the route of a host with the longest prefix that matches the path.
-func (p *Plan) Find(host, path string) *Route {
+func (p *Plan) FindRoute(host, path string) *Route {
 	routes := p.Hosts[host]
 	if routes == nil {
 		return nil
@@ -230,60 +230,60 @@
 
 // ReadPlan parses and validates a plan. With any fault it returns no plan.
 func ReadPlan(raw []byte) (*Plan, Faults) {
-	if len(raw) > MostPlan {
-		return nil, Faults{{"$", fmt.Sprintf("plan exceeds %d bytes", MostPlan)}}
+	if len(raw) > MaxPlanBytes {
+		return nil, Faults{{"$", fmt.Sprintf("plan exceeds %d bytes", MaxPlanBytes)}}
 	}
-	p, faults := Open(raw)
+	p, faults := ParseJSON(raw)
 	if len(*faults) > 0 && !p.present {
 		return nil, *faults
 	}
 	plan := &Plan{Models: map[ident.Key]Model{}, Kinds: map[string]Class{}, Services: map[string]Service{}, Routes: map[string]Route{}}
-	p.Only("name", "store", "models", "adapters", "kinds", "services", "routes", "tenants")
-	plan.Name = p.At("name").Text(true, 128)
-	plan.Loads = p.At("store").Only("loads").At("loads").Int(1, 1000, 2)
+	p.RejectUnknown("name", "store", "models", "adapters", "kinds", "services", "routes", "tenants")
+	plan.Name = p.Field("name").Text(true, 128)
+	plan.ConcurrentLoads = p.Field("store").RejectUnknown("loads").Field("loads").Int(1, 1000, 2)
 	for _, s := range []string{"models", "kinds", "services", "routes"} {
-		if !p.At(s).present {
-			p.At(s).Fault("is required")
+		if !p.Field(s).present {
+			p.Field(s).Fault("is required")
 		}
 	}
-	p.At("models").Keys(func(k string, n Pen) {
+	p.Field("models").EachKey(func(k string, n Cursor) {
 		if strings.Contains(k, "+") {
 			n.Fault("a model's name must not contain +")
 			return
 		}
-		n.Only("size", "floor", "most", "load_ms")
+		n.RejectUnknown("size", "floor", "most", "load_ms")
 		m := readModel(n, ident.Key(k))
-		m.Load = n.At("load_ms").durationMs(0)
+		m.LoadTime = n.Field("load_ms").durationMs(0)
 		plan.Models[m.Key] = m
 	})
 	names := map[string]ident.Key{}
-	p.At("adapters").Keys(func(k string, n Pen) {
-		n.Only("base", "size", "floor", "most")
-		base := n.At("base").Text(true, 128)
+	p.Field("adapters").EachKey(func(k string, n Cursor) {
+		n.RejectUnknown("base", "size", "floor", "most")
+		base := n.Field("base").Text(true, 128)
 		if base == "" {
 			return
 		}
 		if _, ok := plan.Models[ident.Key(base)]; !ok {
-			n.At("base").Fault(fmt.Sprintf("no model named %q", base))
+			n.Field("base").Fault(fmt.Sprintf("no model named %q", base))
 			return
 		}
-		key := ident.KeyOf(base, k)
+		key := ident.NewKey(base, k)
 		names[k] = key
 		plan.Models[key] = readModel(n, key)
 	})
-	p.At("kinds").Keys(func(k string, n Pen) {
-		n.Only("value", "wait_ms")
+	p.Field("kinds").EachKey(func(k string, n Cursor) {
+		n.RejectUnknown("value", "wait_ms")
 		plan.Kinds[k] = Class{
-			Value: n.At("value").Int(0, 1_000_000, 1),
-			Wait:  clock.Span(n.At("wait_ms").Int(1, MostWait, 10_000)) * 1_000_000,
+			Value:   n.Field("value").Int(0, 1_000_000, 1),
+			MaxWait: clock.Span(n.Field("wait_ms").Int(1, MaxWaitMs, 10_000)) * 1_000_000,
 		}
 	})
 	hosts := newHostReader(plan)
-	p.At("services").Keys(func(k string, n Pen) {
-		n.Only("models", "adapters", "plain", "probe", "connections", "slots", "tokens", "room", "places", "loads_per_s")
+	p.Field("services").EachKey(func(k string, n Cursor) {
+		n.RejectUnknown("models", "adapters", "plain", "probe", "connections", "slots", "tokens", "room", "places", "loads_per_s")
 		s := Service{Keys: map[ident.Key]bool{}}
 		hosts.servers(k, n, &s)
-		n.At("models").List(100_000, func(n Pen) {
+		n.Field("models").EachItem(100_000, func(n Cursor) {
 			if m := ident.Key(n.Text(true, 128)); m != "" {
 				if _, ok := plan.Models[m]; !ok || m.IsAdapter() {
 					n.Fault(fmt.Sprintf("no model named %q", m))
@@ -291,7 +291,7 @@
 				s.Keys[m] = true
 			}
 		})
-		n.At("adapters").List(100_000, func(n Pen) {
+		n.Field("adapters").EachItem(100_000, func(n Cursor) {
 			if a := n.Text(true, 128); a != "" {
 				key, ok := names[a]
 				if !ok {
@@ -305,15 +305,15 @@
 		}
 		plan.Services[k] = s
 	})
-	p.At("routes").Keys(func(k string, n Pen) {
+	p.Field("routes").EachKey(func(k string, n Cursor) {
 		if isHostRoute(n) {
 			hosts.route(k, n)
 			return
 		}
 		plan.Routes[k] = hosts.pathRoute(k, n)
 	})
-	hosts.qualifyModels(p.At("services"))
-	if n := p.At("tenants"); n.present {
+	hosts.qualifyModels(p.Field("services"))
+	if n := p.Field("tenants"); n.present {
 		plan.SetTenants(readTenants(n))
 	}
 	if len(*faults) > 0 {
@@ -323,16 +323,16 @@
 }
 
 // pathRoute reads a route that is selected by its full path.
-func (h *hostReader) pathRoute(path string, n Pen) Route {
-	n.Only("service", "kinds", "unkeyed")
+func (h *hostReader) pathRoute(path string, n Cursor) Route {
+	n.RejectUnknown("service", "kinds", "unkeyed")
 	if !strings.HasPrefix(path, "/") {
 		n.Fault("a route must begin with /")
 	}
-	r := Route{Service: n.At("service").Text(true, 128), Kinds: map[string]bool{}, Unkeyed: n.At("unkeyed").Bool(false)}
+	r := Route{Service: n.Field("service").Text(true, 128), Kinds: map[string]bool{}, Unkeyed: n.Field("unkeyed").Bool(false)}
 	if _, ok := h.plan.Services[r.Service]; !ok && r.Service != "" {
-		n.At("service").Fault(fmt.Sprintf("no service named %q", r.Service))
+		n.Field("service").Fault(fmt.Sprintf("no service named %q", r.Service))
 	}
-	n.At("kinds").List(1000, func(n Pen) {
+	n.Field("kinds").EachItem(1000, func(n Cursor) {
 		if kind := n.Text(true, 128); kind != "" {
 			if _, ok := h.plan.Kinds[kind]; !ok {
 				n.Fault(fmt.Sprintf("no kind named %q", kind))
@@ -341,19 +341,19 @@
 		}
 	})
 	if len(r.Kinds) == 0 {
-		n.At("kinds").Fault("a route must list at least one kind")
+		n.Field("kinds").Fault("a route must list at least one kind")
 	}
 	h.pathServices[r.Service] = true
 	return r
 }
 
-func readModel(n Pen, k ident.Key) Model {
-	m := Model{Key: k, Size: n.At("size").Int(1, maxModelSize, 1), Floor: n.At("floor").Int(0, 1000, 0), Most: n.At("most").Int(1, 1000, 1000)}
-	if !n.At("size").present {
-		n.At("size").Fault("is required")
+func readModel(n Cursor, k ident.Key) Model {
+	m := Model{Key: k, Size: n.Field("size").Int(1, maxModelSize, 1), MinReplicas: n.Field("floor").Int(0, 1000, 0), MaxReplicas: n.Field("most").Int(1, 1000, 1000)}
+	if !n.Field("size").present {
+		n.Field("size").Fault("is required")
 	}
-	if m.Most < m.Floor {
-		n.At("most").Fault("is less than floor")
+	if m.MaxReplicas < m.MinReplicas {
+		n.Field("most").Fault("is less than floor")
 	}
 	return m
 }
@@ -364,7 +364,7 @@
 	if !ok {
 		return "", Class{}, failure.NoRoute
 	}
-	key := ident.KeyOf(base, extra)
+	key := ident.NewKey(base, extra)
 	if strings.Contains(base, "+") || !p.Services[r.Service].Keys[key] {
 		return "", Class{}, failure.NoModel
 	}
@@ -375,59 +375,59 @@
 }
 
 // Request is a caller's request.
-type Call struct {
-	ID     string
-	Base   string
-	Extra  string
-	Kind   string
-	Parts  []string
-	Prompt string
-	Max    int
-	Wait   clock.Span // remaining time to wait; 0 selects the limit of the request's kind
-	Again  bool       // running the request twice is harmless
-	Repeat bool       // the request repeats an earlier one
-	Host   string     // host that the request was sent to, for host routes
-	Tokens int        // number of prompt tokens, if known
-	Sizes  []int      // number of tokens of each part, if known
-	Seen   uint64     // resumes a stream after the event with this number
+type Request struct {
+	ID           string
+	Model        string
+	Adapter      string
+	Kind         string
+	Parts        []string
+	Prompt       string
+	MaxTokens    int
+	Horizon      clock.Span // remaining time to wait; 0 selects the limit of the request's kind
+	Repeatable   bool       // running the request twice is harmless
+	Repeat       bool       // the request repeats an earlier one
+	Host         string     // host that the request was sent to, for host routes
+	PromptTokens int        // number of prompt tokens, if known
+	PartTokens   []int      // number of tokens of each part, if known
+	LastEvent    uint64     // resumes a stream after the event with this number
 
 	Credential Credential // the key that the caller presented
 }
 
 // Query returns the attributes of the call that determine its route.
-func (r Call) Query(path string) Query {
-	return Query{ID: r.ID, Host: r.Host, Path: path, Kind: r.Kind, Base: r.Base, Extra: r.Extra, Credential: r.Credential}
+func (r Request) Query(path string) Query {
+	return Query{ID: r.ID, Host: r.Host, Path: path, Kind: r.Kind, Model: r.Model, Adapter: r.Adapter, Credential: r.Credential}
 }
 
 // ReadRequest parses and validates a caller's request.
-func ReadCall(raw []byte) (Call, Faults) {
-	p, faults := Open(raw)
+func ReadRequest(raw []byte) (Request, Faults) {
+	p, faults := ParseJSON(raw)
 	if len(*faults) > 0 && !p.present {
-		return Call{}, *faults
-	}
-	p.Only("id", "model", "adapter", "kind", "parts", "prompt", "max_tokens", "horizon_ms", "repeatable", "repeat")
-	call := Call{
-		ID:     p.At("id").Text(true, 128),
-		Base:   p.At("model").Text(true, 128),
-		Extra:  p.At("adapter").Text(false, 128),
-		Kind:   p.At("kind").Text(true, 128),
-		Prompt: p.At("prompt").Text(false, MostBody),
-		Max:    p.At("max_tokens").Int(1, maxAnswerTokens, 64),
-		Wait:   clock.Span(p.At("horizon_ms").Int(-MostWait, MostWait, 0)) * 1_000_000,
-		Again:  p.At("repeatable").Bool(false),
-		Repeat: p.At("repeat").Bool(false),
-	}
-	if p.At("horizon_ms").present && call.Wait <= 0 {
-		call.Wait = -1
-	}
-	p.At("parts").List(64, func(n Pen) { call.Parts = append(call.Parts, n.Text(true, MostBody)) })
+		return Request{}, *faults
+	}
+	p.RejectUnknown("id", "model", "adapter", "kind", "parts", "prompt", "max_tokens", "horizon_ms", "repeatable", "repeat")
+	call := Request{
+		ID:         p.Field("id").Text(true, 128),
+		Model:      p.Field("model").Text(true, 128),
+		Adapter:    p.Field("adapter").Text(false, 128),
+		Kind:       p.Field("kind").Text(true, 128),
+		Prompt:     p.Field("prompt").Text(false, MaxBodyBytes),
+		MaxTokens:  p.Field("max_tokens").Int(1, maxAnswerTokens, 64),
+		Horizon:    clock.Span(p.Field("horizon_ms").Int(-MaxWaitMs, MaxWaitMs, 0)) * 1_000_000,
+		Repeatable: p.Field("repeatable").Bool(false),
+		Repeat:     p.Field("repeat").Bool(false),
+	}
+	if p.Field("horizon_ms").present && call.Horizon <= 0 {
+		call.Horizon = -1
+	}
+	p.Field("parts").EachItem(64, func(n Cursor) { call.Parts = append(call.Parts, n.Text(true, MaxBodyBytes)) })
 	if p.value != nil {
 		if _, ok := p.value.(map[string]any); !ok {
 			p.Fault("must be an object")
 		}
 	}
 	if len(*faults) > 0 {
-		return Call{}, *faults
+		return Request{}, *faults
 	}
 	return call, nil
 }
--- a/internal/fleetplan/tenants.go
+++ b/internal/fleetplan/tenants.go
@@ -88,21 +88,21 @@
 )
 
 // readTenants reads tenants by name, with the keys and the precedence of each. No fault contains a key.
-func readTenants(p Pen) *Tenants {
+func readTenants(p Cursor) *Tenants {
 	t := NewTenants()
-	p.Keys(func(name string, n Pen) {
-		n.Only("keys", "precedence")
+	p.EachKey(func(name string, n Cursor) {
+		n.RejectUnknown("keys", "precedence")
 		if !ValidTenantName(name) {
 			n.Fault("a tenant's name must not contain control characters or have leading or trailing spaces")
 		}
-		t.Add(Tenant{Name: name, Precedence: n.At("precedence").Int(0, maxPrecedence, 0)})
-		n.At("keys").List(maxTenantKeys, func(n Pen) {
+		t.Add(Tenant{Name: name, Precedence: n.Field("precedence").Int(0, maxPrecedence, 0)})
+		n.Field("keys").EachItem(maxTenantKeys, func(n Cursor) {
 			key := n.Text(true, maxKeyBytes)
 			if key == "" {
 				return
 			}
-			if other, ok := t.Grant(name, key); !ok {
-				n.Fault(SharedKey(other))
+			if other, ok := t.AddKey(name, key); !ok {
+				n.Fault(SharedKeyFault(other))
 			}
 		})
 	})
@@ -110,7 +110,7 @@
 }
 
 // SharedKeyFault returns the fault text for a key that another tenant has, without the key itself.
-func SharedKey(other string) string { return fmt.Sprintf("is also a key of tenant %q", other) }
+func SharedKeyFault(other string) string { return fmt.Sprintf("is also a key of tenant %q", other) }
 
 // ValidTenantName reports whether a name can be sent to servers in a header.
 func ValidTenantName(name string) bool {
@@ -128,7 +128,7 @@
 
 // AddKey assigns a key to a tenant. If another tenant has the key, AddKey returns that tenant's name and changes
 // nothing.
-func (t *Tenants) Grant(name, key string) (other string, ok bool) {
+func (t *Tenants) AddKey(name, key string) (other string, ok bool) {
 	digest := NewCredential(key).digest
 	if holder, held := t.keyHolders[digest]; held && holder != name {
 		return holder, false
@@ -192,11 +192,11 @@
 }
 
 // HasTenants reports whether the plan has tenants. If so, callers' keys are meant for the routers only.
-func (p *Plan) Keyed() bool { return p.tenants != nil }
+func (p *Plan) HasTenants() bool { return p.tenants != nil }
 
 // TenantOf returns the name of the tenant whose key a request presents, or an empty string if the plan has no tenants
 // or the key is unknown.
-func (p *Plan) Holder(c Credential) string {
+func (p *Plan) TenantOf(c Credential) string {
 	if p.tenants == nil {
 		return ""
 	}
@@ -223,7 +223,7 @@
 		return true
 	}
 	tenant, known := p.tenants.holder(credential)
-	m.Keyed, m.Tenant = true, tenant.Name
+	m.HasTenants, m.Tenant = true, tenant.Name
 	m.Class.Value = p.tenants.requestValue(tenant, known, m.Class.Value)
 	return known || unkeyed
 }
--- a/internal/fleetplan/tenants_test.go
+++ b/internal/fleetplan/tenants_test.go
@@ -20,7 +20,7 @@
 func TestPlanTenants(t *testing.T) {
 	plan, faults := ReadPlan([]byte(tenantPlan))
 	require.Empty(t, faults)
-	require.True(t, plan.Keyed())
+	require.True(t, plan.HasTenants())
 	for _, c := range []struct {
 		name, path, host, kind, key string
 		tenant                      string
@@ -36,16 +36,16 @@
 		{"by host", "/x", "h.example", "", "k1", "acme", failure.None},
 		{"by host, without a key", "/x", "h.example", "", "", "", failure.NoKey},
 	} {
-		m, why := plan.Match(Query{ID: "1", Host: c.host, Path: c.path, Kind: c.kind, Base: "m", Credential: NewCredential(c.key)})
+		m, why := plan.Match(Query{ID: "1", Host: c.host, Path: c.path, Kind: c.kind, Model: "m", Credential: NewCredential(c.key)})
 		require.Equal(t, c.why, why, c.name)
 		require.Equal(t, c.tenant, m.Tenant, c.name)
-		require.True(t, m.Keyed, c.name)
+		require.True(t, m.HasTenants, c.name)
 	}
 	untenanted, faults := ReadPlan([]byte(tenantPlan[:strings.Index(tenantPlan, ",\n\"tenants\"")] + "}"))
 	require.Empty(t, faults)
-	m, why := untenanted.Match(Query{ID: "1", Path: "/r", Kind: "k", Base: "m"})
+	m, why := untenanted.Match(Query{ID: "1", Path: "/r", Kind: "k", Model: "m"})
 	require.Equal(t, failure.None, why)
-	require.False(t, m.Keyed)
+	require.False(t, m.HasTenants)
 }
 
 // Faults contain the path and no key.
@@ -71,7 +71,7 @@
 	for _, x := range []struct{ path, host, kind, key string }{
 		{"/x", "h.example", "", "k3"}, {"/r", "", "k", "k3"}, {"/r", "", "low", "k3"}, {"/x", "h.example", "", "k1"}, {"/r", "", "k", "k1"}, {"/open", "", "k", ""},
 	} {
-		m, why := q.Match(Query{ID: "1", Host: x.host, Path: x.path, Kind: x.kind, Base: "m", Credential: NewCredential(x.key)})
+		m, why := q.Match(Query{ID: "1", Host: x.host, Path: x.path, Kind: x.kind, Model: "m", Credential: NewCredential(x.key)})
 		require.Equal(t, failure.None, why)
 		values, ranks = append(values, m.Class.Value), append(ranks, q.Rank(m.Class.Value))
 	}
@@ -81,7 +81,7 @@
 
 // Printing a request reveals neither the key nor its digest, for any formatting verb.
 func TestCredentialsAreNotPrinted(t *testing.T) {
-	c := Call{ID: "1", Credential: NewCredential("secret-key")}
+	c := Request{ID: "1", Credential: NewCredential("secret-key")}
 	for _, verb := range []string{"%v", "%+v", "%#v", "%s"} {
 		text := fmt.Sprintf(verb, c)
 		require.NotContains(t, text, "secret")
--- a/internal/generic/generic.go
+++ b/internal/generic/generic.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// One returns 1 for true and 0 for false.
-func One(b bool) int {
+// BoolToInt returns 1 for true and 0 for false.
+func BoolToInt(b bool) int {
 	if b {
 		return 1
 	}
--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -25,7 +25,7 @@
 type Result struct {
 	Verdict    Verdict
 	Operations int
-	Why        string // reason for a verdict other than Linearizable
+	Reason     string // reason for a verdict other than Linearizable
 }
 
 // maxListed is the maximum number of operations listed with a violation.
@@ -44,11 +44,11 @@
 	case porcupine.Ok:
 		return result
 	case porcupine.Unknown:
-		result.Verdict, result.Why = Unknown, fmt.Sprintf("%d operations could not be checked within %v", len(operations), timeout)
+		result.Verdict, result.Reason = Unknown, fmt.Sprintf("%d operations could not be checked within %v", len(operations), timeout)
 		return result
 	}
 	result.Verdict = Violated
-	result.Why = explain(model, input, timeout)
+	result.Reason = explain(model, input, timeout)
 	return result
 }
 
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -15,7 +15,7 @@
 }
 
 func put(change string, expect uint64, plan string, from, to int64) Operation {
-	return Operation{Kind: Put, Node: "n", Change: change, Expect: expect, Body: []byte(plan), Invoke: from, Return: to}
+	return Operation{Kind: Put, Node: "n", Change: change, ExpectedVersion: expect, Body: []byte(plan), Invoke: from, Return: to}
 }
 
 func taken(o Operation, version uint64) Operation {
@@ -43,7 +43,7 @@
 }
 
 func numbered(o Operation, number uint64) Operation {
-	o.Number = number
+	o.AssignedVersion = number
 	return o
 }
 
@@ -53,7 +53,7 @@
 }
 
 func anyVersion(o Operation) Operation {
-	o.Any = true
+	o.AnyVersion = true
 	return o
 }
 
@@ -97,11 +97,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := Check(c.history, appendMerge, time.Minute)
 			if c.why == "" {
-				require.Equal(t, Linearizable, r.Verdict, r.Why)
+				require.Equal(t, Linearizable, r.Verdict, r.Reason)
 				return
 			}
 			require.Equal(t, Violated, r.Verdict)
-			require.Contains(t, r.Why, c.why)
+			require.Contains(t, r.Reason, c.why)
 		})
 	}
 }
@@ -115,7 +115,7 @@
 	l = append(l, read(9, "never written", 1, 2))
 	r := Check(l, appendMerge, 50*time.Millisecond)
 	require.Equal(t, Unknown, r.Verdict)
-	require.Contains(t, r.Why, "could not be checked")
+	require.Contains(t, r.Reason, "could not be checked")
 }
 
 // TestCheckStorm checks that a history with many repeats and unclear attempts is checked within the time limit. Without
@@ -132,7 +132,7 @@
 	l = append(l, read(499, "498", 5001, 5002))
 	r := Check(l, appendMerge, time.Minute)
 	require.Equal(t, Violated, r.Verdict)
-	require.Contains(t, r.Why, "a stale read of version 499")
+	require.Contains(t, r.Reason, "a stale read of version 499")
 }
 
 // TestReduce checks that an unclear attempt is merged with the confirmed one, or removed if another change replaced the
@@ -153,14 +153,14 @@
 	a := r.Invoke(put("a", 0, "one", 1, 0))
 	a.Taken(5, 1)
 	a.Unclear() // a later outcome is ignored
-	r.Invoke(put("b", 1, "two", 6, 0)).Dropped()
+	r.Invoke(put("b", 1, "two", 6, 0)).NoEffect()
 	r.Invoke(put("c", 1, "three", 7, 0)).Conflict(9, 1)
 	r.Invoke(put("d", 1, "four", 7, 0)).Invalid(9)
 	r.Invoke(put("e", 1, "five", 8, 0))
 	r.Invoke(Operation{Kind: Read, Node: "n", Invoke: 9})
 	r.Invoke(Operation{Kind: Read, Node: "n", Invoke: 9}).Answered(12, 1, []byte("one"))
 	r.Invoke(Operation{Kind: Read, Node: "n", Invoke: 9}).AnsweredBytes(13, []byte("one"))
-	l := r.History()
+	l := r.Operations()
 	require.Len(t, l, 6)
 	require.Equal(t, Taken, l[0].Outcome)
 	require.Equal(t, Unclear, l[3].Outcome)
@@ -168,7 +168,7 @@
 	require.Contains(t, l[3].String(), "unclear")
 	require.True(t, strings.Contains(l[4].String(), "version 1"))
 
-	l = Before(l, 9)
+	l = Prefix(l, 9)
 	require.Len(t, l, 4)
 	require.Equal(t, Unclear, l[1].Outcome, "the answer arrived later")
 }
--- a/internal/history/model.go
+++ b/internal/history/model.go
@@ -89,7 +89,7 @@
 		}
 		return applies && op.Version == next.version, next
 	case Conflict:
-		return !repeat && !op.Any && op.Expect != at.version && (op.VersionUnknown || op.Version == at.version), at
+		return !repeat && !op.AnyVersion && op.ExpectedVersion != at.version && (op.VersionUnknown || op.Version == at.version), at
 	case Invalid:
 		return !repeat, at
 	}
@@ -104,10 +104,10 @@
 // apply returns the state after a change, and whether the change can be confirmed.
 func (r *register) apply(at state, op Operation) (state, bool) {
 	next := state{version: at.version + 1, plan: at.plan}
-	if op.Number != 0 {
-		next.version = op.Number
+	if op.AssignedVersion != 0 {
+		next.version = op.AssignedVersion
 	}
-	if !op.Any && op.Expect != at.version || next.version <= at.version {
+	if !op.AnyVersion && op.ExpectedVersion != at.version || next.version <= at.version {
 		return at, false
 	}
 	switch op.Kind {
@@ -144,12 +144,12 @@
 		return fmt.Sprintf("change %q was confirmed as version %d and again as %d", op.Change, version, op.Version)
 	case repeat:
 		return fmt.Sprintf("change %q was confirmed as version %d, and its repeat refused", op.Change, version)
-	case op.Outcome == Taken && !op.Any && op.Expect != at.version:
-		return fmt.Sprintf("a change based on version %d was confirmed in addition to another", op.Expect)
+	case op.Outcome == Taken && !op.AnyVersion && op.ExpectedVersion != at.version:
+		return fmt.Sprintf("a change based on version %d was confirmed in addition to another", op.ExpectedVersion)
 	case op.Outcome == Taken:
 		return fmt.Sprintf("a change was confirmed as version %d out of order", op.Version)
 	}
-	if op.Expect != at.version {
+	if op.ExpectedVersion != at.version {
 		return fmt.Sprintf("a change was refused because of version %d, which is not in force", op.Version)
 	}
 	return "a change was refused as conflicting with the version that it expected"
--- a/internal/history/operation.go
+++ b/internal/history/operation.go
@@ -58,13 +58,13 @@
 
 // Operation is one request of a client to one node. Times are in nanoseconds.
 type Operation struct {
-	Kind   Kind
-	Node   string
-	Change string // id of the change; a repeat has the same id
-	Expect uint64 // the version that the change expects to be in force
-	Any    bool   // accepts any version
-	Number uint64 // the version that the client assigns to the change; zero means the next one
-	Body   []byte // the plan or the patch
+	Kind            Kind
+	Node            string
+	Change          string // id of the change; a repeat has the same id
+	ExpectedVersion uint64 // the version that the change expects to be in force
+	AnyVersion      bool   // accepts any version
+	AssignedVersion uint64 // the version that the client assigns to the change; zero means the next one
+	Body            []byte // the plan or the patch
 
 	Outcome        Outcome
 	Version        uint64 // version in the answer
@@ -83,9 +83,9 @@
 	if o.Kind == Read {
 		return fmt.Sprintf("%s read at %s: version %d, plan %s", span, o.Node, o.Version, o.Plan)
 	}
-	expects := fmt.Sprintf("on version %d", o.Expect)
-	if o.Any {
+	expects := fmt.Sprintf("on version %d", o.ExpectedVersion)
+	if o.AnyVersion {
 		expects = "on any version"
 	}
-	return fmt.Sprintf("%s %s %q at %s %s, number %d: %s, version %d", span, o.Kind, o.Change, o.Node, expects, o.Number, o.Outcome, o.Version)
+	return fmt.Sprintf("%s %s %q at %s %s, number %d: %s, version %d", span, o.Kind, o.Change, o.Node, expects, o.AssignedVersion, o.Outcome, o.Version)
 }
--- a/internal/history/recorder.go
+++ b/internal/history/recorder.go
@@ -64,13 +64,13 @@
 // Unclear records that the client will never learn the outcome.
 func (p *PendingOperation) Unclear() { p.finish(func(*Operation) {}) }
 
-// Dropped records that the client learned that the operation had no effect.
-func (p *PendingOperation) Dropped() {
+// NoEffect records that the client learned that the operation had no effect.
+func (p *PendingOperation) NoEffect() {
 	p.finish(func(*Operation) { p.noEffect = true })
 }
 
-// History returns the operations recorded so far, without those that had no effect and reads without an answer.
-func (r *Recorder) History() []Operation {
+// Operations returns the operations recorded so far, without those that had no effect and reads without an answer.
+func (r *Recorder) Operations() []Operation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var recorded []Operation
@@ -83,9 +83,9 @@
 	return recorded
 }
 
-// Before returns the prefix of a history that was known at a point in time: operations invoked later are left out, and
+// Prefix returns the prefix of a history that was known at a point in time: operations invoked later are left out, and
 // the outcome of changes that returned later is unclear.
-func Before(operations []Operation, at int64) []Operation {
+func Prefix(operations []Operation, at int64) []Operation {
 	var prefix []Operation
 	for _, o := range operations {
 		if o.Invoke >= at || o.Kind == Read && o.Return >= at {
--- a/internal/history/reduce.go
+++ b/internal/history/reduce.go
@@ -21,8 +21,8 @@
 		if j, ok := confirmedFirst[o.Change]; !ok || o.Return < operations[j].Return {
 			confirmedFirst[o.Change] = i
 		}
-		if !o.Any {
-			successors[o.Expect] = o.Change
+		if !o.AnyVersion {
+			successors[o.ExpectedVersion] = o.Change
 		}
 	}
 	var reduced []Operation
@@ -32,8 +32,8 @@
 			if confirmed && i == index {
 				o.Invoke = firstInvoke[o.Change] // any attempt may have taken effect
 			}
-			winner, replaced := successors[o.Expect]
-			lost := !o.Any && replaced && winner != o.Change
+			winner, replaced := successors[o.ExpectedVersion]
+			lost := !o.AnyVersion && replaced && winner != o.Change
 			if o.Outcome == Unclear && (confirmed || lost) {
 				continue
 			}
--- a/internal/host/fuzz_test.go
+++ b/internal/host/fuzz_test.go
@@ -95,7 +95,7 @@
 // FuzzPost passes arbitrary bytes to the receiving end of a stream between processes: the receiver must end with the
 // input and pass on only valid envelopes.
 func FuzzPost(f *testing.F) {
-	sent := sentBytes(f, protocol.Env{From: protocol.Sibling{ID: "a", Addr: "1"}, To: protocol.Sibling{ID: "b", Addr: "2"}, Body: protocol.Fetch{Round: 3}})
+	sent := sentBytes(f, protocol.Envelope{From: protocol.Peer{ID: "a", Addr: "1"}, To: protocol.Peer{ID: "b", Addr: "2"}, Body: protocol.FetchValue{Round: 3}})
 	f.Add(sent)
 	f.Add(append(append([]byte{}, sent...), sent...))
 	f.Add(sent[:len(sent)/2])
@@ -104,7 +104,7 @@
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			r := &receiver{openTimeout: 20 * time.Millisecond, onStreamOpened: func(string, time.Time) {}, deliver: func(e protocol.Env) {
+			r := &receiver{openTimeout: 20 * time.Millisecond, onStreamOpened: func(string, time.Time) {}, deliver: func(e protocol.Envelope) {
 				_, err := protocol.Pack(e)
 				require.NoError(t, err)
 			}}
@@ -122,7 +122,7 @@
 }
 
 // sentBytes returns the bytes that a process writes to a connection to send an envelope.
-func sentBytes(t testing.TB, e protocol.Env) []byte {
+func sentBytes(t testing.TB, e protocol.Envelope) []byte {
 	t.Helper()
 	local, remote := net.Pipe()
 	var mu sync.Mutex
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -39,18 +39,18 @@
 )
 
 // Now reads CLOCK_BOOTTIME, which never jumps and continues during suspend.
-func Now() clock.Tick {
+func Now() clock.Instant {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		panic(err) // every Linux has it
 	}
-	return clock.Tick(t.Nano())
+	return clock.Instant(t.Nano())
 }
 
 // NewIncarnation draws an incarnation. Later incarnations on the same machine are higher, and those of two machines
 // are very unlikely to be equal.
-func NewInc() ident.Inc {
-	return ident.Inc(time.Now().UnixMicro())<<8&(1<<62-1) | ident.Inc(rand.Uint64()&0xff)
+func NewIncarnation() ident.Incarnation {
+	return ident.Incarnation(time.Now().UnixMicro())<<8&(1<<62-1) | ident.Incarnation(rand.Uint64()&0xff)
 }
 
 // NewRand returns a random source for a core.
@@ -58,22 +58,22 @@
 
 // Core is a deterministic state machine that a host can run.
 type Core interface {
-	Step(now clock.Tick, in any) []any
+	Step(now clock.Instant, in any) []any
 }
 
 // Options configures a Process.
 type Options struct {
-	Core   Core
-	Listen []string // addresses on which other processes connect
-	Told   string   // the address advertised to other processes; outgoing connections use its IP
-	Data   string   // data folder; empty for a process without a disk
-	Beat   time.Duration
-	Ring   *Ring
-	Else   func(out any)                                                   // executes outputs that are specific to the program
-	Before func(protocol.Env)                                              // sees each message before the core does; must not block
-	Dial   time.Duration                                                   // timeout for establishing a connection; 500 ms by default
-	Local  map[string]func(protocol.Env)                                   // cores in the same process, by advertised address
-	Tell   func(context.Context, *http.Client, protocol.Ask) protocol.Told // sends requests to servers; nil for the built-in JSON protocol
+	Core         Core
+	Listen       []string // addresses on which other processes connect
+	Advertised   string   // the address advertised to other processes; outgoing connections use its IP
+	DataDir      string   // data folder; empty for a process without a disk
+	TickInterval time.Duration
+	Log          *Log
+	HandleOutput func(out any)                                                                 // executes outputs that are specific to the program
+	OnMessage    func(protocol.Envelope)                                                       // sees each message before the core does; must not block
+	DialTimeout  time.Duration                                                                 // timeout for establishing a connection; 500 ms by default
+	LocalCores   map[string]func(protocol.Envelope)                                            // cores in the same process, by advertised address
+	SendRequest  func(context.Context, *http.Client, protocol.HTTPRequest) protocol.HTTPResult // sends requests to servers; nil for the built-in JSON protocol
 }
 
 // Process runs one core. Its lock is acquired before the lock of any queue and is never held during I/O.
@@ -82,7 +82,7 @@
 	mu            sync.Mutex
 	transport     *transport
 	disk          *disk
-	requests      chan protocol.Ask
+	requests      chan protocol.HTTPRequest
 	client        *http.Client
 	reusingClient *http.Client // reuses connections, for requests that change nothing
 	ctx           context.Context
@@ -96,13 +96,13 @@
 
 // New returns a Process that is not running yet.
 func New(o Options) *Process {
-	generic.SetDefault(&o.Dial, 500*time.Millisecond)
-	c := &Process{options: o, requests: make(chan protocol.Ask, 1024), times: newWorkTimes()}
+	generic.SetDefault(&o.DialTimeout, 500*time.Millisecond)
+	c := &Process{options: o, requests: make(chan protocol.HTTPRequest, 1024), times: newWorkTimes()}
 	c.ctx, c.stop = context.WithCancel(context.Background())
 	c.requestCtx, c.abortRequests = context.WithCancel(c.ctx)
-	c.transport = newTransport(c.ctx, o.Told, o.Dial, c.receive)
-	c.transport.localCores, c.transport.times = o.Local, c.times
-	dial := Dialer(o.Told, o.Dial).DialContext
+	c.transport = newTransport(c.ctx, o.Advertised, o.DialTimeout, c.receive)
+	c.transport.localCores, c.transport.times = o.LocalCores, c.times
+	dial := Dialer(o.Advertised, o.DialTimeout).DialContext
 	c.client = &http.Client{
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true, Proxy: nil, DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -121,24 +121,24 @@
 
 // Run opens the disk, starts listening and starts the core.
 func (c *Process) Run() error {
-	c.options.Ring.logViolations()
-	if c.options.Data != "" {
+	c.options.Log.logViolations()
+	if c.options.DataDir != "" {
 		fail := func(err error) {
 			// A disk that lost confirmed data must not vote: exit at once and report it.
-			c.options.Ring.Oops(err.Error())
+			c.options.Log.ErrorWithDump(err.Error())
 			fmt.Fprintf(os.Stderr, "exiting: the disk lost confirmed data: %v\n", err)
 			os.Exit(3)
 		}
-		opened, values, damaged, err := awaitDisk(c.ctx, diskBackoff, func() (*disk, map[string][]byte, bool, error) { return openDisk(c.options.Data, fail) }, func(err error) {
-			c.options.Ring.Oops("cannot open the data folder, retrying: " + err.Error())
+		opened, values, damaged, err := awaitDisk(c.ctx, diskBackoff, func() (*disk, map[string][]byte, bool, error) { return openDisk(c.options.DataDir, fail) }, func(err error) {
+			c.options.Log.ErrorWithDump("cannot open the data folder, retrying: " + err.Error())
 		})
 		if err != nil {
 			return err
 		}
 		if damaged {
-			c.options.Ring.Oops("data folder damaged: moved aside, starting with an empty one")
+			c.options.Log.ErrorWithDump("data folder damaged: moved aside, starting with an empty one")
 		}
-		opened.onSaved, opened.log = func(s protocol.Saved) { c.Step(s) }, func(text string) { c.options.Ring.Info(text) }
+		opened.onSaved, opened.log = func(s protocol.Saved) { c.Step(s) }, func(text string) { c.options.Log.Info(text) }
 		c.disk = opened
 		c.running.Add(1)
 		go func() { defer c.running.Done(); opened.run() }()
@@ -153,14 +153,14 @@
 		go c.sendRequests()
 	}
 	go func() {
-		ticker := time.NewTicker(c.options.Beat)
+		ticker := time.NewTicker(c.options.TickInterval)
 		defer ticker.Stop()
 		for {
 			select {
 			case <-c.ctx.Done():
 				return
 			case <-ticker.C:
-				c.Step(protocol.Beat{})
+				c.Step(protocol.TimerTick{})
 			}
 		}
 	}()
@@ -177,7 +177,7 @@
 }
 
 // AbortRequests aborts all requests in progress, as a restart does.
-func (c *Process) Forget() {
+func (c *Process) AbortRequests() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.abortRequests()
@@ -188,9 +188,9 @@
 func (c *Process) Flush(most time.Duration) { c.transport.flush(most) }
 
 // receive handles a message from another process.
-func (c *Process) receive(e protocol.Env) {
-	if c.options.Before != nil {
-		c.options.Before(e)
+func (c *Process) receive(e protocol.Envelope) {
+	if c.options.OnMessage != nil {
+		c.options.OnMessage(e)
 	}
 	c.Step(e)
 }
@@ -206,10 +206,10 @@
 	took := time.Since(began)
 	c.times.add(inputName(in), took)
 	if took > slowStepThreshold {
-		c.options.Ring.Info("slow step", protocol.Field{Name: "input", Value: inputName(in)}, protocol.Field{Name: "ms", Value: took.Milliseconds()})
+		c.options.Log.Info("slow step", protocol.Field{Name: "input", Value: inputName(in)}, protocol.Field{Name: "ms", Value: took.Milliseconds()})
 	}
 	if fields := c.times.report(now); fields != nil {
-		c.options.Ring.Info("working time by kind", fields...)
+		c.options.Log.Info("working time by kind", fields...)
 	}
 }
 
@@ -219,18 +219,18 @@
 // inputNames maps the inputs defined in protocol to their names in logs and metrics. Dashboards use these names, so an
 // input keeps its name when its type is renamed.
 var inputNames = map[reflect.Type]string{
-	reflect.TypeFor[protocol.Beat]():     "protocol.Beat",
-	reflect.TypeFor[protocol.Start]():    "protocol.Start",
-	reflect.TypeFor[protocol.Stop]():     "protocol.Stop",
-	reflect.TypeFor[protocol.Saved]():    "protocol.Saved",
-	reflect.TypeFor[protocol.Computed](): "protocol.Computed",
-	reflect.TypeFor[protocol.Told]():     "protocol.Told",
-	reflect.TypeFor[protocol.Reseed]():   "protocol.Reseed",
+	reflect.TypeFor[protocol.TimerTick]():    "protocol.Beat",
+	reflect.TypeFor[protocol.Start]():        "protocol.Start",
+	reflect.TypeFor[protocol.Stop]():         "protocol.Stop",
+	reflect.TypeFor[protocol.Saved]():        "protocol.Saved",
+	reflect.TypeFor[protocol.Computed]():     "protocol.Computed",
+	reflect.TypeFor[protocol.HTTPResult]():   "protocol.Told",
+	reflect.TypeFor[protocol.SeedsChanged](): "protocol.Reseed",
 }
 
 // inputName returns the name of an input in logs and metrics: the kind of a message, and the type of any other input.
 func inputName(in any) string {
-	if e, ok := in.(protocol.Env); ok {
+	if e, ok := in.(protocol.Envelope); ok {
 		return protocol.Kind(e.Body)
 	}
 	if name, ok := inputNames[reflect.TypeOf(in)]; ok {
@@ -240,10 +240,10 @@
 }
 
 // WorkTimes returns the collector of the process's working times.
-func (c *Process) Times() prometheus.Collector { return c.times }
+func (c *Process) WorkTimes() prometheus.Collector { return c.times }
 
 // Locked calls f while the core is locked.
-func (c *Process) With(f func(now clock.Tick)) {
+func (c *Process) Locked(f func(now clock.Instant)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f(Now())
@@ -251,7 +251,7 @@
 
 func (c *Process) execute(o any) {
 	switch out := o.(type) {
-	case protocol.Env:
+	case protocol.Envelope:
 		c.transport.send(out)
 	case protocol.Save:
 		c.disk.put(out)
@@ -260,18 +260,18 @@
 			out.Run()
 			c.Step(protocol.Computed{Token: out.Token})
 		}()
-	case protocol.Ask:
+	case protocol.HTTPRequest:
 		select {
 		case c.requests <- out:
 		default:
-			go c.Step(protocol.Told{Token: out.Token})
+			go c.Step(protocol.HTTPResult{Token: out.Token})
 		}
-	case protocol.Note:
-		c.options.Ring.Info(out.Text, out.Fields...)
-	case protocol.Oops:
-		go c.options.Ring.Oops(out.Text)
+	case protocol.LogLine:
+		c.options.Log.Info(out.Text, out.Fields...)
+	case protocol.ErrorReport:
+		go c.options.Log.ErrorWithDump(out.Text)
 	default:
-		c.options.Else(o)
+		c.options.HandleOutput(o)
 	}
 }
 
@@ -286,22 +286,22 @@
 	}
 }
 
-func (c *Process) sendRequest(ask protocol.Ask) protocol.Told {
+func (c *Process) sendRequest(ask protocol.HTTPRequest) protocol.HTTPResult {
 	c.mu.Lock()
 	requestCtx := c.requestCtx
 	c.mu.Unlock()
-	ctx, stop := context.WithTimeout(requestCtx, ask.Wait)
+	ctx, stop := context.WithTimeout(requestCtx, ask.Timeout)
 	defer stop()
-	result := protocol.Told{Token: ask.Token}
-	if ask.Until != 0 && Now() > ask.Until {
+	result := protocol.HTTPResult{Token: ask.Token}
+	if ask.NotAfter != 0 && Now() > ask.NotAfter {
 		return result
 	}
-	if c.options.Tell != nil {
+	if c.options.SendRequest != nil {
 		client := c.client
-		if ask.Kept {
+		if ask.ReuseConn {
 			client = c.reusingClient
 		}
-		result = c.options.Tell(ctx, client, ask)
+		result = c.options.SendRequest(ctx, client, ask)
 		result.Token = ask.Token
 		return result
 	}
@@ -328,11 +328,11 @@
 	if err != nil {
 		return result
 	}
-	return protocol.Told{Token: ask.Token, OK: true, Code: response.StatusCode, Body: b}
+	return protocol.HTTPResult{Token: ask.Token, OK: true, Code: response.StatusCode, Body: b}
 }
 
 // Log is a ring buffer of log lines in memory that is written out when an error occurs.
-type Ring struct {
+type Log struct {
 	mu       sync.Mutex
 	logger   *logrus.Logger
 	lines    []string
@@ -342,8 +342,8 @@
 }
 
 // NewLog returns a log for one process.
-func NewRing(name string, out io.Writer) *Ring {
-	return NewRingWith(RingOptions{Name: name, Out: out})
+func NewLog(name string, out io.Writer) *Log {
+	return NewLogWith(LogOptions{Name: name, DumpTo: out})
 }
 
 type nameHook string
@@ -357,10 +357,10 @@
 	return nil
 }
 
-type ringWriter struct{ ring *Ring }
+type logWriter struct{ ring *Log }
 
 // Write stores a line in the ring buffer.
-func (w ringWriter) Write(b []byte) (int, error) {
+func (w logWriter) Write(b []byte) (int, error) {
 	w.ring.mu.Lock()
 	defer w.ring.mu.Unlock()
 	w.ring.lines[w.ring.written%len(w.ring.lines)] = string(b)
@@ -369,10 +369,10 @@
 }
 
 // Info logs a line with its fields.
-func (r *Ring) Info(s string, fields ...protocol.Field) { r.entry(fields).Info(s) }
+func (r *Log) Info(s string, fields ...protocol.Field) { r.entry(fields).Info(s) }
 
 // entry returns a log entry with the fields.
-func (r *Ring) entry(fields []protocol.Field) *logrus.Entry {
+func (r *Log) entry(fields []protocol.Field) *logrus.Entry {
 	values := make(logrus.Fields, len(fields))
 	for _, f := range fields {
 		values[f.Name] = f.Value
@@ -381,7 +381,7 @@
 }
 
 // ErrorWithDump logs an error and writes out the ring buffer, at most once per second.
-func (r *Ring) Oops(s string) {
+func (r *Log) ErrorWithDump(s string) {
 	r.logger.Error(s)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -400,17 +400,17 @@
 
 // StructMetrics exports a struct of counts as metrics: each uint64 field is a counter, each int field a gauge, and each
 // map a counter with a label.
-type Tallies struct {
+type StructMetrics struct {
 	Name string
-	Get  func() any
+	Read func() any
 }
 
 // Describe sends nothing, so the metrics are unchecked; they follow from the struct.
-func (t Tallies) Describe(chan<- *prometheus.Desc) {}
+func (t StructMetrics) Describe(chan<- *prometheus.Desc) {}
 
 // Collect sends the current counts.
-func (t Tallies) Collect(ch chan<- prometheus.Metric) {
-	counts := reflect.ValueOf(t.Get())
+func (t StructMetrics) Collect(ch chan<- prometheus.Metric) {
+	counts := reflect.ValueOf(t.Read())
 	for i := range counts.NumField() {
 		field := counts.Field(i)
 		name := "tidedeck_" + t.Name + "_" + strings.ToLower(counts.Type().Field(i).Name)
@@ -429,7 +429,7 @@
 }
 
 // MetricsHandler returns a handler that exports the given collectors and the metrics of the Go runtime.
-func Metrics(sources ...prometheus.Collector) http.Handler {
+func MetricsHandler(sources ...prometheus.Collector) http.Handler {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), invariant.Collector())
 	registry.MustRegister(sources...)
@@ -488,7 +488,7 @@
 }
 
 func readSettings(parser *kong.Kong, raw []byte) (kong.Resolver, fleetplan.Faults) {
-	root, faults := fleetplan.Open(raw)
+	root, faults := fleetplan.ParseJSON(raw)
 	var names []string
 	for _, group := range parser.Model.AllFlags(true) {
 		for _, flag := range group {
@@ -497,7 +497,7 @@
 			}
 		}
 	}
-	root.Only(names...)
+	root.RejectUnknown(names...)
 	values := map[string]any{}
 	_ = json.Unmarshal(raw, &values)
 	var resolver kong.ResolverFunc = func(_ *kong.Context, _ *kong.Path, flag *kong.Flag) (any, error) {
@@ -534,15 +534,15 @@
 }
 
 // ListenAddr validates the listen address, which defaults to the advertised one, and returns it.
-func Bind(bind, advertised string) (string, fleetplan.Faults) {
+func ListenAddr(bind, advertised string) (string, fleetplan.Faults) {
 	if bind == "" {
 		return advertised, nil
 	}
-	return bind, Addr("bind", bind)
+	return bind, CheckAddr("bind", bind)
 }
 
 // CheckAddr validates an ip:port setting.
-func Addr(path, s string) fleetplan.Faults {
+func CheckAddr(path, s string) fleetplan.Faults {
 	a, err := netip.ParseAddrPort(s)
 	if err != nil || a.Port() == 0 {
 		return fleetplan.Faults{{Path: path, Why: fmt.Sprintf("must be an ip:port address, got %q", s)}}
@@ -551,8 +551,8 @@
 }
 
 // CheckLoopbackAddr validates an ip:port setting that must be a loopback address.
-func Near(path, s string) fleetplan.Faults {
-	if f := Addr(path, s); f != nil {
+func CheckLoopbackAddr(path, s string) fleetplan.Faults {
+	if f := CheckAddr(path, s); f != nil {
 		return f
 	}
 	if a, _ := netip.ParseAddrPort(s); !a.Addr().IsLoopback() {
@@ -562,13 +562,13 @@
 }
 
 // CheckSeeds validates the seeds: three distinct ip:port addresses.
-func Seeds(addresses []string) (faults fleetplan.Faults) {
+func CheckSeeds(addresses []string) (faults fleetplan.Faults) {
 	if len(addresses) != 3 {
 		faults = append(faults, fleetplan.Fault{Path: "seeds", Why: fmt.Sprintf("must be three addresses, got %d", len(addresses))})
 	}
 	seen := map[string]bool{}
 	for i, addr := range addresses {
-		faults = append(faults, Addr(fmt.Sprintf("seeds[%d]", i), addr)...)
+		faults = append(faults, CheckAddr(fmt.Sprintf("seeds[%d]", i), addr)...)
 		if seen[addr] {
 			faults = append(faults, fleetplan.Fault{Path: fmt.Sprintf("seeds[%d]", i), Why: "duplicate address"})
 		}
@@ -578,16 +578,16 @@
 }
 
 // SeedPeers converts seed addresses to processes whose IDs are not known yet.
-func Siblings(addresses []string) (peers []protocol.Sibling) {
+func SeedPeers(addresses []string) (peers []protocol.Peer) {
 	for _, addr := range addresses {
-		peers = append(peers, protocol.Sibling{Addr: addr})
+		peers = append(peers, protocol.Peer{Addr: addr})
 	}
 	return peers
 }
 
 // ServeUntilSignal serves HTTP until the process receives SIGTERM or SIGINT, then waits up to within for requests in
 // progress.
-func Web(addr string, handler http.Handler, ring *Ring, before func(), within time.Duration) error {
+func ServeUntilSignal(addr string, handler http.Handler, ring *Log, before func(), within time.Duration) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return errors.Wrap(err, "listen")
@@ -617,33 +617,35 @@
 type connAcceptedKey struct{}
 
 // ConnAcceptedAt returns the time at which the request's connection was accepted.
-func Born(r *http.Request) clock.Tick {
-	t, _ := r.Context().Value(connAcceptedKey{}).(clock.Tick)
+func ConnAcceptedAt(r *http.Request) clock.Instant {
+	t, _ := r.Context().Value(connAcceptedKey{}).(clock.Instant)
 	return t
 }
 
 // AddHealthEndpoints adds the liveness and readiness endpoints.
-func Life(mux *flow.Mux, prefix string, ready func() (bool, map[string]any)) {
-	mux.HandleFunc(prefix+"/live", func(w http.ResponseWriter, _ *http.Request) { JSON(w, http.StatusOK, map[string]bool{"live": true}) }, http.MethodGet)
+func AddHealthEndpoints(mux *flow.Mux, prefix string, ready func() (bool, map[string]any)) {
+	mux.HandleFunc(prefix+"/live", func(w http.ResponseWriter, _ *http.Request) {
+		WriteJSON(w, http.StatusOK, map[string]bool{"live": true})
+	}, http.MethodGet)
 	mux.HandleFunc(prefix+"/ready", func(w http.ResponseWriter, _ *http.Request) {
 		ok, v := ready()
 		if v == nil {
 			v = map[string]any{}
 		}
 		v["ready"] = ok
-		JSON(w, map[bool]int{true: http.StatusOK, false: http.StatusServiceUnavailable}[ok], v)
+		WriteJSON(w, map[bool]int{true: http.StatusOK, false: http.StatusServiceUnavailable}[ok], v)
 	}, http.MethodGet)
 }
 
 // WriteJSON writes a JSON response.
-func JSON(w http.ResponseWriter, code int, v any) {
+func WriteJSON(w http.ResponseWriter, code int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
 // ReadBody reads a request body of at most the given size. It writes an error response if that fails.
-func Body(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, bool) {
+func ReadBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, bool) {
 	// The deadline stops a slow client from blocking the handler; writing the response has no deadline.
 	controller := http.NewResponseController(w)
 	_ = controller.SetReadDeadline(time.Now().Add(30 * time.Second))
@@ -652,28 +654,28 @@
 	if err != nil {
 		var tooLarge *http.MaxBytesError
 		if errors.As(err, &tooLarge) {
-			Error(w, failure.Oversize, 0, fleetplan.Faults{{Path: "$", Why: fmt.Sprintf("body exceeds %d bytes", limit)}})
+			WriteError(w, failure.Oversize, 0, fleetplan.Faults{{Path: "$", Why: fmt.Sprintf("body exceeds %d bytes", limit)}})
 			return nil, false
 		}
-		Error(w, failure.Malformed, 0, fleetplan.Faults{{Path: "$", Why: "incomplete body"}})
+		WriteError(w, failure.Malformed, 0, fleetplan.Faults{{Path: "$", Why: "incomplete body"}})
 		return nil, false
 	}
 	return body, true
 }
 
 // ErrorBody is the JSON body of an error response.
-type Problem struct {
-	Kind    failure.Kind     `json:"kind"`
-	Dropped bool             `json:"dropped"` // the request was certainly not executed
-	BackMs  int64            `json:"retry_after_ms,omitempty"`
-	Faults  fleetplan.Faults `json:"faults,omitempty"`
+type ErrorBody struct {
+	Kind         failure.Kind     `json:"kind"`
+	Dropped      bool             `json:"dropped"` // the request was certainly not executed
+	RetryAfterMs int64            `json:"retry_after_ms,omitempty"`
+	Faults       fleetplan.Faults `json:"faults,omitempty"`
 }
 
 // WriteError writes the error response for a kind; a nonzero back overrides the kind's Retry-After time.
-func Error(w http.ResponseWriter, kind failure.Kind, back clock.Span, faults fleetplan.Faults) {
-	response := failure.Receipts[kind]
+func WriteError(w http.ResponseWriter, kind failure.Kind, back clock.Span, faults fleetplan.Faults) {
+	response := failure.Responses[kind]
 	if back == 0 {
-		back = response.Back
+		back = response.RetryAfter
 	}
 	if back > 0 {
 		w.Header().Set("Retry-After", fmt.Sprint(int64((back+time.Second-1)/time.Second)))
@@ -681,5 +683,5 @@
 	if response.Status == http.StatusUnauthorized {
 		w.Header().Set("WWW-Authenticate", fleetplan.BearerScheme)
 	}
-	JSON(w, response.Status, Problem{kind, response.Dropped, back.Milliseconds(), faults})
+	WriteJSON(w, response.Status, ErrorBody{kind, response.NotExecuted, back.Milliseconds(), faults})
 }
--- a/internal/host/host_test.go
+++ b/internal/host/host_test.go
@@ -67,21 +67,21 @@
 
 func TestAddresses(t *testing.T) {
 	for addr, ok := range map[string]bool{"127.0.0.1:80": true, "[::1]:80": true, "localhost:80": false, "127.0.0.1": false, "127.0.0.1:0": false, "127.0.0.1:65536": false, "1.2.3:4": false, "": false} {
-		require.Equal(t, ok, len(Addr("x", addr)) == 0, addr)
+		require.Equal(t, ok, len(CheckAddr("x", addr)) == 0, addr)
 	}
-	require.Empty(t, Seeds([]string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}))
-	require.Len(t, Seeds([]string{"127.0.0.1:1", "127.0.0.1:1"}), 2)
+	require.Empty(t, CheckSeeds([]string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}))
+	require.Len(t, CheckSeeds([]string{"127.0.0.1:1", "127.0.0.1:1"}), 2)
 }
 
 // The ring keeps the most recent lines and writes them out only on an error.
 func TestRing(t *testing.T) {
 	var out bytes.Buffer
-	ring := NewRing("me", &out)
+	ring := NewLog("me", &out)
 	for i := range 600 {
 		ring.Info(fmt.Sprint("line-", i, "."))
 	}
 	require.Zero(t, out.Len())
-	ring.Oops("it broke")
+	ring.ErrorWithDump("it broke")
 	require.NotContains(t, out.String(), "line-88.")
 	require.Contains(t, out.String(), "line-89.")
 	require.Contains(t, out.String(), "it broke")
@@ -89,13 +89,13 @@
 
 // Every error kind has a response, and a request that may have been executed is never reported as not executed.
 func TestErrors(t *testing.T) {
-	for kind, response := range failure.Receipts {
+	for kind, response := range failure.Responses {
 		w := httptest.NewRecorder()
-		Error(w, kind, 0, nil)
+		WriteError(w, kind, 0, nil)
 		require.Equal(t, response.Status, w.Code)
 		require.Contains(t, w.Body.String(), string(kind))
-		require.Equal(t, response.Back > 0, w.Header().Get("Retry-After") != "", kind)
-		require.Equal(t, kind != failure.Unclear && kind != failure.Cut && kind != failure.Repeated, response.Dropped, kind)
+		require.Equal(t, response.RetryAfter > 0, w.Header().Get("Retry-After") != "", kind)
+		require.Equal(t, kind != failure.Unclear && kind != failure.Cut && kind != failure.Repeated, response.NotExecuted, kind)
 	}
 }
 
@@ -107,7 +107,7 @@
 
 func TestMetrics(t *testing.T) {
 	w := httptest.NewRecorder()
-	handler := Metrics(Tallies{Name: "x", Get: func() any { return testCounts{3, 4, map[failure.Kind]uint64{failure.Full: 5}} }})
+	handler := MetricsHandler(StructMetrics{Name: "x", Read: func() any { return testCounts{3, 4, map[failure.Kind]uint64{failure.Full: 5}} }})
 	handler.ServeHTTP(w, httptest.NewRequest("GET", "/", nil))
 	for _, line := range []string{"tidedeck_x_goes_total 3", "tidedeck_x_open 4", `tidedeck_x_by_total{kind="full"} 5`} {
 		require.True(t, strings.Contains(w.Body.String(), line), line)
--- a/internal/host/hosted.go
+++ b/internal/host/hosted.go
@@ -43,7 +43,7 @@
 }
 
 // LogWriter returns the writer for log lines besides the ring buffer, or nil.
-func (f HostedFlags) Lines() io.Writer {
+func (f HostedFlags) LogWriter() io.Writer {
 	if f.LogLines {
 		return os.Stdout
 	}
@@ -51,7 +51,7 @@
 }
 
 // MetricsAddr returns the address of the metrics endpoint, or an empty string if none is configured.
-func (f HostedFlags) MetricsAt(machine string) string {
+func (f HostedFlags) MetricsAddr(machine string) string {
 	if f.MetricsPort == 0 {
 		return ""
 	}
@@ -59,7 +59,7 @@
 }
 
 // ListenAddr returns the address on which to listen for connections to an advertised address.
-func (f HostedFlags) Bind(advertised string) string {
+func (f HostedFlags) ListenAddr(advertised string) string {
 	_, port, err := net.SplitHostPort(advertised)
 	if f.BindIP == "" || err != nil {
 		return advertised
@@ -69,7 +69,7 @@
 
 // ParseHosted returns the flags of a program started under a hosting platform; ok is false if the program was started
 // otherwise.
-func Hosted(args []string, name string) (flags HostedFlags, ok bool) {
+func ParseHosted(args []string, name string) (flags HostedFlags, ok bool) {
 	for _, arg := range args {
 		ok = ok || arg == "--hosted"
 	}
@@ -88,7 +88,7 @@
 
 // ServeOperators serves an HTTP interface for operators at the given addresses. A failure to serve it is logged and
 // stops nothing else.
-func ServeBeside(ring *Ring, handler http.Handler, addresses ...string) (stop func()) {
+func ServeOperators(ring *Log, handler http.Handler, addresses ...string) (stop func()) {
 	var servers []*http.Server
 	for _, address := range addresses {
 		if address == "" {
@@ -113,7 +113,7 @@
 const operatorHeaderTimeout = 10 * time.Second
 
 // LimitResources limits the process to the memory and processors that its machine provides.
-func Confine(memoryMB, processors int) {
+func LimitResources(memoryMB, processors int) {
 	if memoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryMB) << 20 * 7 / 10)
 	}
@@ -128,7 +128,7 @@
 
 // WatchSeeds passes on the seeds listed in the settings file whenever the file has changed or the process receives
 // SIGHUP. A file that cannot be read has no effect.
-func FollowSeeds(path string, load func() ([]string, error), step func(protocol.Reseed)) {
+func WatchSeeds(path string, load func() ([]string, error), step func(protocol.SeedsChanged)) {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	go func() {
@@ -143,7 +143,7 @@
 			}
 			lastModified = modTime(path)
 			if seeds, err := load(); err == nil && len(seeds) > 0 {
-				step(protocol.Reseed{Seeds: Siblings(seeds)})
+				step(protocol.SeedsChanged{Seeds: SeedPeers(seeds)})
 			}
 		}
 	}()
@@ -159,7 +159,7 @@
 }
 
 // StopSignal returns a channel that closes when the process receives SIGTERM or SIGINT.
-func Stopping() <-chan struct{} {
+func StopSignal() <-chan struct{} {
 	signals, stop := make(chan os.Signal, 1), make(chan struct{})
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	go func() {
--- a/internal/host/hosted_test.go
+++ b/internal/host/hosted_test.go
@@ -14,17 +14,17 @@
 // SIGHUP makes the seeds be read again; a signal that arrives while the file cannot be read has no effect.
 func TestFollowSeeds(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings")
-	changes := make(chan protocol.Reseed, 4)
+	changes := make(chan protocol.SeedsChanged, 4)
 	reads := make(chan struct{}, 4)
-	FollowSeeds(path, func() ([]string, error) {
+	WatchSeeds(path, func() ([]string, error) {
 		defer func() { reads <- struct{}{} }()
 		raw, err := os.ReadFile(path)
 		return []string{string(raw)}, err
-	}, func(r protocol.Reseed) { changes <- r })
+	}, func(r protocol.SeedsChanged) { changes <- r })
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
 	<-reads
 	require.Empty(t, changes)
 	require.NoError(t, os.WriteFile(path, []byte("127.0.0.1:9"), 0o644))
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
-	require.Equal(t, protocol.Reseed{Seeds: []protocol.Sibling{{Addr: "127.0.0.1:9"}}}, <-changes)
+	require.Equal(t, protocol.SeedsChanged{Seeds: []protocol.Peer{{Addr: "127.0.0.1:9"}}}, <-changes)
 }
--- a/internal/host/input_name_test.go
+++ b/internal/host/input_name_test.go
@@ -11,14 +11,14 @@
 // Logs and metrics name the inputs of cores; a renamed Go type must not change these names.
 func TestInputNames(t *testing.T) {
 	names := map[string]any{
-		"protocol.Beat":     protocol.Beat{},
+		"protocol.Beat":     protocol.TimerTick{},
 		"protocol.Start":    protocol.Start{},
 		"protocol.Stop":     protocol.Stop{},
 		"protocol.Saved":    protocol.Saved{},
 		"protocol.Computed": protocol.Computed{},
-		"protocol.Told":     protocol.Told{},
-		"protocol.Reseed":   protocol.Reseed{},
-		"Renew":             protocol.Env{Body: protocol.Renew{}},
+		"protocol.Told":     protocol.HTTPResult{},
+		"protocol.Reseed":   protocol.SeedsChanged{},
+		"Renew":             protocol.Envelope{Body: protocol.Renew{}},
 		"host.unnamedInput": unnamedInput{},
 	}
 	for name, in := range names {
--- a/internal/host/outbound.go
+++ b/internal/host/outbound.go
@@ -34,7 +34,7 @@
 }
 
 // send writes an envelope. An envelope that cannot be written is lost, as on any network.
-func (o *outbound) send(e protocol.Env) {
+func (o *outbound) send(e protocol.Envelope) {
 	if o.conn != nil && o.stale() {
 		o.close()
 	}
--- a/internal/host/receive.go
+++ b/internal/host/receive.go
@@ -47,7 +47,7 @@
 
 // receiver passes on the messages that arrive on one connection.
 type receiver struct {
-	deliver        func(protocol.Env)
+	deliver        func(protocol.Envelope)
 	onStreamOpened func(from string, at time.Time) // called for each stream with its first envelope
 	openTimeout    time.Duration
 	openTimer      *time.Timer // closes the connection if it has no stream for too long
@@ -73,7 +73,7 @@
 	}
 	opened := time.Now()
 	for first := true; ; first = false {
-		var envelope protocol.Env
+		var envelope protocol.Envelope
 		if err := stream.MsgRecv(&envelope, envelopeCodec{r.times}); err != nil {
 			return nil
 		}
--- a/internal/host/receive_test.go
+++ b/internal/host/receive_test.go
@@ -14,7 +14,7 @@
 // A connection whose other end has failed must be closed whatever was received on it, including input on which drpc
 // waits forever: a message before its stream was opened, or a message of a later stream.
 func TestConnectionEnds(t *testing.T) {
-	e := protocol.Env{From: protocol.Sibling{ID: "a", Addr: "1"}, To: protocol.Sibling{ID: "b", Addr: "2"}, Body: protocol.Fetch{Round: 3}}
+	e := protocol.Envelope{From: protocol.Peer{ID: "a", Addr: "1"}, To: protocol.Peer{ID: "b", Addr: "2"}, Body: protocol.FetchValue{Round: 3}}
 	sent := string(sentBytes(t, e))
 	later := "\x05\x05\x01\x02{}"
 	for name, c := range map[string]struct {
@@ -32,11 +32,11 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			local, remote := net.Pipe()
-			received := make(chan protocol.Env, 8)
+			received := make(chan protocol.Envelope, 8)
 			ended := make(chan struct{})
 			go func() {
 				defer close(ended)
-				r := &receiver{deliver: func(e protocol.Env) { received <- e }, onStreamOpened: func(string, time.Time) {}, openTimeout: 100 * time.Millisecond}
+				r := &receiver{deliver: func(e protocol.Envelope) { received <- e }, onStreamOpened: func(string, time.Time) {}, openTimeout: 100 * time.Millisecond}
 				r.receive(context.Background(), remote)
 			}()
 			_ = local.SetWriteDeadline(time.Now().Add(time.Second))
@@ -58,7 +58,7 @@
 func TestIdleStreamStaysOpen(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	received := make(chan protocol.Env, 8)
+	received := make(chan protocol.Envelope, 8)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
@@ -68,12 +68,12 @@
 			if err != nil {
 				return
 			}
-			r := &receiver{deliver: func(e protocol.Env) { received <- e }, onStreamOpened: func(string, time.Time) {}, openTimeout: 50 * time.Millisecond}
+			r := &receiver{deliver: func(e protocol.Envelope) { received <- e }, onStreamOpened: func(string, time.Time) {}, openTimeout: 50 * time.Millisecond}
 			go r.receive(ctx, conn)
 		}
 	}()
 	sender := newTransport(ctx, "", time.Second, nil)
-	e := protocol.Env{From: protocol.Sibling{ID: "a", Addr: "1"}, To: protocol.Sibling{ID: "b", Addr: listener.Addr().String()}, Body: protocol.Fetch{Round: 3}}
+	e := protocol.Envelope{From: protocol.Peer{ID: "a", Addr: "1"}, To: protocol.Peer{ID: "b", Addr: listener.Addr().String()}, Body: protocol.FetchValue{Round: 3}}
 	for range 3 {
 		sender.send(e)
 		require.Equal(t, e, <-received)
--- a/internal/host/ring_json.go
+++ b/internal/host/ring_json.go
@@ -12,21 +12,21 @@
 )
 
 // LogOptions configures a log.
-type RingOptions struct {
-	Name  string    // process name, added to every line
-	Out   io.Writer // receives the ring buffer when an error occurs
-	Lines io.Writer // receives every line immediately, as JSON; nil for none
+type LogOptions struct {
+	Name      string    // process name, added to every line
+	DumpTo    io.Writer // receives the ring buffer when an error occurs
+	JSONLines io.Writer // receives every line immediately, as JSON; nil for none
 }
 
 // NewLogWith returns a log for one process.
-func NewRingWith(o RingOptions) *Ring {
-	r := &Ring{lines: make([]string, 512), out: o.Out}
+func NewLogWith(o LogOptions) *Log {
+	r := &Log{lines: make([]string, 512), out: o.DumpTo}
 	r.logger = logrus.New()
-	r.logger.SetOutput(ringWriter{r})
+	r.logger.SetOutput(logWriter{r})
 	r.logger.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: time.RFC3339Nano})
 	r.logger.AddHook(nameHook(o.Name))
-	if o.Lines != nil {
-		r.logger.AddHook(&lineHook{out: o.Lines, form: logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano}})
+	if o.JSONLines != nil {
+		r.logger.AddHook(&lineHook{out: o.JSONLines, form: logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano}})
 	}
 	return r
 }
@@ -55,7 +55,7 @@
 
 // logViolations logs violated invariants and writes them to the ring's output immediately, because the process may be
 // killed before its metrics are read. A test that observes violations itself continues to do so.
-func (r *Ring) logViolations() {
+func (r *Log) logViolations() {
 	invariant.ObserveByDefault(func(v invariant.Violation) {
 		go func() {
 			r.logger.Error(v.Error())
--- a/internal/host/ring_json_test.go
+++ b/internal/host/ring_json_test.go
@@ -16,7 +16,7 @@
 // buffer still works.
 func TestRingLines(t *testing.T) {
 	var out, lines bytes.Buffer
-	ring := NewRingWith(RingOptions{Name: "me", Out: &out, Lines: &lines})
+	ring := NewLogWith(LogOptions{Name: "me", DumpTo: &out, JSONLines: &lines})
 	ring.Info("first \"line\"")
 	var line struct {
 		Who, Msg, Level string
@@ -37,7 +37,7 @@
 		})
 	}
 	writers.Wait()
-	ring.Oops("it broke")
+	ring.ErrorWithDump("it broke")
 	require.Contains(t, out.String(), "it broke")
 	written := strings.Split(strings.TrimSuffix(lines.String(), "\n"), "\n")
 	require.Len(t, written, 1002)
--- a/internal/host/transport.go
+++ b/internal/host/transport.go
@@ -29,7 +29,7 @@
 // Marshal encodes an envelope.
 func (c envelopeCodec) Marshal(m drpc.Message) ([]byte, error) {
 	began := time.Now()
-	b, err := protocol.Pack(*m.(*protocol.Env))
+	b, err := protocol.Pack(*m.(*protocol.Envelope))
 	c.times.add(workEncode, time.Since(began))
 	return b, err
 }
@@ -40,7 +40,7 @@
 	e, err := protocol.Unpack(b)
 	c.times.add(workDecode, time.Since(began))
 	if err == nil {
-		*m.(*protocol.Env) = e
+		*m.(*protocol.Envelope) = e
 	}
 	return err
 }
@@ -54,7 +54,7 @@
 
 // peerQueue is the queue of messages for one peer.
 type peerQueue struct {
-	queue        chan protocol.Env
+	queue        chan protocol.Envelope
 	lastOpenedAt atomic.Int64 // when the peer last opened a stream to this process, in ns since the transport started
 }
 
@@ -66,13 +66,13 @@
 	startedAt  time.Time
 	writing    int // number of envelopes being written
 	ctx        context.Context
-	deliver    func(protocol.Env)
+	deliver    func(protocol.Envelope)
 	dialer     *net.Dialer
-	localCores map[string]func(protocol.Env)
+	localCores map[string]func(protocol.Envelope)
 	times      *workTimes
 }
 
-func newTransport(ctx context.Context, advertised string, timeout time.Duration, deliver func(protocol.Env)) *transport {
+func newTransport(ctx context.Context, advertised string, timeout time.Duration, deliver func(protocol.Envelope)) *transport {
 	dialer := Dialer(advertised, timeout)
 	return &transport{dialer: BoundUnacknowledged(dialer, unacknowledgedLimit), queues: map[string]*peerQueue{}, startedAt: time.Now(), ctx: ctx, deliver: deliver}
 }
@@ -106,8 +106,8 @@
 }
 
 // send queues an envelope. A full queue drops its oldest envelope.
-func (t *transport) send(e protocol.Env) {
-	to := e.Hop().Addr
+func (t *transport) send(e protocol.Envelope) {
+	to := e.NextHop().Addr
 	if to == "" {
 		return
 	}
@@ -115,7 +115,7 @@
 	defer t.mu.Unlock()
 	peer := t.queues[to]
 	if peer == nil {
-		peer = &peerQueue{queue: make(chan protocol.Env, 512)}
+		peer = &peerQueue{queue: make(chan protocol.Envelope, 512)}
 		t.queues[to] = peer
 		go t.run(to, peer)
 	}
--- a/internal/host/transport_test.go
+++ b/internal/host/transport_test.go
@@ -38,19 +38,19 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	addr, accepted := startSilentPeer(t)
-	p := newTransport(ctx, "", time.Second, func(protocol.Env) {})
-	peer := protocol.Sibling{ID: "b", Addr: addr}
-	p.send(protocol.Env{To: peer, Body: protocol.Fetch{}})
+	p := newTransport(ctx, "", time.Second, func(protocol.Envelope) {})
+	peer := protocol.Peer{ID: "b", Addr: addr}
+	p.send(protocol.Envelope{To: peer, Body: protocol.FetchValue{}})
 	first := <-accepted
 	defer first.Close()
 
 	p.reopened(addr, time.Now().Add(staleMargin/2))
-	p.send(protocol.Env{To: peer, Body: protocol.Fetch{}})
+	p.send(protocol.Envelope{To: peer, Body: protocol.FetchValue{}})
 	p.flush(time.Second)
 	require.Empty(t, accepted, "a stream opened at about the same time as the connection has no effect")
 
 	p.reopened(addr, time.Now().Add(2*staleMargin))
-	p.send(protocol.Env{To: peer, Body: protocol.Fetch{}})
+	p.send(protocol.Envelope{To: peer, Body: protocol.FetchValue{}})
 	second := <-accepted
 	defer second.Close()
 }
--- a/internal/host/work_times.go
+++ b/internal/host/work_times.go
@@ -36,7 +36,7 @@
 	mu         sync.Mutex // guards all fields below; always the last lock to be acquired
 	totals     map[string]workTime
 	recent     map[string]workTime // since the last report
-	reportedAt clock.Tick
+	reportedAt clock.Instant
 }
 
 func newWorkTimes() *workTimes {
@@ -59,7 +59,7 @@
 }
 
 // report returns the fields of a log line about the time since the last report, or nil if none is due.
-func (w *workTimes) report(now clock.Tick) []protocol.Field {
+func (w *workTimes) report(now clock.Instant) []protocol.Field {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.reportedAt == 0 {
--- a/internal/host/work_times_test.go
+++ b/internal/host/work_times_test.go
@@ -12,7 +12,7 @@
 
 func TestWorkTimesAreReportedByKindTheLongestFirst(t *testing.T) {
 	times := newWorkTimes()
-	at := clock.Tick(1e9)
+	at := clock.Instant(1e9)
 	require.Nil(t, times.report(at))
 	times.add("Beat", 30*time.Millisecond)
 	times.add("Renew", 20*time.Millisecond)
--- a/internal/ident/ident.go
+++ b/internal/ident/ident.go
@@ -16,19 +16,19 @@
 type Epoch uint64
 
 // Term is the number of a leadership term; it only increases.
-type Duty uint64
+type Term uint64
 
 // Incarnation is a number drawn at each start of a process and for each new disk.
-type Inc uint64
+type Incarnation uint64
 
 // Digest is a digest of an entry's content; equal digests mean that the content is unchanged.
-type Mark uint64
+type Digest uint64
 
 // Key identifies a unit of placement: a base model, or an adapter on its base model.
 type Key string
 
 // NewKey returns the key of a base model or, if adapter is not empty, of an adapter on it.
-func KeyOf(base, adapter string) Key {
+func NewKey(base, adapter string) Key {
 	if adapter == "" {
 		return Key(base)
 	}
@@ -42,7 +42,7 @@
 }
 
 // InService qualifies a model key with its service, so that two services may each have a model of the same name.
-func (k Key) In(service string) Key { return Key(service + "|" + string(k)) }
+func (k Key) InService(service string) Key { return Key(service + "|" + string(k)) }
 
 // Service returns the service that qualifies the key, or an empty string.
 func (k Key) Service() string {
@@ -62,10 +62,10 @@
 }
 
 // ServiceKey returns the key of a whole service: requests that name no model may go to any of its servers.
-func ServiceKey(service string) Key { return Key("").In(service) }
+func ServiceKey(service string) Key { return Key("").InService(service) }
 
 // IsWholeService reports whether the key stands for a whole service rather than for one of its models.
-func (k Key) Plain() bool { return strings.HasSuffix(string(k), "|") }
+func (k Key) IsWholeService() bool { return strings.HasSuffix(string(k), "|") }
 
 // IsAdapter reports whether the key identifies an adapter.
 func (k Key) IsAdapter() bool { return strings.Contains(string(k), "+") }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -51,11 +51,11 @@
 	Detail string
 }
 
-// Sign is part of the text of every violation.
-const Sign = "invariant violated: "
+// ViolationPrefix is part of the text of every violation.
+const ViolationPrefix = "invariant violated: "
 
 // Error returns the violation as text.
-func (v Violation) Error() string { return fmt.Sprintf("%s%s: %s", Sign, v.Name, v.Detail) }
+func (v Violation) Error() string { return fmt.Sprintf("%s%s: %s", ViolationPrefix, v.Name, v.Detail) }
 
 var (
 	counts   = newCounts()
--- a/internal/invariant/strict/strict.go
+++ b/internal/invariant/strict/strict.go
@@ -12,12 +12,12 @@
 // Variable is the environment variable that turns the checks off if it has the value Off. Tests that break a guard on
 // purpose use it to verify that their own checks detect the fault without the invariants.
 const (
-	Variable = "TIDEDECK_INVARIANTS"
-	Off      = "off"
+	EnvVariable = "TIDEDECK_INVARIANTS"
+	EnvOff      = "off"
 )
 
 func init() {
-	if os.Getenv(Variable) == Off {
+	if os.Getenv(EnvVariable) == EnvOff {
 		invariant.Observe(func(invariant.Violation) {})
 		return
 	}
@@ -27,7 +27,7 @@
 // Verdict turns the exit code of a package's tests into a failure if any invariant was violated, because the panic
 // may have been recovered, as net/http does for its handlers.
 func Verdict(code int) int {
-	if os.Getenv(Variable) == Off {
+	if os.Getenv(EnvVariable) == EnvOff {
 		return code
 	}
 	for _, name := range invariant.Names {
--- a/internal/localfleet/fleet.go
+++ b/internal/localfleet/fleet.go
@@ -336,7 +336,7 @@
 }
 
 // WaitUntil polls a condition until it holds, and returns an error when the context ends first.
-func Until(ctx context.Context, what string, holds func() bool) error {
+func WaitUntil(ctx context.Context, what string, holds func() bool) error {
 	for !holds() {
 		select {
 		case <-ctx.Done():
@@ -453,7 +453,7 @@
 		}
 	}
 	for name, model := range plan.Models {
-		if ready[string(name)] < model.Floor {
+		if ready[string(name)] < model.MinReplicas {
 			return false
 		}
 	}
--- a/internal/localfleet/history_test.go
+++ b/internal/localfleet/history_test.go
@@ -34,7 +34,7 @@
 
 // putPlanRecorded submits a plan, as PutPlan does, and records the operation.
 func (o *observer) putPlanRecorded(core string, plan []byte, expect uint64, id string) (PlanReply, int, error) {
-	pending := o.recorder.Invoke(history.Operation{Kind: history.Put, Node: core, Change: id, Expect: expect, Body: plan, Invoke: o.now()})
+	pending := o.recorder.Invoke(history.Operation{Kind: history.Put, Node: core, Change: id, ExpectedVersion: expect, Body: plan, Invoke: o.now()})
 	answer, code, err := o.PutPlan(core, plan, fmt.Sprint(expect), id)
 	kind := failure.Kind(answer.Kind)
 	switch {
@@ -45,7 +45,7 @@
 	case kind == failure.Conflict:
 		pending.Conflict(o.now(), answer.Epoch)
 	case kind == failure.NotReady || kind == failure.Full:
-		pending.Dropped()
+		pending.NoEffect()
 	default:
 		pending.Unclear()
 	}
@@ -57,7 +57,7 @@
 	pending := o.recorder.Invoke(history.Operation{Kind: history.Read, Node: core, Invoke: o.now()})
 	raw, ok := o.readPlan(core)
 	if !ok {
-		pending.Dropped()
+		pending.NoEffect()
 		return "", false
 	}
 	pending.AnsweredBytes(o.now(), []byte(raw))
@@ -93,10 +93,10 @@
 // check requires the recorded history to be linearizable.
 func (o *observer) check() {
 	o.t.Helper()
-	result := history.Check(o.recorder.History(), func(plan, patch []byte) ([]byte, bool) {
+	result := history.Check(o.recorder.Operations(), func(plan, patch []byte) ([]byte, bool) {
 		merged, err := jsonpatch.MergePatch(plan, patch)
 		return merged, err == nil
 	}, historyCheckLimit)
-	require.Equal(o.t, history.Linearizable, result.Verdict, result.Why)
+	require.Equal(o.t, history.Linearizable, result.Verdict, result.Reason)
 	o.t.Logf("%d operations are linearizable", result.Operations)
 }
--- a/internal/localfleet/hollow.go
+++ b/internal/localfleet/hollow.go
@@ -85,7 +85,7 @@
 }
 
 type stepper interface {
-	Step(now clock.Tick, in any) []any
+	Step(now clock.Instant, in any) []any
 }
 
 // Cost is the cost of one kind of input or message to one role.
@@ -105,7 +105,7 @@
 
 type hollowNode struct {
 	role    string
-	sibling protocol.Sibling
+	sibling protocol.Peer
 	zone    int
 	up      bool
 	starts  int // invalidates events of earlier starts
@@ -119,11 +119,11 @@
 type traffic struct {
 	session  protocol.Session
 	replicas map[ident.Key][]ident.Server
-	marks    map[ident.Key]ident.Mark
-	wantedAt map[ident.Key]clock.Tick
+	marks    map[ident.Key]ident.Digest
+	wantedAt map[ident.Key]clock.Instant
 	stale    map[ident.Key]bool
 	active   []activeRequest
-	waiting  map[ident.Key][]clock.Tick
+	waiting  map[ident.Key][]clock.Instant
 	rand     *rand.Rand
 }
 
@@ -131,7 +131,7 @@
 type activeRequest struct {
 	key    ident.Key
 	server ident.Server
-	end    clock.Tick
+	end    clock.Instant
 }
 
 // hollowServer is a model server that announces itself, reports its state and executes orders.
@@ -146,11 +146,11 @@
 	state          string
 	announcements  uint64
 	ordersAccepted uint64
-	nextAnnounce   clock.Tick
+	nextAnnounce   clock.Instant
 	held           map[ident.Key]int // size by key
 	order          protocol.Order    // in progress until orderDoneAt
-	orderDoneAt    clock.Tick
-	restartAt      clock.Tick // zero if the server stays down
+	orderDoneAt    clock.Instant
+	restartAt      clock.Instant // zero if the server stays down
 }
 
 // event is the delivery of an input or a packed message to a node, or a function to run.
@@ -167,7 +167,7 @@
 // its model servers only announce themselves, report and execute orders.
 type Hollow struct {
 	opts         HollowOptions
-	now          clock.Tick
+	now          clock.Instant
 	ring         [ringSteps][]event
 	nodes        []*hollowNode
 	nodeByAddr   map[string]*hollowNode
@@ -190,17 +190,17 @@
 	Orders         int
 	ApplyTimes     []clock.Span // from the reply to a change until in force at the last live router
 	DetectionTimes []clock.Span // from a server's failure until the leader detected it
-	TermStarts     []clock.Tick
+	TermStarts     []clock.Instant
 	samples        []ServiceSample
-	measuredFrom   clock.Tick
+	measuredFrom   clock.Instant
 	pending        []*pendingChange
-	undetected     map[ident.Server]clock.Tick
+	undetected     map[ident.Server]clock.Instant
 }
 
 // pendingChange is an accepted change that is not yet in force at every live router.
 type pendingChange struct {
 	epoch ident.Epoch
-	at    clock.Tick
+	at    clock.Instant
 }
 
 // ServiceSample is the state of a hollow fleet's service at one moment.
@@ -216,15 +216,15 @@
 func NewHollow(options HollowOptions) *Hollow {
 	h := &Hollow{opts: options.WithDefaults(), now: 1e9, nodeByAddr: map[string]*hollowNode{}, serverByAddr: map[string]*hollowServer{}, sizes: map[ident.Key]int{},
 		onReceipt: map[uint64]func(controller.Receipt){}, onAnnounced: map[uint64]func(bool){}, Costs: map[CostKey]*Cost{}, LogCounts: map[string]int{},
-		partitioned: func(int, int) bool { return false }, undetected: map[ident.Server]clock.Tick{}}
+		partitioned: func(int, int) bool { return false }, undetected: map[ident.Server]clock.Instant{}}
 	h.rand = rand.New(rand.NewPCG(h.opts.Seed, 7))
 	h.plan = h.makePlan("first")
 	for i := range h.opts.CoreNodes {
-		h.addNode(&hollowNode{role: "core", sibling: protocol.Sibling{ID: ident.Node(fmt.Sprintf("loop-%02d", i)), Addr: fmt.Sprintf("10.1.0.%d:7000", i+1)}, zone: i * max(1, h.opts.Zones/h.opts.Regions) % h.opts.Zones, disk: map[string][]byte{}})
+		h.addNode(&hollowNode{role: "core", sibling: protocol.Peer{ID: ident.Node(fmt.Sprintf("loop-%02d", i)), Addr: fmt.Sprintf("10.1.0.%d:7000", i+1)}, zone: i * max(1, h.opts.Zones/h.opts.Regions) % h.opts.Zones, disk: map[string][]byte{}})
 	}
 	for i := range h.opts.Routers {
-		agentNode := &hollowNode{role: "agent", sibling: protocol.Sibling{ID: ident.Node(fmt.Sprintf("edge-%04d", i)), Addr: fmt.Sprintf("10.2.%d.%d:7002", i/250, i%250+1)}, zone: i % h.opts.Zones}
-		routerNode := &hollowNode{role: "router", sibling: protocol.Sibling{ID: "router", Addr: "router"}, zone: agentNode.zone, partner: agentNode}
+		agentNode := &hollowNode{role: "agent", sibling: protocol.Peer{ID: ident.Node(fmt.Sprintf("edge-%04d", i)), Addr: fmt.Sprintf("10.2.%d.%d:7002", i/250, i%250+1)}, zone: i % h.opts.Zones}
+		routerNode := &hollowNode{role: "router", sibling: protocol.Peer{ID: "router", Addr: "router"}, zone: agentNode.zone, partner: agentNode}
 		agentNode.partner = routerNode
 		h.addNode(agentNode)
 		h.nodes = append(h.nodes, routerNode)
@@ -262,28 +262,28 @@
 func (h *Hollow) startNode(node *hollowNode) {
 	node.up = true
 	node.starts++
-	inc := ident.Inc(1e12 + uint64(h.now)/1e6*1e3 + uint64(len(h.nodes)))
-	var seeds []protocol.Sibling
+	inc := ident.Incarnation(1e12 + uint64(h.now)/1e6*1e3 + uint64(len(h.nodes)))
+	var seeds []protocol.Peer
 	for i := range min(seedNodes, h.opts.CoreNodes) {
-		seeds = append(seeds, protocol.Sibling{Addr: fmt.Sprintf("10.1.0.%d:7000", i+1)})
+		seeds = append(seeds, protocol.Peer{Addr: fmt.Sprintf("10.1.0.%d:7000", i+1)})
 	}
 	switch node.role {
 	case "core":
-		node.core = controller.New(controller.Options{Me: node.sibling, Zone: h.zoneName(node.zone), Inc: inc, Seeds: seeds, Rand: h.newRand(node),
-			Duty: 800e6, Round: 200e6, Hold: 1400e6, Spare: 1200e6, Silence: announcePeriod*3 + announcePeriod/4, Rate: 5e9,
-			Enrolled: true, Unfenced: true, Warm: true})
+		node.core = controller.New(controller.Options{Self: node.sibling, Zone: h.zoneName(node.zone), Inc: inc, Seeds: seeds, Rand: h.newRand(node),
+			LeadershipLease: 800e6, ReadInterval: 200e6, RouterLease: 1400e6, ReplaceAfter: 1200e6, SilenceTimeout: announcePeriod*3 + announcePeriod/4, RateWindow: 5e9,
+			Enrolled: true, Unfenced: true, Preload: true})
 		disk := map[string][]byte{}
 		for key, value := range node.disk {
 			disk[key] = value
 		}
 		h.schedule(1, event{to: node, starts: node.starts, kind: "Start", input: protocol.Start{Disk: disk}})
 	case "agent":
-		node.core = agent.New(agent.Options{Me: node.sibling, Zone: h.zoneName(node.zone), Inc: inc, Life: inc, Seeds: seeds, Rand: h.newRand(node),
-			Router: protocol.Sibling{ID: "router", Addr: "router"}})
+		node.core = agent.New(agent.Options{Self: node.sibling, Zone: h.zoneName(node.zone), Inc: inc, Life: inc, Seeds: seeds, Rand: h.newRand(node),
+			Router: protocol.Peer{ID: "router", Addr: "router"}})
 	case "router":
-		node.core = router.New(router.Options{Me: node.sibling, Inc: inc, Agent: protocol.Sibling{Addr: "agent"}, Zone: h.zoneName(node.zone), Free: true, Guards: true, Lend: 10})
-		node.traffic = &traffic{replicas: map[ident.Key][]ident.Server{}, marks: map[ident.Key]ident.Mark{}, wantedAt: map[ident.Key]clock.Tick{},
-			stale: map[ident.Key]bool{}, waiting: map[ident.Key][]clock.Tick{}, rand: h.newRand(node)}
+		node.core = router.New(router.Options{Self: node.sibling, Inc: inc, Agent: protocol.Peer{Addr: "agent"}, Zone: h.zoneName(node.zone), StatelessServers: true, ServersEnforcePlacement: true, RetryMargin: 10})
+		node.traffic = &traffic{replicas: map[ident.Key][]ident.Server{}, marks: map[ident.Key]ident.Digest{}, wantedAt: map[ident.Key]clock.Instant{},
+			stale: map[ident.Key]bool{}, waiting: map[ident.Key][]clock.Instant{}, rand: h.newRand(node)}
 	}
 }
 
@@ -336,7 +336,7 @@
 
 func (h *Hollow) handleOutput(node *hollowNode, role string, output any) {
 	switch v := output.(type) {
-	case protocol.Env:
+	case protocol.Envelope:
 		h.send(node, role, v)
 	case protocol.Save:
 		for key, value := range v.Puts {
@@ -350,15 +350,15 @@
 		v.Run()
 		h.cost(role, "Compute").StepTime += threadCPUTime() - startedAt
 		h.schedule(1, event{to: node, starts: node.starts, kind: "Computed", input: protocol.Computed{Token: v.Token}})
-	case protocol.Ask:
+	case protocol.HTTPRequest:
 		h.askServer(node, role, v)
-	case protocol.Note:
+	case protocol.LogLine:
 		if server, ok := unreachableServer(v); ok {
 			h.recordDetection(server)
 			return
 		}
 		h.countLog(node, v.Text)
-	case protocol.Oops:
+	case protocol.ErrorReport:
 		h.countLog(node, v.Text)
 	case controller.Receipt:
 		if then := h.onReceipt[v.Token]; then != nil {
@@ -374,7 +374,7 @@
 }
 
 // unreachableServer reports whether a log line says that a server does not answer, and returns the server.
-func unreachableServer(line protocol.Note) (server ident.Server, ok bool) {
+func unreachableServer(line protocol.LogLine) (server ident.Server, ok bool) {
 	if line.Text != "server does not answer" && line.Text != "server is silent and does not answer" {
 		return "", false
 	}
@@ -410,7 +410,7 @@
 	h.LogCounts[strings.Join(words, " ")]++
 }
 
-func (h *Hollow) send(node *hollowNode, role string, env protocol.Env) {
+func (h *Hollow) send(node *hollowNode, role string, env protocol.Envelope) {
 	kind := protocol.Kind(env.Body)
 	if partner := node.partner; partner != nil && (env.To.Addr == "router" || env.To.Addr == "agent") {
 		env.Body = h.exchangeLocal(node, env.Body)
@@ -428,7 +428,7 @@
 	cost.Sent++
 	cost.SentBytes += len(raw)
 	cost.MaxBytes = max(cost.MaxBytes, len(raw))
-	to := h.nodeByAddr[env.Hop().Addr]
+	to := h.nodeByAddr[env.NextHop().Addr]
 	if to == nil || h.partitioned(node.zone, to.zone) {
 		return
 	}
@@ -460,7 +460,7 @@
 }
 
 // askServer sends a request to a model server. A real fleet uses HTTP; the bytes counted here are those of the bodies.
-func (h *Hollow) askServer(node *hollowNode, role string, ask protocol.Ask) {
+func (h *Hollow) askServer(node *hollowNode, role string, ask protocol.HTTPRequest) {
 	order := ask.Body.(protocol.Order)
 	kind := "report"
 	if order.Op != "" {
@@ -474,7 +474,7 @@
 	server := h.serverByAddr[ask.Addr]
 	latency := h.latencySteps(node.zone, server.zone)
 	if !server.up || server.state == "gone" || h.partitioned(node.zone, server.zone) {
-		h.schedule(int(ask.Wait/stepTime), event{to: node, starts: node.starts, kind: "Told", input: protocol.Told{Token: ask.Token}})
+		h.schedule(int(ask.Timeout/stepTime), event{to: node, starts: node.starts, kind: "Told", input: protocol.HTTPResult{Token: ask.Token}})
 		return
 	}
 	h.schedule(latency, event{run: func() {
@@ -486,20 +486,20 @@
 	}})
 }
 
-func (s *hollowServer) handleOrder(h *Hollow, order protocol.Order) protocol.Told {
+func (s *hollowServer) handleOrder(h *Hollow, order protocol.Order) protocol.HTTPResult {
 	if order.Op == "" {
-		report := protocol.Report{Server: s.id, Num: s.ordersAccepted, Room: serverRoom, Slots: 64, Busy: s.orderDoneAt != 0}
+		report := protocol.ServerReport{Server: s.id, Num: s.ordersAccepted, Room: serverRoom, Slots: 64, Busy: s.orderDoneAt != 0}
 		for _, key := range generic.SortedKeys(s.held) {
-			report.Held = append(report.Held, protocol.Held{Key: key, Size: s.held[key], Stage: "ready"})
+			report.Held = append(report.Held, protocol.HeldKey{Key: key, Size: s.held[key], Stage: "ready"})
 		}
 		raw, _ := json.Marshal(report)
-		return protocol.Told{OK: true, Code: 200, Body: raw}
+		return protocol.HTTPResult{OK: true, Code: 200, Body: raw}
 	}
 	if order.Expected != s.ordersAccepted || s.orderDoneAt != 0 {
-		return protocol.Told{OK: true, Code: 409}
+		return protocol.HTTPResult{OK: true, Code: 409}
 	}
 	if _, held := s.held[order.Key]; held == (order.Op == "load") {
-		return protocol.Told{OK: true, Code: 200}
+		return protocol.HTTPResult{OK: true, Code: 200}
 	}
 	s.ordersAccepted++
 	s.order = order
@@ -508,7 +508,7 @@
 		duration = 200e6
 	}
 	s.orderDoneAt = h.now.Add(duration)
-	return protocol.Told{OK: true, Code: 202}
+	return protocol.HTTPResult{OK: true, Code: 202}
 }
 
 func (h *Hollow) startServer(s *hollowServer) {
@@ -548,7 +548,7 @@
 // announce sends a server's announcement to a random core node. If the node cannot be reached, the server retries soon.
 func (h *Hollow) announce(s *hollowServer, then func(bool)) {
 	s.announcements++
-	beacon := protocol.Beacon{Listed: protocol.Listed{ID: s.id, Addr: s.addr, Zone: h.zoneName(s.zone), State: s.state, Service: s.service, Slots: 64}, Count: s.announcements, Held: generic.SortedKeys(s.held)}
+	beacon := protocol.Announcement{ListedServer: protocol.ListedServer{ID: s.id, Addr: s.addr, Zone: h.zoneName(s.zone), State: s.state, Service: s.service, Slots: 64}, Count: s.announcements, ReadyKeys: generic.SortedKeys(s.held)}
 	raw, _ := json.Marshal(beacon)
 	node := h.nodes[h.rand.IntN(h.opts.CoreNodes)]
 	if !node.up || h.partitioned(node.zone, s.zone) {
@@ -579,7 +579,7 @@
 			floor = 1
 		}
 		models[model] = object{"size": 60_000 + 1000*(i%20), "floor": floor, "load_ms": 2000}
-		key := ident.Key(model).In(fmt.Sprintf("engines-%d", group))
+		key := ident.Key(model).InService(fmt.Sprintf("engines-%d", group))
 		h.keys = append(h.keys, []ident.Key{key})
 		h.sizes[key] = 60_000 + 1000*(i%20)
 		modelNames[group] = append(modelNames[group], model)
@@ -588,7 +588,7 @@
 		adapter, m := fmt.Sprintf("adapter-%04d", i), i%h.opts.Models
 		base := fmt.Sprintf("model-%03d", m)
 		adapters[adapter] = object{"base": base, "size": 400}
-		key := ident.KeyOf(base, adapter).In(fmt.Sprintf("engines-%d", m%h.opts.Services))
+		key := ident.NewKey(base, adapter).InService(fmt.Sprintf("engines-%d", m%h.opts.Services))
 		h.keys[m] = append(h.keys[m], key)
 		h.sizes[key] = 400
 		adapterNames[m%h.opts.Services] = append(adapterNames[m%h.opts.Services], adapter)
@@ -664,22 +664,22 @@
 // router's view of the replicas.
 func (h *Hollow) exchangeLocal(node *hollowNode, body any) any {
 	switch message := body.(type) {
-	case protocol.Hello:
-		message.Burden, message.Seats = h.demand(node)
+	case protocol.RouterReport:
+		message.KeyLoads, message.TokensInProgress = h.demand(node)
 		return message
-	case protocol.Removal:
+	case protocol.DroppedEntries:
 		for _, drop := range message.Drops {
 			delete(node.traffic.replicas, drop.Key)
 		}
-	case protocol.Hold:
+	case protocol.RouterLease:
 		if traffic := node.partner.traffic; message.Session != traffic.session {
 			traffic.session = message.Session
 			for key := range traffic.replicas {
 				traffic.stale[key] = true
 			}
-			traffic.wantedAt = map[ident.Key]clock.Tick{}
+			traffic.wantedAt = map[ident.Key]clock.Instant{}
 		}
-	case protocol.News:
+	case protocol.Updates:
 		traffic := node.partner.traffic
 		for _, item := range message.Items {
 			if item.Break != "" {
@@ -688,12 +688,12 @@
 			if entry := item.Entry; entry != nil {
 				delete(traffic.wantedAt, entry.Key)
 				delete(traffic.stale, entry.Key)
-				if !entry.Same {
+				if !entry.Unchanged {
 					traffic.replicas[entry.Key] = nil
 					for _, replica := range entry.Replicas {
 						traffic.replicas[entry.Key] = append(traffic.replicas[entry.Key], replica.Server)
 					}
-					traffic.marks[entry.Key] = entry.Mark
+					traffic.marks[entry.Key] = entry.Digest
 				}
 			}
 		}
@@ -703,9 +703,9 @@
 
 // demand advances the synthetic requests at a router by one interval, and returns the demand by key and the load in
 // tokens by server.
-func (h *Hollow) demand(node *hollowNode) (map[ident.Key]protocol.Burden, map[ident.Server]int) {
+func (h *Hollow) demand(node *hollowNode) (map[ident.Key]protocol.KeyLoad, map[ident.Server]int) {
 	traffic := node.traffic
-	burdens := map[ident.Key]protocol.Burden{}
+	burdens := map[ident.Key]protocol.KeyLoad{}
 	loadPerRequest := h.opts.Utilization * float64(h.opts.Servers) / (h.opts.Rate * float64(h.opts.Routers))
 	active := traffic.active[:0]
 	for _, request := range traffic.active {
@@ -723,8 +723,8 @@
 		for range arrivals {
 			key := h.pickKey(traffic.rand)
 			burden := burdens[key]
-			burden.Came++
-			burden.Load += loadPerRequest
+			burden.Arrived++
+			burden.ServerSeconds += loadPerRequest
 			burdens[key] = burden
 			traffic.waiting[key] = append(traffic.waiting[key], h.now)
 		}
@@ -747,22 +747,22 @@
 			continue
 		}
 		burden := burdens[key]
-		burden.Wait, burden.Top = len(waiting), 1000
+		burden.Waiting, burden.TopValue = len(waiting), 1000
 		burdens[key] = burden
-		if wantedAt, ok := traffic.wantedAt[key]; (!ok || h.now.Sub(wantedAt) > 400e6) && traffic.session.N > 0 {
+		if wantedAt, ok := traffic.wantedAt[key]; (!ok || h.now.Sub(wantedAt) > 400e6) && traffic.session.Num > 0 {
 			traffic.wantedAt[key] = h.now
-			want := protocol.Want{Session: traffic.session, Key: key, Waiting: len(waiting), Value: 1000}
+			want := protocol.EntryRequest{Session: traffic.session, Key: key, Waiting: len(waiting), Value: 1000}
 			if traffic.stale[key] {
-				want.Mark = traffic.marks[key]
+				want.Digest = traffic.marks[key]
 			}
 			h.cost("router", "Want").Sent++
-			h.schedule(0, event{to: node.partner, starts: node.partner.starts, kind: "Want", input: protocol.Env{From: node.sibling, To: node.partner.sibling, Body: want}})
+			h.schedule(0, event{to: node.partner, starts: node.partner.starts, kind: "Want", input: protocol.Envelope{From: node.sibling, To: node.partner.sibling, Body: want}})
 		}
 	}
 	seats := map[ident.Server]int{}
 	for _, request := range traffic.active {
 		burden := burdens[request.key]
-		burden.Work++
+		burden.Running++
 		burdens[request.key] = burden
 		seats[request.server] += 150
 	}
--- a/internal/localfleet/hollow_run.go
+++ b/internal/localfleet/hollow_run.go
@@ -26,8 +26,8 @@
 		h.stepServer(s)
 	}
 	for _, n := range h.nodes {
-		if n.role == "router" || h.now%(5*clock.Tick(stepTime)) != 0 { // routers step every 20 ms, others every 25 ms on average
-			h.step(n, "Beat", protocol.Beat{})
+		if n.role == "router" || h.now%(5*clock.Instant(stepTime)) != 0 { // routers step every 20 ms, others every 25 ms on average
+			h.step(n, "Beat", protocol.TimerTick{})
 		}
 	}
 	drain()
@@ -55,7 +55,7 @@
 			continue
 		}
 		up++
-		_, at, hasLease := c.Rules(h.now)
+		_, at, hasLease := c.InForce(h.now)
 		if hasLease {
 			leased++
 		}
--- a/internal/localfleet/links_test.go
+++ b/internal/localfleet/links_test.go
@@ -27,7 +27,7 @@
 			defer group.Done()
 			raw := []byte(string(o.Plan) + strings.Repeat(" ", 1+2*n+i))
 			attempt := 0
-			_ = Until(o.ctx, "an answer", func() bool { // a retry goes to the next core node
+			_ = WaitUntil(o.ctx, "an answer", func() bool { // a retry goes to the next core node
 				reply, code, err := o.putPlanRecorded(fmt.Sprintf("controller-%d", 1+(n+i+attempt)%3), raw, expect, fmt.Sprintf("race-%d-%d", n, i))
 				replies[i], codes[i] = reply, code
 				attempt++
@@ -95,7 +95,7 @@
 	stopReaders()
 	seen.check()
 	report := r.calls(100, 50, 31, func() {})
-	require.Equal(t, report.Sent, report.Receipts, "%v", report.Kinds)
+	require.Equal(t, report.Sent, report.Answers, "%v", report.Kinds)
 }
 
 // A router that is cut off from the core stops sending once its lease has expired and holds its requests, while a new plan
@@ -117,7 +117,7 @@
 	}
 	before := sends()
 	// New requests are held and sent only after it reconnects.
-	mix := standin.NewMix(r.parsedPlan, 33)
+	mix := standin.NewWorkload(r.parsedPlan, 33)
 	client := standin.Client()
 	report := &standin.CallReport{Kinds: map[string]int{}, ByRouter: map[string]int{}}
 	var mu sync.Mutex
@@ -135,7 +135,7 @@
 	r.until("new plan in force at router-1", func() bool { return r.InForceAt(epoch, r.RouterByName["router-1"]) })
 	group.Wait()
 	require.Empty(t, report.Wrong)
-	require.Equal(t, 5, report.Receipts, "%v", report.Kinds)
+	require.Equal(t, 5, report.Answers, "%v", report.Kinds)
 }
 
 // The leader's zone fails and recovers while the platform does not answer.
@@ -173,10 +173,10 @@
 		}
 		return ok && offered >= 6
 	})
-	mix := standin.NewMix(r.parsedPlan, 35)
-	report := standin.Calls(r.ctx, standin.CallOptions{Routers: remaining, Next: mix.Next, Rate: 40, Total: 120})
+	mix := standin.NewWorkload(r.parsedPlan, 35)
+	report := standin.RunCalls(r.ctx, standin.CallOptions{Routers: remaining, Next: mix.Next, Rate: 40, Total: 120})
 	require.Empty(t, report.Wrong)
-	require.Greater(t, report.Receipts, report.Sent*9/10, "%v", report.Kinds)
+	require.Greater(t, report.Answers, report.Sent*9/10, "%v", report.Kinds)
 	r.Signal("platform", syscall.SIGCONT)
 	for _, name := range lost {
 		require.NoError(t, r.Start(name))
@@ -191,19 +191,19 @@
 	r.Isolate(old, "controller-", "router-")
 	r.until("another core node is the leader", func() bool { o := r.Owner(); return o != "" && o != old })
 	report := r.calls(100, 50, 37, func() {})
-	require.Equal(t, report.Sent, report.Receipts, "%v", report.Kinds)
+	require.Equal(t, report.Sent, report.Answers, "%v", report.Kinds)
 	r.Links.RestoreAll()
 }
 
 // Many concurrent requests for rare models do not make loads exceed the weight store's budget or the servers' memory.
 func TestCrowds(t *testing.T) {
 	r := startFleet(t, "corrib")
-	mix := standin.NewMix(r.parsedPlan, 39)
-	rare := []standin.Ask{mix.Rare(), mix.Rare(), mix.Rare(), mix.Rare()}
+	mix := standin.NewWorkload(r.parsedPlan, 39)
+	rare := []standin.Request{mix.NextRare(), mix.NextRare(), mix.NextRare(), mix.NextRare()}
 	i := 0
-	report := standin.Calls(r.ctx, standin.CallOptions{Routers: r.RouterAddrs, Rate: 200, Total: 400, Next: func() standin.Ask { i++; return mix.Of(rare[i%4]) }})
+	report := standin.RunCalls(r.ctx, standin.CallOptions{Routers: r.RouterAddrs, Rate: 200, Total: 400, Next: func() standin.Request { i++; return mix.Fill(rare[i%4]) }})
 	require.Empty(t, report.Wrong)
-	require.Greater(t, report.Receipts, report.Sent/2, "%v", report.Kinds)
+	require.Greater(t, report.Answers, report.Sent/2, "%v", report.Kinds)
 	var store standin.StoreTally
 	_, err := r.Get(r.StoreAddr+"/count", &store)
 	require.NoError(t, err)
@@ -239,7 +239,7 @@
 			return err == nil && c == 200
 		})
 	})
-	require.Greater(t, report.Receipts, report.Sent/2, "%v", report.Kinds)
+	require.Greater(t, report.Answers, report.Sent/2, "%v", report.Kinds)
 	r.until("all core nodes ready", func() bool {
 		return r.CoreNodeReady("controller-1") && r.CoreNodeReady("controller-2") && r.CoreNodeReady("controller-3")
 	})
@@ -260,10 +260,10 @@
 // request.
 func TestRolls(t *testing.T) {
 	r := startFleet(t, "padana")
-	mix := standin.NewMix(r.parsedPlan, 43)
-	next := func() standin.Ask {
+	mix := standin.NewWorkload(r.parsedPlan, 43)
+	next := func() standin.Request {
 		ask := mix.Next()
-		ask.Call.Max += 60
+		ask.Call.MaxTokens += 60
 		return ask
 	}
 	var group sync.WaitGroup
@@ -271,7 +271,7 @@
 	group.Add(1)
 	go func() {
 		defer group.Done()
-		report = standin.Calls(r.ctx, standin.CallOptions{Routers: r.RouterAddrs, Next: next, Rate: 20, Total: 400})
+		report = standin.RunCalls(r.ctx, standin.CallOptions{Routers: r.RouterAddrs, Next: next, Rate: 20, Total: 400})
 	}()
 	setState := func(server, state string) {
 		c, err := r.Do("POST", r.PlatformAddr+"/servers/"+server+"/"+state, nil, nil, nil)
@@ -314,14 +314,14 @@
 	}
 	group.Wait()
 	require.Empty(t, report.Wrong)
-	require.Equal(t, report.Sent, report.Receipts, "%v", report.Kinds)
+	require.Equal(t, report.Sent, report.Answers, "%v", report.Kinds)
 }
 
 // Callers disconnect early or never read their response while connections to servers break. Other callers receive correct
 // answers, and no request of the disconnected callers remains active at a server.
 func TestRudeCallers(t *testing.T) {
 	r := startLinkedFleet(t, "corrib")
-	mix := standin.NewMix(r.parsedPlan, 47)
+	mix := standin.NewWorkload(r.parsedPlan, 47)
 	stop := make(chan struct{})
 	var group sync.WaitGroup
 	group.Add(1)
@@ -338,7 +338,7 @@
 	}()
 	for i := range 40 {
 		ask := mix.Next()
-		ask.Call.ID, ask.Call.Max = fmt.Sprint("rude-", i), 400
+		ask.Call.ID, ask.Call.MaxTokens = fmt.Sprint("rude-", i), 400
 		conn, err := net.Dial("tcp", r.RouterAddrs[i%len(r.RouterAddrs)])
 		require.NoError(t, err)
 		body := ask.Body()
@@ -356,13 +356,13 @@
 		}()
 	}
 	report := r.calls(300, 60, 49, func() {})
-	t.Log(report.Receipts, report.Kinds)
+	t.Log(report.Answers, report.Kinds)
 	close(stop)
 	group.Wait()
 	for kind := range report.Kinds {
 		require.Contains(t, []string{"cut", "unclear", "allowance_spent", "expired"}, kind, "%v", report.Kinds)
 	}
-	require.NotZero(t, report.Receipts, "%v", report.Kinds)
+	require.NotZero(t, report.Answers, "%v", report.Kinds)
 	require.NotZero(t, report.Kinds["cut"], "connections were closed during streams: %v", report.Kinds)
 	r.until("no active requests", func() bool {
 		for _, addr := range r.ServerAddrs {
--- a/internal/localfleet/localfleet_test.go
+++ b/internal/localfleet/localfleet_test.go
@@ -63,7 +63,7 @@
 	for _, log := range logs {
 		raw, err := os.ReadFile(log)
 		require.NoError(t, err)
-		require.NotContains(t, string(raw), invariant.Sign, log)
+		require.NotContains(t, string(raw), invariant.ViolationPrefix, log)
 	}
 }
 
@@ -97,7 +97,7 @@
 
 func (r testFleet) until(what string, holds func() bool) {
 	r.t.Helper()
-	require.NoError(r.t, Until(r.ctx, what, holds))
+	require.NoError(r.t, WaitUntil(r.ctx, what, holds))
 }
 
 // calls sends requests while during runs, and returns what the callers saw.
@@ -107,8 +107,8 @@
 	group.Add(1)
 	go func() {
 		defer group.Done()
-		mix := standin.NewMix(r.parsedPlan, seed)
-		report = standin.Calls(r.ctx, standin.CallOptions{Routers: r.RouterAddrs, Next: mix.Next, Rate: rate, Total: total})
+		mix := standin.NewWorkload(r.parsedPlan, seed)
+		report = standin.RunCalls(r.ctx, standin.CallOptions{Routers: r.RouterAddrs, Next: mix.Next, Rate: rate, Total: total})
 	}()
 	during()
 	group.Wait()
@@ -151,10 +151,10 @@
 	for _, kind := range []string{"malformed", "no_route", "no_model", "no_kind", "no kind"} {
 		require.Zero(t, report.Kinds[kind], kind)
 	}
-	require.Greater(t, report.Receipts, report.Sent*2/3, "%v", report.Kinds)
+	require.Greater(t, report.Answers, report.Sent*2/3, "%v", report.Kinds)
 	r.until("floors met again", r.FloorsMet)
 	again := r.calls(200, 100, 6, func() {})
-	require.Equal(t, again.Sent, again.Receipts, "%v", again.Kinds)
+	require.Equal(t, again.Sent, again.Answers, "%v", again.Kinds)
 	r.until("plan is read back", func() bool { raw, ok := r.readPlan("controller-1"); return ok && raw == string(r.Plan) })
 }
 
@@ -165,7 +165,7 @@
 	r.Signal(old, syscall.SIGSTOP)
 	r.until("another core node is the leader", func() bool { o := r.Owner(); return o != "" && o != old })
 	report := r.calls(300, 100, 8, func() { r.Signal(old, syscall.SIGCONT) })
-	require.Equal(t, report.Sent, report.Receipts, "%v", report.Kinds)
+	require.Equal(t, report.Sent, report.Answers, "%v", report.Kinds)
 	// A router that is suspended past the end of its lease suspects all its entries when it resumes, and applies the plan
 	// that changed meanwhile.
 	r.Signal("router-1", syscall.SIGSTOP)
@@ -184,7 +184,7 @@
 // A rolling restart of the routers during long answers, and then of the core nodes under traffic, fails no request.
 func TestRollRouters(t *testing.T) {
 	r := startFleet(t, "corrib")
-	mix := standin.NewMix(r.parsedPlan, 11)
+	mix := standin.NewWorkload(r.parsedPlan, 11)
 	client := standin.Client()
 	for i := 1; i <= r.Shape.Routers; i++ {
 		name := fmt.Sprintf("router-%d", i)
@@ -193,7 +193,7 @@
 		var group sync.WaitGroup
 		for range 6 {
 			ask := mix.Next()
-			ask.Call.Max, ask.Call.Again = 60, false
+			ask.Call.MaxTokens, ask.Call.Repeatable = 60, false
 			group.Add(1)
 			go func() { defer group.Done(); standin.Call(client, r.RouterByName[name], ask, report, &mu) }()
 		}
@@ -203,7 +203,7 @@
 		require.NoError(t, r.Stop(name), "graceful stop")
 		group.Wait()
 		require.Empty(t, report.Wrong)
-		require.Equal(t, 6, report.Receipts, "%v", report.Kinds)
+		require.Equal(t, 6, report.Answers, "%v", report.Kinds)
 		require.NoError(t, r.Start(name))
 	}
 	r.until("every router is ready again", func() bool { return r.InForceAt(1, r.RouterAddrs...) })
@@ -217,7 +217,7 @@
 			r.until("core node is ready again", func() bool { return r.CoreNodeReady(name) })
 		}
 	})
-	require.Equal(t, report.Sent, report.Receipts, "%v", report.Kinds)
+	require.Equal(t, report.Sent, report.Answers, "%v", report.Kinds)
 }
 
 // An acknowledged plan survives when all processes are killed at once and restarted.
@@ -249,7 +249,7 @@
 	require.NoError(t, err)
 	require.Empty(t, damaged, "a torn tail must not be reported as damage")
 	report := r.calls(100, 50, 3, func() {})
-	require.Equal(t, report.Sent, report.Receipts, "%v", report.Kinds)
+	require.Equal(t, report.Sent, report.Answers, "%v", report.Kinds)
 }
 
 // A core node whose data folder was emptied or damaged is readmitted as a new voter, and then counts for a majority.
@@ -339,7 +339,7 @@
 		fault("server-4", "slow")
 		fault("server-4", "fast")
 	})
-	require.Greater(t, report.Receipts, report.Sent*9/10, "%v", report.Kinds)
+	require.Greater(t, report.Answers, report.Sent*9/10, "%v", report.Kinds)
 	r.until("floors met", r.FloorsMet)
 	var store standin.StoreTally
 	_, err := r.Get(r.StoreAddr+"/count", &store)
--- a/internal/localfleet/relay.go
+++ b/internal/localfleet/relay.go
@@ -127,7 +127,7 @@
 }
 
 // Restore unblocks one direction.
-func (r *Relays) Mend(from, to string) {
+func (r *Relays) Restore(from, to string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.cuts, [2]string{from, to})
@@ -135,7 +135,7 @@
 }
 
 // CloseConnsAt closes every connection from or to an IP.
-func (r *Relays) BreakAt(ip string) {
+func (r *Relays) CloseConnsAt(ip string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
@@ -155,7 +155,7 @@
 }
 
 // LimitRate limits each connection from or to an IP to a number of bytes per second. Zero removes the limit.
-func (r *Relays) Narrow(ip string, bytesPerSecond float64) {
+func (r *Relays) LimitRate(ip string, bytesPerSecond float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if bytesPerSecond <= 0 {
--- a/internal/localfleet/report.go
+++ b/internal/localfleet/report.go
@@ -16,7 +16,7 @@
 	printf := func(format string, args ...any) { _, _ = fmt.Fprintf(w, format+"\n", args...) }
 	printf("")
 	printf("fleet %s: %d core nodes, %d routers with agents, %d model servers", f.Shape.Name, len(f.AdminAddrs), f.Shape.Routers, f.Shape.Servers)
-	printf("callers   sent %d, answered %d, events %d, repeated on request %d", r.Sent, r.Receipts, r.Events, r.Repeats)
+	printf("callers   sent %d, answered %d, events %d, repeated on request %d", r.Sent, r.Answers, r.Events, r.Repeats)
 	for _, key := range generic.SortedKeys(r.Kinds) {
 		printf("          %-18s %d", key, r.Kinds[key])
 	}
