--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -25,29 +25,29 @@
 
 // Options configures a membership core.
 type Options struct {
-	Me      protocol.Member
-	Seeds   []protocol.Sibling
-	Rand    *rand.Rand
-	Every   clock.Span // interval between probes
-	Wait    clock.Span // time to wait for an answer before indirect probes are requested
-	Grace   clock.Span // time for a suspect to refute the suspicion
-	Forget  clock.Span // how long a dead member is retained
-	Helpers int
+	Self             protocol.Member
+	Seeds            []protocol.Peer
+	Rand             *rand.Rand
+	ProbeInterval    clock.Span // interval between probes
+	ProbeTimeout     clock.Span // time to wait for an answer before indirect probes are requested
+	SuspicionTimeout clock.Span // time for a suspect to refute the suspicion
+	DeadRetention    clock.Span // how long a dead member is retained
+	IndirectProbes   int
 }
 
 type member struct {
 	protocol.Member
-	since    clock.Tick
+	since    clock.Instant
 	state    string
 	gossiped int // number of times that this state was gossiped
 }
 
 type probe struct {
 	target       ident.Node
-	sentAt       clock.Tick
+	sentAt       clock.Instant
 	indirect     bool
-	requester    protocol.Sibling // set when probing on behalf of another process
-	requesterSeq uint64           // sequence number of the requester's probe
+	requester    protocol.Peer // set when probing on behalf of another process
+	requesterSeq uint64        // sequence number of the requester's probe
 }
 
 // Core is the membership state of one process. It performs no I/O and is not safe for concurrent use.
@@ -56,20 +56,20 @@
 	members    map[ident.Node]*member
 	pending    map[uint64]*probe
 	seq        uint64
-	nextProbe  clock.Tick
+	nextProbe  clock.Instant
 	probeOrder []ident.Node
 	seedIndex  int
-	now        clock.Tick
+	now        clock.Instant
 }
 
 // New returns a membership core that knows only its seeds.
 func New(o Options) *Core {
-	generic.SetDefault(&o.Every, 250e6)
-	generic.SetDefault(&o.Wait, 200e6)
-	generic.SetDefault(&o.Grace, 800e6)
-	generic.SetDefault(&o.Forget, 60e9)
-	generic.SetDefault(&o.Helpers, 2)
-	o.Me.Life = Alive
+	generic.SetDefault(&o.ProbeInterval, 250e6)
+	generic.SetDefault(&o.ProbeTimeout, 200e6)
+	generic.SetDefault(&o.SuspicionTimeout, 800e6)
+	generic.SetDefault(&o.DeadRetention, 60e9)
+	generic.SetDefault(&o.IndirectProbes, 2)
+	o.Self.Status = Alive
 	return &Core{o: o, members: map[ident.Node]*member{}, pending: map[uint64]*probe{}}
 }
 
@@ -93,11 +93,11 @@
 		}, stateless.FiringImmediate)
 	newer := func(c context.Context, _ ...any) bool {
 		t := c.Value(transitionKey{}).(*transition)
-		return t.update.Inc > t.member.Inc
+		return t.update.Incarnation > t.member.Incarnation
 	}
 	sameOrNewer := func(c context.Context, _ ...any) bool {
 		t := c.Value(transitionKey{}).(*transition)
-		return t.update.Inc >= t.member.Inc
+		return t.update.Incarnation >= t.member.Incarnation
 	}
 	s.Configure(Alive).Permit(Suspect, Suspect, sameOrNewer).Permit(Dead, Dead, sameOrNewer).Ignore(Alive)
 	s.Configure(Suspect).Permit(Alive, Alive, newer).Permit(Dead, Dead, sameOrNewer).Ignore(Suspect)
@@ -107,43 +107,43 @@
 }()
 
 // maxIncarnation is greater than any incarnation that a process draws or raises its own to.
-const maxIncarnation ident.Inc = 1 << 63
+const maxIncarnation ident.Incarnation = 1 << 63
 
 // valid reports whether a gossiped update can have been produced by a process.
 func valid(update protocol.Member) bool {
-	validState := update.Life == Alive || update.Life == Suspect || update.Life == Dead
-	return validState && update.ID != "" && update.Addr != "" && update.Inc < maxIncarnation
+	validState := update.Status == Alive || update.Status == Suspect || update.Status == Dead
+	return validState && update.ID != "" && update.Addr != "" && update.Incarnation < maxIncarnation
 }
 
 // applyUpdate applies a gossiped update. Invalid updates are ignored, because they would never be removed again.
-func (c *Core) applyUpdate(now clock.Tick, update protocol.Member) {
+func (c *Core) applyUpdate(now clock.Instant, update protocol.Member) {
 	if !valid(update) {
 		return
 	}
-	if update.ID == c.o.Me.ID {
-		if update.Life != Alive && update.Inc >= c.o.Me.Inc {
-			c.o.Me.Inc = update.Inc + 1
+	if update.ID == c.o.Self.ID {
+		if update.Status != Alive && update.Incarnation >= c.o.Self.Incarnation {
+			c.o.Self.Incarnation = update.Incarnation + 1
 		}
 		return
 	}
 	known := c.members[update.ID]
 	if known == nil {
-		if update.Life == Dead {
+		if update.Status == Dead {
 			return
 		}
-		c.members[update.ID] = &member{Member: update, since: now, state: update.Life}
+		c.members[update.ID] = &member{Member: update, since: now, state: update.Status}
 		return
 	}
-	oldState, oldInc := known.state, known.Inc
-	_ = stateMachine.FireCtx(context.WithValue(context.Background(), transitionKey{}, &transition{known, update}), update.Life)
-	if update.Inc > known.Inc {
-		known.Inc, known.Addr, known.Zone, known.Role = update.Inc, update.Addr, update.Zone, update.Role
-		if known.state == update.Life && oldState == update.Life {
+	oldState, oldInc := known.state, known.Incarnation
+	_ = stateMachine.FireCtx(context.WithValue(context.Background(), transitionKey{}, &transition{known, update}), update.Status)
+	if update.Incarnation > known.Incarnation {
+		known.Incarnation, known.Addr, known.Zone, known.Role = update.Incarnation, update.Addr, update.Zone, update.Role
+		if known.state == update.Status && oldState == update.Status {
 			known.gossiped = 0
 		}
 	}
-	if known.state != oldState || known.Inc != oldInc {
-		known.Life, known.since, known.gossiped = known.state, now, 0
+	if known.state != oldState || known.Incarnation != oldInc {
+		known.Status, known.since, known.gossiped = known.state, now, 0
 	}
 }
 
@@ -158,73 +158,73 @@
 		}
 		return members[i].ID < members[j].ID
 	})
-	updates := []protocol.Member{c.o.Me}
+	updates := []protocol.Member{c.o.Self}
 	for i := 0; i < len(members) && i < 8; i++ {
 		members[i].gossiped++
 		update := members[i].Member
-		update.Life = members[i].state
+		update.Status = members[i].state
 		updates = append(updates, update)
 	}
 	return updates
 }
 
 // SetSeeds replaces the seeds, because the initial seeds may all have stopped by the time they are needed again.
-func (c *Core) Reseed(seeds []protocol.Sibling) { c.o.Seeds = seeds }
+func (c *Core) SetSeeds(seeds []protocol.Peer) { c.o.Seeds = seeds }
 
-func (c *Core) envelope(to protocol.Sibling, message any) protocol.Env {
-	return protocol.Env{From: c.o.Me.Sibling, To: to, Body: message}
+func (c *Core) envelope(to protocol.Peer, message any) protocol.Envelope {
+	return protocol.Envelope{From: c.o.Self.Peer, To: to, Body: message}
 }
 
 // Tick expires timers and returns the messages that are due.
-func (c *Core) Beat(now clock.Tick) (out []protocol.Env) {
+func (c *Core) Tick(now clock.Instant) (out []protocol.Envelope) {
 	c.now = now
 	for _, seq := range generic.SortedKeys(c.pending) {
 		p := c.pending[seq]
 		switch age := now.Sub(p.sentAt); {
-		case p.requester.ID != "" && age > 2*c.o.Wait:
+		case p.requester.ID != "" && age > 2*c.o.ProbeTimeout:
 			delete(c.pending, seq)
-		case p.requester.ID == "" && !p.indirect && age > c.o.Wait:
+		case p.requester.ID == "" && !p.indirect && age > c.o.ProbeTimeout:
 			p.indirect = true
 			m := c.members[p.target]
-			for _, helper := range c.pickHelpers(c.o.Helpers, p.target) {
+			for _, helper := range c.pickHelpers(c.o.IndirectProbes, p.target) {
 				if m != nil {
-					out = append(out, c.envelope(helper.Sibling, protocol.ProbeFor{Seq: seq, Target: m.Sibling, News: c.gossip()}))
+					out = append(out, c.envelope(helper.Peer, protocol.IndirectProbe{Seq: seq, Target: m.Peer, Gossip: c.gossip()}))
 				}
 			}
-		case p.requester.ID == "" && age > 3*c.o.Wait:
+		case p.requester.ID == "" && age > 3*c.o.ProbeTimeout:
 			delete(c.pending, seq)
 			if m := c.members[p.target]; m != nil && m.state == Alive {
-				c.applyUpdate(now, protocol.Member{Sibling: m.Sibling, Inc: m.Inc, Life: Suspect})
+				c.applyUpdate(now, protocol.Member{Peer: m.Peer, Incarnation: m.Incarnation, Status: Suspect})
 			}
 		}
 	}
 	for id, m := range c.members {
-		if m.state == Suspect && now.Sub(m.since) > c.o.Grace {
-			c.applyUpdate(now, protocol.Member{Sibling: m.Sibling, Inc: m.Inc, Life: Dead})
+		if m.state == Suspect && now.Sub(m.since) > c.o.SuspicionTimeout {
+			c.applyUpdate(now, protocol.Member{Peer: m.Peer, Incarnation: m.Incarnation, Status: Dead})
 		}
-		if m.state == Dead && now.Sub(m.since) > c.o.Forget {
+		if m.state == Dead && now.Sub(m.since) > c.o.DeadRetention {
 			delete(c.members, id)
 		}
 	}
 	if now < c.nextProbe {
 		return out
 	}
-	c.nextProbe = now.Add(c.o.Every)
+	c.nextProbe = now.Add(c.o.ProbeInterval)
 	if target := c.nextTarget(); target != nil {
 		c.seq++
 		c.pending[c.seq] = &probe{target: target.ID, sentAt: now}
-		out = append(out, c.envelope(target.Sibling, protocol.Probe{Seq: c.seq, News: c.gossip()}))
+		out = append(out, c.envelope(target.Peer, protocol.Probe{Seq: c.seq, Gossip: c.gossip()}))
 	}
 	// A seed that is not known to be alive is probed periodically, so that a partitioned group can merge again.
 	if len(c.o.Seeds) > 0 {
 		c.seedIndex++
 		seed := c.o.Seeds[c.seedIndex%len(c.o.Seeds)]
-		known := seed.Addr == c.o.Me.Addr
+		known := seed.Addr == c.o.Self.Addr
 		for _, m := range c.members {
 			known = known || m.Addr == seed.Addr && m.state == Alive
 		}
 		if !known {
-			out = append(out, c.envelope(seed, protocol.Probe{News: c.gossip()}))
+			out = append(out, c.envelope(seed, protocol.Probe{Gossip: c.gossip()}))
 		}
 	}
 	return out
@@ -253,7 +253,7 @@
 func (c *Core) pickHelpers(n int, excluded ident.Node) []protocol.Member {
 	var candidates []protocol.Member
 	for _, m := range c.Alive("") {
-		if m.ID != excluded && m.ID != c.o.Me.ID {
+		if m.ID != excluded && m.ID != c.o.Self.ID {
 			candidates = append(candidates, m)
 		}
 	}
@@ -262,7 +262,7 @@
 }
 
 // Receive processes a message. It returns false for messages that do not belong to the membership protocol.
-func (c *Core) Take(now clock.Tick, e protocol.Env) (out []protocol.Env, mine bool) {
+func (c *Core) Receive(now clock.Instant, e protocol.Envelope) (out []protocol.Envelope, mine bool) {
 	c.now = now
 	apply := func(updates []protocol.Member) {
 		for _, m := range updates {
@@ -271,31 +271,31 @@
 	}
 	switch b := e.Body.(type) {
 	case protocol.Probe:
-		apply(b.News)
+		apply(b.Gossip)
 		updates := c.gossip()
 		if m := c.members[e.From.ID]; m != nil && m.state != Alive {
 			suspicion := m.Member // lets a live sender learn of the suspicion and refute it
-			suspicion.Life = m.state
+			suspicion.Status = m.state
 			updates = append(updates, suspicion)
 		}
-		return []protocol.Env{c.envelope(e.From, protocol.ProbeAck{Seq: b.Seq, News: updates})}, true
-	case protocol.ProbeFor:
-		apply(b.News)
+		return []protocol.Envelope{c.envelope(e.From, protocol.ProbeAck{Seq: b.Seq, Gossip: updates})}, true
+	case protocol.IndirectProbe:
+		apply(b.Gossip)
 		if e.From.ID == "" {
 			return nil, true // no requester to answer
 		}
 		c.seq++
 		c.pending[c.seq] = &probe{target: b.Target.ID, sentAt: now, requester: e.From, requesterSeq: b.Seq}
-		return []protocol.Env{c.envelope(b.Target, protocol.Probe{Seq: c.seq, News: c.gossip()})}, true
+		return []protocol.Envelope{c.envelope(b.Target, protocol.Probe{Seq: c.seq, Gossip: c.gossip()})}, true
 	case protocol.ProbeAck:
-		apply(b.News)
+		apply(b.Gossip)
 		p := c.pending[b.Seq]
 		if p == nil {
 			return nil, true
 		}
 		delete(c.pending, b.Seq)
 		if p.requester.ID != "" {
-			return []protocol.Env{c.envelope(p.requester, protocol.ProbeAck{Seq: p.requesterSeq, News: c.gossip()})}, true
+			return []protocol.Envelope{c.envelope(p.requester, protocol.ProbeAck{Seq: p.requesterSeq, Gossip: c.gossip()})}, true
 		}
 		return nil, true
 	}
@@ -305,8 +305,8 @@
 // Alive lists the members of a role that are alive, including this process, sorted by ID. An empty role selects all.
 func (c *Core) Alive(role string) []protocol.Member {
 	var members []protocol.Member
-	if role == "" || role == c.o.Me.Role {
-		members = append(members, c.o.Me)
+	if role == "" || role == c.o.Self.Role {
+		members = append(members, c.o.Self)
 	}
 	for _, m := range c.members {
 		if m.state == Alive && (role == "" || m.Role == role) {
@@ -320,7 +320,7 @@
 // CountAlive counts the members of a role that are alive, including this process.
 func (c *Core) CountAlive(role string) int {
 	n := 0
-	if role == c.o.Me.Role {
+	if role == c.o.Self.Role {
 		n++
 	}
 	for _, m := range c.members {
@@ -332,11 +332,11 @@
 }
 
 // Members lists every retained member with its state, sorted by ID.
-func (c *Core) All() []protocol.Member {
-	members := []protocol.Member{c.o.Me}
+func (c *Core) Members() []protocol.Member {
+	members := []protocol.Member{c.o.Self}
 	for _, m := range c.members {
 		update := m.Member
-		update.Life = m.state
+		update.Status = m.state
 		members = append(members, update)
 	}
 	sort.Slice(members, func(i, j int) bool { return members[i].ID < members[j].ID })
@@ -344,8 +344,8 @@
 }
 
 // StateOf returns a member's state and the time of its last change. An unknown member has an empty state.
-func (c *Core) Life(id ident.Node) (string, clock.Tick) {
-	if id == c.o.Me.ID {
+func (c *Core) StateOf(id ident.Node) (string, clock.Instant) {
+	if id == c.o.Self.ID {
 		return Alive, 0
 	}
 	if m := c.members[id]; m != nil {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -11,25 +11,25 @@
 	"tidedeck/internal/protocol"
 )
 
-func newPeer(s string) protocol.Sibling { return protocol.Sibling{ID: ident.Node(s), Addr: s} }
+func newPeer(s string) protocol.Peer { return protocol.Peer{ID: ident.Node(s), Addr: s} }
 
 func newCore(id string, seeds ...string) *Core {
-	o := Options{Me: protocol.Member{Sibling: newPeer(id), Role: "agent", Inc: 5}, Rand: rand.New(rand.NewPCG(1, uint64(len(id))))}
+	o := Options{Self: protocol.Member{Peer: newPeer(id), Role: "agent", Incarnation: 5}, Rand: rand.New(rand.NewPCG(1, uint64(len(id))))}
 	for _, s := range seeds {
-		o.Seeds = append(o.Seeds, protocol.Sibling{Addr: s})
+		o.Seeds = append(o.Seeds, protocol.Peer{Addr: s})
 	}
 	return New(o)
 }
 
 // An update changes a member's state only as its incarnation allows.
 func TestLife(t *testing.T) {
-	update := func(life string, inc ident.Inc) protocol.Member {
-		return protocol.Member{Sibling: newPeer("x"), Inc: inc, Life: life}
+	update := func(life string, inc ident.Incarnation) protocol.Member {
+		return protocol.Member{Peer: newPeer("x"), Incarnation: inc, Status: life}
 	}
 	for _, c := range []struct {
 		was  string
 		hear string
-		inc  ident.Inc // the known incarnation is 5
+		inc  ident.Incarnation // the known incarnation is 5
 		now  string
 	}{
 		{Alive, Suspect, 5, Suspect}, {Alive, Suspect, 4, Alive}, {Alive, Dead, 5, Dead}, {Alive, Dead, 4, Alive}, {Alive, Alive, 6, Alive},
@@ -40,34 +40,34 @@
 		m.applyUpdate(0, update(Alive, 5))
 		m.applyUpdate(0, update(c.was, 5))
 		m.applyUpdate(0, update(c.hear, c.inc))
-		state, _ := m.Life("x")
+		state, _ := m.StateOf("x")
 		require.Equal(t, c.now, state, "%+v", c)
 	}
 	m := newCore("me")
 	m.applyUpdate(0, update(Dead, 5))
-	require.Len(t, m.All(), 1, "an unknown member that is dead is not retained")
+	require.Len(t, m.Members(), 1, "an unknown member that is dead is not retained")
 }
 
 // network drives several cores by hand; cores in down receive nothing.
 type network struct {
 	cores map[string]*Core
 	down  map[string]bool
-	now   clock.Tick
+	now   clock.Instant
 }
 
 func (n *network) run(s clock.Span) {
 	for end := n.now.Add(s); n.now < end; n.now = n.now.Add(10e6) {
-		var queue []protocol.Env
+		var queue []protocol.Envelope
 		for _, id := range []string{"a", "b", "c", "d"} {
 			if !n.down[id] {
-				queue = append(queue, n.cores[id].Beat(n.now)...)
+				queue = append(queue, n.cores[id].Tick(n.now)...)
 			}
 		}
 		for len(queue) > 0 {
 			envelope := queue[0]
 			queue = queue[1:]
 			if to := n.cores[envelope.To.Addr]; to != nil && !n.down[envelope.To.Addr] {
-				replies, _ := to.Take(n.now, envelope)
+				replies, _ := to.Receive(n.now, envelope)
 				queue = append(queue, replies...)
 			}
 		}
@@ -87,13 +87,13 @@
 	n.down["d"] = true
 	n.run(6e9)
 	for _, id := range []string{"a", "b", "c"} {
-		state, _ := n.cores[id].Life("d")
+		state, _ := n.cores[id].StateOf("d")
 		require.Equal(t, Dead, state, id)
 	}
 	n.down["d"] = false // the same incarnation is still running: the process must refute its death with a higher one
 	n.run(6e9)
 	for _, id := range []string{"a", "b", "c"} {
-		state, _ := n.cores[id].Life("d")
+		state, _ := n.cores[id].StateOf("d")
 		require.Equal(t, Alive, state, id)
 	}
 }
@@ -101,25 +101,25 @@
 // Indirect probes keep a process alive that only one other process cannot reach.
 func TestIndirectProbes(t *testing.T) {
 	a := newCore("a")
-	a.applyUpdate(0, protocol.Member{Sibling: newPeer("x"), Role: "agent", Inc: 1, Life: Alive})
-	a.applyUpdate(0, protocol.Member{Sibling: newPeer("y"), Role: "agent", Inc: 1, Life: Alive})
+	a.applyUpdate(0, protocol.Member{Peer: newPeer("x"), Role: "agent", Incarnation: 1, Status: Alive})
+	a.applyUpdate(0, protocol.Member{Peer: newPeer("y"), Role: "agent", Incarnation: 1, Status: Alive})
 	var probes, indirect int
-	for now := clock.Tick(0); now < 3e9; now += 10e6 {
-		for _, e := range a.Beat(now) {
+	for now := clock.Instant(0); now < 3e9; now += 10e6 {
+		for _, e := range a.Tick(now) {
 			switch b := e.Body.(type) {
 			case protocol.Probe:
 				probes++
 				if e.To.ID == "y" { // y answers, x is unreachable
-					a.Take(now, protocol.Env{From: newPeer("y"), Body: protocol.ProbeAck{Seq: b.Seq}})
+					a.Receive(now, protocol.Envelope{From: newPeer("y"), Body: protocol.ProbeAck{Seq: b.Seq}})
 				}
-			case protocol.ProbeFor:
+			case protocol.IndirectProbe:
 				indirect++
 				require.EqualValues(t, "x", b.Target.ID)
-				a.Take(now, protocol.Env{From: newPeer("y"), Body: protocol.ProbeAck{Seq: b.Seq}})
+				a.Receive(now, protocol.Envelope{From: newPeer("y"), Body: protocol.ProbeAck{Seq: b.Seq}})
 			}
 		}
 	}
-	state, _ := a.Life("x")
+	state, _ := a.StateOf("x")
 	require.Equal(t, Alive, state)
 	require.Positive(t, indirect)
 	require.Greater(t, probes, indirect)
--- a/internal/protocol/desired.go
+++ b/internal/protocol/desired.go
@@ -19,26 +19,26 @@
 const maxDesiredSize = 16 << 20
 
 // SharedEncoding caches the encoding of an immutable value that is sent to many receivers.
-type Packed struct {
+type SharedEncoding struct {
 	once    sync.Once
 	encoded []byte
 	err     error
 }
 
 // encode returns the encoding of value and computes it only once. A nil SharedEncoding caches nothing.
-func (p *Packed) encode(value any) ([]byte, error) {
+func (p *SharedEncoding) encode(value any) ([]byte, error) {
 	if p == nil {
-		p = &Packed{}
+		p = &SharedEncoding{}
 	}
 	p.once.Do(func() { p.encoded, p.err = wirejson.Marshal(value, wireOptions) })
 	return p.encoded, p.err
 }
 
 // MarshalJSON encodes an item. A part that is sent to many routers is encoded only once.
-func (i Item) MarshalJSON() ([]byte, error) {
+func (i Update) MarshalJSON() ([]byte, error) {
 	out := strconv.AppendUint([]byte(`{"n":`), i.Num, 10)
 	if i.Entry != nil {
-		entry, err := i.Packed.encode(i.Entry)
+		entry, err := i.Shared.encode(i.Entry)
 		if err != nil {
 			return nil, err
 		}
@@ -52,7 +52,7 @@
 		out = append(append(out, `,"b":`...), key...)
 	}
 	if i.Desired != nil {
-		desired, err := i.Packed.encode(i.Desired)
+		desired, err := i.Shared.encode(i.Desired)
 		if err != nil {
 			return nil, err
 		}
@@ -62,11 +62,11 @@
 }
 
 // encode encodes the message as encoding/json would, but copies the items' encodings unchanged.
-func (n News) encode() ([]byte, error) {
+func (n Updates) encode() ([]byte, error) {
 	header, err := wirejson.Marshal(struct {
 		Session Session
-		Duty    ident.Duty
-	}{n.Session, n.Duty}, wireOptions)
+		Duty    ident.Term
+	}{n.Session, n.Term}, wireOptions)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/protocol/fuzz_test.go
+++ b/internal/protocol/fuzz_test.go
@@ -14,22 +14,22 @@
 )
 
 // examples returns envelopes that contain each part with a custom encoding.
-func examples() []Env {
-	self, peer, relay := Sibling{"a", "1"}, Sibling{"b", "2"}, Sibling{"c", "3"}
-	session := Session{Node: "a", Agent: 1, Router: 2, N: 3}
-	desired := &Desired{Gen: 2, Epoch: 3, Plan: []byte("{ }\n"), Voters: []Voter{{Sibling: self, Inc: 9}}}
-	member := Member{Sibling: peer, Role: "agent", Zone: "z", Inc: 7, Life: "alive"}
-	var all []Env
+func examples() []Envelope {
+	self, peer, relay := Peer{"a", "1"}, Peer{"b", "2"}, Peer{"c", "3"}
+	session := Session{Node: "a", AgentIncarnation: 1, RouterIncarnation: 2, Num: 3}
+	desired := &Desired{Gen: 2, Epoch: 3, Plan: []byte("{ }\n"), Voters: []Voter{{Peer: self, Incarnation: 9}}}
+	member := Member{Peer: peer, Role: "agent", Zone: "z", Incarnation: 7, Status: "alive"}
+	var all []Envelope
 	for _, body := range []any{
-		Probe{Seq: 1, News: []Member{member}},
-		ProbeFor{Seq: 2, Target: peer, News: []Member{member}},
+		Probe{Seq: 1, Gossip: []Member{member}},
+		IndirectProbe{Seq: 2, Target: peer, Gossip: []Member{member}},
 		Accept{Round: 1, Ballot: Ballot{N: 1, By: "a"}, Value: *desired},
-		Value{Round: 1, Value: desired},
-		News{Session: session, Items: []Item{{Num: 1, Desired: desired}, {Num: 2, Break: "k"}, {Num: 3, Entry: &Entry{Key: "k", Replicas: []Replica{{Server: "s"}}}}}},
-		Renew{Session: session, Burden: map[ident.Key]Burden{"k": {Came: 1, Load: 0.5}}},
-		Beacons{List: []Beacon{{Listed: Listed{ID: "s", Addr: "4", State: "live"}, Held: []ident.Key{"k"}}}},
+		FetchedValue{Round: 1, Value: desired},
+		Updates{Session: session, Items: []Update{{Num: 1, Desired: desired}, {Num: 2, Break: "k"}, {Num: 3, Entry: &Entry{Key: "k", Replicas: []Replica{{Server: "s"}}}}}},
+		Renew{Session: session, KeyLoads: map[ident.Key]KeyLoad{"k": {Arrived: 1, ServerSeconds: 0.5}}},
+		Announcements{Announcements: []Announcement{{ListedServer: ListedServer{ID: "s", Addr: "4", State: "live"}, ReadyKeys: []ident.Key{"k"}}}},
 	} {
-		all = append(all, Env{From: self, To: peer, By: relay, Body: body})
+		all = append(all, Envelope{From: self, To: peer, RelayedBy: relay, Body: body})
 	}
 	return all
 }
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -18,23 +18,23 @@
 )
 
 // Peer identifies a process and its address.
-type Sibling struct {
+type Peer struct {
 	ID   ident.Node `json:"id"`
 	Addr string     `json:"addr"`
 }
 
 // Envelope is one message between two processes with its addresses. If Via is set, the message is sent through that
 // process. If RelayedBy is set, the message arrived through that process, and a reply takes the same route.
-type Env struct {
-	From Sibling
-	To   Sibling
-	Via  Sibling
-	By   Sibling `json:"By"`
-	Body any
+type Envelope struct {
+	From      Peer
+	To        Peer
+	Via       Peer
+	RelayedBy Peer `json:"By"`
+	Body      any
 }
 
 // NextHop returns the process to which the envelope is sent next.
-func (e Env) Hop() Sibling {
+func (e Envelope) NextHop() Peer {
 	if e.Via.ID != "" {
 		return e.Via
 	}
@@ -42,19 +42,19 @@
 }
 
 // Relay returns the envelope that a relay sends on to the final recipient.
-func (e Env) Carry(self Sibling) Env {
-	return Env{From: e.From, To: e.To, By: self, Body: e.Body}
+func (e Envelope) Relay(self Peer) Envelope {
+	return Envelope{From: e.From, To: e.To, RelayedBy: self, Body: e.Body}
 }
 
 // Reply returns an envelope that answers e along the route by which e arrived.
-func (e Env) Reply(self Sibling, body any) Env {
-	return Env{From: self, To: e.From, Via: e.By, Body: body}
+func (e Envelope) Reply(self Peer, body any) Envelope {
+	return Envelope{From: self, To: e.From, Via: e.RelayedBy, Body: body}
 }
 
 type wireEnvelope struct {
-	From Sibling        `json:"f"`
-	To   Sibling        `json:"t"`
-	By   *Sibling       `json:"v,omitempty"`
+	From Peer           `json:"f"`
+	To   Peer           `json:"t"`
+	By   *Peer          `json:"v,omitempty"`
 	Kind string         `json:"k"`
 	Body jsontext.Value `json:"b"`
 }
@@ -71,7 +71,7 @@
 var kinds = map[string]reflect.Type{
 	"Probe":        reflect.TypeFor[Probe](),
 	"ProbeAck":     reflect.TypeFor[ProbeAck](),
-	"ProbeFor":     reflect.TypeFor[ProbeFor](),
+	"ProbeFor":     reflect.TypeFor[IndirectProbe](),
 	"Prepare":      reflect.TypeFor[Prepare](),
 	"Promise":      reflect.TypeFor[Promise](),
 	"Accept":       reflect.TypeFor[Accept](),
@@ -79,29 +79,29 @@
 	"Query":        reflect.TypeFor[Query](),
 	"State":        reflect.TypeFor[State](),
 	"Release":      reflect.TypeFor[Release](),
-	"Fetch":        reflect.TypeFor[Fetch](),
-	"Value":        reflect.TypeFor[Value](),
+	"Fetch":        reflect.TypeFor[FetchValue](),
+	"Value":        reflect.TypeFor[FetchedValue](),
 	"Renew":        reflect.TypeFor[Renew](),
 	"Grant":        reflect.TypeFor[Grant](),
 	"NotOwner":     reflect.TypeFor[NotOwner](),
-	"News":         reflect.TypeFor[News](),
-	"Heard":        reflect.TypeFor[Heard](),
-	"Want":         reflect.TypeFor[Want](),
-	"Removal":      reflect.TypeFor[Removal](),
-	"Hold":         reflect.TypeFor[Hold](),
-	"Hello":        reflect.TypeFor[Hello](),
-	"Keep":         reflect.TypeFor[Keep](),
-	"Kept":         reflect.TypeFor[Kept](),
-	"Taken":        reflect.TypeFor[Taken](),
-	"Forward":      reflect.TypeFor[Forward](),
-	"Forwarded":    reflect.TypeFor[Forwarded](),
-	"Listing":      reflect.TypeFor[Listing](),
-	"Look":         reflect.TypeFor[Look](),
-	"Looked":       reflect.TypeFor[Looked](),
-	"Beacons":      reflect.TypeFor[Beacons](),
-	"BeaconsHeard": reflect.TypeFor[BeaconsHeard](),
-	"RollCall":     reflect.TypeFor[RollCall](),
-	"Roll":         reflect.TypeFor[Roll](),
+	"News":         reflect.TypeFor[Updates](),
+	"Heard":        reflect.TypeFor[Ack](),
+	"Want":         reflect.TypeFor[EntryRequest](),
+	"Removal":      reflect.TypeFor[DroppedEntries](),
+	"Hold":         reflect.TypeFor[RouterLease](),
+	"Hello":        reflect.TypeFor[RouterReport](),
+	"Keep":         reflect.TypeFor[RecoveryQuery](),
+	"Kept":         reflect.TypeFor[RecoveryReply](),
+	"Taken":        reflect.TypeFor[ValueChosen](),
+	"Forward":      reflect.TypeFor[ForwardChange](),
+	"Forwarded":    reflect.TypeFor[ForwardReply](),
+	"Listing":      reflect.TypeFor[ServerList](),
+	"Look":         reflect.TypeFor[ReachQuery](),
+	"Looked":       reflect.TypeFor[ReachReply](),
+	"Beacons":      reflect.TypeFor[Announcements](),
+	"BeaconsHeard": reflect.TypeFor[AnnouncementsAck](),
+	"RollCall":     reflect.TypeFor[RegistryQuery](),
+	"Roll":         reflect.TypeFor[RegistryReply](),
 }
 
 // kindNames maps the Go type of each message to its kind.
@@ -124,22 +124,22 @@
 
 // envelopeHeader is the header of an envelope, without the body.
 type envelopeHeader struct {
-	From Sibling  `json:"f"`
-	To   Sibling  `json:"t"`
-	By   *Sibling `json:"v,omitempty"`
-	Kind string   `json:"k"`
+	From Peer   `json:"f"`
+	To   Peer   `json:"t"`
+	By   *Peer  `json:"v,omitempty"`
+	Kind string `json:"k"`
 }
 
 // Pack encodes an envelope. Parts that are already encoded are copied unchanged: encoding/json would validate and
 // copy a large configuration again at every nesting level and for every router.
-func Pack(e Env) ([]byte, error) {
+func Pack(e Envelope) ([]byte, error) {
 	body, err := encodeBody(e.Body)
 	if err != nil {
 		return nil, errors.Wrap(err, "pack body")
 	}
 	header := envelopeHeader{From: e.From, To: e.To, Kind: Kind(e.Body)}
-	if e.By.ID != "" {
-		header.By = &e.By
+	if e.RelayedBy.ID != "" {
+		header.By = &e.RelayedBy
 	}
 	encoded, err := wirejson.Marshal(header, wireOptions)
 	if err != nil {
@@ -160,29 +160,29 @@
 }
 
 func encodeBody(body any) ([]byte, error) {
-	if updates, ok := body.(News); ok && len(updates.Items) > 0 {
+	if updates, ok := body.(Updates); ok && len(updates.Items) > 0 {
 		return updates.encode()
 	}
 	return wirejson.Marshal(body, wireOptions)
 }
 
 // Unpack decodes an envelope. An unknown kind of message is an error.
-func Unpack(b []byte) (Env, error) {
+func Unpack(b []byte) (Envelope, error) {
 	var w wireEnvelope
 	if err := wirejson.Unmarshal(b, &w, wireOptions); err != nil {
-		return Env{}, errors.Wrap(err, "unpack envelope")
+		return Envelope{}, errors.Wrap(err, "unpack envelope")
 	}
 	t, ok := kinds[w.Kind]
 	if !ok {
-		return Env{}, errors.Errorf("unpack: unknown message kind %q", w.Kind)
+		return Envelope{}, errors.Errorf("unpack: unknown message kind %q", w.Kind)
 	}
 	p := reflect.New(t)
 	if err := wirejson.Unmarshal(w.Body, p.Interface(), wireOptions); err != nil {
-		return Env{}, errors.Wrapf(err, "unpack %s", w.Kind)
+		return Envelope{}, errors.Wrapf(err, "unpack %s", w.Kind)
 	}
-	e := Env{From: w.From, To: w.To, Body: p.Elem().Interface()}
+	e := Envelope{From: w.From, To: w.To, Body: p.Elem().Interface()}
 	if w.By != nil {
-		e.By = *w.By
+		e.RelayedBy = *w.By
 	}
 	return e, nil
 }
@@ -191,30 +191,30 @@
 
 // Member is the membership state of one process as spread by gossip.
 type Member struct {
-	Sibling
-	Role string     `json:"role"`
-	Zone ident.Zone `json:"zone"`
-	Inc  ident.Inc  `json:"inc"`
-	Life string     `json:"life"`
+	Peer
+	Role        string            `json:"role"`
+	Zone        ident.Zone        `json:"zone"`
+	Incarnation ident.Incarnation `json:"inc"`
+	Status      string            `json:"life"`
 }
 
 // Probe asks a process whether it is alive.
 type Probe struct {
-	Seq  uint64
-	News []Member `json:"News"`
+	Seq    uint64
+	Gossip []Member `json:"News"`
 }
 
 // ProbeAck answers a Probe, or an IndirectProbe on its target's behalf.
 type ProbeAck struct {
-	Seq  uint64
-	News []Member `json:"News"`
+	Seq    uint64
+	Gossip []Member `json:"News"`
 }
 
 // IndirectProbe asks the receiver to probe Target on the sender's behalf.
-type ProbeFor struct {
+type IndirectProbe struct {
 	Seq    uint64
-	Target Sibling
-	News   []Member `json:"News"`
+	Target Peer
+	Gossip []Member `json:"News"`
 }
 
 // The replicated register.
@@ -224,25 +224,25 @@
 // It includes the incarnation of the proposing process: a restarted proposer may not know which numbers it used
 // before, because they may not be on its disk, and one ballot must never carry two values.
 type Ballot struct {
-	N    uint64
-	By   ident.Node
-	Life ident.Inc `json:"Life,omitempty"`
+	N           uint64
+	By          ident.Node
+	Incarnation ident.Incarnation `json:"Life,omitempty"`
 }
 
 // Less orders ballots by number, then proposer, then the proposer's incarnation.
 func (b Ballot) Less(other Ballot) bool {
-	return cmp.Or(cmp.Compare(b.N, other.N), cmp.Compare(b.By, other.By), cmp.Compare(b.Life, other.Life)) < 0
+	return cmp.Or(cmp.Compare(b.N, other.N), cmp.Compare(b.By, other.By), cmp.Compare(b.Incarnation, other.Incarnation)) < 0
 }
 
 // Voter is a voting core node, identified together with the incarnation of its disk.
 type Voter struct {
-	Sibling
-	Zone ident.Zone `json:"zone"`
-	Inc  ident.Inc  `json:"inc"`
+	Peer
+	Zone        ident.Zone        `json:"zone"`
+	Incarnation ident.Incarnation `json:"inc"`
 }
 
 // SeedsChanged is an input, not a message: the settings file now lists other seeds.
-type Reseed struct{ Seeds []Sibling }
+type SeedsChanged struct{ Seeds []Peer }
 
 // Change records an applied change, so that a repeated request gets the same answer and is not applied again.
 type Change struct {
@@ -252,15 +252,15 @@
 
 // Desired is the value of the replicated register: the plan exactly as submitted and its accompanying state.
 type Desired struct {
-	Gen     uint64       `json:"gen"`
-	Epoch   ident.Epoch  `json:"epoch"`
-	Plan    []byte       `json:"plan"`
-	Empty   []ident.Zone `json:"empty"`
-	Windows []byte       `json:"windows,omitempty"`
-	Voters  []Voter      `json:"voters"`
-	Prior   []Voter      `json:"prior,omitempty"`
-	Shape   uint64       `json:"shape"` // number of the voter set
-	Done    []Change     `json:"done"`
+	Gen            uint64       `json:"gen"`
+	Epoch          ident.Epoch  `json:"epoch"`
+	Plan           []byte       `json:"plan"`
+	EmptiedZones   []ident.Zone `json:"empty"`
+	Windows        []byte       `json:"windows,omitempty"`
+	Voters         []Voter      `json:"voters"`
+	PriorVoters    []Voter      `json:"prior,omitempty"`
+	VoterSet       uint64       `json:"shape"` // number of the voter set
+	AppliedChanges []Change     `json:"done"`
 }
 
 // Newer reports whether d is newer than other; any state is newer than none.
@@ -277,12 +277,12 @@
 
 // Promise answers Prepare. Value is omitted if the proposer already knows the accepted value.
 type Promise struct {
-	Round    uint64
-	OK       bool
-	Inc      ident.Inc `json:"Inc"`
-	Promised Ballot
-	Accepted Ballot
-	Value    *Desired
+	Round       uint64
+	OK          bool
+	Incarnation ident.Incarnation `json:"Inc"`
+	Promised    Ballot
+	Accepted    Ballot
+	Value       *Desired
 }
 
 // Accept asks voters to accept a value. A voter that accepts it also promises Next, so that the proposer can continue
@@ -297,106 +297,106 @@
 
 // Accepted answers Accept.
 type Accepted struct {
-	Round    uint64
-	OK       bool
-	Inc      ident.Inc `json:"Inc"`
-	Promised Ballot
+	Round       uint64
+	OK          bool
+	Incarnation ident.Incarnation `json:"Inc"`
+	Promised    Ballot
 }
 
 // Query reads a voter's state and, with Claim set, requests a leadership lease for the given term.
 type Query struct {
 	Round uint64
 	Claim bool
-	Duty  ident.Duty `json:"Duty"`
+	Term  ident.Term `json:"Duty"`
 }
 
 // State answers Query.
 type State struct {
-	Round    uint64
-	Inc      ident.Inc `json:"Inc"`
-	Blank    bool
-	Accepted Ballot
-	Chosen   Ballot `json:",omitzero"` // ballot of the newest value that this node knows to be chosen
-	Epoch    ident.Epoch
-	Shape    uint64 `json:"Shape"`
-	Granted  bool
-	Duty     ident.Duty `json:"Duty"` // highest term ever promised
-	Owner    Sibling    // current holder of the leadership lease, if any
-	Last     ident.Node `json:"Last"`  // node to which this voter granted the lease last
-	Prior    ident.Node `json:"Prior"` // node to which it granted the lease before this answer
-	Shy      bool       `json:"Shy"`   // the node released its lease and declines a new one for a while
-	Leaving  bool       // the node is shutting down, and a spare node should take its seat
+	Round        uint64
+	Incarnation  ident.Incarnation `json:"Inc"`
+	Blank        bool
+	Accepted     Ballot
+	Chosen       Ballot `json:",omitzero"` // ballot of the newest value that this node knows to be chosen
+	Epoch        ident.Epoch
+	VoterSet     uint64 `json:"Shape"`
+	Granted      bool
+	Term         ident.Term `json:"Duty"` // highest term ever promised
+	Owner        Peer       // current holder of the leadership lease, if any
+	LastGrantee  ident.Node `json:"Last"`  // node to which this voter granted the lease last
+	PriorGrantee ident.Node `json:"Prior"` // node to which it granted the lease before this answer
+	Declining    bool       `json:"Shy"`   // the node released its lease and declines a new one for a while
+	Leaving      bool       // the node is shutting down, and a spare node should take its seat
 }
 
 // Release returns the leadership lease to the voters, because the leader is shutting down or has found that Successor can
 // serve it better.
 type Release struct {
-	Duty ident.Duty `json:"Duty"`
-	Next ident.Node `json:"Next"`
+	Term      ident.Term `json:"Duty"`
+	Successor ident.Node `json:"Next"`
 }
 
 // ServerList is the server list as the leader last saw it; every core node stores it.
-type Listing struct {
-	Duty ident.Duty `json:"Duty"`
-	List []Listed   `json:"List"`
+type ServerList struct {
+	Term    ident.Term     `json:"Duty"`
+	Servers []ListedServer `json:"List"`
 }
 
 // ReachQuery asks a core node whether it can reach the platform and how many of these servers it can reach.
-type Look struct {
-	Round uint64
-	List  []Listed `json:"List"`
+type ReachQuery struct {
+	Round   uint64
+	Servers []ListedServer `json:"List"`
 }
 
 // ReachReply answers ReachQuery.
-type Looked struct {
-	Round    uint64
-	Platform bool
-	Servers  int `json:"Servers"`
+type ReachReply struct {
+	Round     uint64
+	Platform  bool
+	Reachable int `json:"Servers"`
 }
 
 // FetchValue asks a core node for the newest value that it knows to be chosen if that is at least as new as Ballot, and
 // otherwise for the value that it has accepted.
-type Fetch struct {
+type FetchValue struct {
 	Round  uint64
 	Ballot Ballot `json:",omitzero"`
 }
 
 // FetchedValue answers FetchValue.
-type Value struct {
-	Round    uint64
-	Inc      ident.Inc `json:"Inc"`
-	Accepted Ballot
-	Value    *Desired
-	Chosen   bool `json:",omitempty"` // the value is known to be chosen; otherwise it is only accepted by the sender
+type FetchedValue struct {
+	Round       uint64
+	Incarnation ident.Incarnation `json:"Inc"`
+	Accepted    Ballot
+	Value       *Desired
+	Chosen      bool `json:",omitempty"` // the value is known to be chosen; otherwise it is only accepted by the sender
 }
 
 // ValueChosen announces to the voters that a value was chosen. A voter that accepted the value already has it; any other
 // can fetch it from the sender.
-type Taken struct {
+type ValueChosen struct {
 	Epoch  ident.Epoch
 	Ballot Ballot
 }
 
 // ForwardChange passes an operator's change to the leader, which proposes it. Number is assigned by the sender. Term is
 // the leader's term: a receiver with another term refuses the change.
-type Forward struct {
+type ForwardChange struct {
 	Number   uint64
-	Term     ident.Duty
+	Term     ident.Term
 	Op       string
 	Raw      []byte
 	Expect   ident.Epoch
-	Any      bool        `json:"Any"`
+	AnyEpoch bool        `json:"Any"`
 	Revision ident.Epoch // revision that the operator assigns to the change; zero means the next one
-	Change   string      `json:"Change"` // ID of the change
+	ChangeID string      `json:"Change"` // ID of the change
 	Zone     ident.Zone
 }
 
 // ForwardReply answers ForwardChange with the outcome of the change.
-type Forwarded struct {
+type ForwardReply struct {
 	Number   uint64
 	NotOwner bool // the receiver is not the leader of that term and did nothing
 	Kind     failure.Kind
-	Why      string `json:"Why"`
+	Reason   string `json:"Why"`
 	Faults   fleetplan.Faults
 	Epoch    ident.Epoch
 	Empty    []ident.Zone
@@ -405,10 +405,10 @@
 
 // RecoveryQuery asks an agent for the newest desired state that it holds, for recovery after the loss of all core nodes'
 // disks.
-type Keep struct{ Round uint64 }
+type RecoveryQuery struct{ Round uint64 }
 
 // RecoveryReply answers RecoveryQuery.
-type Kept struct {
+type RecoveryReply struct {
 	Round uint64
 	Value *Desired
 }
@@ -418,50 +418,50 @@
 // Session identifies one session of a router with the leader. Placement entries are valid only within their
 // session.
 type Session struct {
-	Node   ident.Node `json:"node"`
-	Agent  ident.Inc  `json:"agent"`
-	Router ident.Inc  `json:"router"`
-	N      uint64     `json:"n"`
+	Node              ident.Node        `json:"node"`
+	AgentIncarnation  ident.Incarnation `json:"agent"`
+	RouterIncarnation ident.Incarnation `json:"router"`
+	Num               uint64            `json:"n"`
 }
 
 // KeyLoad is a router's load for one key since its previous report.
-type Burden struct {
-	Wait int     `json:"w"`           // requests waiting
-	Work int     `json:"a"`           // requests being processed
-	Came int     `json:"c"`           // requests that arrived
-	Top  int     `json:"t"`           // highest request value among the waiting
-	Load float64 `json:"l,omitempty"` // server time in seconds that the arrived requests need
+type KeyLoad struct {
+	Waiting       int     `json:"w"`           // requests waiting
+	Running       int     `json:"a"`           // requests being processed
+	Arrived       int     `json:"c"`           // requests that arrived
+	TopValue      int     `json:"t"`           // highest request value among the waiting
+	ServerSeconds float64 `json:"l,omitempty"` // server time in seconds that the arrived requests need
 }
 
 // Renew asks the leader to extend the session's lease.
 type Renew struct {
-	Session Session
-	Seq     uint64
-	Fresh   bool `json:"Fresh"` // nothing has been received from a leader in this session
-	Gen     uint64
-	Epoch   ident.Epoch
-	Heard   uint64                `json:"Heard"`
-	Burden  map[ident.Key]Burden  `json:"Burden"`
-	Seats   map[ident.Server]int  `json:"Seats"` // tokens that this router has in progress at each server
-	Paces   map[ident.Key]float64 `json:"Paces"` // shortest time per token, in ns, observed since the last renewal, by base model
+	Session          Session
+	Seq              uint64
+	NewSession       bool `json:"Fresh"` // nothing has been received from a leader in this session
+	Gen              uint64
+	Epoch            ident.Epoch
+	AckedNum         uint64                `json:"Heard"`
+	KeyLoads         map[ident.Key]KeyLoad `json:"Burden"`
+	TokensInProgress map[ident.Server]int  `json:"Seats"` // tokens that this router has in progress at each server
+	TokenTimes       map[ident.Key]float64 `json:"Paces"` // shortest time per token, in ns, observed since the last renewal, by base model
 }
 
 // Grant extends the lease by Length, counted from the moment at which the router sent Renew Seq. A Length of zero extends
 // nothing: the leader is available but waits for the router to apply the updates that it was sent.
 type Grant struct {
-	Session Session
-	Seq     uint64
-	Len     clock.Span `json:"Len"`
-	Duty    ident.Duty `json:"Duty"`
-	Routers int
-	Seats   map[ident.Server]int `json:"Seats"` // tokens that all routers together have in progress at each server that this router uses
-	Paces   *Paces               `json:"Paces"` // only what has changed
+	Session          Session
+	Seq              uint64
+	Length           clock.Span `json:"Len"`
+	Term             ident.Term `json:"Duty"`
+	Routers          int
+	TokensInProgress map[ident.Server]int `json:"Seats"` // tokens that all routers together have in progress at each server that this router uses
+	TokenTimes       *TokenTimes          `json:"Paces"` // only what has changed
 }
 
 // TokenTimes gives the time in ns that servers need per prompt token, as observed by all routers together.
-type Paces struct {
+type TokenTimes struct {
 	Slowest float64               // of any base model
-	Bases   map[ident.Key]float64 `json:"Bases"`
+	ByBase  map[ident.Key]float64 `json:"Bases"`
 }
 
 // NotOwner answers a router that addressed a core node without the leadership lease. SessionEnded means that the leader
@@ -474,113 +474,113 @@
 // newer than Gen and Epoch. A router with that configuration may use it for that long after it sent Renew Seq, with
 // any server except those in Leaving.
 type NotOwner struct {
-	Session  Session
-	Hint     Sibling        `json:"Hint"`
-	Gone     bool           `json:"Gone"`
-	Cores    []Sibling      `json:"Cores"`
-	Majority bool           `json:",omitempty"`
-	Seq      uint64         `json:",omitempty"`
-	Gen      uint64         `json:",omitempty"`
-	Epoch    ident.Epoch    `json:",omitempty"`
-	Fresh    clock.Span     `json:"Fresh,omitempty"`
-	Leaving  []ident.Server `json:",omitempty"`
+	Session      Session
+	OwnerHint    Peer           `json:"Hint"`
+	SessionEnded bool           `json:"Gone"`
+	CoreNodes    []Peer         `json:"Cores"`
+	Majority     bool           `json:",omitempty"`
+	Seq          uint64         `json:",omitempty"`
+	Gen          uint64         `json:",omitempty"`
+	Epoch        ident.Epoch    `json:",omitempty"`
+	ConfigLease  clock.Span     `json:"Fresh,omitempty"`
+	Leaving      []ident.Server `json:",omitempty"`
 }
 
 // Replica is a server that has a key loaded and ready.
 type Replica struct {
-	Server ident.Server `json:"s"`
-	Addr   string       `json:"a"`
-	Zone   ident.Zone   `json:"z"`
-	Inc    ident.Inc    `json:"i"`
-	Slots  int          `json:"n"`
-	Warm   clock.Span   `json:"w"` // how long the replica had been ready when the entry was made
+	Server      ident.Server      `json:"s"`
+	Addr        string            `json:"a"`
+	Zone        ident.Zone        `json:"z"`
+	Incarnation ident.Incarnation `json:"i"`
+	Slots       int               `json:"n"`
+	ReadyFor    clock.Span        `json:"w"` // how long the replica had been ready when the entry was made
 }
 
 // Update is one numbered update of a router's state; exactly one of Desired, Entry and Break is set.
-type Item struct {
-	Num     uint64    `json:"n"`
-	Desired *Desired  `json:"d,omitempty"`
-	Entry   *Entry    `json:"e,omitempty"`
-	Break   ident.Key `json:"b,omitempty"`
-	Packed  *Packed   `json:"-"` // encoding of the desired state or the entry, shared by all receivers
+type Update struct {
+	Num     uint64          `json:"n"`
+	Desired *Desired        `json:"d,omitempty"`
+	Entry   *Entry          `json:"e,omitempty"`
+	Break   ident.Key       `json:"b,omitempty"`
+	Shared  *SharedEncoding `json:"-"` // encoding of the desired state or the entry, shared by all receivers
 }
 
 // Entry is a placement entry. Its delivery registers a callback: the leader notifies the router before the entry
 // changes.
 type Entry struct {
-	Key      ident.Key  `json:"k"`
-	Mark     ident.Mark `json:"m"`
-	Same     bool       `json:"s,omitempty"` // the receiver's copy is still valid
-	Replicas []Replica  `json:"r,omitempty"`
-	Never    bool       `json:"x,omitempty"` // the entry is empty because no server has room for the key
-	Soon     clock.Span `json:"o,omitempty"` // estimated time, from the creation of an empty entry, until it is filled
+	Key         ident.Key    `json:"k"`
+	Digest      ident.Digest `json:"m"`
+	Unchanged   bool         `json:"s,omitempty"` // the receiver's copy is still valid
+	Replicas    []Replica    `json:"r,omitempty"`
+	Unplaceable bool         `json:"x,omitempty"` // the entry is empty because no server has room for the key
+	ReadyIn     clock.Span   `json:"o,omitempty"` // estimated time, from the creation of an empty entry, until it is filled
 }
 
 // Updates carries numbered updates in order.
-type News struct {
+type Updates struct {
 	Session Session
-	Duty    ident.Duty `json:"Duty"`
-	Items   []Item
+	Term    ident.Term `json:"Duty"`
+	Items   []Update
 }
 
 // Ack acknowledges all updates up to Num.
-type Heard struct {
+type Ack struct {
 	Session Session
 	Num     uint64
 }
 
 // EntryRequest requests an entry and a callback on it. Digest is that of the router's current copy, if it has one.
-type Want struct {
+type EntryRequest struct {
 	Session Session
 	Key     ident.Key
-	Mark    ident.Mark `json:"Mark"`
+	Digest  ident.Digest `json:"Mark"`
 	Waiting int
 	Value   int
 }
 
 // DroppedEntry identifies an entry that a router discarded and the number of its delivery.
-type Drop struct {
+type DroppedEntry struct {
 	Key ident.Key
 	Num uint64
 }
 
 // DroppedEntries lists entries that a router discarded.
-type Removal struct {
+type DroppedEntries struct {
 	Session Session
-	Drops   []Drop
+	Drops   []DroppedEntry
 }
 
 // RouterReport is a router's report to its agent: its incarnation, the state in force and its load.
-type Hello struct {
-	Router  ident.Inc `json:"Router"`
-	Session Session
-	Gen     uint64
-	Epoch   ident.Epoch
-	Burden  map[ident.Key]Burden  `json:"Burden"`
-	Seats   map[ident.Server]int  `json:"Seats"`
-	Paces   map[ident.Key]float64 `json:"Paces"`
+type RouterReport struct {
+	Incarnation      ident.Incarnation `json:"Router"`
+	Session          Session
+	Gen              uint64
+	Epoch            ident.Epoch
+	KeyLoads         map[ident.Key]KeyLoad `json:"Burden"`
+	TokensInProgress map[ident.Server]int  `json:"Seats"`
+	TokenTimes       map[ident.Key]float64 `json:"Paces"`
 }
 
 // RouterLease is the agent's lease to its router: the router may use this session until Until on the machine's monotonic
 // clock, which both processes share.
-type Hold struct {
-	Session Session
-	Until   clock.Tick
-	Duty    ident.Duty `json:"Duty"`
-	Routers int
-	Seats   map[ident.Server]int `json:"Seats"`
-	Paces   *Paces               `json:"Paces"`
-	Parted  bool                 `json:"Parted"` // every core node was queried and none answered: this machine is partitioned
+type RouterLease struct {
+	Session          Session
+	Until            clock.Instant
+	Term             ident.Term `json:"Duty"`
+	Routers          int
+	TokensInProgress map[ident.Server]int `json:"Seats"`
+	TokenTimes       *TokenTimes          `json:"Paces"`
+	Partitioned      bool                 `json:"Parted"` // every core node was queried and none answered: this machine is partitioned
 	// Without the leader's lease the router may use the configuration until ConfigLeaseEnd, with servers that are not in
 	// Leaving.
-	Current clock.Tick `json:"Current"`
-	Leaving []ident.Server
+	ConfigLeaseEnd clock.Instant `json:"Current"`
+	Leaving        []ident.Server
 }
 
 // Inputs and outputs of cores.
 
 // TimerTick is the periodic timer input of a core.
-type Beat struct{}
+type TimerTick struct{}
 
 // Start is a core's first input and carries the contents of its disk.
 type Start struct{ Disk map[string][]byte }
@@ -608,21 +608,21 @@
 type Computed struct{ Token uint64 }
 
 // HTTPRequest is an HTTP request to a model server or the platform.
-type Ask struct {
+type HTTPRequest struct {
 	Token uint64
 	Addr  string
 	// Server is the intended recipient: another server may have taken over its address. If empty, any server at the
 	// address may answer.
-	Server ident.Server
-	Path   string
-	Body   any
-	Wait   clock.Span `json:"Wait"`
-	Kept   bool       `json:"Kept"`  // the request changes nothing, so a reused connection may carry it
-	Until  clock.Tick `json:"Until"` // if set, the request is not sent after this moment
+	Server    ident.Server
+	Path      string
+	Body      any
+	Timeout   clock.Span    `json:"Wait"`
+	ReuseConn bool          `json:"Kept"`  // the request changes nothing, so a reused connection may carry it
+	NotAfter  clock.Instant `json:"Until"` // if set, the request is not sent after this moment
 }
 
 // HTTPResult is the result of an HTTPRequest. OK is false if there was no answer.
-type Told struct {
+type HTTPResult struct {
 	Token  uint64
 	OK     bool
 	Code   int
@@ -631,10 +631,10 @@
 }
 
 // ErrorReport is an error that justifies writing out the in-memory log.
-type Oops struct{ Text string }
+type ErrorReport struct{ Text string }
 
 // LogLine is one line for the in-memory log.
-type Note struct {
+type LogLine struct {
 	Text   string
 	Fields []Field
 }
@@ -649,21 +649,21 @@
 
 // Order is a command from the leader to a model server; an order without Op only requests the server's report.
 type Order struct {
-	Duty ident.Duty `json:"duty"`
-	Num  uint64     `json:"num"`
-	Inc  ident.Inc  `json:"inc,omitempty"`
-	Op   string     `json:"op,omitempty"`
-	Key  ident.Key  `json:"key,omitempty"`
-	Size int        `json:"size,omitempty"`
+	Term        ident.Term        `json:"duty"`
+	Num         uint64            `json:"num"`
+	Incarnation ident.Incarnation `json:"inc,omitempty"`
+	Op          string            `json:"op,omitempty"`
+	Key         ident.Key         `json:"key,omitempty"`
+	Size        int               `json:"size,omitempty"`
 	// For servers that do not check fencing terms: the ordering node, and how many orders the server must have
 	// accepted before.
-	Owner    ident.Node `json:"owner,omitempty"`
-	Expected uint64     `json:"expected,omitempty"`
-	Confirms bool       `json:"-"` // the order was accepted before; the sender asks whether it has completed
+	Owner             ident.Node `json:"owner,omitempty"`
+	Expected          uint64     `json:"expected,omitempty"`
+	QueriesCompletion bool       `json:"-"` // the order was accepted before; the sender asks whether it has completed
 }
 
 // HeldKey is the state of one key on a server, as in the server's report.
-type Held struct {
+type HeldKey struct {
 	Key    ident.Key `json:"key"`
 	Size   int       `json:"size"`
 	Stage  string    `json:"stage"` // loading, ready
@@ -673,20 +673,20 @@
 
 // ServerReport is the state of a model server as reported by the server. For servers that do not check fencing terms,
 // Num is the number of orders that they have accepted, and Busy means that one is still being executed.
-type Report struct {
-	Server ident.Server `json:"server"`
-	Inc    ident.Inc    `json:"inc"`
-	Duty   ident.Duty   `json:"duty"`
-	Num    uint64       `json:"num"`
-	Room   int          `json:"room"`
-	Slots  int          `json:"slots"`
-	Held   []Held       `json:"held"`
-	Drop   failure.Kind `json:"drop,omitempty"` // reason for which the order was refused
-	Busy   bool         `json:"busy,omitempty"`
+type ServerReport struct {
+	Server      ident.Server      `json:"server"`
+	Incarnation ident.Incarnation `json:"inc"`
+	Term        ident.Term        `json:"duty"`
+	Num         uint64            `json:"num"`
+	Room        int               `json:"room"`
+	Slots       int               `json:"slots"`
+	Held        []HeldKey         `json:"held"`
+	RefusedAs   failure.Kind      `json:"drop,omitempty"` // reason for which the order was refused
+	Busy        bool              `json:"busy,omitempty"`
 }
 
 // ListedServer is one server in the platform's server list.
-type Listed struct {
+type ListedServer struct {
 	ID    ident.Server `json:"id"`
 	Addr  string       `json:"addr"`
 	Zone  ident.Zone   `json:"zone"`
@@ -698,53 +698,53 @@
 
 // Announcement is what a server announces about itself. Each start of a server has its own ID. Count orders the
 // announcements of one start, which may be delayed and may arrive at any core node.
-type Beacon struct {
-	Listed
-	Count uint64      `json:"count"`
-	Left  clock.Span  `json:"left,omitempty"` // the server leaves after this time, whatever it is running
-	Cold  clock.Span  `json:"cold,omitempty"` // the server is slow for this long after its start
-	Held  []ident.Key `json:"held,omitempty"` // keys that are loaded and ready
+type Announcement struct {
+	ListedServer
+	Count     uint64      `json:"count"`
+	TimeLeft  clock.Span  `json:"left,omitempty"` // the server leaves after this time, whatever it is running
+	SlowFor   clock.Span  `json:"cold,omitempty"` // the server is slow for this long after its start
+	ReadyKeys []ident.Key `json:"held,omitempty"` // keys that are loaded and ready
 }
 
 // Announcements carries announcements between core nodes. A nonzero AckID requests an acknowledgement.
-type Beacons struct {
-	Mark uint64   `json:"Mark"`
-	List []Beacon `json:"List"`
+type Announcements struct {
+	AckID         uint64         `json:"Mark"`
+	Announcements []Announcement `json:"List"`
 }
 
 // RegistryQuery asks a core node for every announced server that it knows; a new leader sends it.
-type RollCall struct {
-	Duty ident.Duty `json:"Duty"`
-	Life ident.Inc  `json:"Life"` // incarnation of the asker's process
+type RegistryQuery struct {
+	Term             ident.Term        `json:"Duty"`
+	AskerIncarnation ident.Incarnation `json:"Life"` // incarnation of the asker's process
 }
 
 // RegistryReply answers RegistryQuery.
-type Roll struct {
-	Duty    ident.Duty `json:"Duty"`
-	Life    ident.Inc  `json:"Life"` // incarnation of the asker's process, as in the query
-	Inc     ident.Inc  `json:"Inc"`  // incarnation of the sender's disk
-	Partial bool       // the sender's disk is new, and the sender has not yet received the registries of a majority
-	List    []Beacon   `json:"List"`
+type RegistryReply struct {
+	Term             ident.Term        `json:"Duty"`
+	AskerIncarnation ident.Incarnation `json:"Life"` // incarnation of the asker's process, as in the query
+	Incarnation      ident.Incarnation `json:"Inc"`  // incarnation of the sender's disk
+	Partial          bool              // the sender's disk is new, and the sender has not yet received the registries of a majority
+	Announcements    []Announcement    `json:"List"`
 }
 
 // AnnouncementsAck acknowledges Announcements: the sender has recorded them. OwnerConfirmed also means that the sender is
 // the leader, and that no router's permission to send to any of these servers outlasts its router lease.
-type BeaconsHeard struct {
-	Mark  uint64    `json:"Mark"`
-	Inc   ident.Inc `json:"Inc"` // incarnation of the disk on which they are recorded
-	Ruled bool      `json:"Ruled"`
+type AnnouncementsAck struct {
+	AckID          uint64            `json:"Mark"`
+	Incarnation    ident.Incarnation `json:"Inc"` // incarnation of the disk on which they are recorded
+	OwnerConfirmed bool              `json:"Ruled"`
 }
 
 // ServerRequest is a request as sent to a model server.
-type Work struct {
-	Go     string    `json:"go"`
-	ID     string    `json:"id"`
-	Base   string    `json:"model"`
-	Extra  string    `json:"adapter,omitempty"`
-	Inc    ident.Inc `json:"inc"`
-	Parts  []string  `json:"parts,omitempty"`
-	Prompt string    `json:"prompt"`
-	Max    int       `json:"max_tokens"`
-	Once   bool      `json:"once"` // the request must not be executed twice
-	Tenant string    `json:"tenant,omitempty"`
+type ServerRequest struct {
+	AttemptID     string            `json:"go"`
+	ID            string            `json:"id"`
+	Model         string            `json:"model"`
+	Adapter       string            `json:"adapter,omitempty"`
+	Incarnation   ident.Incarnation `json:"inc"`
+	Parts         []string          `json:"parts,omitempty"`
+	Prompt        string            `json:"prompt"`
+	MaxTokens     int               `json:"max_tokens"`
+	NotRepeatable bool              `json:"once"` // the request must not be executed twice
+	Tenant        string            `json:"tenant,omitempty"`
 }
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -36,7 +36,7 @@
 type Recording struct {
 	Router   string
 	Began    string
-	Requests []router.Logged
+	Requests []router.RecordedRequest
 	Dropped  int // lines that the router discarded because it could not write them in time
 	Faults   []Fault
 }
@@ -94,16 +94,16 @@
 			}
 			rec.Dropped, closed = closing.Lost, true
 		default:
-			var request router.Logged
+			var request router.RecordedRequest
 			if err := json.Unmarshal(text, &request); err != nil {
 				bad("not a request: %v", err)
 				continue
 			}
-			if request.At < last {
-				bad("time goes backwards from %d ms to %d ms", last, request.At)
+			if request.AtMs < last {
+				bad("time goes backwards from %d ms to %d ms", last, request.AtMs)
 				continue
 			}
-			last = request.At
+			last = request.AtMs
 			rec.Requests = append(rec.Requests, request)
 		}
 	}
@@ -128,26 +128,26 @@
 
 // MakeRequest converts a recorded request to a request to send. Text that was not recorded is generated in its recorded
 // length; shared prompt parts with the same checksum get the same text.
-func MakeRequest(recorded router.Logged, tag string) standin.Ask {
+func MakeRequest(recorded router.RecordedRequest, tag string) standin.Request {
 	fill := func(seed string, n int) string {
 		return strings.Repeat(seed+" ", n/(len(seed)+1)+1)[:n]
 	}
-	call := fleetplan.Call{ID: tag + recorded.ID, Base: recorded.Base, Extra: recorded.Extra, Kind: recorded.Kind, Max: recorded.Max, Again: recorded.Again, Repeat: recorded.Repeat,
-		Wait: time.Duration(recorded.WaitMs) * time.Millisecond, Prompt: recorded.Prompt}
+	call := fleetplan.Request{ID: tag + recorded.ID, Model: recorded.Model, Adapter: recorded.Adapter, Kind: recorded.Kind, MaxTokens: recorded.MaxTokens, Repeatable: recorded.Repeatable, Repeat: recorded.Repeat,
+		Horizon: time.Duration(recorded.HorizonMs) * time.Millisecond, Prompt: recorded.Prompt}
 	if len(call.ID) > 128 {
 		call.ID = call.ID[:128]
 	}
 	if call.Prompt == "" {
-		call.Prompt = fill("prompt", recorded.Length)
+		call.Prompt = fill("prompt", recorded.PromptBytes)
 	}
 	for _, p := range recorded.Parts {
 		if p.Text != "" {
 			call.Parts = append(call.Parts, p.Text)
 		} else {
-			call.Parts = append(call.Parts, fill("part-"+p.Sum, max(1, p.Length)))
+			call.Parts = append(call.Parts, fill("part-"+p.Checksum, max(1, p.Bytes)))
 		}
 	}
-	return standin.Ask{Route: recorded.Route, Call: call}
+	return standin.Request{Route: recorded.Route, Call: call}
 }
 
 // Replay sends the requests of a recording to the routers in turn, speed times as fast as they were recorded.
@@ -157,11 +157,11 @@
 	begin := time.Now()
 	var pending sync.WaitGroup
 	for i, recorded := range recording.Requests {
-		time.Sleep(time.Until(begin.Add(time.Duration(float64(recorded.At-recording.Requests[0].At) / speed * 1e6))))
+		time.Sleep(time.Until(begin.Add(time.Duration(float64(recorded.AtMs-recording.Requests[0].AtMs) / speed * 1e6))))
 		pending.Add(1)
 		go func() {
 			defer pending.Done()
-			outcome := standin.One(client, routers[i%len(routers)], MakeRequest(recorded, tag), false)
+			outcome := standin.SendOne(client, routers[i%len(routers)], MakeRequest(recorded, tag), false)
 			run.Results[i] = Result{recorded.ID, outcome.Kind, outcome.Events, outcome.First.Milliseconds(), outcome.Duration.Milliseconds(), outcome.Wrong}
 		}()
 	}
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -20,7 +20,7 @@
 	r, err := router.OpenRecorder(p, "router-1", text)
 	require.NoError(t, err)
 	for i := range n {
-		r.Add("/r", fleetplan.Call{ID: fmt.Sprint(i), Base: "m", Kind: "k", Prompt: "a secret", Parts: []string{"shared"}, Max: 3, Again: i%2 == 0})
+		r.Add("/r", fleetplan.Request{ID: fmt.Sprint(i), Model: "m", Kind: "k", Prompt: "a secret", Parts: []string{"shared"}, MaxTokens: 3, Repeatable: i%2 == 0})
 	}
 	r.Close()
 	_, err = router.OpenRecorder(p, "router-1", text)
@@ -75,7 +75,7 @@
 	require.Len(t, a.Call.Parts[0], len("shared"))
 	require.Equal(t, "a secret", b.Call.Prompt)
 	require.Equal(t, "t-0", b.Call.ID)
-	require.True(t, b.Call.Again)
+	require.True(t, b.Call.Repeatable)
 }
 
 func TestCompare(t *testing.T) {
--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -23,8 +23,8 @@
 	if c.plan == nil {
 		return failure.None // no plan is known yet: the request waits and is not sent
 	}
-	m, why := c.plan.Match(r.Call.Call.Query(r.Route))
-	if why == failure.None && (m.Key != r.key || m.Keyed != r.keyed || m.Tenant != r.tenant) {
+	m, why := c.plan.Match(r.Call.Request.Query(r.Route))
+	if why == failure.None && (m.Key != r.key || m.HasTenants != r.keyed || m.Tenant != r.tenant) {
 		return failure.Moved // the plan now routes the request elsewhere or assigns it to another tenant
 	}
 	return why
@@ -34,13 +34,13 @@
 // plan as the newest, does not reject a request that the plan does not allow; the request waits for a newer plan and
 // is not sent.
 func (c *Core) admit(r *request) failure.Kind {
-	r.class = fleetplan.Class{Value: 1, Wait: undecidedTimeout}
+	r.class = fleetplan.Class{Value: 1, MaxWait: undecidedTimeout}
 	r.uncertain = c.plan == nil
 	if c.plan != nil {
-		m, why := c.plan.Match(r.Call.Call.Query(r.Route))
+		m, why := c.plan.Match(r.Call.Request.Query(r.Route))
 		switch {
 		case why == failure.None:
-			r.class, r.key, r.route, r.keyed, r.tenant = m.Class, m.Key, m.Route, m.Keyed, m.Tenant
+			r.class, r.key, r.route, r.keyed, r.tenant = m.Class, m.Key, m.Route, m.HasTenants, m.Tenant
 			r.runsOnce = r.mayHaveRun() && (r.runsOnce || m.Route != nil && !allowsRepeats(m.Route))
 		case c.leased():
 			return why
@@ -48,13 +48,13 @@
 			r.uncertain = true // without a lease the plan may be outdated, and a newer one may allow the request
 		}
 	}
-	r.queueDeadline = r.came.Add(r.class.Wait)
-	if wait := r.Call.Call.Wait; wait > 0 && wait < r.class.Wait {
-		r.queueDeadline = r.came.Add(wait)
+	r.queueDeadline = r.arrivedAt.Add(r.class.MaxWait)
+	if wait := r.Call.Request.Horizon; wait > 0 && wait < r.class.MaxWait {
+		r.queueDeadline = r.arrivedAt.Add(wait)
 	}
 	r.deadline = r.queueDeadline
-	if quit := r.class.Quit; quit > 0 && !r.hasBegun() {
-		r.queueDeadline = min(r.queueDeadline, r.came.Add(quit))
+	if quit := r.class.GiveUpAfter; quit > 0 && !r.hasBegun() {
+		r.queueDeadline = min(r.queueDeadline, r.arrivedAt.Add(quit))
 	}
 	return failure.None
 }
@@ -66,7 +66,7 @@
 		return
 	}
 	// This also applies if the plan does not admit the request, because a later plan may admit it again.
-	if m, _ := c.plan.Match(r.Call.Call.Query(r.Route)); m.Route != nil && !allowsRepeats(m.Route) {
+	if m, _ := c.plan.Match(r.Call.Request.Query(r.Route)); m.Route != nil && !allowsRepeats(m.Route) {
 		r.runsOnce = true
 	}
 }
@@ -102,31 +102,31 @@
 
 func (c *Core) onCall(v Call) {
 	c.tally.Calls++
-	r := &request{Call: v, came: c.now.Add(-v.Age), stage: Waiting, key: ident.KeyOf(v.Call.Base, v.Call.Extra)}
+	r := &request{Call: v, arrivedAt: c.now.Add(-v.Age), stage: Waiting, key: ident.NewKey(v.Request.Model, v.Request.Adapter)}
 	c.requests[v.Ref] = r
 	if why := c.admit(r); why != failure.None {
 		c.finish(r, why, 0)
 		return
 	}
-	if v.Call.Wait < 0 {
+	if v.Request.Horizon < 0 {
 		c.finish(r, failure.PastDue, 0)
 		return
 	}
-	if v.Call.Repeat {
+	if v.Request.Repeat {
 		c.tally.Repeats++
 		if !c.spend(r.key.Service()) {
-			c.finish(r, failure.Spent, 0)
+			c.finish(r, failure.AllowanceSpent, 0)
 			return
 		}
 	}
 	c.arrivals[r.key]++
-	if c.o.Free {
+	if c.o.StatelessServers {
 		c.offeredLoad[r.key] += c.serverSeconds(r)
 	}
-	if e := c.entries[r.key]; e != nil && e.hasCallback && c.leased() && len(e.Replicas) > 0 && !c.o.Check {
+	if e := c.entries[r.key]; e != nil && e.hasCallback && c.leased() && len(e.Replicas) > 0 && !c.o.AlwaysRevalidate {
 		c.tally.Hits++
 	}
-	if c.o.Check && c.entries[r.key] != nil {
+	if c.o.AlwaysRevalidate && c.entries[r.key] != nil {
 		c.entries[r.key].hasCallback = false
 	}
 	if !c.enqueue(r) {
@@ -147,11 +147,11 @@
 	if r.stage == Waiting {
 		c.remove(r)
 		r.setWaitCause("", c.now)
-	} else if n := len(r.attempts); n > 0 && r.attempts[n-1].How == Pending {
+	} else if n := len(r.attempts); n > 0 && r.attempts[n-1].Outcome == Pending {
 		c.releaseLoad(r, &r.attempts[n-1])
-		r.attempts[n-1].How, r.attempts[n-1].Cause, r.attempts[n-1].ended = Done, CauseCaller, c.now
+		r.attempts[n-1].Outcome, r.attempts[n-1].Cause, r.attempts[n-1].endedAt = Done, CauseCaller, c.now
 	}
-	c.trace(r, EndedLeft, failure.None)
+	c.trace(r, EndedCallerLeft, failure.None)
 	r.fire("close")
 	delete(c.requests, v.Ref)
 	c.serveAll()
--- a/internal/router/allowance.go
+++ b/internal/router/allowance.go
@@ -8,8 +8,8 @@
 
 // retryBudget is the retry budget of one service.
 type retryBudget struct {
-	credits     []retryCredit // credit earned by first attempts, oldest first
-	marginSpent []clock.Tick  // times at which retries were paid from the margin
+	credits     []retryCredit   // credit earned by first attempts, oldest first
+	marginSpent []clock.Instant // times at which retries were paid from the margin
 }
 
 // retryBudget returns the budget of a service and creates it if necessary.
@@ -46,7 +46,7 @@
 // reports whether the share sufficed.
 func (c *Core) spendMargin(service string) bool {
 	b := c.retryBudget(service)
-	for len(b.marginSpent) > 0 && c.now.Sub(b.marginSpent[0]) > c.o.Window {
+	for len(b.marginSpent) > 0 && c.now.Sub(b.marginSpent[0]) > c.o.RetryWindow {
 		b.marginSpent = b.marginSpent[1:]
 	}
 	if float64(len(b.marginSpent)+1) > c.margin()/float64(max(1, c.routers)) {
@@ -62,25 +62,25 @@
 // the sum of both margins in any window, however often it restarts.
 func (c *Core) margin() float64 {
 	age := c.now.Sub(c.startedAt)
-	if !c.o.Restarted || age > c.o.Window {
-		return c.o.Lend
+	if !c.o.Restarted || age > c.o.RetryWindow {
+		return c.o.RetryMargin
 	}
-	return c.o.LendAgain * age.Seconds() / c.o.Window.Seconds()
+	return c.o.RestartRetryMargin * age.Seconds() / c.o.RetryWindow.Seconds()
 }
 
 // earn adds the retry credit of one first attempt at a service.
 func (c *Core) earn(service string) {
 	b := c.retryBudget(service)
-	if n := len(b.credits); n == 0 || c.now.Sub(b.credits[n-1].at) > c.o.Save/20 {
+	if n := len(b.credits); n == 0 || c.now.Sub(b.credits[n-1].at) > c.o.RetryCreditTTL/20 {
 		b.credits = append(b.credits, retryCredit{at: c.now})
 	}
-	b.credits[len(b.credits)-1].amount += c.o.Share
+	b.credits[len(b.credits)-1].amount += c.o.RetryFraction
 	c.expire(b)
 }
 
 // expire removes credit that has reached its maximum age.
 func (c *Core) expire(b *retryBudget) {
-	for len(b.credits) > 0 && c.now.Sub(b.credits[0].at) > c.o.Save {
+	for len(b.credits) > 0 && c.now.Sub(b.credits[0].at) > c.o.RetryCreditTTL {
 		b.credits = b.credits[1:]
 	}
 }
--- a/internal/router/allowance_test.go
+++ b/internal/router/allowance_test.go
@@ -14,12 +14,12 @@
 func TestMarginOutlivesRestarts(t *testing.T) {
 	const window = clock.Span(10e9)
 	const lend, again = 6, 4
-	var spent []clock.Tick
-	for life, at := 0, clock.Tick(1e9); at < 100e9; life++ {
-		core := New(Options{Free: true, Lend: lend, LendAgain: again, Window: window, Share: 1e-12, Restarted: life > 0})
+	var spent []clock.Instant
+	for life, at := 0, clock.Instant(1e9); at < 100e9; life++ {
+		core := New(Options{StatelessServers: true, RetryMargin: lend, RestartRetryMargin: again, RetryWindow: window, RetryFraction: 1e-12, Restarted: life > 0})
 		span := []clock.Span{3e9, 3e9, 4e9, 25e9}[life%4]
 		for end := at.Add(span); at < end; at = at.Add(100e6) {
-			core.Step(at, protocol.Beat{})
+			core.Step(at, protocol.TimerTick{})
 			for core.spendMargin("") {
 				spent = append(spent, at)
 			}
@@ -48,16 +48,16 @@
 // reintroduced. The incident page has the figures of that day.
 func TestRetriesStayWithinEachServicesBudget(t *testing.T) {
 	const fraction, window, step = 0.2, clock.Span(10e9), clock.Span(10e6)
-	core, _ := HostOptions{Fraction: fraction, Window: window, First: true}.cores()
+	core, _ := HostOptions{RetryFraction: fraction, RetryWindow: window, FirstStart: true}.newCores()
 	type sendCount struct {
-		at           clock.Tick
+		at           clock.Instant
 		first, retry int
 	}
 	var sends []sendCount
-	at := clock.Tick(1e9)
+	at := clock.Instant(1e9)
 	for i := range 6000 {
 		at = at.Add(step)
-		core.Step(at, protocol.Beat{})
+		core.Step(at, protocol.TimerTick{})
 		sent := sendCount{at: at, first: 1}
 		core.earn("few")
 		for range 10 {
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -18,26 +18,26 @@
 	r.setWaitCause("", c.now)
 	r.fire("launch")
 	load := c.server(p.Server)
-	r.attempts = append(r.attempts, attemptRecord{Server: p.Server, Inc: p.Inc, epoch: c.epoch, at: c.now, cost: c.weightedCost(r), ahead: load.load()})
+	r.attempts = append(r.attempts, attemptRecord{Server: p.Server, Inc: p.Incarnation, epoch: c.epoch, launchedAt: c.now, cost: c.weightedCost(r), tokensAhead: load.load()})
 	n := len(r.attempts)
-	load.work++
+	load.inFlight++
 	load.tokens += c.weightedCost(r)
 	load.reservedTokens += r.maxTokens()
 	c.recordInflow(r)
 	load.inFlightByKey[r.key]++
 	c.inFlight[r.key]++
-	call := r.Call.Call
-	l := Launch{Ref: r.Ref, N: n, Server: p.Server, Addr: p.Addr, Work: protocol.Work{
-		Go: fmt.Sprintf("%s-%d-%d-%d", c.o.Me.ID, c.o.Inc, r.Ref, n), ID: call.ID, Base: call.Base, Extra: call.Extra,
-		Inc: p.Inc, Parts: call.Parts, Prompt: call.Prompt, Max: call.Max, Once: !call.Again, Tenant: r.tenant,
-	}, Keyed: r.keyed, Left: r.deadline.Sub(c.now), Rank: c.plan.Rank(r.class.Value), Again: r.repeatable(), Resume: r.resumable()}
+	call := r.Call.Request
+	l := Launch{Ref: r.Ref, N: n, Server: p.Server, Addr: p.Addr, Work: protocol.ServerRequest{
+		AttemptID: fmt.Sprintf("%s-%d-%d-%d", c.o.Self.ID, c.o.Inc, r.Ref, n), ID: call.ID, Model: call.Model, Adapter: call.Adapter,
+		Incarnation: p.Incarnation, Parts: call.Parts, Prompt: call.Prompt, MaxTokens: call.MaxTokens, NotRepeatable: !call.Repeatable, Tenant: r.tenant,
+	}, Keyed: r.keyed, Remaining: r.deadline.Sub(c.now), Rank: c.plan.Rank(r.class.Value), Repeatable: r.repeatable(), Resume: r.resumable()}
 	c.checkLaunch(r, l)
 	c.out = append(c.out, l)
 }
 
 // MaySend reports whether an attempt may be sent. It is called immediately before sending and checks that the plan
 // still allows the request, that the entry is still usable, and that the entry still names the server.
-func (c *Core) MaySend(now clock.Tick, ref Ref, n int) bool {
+func (c *Core) MaySend(now clock.Instant, ref Ref, n int) bool {
 	c.now = now
 	r := c.requests[ref]
 	if r == nil || r.stage != Attempting || n != len(r.attempts) {
@@ -61,13 +61,13 @@
 // arrival earns retry credit once.
 func (c *Core) countSend(r *request) {
 	before := r.attempts[:len(r.attempts)-1]
-	first := !slices.ContainsFunc(before, func(attempt attemptRecord) bool { return attempt.How != Kept && attempt.How != Unsent })
+	first := !slices.ContainsFunc(before, func(attempt attemptRecord) bool { return attempt.Outcome != Kept && attempt.Outcome != Unsent })
 	switch {
 	case first && r.firstCounted: // counted before, but no server was reached
 	case first:
 		r.firstCounted = true
 		c.tally.Firsts++
-		if !r.Call.Call.Repeat {
+		if !r.Call.Request.Repeat {
 			c.earn(r.key.Service())
 		}
 	default:
@@ -83,7 +83,7 @@
 	}
 	for i := range e.Replicas {
 		p := &e.Replicas[i]
-		if p.Server == attempt.Server && p.Inc == attempt.Inc && !c.excluded(p) {
+		if p.Server == attempt.Server && p.Incarnation == attempt.Inc && !c.excluded(p) {
 			return true
 		}
 	}
@@ -102,9 +102,9 @@
 	}
 	load := c.server(attempt.Server)
 	load.failures = 0
-	if c.o.Free && !r.key.Plain() {
+	if c.o.StatelessServers && !r.key.IsWholeService() {
 		c.observeTokenTime(r, attempt)
-		left := min(attempt.cost, r.Call.Call.Max, maxOutputTokens) // the prompt has been processed; only the output remains
+		left := min(attempt.cost, r.Call.Request.MaxTokens, maxOutputTokens) // the prompt has been processed; only the output remains
 		load.tokens -= attempt.cost - left
 		attempt.cost = left
 	}
@@ -113,7 +113,7 @@
 // releaseLoad subtracts an attempt from the load of its server.
 func (c *Core) releaseLoad(r *request, attempt *attemptRecord) *serverLoad {
 	load := c.server(attempt.Server)
-	load.work--
+	load.inFlight--
 	load.tokens -= attempt.cost
 	load.reservedTokens -= r.maxTokens()
 	if load.inFlightByKey[r.key]--; load.inFlightByKey[r.key] <= 0 {
@@ -127,13 +127,13 @@
 
 func (c *Core) onEnded(v Ended) {
 	r := c.requests[v.Ref]
-	if r == nil || v.N != len(r.attempts) || r.attempts[v.N-1].How != Pending {
+	if r == nil || v.N != len(r.attempts) || r.attempts[v.N-1].Outcome != Pending {
 		return
 	}
 	attempt := &r.attempts[v.N-1]
-	attempt.How, attempt.Kind, attempt.Status, attempt.Cause, attempt.ended = v.How, v.Kind, v.Status, v.Cause, c.now
-	if attempt.Begun && v.How == Lost {
-		attempt.How = Split
+	attempt.Outcome, attempt.Kind, attempt.Status, attempt.Cause, attempt.endedAt = v.Outcome, v.Kind, v.Status, v.Cause, c.now
+	if attempt.Begun && v.Outcome == Lost {
+		attempt.Outcome = Split
 	}
 	load := c.releaseLoad(r, attempt)
 	c.recordOutcome(r, attempt, load)
@@ -145,7 +145,7 @@
 	case step.again && c.now >= r.queueDeadline:
 		c.finish(r, failure.Expired, 0)
 	case step.again && step.pay && !c.spend(r.key.Service()):
-		c.finish(r, failure.Spent, 0)
+		c.finish(r, failure.AllowanceSpent, 0)
 	case step.again:
 		r.fire("back")
 		if step.payLater {
@@ -176,7 +176,7 @@
 		load.failures++
 		load.avoidUntil = c.now.Add(avoidStep << min(load.failures, avoidDoublings))
 	}
-	switch attempt.How {
+	switch attempt.Outcome {
 	case Unsent:
 		c.tally.Unsent++
 		backOff()
--- a/internal/router/caller_test.go
+++ b/internal/router/caller_test.go
@@ -34,13 +34,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			reached := make(chan struct{})
-			srv := newStandIn(t, func(s *standIn, _ int, conn net.Conn, br *bufio.Reader) {
+			srv := newTestServer(t, func(s *testServer, _ int, conn net.Conn, br *bufio.Reader) {
 				s.next(br)
 				_, _ = io.WriteString(conn, c.answer)
 				close(reached)
 				_, _ = br.ReadByte() // until the relay closes the connection
 			})
-			b := relayFor(t, &script{to: []string{srv.addr()}, again: true}, RelayOptions{})
+			b := newRelayFixture(t, &scriptedDecider{addrs: []string{srv.addr()}, repeatable: true}, RelayOptions{})
 			cl := b.dial(t)
 			cl.send(get("1"))
 			<-reached
@@ -66,26 +66,26 @@
 
 // The same holds for a client whose request still waits for a server.
 func TestHalfClosedClientWaits(t *testing.T) {
-	silent := &mute{script: &script{}}
-	b := relayFor(t, silent.script, RelayOptions{})
-	silent.relay.Use(silent)
+	silent := &silentDecider{scriptedDecider: &scriptedDecider{}}
+	b := newRelayFixture(t, silent.scriptedDecider, RelayOptions{})
+	silent.relay.SetDecider(silent)
 	cl := b.dial(t)
 	cl.send(get("1"))
-	require.Eventually(t, func() bool { return b.relay.Open() == 1 }, soon, time.Millisecond)
+	require.Eventually(t, func() bool { return b.relay.InFlight() == 1 }, testTimeout, time.Millisecond)
 	require.NoError(t, cl.Conn.(*net.TCPConn).CloseWrite())
 	a, err := http.ReadResponse(cl.br, &http.Request{Method: "GET"})
 	require.Error(t, err, "%v", a)
-	b.settled(t)
+	b.requireOneEnd(t)
 }
 
 // Answers that do not clearly belong to the request, or whose end is ambiguous, are not forwarded.
 func TestDoubtfulAnswers(t *testing.T) {
-	inner := plain("1", "hidden")
+	inner := sealedResponse("1", "hidden")
 	for _, c := range []struct {
 		name, method, answer string
 	}{
-		{"another answer in place of the absent body of HEAD", "HEAD", plain("2", inner)},
-		{"status below the range of HTTP", "GET", "HTTP/1.1 042 What\r\nContent-Length: 0\r\n\r\n" + plain("1", "good")},
+		{"another answer in place of the absent body of HEAD", "HEAD", sealedResponse("2", inner)},
+		{"status below the range of HTTP", "GET", "HTTP/1.1 042 What\r\nContent-Length: 0\r\n\r\n" + sealedResponse("1", "good")},
 		{"status above the range of HTTP", "GET", "HTTP/1.1 799 What\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 4\r\n\r\ngood"},
 		{"other major version", "GET", "HTTP/2.0 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 4\r\n\r\ngood"},
 		{"end marked only by the close of the connection", "GET", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\n\r\nhalf"},
@@ -93,25 +93,25 @@
 	} {
 		for _, again := range []bool{false, true} {
 			t.Run(fmt.Sprint(c.name, " ", again), func(t *testing.T) {
-				first, second := says(t, c.answer, true), newStandIn(t, func(s *standIn, _ int, conn net.Conn, br *bufio.Reader) {
+				first, second := newFixedServer(t, c.answer, true), newTestServer(t, func(s *testServer, _ int, conn net.Conn, br *bufio.Reader) {
 					for s.next(br) != nil {
-						head, body, _ := strings.Cut(plain("1", "good"), "\r\n\r\n")
+						head, body, _ := strings.Cut(sealedResponse("1", "good"), "\r\n\r\n")
 						if c.method == "HEAD" {
 							body = ""
 						}
 						_, _ = io.WriteString(conn, head+"\r\n\r\n"+body)
 					}
 				})
-				b := relayFor(t, &script{to: []string{first.addr(), second.addr()}, again: again}, RelayOptions{})
+				b := newRelayFixture(t, &scriptedDecider{addrs: []string{first.addr(), second.addr()}, repeatable: again}, RelayOptions{})
 				cl := b.dial(t)
 				cl.send(c.method + " / HTTP/1.1\r\nHost: h\r\nX-Try: 1\r\n\r\n")
 				a, body, err := cl.answer(c.method)
 				require.NoError(t, err)
-				b.settled(t)
+				b.requireOneEnd(t)
 				require.Len(t, first.requests(), 1)
 				if !again {
 					require.Equal(t, 502, a.StatusCode)
-					require.Equal(t, []End{Lost}, b.hows())
+					require.Equal(t, []Outcome{Lost}, b.attemptEnds())
 					return
 				}
 				require.Equal(t, 200, a.StatusCode)
@@ -119,7 +119,7 @@
 				if c.method != "HEAD" {
 					require.Equal(t, "good", body)
 				}
-				require.Equal(t, []End{Lost, Done}, b.hows())
+				require.Equal(t, []Outcome{Lost, Done}, b.attemptEnds())
 			})
 		}
 	}
@@ -127,8 +127,8 @@
 
 // An answer whose status permits no body carries no Content-Length.
 func TestNoContentHasNoLength(t *testing.T) {
-	srv := says(t, "HTTP/1.1 204 No Content\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 4\r\n\r\n", false)
-	b := relayFor(t, &script{to: []string{srv.addr()}}, RelayOptions{})
+	srv := newFixedServer(t, "HTTP/1.1 204 No Content\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 4\r\n\r\n", false)
+	b := newRelayFixture(t, &scriptedDecider{addrs: []string{srv.addr()}}, RelayOptions{})
 	cl := b.dial(t)
 	cl.send(get("1"))
 	a, _, err := cl.answer("GET")
@@ -139,12 +139,12 @@
 
 // A kept-alive connection belongs to one server process and is not used for another server at the same address.
 func TestKeptForOneServer(t *testing.T) {
-	srv := newStandIn(t, func(s *standIn, _ int, c net.Conn, br *bufio.Reader) {
+	srv := newTestServer(t, func(s *testServer, _ int, c net.Conn, br *bufio.Reader) {
 		for s.next(br) != nil {
-			_, _ = io.WriteString(c, plain("1", "good"))
+			_, _ = io.WriteString(c, sealedResponse("1", "good"))
 		}
 	})
-	b := relayFor(t, &script{to: []string{srv.addr()}}, RelayOptions{})
+	b := newRelayFixture(t, &scriptedDecider{addrs: []string{srv.addr()}}, RelayOptions{})
 	for _, c := range []struct {
 		name string
 		want int // total number of connections
@@ -157,30 +157,30 @@
 		a, _, err := cl.answer("GET")
 		require.NoError(t, err)
 		require.Equal(t, 200, a.StatusCode)
-		b.settled(t)
+		b.requireOneEnd(t)
 		require.Equal(t, c.want, srv.accepted())
 	}
 }
 
 // A connection that was taken from the pool but not used keeps the idle timeout announced by its server.
 func TestUnusedKeepsItsTime(t *testing.T) {
-	srv := newStandIn(t, func(s *standIn, _ int, c net.Conn, br *bufio.Reader) {
+	srv := newTestServer(t, func(s *testServer, _ int, c net.Conn, br *bufio.Reader) {
 		for s.next(br) != nil {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=100\r\nContent-Length: 2\r\n\r\nok")
 		}
 	})
-	p := newConns(ConnOptions{Idle: time.Hour})
+	p := newConnPool(ConnOptions{IdleTimeout: time.Hour})
 	defer p.close()
 	c, _, err := p.get(context.Background(), endpoint{addr: srv.addr()}, time.Time{})
 	require.NoError(t, err)
-	askConn(t, c)
+	roundTrip(t, c)
 	p.put(c)
-	until := c.until
+	until := c.idleDeadline
 	c, reused, err := p.get(context.Background(), endpoint{addr: srv.addr()}, time.Time{})
 	require.NoError(t, err)
 	require.True(t, reused)
 	p.put(c)
-	require.Equal(t, until, c.until)
+	require.Equal(t, until, c.idleDeadline)
 }
 
 // No part of an attempt continues past its deadline: neither the dial nor an answer that began in time.
@@ -192,8 +192,8 @@
 			until, bounded = ctx.Deadline()
 			return nil
 		}}
-		srv := says(t, plain("1", "good"), false)
-		b := relayFor(t, &script{to: []string{srv.addr()}, left: time.Hour}, RelayOptions{Conns: ConnOptions{Dialer: d}})
+		srv := newFixedServer(t, sealedResponse("1", "good"), false)
+		b := newRelayFixture(t, &scriptedDecider{addrs: []string{srv.addr()}, timeLeft: time.Hour}, RelayOptions{Conns: ConnOptions{Dialer: d}})
 		cl := b.dial(t)
 		cl.send(get("1"))
 		_, _, err := cl.answer("GET")
@@ -208,7 +208,7 @@
 		{"stream", fmt.Sprintf(streamHead, "s") + chunk(event(1)), "0\r\n\r\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			srv := newStandIn(t, func(s *standIn, _ int, conn net.Conn, br *bufio.Reader) {
+			srv := newTestServer(t, func(s *testServer, _ int, conn net.Conn, br *bufio.Reader) {
 				s.next(br)
 				_, _ = io.WriteString(conn, c.head)
 				_ = conn.SetReadDeadline(time.Now().Add(late))
@@ -216,12 +216,12 @@
 					_, _ = io.WriteString(conn, c.rest)
 				}
 			})
-			b := relayFor(t, &script{to: []string{srv.addr()}, left: left}, RelayOptions{Slack: slack})
+			b := newRelayFixture(t, &scriptedDecider{addrs: []string{srv.addr()}, timeLeft: left}, RelayOptions{Slack: slack})
 			cl := b.dial(t)
 			cl.send(get("1"))
 			_, body, _ := cl.answer("GET")
-			b.settled(t)
-			require.NotContains(t, b.hows(), Done)
+			b.requireOneEnd(t)
+			require.NotContains(t, b.attemptEnds(), Done)
 			require.NotContains(t, body, "late")
 		})
 	}
@@ -240,15 +240,15 @@
 		{"numbered event last", chunk("data: a\n\n" + event(1)), chunk(event(2)), "data: a\n\n" + event(1) + event(2), true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			first := says(t, fmt.Sprintf(streamHead, "s")+c.first, true)
-			second := says(t, fmt.Sprintf(streamHead, "o")+c.second+"0\r\n\r\n", true)
-			b := relayFor(t, &script{to: []string{first.addr(), second.addr()}, resume: true}, RelayOptions{})
+			first := newFixedServer(t, fmt.Sprintf(streamHead, "s")+c.first, true)
+			second := newFixedServer(t, fmt.Sprintf(streamHead, "o")+c.second+"0\r\n\r\n", true)
+			b := newRelayFixture(t, &scriptedDecider{addrs: []string{first.addr(), second.addr()}, resumable: true}, RelayOptions{})
 			cl := b.dial(t)
 			cl.send(get("1"))
 			_, body, err := cl.answer("GET")
 			require.Equal(t, c.whole, err == nil)
 			require.Equal(t, c.body, body)
-			b.settled(t)
+			b.requireOneEnd(t)
 		})
 	}
 }
@@ -257,12 +257,12 @@
 // the end of the answer.
 func TestOldClientSeesTheBreak(t *testing.T) {
 	step := make(chan struct{})
-	srv := newStandIn(t, func(s *standIn, _ int, c net.Conn, br *bufio.Reader) {
+	srv := newTestServer(t, func(s *testServer, _ int, c net.Conn, br *bufio.Reader) {
 		s.next(br)
 		_, _ = io.WriteString(c, fmt.Sprintf(streamHead, "s")+chunk(event(1)))
 		<-step
 	})
-	b := relayFor(t, &script{to: []string{srv.addr()}}, RelayOptions{})
+	b := newRelayFixture(t, &scriptedDecider{addrs: []string{srv.addr()}}, RelayOptions{})
 	cl := b.dial(t)
 	cl.send("GET / HTTP/1.0\r\nHost: h\r\nX-Try: 1\r\n\r\n")
 	a, err := http.ReadResponse(cl.br, &http.Request{Method: "GET"})
@@ -282,33 +282,33 @@
 		left time.Duration
 	}{{"just arrived", 0, 5 * time.Second}, {"with a slow body", 2 * time.Second, 3 * time.Second}} {
 		t.Run(c.name, func(t *testing.T) {
-			b := free(t, Options{})
-			b.entry("web|", "s1")
+			b := newHostedRouter(t, Options{})
+			b.deliverEntry("web|", "s1")
 			b.ref++
-			out := b.Step(b.at, Call{Ref: b.ref, Route: "/again/x", Age: c.age, Call: fleetplan.Call{ID: "1", Host: "h"}})
-			l, ok := pick[Launch](out)
+			out := b.Step(b.at, Call{Ref: b.ref, Route: "/again/x", Age: c.age, Request: fleetplan.Request{ID: "1", Host: "h"}})
+			l, ok := findOutput[Launch](out)
 			require.True(t, ok)
-			require.Equal(t, c.left, l.Left)
+			require.Equal(t, c.left, l.Remaining)
 		})
 	}
 }
 
 // A request earns retry credit once, however many attempts are launched before one reaches a server.
 func TestEarnsOnce(t *testing.T) {
-	b := free(t, Options{})
-	b.entry("web|", "s1", "s2", "s3")
-	ref, l, _ := b.go1("/again/x", fleetplan.Call{})
+	b := newHostedRouter(t, Options{})
+	b.deliverEntry("web|", "s1", "s2", "s3")
+	ref, l, _ := b.callPath("/again/x", fleetplan.Request{})
 	for range 3 {
 		require.True(t, b.MaySend(b.at, ref, l.N))
-		out := b.Step(b.at, Ended{Ref: ref, N: l.N, How: Unsent})
-		next, ok := pick[Launch](append(out, b.wait(retryFundingTimeout)...))
+		out := b.Step(b.at, Ended{Ref: ref, N: l.N, Outcome: Unsent})
+		next, ok := findOutput[Launch](append(out, b.wait(retryFundingTimeout)...))
 		if !ok {
 			break
 		}
 		l = next
 	}
 	require.Len(t, b.retryBudget("web").credits, 1)
-	require.InDelta(t, b.o.Share, b.retryBudget("web").credits[0].amount, 1e-9)
+	require.InDelta(t, b.o.RetryFraction, b.retryBudget("web").credits[0].amount, 1e-9)
 	require.Equal(t, uint64(1), b.tally.Firsts)
 }
 
@@ -317,15 +317,15 @@
 	for _, c := range []struct{ planned, want time.Duration }{
 		{0, 30 * time.Second}, {15 * time.Second, 30 * time.Second}, {time.Minute, 75 * time.Second}, {24 * time.Hour, 30 * time.Hour},
 	} {
-		require.Equal(t, c.want, idleFor(30*time.Second, c.planned))
+		require.Equal(t, c.want, clientIdleTimeout(30*time.Second, c.planned))
 	}
 }
 
 // A client connection that has been idle for a time permitted by the plan in force is still served.
 func TestRestedClient(t *testing.T) {
-	srv := says(t, plain("1", "good"), false)
-	s := &script{to: []string{srv.addr()}}
-	b, _, stop, end := serveUntil(t, s, RelayServe{Lame: time.Nanosecond, Idle: 20 * time.Millisecond, Resting: func() time.Duration { return time.Hour }})
+	srv := newFixedServer(t, sealedResponse("1", "good"), false)
+	s := &scriptedDecider{addrs: []string{srv.addr()}}
+	b, _, stop, end := serveUntil(t, s, RelayServer{LameDuck: time.Nanosecond, IdleTimeout: 20 * time.Millisecond, PlanIdleTimeout: func() time.Duration { return time.Hour }})
 	cl := b.dial(t)
 	for range 2 {
 		cl.send(get("1"))
@@ -337,7 +337,7 @@
 	_ = cl.Close()
 	close(stop)
 	require.NoError(t, <-end)
-	s.settled(t)
+	s.requireOneEnd(t)
 }
 
 // A request that may have run is not sent again if its route at the time of sending, or its route now, permits only
@@ -345,7 +345,7 @@
 func TestRepeatOnlyUnderBothRoutes(t *testing.T) {
 	once := func(p *fleetplan.Plan) {
 		p.Hosts["h"]["/again/x/"] = &fleetplan.Route{Name: "new", Host: "h", Prefix: "/again/x/", Service: "web", Mode: fleetplan.Once,
-			Tries: 9, Class: fleetplan.Class{Value: 5, Wait: 5e9}}
+			MaxAttempts: 9, Class: fleetplan.Class{Value: 5, MaxWait: 5e9}}
 	}
 	for _, c := range []struct {
 		name          string
@@ -357,16 +357,16 @@
 		{"not repeatable now", nil, once, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := free(t, Options{Lend: 100}, hostPlan(c.before), hostPlan(c.after))
-			b.entry("web|", "s1", "s2")
-			ref, l, _ := b.go1("/again/x/y", fleetplan.Call{})
+			b := newHostedRouter(t, Options{RetryMargin: 100}, hostPlan(c.before), hostPlan(c.after))
+			b.deliverEntry("web|", "s1", "s2")
+			ref, l, _ := b.callPath("/again/x/y", fleetplan.Request{})
 			require.True(t, b.MaySend(b.at, ref, l.N))
-			b.replan(1)
-			out := b.Step(b.at, Ended{Ref: ref, N: l.N, How: Lost})
-			_, repeated := pick[Launch](out)
+			b.deliverPlan(1)
+			out := b.Step(b.at, Ended{Ref: ref, N: l.N, Outcome: Lost})
+			_, repeated := findOutput[Launch](out)
 			require.Equal(t, c.repeated, repeated)
 			if !c.repeated {
-				r, ok := pick[Receipt](out)
+				r, ok := findOutput[Refusal](out)
 				require.True(t, ok)
 				require.Equal(t, failure.Unclear, r.Kind)
 			}
@@ -376,13 +376,13 @@
 
 // A retry that would be past the request's deadline uses no retry budget.
 func TestNoRetryBudgetPastDeadline(t *testing.T) {
-	b := free(t, Options{Lend: 100})
-	b.entry("web|", "s1", "s2")
-	ref, l, _ := b.go1("/again/x", fleetplan.Call{})
+	b := newHostedRouter(t, Options{RetryMargin: 100})
+	b.deliverEntry("web|", "s1", "s2")
+	ref, l, _ := b.callPath("/again/x", fleetplan.Request{})
 	require.True(t, b.MaySend(b.at, ref, l.N))
 	b.at = b.at.Add(6e9)
-	out := b.Step(b.at, Ended{Ref: ref, N: l.N, How: Dropped, Kind: failure.Busy})
-	r, ok := pick[Receipt](out)
+	out := b.Step(b.at, Ended{Ref: ref, N: l.N, Outcome: Dropped, Kind: failure.Busy})
+	r, ok := findOutput[Refusal](out)
 	require.True(t, ok)
 	require.Equal(t, failure.Expired, r.Kind)
 	require.Empty(t, b.retryBudget("web").marginSpent)
@@ -393,8 +393,8 @@
 func TestWriteBoundCountsWritesOnly(t *testing.T) {
 	const bound, pause = 400 * time.Millisecond, 700 * time.Millisecond
 	t.Run("idle connection", func(t *testing.T) {
-		srv := says(t, plain("1", "good"), false)
-		b := relayFor(t, &script{to: []string{srv.addr()}}, RelayOptions{WriteWait: bound})
+		srv := newFixedServer(t, sealedResponse("1", "good"), false)
+		b := newRelayFixture(t, &scriptedDecider{addrs: []string{srv.addr()}}, RelayOptions{WriteTimeout: bound})
 		cl := b.dial(t)
 		cl.send(get("1"))
 		_, _, err := cl.answer("GET")
@@ -411,13 +411,13 @@
 		require.Equal(t, "good", body)
 	})
 	t.Run("pause before the end", func(t *testing.T) {
-		srv := newStandIn(t, func(s *standIn, _ int, c net.Conn, br *bufio.Reader) {
+		srv := newTestServer(t, func(s *testServer, _ int, c net.Conn, br *bufio.Reader) {
 			s.next(br)
 			_, _ = io.WriteString(c, fmt.Sprintf(streamHead, "s")+chunk(event(1)))
 			time.Sleep(pause)
 			_, _ = io.WriteString(c, "0\r\n\r\n")
 		})
-		b := relayFor(t, &script{to: []string{srv.addr()}}, RelayOptions{WriteWait: bound})
+		b := newRelayFixture(t, &scriptedDecider{addrs: []string{srv.addr()}}, RelayOptions{WriteTimeout: bound})
 		cl := b.dial(t)
 		cl.send(get("1"))
 		_, body, err := cl.answer("GET")
@@ -428,15 +428,15 @@
 
 // A request is not sent to a server again after a failed attempt there, however long ago that was.
 func TestNotTwiceToOneServer(t *testing.T) {
-	for _, how := range []End{Dropped, Lost, Unsent} {
-		b := free(t, Options{Lend: 100})
-		b.entry("web|", "s1")
-		ref, l, _ := b.go1("/again/x", fleetplan.Call{})
+	for _, how := range []Outcome{Dropped, Lost, Unsent} {
+		b := newHostedRouter(t, Options{RetryMargin: 100})
+		b.deliverEntry("web|", "s1")
+		ref, l, _ := b.callPath("/again/x", fleetplan.Request{})
 		require.True(t, b.MaySend(b.at, ref, l.N))
-		out := b.Step(b.at, Ended{Ref: ref, N: l.N, How: how, Kind: failure.Busy})
-		_, again := pick[Launch](append(out, b.wait(4e9)...))
+		out := b.Step(b.at, Ended{Ref: ref, N: l.N, Outcome: how, Kind: failure.Busy})
+		_, again := findOutput[Launch](append(out, b.wait(4e9)...))
 		require.False(t, again, how)
-		_, again = pick[Launch](b.entry("web|", "s1", "s2"))
+		_, again = findOutput[Launch](b.deliverEntry("web|", "s1", "s2"))
 		require.True(t, again, how)
 	}
 }
@@ -446,18 +446,18 @@
 func TestLateRequestAtAStop(t *testing.T) {
 	hold := make(chan struct{})
 	release := sync.OnceFunc(func() { close(hold) })
-	srv := newStandIn(t, func(s *standIn, _ int, c net.Conn, br *bufio.Reader) {
+	srv := newTestServer(t, func(s *testServer, _ int, c net.Conn, br *bufio.Reader) {
 		for q := s.next(br); q != nil; q = s.next(br) {
 			<-hold
-			_, _ = io.WriteString(c, plain(q.Header.Get("X-Try"), "good"))
+			_, _ = io.WriteString(c, sealedResponse(q.Header.Get("X-Try"), "good"))
 		}
 	})
-	s := &script{to: []string{srv.addr()}}
-	b, _, stop, end := serveUntil(t, s, RelayServe{Lame: 10 * time.Millisecond, Grace: soon})
+	s := &scriptedDecider{addrs: []string{srv.addr()}}
+	b, _, stop, end := serveUntil(t, s, RelayServer{LameDuck: 10 * time.Millisecond, Grace: testTimeout})
 	defer release()
 	early, late := b.dial(t), b.dial(t)
 	early.send(get("1"))
-	require.Eventually(t, func() bool { return len(srv.requests()) == 1 }, soon, time.Millisecond)
+	require.Eventually(t, func() bool { return len(srv.requests()) == 1 }, testTimeout, time.Millisecond)
 	close(stop)
 	require.Eventually(t, func() bool { // the listener is closed
 		c, err := net.Dial("tcp", b.addr)
@@ -465,7 +465,7 @@
 			_ = c.Close()
 		}
 		return err != nil
-	}, soon, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 	late.send(get("2"))
 	a, _, err := late.answer("GET")
 	require.NoError(t, err, "the connection was closed without an answer")
@@ -478,20 +478,20 @@
 	require.Equal(t, 200, a.StatusCode)
 	require.Equal(t, "good", body)
 	require.NoError(t, <-end)
-	s.settled(t)
+	s.requireOneEnd(t)
 }
 
 // Buffered bodies share one budget, with and without a Content-Length, and return their share.
 func TestBodyBudget(t *testing.T) {
 	hold := make(chan struct{})
 	release := sync.OnceFunc(func() { close(hold) })
-	srv := newStandIn(t, func(s *standIn, _ int, c net.Conn, br *bufio.Reader) {
+	srv := newTestServer(t, func(s *testServer, _ int, c net.Conn, br *bufio.Reader) {
 		for q := s.next(br); q != nil; q = s.next(br) {
 			<-hold
-			_, _ = io.WriteString(c, plain(q.Header.Get("X-Try"), "good"))
+			_, _ = io.WriteString(c, sealedResponse(q.Header.Get("X-Try"), "good"))
 		}
 	})
-	b := relayFor(t, &script{to: []string{srv.addr()}}, RelayOptions{BodyBudget: 100})
+	b := newRelayFixture(t, &scriptedDecider{addrs: []string{srv.addr()}}, RelayOptions{BodyBudget: 100})
 	t.Cleanup(release)
 	post := func(id, how, body string) string {
 		return "POST /p HTTP/1.1\r\nHost: h\r\nX-Try: " + id + "\r\n" + how + "\r\n\r\n" + body
@@ -499,7 +499,7 @@
 	long := strings.Repeat("x", 60)
 	first := b.dial(t)
 	first.send(post("1", "Content-Length: 60", long))
-	require.Eventually(t, func() bool { return len(srv.requests()) == 1 }, soon, time.Millisecond)
+	require.Eventually(t, func() bool { return len(srv.requests()) == 1 }, testTimeout, time.Millisecond)
 	for _, how := range []struct{ header, body string }{
 		{"Content-Length: 60", long},
 		{"Transfer-Encoding: chunked", "3c\r\n" + long + "\r\n0\r\n\r\n"},
@@ -516,5 +516,5 @@
 	a, _, err := first.answer("POST")
 	require.NoError(t, err)
 	require.Equal(t, 200, a.StatusCode)
-	require.Eventually(t, func() bool { return b.relay.bodies.used.Load() == 0 }, soon, time.Millisecond)
+	require.Eventually(t, func() bool { return b.relay.bodies.used.Load() == 0 }, testTimeout, time.Millisecond)
 }
--- a/internal/router/choice.go
+++ b/internal/router/choice.go
@@ -28,7 +28,7 @@
 func (c *Core) concurrencyLimits(e *cacheEntry, p *protocol.Replica) (limit, coldLimit int) {
 	n := math.Ceil(2 * float64(p.Slots) / float64(max(1, c.routers)))
 	limit = max(1, int(n))
-	age := p.Warm + c.now.Sub(e.receivedAt)
+	age := p.ReadyFor + c.now.Sub(e.receivedAt)
 	if age >= c.o.Ramp {
 		return limit, limit
 	}
@@ -41,10 +41,10 @@
 func rendezvousHash(r *request, server ident.Server, byParts bool, maxParts int) uint64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, server, "|", r.key.Base())
-	if byParts = byParts && len(r.Call.Call.Parts) > 0; !byParts {
-		fmt.Fprint(h, "|", r.Call.Call.ID)
+	if byParts = byParts && len(r.Call.Request.Parts) > 0; !byParts {
+		fmt.Fprint(h, "|", r.Call.Request.ID)
 	}
-	for i, part := range r.Call.Call.Parts {
+	for i, part := range r.Call.Request.Parts {
 		if byParts && (maxParts == 0 || i < maxParts) {
 			fmt.Fprint(h, "|", part)
 		}
@@ -65,7 +65,7 @@
 		p := &e.Replicas[i]
 		unreached := 0
 		for _, attempt := range r.attempts {
-			if attempt.Server == p.Server && attempt.How == Unsent {
+			if attempt.Server == p.Server && attempt.Outcome == Unsent {
 				unreached++
 			}
 		}
@@ -86,11 +86,11 @@
 // chooseReplica selects a replica by rendezvous hash over the prompt's shared parts, among the replicas whose load is
 // within maxLoadFactor of the mean. If there is none, it selects the least loaded replica.
 func (c *Core) chooseReplica(e *cacheEntry, r *request) *protocol.Replica {
-	if c.o.Free {
+	if c.o.StatelessServers {
 		return c.leastLoaded(e, r)
 	}
 	var only *protocol.Replica
-	if !r.repeatable() && !c.o.Free {
+	if !r.repeatable() && !c.o.StatelessServers {
 		if only = c.pinnedReplica(e, r); only == nil {
 			return nil
 		}
@@ -99,8 +99,8 @@
 	if len(candidates) == 0 {
 		return nil
 	}
-	byParts := len(r.Call.Call.Parts) > 0 && !c.o.Plain
-	hash := func(p *protocol.Replica) uint64 { return rendezvousHash(r, p.Server, byParts, c.o.Heads) }
+	byParts := len(r.Call.Request.Parts) > 0 && !c.o.NoAffinity
+	hash := func(p *protocol.Replica) uint64 { return rendezvousHash(r, p.Server, byParts, c.o.AffinityParts) }
 	withinBound := func(p *protocol.Replica) bool { return c.relativeLoad(p) <= maxLoad+1/float64(max(1, p.Slots)) }
 	sort.SliceStable(candidates, func(i, j int) bool {
 		p, q := candidates[i], candidates[j]
@@ -121,7 +121,7 @@
 
 // relativeLoad returns this router's requests in flight at a replica, divided by the server's slots.
 func (c *Core) relativeLoad(p *protocol.Replica) float64 {
-	return float64(c.server(p.Server).work) / float64(max(1, p.Slots))
+	return float64(c.server(p.Server).inFlight) / float64(max(1, p.Slots))
 }
 
 // available returns the replicas that may receive another request of this router, limited to the replica only if it is
@@ -138,10 +138,10 @@
 			continue
 		}
 		limit, coldLimit := c.concurrencyLimits(e, p)
-		if b.work >= limit || b.inFlightByKey[r.key] >= coldLimit {
+		if b.inFlight >= limit || b.inFlightByKey[r.key] >= coldLimit {
 			continue
 		}
-		work += b.work
+		work += b.inFlight
 		slots += max(1, p.Slots)
 		candidates = append(candidates, p)
 	}
--- a/internal/router/conn_pool.go
+++ b/internal/router/conn_pool.go
@@ -26,7 +26,7 @@
 // ConnOptions configures the pool of keep-alive connections to servers.
 type ConnOptions struct {
 	Dialer             *net.Dialer   // dials servers; by default one with a timeout of 400 ms
-	Idle               time.Duration // how long an idle connection is kept if the server announces no keep-alive timeout; 4 s
+	IdleTimeout        time.Duration // how long an idle connection is kept if the server announces no keep-alive timeout; 4 s
 	MaxIdlePerEndpoint int           // idle connections kept per endpoint; 8
 	UnackedTimeout     time.Duration // TCP_USER_TIMEOUT: a connection with data unacknowledged for this long is closed; 5 s
 	MaxHeadSize        int64         // maximum size of a response head, in bytes; 256 KiB
@@ -37,7 +37,7 @@
 	if o.Dialer == nil {
 		o.Dialer = &net.Dialer{Timeout: 400 * time.Millisecond}
 	}
-	generic.SetDefault(&o.Idle, 4*time.Second)
+	generic.SetDefault(&o.IdleTimeout, 4*time.Second)
 	generic.SetDefault(&o.MaxIdlePerEndpoint, 8)
 	generic.SetDefault(&o.UnackedTimeout, 5*time.Second)
 	generic.SetDefault(&o.MaxHeadSize, 256<<10)
@@ -75,14 +75,14 @@
 // conn is a connection to a server. It carries one request at a time.
 type conn struct {
 	net.Conn
-	endpoint    endpoint
-	raw         syscall.RawConn
-	reader      *bufio.Reader // from bufReaders while the connection is in use, nil while it is idle
-	readLimit   int64         // bytes that may still be read
-	until       time.Time     // when the connection is discarded if it is still idle
-	idleTimeout time.Duration // how long the server keeps the connection open while idle
-	answered    bool          // a response was read since the connection was taken from the pool
-	peekBuffer  [1]byte
+	endpoint     endpoint
+	raw          syscall.RawConn
+	reader       *bufio.Reader // from bufReaders while the connection is in use, nil while it is idle
+	readLimit    int64         // bytes that may still be read
+	idleDeadline time.Time     // when the connection is discarded if it is still idle
+	idleTimeout  time.Duration // how long the server keeps the connection open while idle
+	answered     bool          // a response was read since the connection was taken from the pool
+	peekBuffer   [1]byte
 }
 
 // Read reads from the server, up to the limit that is set while a response head is read.
@@ -180,7 +180,7 @@
 	opens, reuses, discards, failures atomic.Uint64
 }
 
-func newConns(o ConnOptions) *connPool {
+func newConnPool(o ConnOptions) *connPool {
 	o = o.Defaults()
 	o.Dialer = host.BoundUnacknowledged(o.Dialer, o.UnackedTimeout)
 	return &connPool{options: o, idle: map[endpoint][]*conn{}}
@@ -193,7 +193,7 @@
 		if c = p.pop(to); c == nil {
 			break
 		}
-		if time.Now().Before(c.until) && c.reusable() {
+		if time.Now().Before(c.idleDeadline) && c.reusable() {
 			p.reuses.Add(1)
 			invariant.Check(c.endpoint == to, invariant.ConnectionMatches, func() string { return fmt.Sprintf("connection to %v used for %v", c.endpoint, to) })
 			p.prepare(c)
@@ -233,7 +233,7 @@
 }
 
 func (p *connPool) prepare(c *conn) {
-	c.idleTimeout, c.answered = p.options.Idle, false
+	c.idleTimeout, c.answered = p.options.IdleTimeout, false
 	c.readLimit = math.MaxInt64
 	c.reader = bufReaders.Get().(*bufio.Reader)
 	c.reader.Reset(io.Reader(c))
@@ -263,8 +263,8 @@
 		return
 	}
 	c.releaseReader()
-	if c.answered || c.until.IsZero() { // the server's keep-alive timeout runs from its last response
-		c.until = time.Now().Add(c.idleTimeout)
+	if c.answered || c.idleDeadline.IsZero() { // the server's keep-alive timeout runs from its last response
+		c.idleDeadline = time.Now().Add(c.idleTimeout)
 	}
 	p.mu.Lock()
 	var evicted *conn
@@ -302,7 +302,7 @@
 	for to, idle := range p.idle {
 		kept := 0
 		for _, c := range idle {
-			if now.Before(c.until) {
+			if now.Before(c.idleDeadline) {
 				idle[kept] = c
 				kept++
 				continue
--- a/internal/router/conn_pool_test.go
+++ b/internal/router/conn_pool_test.go
@@ -15,10 +15,10 @@
 )
 
 // testTimeout is how long a test waits at most for an expected event.
-const soon = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 // testServer is a server that passes each connection, with its number starting from 0, to a function.
-type standIn struct {
+type testServer struct {
 	net.Listener
 	mu             sync.Mutex
 	conns          []net.Conn
@@ -26,10 +26,10 @@
 	receivedBodies []string
 }
 
-func newStandIn(t testing.TB, serve func(s *standIn, n int, c net.Conn, br *bufio.Reader)) *standIn {
+func newTestServer(t testing.TB, serve func(s *testServer, n int, c net.Conn, br *bufio.Reader)) *testServer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &standIn{Listener: l}
+	s := &testServer{Listener: l}
 	var handlers sync.WaitGroup
 	handlers.Add(1)
 	go func() {
@@ -62,10 +62,10 @@
 	return s
 }
 
-func (s *standIn) addr() string { return s.Addr().String() }
+func (s *testServer) addr() string { return s.Addr().String() }
 
 // next reads and records a complete request. It returns nil if the connection has ended.
-func (s *standIn) next(br *bufio.Reader) *http.Request {
+func (s *testServer) next(br *bufio.Reader) *http.Request {
 	q, err := http.ReadRequest(br)
 	if err != nil {
 		return nil
@@ -81,26 +81,26 @@
 	return q
 }
 
-func (s *standIn) requests() []*http.Request {
+func (s *testServer) requests() []*http.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]*http.Request{}, s.received...)
 }
 
-func (s *standIn) bodies() []string {
+func (s *testServer) bodies() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string{}, s.receivedBodies...)
 }
 
-func (s *standIn) accepted() int {
+func (s *testServer) accepted() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
 // conn returns a connection by its number.
-func (s *standIn) conn(n int) net.Conn {
+func (s *testServer) conn(n int) net.Conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.conns[n]
@@ -116,7 +116,7 @@
 }
 
 // roundTrip sends a request on a connection and reads the complete response.
-func askConn(t *testing.T, c *conn) string {
+func roundTrip(t *testing.T, c *conn) string {
 	_, err := io.WriteString(c.Conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	require.NoError(t, err)
 	a, err := c.readResponse(&http.Request{Method: http.MethodGet}, 1<<16)
@@ -142,18 +142,18 @@
 		{"surplus bytes", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok and more", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newStandIn(t, func(s *standIn, _ int, conn net.Conn, br *bufio.Reader) {
+			s := newTestServer(t, func(s *testServer, _ int, conn net.Conn, br *bufio.Reader) {
 				for s.next(br) != nil {
 					_, _ = io.WriteString(conn, c.answer)
 				}
 			})
-			p := newConns(ConnOptions{})
+			p := newConnPool(ConnOptions{})
 			defer p.close()
 			for i := range 3 {
 				x, reused, err := p.get(context.Background(), endpoint{addr: s.addr()}, time.Time{})
 				require.NoError(t, err)
 				require.Equal(t, c.reused && i > 0, reused)
-				require.Equal(t, "ok", askConn(t, x))
+				require.Equal(t, "ok", roundTrip(t, x))
 				p.put(x)
 			}
 			if c.reused {
@@ -176,26 +176,26 @@
 		{"surplus", func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n") }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newStandIn(t, func(s *standIn, _ int, conn net.Conn, br *bufio.Reader) {
+			s := newTestServer(t, func(s *testServer, _ int, conn net.Conn, br *bufio.Reader) {
 				for s.next(br) != nil {
 					_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 				}
 			})
-			p := newConns(ConnOptions{})
+			p := newConnPool(ConnOptions{})
 			defer p.close()
 			x, _, err := p.get(context.Background(), endpoint{addr: s.addr()}, time.Time{})
 			require.NoError(t, err)
-			askConn(t, x)
+			roundTrip(t, x)
 			p.put(x)
 			s.mu.Lock()
 			c.do(s.conns[0])
 			s.mu.Unlock()
-			require.Eventually(t, func() bool { return !x.reusable() }, soon, time.Millisecond)
+			require.Eventually(t, func() bool { return !x.reusable() }, testTimeout, time.Millisecond)
 			y, reused, err := p.get(context.Background(), endpoint{addr: s.addr()}, time.Time{})
 			require.NoError(t, err)
 			require.False(t, reused)
 			require.NotSame(t, x, y)
-			require.Equal(t, "ok", askConn(t, y))
+			require.Equal(t, "ok", roundTrip(t, y))
 			p.put(y)
 			require.Equal(t, uint64(1), p.tally().Discards)
 		})
@@ -205,11 +205,11 @@
 // The most recently used connection is reused first, the number of idle connections stays within its limit, and
 // reap and closeIdle close idle connections.
 func TestConnPoolLimits(t *testing.T) {
-	s := newStandIn(t, func(s *standIn, _ int, _ net.Conn, br *bufio.Reader) {
+	s := newTestServer(t, func(s *testServer, _ int, _ net.Conn, br *bufio.Reader) {
 		for s.next(br) != nil {
 		}
 	})
-	p := newConns(ConnOptions{MaxIdlePerEndpoint: 2, Idle: time.Hour})
+	p := newConnPool(ConnOptions{MaxIdlePerEndpoint: 2, IdleTimeout: time.Hour})
 	defer p.close()
 	var l []*conn
 	for range 4 {
@@ -245,7 +245,7 @@
 
 // Reading an endless response head stops at the size limit.
 func TestResponseHeadLimit(t *testing.T) {
-	s := newStandIn(t, func(_ *standIn, _ int, c net.Conn, _ *bufio.Reader) {
+	s := newTestServer(t, func(_ *testServer, _ int, c net.Conn, _ *bufio.Reader) {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n")
 		for i := 0; ; i++ {
 			if _, err := fmt.Fprintf(c, "H-%d: v\r\n", i); err != nil {
@@ -253,7 +253,7 @@
 			}
 		}
 	})
-	p := newConns(ConnOptions{})
+	p := newConnPool(ConnOptions{})
 	defer p.close()
 	c, _, err := p.get(context.Background(), endpoint{addr: s.addr()}, time.Time{})
 	require.NoError(t, err)
--- a/internal/router/conn_reuse_test.go
+++ b/internal/router/conn_reuse_test.go
@@ -44,7 +44,7 @@
 			_, _, err = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		})
 		return ctl != nil || err != syscall.EAGAIN
-	}, soon, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 }
 
 func resetConn(c net.Conn) {
@@ -65,65 +65,65 @@
 		name       string
 		body       int
 		breakConn  func(t *testing.T, c net.Conn, k *clientSocket) // called immediately before the relay sends
-		serve      func(s *standIn, c net.Conn, br *bufio.Reader)
-		atMostOnce []End // outcomes of the second request's attempts if it must run at most once
-		repeatable []End // outcomes if it may be repeated
-		received   int   // complete requests that reach the first server after the initial one
+		serve      func(s *testServer, c net.Conn, br *bufio.Reader)
+		atMostOnce []Outcome // outcomes of the second request's attempts if it must run at most once
+		repeatable []Outcome // outcomes if it may be repeated
+		received   int       // complete requests that reach the first server after the initial one
 	}{
 		{name: "reset before the send", breakConn: func(t *testing.T, c net.Conn, k *clientSocket) { resetConn(c); k.awaitInput(t) },
-			atMostOnce: []End{Unsent, Done}, repeatable: []End{Unsent, Done}},
+			atMostOnce: []Outcome{Unsent, Done}, repeatable: []Outcome{Unsent, Done}},
 		{name: "closed before the send", breakConn: func(t *testing.T, c net.Conn, k *clientSocket) { _ = c.Close(); k.awaitInput(t) },
-			atMostOnce: []End{Lost}, repeatable: []End{Lost, Done}},
-		{name: "reset during the write", body: bigBody, serve: func(_ *standIn, c net.Conn, br *bufio.Reader) {
+			atMostOnce: []Outcome{Lost}, repeatable: []Outcome{Lost, Done}},
+		{name: "reset during the write", body: bigBody, serve: func(_ *testServer, c net.Conn, br *bufio.Reader) {
 			_ = c.(*net.TCPConn).SetReadBuffer(readBuffer)
 			_, _ = br.Discard(1 << 10)
 			resetConn(c)
-		}, atMostOnce: []End{Lost}, repeatable: []End{Lost, Done}},
-		{name: "closed during the write", body: bigBody, serve: func(_ *standIn, c net.Conn, br *bufio.Reader) {
+		}, atMostOnce: []Outcome{Lost}, repeatable: []Outcome{Lost, Done}},
+		{name: "closed during the write", body: bigBody, serve: func(_ *testServer, c net.Conn, br *bufio.Reader) {
 			_ = c.(*net.TCPConn).SetReadBuffer(readBuffer)
 			_, _ = br.Discard(1 << 10)
-		}, atMostOnce: []End{Lost}, repeatable: []End{Lost, Done}},
-		{name: "reset after the write", serve: func(s *standIn, c net.Conn, br *bufio.Reader) {
+		}, atMostOnce: []Outcome{Lost}, repeatable: []Outcome{Lost, Done}},
+		{name: "reset after the write", serve: func(s *testServer, c net.Conn, br *bufio.Reader) {
 			s.next(br)
 			resetConn(c)
-		}, atMostOnce: []End{Lost}, repeatable: []End{Lost, Done}, received: 1},
-		{name: "closed after the write", serve: func(s *standIn, _ net.Conn, br *bufio.Reader) { s.next(br) },
-			atMostOnce: []End{Lost}, repeatable: []End{Lost, Done}, received: 1},
-		{name: "closed after an interim response", serve: func(s *standIn, c net.Conn, br *bufio.Reader) {
+		}, atMostOnce: []Outcome{Lost}, repeatable: []Outcome{Lost, Done}, received: 1},
+		{name: "closed after the write", serve: func(s *testServer, _ net.Conn, br *bufio.Reader) { s.next(br) },
+			atMostOnce: []Outcome{Lost}, repeatable: []Outcome{Lost, Done}, received: 1},
+		{name: "closed after an interim response", serve: func(s *testServer, c net.Conn, br *bufio.Reader) {
 			s.next(br)
 			_, _ = io.WriteString(c, "HTTP/1.1 103 Early Hints\r\nX-Try: 1\r\nX-Seal: s\r\n\r\n")
-		}, atMostOnce: []End{Lost}, repeatable: []End{Lost, Done}, received: 1},
-		{name: "reset during the body", serve: func(s *standIn, c net.Conn, br *bufio.Reader) {
+		}, atMostOnce: []Outcome{Lost}, repeatable: []Outcome{Lost, Done}, received: 1},
+		{name: "reset during the body", serve: func(s *testServer, c net.Conn, br *bufio.Reader) {
 			s.next(br)
-			_, _ = io.WriteString(c, plain("1", "good")[:60])
+			_, _ = io.WriteString(c, sealedResponse("1", "good")[:60])
 			resetConn(c)
-		}, atMostOnce: []End{Lost}, repeatable: []End{Lost, Done}, received: 1},
+		}, atMostOnce: []Outcome{Lost}, repeatable: []Outcome{Lost, Done}, received: 1},
 	} {
 		for _, again := range []bool{false, true} {
 			t.Run(fmt.Sprint(c.name, " ", again), func(t *testing.T) {
 				var k clientSocket
-				srv := newStandIn(t, func(s *standIn, _ int, conn net.Conn, br *bufio.Reader) {
+				srv := newTestServer(t, func(s *testServer, _ int, conn net.Conn, br *bufio.Reader) {
 					if s.next(br) == nil {
 						return
 					}
-					_, _ = io.WriteString(conn, plain("1", "good"))
+					_, _ = io.WriteString(conn, sealedResponse("1", "good"))
 					if c.serve != nil {
 						c.serve(s, conn, br)
 						return
 					}
 					_, _ = br.ReadByte() // until the test closes the connection
 				})
-				other := says(t, plain("1", "other"), false)
-				b := relayFor(t, &script{to: []string{srv.addr()}, again: again}, RelayOptions{Conns: ConnOptions{Dialer: k.dialer()}})
+				other := newFixedServer(t, sealedResponse("1", "other"), false)
+				b := newRelayFixture(t, &scriptedDecider{addrs: []string{srv.addr()}, repeatable: again}, RelayOptions{Conns: ConnOptions{Dialer: k.dialer()}})
 				cl := b.dial(t)
 				cl.send(get("1"))
 				_, body, err := cl.answer("GET")
 				require.NoError(t, err)
 				require.Equal(t, "good", body)
-				b.settled(t)
+				b.requireOneEnd(t)
 
 				b.mu.Lock()
-				b.to = append(b.to, other.addr())
+				b.addrs = append(b.addrs, other.addr())
 				if sends := 0; c.breakConn != nil {
 					b.beforeSend = func() {
 						if sends++; sends == 1 {
@@ -135,12 +135,12 @@
 				cl.send(fmt.Sprintf("POST / HTTP/1.1\r\nHost: h\r\nX-Try: 1\r\nContent-Length: %d\r\n\r\n%s", c.body, strings.Repeat("x", c.body)))
 				a, body, err := cl.answer("POST")
 				require.NoError(t, err)
-				b.settled(t)
+				b.requireOneEnd(t)
 				want := c.atMostOnce
 				if again {
 					want = c.repeatable
 				}
-				require.Equal(t, want, b.hows()[1:])
+				require.Equal(t, want, b.attemptEnds()[1:])
 				require.Len(t, srv.requests(), 1+c.received)
 				require.Equal(t, 1, srv.accepted(), "sent again to the same server")
 				if want[len(want)-1] != Done {
@@ -158,7 +158,7 @@
 // Data that arrives on a reused connection and belongs to no request in progress reaches no client, whenever it
 // arrives.
 func TestSurplusResponses(t *testing.T) {
-	other := plain("1", "another's")
+	other := sealedResponse("1", "another's")
 	for _, c := range []struct {
 		name     string
 		after    string // sent together with the first response
@@ -186,23 +186,23 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var k clientSocket
-			srv := newStandIn(t, func(s *standIn, _ int, conn net.Conn, br *bufio.Reader) {
+			srv := newTestServer(t, func(s *testServer, _ int, conn net.Conn, br *bufio.Reader) {
 				for q := s.next(br); q != nil; q = s.next(br) {
 					id := q.Header.Get("X-Try")
 					if id != "1" {
-						_, _ = io.WriteString(conn, plain(id, "for "+id))
+						_, _ = io.WriteString(conn, sealedResponse(id, "for "+id))
 						return
 					}
-					_, _ = io.WriteString(conn, plain(id, "for "+id)+c.after) // in a single write
+					_, _ = io.WriteString(conn, sealedResponse(id, "for "+id)+c.after) // in a single write
 				}
 			})
-			b := relayFor(t, &script{to: []string{srv.addr()}}, RelayOptions{Conns: ConnOptions{Dialer: k.dialer()}})
+			b := newRelayFixture(t, &scriptedDecider{addrs: []string{srv.addr()}}, RelayOptions{Conns: ConnOptions{Dialer: k.dialer()}})
 			cl := b.dial(t)
 			cl.send(get("1"))
 			_, body, err := cl.answer("GET")
 			require.NoError(t, err)
 			require.Equal(t, "for 1", body)
-			b.settled(t)
+			b.requireOneEnd(t)
 			write := func(what string) {
 				if what != "" {
 					_, _ = io.WriteString(srv.conn(0), what)
@@ -225,7 +225,7 @@
 				require.Empty(t, a.Header.Get("X-Seal"))
 			}
 			require.Equal(t, c.accepted, srv.accepted())
-			b.settled(t)
+			b.requireOneEnd(t)
 			require.Equal(t, c.kept, countIdle(b.relay.conns) > 0)
 			if c.status == 200 {
 				require.Len(t, srv.requests(), 2)
@@ -239,20 +239,20 @@
 // A response that arrives after its request was abandoned reaches no other request.
 func TestResponseAfterAbandon(t *testing.T) {
 	unblock := make(chan struct{})
-	srv := newStandIn(t, func(s *standIn, n int, conn net.Conn, br *bufio.Reader) {
+	srv := newTestServer(t, func(s *testServer, n int, conn net.Conn, br *bufio.Reader) {
 		for q := s.next(br); q != nil; q = s.next(br) {
 			if id := q.Header.Get("X-Try"); id == "1" {
 				<-unblock
 			}
-			_, _ = io.WriteString(conn, plain(q.Header.Get("X-Try"), "for "+q.Header.Get("X-Try")))
+			_, _ = io.WriteString(conn, sealedResponse(q.Header.Get("X-Try"), "for "+q.Header.Get("X-Try")))
 		}
 	})
-	b := relayFor(t, &script{to: []string{srv.addr()}}, RelayOptions{})
+	b := newRelayFixture(t, &scriptedDecider{addrs: []string{srv.addr()}}, RelayOptions{})
 	leaves := b.dial(t)
 	leaves.send(get("1"))
-	require.Eventually(t, func() bool { return len(srv.requests()) == 1 }, soon, time.Millisecond)
+	require.Eventually(t, func() bool { return len(srv.requests()) == 1 }, testTimeout, time.Millisecond)
 	_ = leaves.Close()
-	b.settled(t)
+	b.requireOneEnd(t)
 	close(unblock)
 	for _, id := range []string{"2", "3"} {
 		cl := b.dial(t)
@@ -261,7 +261,7 @@
 		require.NoError(t, err)
 		require.Equal(t, id, a.Header.Get("X-Try"))
 		require.Equal(t, "for "+id, body)
-		b.settled(t)
+		b.requireOneEnd(t)
 	}
 	require.Equal(t, 2, srv.accepted(), "the connection of the abandoned request is not reused")
 }
@@ -274,11 +274,11 @@
 		{"not run", "HTTP/1.1 503 Full\r\nX-Try: 1\r\nX-Seal: s\r\nX-Not-Run: busy\r\nContent-Length: 0\r\n\r\n"},
 		{"refusal without proof", "HTTP/1.1 429 Full\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 0\r\n\r\n"},
 		{"wrong server", "HTTP/1.1 421 Wrong\r\nX-Try: 1\r\nX-Seal: s\r\nX-Not-Run: mismatch\r\nContent-Length: 0\r\n\r\n"},
-		{"response to another request", plain("2", "x")},
+		{"response to another request", sealedResponse("2", "x")},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			srv := says(t, c.answer, true)
-			b := relayFor(t, &script{to: []string{srv.addr()}}, RelayOptions{})
+			srv := newFixedServer(t, c.answer, true)
+			b := newRelayFixture(t, &scriptedDecider{addrs: []string{srv.addr()}}, RelayOptions{})
 			cl := b.dial(t)
 			cl.send(get("1"))
 			a, body, err := cl.answer("GET")
@@ -287,7 +287,7 @@
 			require.NotContains(t, a.Header, "X-Seal")
 			require.NotContains(t, a.Header, "X-Try")
 			require.Contains(t, body, `"kind"`)
-			b.settled(t)
+			b.requireOneEnd(t)
 		})
 	}
 }
@@ -295,8 +295,8 @@
 // A failure response generated by a server keeps its status, seal and body.
 func TestServerFailureUnchanged(t *testing.T) {
 	for _, status := range []int{302, 400, 404, 500, 502, 504} {
-		srv := says(t, fmt.Sprintf("HTTP/1.1 %d X\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 2\r\n\r\nno", status), false)
-		b := relayFor(t, &script{to: []string{srv.addr()}}, RelayOptions{})
+		srv := newFixedServer(t, fmt.Sprintf("HTTP/1.1 %d X\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 2\r\n\r\nno", status), false)
+		b := newRelayFixture(t, &scriptedDecider{addrs: []string{srv.addr()}}, RelayOptions{})
 		cl := b.dial(t)
 		cl.send(get("1"))
 		a, body, err := cl.answer(http.MethodGet)
@@ -304,6 +304,6 @@
 		require.Equal(t, status, a.StatusCode)
 		require.Equal(t, "s", a.Header.Get("X-Seal"))
 		require.Equal(t, "no", body)
-		b.settled(t)
+		b.requireOneEnd(t)
 	}
 }
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -17,47 +17,47 @@
 
 // Options configures a router.
 type Options struct {
-	Me              protocol.Sibling
-	Inc             ident.Inc
-	Agent           protocol.Sibling
-	Cache           int        // maximum number of cached placement entries
-	MaxQueued       int        // maximum number of queued requests in total
-	MaxQueuedPerKey int        // maximum number of queued requests per key
-	Ramp            clock.Span // time over which the load limit of a new replica grows to its full value
-	Share           float64    // retries permitted per first attempt
-	Save            clock.Span // time after which unused retry credit from first attempts expires
-	MaxAttempts     int        // maximum number of attempts per request
-	Hello           clock.Span
-	RemovalInterval clock.Span // minimum time between two batches of cache removals
-	Plain           bool       // disables prefix affinity, as a baseline for measurements
-	Heads           int        // number of leading shared prompt parts used for affinity; zero means all
-	Check           bool       // revalidates every entry on every use, as a baseline for measurements
-
-	Read   func([]byte) (*fleetplan.Plan, fleetplan.Faults) // parses plans
-	Zone   ident.Zone                                       // zone of this router
-	Free   bool                                             // servers keep no request IDs; any replica may get a non-repeatable request
-	Guards bool                                             // servers reject misdirected requests, so a router may send without a lease
-	Lend   float64                                          // fleet-wide retries per service and retry window that need no earned credit
-	Window clock.Span
-
-	LendAgain float64 // the same for a restarted router, during its first retry window
-	Restarted bool    // an earlier process of this router may have used its share of the margin in the current window
+	Self             protocol.Peer
+	Inc              ident.Incarnation
+	Agent            protocol.Peer
+	MaxEntries       int        // maximum number of cached placement entries
+	MaxQueued        int        // maximum number of queued requests in total
+	MaxQueuedPerKey  int        // maximum number of queued requests per key
+	Ramp             clock.Span // time over which the load limit of a new replica grows to its full value
+	RetryFraction    float64    // retries permitted per first attempt
+	RetryCreditTTL   clock.Span // time after which unused retry credit from first attempts expires
+	MaxAttempts      int        // maximum number of attempts per request
+	HelloInterval    clock.Span
+	RemovalInterval  clock.Span // minimum time between two batches of cache removals
+	NoAffinity       bool       // disables prefix affinity, as a baseline for measurements
+	AffinityParts    int        // number of leading shared prompt parts used for affinity; zero means all
+	AlwaysRevalidate bool       // revalidates every entry on every use, as a baseline for measurements
+
+	ReadPlan                func([]byte) (*fleetplan.Plan, fleetplan.Faults) // parses plans
+	Zone                    ident.Zone                                       // zone of this router
+	StatelessServers        bool                                             // servers keep no request IDs; any replica may get a non-repeatable request
+	ServersEnforcePlacement bool                                             // servers reject misdirected requests, so a router may send without a lease
+	RetryMargin             float64                                          // fleet-wide retries per service and retry window that need no earned credit
+	RetryWindow             clock.Span
+
+	RestartRetryMargin float64 // the same for a restarted router, during its first retry window
+	Restarted          bool    // an earlier process of this router may have used its share of the margin in the current window
 }
 
 // Defaults returns a copy of the options in which unset fields have their default values.
 func (o Options) Defaults() Options {
-	generic.SetDefault(&o.Cache, 512)
+	generic.SetDefault(&o.MaxEntries, 512)
 	generic.SetDefault(&o.MaxQueued, 2048)
 	generic.SetDefault(&o.MaxQueuedPerKey, 512)
 	generic.SetDefault(&o.MaxAttempts, 4)
 	generic.SetDefault(&o.Ramp, 4000e6)
-	generic.SetDefault(&o.Hello, 200e6)
+	generic.SetDefault(&o.HelloInterval, 200e6)
 	generic.SetDefault(&o.RemovalInterval, 500e6)
-	generic.SetDefault(&o.Share, 0.16)
-	generic.SetDefault(&o.Save, 5e9)
-	generic.SetDefault(&o.Window, 10e9)
-	if o.Read == nil {
-		o.Read = fleetplan.ReadPlan
+	generic.SetDefault(&o.RetryFraction, 0.16)
+	generic.SetDefault(&o.RetryCreditTTL, 5e9)
+	generic.SetDefault(&o.RetryWindow, 10e9)
+	if o.ReadPlan == nil {
+		o.ReadPlan = fleetplan.ReadPlan
 	}
 	return o
 }
@@ -67,10 +67,10 @@
 
 // Call is the input for a new request from a caller.
 type Call struct {
-	Ref   Ref
-	Route string
-	Age   clock.Span // time since the request's head arrived
-	Call  fleetplan.Call
+	Ref     Ref
+	Route   string
+	Age     clock.Span // time since the request's head arrived
+	Request fleetplan.Request
 }
 
 // Begun is the input for the first byte of the answer to an attempt.
@@ -81,10 +81,10 @@
 
 // Ended is the input for the end of an attempt.
 type Ended struct {
-	Ref  Ref
-	N    int
-	How  End
-	Kind failure.Kind // reason if a server rejected the attempt
+	Ref     Ref
+	N       int
+	Outcome Outcome
+	Kind    failure.Kind // reason if a server rejected the attempt
 
 	Status int   // HTTP status of the server's answer; zero if there was none
 	Cause  Cause // recorded in the trace
@@ -95,62 +95,62 @@
 
 // Launch is the output that starts an attempt. The receiver calls MaySend immediately before it sends the work.
 type Launch struct {
-	Ref    Ref
-	N      int // number of the attempt, counted from 1
-	Server ident.Server
-	Addr   string
-	Work   protocol.Work
-	Keyed  bool       // the caller's key must not be forwarded to the server
-	Left   clock.Span // time until the request's deadline
-	Rank   int        // priority among the requests at the server; lower is more urgent
-	Again  bool       // the request may be repeated, so another server may restart its answer
-	Resume bool       // another server may resume its stream after the last forwarded event
+	Ref        Ref
+	N          int // number of the attempt, counted from 1
+	Server     ident.Server
+	Addr       string
+	Work       protocol.ServerRequest
+	Keyed      bool       // the caller's key must not be forwarded to the server
+	Remaining  clock.Span // time until the request's deadline
+	Rank       int        // priority among the requests at the server; lower is more urgent
+	Repeatable bool       // the request may be repeated, so another server may restart its answer
+	Resume     bool       // another server may resume its stream after the last forwarded event
 }
 
 // Refusal is the output for a request that the router itself answers, without a server's answer.
-type Receipt struct {
-	Ref  Ref
-	Kind failure.Kind
-	Back clock.Span
+type Refusal struct {
+	Ref        Ref
+	Kind       failure.Kind
+	RetryAfter clock.Span
 }
 
 type cacheEntry struct {
 	protocol.Entry
 	seq         uint64 // sequence number of the delivery
 	hasCallback bool   // the controller notifies the router before the entry changes
-	receivedAt  clock.Tick
-	lastUsed    clock.Tick
-	requestedAt clock.Tick // time of the last request for the entry
+	receivedAt  clock.Instant
+	lastUsed    clock.Instant
+	requestedAt clock.Instant // time of the last request for the entry
 	requested   bool
 }
 
 // retryCredit is the retry credit earned by first attempts within a short interval.
 type retryCredit struct {
-	at     clock.Tick
+	at     clock.Instant
 	amount float64
 }
 
 // serverLoad is the router's view of a server's load. Except for otherTokens, it counts this router's own requests.
 type serverLoad struct {
-	work           int
+	inFlight       int
 	tokens         int // cost of the requests in flight
 	reservedTokens int // maximum number of tokens, prompt and output, of the requests in flight
 	otherTokens    int // tokens in flight from other routers, according to the last report
 	reportedTokens int // own tokens in flight when last reported
 	inFlightByKey  map[ident.Key]int
-	avoidUntil     clock.Tick
+	avoidUntil     clock.Instant
 	failures       int
 }
 
 // Core implements the router's decisions without I/O.
 type Core struct {
-	startedAt clock.Tick // time of the first input of this process
+	startedAt clock.Instant // time of the first input of this process
 	o         Options
-	now       clock.Tick
+	now       clock.Instant
 	out       []any
 
 	session    protocol.Session
-	leaseUntil clock.Tick
+	leaseUntil clock.Instant
 	routers    int
 	lastSeq    uint64
 
@@ -161,9 +161,9 @@
 	emptyZones map[ident.Zone]bool
 
 	entries       map[ident.Key]*cacheEntry
-	drops         []protocol.Drop
-	removalSentAt clock.Tick
-	helloSentAt   clock.Tick
+	drops         []protocol.DroppedEntry
+	removalSentAt clock.Instant
+	helloSentAt   clock.Instant
 
 	requests     map[Ref]*request
 	queues       map[ident.Key][]*request
@@ -177,15 +177,15 @@
 	randState    uint64
 	inflows      map[ident.Key]*inflow
 	partitioned  bool                  // the agent has contacted every core node and none answers
-	currentUntil clock.Tick            // time until which a core node confirms the configuration in force as the newest
+	currentUntil clock.Instant         // time until which a core node confirms the configuration in force as the newest
 	leaving      map[ident.Server]bool // servers that the same core node knows to be leaving
-	ending       bool                  // shutting down: no request may wait any longer
+	stopping     bool                  // shutting down: no request may wait any longer
 
 	wasLeased   bool // last logged value of leased
 	wasUnleased bool // last logged value of routesUnleased
 
-	lastBeat clock.Tick
-	pausedAt clock.Tick // time of the last late tick, which shows that the process was suspended
+	lastBeat clock.Instant
+	pausedAt clock.Instant // time of the last late tick, which shows that the process was suspended
 	tally    Tally
 }
 
@@ -212,17 +212,17 @@
 }
 
 // Step processes one input and returns the resulting outputs.
-func (c *Core) Step(now clock.Tick, in any) []any {
+func (c *Core) Step(now clock.Instant, in any) []any {
 	c.now, c.out = now, nil
 	if c.startedAt == 0 {
 		c.startedAt = now
 	}
 	switch v := in.(type) {
-	case protocol.Env:
+	case protocol.Envelope:
 		switch body := v.Body.(type) {
-		case protocol.Hold:
+		case protocol.RouterLease:
 			c.onHold(body)
-		case protocol.News:
+		case protocol.Updates:
 			c.onUpdates(body)
 		}
 	case Call:
@@ -234,9 +234,9 @@
 	case Quit:
 		c.onQuit(v)
 	case protocol.Stop:
-		c.ending = true
+		c.stopping = true
 		c.rejectWaiting()
-	case protocol.Beat:
+	case protocol.TimerTick:
 		c.onTick()
 	}
 	return c.out
@@ -253,7 +253,7 @@
 }
 
 func (c *Core) note(text string, fields ...protocol.Field) {
-	c.out = append(c.out, protocol.Note{Text: text, Fields: fields})
+	c.out = append(c.out, protocol.LogLine{Text: text, Fields: fields})
 }
 
 // logLeaseChanges logs when the lease is lost or regained and when sending without a lease starts or ends.
@@ -262,28 +262,28 @@
 		c.wasLeased = held
 		c.note("lease", protocol.Field{Name: "held", Value: held}, protocol.Field{Name: "parted", Value: c.partitioned}, protocol.Field{Name: "epoch", Value: c.epoch})
 	}
-	if unleased := c.alone(); unleased != c.wasUnleased {
+	if unleased := c.routesUnleased(); unleased != c.wasUnleased {
 		c.wasUnleased = unleased
 		c.note("sending of attempts without a lease started or ended", protocol.Field{Name: "begins", Value: unleased}, protocol.Field{Name: "epoch", Value: c.epoch},
-			protocol.Field{Name: "session", Value: c.session.N}, protocol.Field{Name: "since_lease_ms", Value: c.now.Sub(c.leaseUntil).Milliseconds()})
+			protocol.Field{Name: "session", Value: c.session.Num}, protocol.Field{Name: "since_lease_ms", Value: c.now.Sub(c.leaseUntil).Milliseconds()})
 	}
 }
 
 func (c *Core) send(body any) {
-	c.out = append(c.out, protocol.Env{From: c.o.Me, To: c.o.Agent, Body: body})
+	c.out = append(c.out, protocol.Envelope{From: c.o.Self, To: c.o.Agent, Body: body})
 }
 
-func (c *Core) onHold(hold protocol.Hold) {
-	if hold.Session.Router != c.o.Inc {
+func (c *Core) onHold(hold protocol.RouterLease) {
+	if hold.Session.RouterIncarnation != c.o.Inc {
 		c.helloSentAt = 0
 		return
 	}
 	if hold.Session != c.session {
-		if hold.Session.Agent < c.session.Agent || hold.Session.Agent == c.session.Agent && hold.Session.N < c.session.N {
+		if hold.Session.AgentIncarnation < c.session.AgentIncarnation || hold.Session.AgentIncarnation == c.session.AgentIncarnation && hold.Session.Num < c.session.Num {
 			return
 		}
-		if hold.Session.Agent != c.session.Agent && c.desired != nil {
-			c.send(protocol.Kept{Value: c.desired}) // a restarted agent has lost its copy of the configuration
+		if hold.Session.AgentIncarnation != c.session.AgentIncarnation && c.desired != nil {
+			c.send(protocol.RecoveryReply{Value: c.desired}) // a restarted agent has lost its copy of the configuration
 		}
 		c.session, c.leaseUntil, c.lastSeq, c.drops = hold.Session, 0, 0, nil
 		c.tally.Sessions++
@@ -295,17 +295,17 @@
 			e.hasCallback, e.requested = false, false
 		}
 	}
-	c.partitioned, c.currentUntil = hold.Parted, hold.Current
+	c.partitioned, c.currentUntil = hold.Partitioned, hold.ConfigLeaseEnd
 	c.leaving = map[ident.Server]bool{}
 	for _, server := range hold.Leaving {
 		c.leaving[server] = true
 	}
-	if c.alone() {
+	if c.routesUnleased() {
 		defer c.serveAll()
 	}
-	c.tokenTimes.update(hold.Paces)
-	if hold.Seats != nil {
-		c.onFleetLoad(hold.Seats)
+	c.tokenTimes.update(hold.TokenTimes)
+	if hold.TokensInProgress != nil {
+		c.onFleetLoad(hold.TokensInProgress)
 	}
 	if hold.Until > c.leaseUntil {
 		wasLeased := c.leased()
@@ -326,8 +326,8 @@
 // reject by themselves requests for models they do not hold and requests addressed to another server. In addition, a
 // core node must confirm that the router's configuration is the newest, or the router must be partitioned from the core.
 // A router that is merely behind must first apply the changes sent to it.
-func (c *Core) alone() bool {
-	return c.o.Guards && c.plan != nil && !c.leased() && (c.partitioned || c.now < c.currentUntil)
+func (c *Core) routesUnleased() bool {
+	return c.o.ServersEnforcePlacement && c.plan != nil && !c.leased() && (c.partitioned || c.now < c.currentUntil)
 }
 
 // excluded reports whether nothing may be sent to a replica. This is the case if its zone is being emptied, or if its
@@ -338,10 +338,10 @@
 
 // usable reports whether requests may be sent by an entry without revalidation.
 func (c *Core) usable(e *cacheEntry) bool {
-	return e != nil && (e.hasCallback && c.leased() || c.alone() && len(e.Replicas) > 0)
+	return e != nil && (e.hasCallback && c.leased() || c.routesUnleased() && len(e.Replicas) > 0)
 }
 
-func (c *Core) onUpdates(updates protocol.News) {
+func (c *Core) onUpdates(updates protocol.Updates) {
 	if updates.Session != c.session {
 		c.tally.StaleNews++
 		c.applyLateConfig(updates)
@@ -361,13 +361,13 @@
 			c.onBreak(item.Break)
 		}
 	}
-	c.send(protocol.Heard{Session: c.session, Num: c.lastSeq})
+	c.send(protocol.Ack{Session: c.session, Num: c.lastSeq})
 	c.serveAll()
 }
 
 // applyLateConfig applies a configuration that arrives too late for its session. The core nodes have chosen the
 // configuration regardless of the session.
-func (c *Core) applyLateConfig(updates protocol.News) {
+func (c *Core) applyLateConfig(updates protocol.Updates) {
 	for _, item := range updates.Items {
 		if item.Desired != nil {
 			c.onDesired(item.Desired)
@@ -385,14 +385,14 @@
 	var plan *fleetplan.Plan
 	if len(d.Plan) > 0 {
 		var faults fleetplan.Faults
-		if plan, faults = c.o.Read(d.Plan); faults != nil {
+		if plan, faults = c.o.ReadPlan(d.Plan); faults != nil {
 			return // unreachable: the core nodes accept no faulty plan
 		}
 	}
 	c.checkEpoch(c.gen, c.epoch, d)
 	c.desired = d
 	c.gen, c.epoch, c.plan, c.emptyZones = d.Gen, d.Epoch, plan, map[ident.Zone]bool{}
-	for _, zone := range d.Empty {
+	for _, zone := range d.EmptiedZones {
 		c.emptyZones[zone] = true
 	}
 	c.tally.Plans++
@@ -408,10 +408,10 @@
 		e = &cacheEntry{lastUsed: c.now}
 		c.entries[n.Key] = e
 	}
-	if n.Same {
+	if n.Unchanged {
 		c.tally.Sames++
-		if e.Mark != n.Mark {
-			e.requested, e.hasCallback, e.Mark = false, false, 0
+		if e.Digest != n.Digest {
+			e.requested, e.hasCallback, e.Digest = false, false, 0
 			return
 		}
 	} else {
@@ -425,7 +425,7 @@
 // evict removes the least recently used entries until the cache is within its limit. Their callbacks are released in
 // batches.
 func (c *Core) evict() {
-	for len(c.entries) > c.o.Cache {
+	for len(c.entries) > c.o.MaxEntries {
 		var oldest *cacheEntry
 		for _, e := range c.entries {
 			if len(c.queues[e.Key]) == 0 && (oldest == nil || e.lastUsed < oldest.lastUsed || e.lastUsed == oldest.lastUsed && e.Key < oldest.Key) {
@@ -437,7 +437,7 @@
 		}
 		delete(c.entries, oldest.Key)
 		if oldest.hasCallback {
-			c.drops = append(c.drops, protocol.Drop{Key: oldest.Key, Num: oldest.seq})
+			c.drops = append(c.drops, protocol.DroppedEntry{Key: oldest.Key, Num: oldest.seq})
 		}
 	}
 }
@@ -450,42 +450,42 @@
 func (c *Core) onTick() {
 	c.logLeaseChanges()
 	c.checkOverdue()
-	if c.now.Sub(c.helloSentAt) >= c.o.Hello || c.helloSentAt == 0 {
+	if c.now.Sub(c.helloSentAt) >= c.o.HelloInterval || c.helloSentAt == 0 {
 		c.helloSentAt = c.now
-		loads := map[ident.Key]protocol.Burden{}
+		loads := map[ident.Key]protocol.KeyLoad{}
 		for _, k := range generic.SortedKeys(c.queues) {
-			load := protocol.Burden{Wait: len(c.queues[k]), Work: c.inFlight[k], Came: c.arrivals[k]}
+			load := protocol.KeyLoad{Waiting: len(c.queues[k]), Running: c.inFlight[k], Arrived: c.arrivals[k]}
 			for _, r := range c.queues[k] {
-				load.Top = max(load.Top, r.class.Value)
+				load.TopValue = max(load.TopValue, r.class.Value)
 			}
 			loads[k] = load
 		}
 		for k, n := range c.inFlight {
 			if _, ok := loads[k]; !ok && (n > 0 || c.arrivals[k] > 0) {
-				loads[k] = protocol.Burden{Work: n, Came: c.arrivals[k]}
+				loads[k] = protocol.KeyLoad{Running: n, Arrived: c.arrivals[k]}
 			}
 		}
 		for k, n := range c.arrivals {
 			if _, ok := loads[k]; !ok && n > 0 {
-				loads[k] = protocol.Burden{Came: n}
+				loads[k] = protocol.KeyLoad{Arrived: n}
 			}
 		}
 		for k, seconds := range c.offeredLoad {
 			load := loads[k]
-			load.Load = seconds
+			load.ServerSeconds = seconds
 			loads[k] = load
 		}
 		c.arrivals, c.offeredLoad = map[ident.Key]int{}, map[ident.Key]float64{}
-		hello := protocol.Hello{Router: c.o.Inc, Session: c.session, Gen: c.gen, Epoch: c.epoch, Burden: loads}
-		if c.o.Free {
-			hello.Seats, hello.Paces = c.reportLoad(), c.tokenTimes.takeObserved()
+		hello := protocol.RouterReport{Incarnation: c.o.Inc, Session: c.session, Gen: c.gen, Epoch: c.epoch, KeyLoads: loads}
+		if c.o.StatelessServers {
+			hello.TokensInProgress, hello.TokenTimes = c.reportLoad(), c.tokenTimes.takeObserved()
 		}
 		c.send(hello)
 	}
 	if len(c.drops) > 0 && (c.now.Sub(c.removalSentAt) >= c.o.RemovalInterval || len(c.drops) >= 64) {
 		c.removalSentAt = c.now
 		c.tally.Removals++
-		c.send(protocol.Removal{Session: c.session, Drops: c.drops})
+		c.send(protocol.DroppedEntries{Session: c.session, Drops: c.drops})
 		c.drops = nil
 	}
 	for _, k := range generic.SortedKeys(c.queues) {
@@ -496,7 +496,7 @@
 		}
 	}
 	c.serveAll()
-	if c.ending {
+	if c.stopping {
 		c.rejectWaiting()
 	}
 }
@@ -512,14 +512,14 @@
 }
 
 // InForce returns the generation and epoch of the configuration in force, and whether the router has a lease.
-func (c *Core) Rules(now clock.Tick) (uint64, ident.Epoch, bool) {
+func (c *Core) InForce(now clock.Instant) (uint64, ident.Epoch, bool) {
 	return c.gen, c.epoch, now < c.leaseUntil
 }
 
 // CanRoute reports whether the router may send requests now, under its lease or without one by its last known state.
-func (c *Core) Routes(now clock.Tick) bool {
+func (c *Core) CanRoute(now clock.Instant) bool {
 	c.now = now
-	return c.leased() || c.alone()
+	return c.leased() || c.routesUnleased()
 }
 
 // Size returns the number of cached entries and the number of waiting requests.
@@ -527,13 +527,13 @@
 
 // RoutesTo reports whether this router would now send requests for a key to a server without revalidation. Checkers
 // compare it with the orders that servers receive.
-func (c *Core) Promises(now clock.Tick, k ident.Key, s ident.Server, inc ident.Inc) bool {
+func (c *Core) RoutesTo(now clock.Instant, k ident.Key, s ident.Server, inc ident.Incarnation) bool {
 	e := c.entries[k]
 	if e == nil || !e.hasCallback || now >= c.leaseUntil {
 		return false
 	}
 	for _, p := range e.Replicas {
-		if p.Server == s && p.Inc == inc {
+		if p.Server == s && p.Incarnation == inc {
 			return true
 		}
 	}
@@ -541,10 +541,10 @@
 }
 
 // ReplicasOf lists the replicas in the router's entry for a key, for checkers.
-func (c *Core) Places(k ident.Key) (l []string) {
+func (c *Core) ReplicasOf(k ident.Key) (l []string) {
 	if e := c.entries[k]; e != nil {
 		for _, p := range e.Replicas {
-			l = append(l, fmt.Sprintf("%s/%d", p.Server, p.Inc))
+			l = append(l, fmt.Sprintf("%s/%d", p.Server, p.Incarnation))
 		}
 	}
 	sort.Strings(l)
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -20,7 +20,7 @@
 // fuzzServer sends the bytes of the current round in response to the first attempt of each request, and a well-
 // formed response to any further attempt.
 type fuzzServer struct {
-	*standIn
+	*testServer
 	mu            sync.Mutex
 	method        string
 	responses     map[string][]byte // by request ID
@@ -29,7 +29,7 @@
 
 func newFuzzServer(t testing.TB) *fuzzServer {
 	f := &fuzzServer{}
-	f.standIn = newStandIn(t, func(_ *standIn, _ int, c net.Conn, br *bufio.Reader) {
+	f.testServer = newTestServer(t, func(_ *testServer, _ int, c net.Conn, br *bufio.Reader) {
 		for {
 			q, err := http.ReadRequest(br)
 			if err != nil {
@@ -74,7 +74,7 @@
 
 // cleanAnswer returns a well-formed response.
 func cleanAnswer(id, method string) []byte {
-	s := plain(id, "clean")
+	s := sealedResponse(id, "clean")
 	if method == http.MethodHead {
 		s = strings.TrimSuffix(s, "clean")
 	}
@@ -169,8 +169,8 @@
 // method and whether the requests may be repeated or resumed. The seed corpus is in testdata.
 func FuzzServerAnswer(f *testing.F) {
 	srv := newFuzzServer(f)
-	s := &script{to: []string{srv.addr(), srv.addr()}, names: []string{"s0", "s1"}, left: time.Second}
-	b := relayFor(f, s, RelayOptions{Slack: time.Millisecond})
+	s := &scriptedDecider{addrs: []string{srv.addr(), srv.addr()}, names: []string{"s0", "s1"}, timeLeft: time.Second}
+	b := newRelayFixture(f, s, RelayOptions{Slack: time.Millisecond})
 	f.Fuzz(func(t *testing.T, first, second []byte, flags byte) {
 		if len(first)+len(second) > 64<<10 {
 			return // longer inputs cover nothing that shorter ones do not
@@ -188,7 +188,7 @@
 			id := strconv.Itoa(i + 1)
 			client.send(method + " /a HTTP/1.1\r\nHost: h\r\nX-Try: " + id + "\r\n\r\n")
 			got := client.readAny(method)
-			s.settled(t)
+			s.requireOneEnd(t)
 			attempts := srv.attempts(id)
 			if !again && !resume {
 				require.LessOrEqual(t, attempts, 1+s.countDropped(), "sent more than once")
@@ -221,17 +221,17 @@
 }
 
 // begin resets the script for a new round.
-func (s *script) begin(again, resume bool) {
+func (s *scriptedDecider) begin(again, resume bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.again, s.resume, s.nextServer = again, resume, map[Ref]int{}
+	s.repeatable, s.resumable, s.nextServer = again, resume, map[Ref]int{}
 	s.calls, s.ends, s.begun, s.quits, s.receipts = nil, nil, nil, nil, nil
 }
 
 // countDropped counts the attempts that servers did not run.
-func (s *script) countDropped() (n int) {
-	for _, how := range s.hows() {
-		n += generic.One(how == Dropped)
+func (s *scriptedDecider) countDropped() (n int) {
+	for _, how := range s.attemptEnds() {
+		n += generic.BoolToInt(how == Dropped)
 	}
 	return n
 }
--- a/internal/router/host.go
+++ b/internal/router/host.go
@@ -15,27 +15,27 @@
 
 // HostOptions configures a router that runs on a hosting platform, with its agent in the same process.
 type HostOptions struct {
-	ID        string
-	Zone      string
-	Ingress   string                         // where clients connect
-	Readiness string                         // where the platform checks readiness
-	Post      string                         // where other nodes reach the agent
-	Admin     string                         // where metrics and request traces are served
-	Metrics   string                         // additional address for metrics; none if empty
-	Bind      func(advertised string) string // returns the address to listen on for an advertised address
-	Seeds     []string
-	Follow    func(step func(protocol.Reseed)) // calls step with changed seeds as they arrive; no updates if nil
-	Logs      io.Writer
-	Dialect   Dialect
-	Read      func([]byte) (*fleetplan.Plan, fleetplan.Faults)
-	Grace     clock.Span // time in which the process has to stop
-	Lame      clock.Span // how long after becoming unready the router still accepts clients
-	Lend      float64    // retries that all routers together may make in each RetryWindow in addition to RetryFraction
-	LendAgain float64    // the same for restarted routers, in the first RetryWindow after their start
-	Window    clock.Span
-	First     bool    // the whole system starts for the first time
-	Bodies    int64   // maximum total size of the request bodies held at once, in bytes; unlimited if zero
-	Fraction  float64 // retries allowed in any RetryWindow as a fraction of the first attempts at a service
+	ID                 string
+	Zone               string
+	IngressAddr        string                         // where clients connect
+	ReadinessAddr      string                         // where the platform checks readiness
+	AgentAddr          string                         // where other nodes reach the agent
+	AdminAddr          string                         // where metrics and request traces are served
+	MetricsAddr        string                         // additional address for metrics; none if empty
+	Bind               func(advertised string) string // returns the address to listen on for an advertised address
+	Seeds              []string
+	FollowSeeds        func(step func(protocol.SeedsChanged)) // calls step with changed seeds as they arrive; no updates if nil
+	LogOutput          io.Writer
+	Dialect            Dialect
+	ReadPlan           func([]byte) (*fleetplan.Plan, fleetplan.Faults)
+	Grace              clock.Span // time in which the process has to stop
+	LameDuck           clock.Span // how long after becoming unready the router still accepts clients
+	RetryMargin        float64    // retries that all routers together may make in each RetryWindow in addition to RetryFraction
+	RestartRetryMargin float64    // the same for restarted routers, in the first RetryWindow after their start
+	RetryWindow        clock.Span
+	FirstStart         bool    // the whole system starts for the first time
+	BodyBudget         int64   // maximum total size of the request bodies held at once, in bytes; unlimited if zero
+	RetryFraction      float64 // retries allowed in any RetryWindow as a fraction of the first attempts at a service
 
 	planCache *fleetplan.Memo
 }
@@ -68,23 +68,23 @@
 }
 
 // newCores creates the cores of the router and of its agent, which share the process.
-func (h HostOptions) cores() (*Core, *agent.Core) {
-	h.Read = h.planCache.Plan
+func (h HostOptions) newCores() (*Core, *agent.Core) {
+	h.ReadPlan = h.planCache.Plan
 	core := New(Options{
-		Me: protocol.Sibling{ID: localRouter, Addr: localRouter}, Inc: host.NewInc(), Agent: protocol.Sibling{Addr: localAgent},
-		Read: h.Read, Zone: ident.Zone(h.Zone), Free: true, Guards: true, Hello: clock.Span(helloInterval), Lend: h.Lend, LendAgain: h.LendAgain, Window: h.Window, Share: h.Fraction * earnedShare, Save: allowanceLifetime(h.Window), Restarted: !h.First,
+		Self: protocol.Peer{ID: localRouter, Addr: localRouter}, Inc: host.NewIncarnation(), Agent: protocol.Peer{Addr: localAgent},
+		ReadPlan: h.ReadPlan, Zone: ident.Zone(h.Zone), StatelessServers: true, ServersEnforcePlacement: true, HelloInterval: clock.Span(helloInterval), RetryMargin: h.RetryMargin, RestartRetryMargin: h.RestartRetryMargin, RetryWindow: h.RetryWindow, RetryFraction: h.RetryFraction * earnedShare, RetryCreditTTL: allowanceLifetime(h.RetryWindow), Restarted: !h.FirstStart,
 	})
 	agentCore := agent.New(agent.Options{
-		Me: protocol.Sibling{ID: ident.Node(h.ID), Addr: h.Post}, Zone: ident.Zone(h.Zone), Inc: host.NewInc(), Life: ident.Inc(host.Now()),
-		Seeds: host.Siblings(h.Seeds), Rand: host.NewRand(), Brisk: true, Router: protocol.Sibling{ID: localRouter, Addr: localRouter},
+		Self: protocol.Peer{ID: ident.Node(h.ID), Addr: h.AgentAddr}, Zone: ident.Zone(h.Zone), Inc: host.NewIncarnation(), Life: ident.Incarnation(host.Now()),
+		Seeds: host.SeedPeers(h.Seeds), Rand: host.NewRand(), FastRenewal: true, Router: protocol.Peer{ID: localRouter, Addr: localRouter},
 	})
 	return core, agentCore
 }
 
 // parsePlansAhead parses the plans addressed to the router before its core gets them, so that requests do not wait
 // for the parser.
-func (h HostOptions) parsePlansAhead(env protocol.Env) {
-	updates, ok := env.Body.(protocol.News)
+func (h HostOptions) parsePlansAhead(env protocol.Envelope) {
+	updates, ok := env.Body.(protocol.Updates)
 	if !ok {
 		return
 	}
@@ -100,67 +100,67 @@
 	if p == nil {
 		return HeadLimits{}
 	}
-	return HeadLimits{Bytes: p.HeadMost, Timeout: p.HeadWait}
+	return HeadLimits{Bytes: p.MaxHeaderBytes, Timeout: p.HeaderTimeout}
 }
 
 // RunHosted runs a router and its agent on a hosting platform until the process receives a stop signal.
-func Host(h HostOptions) error {
-	ring := host.NewRingWith(host.RingOptions{Name: h.ID, Out: os.Stderr, Lines: h.Logs})
-	h.planCache = &fleetplan.Memo{Read: h.Read}
-	core, agentCore := h.cores()
+func RunHosted(h HostOptions) error {
+	ring := host.NewLogWith(host.LogOptions{Name: h.ID, DumpTo: os.Stderr, JSONLines: h.LogOutput})
+	h.planCache = &fleetplan.Memo{Read: h.ReadPlan}
+	core, agentCore := h.newCores()
 	requestLog := NewRequestLog(h.ID, ring, defaultRequestLogSize)
 	var routerProcess, agentProcess *host.Process
 	currentPlan := func() (p *fleetplan.Plan) {
-		routerProcess.With(func(clock.Tick) { p = core.plan })
+		routerProcess.Locked(func(clock.Instant) { p = core.plan })
 		return p
 	}
 	bodyLimits := func() (size int64, wait time.Duration) {
 		if p := currentPlan(); p != nil {
-			size, wait = int64(p.BodyMost), p.Idle
+			size, wait = int64(p.MaxBodyBytes), p.IdleTimeout
 		}
 		return size, wait
 	}
 	headLimits := func() HeadLimits { return planHeadLimits(currentPlan()) }
 	idleTimeout := func() (timeout time.Duration) {
 		if p := currentPlan(); p != nil {
-			timeout = p.Idle
+			timeout = p.IdleTimeout
 		}
 		return timeout
 	}
-	relay := NewRelay(RelayOptions{Dialect: h.Dialect, OnRefusal: requestLog.Add, BodyBudget: h.Bodies, BodyLimits: bodyLimits, Conns: ConnOptions{Dialer: host.Dialer(h.Ingress, serverDialTimeout)}})
-	routerProcess = host.New(host.Options{Core: core, Beat: routerTickInterval, Ring: ring, Else: requestLog.Intercept(relay.Act),
-		Local: map[string]func(protocol.Env){localAgent: func(env protocol.Env) { agentProcess.Step(env) }}})
-	agentProcess = host.New(host.Options{Core: agentCore, Listen: []string{h.Bind(h.Post)}, Told: h.Post, Beat: agentTickInterval, Dial: agentDialTimeout, Ring: ring, Else: func(any) {},
-		Local: map[string]func(protocol.Env){localRouter: func(env protocol.Env) {
+	relay := NewRelay(RelayOptions{Dialect: h.Dialect, OnRefusal: requestLog.Add, BodyBudget: h.BodyBudget, BodyLimits: bodyLimits, Conns: ConnOptions{Dialer: host.Dialer(h.IngressAddr, serverDialTimeout)}})
+	routerProcess = host.New(host.Options{Core: core, TickInterval: routerTickInterval, Log: ring, HandleOutput: requestLog.Intercept(relay.Deliver),
+		LocalCores: map[string]func(protocol.Envelope){localAgent: func(env protocol.Envelope) { agentProcess.Step(env) }}})
+	agentProcess = host.New(host.Options{Core: agentCore, Listen: []string{h.Bind(h.AgentAddr)}, Advertised: h.AgentAddr, TickInterval: agentTickInterval, DialTimeout: agentDialTimeout, Log: ring, HandleOutput: func(any) {},
+		LocalCores: map[string]func(protocol.Envelope){localRouter: func(env protocol.Envelope) {
 			h.parsePlansAhead(env)
 			routerProcess.Step(env)
 		}}})
-	relay.Use(NewHostedDecider(routerProcess, core))
+	relay.SetDecider(NewHostedDecider(routerProcess, core))
 	if err := agentProcess.Run(); err != nil {
 		return err
 	}
 	defer agentProcess.Stop()
-	if h.Follow != nil {
-		h.Follow(func(r protocol.Reseed) { agentProcess.Step(r) })
+	if h.FollowSeeds != nil {
+		h.FollowSeeds(func(r protocol.SeedsChanged) { agentProcess.Step(r) })
 	}
 	if err := routerProcess.Run(); err != nil {
 		return err
 	}
 	defer routerProcess.Stop()
 	ready := func() (ok bool) {
-		routerProcess.With(func(now clock.Tick) {
-			_, epoch, held := core.Rules(now)
-			ok = epoch > 0 && (held || core.alone())
+		routerProcess.Locked(func(now clock.Instant) {
+			_, epoch, held := core.InForce(now)
+			ok = epoch > 0 && (held || core.routesUnleased())
 		})
 		return ok
 	}
-	defer host.ServeBeside(ring, operatorRoutes(requestLog, metrics(routerProcess, core, relay, requestLog)), h.Bind(h.Admin), h.Bind(h.Metrics))()
-	stop := host.Stopping()
+	defer host.ServeOperators(ring, operatorRoutes(requestLog, metrics(routerProcess, core, relay, requestLog)), h.Bind(h.AdminAddr), h.Bind(h.MetricsAddr))()
+	stop := host.StopSignal()
 	go func() {
 		<-stop
 		time.Sleep(rejectWaitingAfter(h.Grace))
 		routerProcess.Step(protocol.Stop{})
 	}()
-	return ServeRelay(stop, RelayServe{Relay: relay, Ingress: h.Bind(h.Ingress), Readiness: h.Bind(h.Readiness), Ready: ready,
-		Resting: idleTimeout, PlanHeadLimits: headLimits, Lame: h.Lame, Grace: forceCloseAfter(h.Grace)})
+	return ServeRelay(stop, RelayServer{Relay: relay, Ingress: h.Bind(h.IngressAddr), Readiness: h.Bind(h.ReadinessAddr), Ready: ready,
+		PlanIdleTimeout: idleTimeout, PlanHeadLimits: headLimits, LameDuck: h.LameDuck, Grace: forceCloseAfter(h.Grace)})
 }
--- a/internal/router/in_flight.go
+++ b/internal/router/in_flight.go
@@ -28,12 +28,12 @@
 }
 
 // Deliver passes a Launch or a Refusal to its request. It serves as the HandleOutput function of a host.
-func (f *inFlight) Act(v any) {
+func (f *inFlight) Deliver(v any) {
 	var ref Ref
 	switch v := v.(type) {
 	case Launch:
 		ref = v.Ref
-	case Receipt:
+	case Refusal:
 		ref = v.Ref
 	}
 	f.mu.Lock()
@@ -44,7 +44,7 @@
 }
 
 // InFlight returns the number of requests in progress.
-func (f *inFlight) Open() int {
+func (f *inFlight) InFlight() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.channels)
--- a/internal/router/invariants.go
+++ b/internal/router/invariants.go
@@ -19,45 +19,45 @@
 	before := r.attempts[:len(r.attempts)-1]
 	ran, reached := false, 0
 	for _, a := range before {
-		ran = ran || a.How == Lost || a.How == Split || a.How == Done
-		if a.How != Kept && a.How != Unsent {
+		ran = ran || a.Outcome == Lost || a.Outcome == Split || a.Outcome == Done
+		if a.Outcome != Kept && a.Outcome != Unsent {
 			reached++
 		}
 	}
 	invariant.Check(!ran || r.repeatable() || r.resumable(), invariant.RunsOnce, func() string {
-		return fmt.Sprintf("request %s launched to %s after an attempt that may have run: %s", r.Call.Call.ID, l.Server, formatAttempts(r))
+		return fmt.Sprintf("request %s launched to %s after an attempt that may have run: %s", r.Call.Request.ID, l.Server, formatAttempts(r))
 	})
 	most := c.o.MaxAttempts
 	if r.route != nil {
-		most = r.route.Tries
+		most = r.route.MaxAttempts
 	}
 	invariant.Check(reached < most || reached == 0, invariant.TriesBounded, func() string {
-		return fmt.Sprintf("request %s launched to more than %d servers: %s", r.Call.Call.ID, most, formatAttempts(r))
+		return fmt.Sprintf("request %s launched to more than %d servers: %s", r.Call.Request.ID, most, formatAttempts(r))
 	})
-	deadline := c.now.Add(l.Left)
-	wait := r.Call.Call.Wait
-	invariant.Check(wait <= 0 || deadline <= r.came.Add(wait), invariant.TimeLeftShrinks, func() string {
-		return fmt.Sprintf("request %s arrived with %v left and was launched %v later with %v left", r.Call.Call.ID, wait, c.now.Sub(r.came), l.Left)
+	deadline := c.now.Add(l.Remaining)
+	wait := r.Call.Request.Horizon
+	invariant.Check(wait <= 0 || deadline <= r.arrivedAt.Add(wait), invariant.TimeLeftShrinks, func() string {
+		return fmt.Sprintf("request %s arrived with %v left and was launched %v later with %v left", r.Call.Request.ID, wait, c.now.Sub(r.arrivedAt), l.Remaining)
 	})
 }
 
 // checkTenant checks that the tenant of a request about to be sent holds the request's key in the configuration in
 // force.
 func (c *Core) checkTenant(r *request) {
-	holder := c.plan.Holder(r.Call.Call.Credential)
-	invariant.Check(r.keyed == c.plan.Keyed() && r.tenant == holder, invariant.TenantHoldsKey, func() string {
-		return fmt.Sprintf("request %s sent for tenant %q (keyed=%v), but its key belongs to tenant %q (keyed=%v)", r.Call.Call.ID, r.tenant, r.keyed, holder, c.plan.Keyed())
+	holder := c.plan.TenantOf(r.Call.Request.Credential)
+	invariant.Check(r.keyed == c.plan.HasTenants() && r.tenant == holder, invariant.TenantHoldsKey, func() string {
+		return fmt.Sprintf("request %s sent for tenant %q (keyed=%v), but its key belongs to tenant %q (keyed=%v)", r.Call.Request.ID, r.tenant, r.keyed, holder, c.plan.HasTenants())
 	})
 }
 
 // checkRefusal checks that a request whose final answer states that it never ran did not run.
 func (c *Core) checkRefusal(r *request, kind failure.Kind) {
-	if !failure.Receipts[kind].Dropped {
+	if !failure.Responses[kind].NotExecuted {
 		return
 	}
 	for _, a := range r.attempts {
-		invariant.Check(a.How != Lost && a.How != Split && a.How != Done && a.How != Pending, invariant.RefusedNeverRan, func() string {
-			return fmt.Sprintf("request %s refused with %s although it may have run: %s", r.Call.Call.ID, kind, formatAttempts(r))
+		invariant.Check(a.Outcome != Lost && a.Outcome != Split && a.Outcome != Done && a.Outcome != Pending, invariant.RefusedNeverRan, func() string {
+			return fmt.Sprintf("request %s refused with %s although it may have run: %s", r.Call.Request.ID, kind, formatAttempts(r))
 		})
 	}
 }
@@ -81,7 +81,7 @@
 	for _, queue := range c.queues {
 		for _, r := range queue {
 			invariant.Check(c.now <= r.queueDeadline.Add(overdueTolerance), invariant.EndsInTime, func() string {
-				return fmt.Sprintf("request %s waits %v past its deadline", r.Call.Call.ID, c.now.Sub(r.queueDeadline))
+				return fmt.Sprintf("request %s waits %v past its deadline", r.Call.Request.ID, c.now.Sub(r.queueDeadline))
 			})
 		}
 	}
@@ -96,14 +96,14 @@
 
 func formatAttempts(r *request) (s string) {
 	for _, a := range r.attempts {
-		s += fmt.Sprintf("[%s %s %s begun=%v]", a.Server, a.How, a.Kind, a.Begun)
+		s += fmt.Sprintf("[%s %s %s begun=%v]", a.Server, a.Outcome, a.Kind, a.Begun)
 	}
 	return s
 }
 
 // checkAnswer checks the head of a server's answer that is about to be forwarded.
 func (x *exchange) checkAnswer(status int, head map[string][]string) {
-	said := x.r.o.Dialect.Answer(status, head)
+	said := x.relay.options.Dialect.ReadResponse(status, head)
 	invariant.Check(said.ID == x.facts.ID && (said.Sealed || status >= 300), invariant.AnswerIsServers, func() string {
 		return fmt.Sprintf("request %s receives an answer with status %d to request %q, sealed=%v", x.facts.ID, status, said.ID, said.Sealed)
 	})
@@ -111,7 +111,7 @@
 
 // checkOwnAnswer checks that an answer of the router itself carries no server's seal.
 func (x *exchange) checkOwnAnswer(status int) {
-	invariant.Check(!x.r.o.Dialect.Answer(status, x.w.Header()).Sealed, invariant.RefusalIsOurs, func() string {
+	invariant.Check(!x.relay.options.Dialect.ReadResponse(status, x.w.Header()).Sealed, invariant.RefusalIsOurs, func() string {
 		return fmt.Sprintf("request %s receives the router's own status %d with a server's seal", x.facts.ID, status)
 	})
 }
--- a/internal/router/invariants_test.go
+++ b/internal/router/invariants_test.go
@@ -19,14 +19,14 @@
 	file, old, now, test string
 }{
 	{invariant.RunsOnce, "ledger.go", "Lost:    {{kind: failure.Unclear}, ", "Lost:    {{again: true}, ", "TestTries"},
-	{invariant.RefusedNeverRan, "queue.go", "if failure.Receipts[k].Dropped && r.mayHaveRun() {", "if false {", "TestNoDropAfterLost"},
+	{invariant.RefusedNeverRan, "queue.go", "if failure.Responses[k].NotExecuted && r.mayHaveRun() {", "if false {", "TestNoDropAfterLost"},
 	{invariant.TriesBounded, "ledger.go", "if m.again && r.sent() >= most {", "if m.again && r.sent() >= 1000 {", "TestTries"},
-	{invariant.TimeLeftShrinks, "admission.go", "\t\tr.queueDeadline = r.came.Add(wait)", "\t\tr.queueDeadline = c.now.Add(wait)", "TestTimeLeftOnARepeat"},
+	{invariant.TimeLeftShrinks, "admission.go", "\t\tr.queueDeadline = r.arrivedAt.Add(wait)", "\t\tr.queueDeadline = c.now.Add(wait)", "TestTimeLeftOnARepeat"},
 	{invariant.EndsInTime, "core.go", "\t\t\tif c.now >= r.queueDeadline {\n\t\t\t\tc.finish", "\t\t\tif false {\n\t\t\t\tc.finish", "TestWaitsNoLongerThanItsTime"},
 	{invariant.AnswerIsServers, "relay_attempt.go", `if info.ID == x.facts.ID && info.ID != "" {`, `if info.ID != "" {`, "TestSurplusResponses"},
 	{invariant.RefusalIsOurs, "relay_reply.go", "\th := x.w.Header()\n\tbody, _ := json", "\th := x.w.Header()\n\th[\"X-Seal\"] = []string{\"s\"}\n\tbody, _ := json", "TestGeneratedResponsesHaveNoSeal"},
 	{invariant.ConnectionMatches, "conn_pool.go", "\tidle := p.idle[to]\n", "\tidle := p.idle[to]\n\tfor to, idle = range p.idle {\n\t\tbreak\n\t}\n", "TestKeptForOneServer"},
-	{invariant.TenantHoldsKey, "admission.go", " || m.Keyed != r.keyed || m.Tenant != r.tenant)", ")", "TestKeysThatChangeUnderWay"},
+	{invariant.TenantHoldsKey, "admission.go", " || m.HasTenants != r.keyed || m.Tenant != r.tenant)", ")", "TestKeysThatChangeUnderWay"},
 	{invariant.EpochRises, "core.go", "if d.Gen < c.gen || d.Gen == c.gen && d.Epoch <= c.epoch {", "if false {", "TestEpochsOnlyRise|TestOtherGeneration"},
 }
 
--- a/internal/router/keys_test.go
+++ b/internal/router/keys_test.go
@@ -29,24 +29,24 @@
 		tenants.Add(fleetplan.Tenant{Name: name})
 	}
 	for key, name := range keys {
-		tenants.Grant(name, key)
+		tenants.AddKey(name, key)
 	}
 	p.SetTenants(tenants)
 	return p
 }
 
-func withKey(c fleetplan.Call, key string) fleetplan.Call {
+func withKey(c fleetplan.Request, key string) fleetplan.Request {
 	c.Credential = fleetplan.NewCredential(key)
 	return c
 }
 
 // setLease ends or renews the lease.
-func (b *bed) setLease(on bool) []any {
+func (b *testRouter) setLease(on bool) []any {
 	if !on {
 		b.leaseUntil = 0
 		return nil
 	}
-	return b.deliver(protocol.Hold{Session: ses, Until: b.at.Add(60e9), Routers: 1})
+	return b.deliver(protocol.RouterLease{Session: testSession, Until: b.at.Add(60e9), Routers: 1})
 }
 
 // The tenant of a request and its admission follow the configuration in force until the request is sent: while it
@@ -54,139 +54,139 @@
 func TestKeysThatChangeUnderWay(t *testing.T) {
 	original, moved, revoked := keyHolders{"k": "one"}, keyHolders{"k": "two"}, keyHolders{}
 	idempotent, resumable := "/again/x", "/llm/resume/x"
-	waiting := func(b *bed, path string) Ref {
-		ref, l, _ := b.go1(path, withKey(fleetplan.Call{Base: "m", Max: 8}, "k"))
+	waiting := func(b *testRouter, path string) Ref {
+		ref, l, _ := b.callPath(path, withKey(fleetplan.Request{Model: "m", MaxTokens: 8}, "k"))
 		require.Empty(b.t, l.Server, "no server is known yet")
 		return ref
 	}
-	addServers := func(b *bed) Launch {
-		l, _ := pick[Launch](append(b.entry("web|", "p", "q"), b.entry("llm|m", "p", "q")...))
+	addServers := func(b *testRouter) Launch {
+		l, _ := findOutput[Launch](append(b.deliverEntry("web|", "p", "q"), b.deliverEntry("llm|m", "p", "q")...))
 		return l
 	}
-	launched := func(b *bed, path string) Launch {
+	launched := func(b *testRouter, path string) Launch {
 		addServers(b)
-		_, l, _ := b.go1(path, withKey(fleetplan.Call{Base: "m", Max: 8}, "k"))
+		_, l, _ := b.callPath(path, withKey(fleetplan.Request{Model: "m", MaxTokens: 8}, "k"))
 		require.NotEmpty(b.t, l.Server)
 		return l
 	}
-	sent := func(b *bed, path string) Launch {
+	sent := func(b *testRouter, path string) Launch {
 		l := launched(b, path)
 		require.True(b.t, b.MaySend(b.at, l.Ref, l.N))
-		b.fund(5)
+		b.setCredits(5)
 		return l
 	}
-	ended := func(b *bed, l Launch, how End, kind failure.Kind) []any {
-		return b.Step(b.at, Ended{Ref: l.Ref, N: l.N, How: how, Kind: kind})
+	ended := func(b *testRouter, l Launch, how Outcome, kind failure.Kind) []any {
+		return b.Step(b.at, Ended{Ref: l.Ref, N: l.N, Outcome: how, Kind: kind})
 	}
-	requireSentAs := func(b *bed, l Launch, tenant string) {
+	requireSentAs := func(b *testRouter, l Launch, tenant string) {
 		b.t.Helper()
 		require.NotEmpty(b.t, l.Server)
 		require.Equal(b.t, tenant, l.Work.Tenant)
 		require.True(b.t, l.Keyed)
 		require.True(b.t, b.MaySend(b.at, l.Ref, l.N))
 	}
-	requireRefused := func(b *bed, out []any, kind failure.Kind) {
+	requireRefused := func(b *testRouter, out []any, kind failure.Kind) {
 		b.t.Helper()
-		r, ok := pick[Receipt](out)
+		r, ok := findOutput[Refusal](out)
 		require.True(b.t, ok)
 		require.Equal(b.t, kind, r.Kind)
-		_, again := pick[Launch](out)
+		_, again := findOutput[Launch](out)
 		require.False(b.t, again)
 	}
 	for _, c := range []struct {
 		name  string
 		first keyHolders
 		then  []keyHolders
-		run   func(b *bed)
+		run   func(b *testRouter)
 	}{
-		{"revoked while waiting", original, []keyHolders{revoked}, func(b *bed) {
+		{"revoked while waiting", original, []keyHolders{revoked}, func(b *testRouter) {
 			waiting(b, idempotent)
-			requireRefused(b, b.replan(1), failure.NoKey)
+			requireRefused(b, b.deliverPlan(1), failure.NoKey)
 		}},
-		{"granted to another tenant while waiting", original, []keyHolders{moved}, func(b *bed) {
+		{"granted to another tenant while waiting", original, []keyHolders{moved}, func(b *testRouter) {
 			waiting(b, idempotent)
-			b.replan(1)
+			b.deliverPlan(1)
 			requireSentAs(b, addServers(b), "two")
 		}},
-		{"revoked and granted again while waiting without a lease", original, []keyHolders{revoked, original}, func(b *bed) {
+		{"revoked and granted again while waiting without a lease", original, []keyHolders{revoked, original}, func(b *testRouter) {
 			waiting(b, idempotent)
 			b.setLease(false)
-			_, refused := pick[Receipt](b.replan(1))
+			_, refused := findOutput[Refusal](b.deliverPlan(1))
 			require.False(b.t, refused, "without a lease the configuration may be outdated")
-			b.replan(2)
+			b.deliverPlan(2)
 			b.setLease(true)
 			requireSentAs(b, addServers(b), "one")
 		}},
-		{"unknown without a lease, known in a newer configuration", revoked, []keyHolders{original}, func(b *bed) {
+		{"unknown without a lease, known in a newer configuration", revoked, []keyHolders{original}, func(b *testRouter) {
 			addServers(b)
 			b.setLease(false)
-			_, l, out := b.go1(idempotent, withKey(fleetplan.Call{}, "k"))
-			_, refused := pick[Receipt](out)
+			_, l, out := b.callPath(idempotent, withKey(fleetplan.Request{}, "k"))
+			_, refused := findOutput[Refusal](out)
 			require.False(b.t, refused)
 			require.Empty(b.t, l.Server)
-			b.replan(1)
-			l, _ = pick[Launch](append(b.setLease(true), b.entry("web|", "p", "q")...))
+			b.deliverPlan(1)
+			l, _ = findOutput[Launch](append(b.setLease(true), b.deliverEntry("web|", "p", "q")...))
 			requireSentAs(b, l, "one")
 		}},
-		{"unknown without a lease, then confirmed by a lease", revoked, nil, func(b *bed) {
+		{"unknown without a lease, then confirmed by a lease", revoked, nil, func(b *testRouter) {
 			b.setLease(false)
-			b.go1(idempotent, withKey(fleetplan.Call{}, "k"))
+			b.callPath(idempotent, withKey(fleetplan.Request{}, "k"))
 			requireRefused(b, b.setLease(true), failure.NoKey)
 		}},
-		{"revoked between launch and sending", original, []keyHolders{revoked}, func(b *bed) {
+		{"revoked between launch and sending", original, []keyHolders{revoked}, func(b *testRouter) {
 			l := launched(b, idempotent)
-			b.replan(1)
+			b.deliverPlan(1)
 			require.False(b.t, b.MaySend(b.at, l.Ref, l.N))
 			requireRefused(b, ended(b, l, Kept, ""), failure.NoKey)
 		}},
-		{"granted to another tenant between launch and sending", original, []keyHolders{moved}, func(b *bed) {
+		{"granted to another tenant between launch and sending", original, []keyHolders{moved}, func(b *testRouter) {
 			l := launched(b, idempotent)
-			b.replan(1)
+			b.deliverPlan(1)
 			require.False(b.t, b.MaySend(b.at, l.Ref, l.N))
-			l, _ = pick[Launch](ended(b, l, Kept, ""))
+			l, _ = findOutput[Launch](ended(b, l, Kept, ""))
 			requireSentAs(b, l, "two")
 		}},
-		{"moved and restored between launch and sending", original, []keyHolders{moved, original}, func(b *bed) {
+		{"moved and restored between launch and sending", original, []keyHolders{moved, original}, func(b *testRouter) {
 			l := launched(b, idempotent)
-			b.replan(1)
-			b.replan(2)
+			b.deliverPlan(1)
+			b.deliverPlan(2)
 			requireSentAs(b, l, "one")
 		}},
-		{"tenants added between launch and sending", nil, []keyHolders{original}, func(b *bed) {
+		{"tenants added between launch and sending", nil, []keyHolders{original}, func(b *testRouter) {
 			l := launched(b, idempotent)
 			require.False(b.t, l.Keyed)
-			b.replan(1)
+			b.deliverPlan(1)
 			require.False(b.t, b.MaySend(b.at, l.Ref, l.N), "the caller's key would be sent to the server")
-			l, _ = pick[Launch](ended(b, l, Kept, ""))
+			l, _ = findOutput[Launch](ended(b, l, Kept, ""))
 			requireSentAs(b, l, "one")
 		}},
-		{"granted to another tenant before a retry", original, []keyHolders{moved}, func(b *bed) {
+		{"granted to another tenant before a retry", original, []keyHolders{moved}, func(b *testRouter) {
 			l := sent(b, idempotent)
-			b.replan(1)
-			l, _ = pick[Launch](append(ended(b, l, Dropped, failure.Busy), b.wait(1e9)...))
+			b.deliverPlan(1)
+			l, _ = findOutput[Launch](append(ended(b, l, Dropped, failure.Busy), b.wait(1e9)...))
 			requireSentAs(b, l, "two")
 		}},
-		{"revoked before a retry", original, []keyHolders{revoked}, func(b *bed) {
+		{"revoked before a retry", original, []keyHolders{revoked}, func(b *testRouter) {
 			l := sent(b, idempotent)
-			b.replan(1)
+			b.deliverPlan(1)
 			requireRefused(b, ended(b, l, Dropped, failure.Busy), failure.NoKey)
 		}},
-		{"revoked after the request may have run", original, []keyHolders{revoked}, func(b *bed) {
+		{"revoked after the request may have run", original, []keyHolders{revoked}, func(b *testRouter) {
 			l := sent(b, idempotent)
-			b.replan(1)
+			b.deliverPlan(1)
 			requireRefused(b, ended(b, l, Lost, ""), failure.Unclear)
 		}},
-		{"granted to another tenant before the stream is resumed", original, []keyHolders{moved}, func(b *bed) {
+		{"granted to another tenant before the stream is resumed", original, []keyHolders{moved}, func(b *testRouter) {
 			l := sent(b, resumable)
 			b.Step(b.at, Begun{Ref: l.Ref, N: l.N})
-			b.replan(1)
-			l, _ = pick[Launch](append(ended(b, l, Split, ""), b.wait(1e9)...))
+			b.deliverPlan(1)
+			l, _ = findOutput[Launch](append(ended(b, l, Split, ""), b.wait(1e9)...))
 			requireSentAs(b, l, "two")
 		}},
-		{"revoked before the stream is resumed", original, []keyHolders{revoked}, func(b *bed) {
+		{"revoked before the stream is resumed", original, []keyHolders{revoked}, func(b *testRouter) {
 			l := sent(b, resumable)
 			b.Step(b.at, Begun{Ref: l.Ref, N: l.N})
-			b.replan(1)
+			b.deliverPlan(1)
 			requireRefused(b, ended(b, l, Split, ""), failure.Unclear)
 		}},
 	} {
@@ -195,7 +195,7 @@
 			for _, keys := range c.then {
 				plans = append(plans, keyedPlan(keys, nil))
 			}
-			c.run(free(t, Options{}, plans...))
+			c.run(newHostedRouter(t, Options{}, plans...))
 		})
 	}
 }
@@ -209,46 +209,46 @@
 	valuable := func(p *fleetplan.Plan) { p.Hosts["h"]["/"].Class.Value = 9 }
 	shorter := func(p *fleetplan.Plan) {
 		valuable(p)
-		p.Hosts["h"]["/again/"].Class.Wait = clock.Span(2e9)
+		p.Hosts["h"]["/again/"].Class.MaxWait = clock.Span(2e9)
 	}
 	for _, known := range []bool{false, true} {
 		first := keyHolders{}
 		if known {
 			first = keyHolders{"k": "one"}
 		}
-		b := free(t, Options{}, keyedPlan(first, valuable), keyedPlan(keyHolders{"k": "one"}, shorter))
+		b := newHostedRouter(t, Options{}, keyedPlan(first, valuable), keyedPlan(keyHolders{"k": "one"}, shorter))
 		b.setLease(false)
-		ref, _, _ := b.go1("/again/x", withKey(fleetplan.Call{}, "k"))
+		ref, _, _ := b.callPath("/again/x", withKey(fleetplan.Request{}, "k"))
 		b.wait(clock.Span(4e9))
-		b.go1("/x", withKey(fleetplan.Call{}, "k")) // has the higher value and comes first
-		r, refused := pick[Receipt](b.replan(1))
+		b.callPath("/x", withKey(fleetplan.Request{}, "k")) // has the higher value and comes first
+		r, refused := findOutput[Refusal](b.deliverPlan(1))
 		require.True(t, refused, "the request ends immediately")
-		require.Equal(t, Receipt{Ref: ref, Kind: failure.Expired, Back: failure.Receipts[failure.Expired].Back}, r)
+		require.Equal(t, Refusal{Ref: ref, Kind: failure.Expired, RetryAfter: failure.Responses[failure.Expired].RetryAfter}, r)
 	}
 }
 
 // A route requires a key, then does not, then requires one again.
 func TestRouteThatTemporarilyNeedsNoKey(t *testing.T) {
 	open := func(p *fleetplan.Plan) { p.Hosts["h"]["/again/"].Unkeyed = true }
-	b := free(t, Options{}, keyedPlan(keyHolders{"k": "one"}, nil), keyedPlan(keyHolders{"k": "one"}, open), keyedPlan(keyHolders{"k": "one"}, nil))
-	b.entry("web|", "p", "q")
+	b := newHostedRouter(t, Options{}, keyedPlan(keyHolders{"k": "one"}, nil), keyedPlan(keyHolders{"k": "one"}, open), keyedPlan(keyHolders{"k": "one"}, nil))
+	b.deliverEntry("web|", "p", "q")
 	kindOf := func(out []any) failure.Kind {
-		r, _ := pick[Receipt](out)
+		r, _ := findOutput[Refusal](out)
 		return r.Kind
 	}
-	_, _, out := b.go1("/again/x", fleetplan.Call{})
+	_, _, out := b.callPath("/again/x", fleetplan.Request{})
 	require.Equal(t, failure.NoKey, kindOf(out))
-	b.replan(1)
+	b.deliverPlan(1)
 	for key, tenant := range map[string]string{"": "", "unknown": "", "k": "one"} {
-		_, l, _ := b.go1("/again/x", withKey(fleetplan.Call{}, key))
+		_, l, _ := b.callPath("/again/x", withKey(fleetplan.Request{}, key))
 		require.NotEmpty(t, l.Server)
 		require.Equal(t, tenant, l.Work.Tenant)
 		require.True(t, l.Keyed, "an unknown key is not sent to a server either")
 		require.True(t, b.MaySend(b.at, l.Ref, l.N))
-		b.Step(b.at, Ended{Ref: l.Ref, N: l.N, How: Done})
+		b.Step(b.at, Ended{Ref: l.Ref, N: l.N, Outcome: Done})
 	}
-	b.replan(2)
-	_, _, out = b.go1("/again/x", withKey(fleetplan.Call{}, "unknown"))
+	b.deliverPlan(2)
+	_, _, out = b.callPath("/again/x", withKey(fleetplan.Request{}, "unknown"))
 	require.Equal(t, failure.NoKey, kindOf(out))
 }
 
@@ -256,16 +256,16 @@
 // one that did not contain the request's key.
 func TestRunsOnceAcrossAPlanWithoutItsKey(t *testing.T) {
 	once := func(p *fleetplan.Plan) { p.Hosts["h"]["/again/"].Mode = fleetplan.Once }
-	b := free(t, Options{}, keyedPlan(keyHolders{"k": "one"}, nil), keyedPlan(keyHolders{}, once), keyedPlan(keyHolders{"k": "one"}, nil))
-	b.entry("web|", "p", "q")
-	_, l, _ := b.go1("/again/x", withKey(fleetplan.Call{}, "k"))
+	b := newHostedRouter(t, Options{}, keyedPlan(keyHolders{"k": "one"}, nil), keyedPlan(keyHolders{}, once), keyedPlan(keyHolders{"k": "one"}, nil))
+	b.deliverEntry("web|", "p", "q")
+	_, l, _ := b.callPath("/again/x", withKey(fleetplan.Request{}, "k"))
 	require.True(t, b.MaySend(b.at, l.Ref, l.N))
-	b.fund(5)
-	b.replan(1)
+	b.setCredits(5)
+	b.deliverPlan(1)
 	b.setLease(false)
-	b.Step(b.at, Ended{Ref: l.Ref, N: l.N, How: Lost})
-	b.replan(2)
-	_, again := pick[Launch](append(b.setLease(true), append(b.entry("web|", "p", "q"), b.wait(1e9)...)...))
+	b.Step(b.at, Ended{Ref: l.Ref, N: l.N, Outcome: Lost})
+	b.deliverPlan(2)
+	_, again := findOutput[Launch](append(b.setLease(true), append(b.deliverEntry("web|", "p", "q"), b.wait(1e9)...)...))
 	require.False(t, again)
 }
 
@@ -279,35 +279,35 @@
 	tenants := fleetplan.NewTenants()
 	for i, name := range []string{"first", "second", "third"} {
 		tenants.Add(fleetplan.Tenant{Name: name, Precedence: i})
-		tenants.Grant(name, name)
+		tenants.AddKey(name, name)
 	}
 	p.SetTenants(tenants)
-	b := free(t, Options{MaxQueuedPerKey: 3}, p)
+	b := newHostedRouter(t, Options{MaxQueuedPerKey: 3}, p)
 	ask := func(path, key string) (Ref, []any) {
-		ref, _, out := b.go1(path, withKey(fleetplan.Call{}, key))
+		ref, _, out := b.callPath(path, withKey(fleetplan.Request{}, key))
 		return ref, out
 	}
 	third, _ := ask("/again/x", "third")
 	nobody, _ := ask("/x", "")
 	ask("/x", "first")
 	_, out := ask("/x", "second")
-	r, _ := pick[Receipt](out)
+	r, _ := findOutput[Refusal](out)
 	require.Equal(t, nobody, r.Ref, "requests without a tenant are rejected before those of any tenant")
 	_, out = ask("/x", "second")
-	r, _ = pick[Receipt](out)
+	r, _ = findOutput[Refusal](out)
 	require.Equal(t, third, r.Ref, "the tenant's precedence outweighs the route's")
 	last, out := ask("/again/x", "third")
-	r, _ = pick[Receipt](out)
+	r, _ = findOutput[Refusal](out)
 	require.Equal(t, last, r.Ref)
 
-	b = free(t, Options{}, p)
-	b.entry("web|", "p", "q")
+	b = newHostedRouter(t, Options{}, p)
+	b.deliverEntry("web|", "p", "q")
 	ranks := []int{}
 	for _, x := range []struct{ path, key string }{{"/again/x", "first"}, {"/x", "first"}, {"/again/x", "second"}, {"/x", "second"}, {"/again/x", "third"}, {"/x", "third"}, {"/x", ""}} {
-		_, l, _ := b.go1(x.path, withKey(fleetplan.Call{}, x.key))
+		_, l, _ := b.callPath(x.path, withKey(fleetplan.Request{}, x.key))
 		require.NotEmpty(t, l.Server)
 		ranks = append(ranks, l.Rank)
-		b.Step(b.at, Ended{Ref: l.Ref, N: l.N, How: Kept})
+		b.Step(b.at, Ended{Ref: l.Ref, N: l.N, Outcome: Kept})
 		b.Step(b.at, Quit{Ref: l.Ref})
 	}
 	require.IsIncreasing(t, ranks)
@@ -315,7 +315,7 @@
 
 // keyChangeRun is a router under random changes of keys. Its decisions are compared with the configurations.
 type keyChangeRun struct {
-	*bed
+	*testRouter
 	random  *rand.Rand
 	plans   []keyHolders
 	paths   map[Ref]string
@@ -335,7 +335,7 @@
 		switch v := o.(type) {
 		case Launch:
 			k.open = append(k.open, v)
-		case Receipt:
+		case Refusal:
 			if v.Kind != failure.NoKey {
 				continue
 			}
@@ -349,7 +349,7 @@
 
 func (k *keyChangeRun) send(l Launch) {
 	if !k.MaySend(k.at, l.Ref, l.N) {
-		k.checkOutputs(k.Step(k.at, Ended{Ref: l.Ref, N: l.N, How: Kept}))
+		k.checkOutputs(k.Step(k.at, Ended{Ref: l.Ref, N: l.N, Outcome: Kept}))
 		return
 	}
 	k.sends++
@@ -358,7 +358,7 @@
 	if k.holdersInForce() != nil && l.Work.Tenant == "" {
 		k.t.Fatalf("a request with the key %q is sent without a tenant", k.keys[l.Ref])
 	}
-	how := []End{Done, Done, Dropped, Lost, Split}[k.random.IntN(5)]
+	how := []Outcome{Done, Done, Dropped, Lost, Split}[k.random.IntN(5)]
 	kind := failure.None
 	if how == Dropped {
 		kind = failure.Busy
@@ -369,13 +369,13 @@
 	if k.random.IntN(3) == 0 {
 		k.change()
 	}
-	k.checkOutputs(k.Step(k.at, Ended{Ref: l.Ref, N: l.N, How: how, Kind: kind}))
+	k.checkOutputs(k.Step(k.at, Ended{Ref: l.Ref, N: l.N, Outcome: how, Kind: kind}))
 }
 
 // change puts the next configuration, if any, in force.
 func (k *keyChangeRun) change() {
 	if int(k.epoch) < len(k.plans) {
-		k.checkOutputs(k.replan(byte(k.epoch)))
+		k.checkOutputs(k.deliverPlan(byte(k.epoch)))
 	}
 }
 
@@ -400,23 +400,23 @@
 			k.plans = append(k.plans, h)
 			plans = append(plans, keyedPlan(h, nil))
 		}
-		k.bed = free(t, Options{}, plans...)
+		k.testRouter = newHostedRouter(t, Options{}, plans...)
 		for range 300 {
-			k.fund(5)
+			k.setCredits(5)
 			switch random.IntN(7) {
 			case 0:
 				k.change()
 			case 1:
 				k.checkOutputs(k.setLease(random.IntN(2) == 0))
 			case 2:
-				k.checkOutputs(k.entry([]ident.Key{"web|", "llm|m"}[random.IntN(2)], []string{"p", "q", "s"}[:random.IntN(4)]...))
+				k.checkOutputs(k.deliverEntry([]ident.Key{"web|", "llm|m"}[random.IntN(2)], []string{"p", "q", "s"}[:random.IntN(4)]...))
 			case 3:
 				k.checkOutputs(k.wait(clock.Span(random.IntN(300)) * 1e6))
 			case 4, 5:
 				path := []string{"/again/x", "/x", "/llm/x", "/llm/stream/x", "/llm/resume/x"}[random.IntN(5)]
 				key := randomKeys[random.IntN(4)]
 				k.keys[k.ref+1], k.paths[k.ref+1] = key, path
-				_, _, out := k.go1(path, withKey(fleetplan.Call{ID: fmt.Sprint(seed, k.ref), Base: "m", Max: 8}, key))
+				_, _, out := k.callPath(path, withKey(fleetplan.Request{ID: fmt.Sprint(seed, k.ref), Model: "m", MaxTokens: 8}, key))
 				k.checkOutputs(out)
 			default:
 				if len(k.open) > 0 {
--- a/internal/router/ledger.go
+++ b/internal/router/ledger.go
@@ -17,34 +17,34 @@
 // request that may have run is never sent again unless it may be repeated.
 
 // Outcome is the outcome of an attempt.
-type End string
+type Outcome string
 
 // The outcomes of an attempt.
 const (
-	Pending End = ""        // the attempt has not ended
-	Kept    End = "kept"    // not sent: the final check before sending failed
-	Unsent  End = "unsent"  // the server was not reached
-	Dropped End = "dropped" // the server rejected the request, which did not run and never will
-	Lost    End = "lost"    // the request may have run
-	Split   End = "split"   // the answer was interrupted after it had begun
-	Done    End = "done"    // the answer is complete
+	Pending Outcome = ""        // the attempt has not ended
+	Kept    Outcome = "kept"    // not sent: the final check before sending failed
+	Unsent  Outcome = "unsent"  // the server was not reached
+	Dropped Outcome = "dropped" // the server rejected the request, which did not run and never will
+	Lost    Outcome = "lost"    // the request may have run
+	Split   Outcome = "split"   // the answer was interrupted after it had begun
+	Done    Outcome = "done"    // the answer is complete
 )
 
 // attemptRecord is one attempt in a request's ledger.
 type attemptRecord struct {
-	Server ident.Server
-	Inc    ident.Inc
-	How    End
-	Kind   failure.Kind
-	Begun  bool
-
-	Status int         // HTTP status of the server's answer; zero if there was none
-	epoch  ident.Epoch // epoch of the configuration under which the attempt was launched or, later, sent
-	Cause  Cause       // recorded in the trace
-	at     clock.Tick  // time of the launch
-	ended  clock.Tick  // time of the end; zero while the attempt is in flight
-	cost   int         // tokens that the attempt still contributes to its server's load
-	ahead  int         // tokens in flight at the server before the launch
+	Server  ident.Server
+	Inc     ident.Incarnation
+	Outcome Outcome
+	Kind    failure.Kind
+	Begun   bool
+
+	Status      int           // HTTP status of the server's answer; zero if there was none
+	epoch       ident.Epoch   // epoch of the configuration under which the attempt was launched or, later, sent
+	Cause       Cause         // recorded in the trace
+	launchedAt  clock.Instant // time of the launch
+	endedAt     clock.Instant // time of the end; zero while the attempt is in flight
+	cost        int           // tokens that the attempt still contributes to its server's load
+	tokensAhead int           // tokens in flight at the server before the launch
 }
 
 // The stages of a request.
@@ -60,28 +60,28 @@
 	Call
 	key           ident.Key
 	class         fleetplan.Class
-	came          clock.Tick
-	queueDeadline clock.Tick // latest time at which the request may still wait for an attempt
-	deadline      clock.Tick // latest time at which its answer may end
+	arrivedAt     clock.Instant
+	queueDeadline clock.Instant // latest time at which the request may still wait for an attempt
+	deadline      clock.Instant // latest time at which its answer may end
 	attempts      []attemptRecord
 	stage         string
-	unpaidSince   clock.Tick // time since which a retry waits for the retry budget; zero if none does
-	uncertain     bool       // the plan in force does not allow the request, but may be outdated
-	firstCounted  bool       // the first arrival has been counted
-	runsOnce      bool       // a past or present route of the request permits only one run
+	unpaidSince   clock.Instant // time since which a retry waits for the retry budget; zero if none does
+	uncertain     bool          // the plan in force does not allow the request, but may be outdated
+	firstCounted  bool          // the first arrival has been counted
+	runsOnce      bool          // a past or present route of the request permits only one run
 	route         *fleetplan.Route
 	keyed         bool   // the admitting plan has tenants, so the caller's key must not reach servers
 	tenant        string // tenant according to that plan; empty if none
 
 	waitCause    WaitCause // current cause of waiting; waitTimes holds the time spent on earlier causes
-	waitingSince clock.Tick
+	waitingSince clock.Instant
 	waitTimes    map[WaitCause]clock.Span
-	firstByte    clock.Tick // time of the first byte of an answer; zero before that
+	firstByte    clock.Instant // time of the first byte of an answer; zero before that
 }
 
 // repeatable reports whether the request may run more than once.
 func (r *request) repeatable() bool {
-	return r.Call.Call.Again || !r.runsOnce && r.route != nil && allowsRepeats(r.route)
+	return r.Call.Request.Repeatable || !r.runsOnce && r.route != nil && allowsRepeats(r.route)
 }
 
 // allowsRepeats reports whether the requests of a route may run more than once.
@@ -105,7 +105,7 @@
 // mayHaveRun reports whether the request may have run in any attempt so far.
 func (r *request) mayHaveRun() bool {
 	for _, attempt := range r.attempts {
-		if attempt.How == Lost || attempt.How == Split {
+		if attempt.Outcome == Lost || attempt.Outcome == Split {
 			return true
 		}
 	}
@@ -154,7 +154,7 @@
 
 // transitions maps the outcome of an attempt to the next step, first for non-repeatable and then for repeatable
 // requests.
-var transitions = map[End][2]transition{
+var transitions = map[Outcome][2]transition{
 	Pending: {{again: true}, {again: true}},
 	Kept:    {{again: true}, {again: true}},
 	Unsent:  {{again: true, payLater: true}, {again: true, payLater: true}},
@@ -170,21 +170,21 @@
 		return transition{again: true}
 	}
 	attempt := r.attempts[len(r.attempts)-1]
-	m := transitions[attempt.How][generic.One(r.repeatable())]
-	if attempt.How == Dropped && attempt.Kind == failure.Repeated {
+	m := transitions[attempt.Outcome][generic.BoolToInt(r.repeatable())]
+	if attempt.Outcome == Dropped && attempt.Kind == failure.Repeated {
 		return transition{kind: failure.Repeated} // another server would run the request a second time
 	}
-	if attempt.Begun && attempt.How == Lost {
+	if attempt.Begun && attempt.Outcome == Lost {
 		m = transitions[Split][0]
 	}
-	if attempt.How == Split && r.resumable() {
+	if attempt.Outcome == Split && r.resumable() {
 		m = transition{again: true, pay: true}
 	}
 	if r.route != nil {
-		most = r.route.Tries
+		most = r.route.MaxAttempts
 	}
 	if m.again && r.sent() >= most {
-		if attempt.How == Dropped && attempt.Kind == failure.Mismatch {
+		if attempt.Outcome == Dropped && attempt.Kind == failure.Mismatch {
 			return transition{kind: failure.Moved} // the entry was outdated; the caller may repeat the request immediately
 		}
 		return transition{kind: failure.NotReady}
@@ -195,7 +195,7 @@
 // sent returns the number of attempts that reached a server or may have.
 func (r *request) sent() (n int) {
 	for _, attempt := range r.attempts {
-		if attempt.How != Kept && attempt.How != Unsent {
+		if attempt.Outcome != Kept && attempt.Outcome != Unsent {
 			n++
 		}
 	}
--- a/internal/router/load_balancing.go
+++ b/internal/router/load_balancing.go
@@ -24,20 +24,20 @@
 
 // cost returns the estimated cost of a request in tokens.
 func (r *request) cost() int {
-	if r.key.Plain() {
+	if r.key.IsWholeService() {
 		return flatCost
 	}
-	return max(flatCost, r.Call.Call.Tokens+min(r.Call.Call.Max, maxOutputTokens))
+	return max(flatCost, r.Call.Request.PromptTokens+min(r.Call.Request.MaxTokens, maxOutputTokens))
 }
 
 // maxTokens returns the maximum number of tokens, prompt and output, that a request may occupy at a server.
-func (r *request) maxTokens() int { return r.Call.Call.Tokens + r.Call.Call.Max }
+func (r *request) maxTokens() int { return r.Call.Request.PromptTokens + r.Call.Request.MaxTokens }
 
 // sharedTokens returns the number of tokens in the shared parts of the prompt, which are all parts but the last.
 func (r *request) sharedTokens() int {
 	n := 0
-	for i := 0; i+1 < len(r.Call.Call.Sizes); i++ {
-		n += r.Call.Call.Sizes[i]
+	for i := 0; i+1 < len(r.Call.Request.PartTokens); i++ {
+		n += r.Call.Request.PartTokens[i]
 	}
 	return n
 }
@@ -57,7 +57,7 @@
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(server))
 	_, _ = h.Write([]byte(r.key))
-	parts := r.Call.Call.Parts
+	parts := r.Call.Request.Parts
 	for i := 0; i+1 < len(parts); i++ {
 		_, _ = h.Write([]byte(parts[i]))
 	}
@@ -115,7 +115,7 @@
 // isPlain reports whether a request is for a service whose servers hold no models. A request without a model may also
 // be for a service with models; its cost is then counted in tokens like that of the other requests there.
 func (c *Core) isPlain(r *request) bool {
-	return r.key.Plain() && c.plan.Services[r.key.Service()].Plain
+	return r.key.IsWholeService() && c.plan.Services[r.key.Service()].Plain
 }
 
 // jitter returns the range of the random amount that is added to the cost of each replica, so that routers with the
@@ -135,13 +135,13 @@
 
 // inflow is a moving average of the tokens per second that this router sends to the replicas of a base.
 type inflow struct {
-	at   clock.Tick
+	at   clock.Instant
 	rate float64
 }
 
 // recordInflow adds a request to the inflow of its base.
 func (c *Core) recordInflow(r *request) {
-	if r.key.Plain() {
+	if r.key.IsWholeService() {
 		return
 	}
 	flow := c.inflows[r.key.Base()]
@@ -157,7 +157,7 @@
 // replica.
 func (r *request) alreadyTried(p *protocol.Replica) bool {
 	for _, attempt := range r.attempts {
-		if attempt.Server == p.Server && attempt.How != Kept {
+		if attempt.Server == p.Server && attempt.Outcome != Kept {
 			return true
 		}
 	}
@@ -171,11 +171,11 @@
 	if service.Plain {
 		return load.load() < 3*max(1, p.Slots)
 	}
-	if load.work >= p.Slots {
+	if load.inFlight >= p.Slots {
 		return false
 	}
 	taken := max(load.reservedTokens, load.load())
-	return service.Tokens == 0 || taken == 0 || taken+r.maxTokens() <= service.Tokens
+	return service.TokenCapacity == 0 || taken == 0 || taken+r.maxTokens() <= service.TokenCapacity
 }
 
 // onFleetLoad updates the load of other routers from the totals of all routers in tokens.
--- a/internal/router/queue.go
+++ b/internal/router/queue.go
@@ -42,7 +42,7 @@
 			continue
 		}
 		for _, x := range c.queues[k] {
-			if x.class.Value < least.class.Value || x.class.Value == least.class.Value && least != r && x.came > least.came {
+			if x.class.Value < least.class.Value || x.class.Value == least.class.Value && least != r && x.arrivedAt > least.arrivedAt {
 				least = x
 			}
 		}
@@ -94,20 +94,20 @@
 		c.trace(r, EndedServed, k)
 		return
 	}
-	if failure.Receipts[k].Dropped && r.mayHaveRun() {
+	if failure.Responses[k].NotExecuted && r.mayHaveRun() {
 		k = failure.Unclear // the status of k would state that the request never ran
 	}
 	c.checkRefusal(r, k)
-	answer := failure.Receipts[k]
+	answer := failure.Responses[k]
 	if retryAfter == 0 {
-		retryAfter = answer.Back
+		retryAfter = answer.RetryAfter
 	}
 	c.tally.Drops[k]++
-	if answer.Dropped {
+	if answer.NotExecuted {
 		c.tally.Dropped++
 	}
 	c.trace(r, EndedRefused, k)
-	c.out = append(c.out, Receipt{Ref: r.Ref, Kind: k, Back: retryAfter})
+	c.out = append(c.out, Refusal{Ref: r.Ref, Kind: k, RetryAfter: retryAfter})
 }
 
 // serveAll serves every queue, in descending order of the value of the first request.
@@ -164,11 +164,11 @@
 // readyTooLate reports whether no replica can be ready before a request's deadline, and the time until one may be
 // ready. Such a request is rejected immediately.
 func (c *Core) readyTooLate(e *cacheEntry, r *request) (retryAfter clock.Span, late bool) {
-	if e.Never {
+	if e.Unplaceable {
 		return neverRetryAfter, true
 	}
-	retryAfter = e.receivedAt.Add(e.Soon).Sub(c.now)
-	return retryAfter, e.Soon > 0 && len(e.Replicas) == 0 && c.now.Add(retryAfter) > r.queueDeadline
+	retryAfter = e.receivedAt.Add(e.ReadyIn).Sub(c.now)
+	return retryAfter, e.ReadyIn > 0 && len(e.Replicas) == 0 && c.now.Add(retryAfter) > r.queueDeadline
 }
 
 // lookUp requests an entry from the controller. If a copy without a callback is cached, the request carries its digest.
@@ -178,14 +178,14 @@
 		e = &cacheEntry{Entry: protocol.Entry{Key: k}, lastUsed: c.now}
 		c.entries[k] = e
 	}
-	if e.requested && c.now.Sub(e.requestedAt) < entryRetryInterval || c.session.N == 0 || c.alone() {
+	if e.requested && c.now.Sub(e.requestedAt) < entryRetryInterval || c.session.Num == 0 || c.routesUnleased() {
 		return
 	}
 	e.requested, e.requestedAt = true, c.now
 	c.tally.Lookups++
-	want := protocol.Want{Session: c.session, Key: k, Waiting: len(c.queues[k]), Value: c.queues[k][0].class.Value}
+	want := protocol.EntryRequest{Session: c.session, Key: k, Waiting: len(c.queues[k]), Value: c.queues[k][0].class.Value}
 	if len(e.Replicas) > 0 {
-		want.Mark = e.Mark
+		want.Digest = e.Digest
 	}
 	c.send(want)
 }
--- a/internal/router/record.go
+++ b/internal/router/record.go
@@ -17,27 +17,27 @@
 
 // RecordedRequest is one line of a record of requests. Unless prompts are recorded, the length of the prompt and the
 // checksums of its shared parts replace the text.
-type Logged struct {
-	At     int64  `json:"at_ms"`
-	Route  string `json:"route"`
-	ID     string `json:"id"`
-	Base   string `json:"model"`
-	Extra  string `json:"adapter,omitempty"`
-	Kind   string `json:"kind"`
-	Parts  []Part `json:"parts,omitempty"`
-	Length int    `json:"prompt_bytes"`
-	Prompt string `json:"prompt,omitempty"`
-	Max    int    `json:"max_tokens"`
-	WaitMs int64  `json:"horizon_ms,omitempty"`
-	Again  bool   `json:"repeatable,omitempty"`
-	Repeat bool   `json:"repeat,omitempty"`
+type RecordedRequest struct {
+	AtMs        int64          `json:"at_ms"`
+	Route       string         `json:"route"`
+	ID          string         `json:"id"`
+	Model       string         `json:"model"`
+	Adapter     string         `json:"adapter,omitempty"`
+	Kind        string         `json:"kind"`
+	Parts       []RecordedPart `json:"parts,omitempty"`
+	PromptBytes int            `json:"prompt_bytes"`
+	Prompt      string         `json:"prompt,omitempty"`
+	MaxTokens   int            `json:"max_tokens"`
+	HorizonMs   int64          `json:"horizon_ms,omitempty"`
+	Repeatable  bool           `json:"repeatable,omitempty"`
+	Repeat      bool           `json:"repeat,omitempty"`
 }
 
 // RecordedPart is a shared part of a recorded prompt.
-type Part struct {
-	Sum    string `json:"sum"`
-	Length int    `json:"bytes"`
-	Text   string `json:"text,omitempty"`
+type RecordedPart struct {
+	Checksum string `json:"sum"`
+	Bytes    int    `json:"bytes"`
+	Text     string `json:"text,omitempty"`
 }
 
 // Recorder writes incoming requests to a file, one per line, each line with its own checksum.
@@ -45,7 +45,7 @@
 	mu       sync.Mutex // guards dropped and sends on lines
 	file     *os.File
 	writer   *bufio.Writer
-	lines    chan Logged
+	lines    chan RecordedRequest
 	done     chan struct{}
 	keepText bool
 	start    int64
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "create record file")
 	}
-	r := &Recorder{file: f, writer: bufio.NewWriter(f), lines: make(chan Logged, 4096), done: make(chan struct{}), keepText: keepText, start: int64(host.Now())}
+	r := &Recorder{file: f, writer: bufio.NewWriter(f), lines: make(chan RecordedRequest, 4096), done: make(chan struct{}), keepText: keepText, start: int64(host.Now())}
 	r.write(fmt.Sprintf(`{"record":"tidedeck","v":1,"router":%q,"began":%q}`, name, time.Now().UTC().Format(time.RFC3339)))
 	go r.run()
 	return r, nil
@@ -93,14 +93,14 @@
 }
 
 // Add records a request. If the writer cannot keep up, the request is dropped from the record and counted.
-func (r *Recorder) Add(route string, c fleetplan.Call) {
-	line := Logged{At: (int64(host.Now()) - r.start) / 1e6, Route: route, ID: c.ID, Base: c.Base, Extra: c.Extra, Kind: c.Kind,
-		Length: len(c.Prompt), Max: c.Max, WaitMs: c.Wait.Milliseconds(), Again: c.Again, Repeat: c.Repeat}
+func (r *Recorder) Add(route string, c fleetplan.Request) {
+	line := RecordedRequest{AtMs: (int64(host.Now()) - r.start) / 1e6, Route: route, ID: c.ID, Model: c.Model, Adapter: c.Adapter, Kind: c.Kind,
+		PromptBytes: len(c.Prompt), MaxTokens: c.MaxTokens, HorizonMs: c.Horizon.Milliseconds(), Repeatable: c.Repeatable, Repeat: c.Repeat}
 	if r.keepText {
 		line.Prompt = c.Prompt
 	}
 	for _, text := range c.Parts {
-		part := Part{Sum: fmt.Sprintf("%08x", crc32.ChecksumIEEE([]byte(text))), Length: len(text)}
+		part := RecordedPart{Checksum: fmt.Sprintf("%08x", crc32.ChecksumIEEE([]byte(text))), Bytes: len(text)}
 		if r.keepText {
 			part.Text = text
 		}
