--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -36,7 +36,7 @@
 
 // MaySend asks the core whether an attempt may be sent.
 func (h hostedDecider) MaySend(ref Ref, n int) (allowed bool) {
-	h.process.With(func(now clock.Tick) { allowed = h.core.MaySend(now, ref, n) })
+	h.process.Locked(func(now clock.Instant) { allowed = h.core.MaySend(now, ref, n) })
 	return allowed
 }
 
@@ -56,7 +56,7 @@
 	BodyBudget     int64              // maximum total size of the bodies held at once, in bytes; unlimited if zero
 	AttemptTimeout time.Duration      // limit for attempts without a time left; 60 s
 	Slack          time.Duration      // how long after the time left a response may still end; 150 ms
-	WriteWait      time.Duration      // a client that accepts no data for this long is disconnected; 10 s
+	WriteTimeout   time.Duration      // a client that accepts no data for this long is disconnected; 10 s
 	OnRefusal      func(RequestTrace) // called for requests that are refused before they reach the core; may be nil
 	KeepAlive      time.Duration      // keep-alive timeout announced to clients; none if zero
 }
@@ -65,7 +65,7 @@
 func (o RelayOptions) Defaults() RelayOptions {
 	generic.SetDefault(&o.AttemptTimeout, 60*time.Second)
 	generic.SetDefault(&o.Slack, defaultSlack)
-	generic.SetDefault(&o.WriteWait, 10*time.Second)
+	generic.SetDefault(&o.WriteTimeout, 10*time.Second)
 	if o.OnRefusal == nil {
 		o.OnRefusal = func(RequestTrace) {}
 	}
@@ -81,7 +81,7 @@
 // Relay forwards requests to servers unchanged, and the servers' responses to clients. All decisions are made by a
 // Decider.
 type Relay struct {
-	o       RelayOptions
+	options RelayOptions
 	decider Decider
 	conns   *connPool
 	closing func() bool // whether responses close their client's connection
@@ -97,7 +97,7 @@
 // NewRelay creates a relay.
 func NewRelay(o RelayOptions) *Relay {
 	o = o.Defaults()
-	r := &Relay{o: o, decider: o.Decider, conns: newConns(o.Conns), closing: func() bool { return false }, requestSeconds: newRequestSeconds()}
+	r := &Relay{options: o, decider: o.Decider, conns: newConnPool(o.Conns), closing: func() bool { return false }, requestSeconds: newRequestSeconds()}
 	r.bodies.limit = o.BodyBudget
 	return r
 }
@@ -112,7 +112,7 @@
 }
 
 // SetDecider sets the Decider. It must be called before the first request arrives.
-func (r *Relay) Use(d Decider) { r.decider = d }
+func (r *Relay) SetDecider(d Decider) { r.decider = d }
 
 // Close closes the idle connections to servers.
 func (r *Relay) Close() { r.conns.close() }
--- a/internal/router/relay_answer.go
+++ b/internal/router/relay_answer.go
@@ -14,7 +14,7 @@
 // is unusable.
 
 // handleResponse forwards the response to this attempt, or returns why it cannot be forwarded.
-func (x *exchange) handleResponse(v Launch, use *connUse, resp *http.Response, info Said) (End, failure.Kind) {
+func (x *exchange) handleResponse(v Launch, use *connUse, resp *http.Response, info ResponseInfo) (Outcome, failure.Kind) {
 	x.status = resp.StatusCode
 	success, stream := resp.StatusCode >= 200 && resp.StatusCode < 300, isStream(resp)
 	switch {
@@ -31,7 +31,7 @@
 		x.drain(use, resp)
 		x.cause = CauseStatus
 		return Lost, failure.None // without the not-executed header the status does not prove that the request was not run
-	case resp.StatusCode >= 500 && v.Again:
+	case resp.StatusCode >= 500 && v.Repeatable:
 		x.drain(use, resp)
 		x.cause = CauseStatus
 		return Lost, failure.None
@@ -70,7 +70,7 @@
 
 // relayBuffered forwards a response that is not a stream. A small body is read completely before any byte is sent,
 // so that after a break the request can still be retried.
-func (x *exchange) relayBuffered(v Launch, use *connUse, resp *http.Response) (End, failure.Kind) {
+func (x *exchange) relayBuffered(v Launch, use *connUse, resp *http.Response) (Outcome, failure.Kind) {
 	switch {
 	case resp.Body == http.NoBody:
 		use.release(true)
@@ -109,11 +109,11 @@
 }
 
 // relayUnbuffered forwards a response as it arrives, after the part that has already been read.
-func (x *exchange) relayUnbuffered(v Launch, use *connUse, resp *http.Response, read []byte) (End, failure.Kind) {
+func (x *exchange) relayUnbuffered(v Launch, use *connUse, resp *http.Response, read []byte) (Outcome, failure.Kind) {
 	if resp.ContentLength > 0 {
 		x.w.Header()["Content-Length"] = resp.Header["Content-Length"]
 	}
-	x.r.decider.Step(Begun{Ref: v.Ref, N: v.N})
+	x.relay.decider.Step(Begun{Ref: v.Ref, N: v.N})
 	x.writeHead(resp.StatusCode, resp.Header)
 	x.writeBody(read, false)
 	how, kind := x.copyBody(resp, func(chunk []byte) bool {
@@ -127,7 +127,7 @@
 }
 
 // copyBody reads a response's body to its end and passes each chunk to write as it arrives.
-func (x *exchange) copyBody(resp *http.Response, write func(chunk []byte) bool) (End, failure.Kind) {
+func (x *exchange) copyBody(resp *http.Response, write func(chunk []byte) bool) (Outcome, failure.Kind) {
 	buffer := copyBuffers.Get().(*[]byte)
 	defer copyBuffers.Put(buffer)
 	for {
@@ -151,9 +151,9 @@
 }
 
 // relayStream forwards an event stream as it arrives.
-func (x *exchange) relayStream(v Launch, use *connUse, resp *http.Response) (End, failure.Kind) {
+func (x *exchange) relayStream(v Launch, use *connUse, resp *http.Response) (Outcome, failure.Kind) {
 	relay := &eventRelay{exchange: x, resuming: x.started, onBegin: func() {
-		x.r.decider.Step(Begun{Ref: v.Ref, N: v.N})
+		x.relay.decider.Step(Begun{Ref: v.Ref, N: v.N})
 		if !x.started {
 			if resp.ContentLength >= 0 && !v.Resume {
 				x.w.Header()["Content-Length"] = resp.Header["Content-Length"]
--- a/internal/router/relay_attempt.go
+++ b/internal/router/relay_attempt.go
@@ -18,10 +18,10 @@
 // identifies its response among those received.
 
 // attempt sends the request to one server and forwards the response.
-func (x *exchange) attempt(ctx context.Context, v Launch) (End, failure.Kind) {
-	r := x.r
-	left := v.Left
-	generic.SetDefault(&left, r.o.AttemptTimeout)
+func (x *exchange) attempt(ctx context.Context, v Launch) (Outcome, failure.Kind) {
+	r := x.relay
+	left := v.Remaining
+	generic.SetDefault(&left, r.options.AttemptTimeout)
 	deadline := time.Now().Add(left)
 	c, _, err := r.conns.get(ctx, endpoint{v.Server, v.Addr}, deadline)
 	if err != nil {
@@ -40,11 +40,11 @@
 		x.cause = CauseNotAllowed
 		return Kept, failure.None
 	}
-	props := Attempt{Server: v.Server, Left: left, Rank: v.Rank, Keyed: v.Keyed, Tenant: v.Work.Tenant}
+	props := Attempt{Server: v.Server, TimeLeft: left, Precedence: v.Rank, KeyVerified: v.Keyed, Tenant: v.Work.Tenant}
 	if x.hasLastEvent {
-		props.Seen = x.lastEvent
+		props.LastEvent = x.lastEvent
 	}
-	r.o.Dialect.Write(x.header, props)
+	r.options.Dialect.WriteAttempt(x.header, props)
 	if sent, err := x.send(c, deadline); err != nil {
 		if sent == 0 && ctx.Err() == nil {
 			x.cause = CauseWrite
@@ -76,9 +76,9 @@
 }
 
 // connectionBroken returns the outcome of an attempt whose connection broke.
-func (x *exchange) connectionBroken(cause Cause) (End, failure.Kind) {
+func (x *exchange) connectionBroken(cause Cause) (Outcome, failure.Kind) {
 	x.cause = cause
-	x.r.count(func(t *RelayTally) { t.Broken++ })
+	x.relay.count(func(t *RelayTally) { t.Broken++ })
 	if x.started {
 		return Split, failure.None
 	}
@@ -130,9 +130,9 @@
 }
 
 // readResponse reads the response to this attempt and skips surplus responses to earlier attempts.
-func (x *exchange) readResponse(v Launch, use *connUse, deadline time.Time) (End, failure.Kind) {
-	r, c := x.r, use.conn
-	if c.SetReadDeadline(deadline.Add(r.o.Slack)) != nil {
+func (x *exchange) readResponse(v Launch, use *connUse, deadline time.Time) (Outcome, failure.Kind) {
+	r, c := x.relay, use.conn
+	if c.SetReadDeadline(deadline.Add(r.options.Slack)) != nil {
 		return x.connectionBroken(CauseHead)
 	}
 	for skipped := 0; ; skipped++ {
@@ -140,7 +140,7 @@
 		if err != nil {
 			return x.connectionBroken(CauseHead)
 		}
-		info := r.o.Dialect.Answer(resp.StatusCode, resp.Header)
+		info := r.options.Dialect.ReadResponse(resp.StatusCode, resp.Header)
 		if info.ID == x.facts.ID && info.ID != "" {
 			if skipped > 0 {
 				c.idleTimeout = 0 // further surplus responses may follow
--- a/internal/router/relay_events.go
+++ b/internal/router/relay_events.go
@@ -84,7 +84,7 @@
 // handleEvent handles one event. It returns false if the event does not follow those that the client has.
 func (f *eventRelay) handleEvent(b []byte) bool {
 	x := f.exchange
-	id, ok := x.r.eventNumber(b)
+	id, ok := x.relay.eventNumber(b)
 	if f.resuming {
 		switch {
 		case !ok:
@@ -118,7 +118,7 @@
 		} else {
 			b = nil
 		}
-		if n, found := r.o.Dialect.Event(bytes.TrimSuffix(line, []byte("\r"))); found {
+		if n, found := r.options.Dialect.EventNumber(bytes.TrimSuffix(line, []byte("\r"))); found {
 			id, ok = n, true
 		}
 	}
--- a/internal/router/relay_exchange.go
+++ b/internal/router/relay_exchange.go
@@ -21,11 +21,11 @@
 
 // exchange is one client's request and its response.
 type exchange struct {
-	r           *Relay
+	relay       *Relay
 	w           http.ResponseWriter
 	control     *http.ResponseController
 	req         *http.Request
-	facts       fleetplan.Call
+	facts       fleetplan.Request
 	header      http.Header // headers that are forwarded
 	body        []byte
 	deadlineSet time.Time // when the write deadline was last set
@@ -56,7 +56,7 @@
 
 // ServeHTTP handles one client's request from its arrival to the end of its response.
 func (r *Relay) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	x := &exchange{r: r, w: w, control: http.NewResponseController(w), req: req, arrived: time.Now()}
+	x := &exchange{relay: r, w: w, control: http.NewResponseController(w), req: req, arrived: time.Now()}
 	defer func() { r.requestSeconds.Observe(time.Since(x.arrived).Seconds()) }()
 	if g := headGuardOf(req); g != nil {
 		defer g.reset()
@@ -72,7 +72,7 @@
 		x.writeRefusal(failure.HeadTooLong, 0, true, nil)
 		return
 	}
-	facts, fault := r.o.Dialect.Read(req)
+	facts, fault := r.options.Dialect.ReadRequest(req)
 	if fault != nil {
 		x.traceRefusal(failure.Malformed)
 		x.writeRefusal(failure.Malformed, 0, req.Body != http.NoBody, fleetplan.Faults{*fault})
@@ -92,7 +92,7 @@
 		return
 	}
 	x.body = b.Bytes()
-	x.lastEvent, x.hasLastEvent = facts.Seen, facts.Seen > 0
+	x.lastEvent, x.hasLastEvent = facts.LastEvent, facts.LastEvent > 0
 	x.header = make(http.Header, len(req.Header)+addedHeaders)
 	copyHeaders(x.header, req.Header)
 	x.run()
@@ -110,8 +110,8 @@
 
 // bodyLimits returns the maximum size of a request body and the time within which it must arrive.
 func (r *Relay) bodyLimits() (limit int64, timeout time.Duration) {
-	if r.o.BodyLimits != nil {
-		limit, timeout = r.o.BodyLimits()
+	if r.options.BodyLimits != nil {
+		limit, timeout = r.options.BodyLimits()
 	}
 	generic.SetDefault(&limit, defaultMaxBodySize)
 	generic.SetDefault(&timeout, defaultBodyTimeout)
@@ -124,7 +124,7 @@
 	if req.Body == nil || req.Body == http.NoBody {
 		return true
 	}
-	limit, timeout := x.r.bodyLimits()
+	limit, timeout := x.relay.bodyLimits()
 	faults := fleetplan.Faults{{Path: "$", Why: "request body exceeds the size limit"}}
 	if req.ContentLength > limit {
 		x.traceRefusal(failure.Oversize)
@@ -156,9 +156,9 @@
 		x.writeRefusal(failure.Oversize, 0, true, faults)
 	case errors.As(err, &netErr) && netErr.Timeout():
 		x.traceRefusal(failure.Expired)
-		x.writeProblem(http.StatusRequestTimeout, host.Problem{Kind: failure.Expired, Dropped: true}, 0, true)
+		x.writeProblem(http.StatusRequestTimeout, host.ErrorBody{Kind: failure.Expired, Dropped: true}, 0, true)
 	default:
-		x.r.o.OnRefusal(x.refusal(EndedLeft, failure.None))
+		x.relay.options.OnRefusal(x.refusal(EndedCallerLeft, failure.None))
 		x.abortResponse()
 	}
 	return false
@@ -171,7 +171,9 @@
 }
 
 // traceRefusal reports a request that is refused before it reaches the core.
-func (x *exchange) traceRefusal(kind failure.Kind) { x.r.o.OnRefusal(x.refusal(EndedRefused, kind)) }
+func (x *exchange) traceRefusal(kind failure.Kind) {
+	x.relay.options.OnRefusal(x.refusal(EndedRefused, kind))
+}
 
 func (x *exchange) refusal(end string, kind failure.Kind) RequestTrace {
 	return RequestTrace{ID: x.facts.ID, Route: x.req.URL.Path, TookMs: time.Since(x.arrived).Milliseconds(), End: end, Kind: kind}
@@ -179,7 +181,7 @@
 
 // run passes the request to the decider and carries out its decisions until the request has ended.
 func (x *exchange) run() {
-	r := x.r
+	r := x.relay
 	ref, decisions, done := r.register()
 	finished := false
 	defer func() {
@@ -188,7 +190,7 @@
 		}
 		done()
 	}()
-	r.decider.Step(Call{Ref: ref, Route: x.req.URL.Path, Age: time.Since(x.arrived), Call: x.facts})
+	r.decider.Step(Call{Ref: ref, Route: x.req.URL.Path, Age: time.Since(x.arrived), Request: x.facts})
 	ctx := x.req.Context()
 	for {
 		select {
@@ -196,13 +198,13 @@
 			x.dropConnection()
 		case decision := <-decisions:
 			switch v := decision.(type) {
-			case Receipt:
+			case Refusal:
 				finished = true
 				x.finishWithRefusal(v)
 				return
 			case Launch:
 				ended := x.runAttempt(ctx, v)
-				finished = ended.How == Done
+				finished = ended.Outcome == Done
 				r.decider.Step(ended)
 				if finished {
 					return
@@ -223,7 +225,7 @@
 	if how != Done && (x.clientDisconnected || ctx.Err() != nil) {
 		x.dropConnection()
 	}
-	return Ended{Ref: v.Ref, N: v.N, How: how, Kind: kind, Status: x.status, Cause: x.cause}
+	return Ended{Ref: v.Ref, N: v.N, Outcome: how, Kind: kind, Status: x.status, Cause: x.cause}
 }
 
 // resumable reports whether a response that has been started can continue with another attempt: the client has
@@ -231,9 +233,9 @@
 func (x *exchange) resumable(v Launch) bool { return x.wholeEvents && v.Resume && !x.unnumberedTail }
 
 // finishWithRefusal ends a request that no server has completed.
-func (x *exchange) finishWithRefusal(v Receipt) {
+func (x *exchange) finishWithRefusal(v Refusal) {
 	if x.started {
 		x.abortResponse()
 	}
-	x.writeRefusal(v.Kind, v.Back, false, nil)
+	x.writeRefusal(v.Kind, v.RetryAfter, false, nil)
 }
--- a/internal/router/relay_serve.go
+++ b/internal/router/relay_serve.go
@@ -17,35 +17,35 @@
 )
 
 // RelayServer configures the listeners and the shutdown of a relay.
-type RelayServe struct {
-	Relay          *Relay
-	Ingress        string               // address for clients, ip:port
-	Readiness      string               // address of the readiness endpoint, ip:port
-	Ready          func() bool          // reports whether the router is ready for clients; always if nil
-	HeadTimeout    time.Duration        // minimum time allowed for a request's head; 10 s
-	HeadBytes      int                  // minimum size allowed for a request's head; 64 KiB
-	PlanHeadLimits func() HeadLimits    // limits on heads that the plan in force announces to clients
-	Idle           time.Duration        // minimum time for which a client's connection may be idle; 30 s
-	Resting        func() time.Duration // idle timeout that the plan in force announces to clients
-	Lame           time.Duration        // how long new requests are still served after the stop; 2.5 s
-	Grace          time.Duration        // total time for requests in progress to finish after the stop; 7 s
+type RelayServer struct {
+	Relay           *Relay
+	Ingress         string               // address for clients, ip:port
+	Readiness       string               // address of the readiness endpoint, ip:port
+	Ready           func() bool          // reports whether the router is ready for clients; always if nil
+	HeadTimeout     time.Duration        // minimum time allowed for a request's head; 10 s
+	HeadBytes       int                  // minimum size allowed for a request's head; 64 KiB
+	PlanHeadLimits  func() HeadLimits    // limits on heads that the plan in force announces to clients
+	IdleTimeout     time.Duration        // minimum time for which a client's connection may be idle; 30 s
+	PlanIdleTimeout func() time.Duration // idle timeout that the plan in force announces to clients
+	LameDuck        time.Duration        // how long new requests are still served after the stop; 2.5 s
+	Grace           time.Duration        // total time for requests in progress to finish after the stop; 7 s
 }
 
 // Defaults returns the options with unset fields replaced by their defaults.
-func (o RelayServe) Defaults() RelayServe {
+func (o RelayServer) Defaults() RelayServer {
 	if o.Ready == nil {
 		o.Ready = func() bool { return true }
 	}
-	if o.Resting == nil {
-		o.Resting = func() time.Duration { return 0 }
+	if o.PlanIdleTimeout == nil {
+		o.PlanIdleTimeout = func() time.Duration { return 0 }
 	}
 	if o.PlanHeadLimits == nil {
 		o.PlanHeadLimits = func() HeadLimits { return HeadLimits{} }
 	}
 	generic.SetDefault(&o.HeadTimeout, 10*time.Second)
 	generic.SetDefault(&o.HeadBytes, 64<<10)
-	generic.SetDefault(&o.Idle, 30*time.Second)
-	generic.SetDefault(&o.Lame, 2500*time.Millisecond)
+	generic.SetDefault(&o.IdleTimeout, 30*time.Second)
+	generic.SetDefault(&o.LameDuck, 2500*time.Millisecond)
 	generic.SetDefault(&o.Grace, 7*time.Second)
 	return o
 }
@@ -53,7 +53,7 @@
 // ServeRelay serves a relay until stop is closed and then shuts it down gracefully: it reports unready at once,
 // continues to serve for a while so that clients can move to other routers, and waits for the requests in
 // progress.
-func ServeRelay(stop <-chan struct{}, o RelayServe) error {
+func ServeRelay(stop <-chan struct{}, o RelayServer) error {
 	o = o.Defaults()
 	ingress, err := net.Listen("tcp", o.Ingress)
 	if err != nil {
@@ -67,13 +67,13 @@
 	return serveRelay(stop, o, ingress, readinessListener)
 }
 
-func serveRelay(stop <-chan struct{}, o RelayServe, ingress, readinessListener net.Listener) error {
+func serveRelay(stop <-chan struct{}, o RelayServer, ingress, readinessListener net.Listener) error {
 	o = o.Defaults()
 	var closing atomic.Bool
 	o.Relay.closing = closing.Load
 	discard := log.New(io.Discard, "", 0)
 	clientServer := &http.Server{
-		Handler: o.Relay, ReadHeaderTimeout: o.HeadTimeout, IdleTimeout: o.Idle, MaxHeaderBytes: maxHeadBytes,
+		Handler: o.Relay, ReadHeaderTimeout: o.HeadTimeout, IdleTimeout: o.IdleTimeout, MaxHeaderBytes: maxHeadBytes,
 		ErrorLog: discard, DisableGeneralOptionsHandler: true,
 		ConnState: func(c net.Conn, s http.ConnState) {
 			if g, ok := c.(*headGuard); ok && s == http.StateIdle {
@@ -84,8 +84,8 @@
 			return context.WithValue(ctx, headGuardKey{}, c)
 		},
 	}
-	readinessServer := &http.Server{ReadHeaderTimeout: o.HeadTimeout, IdleTimeout: o.Idle, MaxHeaderBytes: 8 << 10, ErrorLog: discard,
-		Handler: readiness(o.Relay.o.Dialect.Ready(), func() bool {
+	readinessServer := &http.Server{ReadHeaderTimeout: o.HeadTimeout, IdleTimeout: o.IdleTimeout, MaxHeaderBytes: 8 << 10, ErrorLog: discard,
+		Handler: readiness(o.Relay.options.Dialect.ReadinessPath(), func() bool {
 			select {
 			case <-stop:
 				return false
@@ -112,12 +112,12 @@
 
 // finish shuts the client server down: clients are directed to other routers for a while, then new requests are
 // refused and those in progress may finish.
-func (o RelayServe) finish(clientServer *http.Server, ingress net.Listener, startClosing func()) {
+func (o RelayServer) finish(clientServer *http.Server, ingress net.Listener, startClosing func()) {
 	ctx, cancel := context.WithTimeout(context.Background(), o.Grace)
 	defer cancel()
-	time.Sleep(min(o.Lame/2, o.Grace))
+	time.Sleep(min(o.LameDuck/2, o.Grace))
 	startClosing() // from now on responses close their connections, which moves clients to other routers
-	timer := time.NewTimer(o.Lame - o.Lame/2)
+	timer := time.NewTimer(o.LameDuck - o.LameDuck/2)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -145,7 +145,7 @@
 
 // waitIdle waits until no request is in progress.
 func (r *Relay) waitIdle(ctx context.Context) {
-	for r.Open() > 0 && ctx.Err() == nil {
+	for r.InFlight() > 0 && ctx.Err() == nil {
 		time.Sleep(idlePoll)
 	}
 }
@@ -184,10 +184,10 @@
 
 // limits derives the limits on clients from the plan in force and the router's own minimums. The limits that the
 // plan announces are extended by a quarter, to allow for the network between clients and the router.
-func (o RelayServe) limits() clientLimits {
+func (o RelayServer) limits() clientLimits {
 	announced := o.PlanHeadLimits()
 	return clientLimits{
-		idleTimeout: idleFor(o.Idle, o.Resting()),
+		idleTimeout: clientIdleTimeout(o.IdleTimeout, o.PlanIdleTimeout()),
 		headTimeout: max(o.HeadTimeout, announced.Timeout+announced.Timeout/4),
 		headBytes:   max(o.HeadBytes, announced.Bytes+announced.Bytes/4),
 	}
@@ -346,6 +346,6 @@
 // clientIdleTimeout returns how long a client's connection may be idle. Clients may reuse a connection for the
 // time that the plan announces, so the router closes it a quarter of that time later, and never earlier than its
 // own minimum.
-func idleFor(minimum, announced time.Duration) time.Duration {
+func clientIdleTimeout(minimum, announced time.Duration) time.Duration {
 	return max(minimum, announced+announced/4)
 }
--- a/internal/router/relay_test.go
+++ b/internal/router/relay_test.go
@@ -28,31 +28,31 @@
 // fakeDialect uses invented header names.
 type fakeDialect struct{}
 
-func (fakeDialect) Read(r *http.Request) (fleetplan.Call, *fleetplan.Fault) {
+func (fakeDialect) ReadRequest(r *http.Request) (fleetplan.Request, *fleetplan.Fault) {
 	id := r.Header.Get("X-Try")
 	if id == "" {
-		return fleetplan.Call{}, &fleetplan.Fault{Path: "x-try", Why: "is missing"}
+		return fleetplan.Request{}, &fleetplan.Fault{Path: "x-try", Why: "is missing"}
 	}
 	n, _ := strconv.ParseUint(r.Header.Get("X-After"), 10, 64)
-	return fleetplan.Call{ID: id, Host: r.Host, Seen: n}, nil
+	return fleetplan.Request{ID: id, Host: r.Host, LastEvent: n}, nil
 }
 
-func (fakeDialect) Write(h http.Header, a Attempt) {
+func (fakeDialect) WriteAttempt(h http.Header, a Attempt) {
 	h.Set("X-Only", string(a.Server))
-	if a.Seen > 0 {
-		h.Set("X-After", strconv.FormatUint(a.Seen, 10))
+	if a.LastEvent > 0 {
+		h.Set("X-After", strconv.FormatUint(a.LastEvent, 10))
 	}
 }
 
-func (fakeDialect) Answer(_ int, h http.Header) Said {
-	s := Said{ID: h.Get("X-Try"), Sealed: h.Get("X-Seal") != ""}
+func (fakeDialect) ReadResponse(_ int, h http.Header) ResponseInfo {
+	s := ResponseInfo{ID: h.Get("X-Try"), Sealed: h.Get("X-Seal") != ""}
 	if k := h.Get("X-Not-Run"); k != "" {
 		s.NotRun, s.Kind = true, failure.Kind(k)
 	}
 	return s
 }
 
-func (fakeDialect) Event(line []byte) (uint64, bool) {
+func (fakeDialect) EventNumber(line []byte) (uint64, bool) {
 	v, ok := bytes.CutPrefix(line, []byte("id: "))
 	if !ok {
 		return 0, false
@@ -61,19 +61,19 @@
 	return n, err == nil
 }
 
-func (fakeDialect) Ready() string { return "/there" }
+func (fakeDialect) ReadinessPath() string { return "/there" }
 
 // scriptedDecider launches attempts at one server after another for as long as their outcomes allow it, and
 // records the events that it receives.
-type script struct {
+type scriptedDecider struct {
 	relay       *Relay
 	mu          sync.Mutex
-	to          []string // addresses of the servers, in order
+	addrs       []string // addresses of the servers, in order
 	names       []string // names of the servers; if nil, each address stands for one server
-	again       bool
-	resume      bool
-	left        clock.Span
-	refuse      *Receipt // response to each call, in place of an attempt
+	repeatable  bool
+	resumable   bool
+	timeLeft    clock.Span
+	refuse      *Refusal // response to each call, in place of an attempt
 	deniedSends int      // number of sends to deny
 	beforeSend  func()   // called by each MaySend
 
@@ -82,10 +82,10 @@
 	ends       []Ended
 	begun      []Begun
 	quits      []Quit
-	receipts   []Receipt
+	receipts   []Refusal
 }
 
-func (s *script) Step(in any) {
+func (s *scriptedDecider) Step(in any) {
 	s.mu.Lock()
 	var out any
 	switch v := in.(type) {
@@ -104,14 +104,14 @@
 		s.quits = append(s.quits, v)
 	case Ended:
 		s.ends = append(s.ends, v)
-		switch v.How {
+		switch v.Outcome {
 		case Done:
 		case Lost:
-			if out = any(Receipt{Ref: v.Ref, Kind: failure.Unclear}); s.again {
+			if out = any(Refusal{Ref: v.Ref, Kind: failure.Unclear}); s.repeatable {
 				out = s.launch(v.Ref, failure.Unclear)
 			}
 		case Split:
-			if out = any(Receipt{Ref: v.Ref, Kind: failure.Cut}); s.resume {
+			if out = any(Refusal{Ref: v.Ref, Kind: failure.Cut}); s.resumable {
 				out = s.launch(v.Ref, failure.Cut)
 			}
 		default:
@@ -120,33 +120,33 @@
 			out = s.launch(v.Ref, k)
 		}
 	}
-	if r, ok := out.(Receipt); ok {
+	if r, ok := out.(Refusal); ok {
 		s.receipts = append(s.receipts, r)
 	}
 	s.mu.Unlock()
 	if out != nil {
-		s.relay.Act(out)
+		s.relay.Deliver(out)
 	}
 }
 
-func (s *script) launch(ref Ref, or failure.Kind) any {
+func (s *scriptedDecider) launch(ref Ref, or failure.Kind) any {
 	n := s.nextServer[ref]
-	if n >= len(s.to) {
-		return Receipt{Ref: ref, Kind: or, Back: 250 * time.Millisecond}
+	if n >= len(s.addrs) {
+		return Refusal{Ref: ref, Kind: or, RetryAfter: 250 * time.Millisecond}
 	}
 	s.nextServer[ref] = n + 1
-	return Launch{Ref: ref, N: n + 1, Server: s.name(n), Addr: s.to[n], Left: s.left, Again: s.again, Resume: s.resume}
+	return Launch{Ref: ref, N: n + 1, Server: s.name(n), Addr: s.addrs[n], Remaining: s.timeLeft, Repeatable: s.repeatable, Resume: s.resumable}
 }
 
 // name returns the name of the n-th server of the script.
-func (s *script) name(n int) ident.Server {
+func (s *scriptedDecider) name(n int) ident.Server {
 	if s.names != nil {
 		return ident.Server(s.names[n])
 	}
-	return ident.Server(fmt.Sprint("s", slices.Index(s.to, s.to[n])))
+	return ident.Server(fmt.Sprint("s", slices.Index(s.addrs, s.addrs[n])))
 }
 
-func (s *script) MaySend(Ref, int) bool {
+func (s *scriptedDecider) MaySend(Ref, int) bool {
 	if s.beforeSend != nil {
 		s.beforeSend()
 	}
@@ -156,23 +156,23 @@
 	return s.deniedSends < 0
 }
 
-func (s *script) hows() (l []End) {
+func (s *scriptedDecider) attemptEnds() (l []Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range s.ends {
-		l = append(l, e.How)
+		l = append(l, e.Outcome)
 	}
 	return l
 }
 
 // requireOneEnd checks that every request has ended exactly once.
-func (s *script) settled(t testing.TB) {
-	require.Eventually(t, func() bool { return s.relay.Open() == 0 }, soon, time.Millisecond)
+func (s *scriptedDecider) requireOneEnd(t testing.TB) {
+	require.Eventually(t, func() bool { return s.relay.InFlight() == 0 }, testTimeout, time.Millisecond)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := map[Ref]int{}
 	for _, v := range s.ends {
-		if v.How == Done {
+		if v.Outcome == Done {
 			n[v.Ref]++
 		}
 	}
@@ -188,13 +188,13 @@
 }
 
 type relayFixture struct {
-	*script
+	*scriptedDecider
 	addr string
 }
 
 // newRelayFixture serves a relay with a scripted decider.
-func relayFor(t testing.TB, s *script, o RelayOptions) *relayFixture {
-	generic.SetDefault(&s.left, time.Minute)
+func newRelayFixture(t testing.TB, s *scriptedDecider, o RelayOptions) *relayFixture {
+	generic.SetDefault(&s.timeLeft, time.Minute)
 	s.nextServer = map[Ref]int{}
 	o.Dialect, o.Decider = fakeDialect{}, s
 	s.relay = NewRelay(o)
@@ -204,19 +204,19 @@
 	require.NoError(t, err)
 	stop, end := make(chan struct{}), make(chan error, 1)
 	go func() {
-		end <- serveRelay(stop, RelayServe{Relay: s.relay, Lame: time.Nanosecond}, in, readiness)
+		end <- serveRelay(stop, RelayServer{Relay: s.relay, LameDuck: time.Nanosecond}, in, readiness)
 	}()
 	t.Cleanup(func() {
 		close(stop)
 		require.NoError(t, <-end)
-		s.settled(t)
+		s.requireOneEnd(t)
 	})
 	return &relayFixture{s, in.Addr().String()}
 }
 
 // serveUntil serves a relay with a scripted decider until stop is closed.
-func serveUntil(t testing.TB, s *script, o RelayServe) (b *relayFixture, readiness net.Listener, stop chan struct{}, end chan error) {
-	generic.SetDefault(&s.left, time.Minute)
+func serveUntil(t testing.TB, s *scriptedDecider, o RelayServer) (b *relayFixture, readiness net.Listener, stop chan struct{}, end chan error) {
+	generic.SetDefault(&s.timeLeft, time.Minute)
 	s.nextServer = map[Ref]int{}
 	s.relay = NewRelay(RelayOptions{Dialect: fakeDialect{}, Decider: s})
 	o.Relay = s.relay
@@ -240,7 +240,7 @@
 	c, err := net.Dial("tcp", b.addr)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
-	require.NoError(t, c.SetDeadline(time.Now().Add(soon)))
+	require.NoError(t, c.SetDeadline(time.Now().Add(testTimeout)))
 	return &client{c, bufio.NewReader(c), t}
 }
 
@@ -262,7 +262,7 @@
 func get(id string) string { return "GET /a/b HTTP/1.1\r\nHost: h\r\nX-Try: " + id + "\r\n\r\n" }
 
 // sealedResponse returns a response with a seal and a body.
-func plain(id, body string) string {
+func sealedResponse(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Try: %s\r\nX-Seal: s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
@@ -274,8 +274,8 @@
 
 // newFixedServer starts a server that sends the same bytes in response to each request. If end is set, it closes
 // the connection after the first response.
-func says(t testing.TB, answer string, end bool) *standIn {
-	return newStandIn(t, func(s *standIn, _ int, c net.Conn, br *bufio.Reader) {
+func newFixedServer(t testing.TB, answer string, end bool) *testServer {
+	return newTestServer(t, func(s *testServer, _ int, c net.Conn, br *bufio.Reader) {
 		for s.next(br) != nil {
 			if _, _ = io.WriteString(c, answer); end {
 				return
@@ -305,8 +305,8 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			srv := says(t, "HTTP/1.1 200 Fine\r\nX-Try: 1\r\nX-Seal: s\r\nX-Two: a\r\nX-Two: b\r\nConnection: X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=9\r\nContent-Length: 4\r\n\r\n\x00\xff\r\n", false)
-			b := relayFor(t, &script{to: []string{srv.addr()}}, RelayOptions{})
+			srv := newFixedServer(t, "HTTP/1.1 200 Fine\r\nX-Try: 1\r\nX-Seal: s\r\nX-Two: a\r\nX-Two: b\r\nConnection: X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=9\r\nContent-Length: 4\r\n\r\n\x00\xff\r\n", false)
+			b := newRelayFixture(t, &scriptedDecider{addrs: []string{srv.addr()}}, RelayOptions{})
 			cl := b.dial(t)
 			cl.send(c.send)
 			a, body, err := cl.answer(c.method)
@@ -343,7 +343,7 @@
 		{"head", "HEAD", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 12\r\n\r\n", 200, ""},
 		{"no content", "GET", "HTTP/1.1 204 No Content\r\nX-Try: 1\r\nX-Seal: s\r\n\r\n", 204, ""},
 		{"chunks", "GET", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", 200, "abc"},
-		{"big", "GET", plain("1", big), 200, big},
+		{"big", "GET", sealedResponse("1", big), 200, big},
 		{"big in chunks", "GET", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(big) + "0\r\n\r\n", 200, big},
 		{"redirect", "GET", "HTTP/1.1 302 Found\r\nX-Try: 1\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n", 302, ""},
 		{"server's 404", "GET", "HTTP/1.1 404 Not Found\r\nX-Try: 1\r\nContent-Length: 2\r\n\r\nno", 404, "no"},
@@ -352,8 +352,8 @@
 		{"encoded", "GET", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Encoding: gzip\r\nContent-Length: 3\r\n\r\nabc", 200, "abc"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			srv := says(t, c.answer, false)
-			b := relayFor(t, &script{to: []string{srv.addr()}}, RelayOptions{})
+			srv := newFixedServer(t, c.answer, false)
+			b := newRelayFixture(t, &scriptedDecider{addrs: []string{srv.addr()}}, RelayOptions{})
 			cl := b.dial(t)
 			for range 2 { // the second request reuses the connections
 				cl.send(c.method + " / HTTP/1.1\r\nHost: h\r\nX-Try: 1\r\n\r\n")
@@ -368,8 +368,8 @@
 					require.Equal(t, "12", a.Header.Get("Content-Length"))
 				}
 			}
-			b.settled(t)
-			require.Equal(t, []End{Done, Done}, b.hows())
+			b.requireOneEnd(t)
+			require.Equal(t, []Outcome{Done, Done}, b.attemptEnds())
 			require.Equal(t, 1, srv.accepted())
 		})
 	}
@@ -377,44 +377,44 @@
 
 // For each behavior of a server: the outcomes of the attempts and the client's response.
 func TestRelayEnds(t *testing.T) {
-	good := plain("1", "good")
+	good := sealedResponse("1", "good")
 	notRun := "HTTP/1.1 503 Full\r\nX-Try: 1\r\nX-Not-Run: busy\r\nContent-Length: 4\r\n\r\nfull"
 	for _, c := range []struct {
 		name   string
 		first  string // response of the first server, which then closes the connection
 		again  bool
-		ends   []End
+		ends   []Outcome
 		status int
 		body   string // of a server's response
 	}{
-		{"not run", notRun, false, []End{Dropped, Done}, 200, "good"},
-		{"broken before the head", "", false, []End{Lost}, 502, ""},
-		{"broken before the head, repeatable", "", true, []End{Lost, Done}, 200, "good"},
-		{"broken head", "HTTP/1.1 200 OK\r\nX-T", false, []End{Lost}, 502, ""},
-		{"broken body", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 9\r\n\r\nhalf", false, []End{Lost}, 502, ""},
-		{"broken body, repeatable", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 9\r\n\r\nhalf", true, []End{Lost, Done}, 200, "good"},
-		{"broken chunks, repeatable", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", true, []End{Lost, Done}, 200, "good"},
-		{"not HTTP", "\x16\x03\x01 what is this?\r\n\r\n", false, []End{Lost}, 502, ""},
-		{"not HTTP, repeatable", "\x16\x03\x01 what is this?\r\n\r\n", true, []End{Lost, Done}, 200, "good"},
-		{"two lengths", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 4\r\nContent-Length: 2\r\n\r\nhalf", false, []End{Lost}, 502, ""},
-		{"other protocol", "HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n", false, []End{Lost}, 502, ""},
-		{"no seal", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nContent-Length: 4\r\n\r\nfake", false, []End{Lost}, 502, ""},
-		{"other id", plain("2", "not yours"), false, []End{Lost}, 502, ""},
-		{"other id, repeatable", plain("2", "not yours"), true, []End{Lost, Done}, 200, "good"},
-		{"no id", "HTTP/1.1 200 OK\r\nX-Seal: s\r\nContent-Length: 9\r\n\r\nnot yours", false, []End{Lost}, 502, ""},
-		{"not run, other id", strings.Replace(notRun, "X-Try: 1", "X-Try: 2", 1), false, []End{Lost}, 502, ""},
-		{"one surplus response first", plain("2", "not yours") + plain("1", "mine"), false, []End{Done}, 200, "mine"},
-		{"two surplus responses first", plain("2", "not yours") + plain("3", "nor this") + plain("1", "mine"), false, []End{Done}, 200, "mine"},
-		{"three surplus responses first", plain("2", "x") + plain("3", "x") + plain("4", "x") + plain("1", "mine"), false, []End{Lost}, 502, ""},
-		{"surplus response after it", plain("1", "mine") + plain("2", "not yours"), false, []End{Done}, 200, "mine"},
-		{"server's 500", "HTTP/1.1 500 Oops\r\nX-Try: 1\r\nContent-Length: 2\r\n\r\nno", false, []End{Done}, 500, "no"},
-		{"server's 500, repeatable", "HTTP/1.1 500 Oops\r\nX-Try: 1\r\nContent-Length: 2\r\n\r\nno", true, []End{Lost, Done}, 200, "good"},
-		{"503 without proof", "HTTP/1.1 503 Full\r\nX-Try: 1\r\nContent-Length: 2\r\n\r\nno", false, []End{Lost}, 502, ""},
-		{"429 without proof", "HTTP/1.1 429 Full\r\nX-Try: 1\r\nContent-Length: 2\r\n\r\nno", false, []End{Lost}, 502, ""},
+		{"not run", notRun, false, []Outcome{Dropped, Done}, 200, "good"},
+		{"broken before the head", "", false, []Outcome{Lost}, 502, ""},
+		{"broken before the head, repeatable", "", true, []Outcome{Lost, Done}, 200, "good"},
+		{"broken head", "HTTP/1.1 200 OK\r\nX-T", false, []Outcome{Lost}, 502, ""},
+		{"broken body", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 9\r\n\r\nhalf", false, []Outcome{Lost}, 502, ""},
+		{"broken body, repeatable", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 9\r\n\r\nhalf", true, []Outcome{Lost, Done}, 200, "good"},
+		{"broken chunks, repeatable", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", true, []Outcome{Lost, Done}, 200, "good"},
+		{"not HTTP", "\x16\x03\x01 what is this?\r\n\r\n", false, []Outcome{Lost}, 502, ""},
+		{"not HTTP, repeatable", "\x16\x03\x01 what is this?\r\n\r\n", true, []Outcome{Lost, Done}, 200, "good"},
+		{"two lengths", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 4\r\nContent-Length: 2\r\n\r\nhalf", false, []Outcome{Lost}, 502, ""},
+		{"other protocol", "HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n", false, []Outcome{Lost}, 502, ""},
+		{"no seal", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nContent-Length: 4\r\n\r\nfake", false, []Outcome{Lost}, 502, ""},
+		{"other id", sealedResponse("2", "not yours"), false, []Outcome{Lost}, 502, ""},
+		{"other id, repeatable", sealedResponse("2", "not yours"), true, []Outcome{Lost, Done}, 200, "good"},
+		{"no id", "HTTP/1.1 200 OK\r\nX-Seal: s\r\nContent-Length: 9\r\n\r\nnot yours", false, []Outcome{Lost}, 502, ""},
+		{"not run, other id", strings.Replace(notRun, "X-Try: 1", "X-Try: 2", 1), false, []Outcome{Lost}, 502, ""},
+		{"one surplus response first", sealedResponse("2", "not yours") + sealedResponse("1", "mine"), false, []Outcome{Done}, 200, "mine"},
+		{"two surplus responses first", sealedResponse("2", "not yours") + sealedResponse("3", "nor this") + sealedResponse("1", "mine"), false, []Outcome{Done}, 200, "mine"},
+		{"three surplus responses first", sealedResponse("2", "x") + sealedResponse("3", "x") + sealedResponse("4", "x") + sealedResponse("1", "mine"), false, []Outcome{Lost}, 502, ""},
+		{"surplus response after it", sealedResponse("1", "mine") + sealedResponse("2", "not yours"), false, []Outcome{Done}, 200, "mine"},
+		{"server's 500", "HTTP/1.1 500 Oops\r\nX-Try: 1\r\nContent-Length: 2\r\n\r\nno", false, []Outcome{Done}, 500, "no"},
+		{"server's 500, repeatable", "HTTP/1.1 500 Oops\r\nX-Try: 1\r\nContent-Length: 2\r\n\r\nno", true, []Outcome{Lost, Done}, 200, "good"},
+		{"503 without proof", "HTTP/1.1 503 Full\r\nX-Try: 1\r\nContent-Length: 2\r\n\r\nno", false, []Outcome{Lost}, 502, ""},
+		{"429 without proof", "HTTP/1.1 429 Full\r\nX-Try: 1\r\nContent-Length: 2\r\n\r\nno", false, []Outcome{Lost}, 502, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			first, second := says(t, c.first, true), says(t, good, false)
-			b := relayFor(t, &script{to: []string{first.addr(), second.addr()}, again: c.again}, RelayOptions{})
+			first, second := newFixedServer(t, c.first, true), newFixedServer(t, good, false)
+			b := newRelayFixture(t, &scriptedDecider{addrs: []string{first.addr(), second.addr()}, repeatable: c.again}, RelayOptions{})
 			cl := b.dial(t)
 			cl.send(get("1"))
 			a, body, err := cl.answer("GET")
@@ -427,8 +427,8 @@
 				require.Contains(t, body, `"kind":"unclear"`)
 				require.NotContains(t, body, "yours")
 			}
-			b.settled(t)
-			require.Equal(t, c.ends, b.hows())
+			b.requireOneEnd(t)
+			require.Equal(t, c.ends, b.attemptEnds())
 			require.Len(t, first.requests(), 1)
 			require.Equal(t, len(c.ends)-1, len(second.requests()))
 			if len(c.ends) > 1 {
@@ -440,16 +440,16 @@
 
 // An unreachable server and a denied send both leave the request unsent.
 func TestRelayNotSent(t *testing.T) {
-	srv := says(t, plain("1", "good"), false)
-	b := relayFor(t, &script{to: []string{"127.0.0.1:1", srv.addr(), srv.addr()}, deniedSends: 1}, RelayOptions{})
+	srv := newFixedServer(t, sealedResponse("1", "good"), false)
+	b := newRelayFixture(t, &scriptedDecider{addrs: []string{"127.0.0.1:1", srv.addr(), srv.addr()}, deniedSends: 1}, RelayOptions{})
 	cl := b.dial(t)
 	cl.send(get("1"))
 	a, body, err := cl.answer("GET")
 	require.NoError(t, err)
 	require.Equal(t, 200, a.StatusCode)
 	require.Equal(t, "good", body)
-	b.settled(t)
-	require.Equal(t, []End{Unsent, Kept, Done}, b.hows())
+	b.requireOneEnd(t)
+	require.Equal(t, []Outcome{Unsent, Kept, Done}, b.attemptEnds())
 	require.Len(t, srv.requests(), 1)
 	require.Equal(t, 1, srv.accepted(), "the unused connection is reused")
 
@@ -462,16 +462,16 @@
 
 // Responses generated by the router follow failure.Responses, with a fractional Retry-After.
 func TestRelayReceipts(t *testing.T) {
-	for k, want := range failure.Receipts {
+	for k, want := range failure.Responses {
 		t.Run(string(k), func(t *testing.T) {
-			b := relayFor(t, &script{refuse: &Receipt{Kind: k, Back: 250 * time.Millisecond}}, RelayOptions{})
+			b := newRelayFixture(t, &scriptedDecider{refuse: &Refusal{Kind: k, RetryAfter: 250 * time.Millisecond}}, RelayOptions{})
 			cl := b.dial(t)
 			cl.send(get("1"))
 			a, body, err := cl.answer("GET")
 			require.NoError(t, err)
 			require.Equal(t, want.Status, a.StatusCode)
 			require.Equal(t, "0.25", a.Header.Get("Retry-After"))
-			require.Contains(t, body, fmt.Sprintf(`"dropped":%t`, want.Dropped))
+			require.Contains(t, body, fmt.Sprintf(`"dropped":%t`, want.NotExecuted))
 			require.NotContains(t, a.Header, "X-Seal")
 		})
 	}
@@ -479,13 +479,13 @@
 
 // Many requests share one connection, and a stale connection is not reused.
 func TestRelayReuse(t *testing.T) {
-	srv := newStandIn(t, func(s *standIn, _ int, c net.Conn, br *bufio.Reader) {
+	srv := newTestServer(t, func(s *testServer, _ int, c net.Conn, br *bufio.Reader) {
 		for {
 			q := s.next(br)
 			if q == nil {
 				return
 			}
-			_, _ = io.WriteString(c, plain(q.Header.Get("X-Try"), "good"))
+			_, _ = io.WriteString(c, sealedResponse(q.Header.Get("X-Try"), "good"))
 			if len(s.requests()) == 5 {
 				return // closes the connection while it is idle
 			}
@@ -495,7 +495,7 @@
 	for range 10 {
 		to = append(to, srv.addr())
 	}
-	b := relayFor(t, &script{to: to}, RelayOptions{})
+	b := newRelayFixture(t, &scriptedDecider{addrs: to}, RelayOptions{})
 	cl := b.dial(t)
 	for i := range 10 {
 		if i == 5 {
@@ -504,7 +504,7 @@
 				defer b.relay.conns.mu.Unlock()
 				l := b.relay.conns.idle[endpoint{"s0", srv.addr()}]
 				return len(l) == 1 && !l[0].reusable()
-			}, soon, time.Millisecond)
+			}, testTimeout, time.Millisecond)
 		}
 		cl.send(get(fmt.Sprint("id", i)))
 		a, body, err := cl.answer("GET")
@@ -518,13 +518,13 @@
 
 // The relay never resends a request on its own when a reused connection breaks.
 func TestRelayDoesNotResend(t *testing.T) {
-	srv := newStandIn(t, func(s *standIn, n int, c net.Conn, br *bufio.Reader) {
+	srv := newTestServer(t, func(s *testServer, n int, c net.Conn, br *bufio.Reader) {
 		if s.next(br) != nil {
-			_, _ = io.WriteString(c, plain("1", "good"))
+			_, _ = io.WriteString(c, sealedResponse("1", "good"))
 		}
 		s.next(br) // closes the connection without a response
 	})
-	b := relayFor(t, &script{to: []string{srv.addr()}}, RelayOptions{})
+	b := newRelayFixture(t, &scriptedDecider{addrs: []string{srv.addr()}}, RelayOptions{})
 	cl := b.dial(t)
 	for _, want := range []int{200, 502} {
 		cl.send(get("1"))
@@ -532,29 +532,29 @@
 		require.NoError(t, err)
 		require.Equal(t, want, a.StatusCode)
 	}
-	require.Equal(t, []End{Done, Lost}, b.hows())
+	require.Equal(t, []Outcome{Done, Lost}, b.attemptEnds())
 	require.Len(t, srv.requests(), 2)
 }
 
 // A response after the request's deadline is lost, and none of its bytes reach a client.
 func TestRelayResponseAfterDeadline(t *testing.T) {
 	unblock := make(chan struct{})
-	srv := newStandIn(t, func(s *standIn, n int, c net.Conn, br *bufio.Reader) {
+	srv := newTestServer(t, func(s *testServer, n int, c net.Conn, br *bufio.Reader) {
 		for s.next(br) != nil {
 			if n == 0 {
 				<-unblock
 			}
-			_, _ = io.WriteString(c, plain("1", "good"))
+			_, _ = io.WriteString(c, sealedResponse("1", "good"))
 		}
 	})
 	t.Cleanup(func() { close(unblock) })
-	b := relayFor(t, &script{to: []string{srv.addr()}, left: 50 * time.Millisecond}, RelayOptions{Slack: 10 * time.Millisecond})
+	b := newRelayFixture(t, &scriptedDecider{addrs: []string{srv.addr()}, timeLeft: 50 * time.Millisecond}, RelayOptions{Slack: 10 * time.Millisecond})
 	cl := b.dial(t)
 	cl.send(get("1"))
 	a, _, err := cl.answer("GET")
 	require.NoError(t, err)
 	require.Equal(t, 502, a.StatusCode)
-	require.Equal(t, []End{Lost}, b.hows())
+	require.Equal(t, []Outcome{Lost}, b.attemptEnds())
 }
 
 // Request bodies that are too long, truncated or too slow are refused.
@@ -573,12 +573,12 @@
 		{"bad chunks", "Transfer-Encoding: chunked\r\n\r\nzz\r\n0123", false, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			srv := says(t, plain("1", "good"), false)
+			srv := newFixedServer(t, sealedResponse("1", "good"), false)
 			o := RelayOptions{BodyLimits: limits}
 			if c.halfClose {
-				o.BodyLimits = func() (int64, time.Duration) { return 10, soon }
+				o.BodyLimits = func() (int64, time.Duration) { return 10, testTimeout }
 			}
-			b := relayFor(t, &script{to: []string{srv.addr()}}, o)
+			b := newRelayFixture(t, &scriptedDecider{addrs: []string{srv.addr()}}, o)
 			cl := b.dial(t)
 			cl.send("POST / HTTP/1.1\r\nHost: h\r\nX-Try: 1\r\n" + c.send)
 			if c.halfClose {
@@ -613,8 +613,8 @@
 	} {
 		for _, split := range []int{1 << 20, 1, 7} {
 			t.Run(fmt.Sprint(c.name, " ", split), func(t *testing.T) {
-				srv := says(t, plain("1", "good"), false)
-				b := relayFor(t, &script{to: []string{srv.addr()}}, RelayOptions{})
+				srv := newFixedServer(t, sealedResponse("1", "good"), false)
+				b := newRelayFixture(t, &scriptedDecider{addrs: []string{srv.addr()}}, RelayOptions{})
 				cl := b.dial(t)
 				s := "POST / HTTP/1.1\r\nHost: h\r\nX-Try: 1\r\n" + c.head + "\r\n" + c.body
 				for len(s) > 0 {
@@ -636,8 +636,8 @@
 	}
 
 	t.Run("HTTP/1.0 with chunks", func(t *testing.T) {
-		srv := says(t, plain("1", "good"), false)
-		b := relayFor(t, &script{to: []string{srv.addr()}}, RelayOptions{})
+		srv := newFixedServer(t, sealedResponse("1", "good"), false)
+		b := newRelayFixture(t, &scriptedDecider{addrs: []string{srv.addr()}}, RelayOptions{})
 		cl := b.dial(t)
 		cl.send("POST / HTTP/1.0\r\nHost: h\r\nX-Try: 1\r\nConnection: keep-alive\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden)
 		a, _, err := cl.answer("POST")
@@ -649,15 +649,15 @@
 	})
 
 	t.Run("chunks after chunks", func(t *testing.T) {
-		srv := says(t, plain("1", "good"), false)
-		b := relayFor(t, &script{to: []string{srv.addr()}}, RelayOptions{})
+		srv := newFixedServer(t, sealedResponse("1", "good"), false)
+		b := newRelayFixture(t, &scriptedDecider{addrs: []string{srv.addr()}}, RelayOptions{})
 		cl := b.dial(t)
 		for i := range 3 {
 			cl.send("POST / HTTP/1.1\r\nHost: h\r\nX-Try: 1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n")
 			a, _, err := cl.answer("POST")
 			require.NoError(t, err)
 			require.Equal(t, 200, a.StatusCode, i)
-			b.settled(t)
+			b.requireOneEnd(t)
 		}
 		require.Equal(t, []string{"ab", "ab", "ab"}, srv.bodies())
 	})
@@ -677,7 +677,7 @@
 	for _, resume := range []bool{false, true} {
 		t.Run(fmt.Sprint(resume), func(t *testing.T) {
 			step := make(chan struct{})
-			srv := newStandIn(t, func(s *standIn, _ int, c net.Conn, br *bufio.Reader) {
+			srv := newTestServer(t, func(s *testServer, _ int, c net.Conn, br *bufio.Reader) {
 				for s.next(br) != nil {
 					writeAll(c, fmt.Sprintf(streamHead, "s"))
 					for i := 1; i <= 3; i++ {
@@ -687,7 +687,7 @@
 					writeAll(c, chunk("data: last\n\n"), "0\r\n\r\n")
 				}
 			})
-			b := relayFor(t, &script{to: []string{srv.addr()}, resume: resume}, RelayOptions{})
+			b := newRelayFixture(t, &scriptedDecider{addrs: []string{srv.addr()}, resumable: resume}, RelayOptions{})
 			cl := b.dial(t)
 			for range 2 {
 				cl.send(get("1"))
@@ -704,10 +704,10 @@
 				rest, err := io.ReadAll(a.Body)
 				require.NoError(t, err)
 				require.Equal(t, "data: last\n\n", string(rest))
-				b.settled(t)
+				b.requireOneEnd(t)
 				b.nextServer[1], b.nextServer[2] = 0, 0
 			}
-			require.Equal(t, []End{Done, Done}, b.hows())
+			require.Equal(t, []Outcome{Done, Done}, b.attemptEnds())
 			require.Len(t, b.begun, 2)
 			require.Equal(t, 1, srv.accepted())
 		})
@@ -731,29 +731,29 @@
 		name          string
 		resume        bool
 		first, second string
-		ends          []End
+		ends          []Outcome
 		body          string
 		whole         bool
 	}{
-		{"truncated, not resumable", false, cut, rest(3, 4), []End{Split}, event(1) + event(2) + "id: 3\ndata: pie", false},
-		{"not terminated, not resumable", false, head + chunk(event(1)), rest(2), []End{Split}, event(1), false},
-		{"close-delimited, not resumable", false, "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Type: text/event-stream\r\n\r\n" + event(1), rest(2), []End{Split}, event(1), false},
-		{"shorter than its length, not resumable", false, "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Type: text/event-stream\r\nContent-Length: 999\r\n\r\n" + event(1), rest(2), []End{Split}, event(1), false},
-		{"resumed", true, cut, rest(3, 4), []End{Split, Done}, all, true},
-		{"resumed with earlier events repeated", true, cut, rest(1, 2, 3, 4), []End{Split, Done}, all, true},
-		{"resumed after an incomplete event", true, head + chunk(event(1)[:4]) + chunk(event(1)[4:]+event(2)) + chunk("id: 3\n"), rest(3, 4), []End{Split, Done}, all, true},
-		{"resumed with unnumbered events", true, cut, fmt.Sprintf(streamHead, "o") + chunk(": hello\n\n"+event(3)) + chunk(event(4)+"data: end\n\n") + "0\r\n\r\n", []End{Split, Done}, event(1) + event(2) + ": hello\n\n" + event(3) + event(4) + "data: end\n\n", true},
-		{"resumed with no further numbered event", true, cut, fmt.Sprintf(streamHead, "o") + chunk(event(2)) + chunk("data: end\n\n") + "0\r\n\r\n", []End{Split, Done}, event(1) + event(2) + "data: end\n\n", true},
-		{"resumed with a gap", true, cut, rest(4), []End{Split, Lost}, event(1) + event(2), false},
-		{"resumed without a stream", true, cut, plain("1", event(3)), []End{Split, Lost}, event(1) + event(2), false},
-		{"resumed without a seal", true, cut, strings.Replace(rest(3, 4), "X-Seal: other", "X-Unsealed: x", 1), []End{Split, Lost}, event(1) + event(2), false},
-		{"resumed with a failure", true, cut, "HTTP/1.1 500 Oops\r\nX-Try: 1\r\nContent-Length: 0\r\n\r\n", []End{Split, Lost}, event(1) + event(2), false},
-		{"resumption not run", true, cut, "HTTP/1.1 503 Full\r\nX-Try: 1\r\nX-Not-Run: busy\r\nContent-Length: 0\r\n\r\n", []End{Split, Dropped}, event(1) + event(2), false},
-		{"truncated twice", true, cut, fmt.Sprintf(streamHead, "o") + chunk(event(3)), []End{Split, Split}, event(1) + event(2) + event(3), false},
+		{"truncated, not resumable", false, cut, rest(3, 4), []Outcome{Split}, event(1) + event(2) + "id: 3\ndata: pie", false},
+		{"not terminated, not resumable", false, head + chunk(event(1)), rest(2), []Outcome{Split}, event(1), false},
+		{"close-delimited, not resumable", false, "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Type: text/event-stream\r\n\r\n" + event(1), rest(2), []Outcome{Split}, event(1), false},
+		{"shorter than its length, not resumable", false, "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Type: text/event-stream\r\nContent-Length: 999\r\n\r\n" + event(1), rest(2), []Outcome{Split}, event(1), false},
+		{"resumed", true, cut, rest(3, 4), []Outcome{Split, Done}, all, true},
+		{"resumed with earlier events repeated", true, cut, rest(1, 2, 3, 4), []Outcome{Split, Done}, all, true},
+		{"resumed after an incomplete event", true, head + chunk(event(1)[:4]) + chunk(event(1)[4:]+event(2)) + chunk("id: 3\n"), rest(3, 4), []Outcome{Split, Done}, all, true},
+		{"resumed with unnumbered events", true, cut, fmt.Sprintf(streamHead, "o") + chunk(": hello\n\n"+event(3)) + chunk(event(4)+"data: end\n\n") + "0\r\n\r\n", []Outcome{Split, Done}, event(1) + event(2) + ": hello\n\n" + event(3) + event(4) + "data: end\n\n", true},
+		{"resumed with no further numbered event", true, cut, fmt.Sprintf(streamHead, "o") + chunk(event(2)) + chunk("data: end\n\n") + "0\r\n\r\n", []Outcome{Split, Done}, event(1) + event(2) + "data: end\n\n", true},
+		{"resumed with a gap", true, cut, rest(4), []Outcome{Split, Lost}, event(1) + event(2), false},
+		{"resumed without a stream", true, cut, sealedResponse("1", event(3)), []Outcome{Split, Lost}, event(1) + event(2), false},
+		{"resumed without a seal", true, cut, strings.Replace(rest(3, 4), "X-Seal: other", "X-Unsealed: x", 1), []Outcome{Split, Lost}, event(1) + event(2), false},
+		{"resumed with a failure", true, cut, "HTTP/1.1 500 Oops\r\nX-Try: 1\r\nContent-Length: 0\r\n\r\n", []Outcome{Split, Lost}, event(1) + event(2), false},
+		{"resumption not run", true, cut, "HTTP/1.1 503 Full\r\nX-Try: 1\r\nX-Not-Run: busy\r\nContent-Length: 0\r\n\r\n", []Outcome{Split, Dropped}, event(1) + event(2), false},
+		{"truncated twice", true, cut, fmt.Sprintf(streamHead, "o") + chunk(event(3)), []Outcome{Split, Split}, event(1) + event(2) + event(3), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			first, second := says(t, c.first, true), says(t, c.second, true)
-			b := relayFor(t, &script{to: []string{first.addr(), second.addr()}, resume: c.resume}, RelayOptions{})
+			first, second := newFixedServer(t, c.first, true), newFixedServer(t, c.second, true)
+			b := newRelayFixture(t, &scriptedDecider{addrs: []string{first.addr(), second.addr()}, resumable: c.resume}, RelayOptions{})
 			cl := b.dial(t)
 			cl.send(get("1"))
 			a, body, err := cl.answer("GET")
@@ -761,8 +761,8 @@
 			require.Equal(t, c.whole, err == nil)
 			require.Equal(t, c.body, body)
 			require.Equal(t, "s", a.Header.Get("X-Seal"))
-			b.settled(t)
-			require.Equal(t, c.ends, b.hows())
+			b.requireOneEnd(t)
+			require.Equal(t, c.ends, b.attemptEnds())
 			if len(c.ends) > 1 {
 				require.Equal(t, "2", second.requests()[0].Header.Get("X-After"))
 			} else {
@@ -775,8 +775,8 @@
 // A stream that breaks before its first event counts as an attempt without a response.
 func TestRelayStreamEarly(t *testing.T) {
 	for _, again := range []bool{false, true} {
-		first, second := says(t, fmt.Sprintf(streamHead, "s"), true), says(t, fmt.Sprintf(streamHead, "o")+chunk(event(1))+"0\r\n\r\n", false)
-		b := relayFor(t, &script{to: []string{first.addr(), second.addr()}, again: again}, RelayOptions{})
+		first, second := newFixedServer(t, fmt.Sprintf(streamHead, "s"), true), newFixedServer(t, fmt.Sprintf(streamHead, "o")+chunk(event(1))+"0\r\n\r\n", false)
+		b := newRelayFixture(t, &scriptedDecider{addrs: []string{first.addr(), second.addr()}, repeatable: again}, RelayOptions{})
 		cl := b.dial(t)
 		cl.send(get("1"))
 		a, body, err := cl.answer("GET")
@@ -792,8 +792,8 @@
 
 // If no event was forwarded yet, a stream is resumed from the client's own position.
 func TestRelayResumesFromClientPosition(t *testing.T) {
-	first, second := says(t, fmt.Sprintf(streamHead, "s")+chunk(event(8))+chunk("id"), true), says(t, fmt.Sprintf(streamHead, "o")+chunk(event(9))+"0\r\n\r\n", false)
-	b := relayFor(t, &script{to: []string{first.addr(), second.addr()}, resume: true}, RelayOptions{})
+	first, second := newFixedServer(t, fmt.Sprintf(streamHead, "s")+chunk(event(8))+chunk("id"), true), newFixedServer(t, fmt.Sprintf(streamHead, "o")+chunk(event(9))+"0\r\n\r\n", false)
+	b := newRelayFixture(t, &scriptedDecider{addrs: []string{first.addr(), second.addr()}, resumable: true}, RelayOptions{})
 	cl := b.dial(t)
 	cl.send("GET / HTTP/1.1\r\nHost: h\r\nX-Try: 1\r\nX-After: 7\r\n\r\n")
 	_, body, err := cl.answer("GET")
@@ -806,16 +806,16 @@
 // A large response that breaks off after the client has received part of it is aborted visibly.
 func TestRelayBigBreaks(t *testing.T) {
 	for _, head := range []string{"Content-Length: 900000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x\r\n", 900000)} {
-		first, second := says(t, "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\n"+head+strings.Repeat("x", 500_000), true), says(t, plain("1", "good"), false)
-		b := relayFor(t, &script{to: []string{first.addr(), second.addr()}, again: true, resume: true}, RelayOptions{})
+		first, second := newFixedServer(t, "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\n"+head+strings.Repeat("x", 500_000), true), newFixedServer(t, sealedResponse("1", "good"), false)
+		b := newRelayFixture(t, &scriptedDecider{addrs: []string{first.addr(), second.addr()}, repeatable: true, resumable: true}, RelayOptions{})
 		cl := b.dial(t)
 		cl.send(get("1"))
 		_, body, err := cl.answer("GET")
 		require.Error(t, err)
 		require.NotContains(t, body, "good")
 		require.Empty(t, second.requests())
-		b.settled(t)
-		require.Equal(t, []End{Split}, b.hows())
+		b.requireOneEnd(t)
+		require.Equal(t, []Outcome{Split}, b.attemptEnds())
 		require.Len(t, b.quits, 1)
 	}
 }
@@ -832,14 +832,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			left := make(chan struct{})
 			reached := make(chan struct{})
-			srv := newStandIn(t, func(s *standIn, _ int, conn net.Conn, br *bufio.Reader) {
+			srv := newTestServer(t, func(s *testServer, _ int, conn net.Conn, br *bufio.Reader) {
 				s.next(br)
 				_, _ = io.WriteString(conn, c.answer)
 				close(reached)
 				_, _ = br.ReadByte() // until the relay closes the connection
 				close(left)
 			})
-			b := relayFor(t, &script{to: []string{srv.addr()}, again: true}, RelayOptions{})
+			b := newRelayFixture(t, &scriptedDecider{addrs: []string{srv.addr()}, repeatable: true}, RelayOptions{})
 			cl := b.dial(t)
 			cl.send(get("1"))
 			<-reached
@@ -849,28 +849,28 @@
 			}
 			_ = cl.Close()
 			<-left
-			b.settled(t)
+			b.requireOneEnd(t)
 			require.Len(t, b.quits, 1)
 			require.Empty(t, b.ends)
 		})
 	}
 	t.Run("while waiting", func(t *testing.T) {
-		silent := &mute{script: &script{}}
-		b := relayFor(t, silent.script, RelayOptions{})
-		silent.relay.Use(silent)
+		silent := &silentDecider{scriptedDecider: &scriptedDecider{}}
+		b := newRelayFixture(t, silent.scriptedDecider, RelayOptions{})
+		silent.relay.SetDecider(silent)
 		cl := b.dial(t)
 		cl.send(get("1"))
-		require.Eventually(t, func() bool { return b.relay.Open() == 1 }, soon, time.Millisecond)
+		require.Eventually(t, func() bool { return b.relay.InFlight() == 1 }, testTimeout, time.Millisecond)
 		_ = cl.Close()
-		b.settled(t)
+		b.requireOneEnd(t)
 		require.Len(t, b.quits, 1)
 	})
 }
 
 // silentDecider launches no attempts.
-type mute struct{ *script }
+type silentDecider struct{ *scriptedDecider }
 
-func (m *mute) Step(in any) {
+func (m *silentDecider) Step(in any) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if v, ok := in.(Quit); ok {
@@ -880,7 +880,7 @@
 
 // A client that stops reading is disconnected.
 func TestRelayClientStalls(t *testing.T) {
-	srv := newStandIn(t, func(s *standIn, _ int, c net.Conn, br *bufio.Reader) {
+	srv := newTestServer(t, func(s *testServer, _ int, c net.Conn, br *bufio.Reader) {
 		s.next(br)
 		writeAll(c, fmt.Sprintf(streamHead, "s"))
 		for i := 1; ; i++ {
@@ -889,13 +889,13 @@
 			}
 		}
 	})
-	b := relayFor(t, &script{to: []string{srv.addr()}, resume: true}, RelayOptions{WriteWait: 100 * time.Millisecond})
+	b := newRelayFixture(t, &scriptedDecider{addrs: []string{srv.addr()}, resumable: true}, RelayOptions{WriteTimeout: 100 * time.Millisecond})
 	cl := b.dial(t)
 	cl.send(get("1"))
 	b2 := make([]byte, 16)
 	_, err := io.ReadFull(cl, b2)
 	require.NoError(t, err)
-	b.settled(t)
+	b.requireOneEnd(t)
 	require.Len(t, b.quits, 1)
 }
 
@@ -903,7 +903,7 @@
 func TestRelayLeaksNoGoroutines(t *testing.T) {
 	before := runtime.NumGoroutine()
 	t.Run("mixed requests", func(t *testing.T) {
-		srv := newStandIn(t, func(s *standIn, n int, c net.Conn, br *bufio.Reader) {
+		srv := newTestServer(t, func(s *testServer, n int, c net.Conn, br *bufio.Reader) {
 			for k := n; ; k++ {
 				q := s.next(br)
 				if q == nil {
@@ -919,13 +919,13 @@
 				case 2:
 					_, _ = io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Try: "+id+"\r\nX-Not-Run: busy\r\nContent-Length: 0\r\n\r\n")
 				case 3:
-					_, _ = io.WriteString(c, plain("none", "surplus")+plain(id, "good"))
+					_, _ = io.WriteString(c, sealedResponse("none", "surplus")+sealedResponse(id, "good"))
 				default:
-					_, _ = io.WriteString(c, plain(id, "good"))
+					_, _ = io.WriteString(c, sealedResponse(id, "good"))
 				}
 			}
 		})
-		b := relayFor(t, &script{to: []string{srv.addr(), srv.addr(), srv.addr()}, again: true, resume: true}, RelayOptions{})
+		b := newRelayFixture(t, &scriptedDecider{addrs: []string{srv.addr(), srv.addr(), srv.addr()}, repeatable: true, resumable: true}, RelayOptions{})
 		var clients sync.WaitGroup
 		for w := range 8 {
 			clients.Add(1)
@@ -937,7 +937,7 @@
 						t.Error(err)
 						return
 					}
-					_ = c.SetDeadline(time.Now().Add(soon))
+					_ = c.SetDeadline(time.Now().Add(testTimeout))
 					id := fmt.Sprint(w, "-", i)
 					_, _ = io.WriteString(c, get(id))
 					if i%5 > 0 {
@@ -956,9 +956,9 @@
 			}()
 		}
 		clients.Wait()
-		b.settled(t)
+		b.requireOneEnd(t)
 	})
-	for end := time.Now().Add(soon); runtime.NumGoroutine() > before && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); runtime.NumGoroutine() > before && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	p := make([]byte, 1<<20)
@@ -969,7 +969,7 @@
 // lets requests in progress finish.
 func TestRelayStops(t *testing.T) {
 	unblock := make(chan struct{})
-	srv := newStandIn(t, func(s *standIn, n int, c net.Conn, br *bufio.Reader) {
+	srv := newTestServer(t, func(s *testServer, n int, c net.Conn, br *bufio.Reader) {
 		for {
 			q := s.next(br)
 			if q == nil {
@@ -978,11 +978,11 @@
 			if q.Header.Get("X-Try") == "slow" {
 				<-unblock
 			}
-			_, _ = io.WriteString(c, plain(q.Header.Get("X-Try"), "good"))
+			_, _ = io.WriteString(c, sealedResponse(q.Header.Get("X-Try"), "good"))
 		}
 	})
-	s := &script{to: []string{srv.addr()}}
-	b, readiness, stop, end := serveUntil(t, s, RelayServe{Lame: 2 * time.Second, Grace: soon})
+	s := &scriptedDecider{addrs: []string{srv.addr()}}
+	b, readiness, stop, end := serveUntil(t, s, RelayServer{LameDuck: 2 * time.Second, Grace: testTimeout})
 	ready := func() int {
 		c, err := net.Dial("tcp", readiness.Addr().String())
 		require.NoError(t, err)
@@ -995,7 +995,7 @@
 	require.Equal(t, 200, ready())
 	slow, kept := b.dial(t), b.dial(t)
 	slow.send(get("slow"))
-	require.Eventually(t, func() bool { return len(srv.requests()) == 1 }, soon, time.Millisecond)
+	require.Eventually(t, func() bool { return len(srv.requests()) == 1 }, testTimeout, time.Millisecond)
 	close(stop)
 	require.Equal(t, 503, ready())
 	for { // until responses close their connections
@@ -1013,36 +1013,36 @@
 			_ = c.Close()
 		}
 		return err != nil
-	}, soon, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 	close(unblock)
 	a, body, err := slow.answer("GET")
 	require.NoError(t, err)
 	require.Equal(t, "good", body)
 	require.True(t, a.Close)
 	require.NoError(t, <-end)
-	s.settled(t)
+	s.requireOneEnd(t)
 }
 
 // The relay works with the real core in its host.
 func TestRelayCore(t *testing.T) {
 	core := New(Options{Inc: 7})
 	r := NewRelay(RelayOptions{Dialect: fakeDialect{}})
-	c := host.New(host.Options{Core: core, Beat: 10 * time.Millisecond, Ring: host.NewRing("t", io.Discard), Else: r.Act})
-	r.Use(NewHostedDecider(c, core))
+	c := host.New(host.Options{Core: core, TickInterval: 10 * time.Millisecond, Log: host.NewLog("t", io.Discard), HandleOutput: r.Deliver})
+	r.SetDecider(NewHostedDecider(c, core))
 	require.NoError(t, c.Run())
 	t.Cleanup(c.Stop)
 	require.False(t, NewHostedDecider(c, core).MaySend(1, 1))
 	ref, ch, done := r.register()
 	defer done()
-	r.decider.Step(Call{Ref: ref, Call: fleetplan.Call{ID: "1", Wait: -1}})
-	require.Equal(t, failure.PastDue, (<-ch).(Receipt).Kind)
-	r.Act("an unknown output")
+	r.decider.Step(Call{Ref: ref, Request: fleetplan.Request{ID: "1", Horizon: -1}})
+	require.Equal(t, failure.PastDue, (<-ch).(Refusal).Kind)
+	r.Deliver("an unknown output")
 }
 
 // BenchmarkRelay measures small requests over reused connections, including the client and the server.
 func BenchmarkRelay(b *testing.B) {
-	answer := plain("1", strings.Repeat("x", 200))
-	srv := newStandIn(b, func(_ *standIn, _ int, c net.Conn, br *bufio.Reader) {
+	answer := sealedResponse("1", strings.Repeat("x", 200))
+	srv := newTestServer(b, func(_ *testServer, _ int, c net.Conn, br *bufio.Reader) {
 		for {
 			for {
 				l, err := br.ReadSlice('\n')
@@ -1056,8 +1056,8 @@
 			_, _ = io.WriteString(c, answer)
 		}
 	})
-	s := &script{to: []string{srv.addr()}}
-	x := relayFor(b, s, RelayOptions{})
+	s := &scriptedDecider{addrs: []string{srv.addr()}}
+	x := newRelayFixture(b, s, RelayOptions{})
 	c := x.dial(b)
 	p := make([]byte, 4096)
 	b.ReportAllocs()
--- a/internal/router/request_log.go
+++ b/internal/router/request_log.go
@@ -16,7 +16,7 @@
 // one attempt or were answered late. Operators look them up by the request's ID.
 type RequestLog struct {
 	router string
-	ring   *host.Ring // receives a line for each failed or late request; may be nil
+	ring   *host.Log // receives a line for each failed or late request; may be nil
 
 	mu      sync.Mutex // guards entries, next and counts
 	entries []LoggedRequest
@@ -35,7 +35,7 @@
 const defaultRequestLogSize = 2048
 
 // NewRequestLog creates the log of one router's requests.
-func NewRequestLog(router string, ring *host.Ring, size int) *RequestLog {
+func NewRequestLog(router string, ring *host.Log, size int) *RequestLog {
 	return &RequestLog{router: router, ring: ring, entries: make([]LoggedRequest, 0, size), counts: map[failure.Kind]uint64{}}
 }
 
@@ -107,10 +107,10 @@
 	if s := r.URL.Query().Get("last"); s != "" {
 		n, err := strconv.Atoi(s)
 		if err != nil || n < 1 || n > maxListed {
-			host.Error(w, failure.Malformed, 0, fleetplan.Faults{{Path: "last", Why: "must be an integer from 1 to 10000"}})
+			host.WriteError(w, failure.Malformed, 0, fleetplan.Faults{{Path: "last", Why: "must be an integer from 1 to 10000"}})
 			return
 		}
 		limit = n
 	}
-	host.JSON(w, http.StatusOK, map[string][]LoggedRequest{"requests": l.find(r.URL.Query().Get("id"), limit)})
+	host.WriteJSON(w, http.StatusOK, map[string][]LoggedRequest{"requests": l.find(r.URL.Query().Get("id"), limit)})
 }
--- a/internal/router/request_trace_test.go
+++ b/internal/router/request_trace_test.go
@@ -17,19 +17,19 @@
 // The trace of a failed request, found by its ID, contains the configuration, the lease, the servers and their
 // responses.
 func TestTraceOfAFailedRequest(t *testing.T) {
-	b := free(t, Options{})
-	b.entry("web|", "s1", "s2")
-	ref, l, _ := b.go1("/once/x", fleetplan.Call{ID: "a1"})
+	b := newHostedRouter(t, Options{})
+	b.deliverEntry("web|", "s1", "s2")
+	ref, l, _ := b.callPath("/once/x", fleetplan.Request{ID: "a1"})
 	require.True(t, b.MaySend(b.at, ref, l.N))
-	b.fund(5)
-	out := b.Step(b.at.Add(30e6), Ended{Ref: ref, N: l.N, How: Dropped, Kind: failure.Busy, Status: 503, Cause: CauseNone})
-	second, ok := pick[Launch](append(out, b.wait(time.Second)...))
+	b.setCredits(5)
+	out := b.Step(b.at.Add(30e6), Ended{Ref: ref, N: l.N, Outcome: Dropped, Kind: failure.Busy, Status: 503, Cause: CauseNone})
+	second, ok := findOutput[Launch](append(out, b.wait(time.Second)...))
 	require.True(t, ok)
 	require.True(t, b.MaySend(b.at, ref, second.N))
-	out = b.Step(b.at.Add(50e6), Ended{Ref: ref, N: second.N, How: Lost, Cause: CauseHead})
-	_, refused := pick[Receipt](out)
+	out = b.Step(b.at.Add(50e6), Ended{Ref: ref, N: second.N, Outcome: Lost, Cause: CauseHead})
+	_, refused := findOutput[Refusal](out)
 	require.True(t, refused)
-	trace, ok := pick[RequestTrace](out)
+	trace, ok := findOutput[RequestTrace](out)
 	require.True(t, ok)
 	require.Equal(t, EndedRefused, trace.End)
 	require.Equal(t, failure.Unclear, trace.Kind)
@@ -47,12 +47,12 @@
 func TestTraceNamesConfigurations(t *testing.T) {
 	first, second := hostPlan(nil), hostPlan(nil)
 	first.Name, second.Name = "55", "66"
-	b := free(t, Options{}, first, second)
-	b.entry("web|", "s1", "s2")
-	ref, l, _ := b.go1("/once/x", fleetplan.Call{ID: "a1"})
+	b := newHostedRouter(t, Options{}, first, second)
+	b.deliverEntry("web|", "s1", "s2")
+	ref, l, _ := b.callPath("/once/x", fleetplan.Request{ID: "a1"})
 	require.True(t, b.MaySend(b.at, ref, l.N))
-	b.replan(1)
-	trace, ok := pick[RequestTrace](b.Step(b.at, Ended{Ref: ref, N: l.N, How: Lost, Cause: CauseHead}))
+	b.deliverPlan(1)
+	trace, ok := findOutput[RequestTrace](b.Step(b.at, Ended{Ref: ref, N: l.N, Outcome: Lost, Cause: CauseHead}))
 	require.True(t, ok)
 	require.Equal(t, "66", trace.Plan)
 	require.EqualValues(t, 2, trace.Epoch)
@@ -61,16 +61,16 @@
 
 // A request served by its first attempt leaves no trace; one whose client disconnects does.
 func TestTraceOnlyUnusualRequests(t *testing.T) {
-	b := free(t, Options{})
-	b.entry("web|", "s1", "s2")
-	ref, l, _ := b.go1("/again/x", fleetplan.Call{})
+	b := newHostedRouter(t, Options{})
+	b.deliverEntry("web|", "s1", "s2")
+	ref, l, _ := b.callPath("/again/x", fleetplan.Request{})
 	require.True(t, b.MaySend(b.at, ref, l.N))
-	_, traced := pick[RequestTrace](b.Step(b.at, Ended{Ref: ref, N: l.N, How: Done}))
+	_, traced := findOutput[RequestTrace](b.Step(b.at, Ended{Ref: ref, N: l.N, Outcome: Done}))
 	require.False(t, traced)
-	ref, _, _ = b.go1("/again/x", fleetplan.Call{})
-	trace, traced := pick[RequestTrace](b.Step(b.at, Quit{ref}))
+	ref, _, _ = b.callPath("/again/x", fleetplan.Request{})
+	trace, traced := findOutput[RequestTrace](b.Step(b.at, Quit{ref}))
 	require.True(t, traced)
-	require.Equal(t, EndedLeft, trace.End)
+	require.Equal(t, EndedCallerLeft, trace.End)
 	require.Equal(t, CauseCaller, trace.Attempts[0].Cause)
 }
 
@@ -105,23 +105,23 @@
 
 // A repeated attempt is given the time that the client has left, not the initial time.
 func TestTimeLeftOnARepeat(t *testing.T) {
-	b := free(t, Options{})
-	b.entry("web|", "s1", "s2")
-	ref, first, _ := b.go1("/again/x", fleetplan.Call{Wait: 3e9})
+	b := newHostedRouter(t, Options{})
+	b.deliverEntry("web|", "s1", "s2")
+	ref, first, _ := b.callPath("/again/x", fleetplan.Request{Horizon: 3e9})
 	require.True(t, b.MaySend(b.at, ref, first.N))
-	b.fund(5)
+	b.setCredits(5)
 	b.at = b.at.Add(1e9)
-	second, ok := pick[Launch](b.Step(b.at, Ended{Ref: ref, N: first.N, How: Lost}))
+	second, ok := findOutput[Launch](b.Step(b.at, Ended{Ref: ref, N: first.N, Outcome: Lost}))
 	require.True(t, ok)
-	require.LessOrEqual(t, second.Left, first.Left-clock.Span(1e9))
+	require.LessOrEqual(t, second.Remaining, first.Remaining-clock.Span(1e9))
 }
 
 // A request that no configuration covers is answered within its time.
 func TestWaitsNoLongerThanItsTime(t *testing.T) {
-	b := &bed{Core: New(Options{Free: true}), at: 1e9}
-	_, refused := pick[Receipt](b.Step(b.at, Call{Ref: 1, Route: "/again/x", Call: fleetplan.Call{ID: "1", Host: "h", Wait: 2e9}}))
+	b := &testRouter{Core: New(Options{StatelessServers: true}), at: 1e9}
+	_, refused := findOutput[Refusal](b.Step(b.at, Call{Ref: 1, Route: "/again/x", Request: fleetplan.Request{ID: "1", Host: "h", Horizon: 2e9}}))
 	require.False(t, refused, "the request waits")
-	_, refused = pick[Receipt](b.wait(6 * time.Second))
+	_, refused = findOutput[Refusal](b.wait(6 * time.Second))
 	require.True(t, refused)
 }
 
@@ -133,15 +133,15 @@
 		cause        Cause
 	}{
 		{"closed at once", "", 0, CauseHead},
-		{"response to another request", plain("2", "x"), 0, CauseHead}, // skipped as surplus, and no other response follows
+		{"response to another request", sealedResponse("2", "x"), 0, CauseHead}, // skipped as surplus, and no other response follows
 		{"no ID", "HTTP/1.1 200 OK\r\nX-Seal: s\r\nContent-Length: 1\r\n\r\nx", 0, CauseForeign},
 		{"no seal", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nContent-Length: 1\r\n\r\nx", 200, CauseUnsealed},
 		{"too short", "HTTP/1.1 200 OK\r\nX-Try: 1\r\nX-Seal: s\r\nContent-Length: 9\r\n\r\nx", 200, CauseBody},
 		{"503 without proof", "HTTP/1.1 503 No\r\nX-Try: 1\r\nContent-Length: 0\r\n\r\n", 503, CauseStatus},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := &script{to: []string{says(t, c.answer, true).addr()}}
-			cl := relayFor(t, s, RelayOptions{}).dial(t)
+			s := &scriptedDecider{addrs: []string{newFixedServer(t, c.answer, true).addr()}}
+			cl := newRelayFixture(t, s, RelayOptions{}).dial(t)
 			cl.send(get("1"))
 			a, _, err := cl.answer("GET")
 			require.NoError(t, err)
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -42,9 +42,9 @@
 
 // Check returns the faults of the settings.
 func (s *Settings) Check() (f fleetplan.Faults) {
-	f = append(f, host.Addr("listen", s.Listen)...)
-	f = append(f, host.Near("control", s.Control)...)
-	f = append(f, host.Near("agent", s.Agent)...)
+	f = append(f, host.CheckAddr("listen", s.Listen)...)
+	f = append(f, host.CheckLoopbackAddr("control", s.Control)...)
+	f = append(f, host.CheckLoopbackAddr("agent", s.Agent)...)
 	if s.Cache < 1 || s.Cache > 1_000_000 {
 		f = append(f, fleetplan.Fault{Path: "cache", Why: "must be an integer from 1 to 1000000"})
 	}
@@ -83,10 +83,10 @@
 
 // Main runs a router until the process receives a stop signal.
 func Main(s Settings) error {
-	ring := host.NewRing(s.ID, os.Stderr)
+	ring := host.NewLog(s.ID, os.Stderr)
 	core := New(Options{
-		Me: protocol.Sibling{ID: ident.Node(s.ID), Addr: s.Control}, Inc: host.NewInc(),
-		Agent: protocol.Sibling{ID: "", Addr: s.Agent}, Cache: s.Cache, Ramp: clock.Span(s.RampMs) * 1e6,
+		Self: protocol.Peer{ID: ident.Node(s.ID), Addr: s.Control}, Inc: host.NewIncarnation(),
+		Agent: protocol.Peer{ID: "", Addr: s.Agent}, MaxEntries: s.Cache, Ramp: clock.Span(s.RampMs) * 1e6,
 	})
 	f := &frontend{dialer: host.Dialer(s.Listen, 500*time.Millisecond), core: core, stop: make(chan struct{}), idleTimeout: time.Duration(s.IdleMs) * time.Millisecond,
 		log: NewRequestLog(s.ID, ring, defaultRequestLogSize)}
@@ -98,19 +98,19 @@
 		defer recorder.Close()
 		f.recorder = recorder
 	}
-	f.process = host.New(host.Options{Core: core, Listen: []string{s.Control}, Beat: 10 * time.Millisecond, Ring: ring, Else: f.log.Intercept(f.Act)})
+	f.process = host.New(host.Options{Core: core, Listen: []string{s.Control}, TickInterval: 10 * time.Millisecond, Log: ring, HandleOutput: f.log.Intercept(f.Deliver)})
 	if err := f.process.Run(); err != nil {
 		return err
 	}
 	defer f.process.Stop()
-	return host.Web(s.Listen, f.routes(), ring, func() { close(f.stop) }, time.Duration(s.StopMs)*time.Millisecond)
+	return host.ServeUntilSignal(s.Listen, f.routes(), ring, func() { close(f.stop) }, time.Duration(s.StopMs)*time.Millisecond)
 }
 
 func (f *frontend) routes() http.Handler {
 	mux := flow.New()
-	host.Life(mux, "/-", func() (ok bool, fields map[string]any) {
-		f.process.With(func(now clock.Tick) {
-			_, epoch, held := f.core.Rules(now)
+	host.AddHealthEndpoints(mux, "/-", func() (ok bool, fields map[string]any) {
+		f.process.Locked(func(now clock.Instant) {
+			_, epoch, held := f.core.InForce(now)
 			fields, ok = map[string]any{"epoch": epoch}, held && epoch > 0
 		})
 		select {
@@ -141,20 +141,20 @@
 
 // metrics returns the handler of the router's metrics.
 func metrics(c *host.Process, core *Core, relay *Relay, log *RequestLog) http.Handler {
-	collectors := []prometheus.Collector{c.Times(), host.Tallies{Name: "router_requests", Get: func() any { return endCounts{log.Counts()} }}}
+	collectors := []prometheus.Collector{c.WorkTimes(), host.StructMetrics{Name: "router_requests", Read: func() any { return endCounts{log.Counts()} }}}
 	if relay != nil {
-		collectors = append(collectors, relay.requestSeconds, host.Tallies{Name: "relay", Get: func() any { return relay.Counts() }},
-			host.Tallies{Name: "connections", Get: func() any { return relay.Counts().ConnTally }})
+		collectors = append(collectors, relay.requestSeconds, host.StructMetrics{Name: "relay", Read: func() any { return relay.Counts() }},
+			host.StructMetrics{Name: "connections", Read: func() any { return relay.Counts().ConnTally }})
 	}
-	return host.Metrics(append(collectors, host.Tallies{Name: "router", Get: func() (t any) {
-		c.With(func(clock.Tick) { t = core.Counts() })
+	return host.MetricsHandler(append(collectors, host.StructMetrics{Name: "router", Read: func() (t any) {
+		c.Locked(func(clock.Instant) { t = core.Counts() })
 		return t
-	}}, host.Tallies{Name: "router", Get: func() any {
+	}}, host.StructMetrics{Name: "router", Read: func() any {
 		var values struct{ Entries, Waiting, Epoch, Leased, Parted int }
-		c.With(func(now clock.Tick) {
+		c.Locked(func(now clock.Instant) {
 			values.Entries, values.Waiting = core.Size()
-			_, epoch, held := core.Rules(now)
-			values.Epoch, values.Leased, values.Parted = int(epoch), generic.One(held), generic.One(core.partitioned)
+			_, epoch, held := core.InForce(now)
+			values.Epoch, values.Leased, values.Parted = int(epoch), generic.BoolToInt(held), generic.BoolToInt(core.partitioned)
 		})
 		return values
 	}})...)
@@ -162,13 +162,13 @@
 
 // serveCall handles one client's request from its arrival to the end of its response.
 func (f *frontend) serveCall(w http.ResponseWriter, r *http.Request) {
-	raw, ok := host.Body(w, r, fleetplan.MostBody)
+	raw, ok := host.ReadBody(w, r, fleetplan.MaxBodyBytes)
 	if !ok {
 		return
 	}
-	call, faults := fleetplan.ReadCall(raw)
+	call, faults := fleetplan.ReadRequest(raw)
 	if faults != nil {
-		host.Error(w, failure.Malformed, 0, faults)
+		host.WriteError(w, failure.Malformed, 0, faults)
 		return
 	}
 	call.Credential = fleetplan.ReadBearer(r.Header.Values("Authorization"))
@@ -177,7 +177,7 @@
 	if f.recorder != nil {
 		f.recorder.Add(r.URL.Path, call)
 	}
-	f.process.Step(Call{Ref: ref, Route: r.URL.Path, Call: call})
+	f.process.Step(Call{Ref: ref, Route: r.URL.Path, Request: call})
 	stream := &clientStream{w: w, control: http.NewResponseController(w), writeTimeout: f.idleTimeout}
 	for {
 		select {
@@ -185,7 +185,7 @@
 			f.abandon(ref)
 		case decision := <-decisions:
 			switch v := decision.(type) {
-			case Receipt:
+			case Refusal:
 				stream.writeRefusal(v)
 				return
 			case Launch:
@@ -193,7 +193,7 @@
 				if stream.clientGone || r.Context().Err() != nil {
 					f.abandon(ref)
 				}
-				f.process.Step(Ended{Ref: ref, N: v.N, How: how, Kind: kind})
+				f.process.Step(Ended{Ref: ref, N: v.N, Outcome: how, Kind: kind})
 				if how == Done {
 					return
 				}
@@ -212,7 +212,7 @@
 
 // runAttempt makes one attempt. It dials first, then asks immediately before sending whether the request may be
 // sent, and sends it on a connection of its own, so that the HTTP transport cannot silently resend it.
-func (f *frontend) runAttempt(ctx context.Context, v Launch, stream *clientStream) (End, failure.Kind) {
+func (f *frontend) runAttempt(ctx context.Context, v Launch, stream *clientStream) (Outcome, failure.Kind) {
 	conn, err := f.dialer.DialContext(ctx, "tcp", v.Addr)
 	if err != nil {
 		return Unsent, failure.None
@@ -230,7 +230,7 @@
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
 	allowed := false
-	f.process.With(func(now clock.Tick) { allowed = f.core.MaySend(now, v.Ref, v.N) })
+	f.process.Locked(func(now clock.Instant) { allowed = f.core.MaySend(now, v.Ref, v.N) })
 	if !allowed {
 		return Kept, failure.None
 	}
@@ -242,7 +242,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		var problem host.Problem
+		var problem host.ErrorBody
 		b, _ := io.ReadAll(io.LimitReader(resp.Body, 64<<10))
 		if json.Unmarshal(b, &problem) == nil && (problem.Dropped || problem.Kind == failure.Repeated) {
 			return Dropped, problem.Kind
@@ -259,7 +259,7 @@
 var streamReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxEventBytes) }}
 
 // StreamEvent is the part of an event that the router checks.
-type Line struct {
+type StreamEvent struct {
 	N      int          `json:"n"`
 	Go     string       `json:"go"`
 	Server ident.Server `json:"server"`
@@ -267,12 +267,12 @@
 }
 
 // IsNext reports whether an event is the next one of the attempt's own stream.
-func (l Line) Follows(v Launch, n int) bool {
-	return l.Go == v.Work.Go && l.Server == v.Server && l.N == n
+func (l StreamEvent) IsNext(v Launch, n int) bool {
+	return l.Go == v.Work.AttemptID && l.Server == v.Server && l.N == n
 }
 
 // relayStream forwards a server's events and checks that each is the next one of this attempt.
-func (f *frontend) relayStream(body io.Reader, v Launch, stream *clientStream) (End, failure.Kind) {
+func (f *frontend) relayStream(body io.Reader, v Launch, stream *clientStream) (Outcome, failure.Kind) {
 	reader := streamReaders.Get().(*bufio.Reader)
 	reader.Reset(body)
 	defer func() {
@@ -289,8 +289,8 @@
 		if !ok {
 			continue
 		}
-		var event Line
-		if json.Unmarshal(data, &event) != nil || !event.Follows(v, next) {
+		var event StreamEvent
+		if json.Unmarshal(data, &event) != nil || !event.IsNext(v, next) {
 			return Lost, failure.None
 		}
 		if next == 0 {
@@ -329,14 +329,14 @@
 
 // writeRefusal ends a response that no server has completed: with a status if nothing was sent yet, otherwise with
 // an error event.
-func (s *clientStream) writeRefusal(v Receipt) {
+func (s *clientStream) writeRefusal(v Refusal) {
 	_ = s.control.SetWriteDeadline(time.Now().Add(s.writeTimeout))
 	if !s.started {
-		host.Error(s.w, v.Kind, v.Back, nil)
+		host.WriteError(s.w, v.Kind, v.RetryAfter, nil)
 		return
 	}
-	receipt := failure.Receipts[v.Kind]
-	body, _ := json.Marshal(host.Problem{Kind: v.Kind, Dropped: receipt.Dropped, BackMs: v.Back.Milliseconds()})
+	receipt := failure.Responses[v.Kind]
+	body, _ := json.Marshal(host.ErrorBody{Kind: v.Kind, Dropped: receipt.NotExecuted, RetryAfterMs: v.RetryAfter.Milliseconds()})
 	_, _ = fmt.Fprintf(s.w, "event: error\ndata: %s\n\n", body)
 	if flusher, ok := s.w.(http.Flusher); ok {
 		flusher.Flush()
--- a/internal/router/serve_test.go
+++ b/internal/router/serve_test.go
@@ -28,12 +28,12 @@
 	core := New(Options{Inc: 7})
 	d := &frontend{dialer: host.Dialer("", time.Second), core: core, stop: make(chan struct{}), idleTimeout: idle}
 	d.log = NewRequestLog("t", nil, 16)
-	d.process = host.New(host.Options{Core: core, Beat: 10 * time.Millisecond, Ring: host.NewRing("t", io.Discard), Else: d.log.Intercept(d.Act)})
+	d.process = host.New(host.Options{Core: core, TickInterval: 10 * time.Millisecond, Log: host.NewLog("t", io.Discard), HandleOutput: d.log.Intercept(d.Deliver)})
 	require.NoError(t, d.process.Run())
 	t.Cleanup(d.process.Stop)
-	e := &protocol.Entry{Key: "m", Mark: 1, Replicas: []protocol.Replica{{Server: "s", Addr: strings.TrimPrefix(server, "http://"), Inc: 1, Slots: 8, Warm: 1e12}}}
-	d.process.Step(protocol.Env{Body: protocol.Hold{Session: ses, Until: host.Now().Add(time.Hour), Routers: 1}})
-	d.process.Step(protocol.Env{Body: protocol.News{Session: ses, Items: []protocol.Item{{Num: 1, Desired: &protocol.Desired{Gen: 1, Epoch: 1, Plan: []byte(plan)}}, {Num: 2, Entry: e}}}})
+	e := &protocol.Entry{Key: "m", Digest: 1, Replicas: []protocol.Replica{{Server: "s", Addr: strings.TrimPrefix(server, "http://"), Incarnation: 1, Slots: 8, ReadyFor: 1e12}}}
+	d.process.Step(protocol.Envelope{Body: protocol.RouterLease{Session: testSession, Until: host.Now().Add(time.Hour), Routers: 1}})
+	d.process.Step(protocol.Envelope{Body: protocol.Updates{Session: testSession, Items: []protocol.Update{{Num: 1, Desired: &protocol.Desired{Gen: 1, Epoch: 1, Plan: []byte(testPlan)}}, {Num: 2, Entry: e}}}})
 	s := httptest.NewServer(d.routes())
 	t.Cleanup(s.Close)
 	return d, s
@@ -63,13 +63,13 @@
 		{"unknown key", "/r", `{"id":"1","model":"m","kind":"k","x":1}`, 400, failure.Malformed},
 		{"duplicate key", "/r", `{"id":"1","id":"2","model":"m","kind":"k"}`, 400, failure.Malformed},
 		{"overflowing", "/r", `{"id":"1","model":"m","kind":"k","max_tokens":9223372036854775808}`, 400, failure.Malformed},
-		{"too large", "/r", `{"id":"` + strings.Repeat("x", fleetplan.MostBody) + `"}`, 413, failure.Oversize},
+		{"too large", "/r", `{"id":"` + strings.Repeat("x", fleetplan.MaxBodyBytes) + `"}`, 413, failure.Oversize},
 		{"no such route", "/q", testCall, 404, failure.NoRoute},
 		{"no such model", "/r", strings.Replace(testCall, `"m"`, `"z"`, 1), 404, failure.NoModel},
 		{"no such adapter", "/r", strings.Replace(testCall, `"kind"`, `"adapter":"z","kind"`, 1), 404, failure.NoModel},
 		{"no such kind", "/r", strings.Replace(testCall, `"k"`, `"z"`, 1), 400, failure.NoKind},
 		{"past its horizon", "/r", strings.Replace(testCall, `"kind"`, `"horizon_ms":0,"kind"`, 1), 400, failure.PastDue},
-		{"repeat without retry allowance", "/r", strings.Replace(testCall, `"kind"`, `"repeat":true,"kind"`, 1), 503, failure.Spent},
+		{"repeat without retry allowance", "/r", strings.Replace(testCall, `"kind"`, `"repeat":true,"kind"`, 1), 503, failure.AllowanceSpent},
 	} {
 		code, head, body := post(t, s.URL+c.path, c.body)
 		require.Equal(t, c.code, code, c.name)
@@ -87,10 +87,10 @@
 // a request twice.
 func TestStreams(t *testing.T) {
 	line := func(w http.ResponseWriter, r *http.Request, n int, more string) {
-		var g protocol.Work
+		var g protocol.ServerRequest
 		if n == 0 {
 			_ = decodeBody(r, &g)
-			w.Header().Set("X-Go", g.Go)
+			w.Header().Set("X-Go", g.AttemptID)
 		}
 		_, _ = fmt.Fprintf(w, "data: {\"n\":%d,\"go\":%q,\"server\":\"s\"%s}\n\n", n, w.Header().Get("X-Go"), more)
 		w.(http.Flusher).Flush()
@@ -136,14 +136,14 @@
 			line(w, r, 0, `,"done":true`)
 			line(w, r, 1, `,"text":"late"`)
 		}, 200, `"done":true`, "late", 1},
-		{"already run", func(w http.ResponseWriter, r *http.Request) { host.Error(w, failure.Repeated, 0, nil) }, 409, `"kind":"repeated","dropped":false`, "data:", 1},
+		{"already run", func(w http.ResponseWriter, r *http.Request) { host.WriteError(w, failure.Repeated, 0, nil) }, 409, `"kind":"repeated","dropped":false`, "data:", 1},
 		{"silent", func(w http.ResponseWriter, r *http.Request) {
 			line(w, r, 0, "")
 			<-r.Context().Done()
 		}, 200, `"kind":"cut"`, "done", 1},
 		{"ends before its first event", func(w http.ResponseWriter, r *http.Request) { panic(http.ErrAbortHandler) }, 502, `"kind":"unclear","dropped":false`, "data:", 1},
 		{"fails without a problem body", func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(500) }, 502, `"kind":"unclear"`, "data:", 1},
-		{"not run", func(w http.ResponseWriter, r *http.Request) { host.Error(w, failure.Busy, 0, nil) }, 503, `"kind":"allowance_spent","dropped":true`, "data:", 1},
+		{"not run", func(w http.ResponseWriter, r *http.Request) { host.WriteError(w, failure.Busy, 0, nil) }, 503, `"kind":"allowance_spent","dropped":true`, "data:", 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var requests atomic.Int64
@@ -166,9 +166,9 @@
 func TestClientDisconnects(t *testing.T) {
 	gone := make(chan struct{})
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var g protocol.Work
+		var g protocol.ServerRequest
 		_ = decodeBody(r, &g)
-		_, _ = fmt.Fprintf(w, "data: {\"n\":0,\"go\":%q,\"server\":\"s\"}\n\n", g.Go)
+		_, _ = fmt.Fprintf(w, "data: {\"n\":0,\"go\":%q,\"server\":\"s\"}\n\n", g.AttemptID)
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 		close(gone)
@@ -186,8 +186,8 @@
 	leave()
 	<-gone
 	s.Close() // waits for the router's handler
-	d.process.With(func(clock.Tick) {
-		require.Zero(t, d.core.servers["s"].work)
+	d.process.Locked(func(clock.Instant) {
+		require.Zero(t, d.core.servers["s"].inFlight)
 		require.Empty(t, d.core.requests)
 	})
 }
@@ -197,10 +197,10 @@
 	for _, begun := range []bool{false, true} {
 		reached := make(chan struct{})
 		backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			var g protocol.Work
+			var g protocol.ServerRequest
 			_ = decodeBody(r, &g)
 			if begun {
-				_, _ = fmt.Fprintf(w, "data: {\"n\":0,\"go\":%q,\"server\":\"s\"}\n\n", g.Go)
+				_, _ = fmt.Fprintf(w, "data: {\"n\":0,\"go\":%q,\"server\":\"s\"}\n\n", g.AttemptID)
 				w.(http.Flusher).Flush()
 			}
 			close(reached)
@@ -211,7 +211,7 @@
 		c, err := net.Dial("tcp", strings.TrimPrefix(s.URL, "http://"))
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = c.Close() })
-		require.NoError(t, c.SetDeadline(time.Now().Add(soon)))
+		require.NoError(t, c.SetDeadline(time.Now().Add(testTimeout)))
 		_, err = fmt.Fprintf(c, "POST /r HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", len(testCall), testCall)
 		require.NoError(t, err)
 		<-reached
@@ -236,16 +236,16 @@
 func BenchmarkCachedEntry(b *testing.B) {
 	b.ReportAllocs()
 	c := New(Options{Inc: 7})
-	c.Step(1e9, protocol.Env{Body: protocol.Hold{Session: ses, Until: 1e18, Routers: 1}})
-	c.Step(1e9, protocol.Env{Body: protocol.News{Session: ses, Items: []protocol.Item{{Num: 1, Desired: &protocol.Desired{Gen: 1, Epoch: 1, Plan: []byte(plan)}},
-		{Num: 2, Entry: &protocol.Entry{Key: "m", Mark: 1, Replicas: []protocol.Replica{{Server: "s", Addr: "s", Inc: 1, Slots: 8, Warm: 1e12}, {Server: "r", Addr: "r", Inc: 1, Slots: 8, Warm: 1e12}}}}}}})
-	x := fleetplan.Call{ID: "1", Base: "m", Kind: "k", Parts: []string{"system", "tenant"}, Again: true}
+	c.Step(1e9, protocol.Envelope{Body: protocol.RouterLease{Session: testSession, Until: 1e18, Routers: 1}})
+	c.Step(1e9, protocol.Envelope{Body: protocol.Updates{Session: testSession, Items: []protocol.Update{{Num: 1, Desired: &protocol.Desired{Gen: 1, Epoch: 1, Plan: []byte(testPlan)}},
+		{Num: 2, Entry: &protocol.Entry{Key: "m", Digest: 1, Replicas: []protocol.Replica{{Server: "s", Addr: "s", Incarnation: 1, Slots: 8, ReadyFor: 1e12}, {Server: "r", Addr: "r", Incarnation: 1, Slots: 8, ReadyFor: 1e12}}}}}}})
+	x := fleetplan.Request{ID: "1", Model: "m", Kind: "k", Parts: []string{"system", "tenant"}, Repeatable: true}
 	for i := range b.N {
 		ref := Ref(i + 1)
-		c.Step(2e9, Call{Ref: ref, Route: "/r", Call: x})
+		c.Step(2e9, Call{Ref: ref, Route: "/r", Request: x})
 		c.MaySend(2e9, ref, 1)
 		c.Step(2e9, Begun{ref, 1})
-		c.Step(2e9, Ended{Ref: ref, N: 1, How: Done})
+		c.Step(2e9, Ended{Ref: ref, N: 1, Outcome: Done})
 	}
 }
 
@@ -253,10 +253,10 @@
 // meaningful.
 func BenchmarkRoundTrip(b *testing.B) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var g protocol.Work
+		var g protocol.ServerRequest
 		_ = decodeBody(r, &g)
 		for n := range 9 {
-			_, _ = fmt.Fprintf(w, "data: {\"n\":%d,\"go\":%q,\"server\":\"s\",\"done\":%v}\n\n", n, g.Go, n == 8)
+			_, _ = fmt.Fprintf(w, "data: {\"n\":%d,\"go\":%q,\"server\":\"s\",\"done\":%v}\n\n", n, g.AttemptID, n == 8)
 			w.(http.Flusher).Flush()
 		}
 	}))
@@ -280,10 +280,10 @@
 func TestClientStopsReading(t *testing.T) {
 	gone := make(chan struct{})
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var g protocol.Work
+		var g protocol.ServerRequest
 		_ = decodeBody(r, &g)
 		for n := 0; r.Context().Err() == nil; n++ {
-			if _, err := fmt.Fprintf(w, "data: {\"n\":%d,\"go\":%q,\"server\":\"s\",\"text\":%q}\n\n", n, g.Go, strings.Repeat("x", 100_000)); err != nil {
+			if _, err := fmt.Fprintf(w, "data: {\"n\":%d,\"go\":%q,\"server\":\"s\",\"text\":%q}\n\n", n, g.AttemptID, strings.Repeat("x", 100_000)); err != nil {
 				break
 			}
 			w.(http.Flusher).Flush()
@@ -299,8 +299,8 @@
 	require.NoError(t, err)
 	<-gone
 	s.Close()
-	d.process.With(func(clock.Tick) {
-		require.Zero(t, d.core.servers["s"].work)
+	d.process.Locked(func(clock.Instant) {
+		require.Zero(t, d.core.servers["s"].inFlight)
 		require.Empty(t, d.core.requests)
 	})
 }
--- a/internal/router/token_times.go
+++ b/internal/router/token_times.go
@@ -26,12 +26,12 @@
 }
 
 // update adopts the times reported by the leader.
-func (t *tokenTimes) update(report *protocol.Paces) {
+func (t *tokenTimes) update(report *protocol.TokenTimes) {
 	if report == nil {
 		return
 	}
 	t.slowest = report.Slowest
-	for base, ns := range report.Bases {
+	for base, ns := range report.ByBase {
 		t.known[base] = ns
 	}
 }
@@ -82,16 +82,16 @@
 
 // observeTokenTime records the time per token of an attempt, unless much other work was queued at its server.
 func (c *Core) observeTokenTime(r *request, attempt *attemptRecord) {
-	tokens := r.Call.Call.Tokens
-	if r.key.Plain() || tokens == 0 || attempt.ahead > c.weightedCost(r)/2 {
+	tokens := r.Call.Request.PromptTokens
+	if r.key.IsWholeService() || tokens == 0 || attempt.tokensAhead > c.weightedCost(r)/2 {
 		return
 	}
-	c.tokenTimes.observe(r.key.Base(), float64(c.now.Sub(attempt.at))/float64(tokens+answerStartTokens))
+	c.tokenTimes.observe(r.key.Base(), float64(c.now.Sub(attempt.launchedAt))/float64(tokens+answerStartTokens))
 }
 
 // serverSeconds returns the estimated server time for a request in seconds.
 func (c *Core) serverSeconds(r *request) float64 {
-	if r.key.Plain() {
+	if r.key.IsWholeService() {
 		return 0
 	}
 	return c.tokenTimes.of(r.key.Base()) * float64(r.cost()) / 1e9
@@ -99,7 +99,7 @@
 
 // weightedCost returns the cost of a request in tokens of the slowest base.
 func (c *Core) weightedCost(r *request) int {
-	if r.key.Plain() {
+	if r.key.IsWholeService() {
 		return flatCost
 	}
 	return max(flatCost, int(float64(r.cost())*c.tokenTimes.relative(r.key.Base())))
--- a/internal/router/waits.go
+++ b/internal/router/waits.go
@@ -19,7 +19,7 @@
 
 // setWaitCause records the cause of waiting from now on and adds the time spent on the previous one. An empty cause
 // means that the request no longer waits.
-func (r *request) setWaitCause(cause WaitCause, now clock.Tick) {
+func (r *request) setWaitCause(cause WaitCause, now clock.Instant) {
 	if r.waitCause != "" {
 		if r.waitTimes == nil {
 			r.waitTimes = map[WaitCause]clock.Span{}
@@ -38,7 +38,7 @@
 
 // unusableCause returns the reason why an entry cannot be used.
 func (c *Core) unusableCause() WaitCause {
-	if !c.leased() && !c.alone() {
+	if !c.leased() && !c.routesUnleased() {
 		return WaitLease
 	}
 	return WaitEntry
--- a/internal/simulator/bites_test.go
+++ b/internal/simulator/bites_test.go
@@ -19,18 +19,18 @@
 
 // guardCase is a guard that edits disable, the scene that must reveal this, and the expected checker messages,
 // separated by |.
-type bite struct {
+type guardCase struct {
 	name, scene, expect string
 	edits               []edit
 }
 
 // guardCases lists the guards of the safety code. Edits of the sources at build time disable each guard, and a checker
 // must detect this. docs/failures.md names the guarded lines. The test fails if an edit no longer matches the sources.
-var bites = []bite{
-	{"wait for acknowledgements", "moves-cut", "held a promise", []edit{{"internal/controller/evict.go", "if quiet && c.dropped(p.waits) {", "if quiet || true {"}}},
-	{"wait out the owner before", "medley", "held a promise", []edit{{"internal/controller/evict.go", "quiet := c.now > c.duty.began.Add(c.pad(c.o.Hold))", "quiet := true"}}},
+var guardCases = []guardCase{
+	{"wait for acknowledgements", "moves-cut", "held a promise", []edit{{"internal/controller/evict.go", "if quiet && c.allAcked(p.unackedBreaks) {", "if quiet || true {"}}},
+	{"wait out the owner before", "medley", "held a promise", []edit{{"internal/controller/evict.go", "quiet := c.now > c.leadership.begunAt.Add(c.withDrift(c.o.RouterLease))", "quiet := true"}}},
 	{"drop on a break", "moves", "held a promise", []edit{{"internal/router/core.go", "c.tally.Breaks++\n\tdelete(c.entries, k)", "c.tally.Breaks++"}}},
-	{"drain before an unload", "unplan", "while work was under way", []edit{{"internal/controller/evict.go", "s.ok > p.since && p.work == 0 && !c.hasAdapters(s, p)", "true"}}},
+	{"drain before an unload", "unplan", "while work was under way", []edit{{"internal/controller/evict.go", "s.reportedAt > p.stageSince && p.running == 0 && !c.hasAdapters(s, p)", "true"}}},
 	{"check at the point of sending", "unplan", "after it was unloaded|which no plan allows", []edit{{"internal/router/attempts.go", "if !c.stillAllowed(r, attempt) {", "if attempt == nil {"}}},
 	{"route under a hold only", "moves-cut", "routes under epoch|after it was unloaded|after it was leaving", []edit{
 		{"internal/router/core.go", "return c.now < c.leaseUntil }", "return true }"},
@@ -40,19 +40,19 @@
 		{"internal/controller/place.go", "if s.free() < m.Size {", "if false {"}, {"internal/controller/server.go", "over := s.room > 0 && s.used() > s.room", "over := false"}}},
 	{"keep within the store's budget", "blackout", "exceeded the store's budget", []edit{
 		{"internal/controller/place.go", "if budget <= 0 {", "if false {"}, {"internal/controller/place.go", "s.loading() > 0 {", "false {"}}},
-	{"cap cold servers", "crowd", "flooded while cold", []edit{{"internal/router/choice.go", "if b.work >= limit || b.inFlightByKey[r.key] >= coldLimit {", "if limit+coldLimit < 0 {"}}},
-	{"an emptied disk does not vote", "amnesia", "read gave epoch|confirmed twice|slipped back|bytes that were not sent", []edit{{"internal/controller/acceptor.go", "c.vote.inc = c.o.Inc", "c.vote.inc = 1"}}},
+	{"cap cold servers", "crowd", "flooded while cold", []edit{{"internal/router/choice.go", "if b.inFlight >= limit || b.inFlightByKey[r.key] >= coldLimit {", "if limit+coldLimit < 0 {"}}},
+	{"an emptied disk does not vote", "amnesia", "read gave epoch|confirmed twice|slipped back|bytes that were not sent", []edit{{"internal/controller/acceptor.go", "c.acceptor.inc = c.o.Inc", "c.acceptor.inc = 1"}}},
 	{"sync before an answer", "power", "routes under epoch 1|read gave epoch|bytes that were not sent|slipped back", []edit{
-		{"internal/controller/core.go", "c.saves[c.token] = then", "then()\n\tc.saves[c.token] = func() {}"}}},
+		{"internal/controller/core.go", "c.continuations[c.token] = then", "then()\n\tc.continuations[c.token] = func() {}"}}},
 	{"grant under a fresh read", "fence", "routes under epoch", []edit{{"internal/controller/links.go", "old := c.now.Sub(c.knownSince())", "old := clock.Span(0)"}}},
-	{"grant after acknowledgement", "grow", "routes under epoch|held a promise", []edit{{"internal/controller/links.go", "if since, owes := c.owedSince(l); owes {", "if since, owes := c.owedSince(l); owes && false {"}}},
+	{"grant after acknowledgement", "grow", "routes under epoch|held a promise", []edit{{"internal/controller/links.go", "if since, owes := c.unackedSince(l); owes {", "if since, owes := c.unackedSince(l); owes && false {"}}},
 	{"a majority for the duty", "core", "two own the duty|two controllers", []edit{
-		{"internal/controller/duty.go", " || !d.free {", " {"}, {"internal/controller/reader.go", "q.claim && voterset.Majority(q.set, q.grant)", "q.claim"}}},
-	{"no new owner beside a held duty", "core", "two own the duty|two controllers", []edit{{"internal/controller/acceptor.go", "|| !held && !recentStart)", "|| !recentStart)"}, {"internal/controller/duty.go", "inc) || !d.free {", "inc) {"}}},
+		{"internal/controller/duty.go", " || !d.vacant {", " {"}, {"internal/controller/reader.go", "q.claim && voterset.Majority(q.set, q.grantors)", "q.claim"}}},
+	{"no new owner beside a held duty", "core", "two own the duty|two controllers", []edit{{"internal/controller/acceptor.go", "|| !held && !recentStart)", "|| !recentStart)"}, {"internal/controller/duty.go", "inc) || !d.vacant {", "inc) {"}}},
 	{"expect the epoch", "plans", "that expected epoch", []edit{{"internal/controller/changes.go", "if !a.Any && d.Epoch != a.Expect {", "if false {"}}},
 	{"redo no change", "core", "was reached by", []edit{{"internal/controller/changes.go", "if x.ID == a.Change {\n\t\t\t\treturn d, failure.Repeated", "if x.ID == `no` {\n\t\t\t\treturn d, failure.Repeated"}, {"internal/controller/changes.go", "&& c.hasChosen(a.Change) {", "&& false {"}}},
 	{"see servers go", "servers", "after it was leaving or gone", []edit{
-		{"internal/controller/server.go", "return !s.dark && s.known && c.meant(s)", "return s.known && c.meant(s)"},
+		{"internal/controller/server.go", "return !s.unreachable && s.known && c.inService(s)", "return s.known && c.inService(s)"},
 		{"internal/controller/server.go", `return s.State == "live" && !c.empty`, "return !c.empty"}}},
 	{"leave emptied zones", "zones", "in emptied zone", []edit{
 		{"internal/controller/server.go", `"live" && !c.empty[s.Zone] && !c.closed`, `"live" && !c.closed`},
@@ -69,22 +69,22 @@
 		{"internal/router/admission.go", "return why\n}\n\n// admit", "_ = why\n\treturn failure.None\n}\n\n// admit"}}},
 	{"turn away under a hold only", "grow", "was turned away", []edit{{"internal/router/admission.go", "case c.leased():\n\t\t\treturn why", "case true:\n\t\t\treturn why"}}},
 	{"refuse what was sent late", "lag", "after it was leaving or gone|in emptied zone|which no plan allows", []edit{{"internal/standin/server.go", "s.now.Sub(v.Since) > s.options.Whole", "s.now.Sub(v.Since) > 1e15"}}},
-	{"one server for what runs once", "again", "may not be repeated", []edit{{"internal/router/choice.go", "if !r.repeatable() && !c.o.Free {\n\t\tif only", "if r == nil {\n\t\tif only"}}},
-	{"routers give agents back the plan", "ruin-clocks", "the routers' plan did not come back", []edit{{"internal/router/core.go", "if hold.Session.Agent != c.session.Agent && c.desired != nil {", "if false {"}}},
-	{"agents' lives by the steady clock", "clocks", "proper requests were answered", []edit{{"internal/agent/core.go", "Agent: c.o.Life, Router", "Agent: c.o.Inc, Router"}}},
+	{"one server for what runs once", "again", "may not be repeated", []edit{{"internal/router/choice.go", "if !r.repeatable() && !c.o.StatelessServers {\n\t\tif only", "if r == nil {\n\t\tif only"}}},
+	{"routers give agents back the plan", "ruin-clocks", "the routers' plan did not come back", []edit{{"internal/router/core.go", "if hold.Session.AgentIncarnation != c.session.AgentIncarnation && c.desired != nil {", "if false {"}}},
+	{"agents' lives by the steady clock", "clocks", "proper requests were answered", []edit{{"internal/agent/core.go", "AgentIncarnation: c.o.Life, RouterIncarnation", "AgentIncarnation: c.o.Inc, RouterIncarnation"}}},
 	{"know the last list", "platform", "service came back|proper requests were answered", []edit{{"internal/controller/duty.go", "c.onList(c.list.List) //", "//"}}},
 	{"doubt a list without most servers", "platform", "proper requests were answered", []edit{{"internal/controller/list.go", "if 2*len(lost) <= there {", "if true {"}}},
-	{"let go of what cannot be served", "blind", "kept the duty", []edit{{"internal/controller/list.go", "c.eye.since == 0 {\n\t\treturn\n\t}\n\tshould", "c.eye.since != 1 {\n\t\treturn\n\t}\n\tshould"}}},
-	{"check every event", "mangled", "came as number|two goes in one answer|someone else|ended after", []edit{{"internal/router/serve.go", "return l.Go == v.Work.Go && l.Server == v.Server && l.N == n", "return true"}}},
+	{"let go of what cannot be served", "blind", "kept the duty", []edit{{"internal/controller/list.go", "c.reachability.since == 0 {\n\t\treturn\n\t}\n\tshould", "c.reachability.since != 1 {\n\t\treturn\n\t}\n\tshould"}}},
+	{"check every event", "mangled", "came as number|two goes in one answer|someone else|ended after", []edit{{"internal/router/serve.go", "return l.Go == v.Work.AttemptID && l.Server == v.Server && l.N == n", "return true"}}},
 	{"believe no report that contradicts itself", "odd", "past its room", []edit{
-		{"internal/controller/fenced.go", "min(max(h.Size, c.sizeOf(h.Key)), mostSize), max(h.Active", "h.Size, max(h.Active"},
-		{"internal/controller/fenced.go", "oddity(r); odd != s.odd", "``; odd != s.odd && oddity(r) != ``"}}},
-	{"spread over zones", "return", "ready in 1 zones", []edit{{"internal/controller/moves.go", "if m.Floor < 2 || has.count < 2", "if m.Floor >= 0 || has.count < 2"}, {"internal/controller/place.go", "score += newZoneScore", "score += 0"}}},
-	{"even out", "return", "unevenly filled", []edit{{"internal/controller/moves.go", "if c.now.Sub(c.uneven) < c.o.Even {", "if c.uneven != 1 {"}}},
-	{"sweep what reads do not mend", "sweep", "still has epoch", []edit{{"internal/controller/reader.go", "if c.now.Sub(r.unequal) > c.answerWait() {", "if false {"}}},
-	{"a seat outlives a restart", "spare", "a seat was given away", []edit{{"internal/controller/voters.go", "if since == 0 || c.now.Sub(since) <= c.o.Spare {", "if since == 0 {"}}},
-	{"hear agents before a core forms anew", "ruin", "plan did not come back", []edit{{"internal/controller/forming.go", "if c.now.Sub(r.blankSince) < c.o.Form {", "if c.now.Sub(r.blankSince) >= c.o.Form {"}}},
-	{"come back soon", "power", "service came back", []edit{{"internal/controller/core.go", "generic.SetDefault(&o.Duty, 1200e6)", "generic.SetDefault(&o.Duty, 20e9)"}}},
+		{"internal/controller/fenced.go", "min(max(h.Size, c.sizeOf(h.Key)), maxSize), max(h.Active", "h.Size, max(h.Active"},
+		{"internal/controller/fenced.go", "contradiction(r); odd != s.contradiction", "``; odd != s.contradiction && contradiction(r) != ``"}}},
+	{"spread over zones", "return", "ready in 1 zones", []edit{{"internal/controller/moves.go", "if m.MinReplicas < 2 || has.count < 2", "if m.MinReplicas >= 0 || has.count < 2"}, {"internal/controller/place.go", "score += newZoneScore", "score += 0"}}},
+	{"even out", "return", "unevenly filled", []edit{{"internal/controller/moves.go", "if c.now.Sub(c.imbalancedSince) < c.o.RebalanceInterval {", "if c.imbalancedSince != 1 {"}}},
+	{"sweep what reads do not mend", "sweep", "still has epoch", []edit{{"internal/controller/reader.go", "if c.now.Sub(r.staleSince) > c.answerWait() {", "if false {"}}},
+	{"a seat outlives a restart", "spare", "a seat was given away", []edit{{"internal/controller/voters.go", "if since == 0 || c.now.Sub(since) <= c.o.ReplaceAfter {", "if since == 0 {"}}},
+	{"hear agents before a core forms anew", "ruin", "plan did not come back", []edit{{"internal/controller/forming.go", "if c.now.Sub(r.blankSince) < c.o.FormAfter {", "if c.now.Sub(r.blankSince) >= c.o.FormAfter {"}}},
+	{"come back soon", "power", "service came back", []edit{{"internal/controller/core.go", "generic.SetDefault(&o.LeadershipLease, 1200e6)", "generic.SetDefault(&o.LeadershipLease, 20e9)"}}},
 }
 
 // buildWithEdits builds the simulator with edits applied and returns the path of the binary.
@@ -115,22 +115,22 @@
 	if testing.Short() {
 		t.Skip("runs without the race detector")
 	}
-	for _, b := range bites {
+	for _, b := range guardCases {
 		t.Run(strings.ReplaceAll(b.name, " ", "-"), func(t *testing.T) {
 			t.Parallel()
-			s, ok := Find(b.scene)
+			s, ok := FindScene(b.scene)
 			require.True(t, ok)
 			bin := buildWithEdits(t, b.edits)
 			for seed := uint64(1); seed <= maxGuardSeeds; seed++ {
 				// The program exits with an error if a checker reports a violation.
 				run := exec.Command(bin, "--plans", "../../examples", "--scene", b.scene, "--seed", fmt.Sprint(seed))
-				run.Env = append(os.Environ(), strict.Variable+"="+strict.Off)
+				run.Env = append(os.Environ(), strict.EnvVariable+"="+strict.EnvOff)
 				out, _ := run.CombinedOutput()
 				require.Contains(t, string(out), " failed", "the run must complete: %s", out)
 				for _, x := range strings.Split(string(out), "\n") {
 					if strings.HasPrefix(x, "   BAD ") && matchesAny(b.expect, x) {
 						intact, _ := s.Run(fleetOptions(t, "corrib", seed))
-						require.Empty(t, intact.Check.Bad, "with the guard enabled, seed %d", seed)
+						require.Empty(t, intact.Check.Violations, "with the guard enabled, seed %d", seed)
 						return
 					}
 				}
--- a/internal/simulator/deployment.go
+++ b/internal/simulator/deployment.go
@@ -19,14 +19,14 @@
 	Regions     int
 	RegionDelay clock.Span // extra one-way delay between regions
 	Zones       int
-	ByZone      bool // nodes that fail at the same time are all in one zone
+	OneZone     bool // nodes that fail at the same time are all in one zone
 }
 
 // initialCoreNodes is the number of core nodes that form the initial core. Further nodes join later.
-const formingSeats = 3
+const initialCoreNodes = 3
 
 // randomDeployment returns a random deployment. Zones are spread over the regions, and nodes over the zones.
-func drawDeployment(seed uint64) *Deployment {
+func randomDeployment(seed uint64) *Deployment {
 	draw := rand.New(rand.NewPCG(seed, 7))
 	d := &Deployment{Nodes: []int{3, 5, 7}[draw.IntN(3)], Zones: 3, Regions: 1 + draw.IntN(3)}
 	d.RegionDelay = clock.Span(5e6 + draw.Int64N(30e6))
@@ -34,23 +34,23 @@
 	if d.Nodes >= 5 {
 		d.Losses = 1 + draw.IntN(2)
 	}
-	d.ByZone = draw.IntN(3) == 0
-	if d.ByZone {
+	d.OneZone = draw.IntN(3) == 0
+	if d.OneZone {
 		d.Losses = (d.Nodes + d.Zones - 1) / d.Zones
 	}
 	return d
 }
 
 // fiveNodeDeployment returns a deployment of five core nodes that tolerates the loss of any two.
-func fiveVoters(seed uint64) *Deployment {
-	d := drawDeployment(seed)
-	d.Nodes, d.Losses, d.ByZone = 5, 2, false
+func fiveNodeDeployment(seed uint64) *Deployment {
+	d := randomDeployment(seed)
+	d.Nodes, d.Losses, d.OneZone = 5, 2, false
 	return d
 }
 
 func (d *Deployment) String() string {
 	kind := "machines"
-	if d.ByZone {
+	if d.OneZone {
 		kind = "machines of a zone"
 	}
 	return fmt.Sprintf("%d core nodes in %d regions, %v apart, %d %s may be lost", d.Nodes, d.Regions, d.RegionDelay, d.Losses, kind)
@@ -60,12 +60,12 @@
 type seat struct {
 	node      string
 	zone      ident.Zone
-	lostUntil clock.Tick // time until which the node counts as lost
-	replacing bool       // the replacement has started, and the old node has not stopped yet
+	lostUntil clock.Instant // time until which the node counts as lost
+	replacing bool          // the replacement has started, and the old node has not stopped yet
 }
 
 // noEnd marks a loss whose end is not known yet.
-const stillDown = clock.Tick(math.MaxInt64)
+const noEnd = clock.Instant(math.MaxInt64)
 
 // coreFleet holds the core nodes of a world with a deployment.
 type coreFleet struct {
@@ -74,14 +74,14 @@
 	stopped    []*seat        // nodes stopped for good, which count as lost in addition to the seats
 	nodesNamed int            // number of node names used so far
 	region     map[string]int // by machine name
-	changed    clock.Tick     // when a core node last started, stopped or was disconnected
-	started    map[string]clock.Tick
-	removed    map[string]clock.Tick // when nodes were removed for good
+	changedAt  clock.Instant  // when a core node last started, stopped or was disconnected
+	startedAt  map[string]clock.Instant
+	removedAt  map[string]clock.Instant // when nodes were removed for good
 }
 
 // setControllerOptions sets the options of a core node as the hosted program does.
 func (d *Deployment) setControllerOptions(o *controller.Options, timing controller.Timing) {
-	o.Duty, o.Round, o.Tenure, o.Warm, o.Voters = timing.Duty(), timing.Duty()/4, timing.Tenure, true, 2*d.Losses+1
+	o.LeadershipLease, o.ReadInterval, o.Tenure, o.Preload, o.Voters = timing.LeadershipLease(), timing.LeadershipLease()/4, timing.Tenure, true, 2*d.Losses+1
 	o.Regions = map[ident.Zone]string{}
 	for i := range d.Zones {
 		o.Regions[zoneName(i)] = fmt.Sprintf("region-%d", d.regionOf(i))
@@ -95,16 +95,16 @@
 
 // addCoreNodes creates a deployment's core nodes.
 func (w *World) addCoreNodes(d *Deployment) {
-	w.core = &coreFleet{Deployment: d, region: map[string]int{}, started: map[string]clock.Tick{}, removed: map[string]clock.Tick{}}
+	w.core = &coreFleet{Deployment: d, region: map[string]int{}, startedAt: map[string]clock.Instant{}, removedAt: map[string]clock.Instant{}}
 	seeds := w.seeds()
 	for i := range d.Nodes {
 		w.core.seats = append(w.core.seats, &seat{zone: zoneName(i % d.Zones)})
-		w.seatNode(w.core.seats[i], seeds)
+		w.addNodeToSeat(w.core.seats[i], seeds)
 	}
 }
 
 // addNodeToSeat adds a new core node to a seat without starting it.
-func (w *World) seatNode(s *seat, seeds []protocol.Sibling) {
+func (w *World) addNodeToSeat(s *seat, seeds []protocol.Peer) {
 	f := w.core
 	f.nodesNamed++
 	s.node = fmt.Sprintf("controller-%d", f.nodesNamed)
@@ -121,31 +121,31 @@
 }
 
 // removeProcess removes a process for good.
-func (w *World) remove(name string) {
+func (w *World) removeProcess(name string) {
 	w.Kill(name)
-	w.core.removed[name] = w.now
+	w.core.removedAt[name] = w.now
 	delete(w.procs, name)
-	for i, n := range w.order {
+	for i, n := range w.procNames {
 		if n == name {
-			w.order = append(w.order[:i:i], w.order[i+1:]...)
+			w.procNames = append(w.procNames[:i:i], w.procNames[i+1:]...)
 			break
 		}
 	}
 }
 
 // runningSeeds returns the addresses of the running core nodes.
-func (w *World) upSeeds() (l []protocol.Sibling) {
+func (w *World) runningSeeds() (l []protocol.Peer) {
 	for _, p := range w.controllers() {
-		l = append(l, protocol.Sibling{Addr: p.name})
+		l = append(l, protocol.Peer{Addr: p.name})
 	}
 	return l
 }
 
 // randomRunningNode returns a random running core node, or any core node if none is running.
-func (w *World) someUp() string {
+func (w *World) randomRunningNode() string {
 	l := w.controllers()
 	if len(l) == 0 {
-		return w.some("controller-")
+		return w.randomNode("controller-")
 	}
 	return l[w.rand.IntN(len(l))].name
 }
@@ -153,7 +153,7 @@
 // voterSets returns the voter set that a core node knows, and the prior set during a joint configuration.
 func (w *World) voterSets(p *proc) (voters, prior []protocol.Voter) {
 	const token = 1 << 61
-	for _, o := range p.core.Step(p.tick(w.now), controller.Admin{Op: "nodes", Token: token}) {
+	for _, o := range p.core.Step(p.localTime(w.now), controller.Admin{Op: "nodes", Token: token}) {
 		r, ok := o.(controller.Receipt)
 		if !ok || r.Token != token {
 			w.handleOutput(p, o)
@@ -166,16 +166,16 @@
 }
 
 // noteCoreStart records the start of a core node.
-func (w *World) coreStarted(name string) {
+func (w *World) noteCoreStart(name string) {
 	if w.core != nil && strings.HasPrefix(name, "controller-") {
-		w.core.changed = w.now
-		w.core.started[name] = w.now
+		w.core.changedAt = w.now
+		w.core.startedAt[name] = w.now
 	}
 }
 
 // noteCoreStop records the stop of a core node.
 func (w *World) noteCoreStop(name string) {
 	if w.core != nil && strings.HasPrefix(name, "controller-") {
-		w.core.changed = w.now
+		w.core.changedAt = w.now
 	}
 }
--- a/internal/simulator/history.go
+++ b/internal/simulator/history.go
@@ -25,8 +25,8 @@
 	if !ok {
 		return func(controller.Receipt) {}
 	}
-	pending := w.Check.history.Invoke(history.Operation{Kind: kind, Node: node, Change: a.Change, Expect: uint64(a.Expect), Any: a.Any,
-		Number: uint64(a.Number), Body: a.Raw, Invoke: int64(w.now)})
+	pending := w.Check.history.Invoke(history.Operation{Kind: kind, Node: node, Change: a.Change, ExpectedVersion: uint64(a.Expect), AnyVersion: a.Any,
+		AssignedVersion: uint64(a.Number), Body: a.Raw, Invoke: int64(w.now)})
 	return func(r controller.Receipt) {
 		at := int64(w.now)
 		switch {
@@ -36,30 +36,30 @@
 			pending.Taken(at, uint64(r.Epoch))
 		case r.Kind == failure.Conflict:
 			pending.Conflict(at, uint64(r.Epoch))
-		case r.Kind == failure.Faulty || r.Kind == failure.Malformed || r.Kind == failure.Unknown:
+		case r.Kind == failure.FaultyPlan || r.Kind == failure.Malformed || r.Kind == failure.Unknown:
 			pending.Invalid(at)
 		case r.Kind == failure.Unclear:
 			pending.Unclear()
 		default: // not ready or full: the request was not started
-			pending.Dropped()
+			pending.NoEffect()
 		}
 	}
 }
 
 // checkHistory checks that all that operators and readers observed is consistent with a single register.
 func (k *Checker) checkHistory() {
-	operations := k.history.History()
+	operations := k.history.Operations()
 	if k.disksLost { // changes confirmed before the disks were lost may be missing
-		operations = history.Before(operations, int64(k.disksLostAt))
+		operations = history.Prefix(operations, int64(k.disksLostAt))
 	}
 	result := history.Check(operations, mergePatch, historyCheckTimeout)
-	k.Seen.Operations = result.Operations
-	k.Bad = k.Bad[:min(len(k.Bad), maxViolations-1)] // leaves space for this check's result
+	k.Stats.Operations = result.Operations
+	k.Violations = k.Violations[:min(len(k.Violations), maxViolations-1)] // leaves space for this check's result
 	switch result.Verdict {
 	case history.Violated:
-		k.bad("operators' history is not linearizable: %s", result.Why)
+		k.violationf("operators' history is not linearizable: %s", result.Reason)
 	case history.Unknown:
-		k.bad("operators' history could not be checked: %s", result.Why)
+		k.violationf("operators' history could not be checked: %s", result.Reason)
 	}
 }
 
@@ -70,8 +70,8 @@
 }
 
 // markDisksLost records that all core disks are lost from now on.
-func (k *Checker) loosen() {
+func (k *Checker) markDisksLost() {
 	if !k.disksLost {
-		k.disksLost, k.disksLostAt = true, k.w.now
+		k.disksLost, k.disksLostAt = true, k.world.now
 	}
 }
--- a/internal/simulator/hosted.go
+++ b/internal/simulator/hosted.go
@@ -19,47 +19,47 @@
 // numbers.
 type Hosted struct {
 	Timing               controller.Timing
-	Batch                int        // number of batch servers
-	Plain                int        // number of servers of the plain service
+	BatchServers         int        // number of batch servers
+	PlainServers         int        // number of servers of the plain service
 	ContactTime          clock.Span // time without faults after which a machine counts as connected
 	Tenure               clock.Span // within this time, no leader may order a server again after another leader has
-	Reuse                clock.Span // time after which an address may be reused
+	AddressReuse         clock.Span // time after which an address may be reused
 	ThawAllowance        clock.Span // orders that arrive within this time after a fault ended are not checked
 	ReportLag            clock.Span
-	LateOdds             float64 // probability that an announcement arrives a second time, late
+	LateAnnouncementOdds float64 // probability that an announcement arrives a second time, late
 	MaxAnnouncementDelay clock.Span
-	OrderLoss            float64 // probability that the answer to an order is lost or the order arrives late
-	OrderGone            float64 // probability that an order is lost
+	OrderFaultOdds       float64 // probability that the answer to an order is lost or the order arrives late
+	OrderLossOdds        float64 // probability that an order is lost
 	RetryMargin          float64 // retries and repeats that the fleet may send within 10 s regardless of traffic
-	Shift                clock.Span
-	Nameless             float64  // share of requests to servers with models that name no model
+	PopularityShift      clock.Span
+	NoModelShare         float64  // share of requests to servers with models that name no model
 	Keys                 []string // credentials that callers use at random; if empty, they use none
 }
 
-// HostedDefaults returns the usual settings of a deployment.
-func HostedDefaults() *Hosted {
+// DefaultHosted returns the usual settings of a deployment.
+func DefaultHosted() *Hosted {
 	return &Hosted{
-		Timing: controller.Timing{Apply: 2000e6, Drain: 2000e6, CatchUp: 4000e6, Period: 1200e6, Rate: 5e9},
-		Batch:  8, Plain: 4, ContactTime: 3000e6, Tenure: 3000e6, Reuse: 2000e6, ThawAllowance: 300e6, ReportLag: 200e6, RetryMargin: 58, MaxAnnouncementDelay: 3e9,
+		Timing:       controller.Timing{Apply: 2000e6, Drain: 2000e6, CatchUp: 4000e6, Period: 1200e6, Rate: 5e9},
+		BatchServers: 8, PlainServers: 4, ContactTime: 3000e6, Tenure: 3000e6, AddressReuse: 2000e6, ThawAllowance: 300e6, ReportLag: 200e6, RetryMargin: 58, MaxAnnouncementDelay: 3e9,
 	}
 }
 
 // setControllerOptions sets the options of a core node.
 func (h *Hosted) setControllerOptions(o *controller.Options, joined bool) {
-	o.Hold, o.Spare, o.Silence, o.Rate, o.Tenure = h.Timing.Hold(), h.Timing.Spare(), h.Timing.Silence(), h.Timing.Rate, h.Tenure
-	o.Read, o.Enrolled, o.Unfenced, o.Joined, o.Platform = (&fleetplan.Memo{Read: ReadHostedPlan}).Plan, true, true, joined, ""
+	o.RouterLease, o.ReplaceAfter, o.SilenceTimeout, o.RateWindow, o.Tenure = h.Timing.RouterLease(), h.Timing.ReplaceAfter(), h.Timing.SilenceTimeout(), h.Timing.Rate, h.Tenure
+	o.ParsePlan, o.Enrolled, o.Unfenced, o.CoreExists, o.Platform = (&fleetplan.Memo{Read: ReadHostedPlan}).Plan, true, true, joined, ""
 }
 
 // setRouterOptions sets the options of a router.
 func (h *hosting) setRouterOptions(o *router.Options, z ident.Zone) {
-	x := h.world.o.Hosted
-	o.Read, o.Zone, o.Free, o.Guards, o.Lend, o.Window, o.Share = ReadHostedPlan, z, true, true, x.RetryMargin*0.6, 10e9, 0.16
-	o.LendAgain, o.Save = x.RetryMargin*0.4, 2500e6
+	x := h.world.options.Hosted
+	o.ReadPlan, o.Zone, o.StatelessServers, o.ServersEnforcePlacement, o.RetryMargin, o.RetryWindow, o.RetryFraction = ReadHostedPlan, z, true, true, x.RetryMargin*0.6, 10e9, 0.16
+	o.RestartRetryMargin, o.RetryCreditTTL = x.RetryMargin*0.4, 2500e6
 }
 
 // parsePlan parses a plan in the format of the world's mode.
 func (w *World) parsePlan(raw []byte) (*fleetplan.Plan, fleetplan.Faults) {
-	if w.o.Hosted != nil {
+	if w.options.Hosted != nil {
 		return ReadHostedPlan(raw)
 	}
 	return fleetplan.ReadPlan(raw)
@@ -71,31 +71,31 @@
 // machine runs servers of one service, one at a time. Its disk outlives them.
 type machine struct {
 	index       int
-	box         string
+	name        string
 	zone        ident.Zone
 	service     string
 	disk        map[ident.Key]bool
 	addr        string
 	incarnation int
-	now         *announcedServer
+	server      *announcedServer
 }
 
 // announcedServer is one incarnation of a server that announces itself.
 type announcedServer struct {
-	protocol.Beacon
+	protocol.Announcement
 	machine             *machine
 	proc                *proc
-	leavingSince        clock.Tick // when the server began to announce that it is leaving
-	acked               clock.Tick // when a core node first acknowledged this
-	leaveAckedInTouchAt clock.Tick // when a connected core node first acknowledged this
-	leaveAckReceived    bool       // the server has received the acknowledgement
+	leavingSince        clock.Instant // when the server began to announce that it is leaving
+	leaveAckedAt        clock.Instant // when a core node first acknowledged this
+	leaveAckedInTouchAt clock.Instant // when a connected core node first acknowledged this
+	leaveAckReceived    bool          // the server has received the acknowledgement
 	ending              bool
 	ended               bool
 }
 
 // storeLoad is a load from the model store.
 type storeLoad struct {
-	at            clock.Tick
+	at            clock.Instant
 	coreWasStable bool
 }
 
@@ -117,9 +117,9 @@
 func newHosting(w *World) *hosting {
 	h := &hosting{world: w, plan: w.plan, addrs: map[string]*proc{}, byProcess: map[string]*announcedServer{}, pendingAnnouncements: map[uint64]func(*proc, bool){}}
 	zones := []ident.Zone{"za", "zb", "zc"}
-	for i := range w.o.Hosted.Batch + w.o.Hosted.Plain {
-		m := &machine{index: i, box: fmt.Sprintf("machine-%d", i+1), zone: zones[i%3], service: "chat", disk: map[ident.Key]bool{}}
-		if i >= w.o.Hosted.Batch {
+	for i := range w.options.Hosted.BatchServers + w.options.Hosted.PlainServers {
+		m := &machine{index: i, name: fmt.Sprintf("machine-%d", i+1), zone: zones[i%3], service: "chat", disk: map[ident.Key]bool{}}
+		if i >= w.options.Hosted.BatchServers {
 			m.service = "plain"
 		}
 		h.machines = append(h.machines, m)
@@ -135,16 +135,16 @@
 	if service.Plain {
 		return nil
 	}
-	room := service.Room
+	room := service.WeightCapacity
 	add := func(i int) {
-		k := ident.Key(baseName(i)).In(m.service)
+		k := ident.Key(baseName(i)).InService(m.service)
 		if x, ok := h.plan.Models[k]; ok && x.Size <= room {
 			room -= x.Size
 			models = append(models, k)
 		}
 	}
 	add(m.index % 2)
-	for i := 2 + m.index; i < len(h.plan.Models); i += h.world.o.Hosted.Batch {
+	for i := 2 + m.index; i < len(h.plan.Models); i += h.world.options.Hosted.BatchServers {
 		add(i)
 	}
 	return models
@@ -169,13 +169,13 @@
 	name := fmt.Sprintf("server-%d.%d", m.index+1, m.incarnation)
 	service := h.plan.Services[m.service]
 	offset, rate := w.randomClock()
-	p := &proc{name: name, box: m.box, zone: m.zone, tickInterval: 10e6, clockOffset: offset, clockRate: rate, server: ident.Server(name)}
+	p := &proc{name: name, machine: m.name, zone: m.zone, tickInterval: 10e6, clockOffset: offset, clockRate: rate, server: ident.Server(name)}
 	p.newCore = func() processCore {
-		return standin.NewBatch(standin.BatchOptions{ID: p.server, Service: m.service, Plain: service.Plain, Slots: service.Slots, Room: service.Room, Places: service.Places,
-			Lag: w.o.Hosted.ReportLag, Held: held, Disk: m.disk, Weight: func(k ident.Key) int { return h.plan.Models[k].Size }, Load: h.loadTime})
+		return standin.NewBatch(standin.BatchOptions{ID: p.server, Service: m.service, Plain: service.Plain, Slots: service.MaxRunning, Room: service.WeightCapacity, Places: service.AdapterCapacity,
+			ReportLag: w.options.Hosted.ReportLag, Held: held, Disk: m.disk, Weight: func(k ident.Key) int { return h.plan.Models[k].Size }, Load: h.loadTime})
 	}
-	a := &announcedServer{Beacon: protocol.Beacon{Listed: protocol.Listed{ID: p.server, Addr: m.addr, Zone: m.zone, State: "live", Service: m.service, Slots: service.Slots}}, machine: m, proc: p}
-	m.now = a
+	a := &announcedServer{Announcement: protocol.Announcement{ListedServer: protocol.ListedServer{ID: p.server, Addr: m.addr, Zone: m.zone, State: "live", Service: m.service, Slots: service.MaxRunning}}, machine: m, proc: p}
+	m.server = a
 	h.addrs[m.addr] = p
 	h.byProcess[name] = a
 	w.addProcess(p)
@@ -188,7 +188,7 @@
 	if k.IsAdapter() {
 		return 20e6
 	}
-	d := h.plan.Models[k].Load
+	d := h.plan.Models[k].LoadTime
 	if disk {
 		return d / 4
 	}
@@ -217,7 +217,7 @@
 	} else if !a.ending {
 		h.announce(a, 2, func(ok bool) { h.noteLeaveAck(a, ok) })
 	}
-	w.After(w.o.Hosted.Timing.Period*9/10+clock.Span(w.rand.Int64N(int64(w.o.Hosted.Timing.Period/5))), func() { h.announcePeriodically(a) })
+	w.After(w.options.Hosted.Timing.Period*9/10+clock.Span(w.rand.Int64N(int64(w.options.Hosted.Timing.Period/5))), func() { h.announcePeriodically(a) })
 }
 
 // announce sends a server's announcement to random core nodes, one at a time, until one acknowledges it or all attempts
@@ -228,12 +228,12 @@
 		return
 	}
 	a.Count++
-	b := a.Beacon
+	b := a.Announcement
 	if v, ok := a.proc.core.(*standin.Batch); ok {
-		b.Held = v.Keys()
+		b.ReadyKeys = v.Keys()
 	}
 	var nodes []string
-	for _, n := range w.order {
+	for _, n := range w.procNames {
 		if strings.HasPrefix(n, "controller-") {
 			nodes = append(nodes, n)
 		}
@@ -253,33 +253,33 @@
 	}
 	w.After(1e9, func() { finish(false) })
 	h.sendAnnouncement(a, to, b, finish)
-	if w.rand.Float64() < w.o.Hosted.LateOdds {
+	if w.rand.Float64() < w.options.Hosted.LateAnnouncementOdds {
 		late := w.procs[nodes[w.rand.IntN(len(nodes))]]
-		w.After(clock.Span(w.rand.Int64N(int64(w.o.Hosted.MaxAnnouncementDelay))), func() { h.sendAnnouncement(a, late, b, func(bool) {}) })
+		w.After(clock.Span(w.rand.Int64N(int64(w.options.Hosted.MaxAnnouncementDelay))), func() { h.sendAnnouncement(a, late, b, func(bool) {}) })
 	}
 }
 
 // sendAnnouncement sends an announcement to one core node.
-func (h *hosting) sendAnnouncement(a *announcedServer, to *proc, b protocol.Beacon, finish func(ok bool)) {
+func (h *hosting) sendAnnouncement(a *announcedServer, to *proc, b protocol.Announcement, finish func(ok bool)) {
 	w := h.world
 	h.lastAnnouncement++
 	token := h.lastAnnouncement
 	h.pendingAnnouncements[token] = func(node *proc, ok bool) {
 		if ok && b.State != "live" {
-			if a.acked == 0 {
-				a.acked = w.now
+			if a.leaveAckedAt == 0 {
+				a.leaveAckedAt = w.now
 			}
 			if a.leaveAckedInTouchAt == 0 && w.inTouch(node) {
 				a.leaveAckedInTouchAt = w.now
 			}
 			w.tracef("%s: %s is acknowledged as %s (in touch: %v)", node.name, a.ID, b.State, a.leaveAckedInTouchAt != 0)
 		}
-		if w.cuts[[2]string{to.box, a.machine.box}] {
+		if w.cuts[[2]string{to.machine, a.machine.name}] {
 			return
 		}
 		w.After(w.delay(), func() { finish(ok) })
 	}
-	if w.cuts[[2]string{a.machine.box, to.box}] || w.rand.Float64() < w.o.Loss {
+	if w.cuts[[2]string{a.machine.name, to.machine}] || w.rand.Float64() < w.options.LossOdds {
 		return
 	}
 	w.After(w.delay(), func() {
@@ -287,7 +287,7 @@
 			w.After(w.delay(), func() { finish(false) })
 			return
 		}
-		w.step(to, to.life, controller.Announce{Token: token, Beacon: b})
+		w.step(to, to.incarnation, controller.Announce{Token: token, Beacon: b})
 	})
 }
 
@@ -300,12 +300,12 @@
 
 // startLeaving makes a server announce that it is leaving. If remaining is positive, the server ends after that time
 // even if it still runs requests.
-func (h *hosting) leave(m *machine, remaining clock.Span, restartAfter clock.Span) {
-	w, a := h.world, m.now
+func (h *hosting) startLeaving(m *machine, remaining clock.Span, restartAfter clock.Span) {
+	w, a := h.world, m.server
 	if a == nil || !a.proc.up || a.State != "live" {
 		return
 	}
-	a.State, a.Left, a.leavingSince = "leaving", remaining, w.now
+	a.State, a.TimeLeft, a.leavingSince = "leaving", remaining, w.now
 	w.tracef("%s leaves (%v left)", a.ID, remaining)
 	if remaining > 0 {
 		w.After(remaining, func() { h.endServer(a, restartAfter) })
@@ -315,7 +315,7 @@
 			h.endServer(a, restartAfter)
 		}
 	})
-	a.machine.now = a
+	a.machine.server = a
 	h.announce(a, 5, func(ok bool) { h.noteLeaveAck(a, ok) })
 	var waitForAck func()
 	waitForAck = func() { // keep serving for a while after the acknowledgement
@@ -326,7 +326,7 @@
 			w.After(20e6, waitForAck)
 			return
 		}
-		w.After(w.o.Hosted.Timing.Drain+300e6, func() {
+		w.After(w.options.Hosted.Timing.Drain+300e6, func() {
 			if a.ended {
 				return
 			}
@@ -355,22 +355,22 @@
 	w := h.world
 	w.Kill(a.proc.name)
 	addr := a.Addr
-	w.After(w.o.Hosted.Reuse, func() { h.freeAddrs = append(h.freeAddrs, addr) })
+	w.After(w.options.Hosted.AddressReuse, func() { h.freeAddrs = append(h.freeAddrs, addr) })
 	if restartAfter > 0 {
 		w.After(restartAfter, func() { h.startServer(a.machine, nil) })
 	}
 }
 
 // crashServer ends a server without an announcement.
-func (h *hosting) crash(m *machine, restartAfter clock.Span) {
-	if m.now != nil && m.now.proc.up && !m.now.ended {
-		h.world.tracef("%s crashes", m.now.ID)
-		h.endServer(m.now, restartAfter)
+func (h *hosting) crashServer(m *machine, restartAfter clock.Span) {
+	if m.server != nil && m.server.proc.up && !m.server.ended {
+		h.world.tracef("%s crashes", m.server.ID)
+		h.endServer(m.server, restartAfter)
 	}
 }
 
 // deliverAsk delivers an order or a request for a report to a server.
-func (h *hosting) deliverAsk(p *proc, a protocol.Ask, reply func(ok bool, code int, b []byte)) {
+func (h *hosting) deliverAsk(p *proc, a protocol.HTTPRequest, reply func(ok bool, code int, b []byte)) {
 	w := h.world
 	o, ok := a.Body.(protocol.Order)
 	if !ok || a.Path != "/orders" {
@@ -378,14 +378,14 @@
 	}
 	sentAt := w.now
 	s := w.procAt(a.Addr)
-	if s == nil || w.cuts[[2]string{p.box, s.box}] {
+	if s == nil || w.cuts[[2]string{p.machine, s.machine}] {
 		return
 	}
 	lost := 0
-	if o.Op != "" && w.rand.Float64() < w.o.Hosted.OrderLoss {
+	if o.Op != "" && w.rand.Float64() < w.options.Hosted.OrderFaultOdds {
 		lost = 2 + w.rand.IntN(2)
 	}
-	if o.Op != "" && w.rand.Float64() < w.o.Hosted.OrderGone {
+	if o.Op != "" && w.rand.Float64() < w.options.Hosted.OrderLossOdds {
 		lost = 1
 	}
 	if lost == 1 {
@@ -401,7 +401,7 @@
 			w.After(w.delay(), func() { reply(false, 0, nil) })
 			return
 		}
-		if w.now.Sub(sentAt) > a.Wait {
+		if w.now.Sub(sentAt) > a.Timeout {
 			return // the sender has closed the connection
 		}
 		v := s.core.(*standin.Batch)
@@ -409,7 +409,7 @@
 			w.After(w.delay(), func() { reply(true, http.StatusMisdirectedRequest, nil) })
 			return
 		}
-		for _, x := range v.Step(s.tick(w.now), standin.BatchOrder{Order: o}) {
+		for _, x := range v.Step(s.localTime(w.now), standin.BatchOrder{Order: o}) {
 			r, ok := x.(standin.BatchAnswer)
 			if !ok {
 				w.handleOutput(s, x)
@@ -418,7 +418,7 @@
 			if o.Op != "" {
 				w.Check.checkHostedOrder(p, s, o, r)
 			}
-			if lost == 2 || w.cuts[[2]string{s.box, p.box}] {
+			if lost == 2 || w.cuts[[2]string{s.machine, p.machine}] {
 				continue
 			}
 			b, _ := json.Marshal(r.Report)
@@ -432,8 +432,8 @@
 
 // procAt returns the process that listens at an address, or nil.
 func (w *World) procAt(addr string) *proc {
-	if w.host != nil {
-		if p := w.host.addrs[addr]; p != nil {
+	if w.hosted != nil {
+		if p := w.hosted.addrs[addr]; p != nil {
 			return p
 		}
 	}
@@ -441,69 +441,69 @@
 }
 
 // isRepeatable reports whether a request may run more than once.
-func isRepeatable(a standin.Ask) bool { return strings.Contains(a.Route, "/idem/") }
+func isRepeatable(a standin.Request) bool { return strings.Contains(a.Route, "/idem/") }
 
 // requestSource returns a generator of random requests.
-func (w *World) mix() func() standin.Ask {
-	if w.host == nil {
-		m := standin.NewMix(w.plan, w.o.Seed)
-		m.Tenants = w.o.Tenants
+func (w *World) requestSource() func() standin.Request {
+	if w.hosted == nil {
+		m := standin.NewWorkload(w.plan, w.options.Seed)
+		m.Tenants = w.options.Tenants
 		return m.Next
 	}
 	n := 0
-	return func() standin.Ask {
+	return func() standin.Request {
 		n++
 		at := 0
-		if s := w.o.Hosted.Shift; s > 0 {
+		if s := w.options.Hosted.PopularityShift; s > 0 {
 			at = int(clock.Span(w.now) / s) // the popular models change over time
 		}
-		a := standin.Ask{Route: []string{"/flow/x", "/idem/x", "/once/x", "/plain/idem/x", "/plain/once/x"}[w.rand.IntN(5)]}
+		a := standin.Request{Route: []string{"/flow/x", "/idem/x", "/once/x", "/plain/idem/x", "/plain/once/x"}[w.rand.IntN(5)]}
 		c := &a.Call
-		c.ID, c.Host, c.Max = fmt.Sprintf("r-%d", n), "a.example", 4+w.rand.IntN(28)
-		if keys := w.o.Hosted.Keys; len(keys) > 0 {
+		c.ID, c.Host, c.MaxTokens = fmt.Sprintf("r-%d", n), "a.example", 4+w.rand.IntN(28)
+		if keys := w.options.Hosted.Keys; len(keys) > 0 {
 			c.Credential = fleetplan.NewCredential(keys[w.rand.IntN(len(keys))])
 		}
 		if strings.HasPrefix(a.Route, "/plain/") {
-			c.Max = 1 + w.rand.IntN(4)
+			c.MaxTokens = 1 + w.rand.IntN(4)
 			return a
 		}
-		if s := w.o.Hosted.Nameless; s > 0 && w.rand.Float64() < s {
+		if s := w.options.Hosted.NoModelShare; s > 0 && w.rand.Float64() < s {
 			a.Route = strings.Replace(a.Route, "/", "/any/", 1)
-			c.Max = 1 + w.rand.IntN(4)
+			c.MaxTokens = 1 + w.rand.IntN(4)
 			return a
 		}
 		v := w.plan.Services["chat"]
 		bases := 0
 		for k := range v.Keys {
-			bases += b2i(!k.IsAdapter())
+			bases += boolToInt(!k.IsAdapter())
 		}
 		i := min(w.rand.IntN(bases), w.rand.IntN(bases), w.rand.IntN(bases))
-		c.Base = baseName((i + 5*at) % bases)
+		c.Model = baseName((i + 5*at) % bases)
 		if w.rand.IntN(4) == 0 {
-			c.Extra = fmt.Sprintf("a%d", 1+w.rand.IntN(2))
+			c.Adapter = fmt.Sprintf("a%d", 1+w.rand.IntN(2))
 		}
 		c.Parts = []string{strings.Repeat("system ", 60), strings.Repeat(fmt.Sprint("session-", w.rand.IntN(40)), 20)}
-		c.Sizes = []int{len(c.Parts[0]) / 4, len(c.Parts[1]) / 4}
-		c.Tokens = c.Sizes[0] + c.Sizes[1]
+		c.PartTokens = []int{len(c.Parts[0]) / 4, len(c.Parts[1]) / 4}
+		c.PromptTokens = c.PartTokens[0] + c.PartTokens[1]
 		return a
 	}
 }
 
-// PutNumber submits a plan that builds on epoch on, under an epoch number chosen by the operator.
-func (w *World) PutNumber(node string, raw []byte, on, number ident.Epoch, then func(controller.Receipt)) {
-	w.change(node, controller.Admin{Op: "put", Raw: raw, Expect: on, Number: number, Change: fmt.Sprintf("put-%d-%d-%d", on, number, w.admin+1)}, then)
+// PutNumbered submits a plan that builds on epoch on, under an epoch number chosen by the operator.
+func (w *World) PutNumbered(node string, raw []byte, on, number ident.Epoch, then func(controller.Receipt)) {
+	w.submitChange(node, controller.Admin{Op: "put", Raw: raw, Expect: on, Number: number, Change: fmt.Sprintf("put-%d-%d-%d", on, number, w.lastAdmin+1)}, then)
 }
 
 // disruptions records the latest faults of machines and of the links between them.
 type disruptions struct {
-	machines map[string]clock.Tick
-	links    map[[2]string]clock.Tick
-	coreAt   clock.Tick
-	thawedAt map[string]clock.Tick // when frozen machines resume, or resumed
+	machines map[string]clock.Instant
+	links    map[[2]string]clock.Instant
+	coreAt   clock.Instant
+	thawedAt map[string]clock.Instant // when frozen machines resume, or resumed
 }
 
 func newDisruptions() disruptions {
-	return disruptions{machines: map[string]clock.Tick{}, thawedAt: map[string]clock.Tick{}, links: map[[2]string]clock.Tick{}}
+	return disruptions{machines: map[string]clock.Instant{}, thawedAt: map[string]clock.Instant{}, links: map[[2]string]clock.Instant{}}
 }
 
 // isCore reports whether a machine runs a core node.
@@ -513,13 +513,13 @@
 func (w *World) noteTrouble(box string) { w.noteTroubleAt(box, w.now) }
 
 // noteFreeze records that a machine is frozen until the given time.
-func (w *World) noteFreeze(box string, at clock.Tick) {
+func (w *World) noteFreeze(box string, at clock.Instant) {
 	w.disruptions.thawedAt[box] = at
 	w.noteTroubleAt(box, at)
 }
 
 // noteTroubleAt records a fault of a machine that lasts until the given time.
-func (w *World) noteTroubleAt(box string, at clock.Tick) {
+func (w *World) noteTroubleAt(box string, at clock.Instant) {
 	w.disruptions.machines[box] = max(w.disruptions.machines[box], at)
 	if isCore(box) {
 		w.disruptions.coreAt = max(w.disruptions.coreAt, at)
@@ -543,13 +543,13 @@
 // coreStable reports whether a majority of the core is running and the core has been without faults for the contact
 // time.
 func (w *World) coreStable() bool {
-	if w.o.Hosted == nil || w.now.Sub(w.disruptions.coreAt) < w.o.Hosted.ContactTime {
+	if w.options.Hosted == nil || w.now.Sub(w.disruptions.coreAt) < w.options.Hosted.ContactTime {
 		return false
 	}
 	up := w.controllers()
 	total := 0
-	for _, n := range w.order {
-		total += b2i(strings.HasPrefix(n, "controller-"))
+	for _, n := range w.procNames {
+		total += boolToInt(strings.HasPrefix(n, "controller-"))
 	}
 	if 2*len(up) <= total {
 		return false
@@ -565,11 +565,11 @@
 // inTouch reports whether both the core and a process's machine and links to the core have been without faults for
 // the contact time.
 func (w *World) inTouch(p *proc) bool {
-	if !p.up || w.now.Sub(w.disruptions.machines[p.box]) < w.o.Hosted.ContactTime || !w.coreStable() {
+	if !p.up || w.now.Sub(w.disruptions.machines[p.machine]) < w.options.Hosted.ContactTime || !w.coreStable() {
 		return false
 	}
 	for c := range w.cuts {
-		if c[0] == p.box && isCore(c[1]) || c[1] == p.box && isCore(c[0]) {
+		if c[0] == p.machine && isCore(c[1]) || c[1] == p.machine && isCore(c[0]) {
 			return false
 		}
 	}
@@ -588,7 +588,7 @@
 // liveMachines returns the machines whose servers are running and not leaving.
 func (h *hosting) liveMachines() (l []*machine) {
 	for _, m := range h.machines {
-		if m.now != nil && m.now.proc.up && m.now.State == "live" {
+		if m.server != nil && m.server.proc.up && m.server.State == "live" {
 			l = append(l, m)
 		}
 	}
@@ -596,7 +596,7 @@
 }
 
 // randomMachine returns a random machine with a live server, or the first machine if there is none.
-func (h *hosting) some() *machine {
+func (h *hosting) randomMachine() *machine {
 	if l := h.liveMachines(); len(l) > 0 {
 		return l[h.world.rand.IntN(len(l))]
 	}
--- a/internal/simulator/hosted_test.go
+++ b/internal/simulator/hosted_test.go
@@ -15,7 +15,7 @@
 func TestReadHostedPlan(t *testing.T) {
 	p, f := ReadHostedPlan(hostedPlan())
 	require.Nil(t, f)
-	require.NotNil(t, p.Find("a.example", "/plain/once/x"))
+	require.NotNil(t, p.FindRoute("a.example", "/plain/once/x"))
 	_, f = ReadHostedPlan([]byte(`{"services":{},"routes":[{"host":"a","prefix":"/","service":"none"}]}`))
 	require.Len(t, f, 1)
 	_, f = ReadHostedPlan([]byte(`{`))
@@ -26,7 +26,7 @@
 // term after a higher one, and a controller that orders again within the tenure after another one did.
 func TestOrderChecks(t *testing.T) {
 	o := Options{Seed: 1}
-	hosted(nil)(&o)
+	hostedOptions(nil)(&o)
 	for _, c := range []struct {
 		sees   string
 		orders [][2]int // controller number and term of each order, one per second
@@ -38,28 +38,28 @@
 	} {
 		w := New(o)
 		w.Run(6e9)
-		require.Empty(t, w.Check.Bad)
+		require.Empty(t, w.Check.Violations)
 		s := w.procs["server-1.1"]
 		for i, x := range c.orders {
-			w.now = sec(10 + float64(i))
-			w.Check.checkHostedOrder(w.procs["controller-"+string(rune('0'+x[0]))], s, protocol.Order{Op: "load", Duty: ident.Duty(x[1])}, standin.BatchAnswer{Code: 409})
+			w.now = atSecond(10 + float64(i))
+			w.Check.checkHostedOrder(w.procs["controller-"+string(rune('0'+x[0]))], s, protocol.Order{Op: "load", Term: ident.Term(x[1])}, standin.BatchAnswer{Code: 409})
 		}
 		if c.sees == "" {
-			require.Empty(t, w.Check.Bad)
+			require.Empty(t, w.Check.Violations)
 			continue
 		}
-		require.NotEmpty(t, w.Check.Bad, c.sees)
-		require.Contains(t, strings.Join(w.Check.Bad, " "), c.sees)
+		require.NotEmpty(t, w.Check.Violations, c.sees)
+		require.Contains(t, strings.Join(w.Check.Violations, " "), c.sees)
 	}
 }
 
-func init() { bites = append(bites, hostedGuardCases...) }
+func init() { guardCases = append(guardCases, hostedGuardCases...) }
 
 // hostedGuardCases are the guard cases with servers that announce themselves and do not check fencing numbers.
-var hostedGuardCases = []bite{
+var hostedGuardCases = []guardCase{
 	{"announced: order while the duty's hold lasts", "announced-split", "of duty|ordered by", []edit{
-		{"internal/controller/duty.go", "if c.duty.mine && c.now > c.duty.until(c).Add(lapseSpans*c.o.Duty) {", "if false {"},
-		{"internal/controller/duty.go", "return c.duty.mine && c.now <= c.duty.until(c) }", "return c.duty.mine }"},
+		{"internal/controller/duty.go", "if c.leadership.held && c.now > c.leadership.expiresAt(c).Add(renewableLeases*c.o.LeadershipLease) {", "if false {"},
+		{"internal/controller/duty.go", "return c.leadership.held && c.now <= c.leadership.expiresAt(c) }", "return c.leadership.held }"},
 		{"internal/controller/links.go", "old := c.now.Sub(c.knownSince())", "old := clock.Span(0)"}}},
 	{"announced: keep within room", "announced-shift", "past its room", []edit{
 		{"internal/controller/look.go", "if p.free >= f.model.Size {", "if true {"},
@@ -76,15 +76,15 @@
 	{"announced: know late words", "announced-late", "considers it live|after its leaving", []edit{
 		{"internal/controller/enrol.go", `if b.Count <= e.Count || e.State == "gone" && !e.presumedGone {`, `if e.State == "gone" && !e.presumedGone {`},
 		{"internal/controller/enrol.go", "if stateRank[b.State] < stateRank[e.State] {", "if false {"}}},
-	{"announced: break before an unload", "announced-shift", "held a promise", []edit{{"internal/controller/evict.go", "if quiet && c.dropped(p.waits) {", "if quiet || true {"}}},
+	{"announced: break before an unload", "announced-shift", "held a promise", []edit{{"internal/controller/evict.go", "if quiet && c.allAcked(p.unackedBreaks) {", "if quiet || true {"}}},
 	{"announced: repeat only what may be", "announced-reuse", "may not be repeated", []edit{
 		{"internal/router/ledger.go", "Lost:    {{kind: failure.Unclear}, {again: true, pay: true}}", "Lost:    {{again: true}, {again: true}}"}}},
 	{"announced: drop only what did not run", "announced-reuse", "but had run|and ran", []edit{
 		{"internal/router/ledger.go", "Lost:    {{kind: failure.Unclear}, {again: true, pay: true}}", "Lost:    {{kind: failure.NotReady}, {again: true, pay: true}}"},
-		{"internal/router/queue.go", "if failure.Receipts[k].Dropped && r.mayHaveRun() {", "if r == nil {"}}},
-	{"announced: send a plan again", "announced-plans", "routes under epoch", []edit{{"internal/controller/links.go", "l.sent = l.heard // una", "_ = l.heard // una"}, {"internal/controller/links.go", "if since, owes := c.owedSince(l); owes {", "if since, owes := c.owedSince(l); owes && false {"}}},
+		{"internal/router/queue.go", "if failure.Responses[k].NotExecuted && r.mayHaveRun() {", "if r == nil {"}}},
+	{"announced: send a plan again", "announced-plans", "routes under epoch", []edit{{"internal/controller/links.go", "l.sentNum = l.ackedNum // una", "_ = l.ackedNum // una"}, {"internal/controller/links.go", "if since, owes := c.unackedSince(l); owes {", "if since, owes := c.unackedSince(l); owes && false {"}}},
 	{"announced: expect the number", "announced-plans", "two changes based on|confirmed twice", []edit{{"internal/controller/changes.go", "if !a.Any && d.Epoch != a.Expect {", "if false {"}}},
 	{"announced: keep the number", "announced-plans", "a change of number", []edit{{"internal/controller/changes.go", "if next.Epoch++; a.Number != 0 {", "if next.Epoch++; false {"}}},
 	{"announced: sync before an answer", "announced-all", "routes under epoch|read gave epoch|bytes that were not sent|slipped back", []edit{
-		{"internal/controller/core.go", "c.saves[c.token] = then", "then()\n\tc.saves[c.token] = func() {}"}}},
+		{"internal/controller/core.go", "c.continuations[c.token] = then", "then()\n\tc.continuations[c.token] = func() {}"}}},
 }
--- a/internal/simulator/key_scenes.go
+++ b/internal/simulator/key_scenes.go
@@ -20,15 +20,15 @@
 // keyedPlan is the first plan of these scenes: every key but the last belongs to a tenant, and one route requires no
 // key.
 func keyedPlan() []byte {
-	s := firstSheet(1)
+	s := firstPlan(1)
 	for i := range s.Routes {
 		s.Routes[i].Unkeyed = s.Routes[i].Prefix == "/plain/idem/"
 	}
 	for i, name := range tenantNames {
-		s.Tenants = append(s.Tenants, sheetTenant{Name: name, Precedence: i, Keys: []string{callerKeys[i]}})
+		s.Tenants = append(s.Tenants, planTenant{Name: name, Precedence: i, Keys: []string{callerKeys[i]}})
 	}
 	s.Tenants[0].Keys = append(s.Tenants[0].Keys, callerKeys[3])
-	return writeSheet(s)
+	return encodePlan(s)
 }
 
 // drawTenants assigns keys to tenants at random: a quarter of the time the first assignment stays, otherwise each key
@@ -39,14 +39,14 @@
 		delete(m, "tenants")
 		return
 	case 1:
-		m["tenants"] = []sheetTenant{}
+		m["tenants"] = []planTenant{}
 		return
 	case 2, 3, 4:
 		return
 	}
-	var tenants []sheetTenant
+	var tenants []planTenant
 	for i, name := range tenantNames {
-		tenants = append(tenants, sheetTenant{Name: name, Precedence: i, Keys: []string{}})
+		tenants = append(tenants, planTenant{Name: name, Precedence: i, Keys: []string{}})
 	}
 	for _, key := range callerKeys[:len(callerKeys)-1] {
 		if i := w.rand.IntN(len(tenants) + 1); i < len(tenants) {
@@ -60,40 +60,40 @@
 func (w *World) changeKeys(from, to, gap float64) {
 	n := 0
 	for t := from; t < to; t += gap {
-		w.At(sec(t), func() {
+		w.At(atSecond(t), func() {
 			n++
 			on := w.newestEpoch()
-			raw := WithName(w.o.Plan, fmt.Sprintf("keys-%d", n), w.drawTenants)
-			w.PutNumber(w.some("controller-"), raw, on, on+1+ident.Epoch(w.rand.IntN(2)), func(controller.Receipt) {})
+			raw := WithName(w.options.Plan, fmt.Sprintf("keys-%d", n), w.drawTenants)
+			w.PutNumbered(w.randomNode("controller-"), raw, on, on+1+ident.Epoch(w.rand.IntN(2)), func(controller.Receipt) {})
 		})
 	}
 }
 
 // keyedOptions sets up a world of announced servers whose callers present keys.
 func keyedOptions(o *Options) {
-	hosted(func(h *Hosted) { h.Keys, h.Shift = callerKeys, 10e9 })(o)
+	hostedOptions(func(h *Hosted) { h.Keys, h.PopularityShift = callerKeys, 10e9 })(o)
 	o.Plan = keyedPlan()
 }
 
 // keyScenes are scenes in which callers present keys and operators reassign them.
 var keyScenes = []Scene{
-	{Name: "keys", About: "keys are revoked, moved and restored in quick succession; nothing fails", Duration: 60e9, MinAnswered: 0.95, Configure: keyedOptions,
+	{Name: "keys", Description: "keys are revoked, moved and restored in quick succession; nothing fails", Duration: 60e9, MinAnswered: 0.95, Configure: keyedOptions,
 		Script: func(w *World) { w.changeKeys(8, 48, 0.7) }},
-	{Name: "keys-troubles", About: "like keys, while servers leave, the owner is killed or frozen, and routers are cut off or frozen", Duration: 90e9, MinAnswered: 0.6,
-		Configure: func(o *Options) { keyedOptions(o); o.Loss, o.Twice = 0.01, 0.02 },
+	{Name: "keys-troubles", Description: "like keys, while servers leave, the owner is killed or frozen, and routers are cut off or frozen", Duration: 90e9, MinAnswered: 0.6,
+		Configure: func(o *Options) { keyedOptions(o); o.LossOdds, o.DuplicateOdds = 0.01, 0.02 },
 		Script: func(w *World) {
 			w.changeKeys(8, 74, 1.3)
 			w.withdrawServers(10, 70, 4)
 			for t := 12.0; t < 70; t += 8 {
-				w.At(sec(t), func() {
-					r := fmt.Sprintf("router-%d", 1+w.rand.IntN(w.o.Routers))
+				w.At(atSecond(t), func() {
+					r := fmt.Sprintf("router-%d", 1+w.rand.IntN(w.options.Routers))
 					switch w.rand.IntN(4) {
 					case 0:
 						w.Restart(w.owner(), clock.Span(w.rand.Int64N(3e9)))
 					case 1:
 						w.Freeze(w.owner(), clock.Span(w.rand.Int64N(4e9)))
 					case 2:
-						for _, b := range w.boxes() {
+						for _, b := range w.machineNames() {
 							if isCore(b) {
 								w.Cut(r, b, true)
 							}
@@ -102,10 +102,10 @@
 						w.Freeze(r, clock.Span(w.rand.Int64N(4e9)))
 					}
 				})
-				w.At(sec(t+4), w.Heal)
+				w.At(atSecond(t+4), w.Heal)
 			}
 		}},
-	{Name: "keys-slow-core", About: "keys change four times a second on core nodes that parse configurations slowly, and the owner is killed, frozen and cut off",
+	{Name: "keys-slow-core", Description: "keys change four times a second on core nodes that parse configurations slowly, and the owner is killed, frozen and cut off",
 		Duration: 90e9, MinAnswered: 0.6,
 		Configure: func(o *Options) {
 			slowCoreOptions(60e6, 20e6)(o)
@@ -114,7 +114,7 @@
 		Script: func(w *World) {
 			w.changeKeys(10, 75, 0.25)
 			for t := 14.0; t < 75; t += 12 {
-				w.At(sec(t), func() { w.disruptOwner(clock.Span(w.rand.Int64N(3e9))) })
+				w.At(atSecond(t), func() { w.disruptOwner(clock.Span(w.rand.Int64N(3e9))) })
 			}
 		}},
 }
--- a/internal/simulator/losses.go
+++ b/internal/simulator/losses.go
@@ -32,19 +32,19 @@
 )
 
 // countsAsLost reports whether a seat counts as lost at a given time.
-func (s *seat) countsAsLost(now clock.Tick) bool { return now < s.lostUntil }
+func (s *seat) countsAsLost(now clock.Instant) bool { return now < s.lostUntil }
 
 // allSeats returns the current seats and the permanently stopped nodes, any of which may count as lost.
 func (f *coreFleet) allSeats() []*seat { return append(append([]*seat{}, f.seats...), f.stopped...) }
 
 // mayLose reports whether the failure tolerance permits losing a seat now.
-func (f *coreFleet) mayLose(s *seat, now clock.Tick) bool {
+func (f *coreFleet) mayLose(s *seat, now clock.Instant) bool {
 	count := 1
 	for _, other := range f.allSeats() {
 		if other == s || !other.countsAsLost(now) {
 			continue
 		}
-		if f.ByZone && other.zone != s.zone {
+		if f.OneZone && other.zone != s.zone {
 			return false
 		}
 		count++
@@ -53,7 +53,7 @@
 }
 
 // nextLossEnd returns when the earliest loss with a known end stops counting, at most confirmInterval from now.
-func (f *coreFleet) nextLossEnd(now clock.Tick) clock.Tick {
+func (f *coreFleet) nextLossEnd(now clock.Instant) clock.Instant {
 	end := now.Add(confirmInterval)
 	for _, s := range f.allSeats() {
 		if s.countsAsLost(now) && s.lostUntil < end {
@@ -64,7 +64,7 @@
 }
 
 // hasNoLosses reports whether no core node counts as lost or is being replaced.
-func (f *coreFleet) hasNoLosses(now clock.Tick) bool {
+func (f *coreFleet) hasNoLosses(now clock.Instant) bool {
 	for _, s := range f.allSeats() {
 		if s.countsAsLost(now) || s.replacing {
 			return false
@@ -77,7 +77,7 @@
 func (w *World) injectLosses(from, to float64, kinds ...lossKind) {
 	var next func()
 	next = func() {
-		if w.now > sec(to) {
+		if w.now > atSecond(to) {
 			w.expectChangeConfirmed()
 			return
 		}
@@ -85,14 +85,14 @@
 		if w.rand.IntN(5) < 2 {
 			s = w.ownerSeat()
 		}
-		if s.lostUntil == stillDown || s.replacing || !w.core.mayLose(s, w.now) {
+		if s.lostUntil == noEnd || s.replacing || !w.core.mayLose(s, w.now) {
 			w.At(w.core.nextLossEnd(w.now).Add(clock.Span(1e6+w.rand.Int64N(20e6))), next)
 			return
 		}
 		w.injectLoss(s, kinds[w.rand.IntN(len(kinds))])
 		w.After(w.drawLossDelay(), next)
 	}
-	w.At(sec(from), next)
+	w.At(atSecond(from), next)
 }
 
 // replaceSequentially replaces one core node after another permanently. The owner is lost soon after each replacement,
@@ -100,7 +100,7 @@
 func (w *World) replaceSequentially(from, to float64) {
 	var next func()
 	next = func() {
-		if w.now > sec(to) {
+		if w.now > atSecond(to) {
 			w.expectChangeConfirmed()
 			return
 		}
@@ -111,7 +111,7 @@
 		w.replaceAndLose()
 		w.After(1e6, next)
 	}
-	w.At(sec(from), next)
+	w.At(atSecond(from), next)
 }
 
 // replaceAndLose replaces one core node and loses others around the end of its replacement.
@@ -159,7 +159,7 @@
 		if !p.up {
 			continue
 		}
-		if _, ok := p.core.(*controller.Core).Owns(p.tick(w.now)); ok {
+		if _, ok := p.core.(*controller.Core).Owns(p.localTime(w.now)); ok {
 			return s
 		}
 	}
@@ -180,7 +180,7 @@
 		w.After(restartDelay, func() { w.restartSeatNode(s) })
 	case diskLossAfterAck:
 		w.putNextPlan(node, "before a loss", func(accepted bool) {
-			if !accepted || s.node != node || s.lostUntil == stillDown || !w.core.mayLose(s, w.now) {
+			if !accepted || s.node != node || s.lostUntil == noEnd || !w.core.mayLose(s, w.now) {
 				return
 			}
 			w.killSeatNode(s, "loses its power and its disk right after a confirmation")
@@ -189,8 +189,8 @@
 		})
 	case replacement:
 		w.killSeatNode(s, "is gone for good")
-		w.remove(node)
-		w.seatNode(s, w.upSeeds())
+		w.removeProcess(node)
+		w.addNodeToSeat(s, w.runningSeeds())
 		w.After(400e6+restartDelay, func() { w.restartSeatNode(s) })
 	case plannedReplacement:
 		s.replacing = true
@@ -206,7 +206,7 @@
 // replaced another voter by then.
 func (w *World) startPlannedReplacement(s *seat) {
 	old, next := s.node, &seat{zone: s.zone}
-	w.seatNode(next, w.upSeeds())
+	w.addNodeToSeat(next, w.runningSeeds())
 	w.Start(next.node)
 	w.tracef("%s is to replace %s", next.node, old)
 	w.After(clock.Span(500e6+w.rand.Int64N(4500e6)), func() { w.stopReplacedNode(s, old, next.node) })
@@ -214,19 +214,19 @@
 
 // stopReplacedNode stops a replaced node permanently as soon as the tolerance permits.
 func (w *World) stopReplacedNode(s *seat, old, next string) {
-	if s.lostUntil == stillDown || !w.core.mayLose(s, w.now) {
+	if s.lostUntil == noEnd || !w.core.mayLose(s, w.now) {
 		w.After(confirmInterval, func() { w.stopReplacedNode(s, old, next) })
 		return
 	}
-	stopped := &seat{node: old, zone: s.zone, lostUntil: stillDown}
+	stopped := &seat{node: old, zone: s.zone, lostUntil: noEnd}
 	w.core.stopped = append(w.core.stopped, stopped)
 	p := w.procs[old]
 	w.tracef("%s is stopped for good", old)
-	w.step(p, p.life, protocol.Stop{})
+	w.step(p, p.incarnation, protocol.Stop{})
 	w.After(stopGracePeriod, func() {
-		w.remove(old)
+		w.removeProcess(old)
 		s.node, s.replacing = next, false
-		s.lostUntil = w.core.started[next].Add(convergence)
+		s.lostUntil = w.core.startedAt[next].Add(convergence)
 		stopped.lostUntil = w.now.Add(convergence)
 		w.After(convergence, func() {
 			if s.node == next && w.procs[next].up {
@@ -239,7 +239,7 @@
 // killSeatNode kills the node of a seat, which counts as lost until the node is restarted.
 func (w *World) killSeatNode(s *seat, event string) {
 	w.tracef("%s %s", s.node, event)
-	s.lostUntil = stillDown
+	s.lostUntil = noEnd
 	w.Kill(s.node)
 }
 
@@ -250,7 +250,7 @@
 	w.Start(node)
 	s.lostUntil = w.now.Add(convergence)
 	w.After(convergence, func() {
-		if w.core.started[node].Add(convergence) == w.now && s.node == node && w.procs[node].up {
+		if w.core.startedAt[node].Add(convergence) == w.now && s.node == node && w.procs[node].up {
 			w.Check.checkAdmitted(node)
 		}
 	})
@@ -258,13 +258,13 @@
 
 // putNextPlan reads the plan at a node and submits a new plan on top of that version.
 func (w *World) putNextPlan(node, name string, then func(accepted bool)) {
-	w.Read(node, func(r controller.Receipt) {
+	w.ReadPlan(node, func(r controller.Receipt) {
 		if r.Kind != failure.None {
 			then(false)
 			return
 		}
-		raw := WithName(w.o.Plan, fmt.Sprintf("%s %d", name, w.admin), nil)
-		w.PutNumber(node, raw, r.Epoch, r.Epoch+1+ident.Epoch(w.rand.IntN(3)), func(r controller.Receipt) {
+		raw := WithName(w.options.Plan, fmt.Sprintf("%s %d", name, w.lastAdmin), nil)
+		w.PutNumbered(node, raw, r.Epoch, r.Epoch+1+ident.Epoch(w.rand.IntN(3)), func(r controller.Receipt) {
 			then(r.Kind == failure.None)
 		})
 	})
@@ -274,13 +274,13 @@
 func (w *World) changePlanPeriodically(from, to float64, gap clock.Span) {
 	var next func()
 	next = func() {
-		if w.now > sec(to) {
+		if w.now > atSecond(to) {
 			return
 		}
-		w.putNextPlan(w.someUp(), "meanwhile", func(bool) {})
+		w.putNextPlan(w.randomRunningNode(), "meanwhile", func(bool) {})
 		w.After(gap/2+clock.Span(w.rand.Int64N(int64(gap))), next)
 	}
-	w.At(sec(from), next)
+	w.At(atSecond(from), next)
 }
 
 // expectChangeConfirmed checks that a change is confirmed within confirmTimeout after the last loss has ended.
@@ -292,7 +292,7 @@
 	start, confirmed := w.now, false
 	w.After(confirmTimeout, func() {
 		if !confirmed {
-			w.Check.bad("no change was confirmed within %v after the last loss of a core node: %s", confirmTimeout, w.describeVoterSets())
+			w.Check.violationf("no change was confirmed within %v after the last loss of a core node: %s", confirmTimeout, w.describeVoterSets())
 		}
 	})
 	var try func()
@@ -300,7 +300,7 @@
 		if confirmed || w.now.Sub(start) > confirmTimeout {
 			return
 		}
-		w.putNextPlan(w.someUp(), "calm", func(accepted bool) { confirmed = confirmed || accepted })
+		w.putNextPlan(w.randomRunningNode(), "calm", func(accepted bool) { confirmed = confirmed || accepted })
 		w.After(confirmInterval, try)
 	}
 	try()
@@ -309,7 +309,7 @@
 // checkAdmitted checks that a started node is a voter, or that the voter set is complete without it: another new node
 // may have taken the free place.
 func (k *Checker) checkAdmitted(node string) {
-	w := k.w
+	w := k.world
 	if w.hasSpareNodes() {
 		return // more nodes than voters: the node need not be one of them
 	}
@@ -322,14 +322,14 @@
 			return // the set may be joint because of another node that came back empty
 		}
 	}
-	k.bad("%s is no full voter %v after its start: %s", node, convergence, w.describeVoterSets())
+	k.violationf("%s is no full voter %v after its start: %s", node, convergence, w.describeVoterSets())
 }
 
 // isCompleteVoterSet reports whether a voter set has all its members, and none that was permanently removed longer
 // than the convergence time ago.
 func (w *World) isCompleteVoterSet(voters []protocol.Voter) bool {
 	for _, v := range voters {
-		if at, gone := w.core.removed[string(v.ID)]; gone && w.now.Sub(at) > convergence {
+		if at, gone := w.core.removedAt[string(v.ID)]; gone && w.now.Sub(at) > convergence {
 			return false
 		}
 	}
@@ -352,19 +352,19 @@
 // watchJointState checks from a given time on, when the core has grown to its full size, that no joint voter set
 // remains longer than the convergence time after the last change among the core nodes.
 func (w *World) watchJointState(from float64) {
-	reported := clock.Tick(-1)
+	reported := clock.Instant(-1)
 	var check func()
 	check = func() {
 		f := w.core
-		if w.now.Sub(f.changed) > convergence && f.hasNoLosses(w.now) && reported != f.changed {
+		if w.now.Sub(f.changedAt) > convergence && f.hasNoLosses(w.now) && reported != f.changedAt {
 			if n := w.findJointVoter(); n != "" {
-				reported = f.changed
-				w.Check.bad("the voter set is still in a joint state at %s, %v after the last change: %s", n, w.now.Sub(f.changed), w.describeVoterSets())
+				reported = f.changedAt
+				w.Check.violationf("the voter set is still in a joint state at %s, %v after the last change: %s", n, w.now.Sub(f.changedAt), w.describeVoterSets())
 			}
 		}
 		w.After(jointCheckInterval, check)
 	}
-	w.At(sec(from), check)
+	w.At(atSecond(from), check)
 }
 
 // findJointVoter returns the name of a voter that still knows a joint voter set, or the empty string.
--- a/internal/simulator/measure.go
+++ b/internal/simulator/measure.go
@@ -17,8 +17,8 @@
 // ratios or virtual times.
 func Measure(out io.Writer, o Options, seeds int) {
 	printf := func(form string, a ...any) { _, _ = fmt.Fprintf(out, form+"\n", a...) }
-	run := func(scene string, set func(o *Options)) (all []Seen, ws []*World) {
-		s, _ := Find(scene)
+	run := func(scene string, set func(o *Options)) (all []Stats, ws []*World) {
+		s, _ := FindScene(scene)
 		for i := range seeds {
 			x := o
 			x.Seed = o.Seed + uint64(i)
@@ -30,38 +30,38 @@
 		}
 		return all, ws
 	}
-	sum := func(l []Seen, f func(Seen) float64) (n float64) {
+	sum := func(l []Stats, f func(Stats) float64) (n float64) {
 		for _, s := range l {
 			n += f(s)
 		}
 		return n
 	}
-	worst := func(l []Seen, f func(Seen) clock.Span) (d clock.Span) {
+	worst := func(l []Stats, f func(Stats) clock.Span) (d clock.Span) {
 		for _, s := range l {
 			d = max(d, f(s))
 		}
 		return d
 	}
-	asked := func(s Seen) float64 { return float64(s.Asked) }
+	asked := func(s Stats) float64 { return float64(s.Requests) }
 
 	printf("callbacks against a check on every use (scene calm, %d seeds)", seeds)
 	for _, c := range []struct {
 		name  string
 		check bool
 	}{{"callbacks", false}, {"check on every use", true}} {
-		l, _ := run("calm", func(o *Options) { o.Router.Check = c.check })
-		n := sum(l, func(s Seen) float64 { return float64(s.Lookups) })
+		l, _ := run("calm", func(o *Options) { o.Router.AlwaysRevalidate = c.check })
+		n := sum(l, func(s Stats) float64 { return float64(s.Lookups) })
 		printf("  %-20s %6.0f lookups for %6.0f requests: %.3f each", c.name, n, sum(l, asked), n/sum(l, asked))
 	}
 
 	printf("breaks for each unload (scene moves)")
 	l, _ := run("moves", nil)
-	unloads := sum(l, func(s Seen) float64 { return float64(s.Unloads) })
+	unloads := sum(l, func(s Stats) float64 { return float64(s.Unloads) })
 	printf("  %.0f unloads, %.2f breaks, %.2f acknowledged and %.2f expired for each; breaks for loads are among them", unloads,
-		sum(l, func(s Seen) float64 { return float64(s.Breaks) })/unloads, sum(l, func(s Seen) float64 { return float64(s.Acks) })/unloads, sum(l, func(s Seen) float64 { return float64(s.Lapses) })/unloads)
+		sum(l, func(s Stats) float64 { return float64(s.Breaks) })/unloads, sum(l, func(s Stats) float64 { return float64(s.Acks) })/unloads, sum(l, func(s Stats) float64 { return float64(s.Lapses) })/unloads)
 	l, _ = run("moves-cut", nil)
 	printf("  with routers frozen and cut off: %.0f breaks, %.0f acknowledged, %.0f router leases expired with unacknowledged breaks",
-		sum(l, func(s Seen) float64 { return float64(s.Breaks) }), sum(l, func(s Seen) float64 { return float64(s.Acks) }), sum(l, func(s Seen) float64 { return float64(s.Lapses) }))
+		sum(l, func(s Stats) float64 { return float64(s.Breaks) }), sum(l, func(s Stats) float64 { return float64(s.Acks) }), sum(l, func(s Stats) float64 { return float64(s.Lapses) }))
 
 	printf("callback state of one router at the leader")
 	for _, n := range []int{500, 2000, 8000} {
@@ -75,17 +75,17 @@
 		heads int
 	}{{"all shared parts", false, 0}, {"the leading part", false, 1}, {"none", true, 0}} {
 		for _, scene := range []string{"calm", "storm", "servers"} {
-			l, _ := run(scene, func(o *Options) { o.Router.Plain, o.Router.Heads, o.Tenants = c.plain, c.heads, 60 })
-			printf("  affinity by %-17s %-8s %.1f in 100 prompt bytes reused, answered %.4f", c.name, scene, 100*sum(l, func(s Seen) float64 { return float64(s.Reused) })/sum(l, func(s Seen) float64 { return float64(s.Prompt) }), answeredShare(l))
+			l, _ := run(scene, func(o *Options) { o.Router.NoAffinity, o.Router.AffinityParts, o.Tenants = c.plain, c.heads, 60 })
+			printf("  affinity by %-17s %-8s %.1f in 100 prompt bytes reused, answered %.4f", c.name, scene, 100*sum(l, func(s Stats) float64 { return float64(s.Reused) })/sum(l, func(s Stats) float64 { return float64(s.Prompt) }), answeredShare(l))
 		}
 	}
 
 	printf("moves, and requests that waited for more than 250 ms")
 	for _, scene := range []string{"calm", "roll", "zones", "windows", "servers", "zone-loss", "return", "mixed"} {
 		l, _ := run(scene, nil)
-		printf("  %-10s %.1f moves, %.1f pulls a run; %.2f in 100 waited, %.2f s each", scene, sum(l, func(s Seen) float64 { return float64(s.Moves) })/float64(len(l)),
-			sum(l, func(s Seen) float64 { return float64(s.Pulls) })/float64(len(l)), 100*sum(l, func(s Seen) float64 { return float64(s.Waited) })/sum(l, asked),
-			sum(l, func(s Seen) float64 { return s.WaitTime.Seconds() })/max(1, sum(l, func(s Seen) float64 { return float64(s.Waited) })))
+		printf("  %-10s %.1f moves, %.1f pulls a run; %.2f in 100 waited, %.2f s each", scene, sum(l, func(s Stats) float64 { return float64(s.Moves) })/float64(len(l)),
+			sum(l, func(s Stats) float64 { return float64(s.Pulls) })/float64(len(l)), 100*sum(l, func(s Stats) float64 { return float64(s.Waited) })/sum(l, asked),
+			sum(l, func(s Stats) float64 { return s.WaitTime.Seconds() })/max(1, sum(l, func(s Stats) float64 { return float64(s.Waited) })))
 	}
 
 	printf("retries and repeats per 100 first attempts, highest in any 10 s with at least 50 first attempts")
@@ -100,20 +100,20 @@
 
 	printf("takeover and recovery, worst of the seeds")
 	l, _ = run("moves-owner", nil)
-	printf("  without a leader after it is killed, frozen or cut off: %v", worst(l, func(s Seen) clock.Span { return s.LeaderlessTime }))
+	printf("  without a leader after it is killed, frozen or cut off: %v", worst(l, func(s Stats) clock.Span { return s.LeaderlessTime }))
 	for _, c := range []string{"power", "blackout", "ruin"} {
 		l, _ = run(c, nil)
-		printf("  first answer after %-9s %v", c+":", worst(l, func(s Seen) clock.Span { return s.Recovery }))
+		printf("  first answer after %-9s %v", c+":", worst(l, func(s Stats) clock.Span { return s.Recovery }))
 	}
 
 	printf("duration of the router lease (scenes grow and moves-owner)")
 	for _, h := range []clock.Span{1e9, 1500e6, 2e9, 3e9, 4e9} {
-		set := func(o *Options) { o.Controller.Hold = h }
+		set := func(o *Options) { o.Controller.RouterLease = h }
 		a, _ := run("grow", set)
 		b, _ := run("moves-owner", set)
 		k, _ := run("moves-cut", set)
 		f, _ := run("fence", set)
-		lag := func(s Seen) clock.Span { return s.PlanLag }
+		lag := func(s Stats) clock.Span { return s.PlanLag }
 		printf("  lease %-5v worst plan lag %v in grow, %v in fence; answered %.4f of grow, %.4f of moves-owner, %.4f of moves-cut", h,
 			worst(a, lag).Round(1e6), worst(f, lag).Round(1e6), answeredShare(a), answeredShare(b), answeredShare(k))
 	}
@@ -130,8 +130,8 @@
 
 	printf("cache size of a router (scene moves)")
 	for _, n := range []int{4, 8, 16, 32, 64, 512} {
-		l, ws := run("moves", func(o *Options) { o.Router.Cache = n })
-		k := sum(l, func(s Seen) float64 { return float64(s.Lookups) })
+		l, ws := run("moves", func(o *Options) { o.Router.MaxEntries = n })
+		k := sum(l, func(s Stats) float64 { return float64(s.Lookups) })
 		r := 0
 		for _, w := range ws {
 			r += w.messageCounts["Removal"]
@@ -153,13 +153,13 @@
 	for _, n := range []int{1, 4, 16} {
 		x := o
 		x.Plan = MultiplyPlan(o.Plan, n)
-		s, _ := Find("calm")
+		s, _ := FindScene("calm")
 		w, seen := s.Run(x)
 		all := 0
 		for _, c := range w.messageCounts {
 			all += c
 		}
-		printf("  %2d times today's plan (%d bytes): %.2f messages and %.3f lookups for each request, answered %.4f", n, len(x.Plan), float64(all)/float64(seen.Asked), float64(seen.Lookups)/float64(seen.Asked), float64(seen.Answered)/float64(seen.Asked))
+		printf("  %2d times today's plan (%d bytes): %.2f messages and %.3f lookups for each request, answered %.4f", n, len(x.Plan), float64(all)/float64(seen.Requests), float64(seen.Lookups)/float64(seen.Requests), float64(seen.Answered)/float64(seen.Requests))
 		if n == 1 {
 			var names []string
 			for k := range w.messageCounts {
@@ -174,20 +174,20 @@
 }
 
 // answeredShare returns the share of requests that were answered.
-func answeredShare(l []Seen) float64 {
+func answeredShare(l []Stats) float64 {
 	a, n := 0, 0
 	for _, s := range l {
 		a += s.Answered
-		n += s.Asked
+		n += s.Requests
 	}
 	return float64(a) / float64(n)
 }
 
 // callbackBytes returns the memory in bytes that a leader uses per callback of a router.
 func callbackBytes(n int) float64 {
-	me := protocol.Sibling{ID: "a", Addr: "a"}
-	c := controller.New(controller.Options{Me: me, Inc: 1, Rand: rand.New(rand.NewPCG(1, 1)), Most: 1 << 20})
-	return controller.Weigh(c, n, func() uint64 {
+	me := protocol.Peer{ID: "a", Addr: "a"}
+	c := controller.New(controller.Options{Self: me, Inc: 1, Rand: rand.New(rand.NewPCG(1, 1)), MaxCallbacks: 1 << 20})
+	return controller.MeasureCallbackMemory(c, n, func() uint64 {
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
--- a/internal/simulator/narrow_scenes.go
+++ b/internal/simulator/narrow_scenes.go
@@ -11,9 +11,9 @@
 
 // limitedOptions sets up a world of announced servers in which configurations are large, bandwidth is limited, and
 // processes parse configurations slowly.
-func limitedOptions(limits Narrow, adjust func(h *Hosted)) func(o *Options) {
+func limitedOptions(limits ResourceLimits, adjust func(h *Hosted)) func(o *Options) {
 	return func(o *Options) {
-		hosted(adjust)(o)
+		hostedOptions(adjust)(o)
 		o.Narrow = &limits
 		o.Plan = largePlan(o.Seed)
 	}
@@ -30,13 +30,13 @@
 
 // enlargePlan adds extraRoutes routes with random names to a plan.
 func enlargePlan(plan []byte, seed uint64) []byte {
-	var s sheet
+	var s planSheet
 	if err := json.Unmarshal(plan, &s); err != nil {
 		panic(err)
 	}
 	random := rand.New(rand.NewPCG(seed, 5))
 	for range extraRoutes {
-		s.Routes = append(s.Routes, sheetRoute{Host: fmt.Sprintf("%x.example", random.Uint32()), Prefix: fmt.Sprintf("/%x/", random.Uint64()),
+		s.Routes = append(s.Routes, planRoute{Host: fmt.Sprintf("%x.example", random.Uint32()), Prefix: fmt.Sprintf("/%x/", random.Uint64()),
 			Service: "plain", Mode: fleetplan.Idempotent, Value: 990, WaitMs: 3000, Tries: 3})
 	}
 	raw, err := json.Marshal(s)
@@ -51,10 +51,10 @@
 func (w *World) putChanges(from, to, gap float64) {
 	n := 0
 	for t := from; t < to; t += gap {
-		w.At(sec(t), func() {
+		w.At(atSecond(t), func() {
 			n++
 			on := w.newestEpoch()
-			w.PutNumber(fmt.Sprintf("controller-%d", 1+n%3), WithName(w.o.Plan, fmt.Sprintf("change-%d", n), nil), on, on+1, nil)
+			w.PutNumbered(fmt.Sprintf("controller-%d", 1+n%3), WithName(w.options.Plan, fmt.Sprintf("change-%d", n), nil), on, on+1, nil)
 		})
 	}
 }
@@ -67,33 +67,33 @@
 	case 1:
 		w.Freeze(o, duration)
 	case 2:
-		w.Part(map[string]bool{o: true})
+		w.Partition(map[string]bool{o: true})
 		w.After(duration, w.Heal)
 	}
 }
 
 // narrowScenes are scenes in which configurations take long to reach routers and to be parsed there.
 var narrowScenes = []Scene{
-	{Name: "narrow-changes", About: "large configurations follow each other faster than routers apply them; nothing fails", Duration: 60e9, MinAnswered: 0.9,
-		Configure: limitedOptions(Narrow{RouterBandwidth: routerBandwidth / 2, CoreBandwidth: coreBandwidth, RouterParseTime: 350e6}, nil),
+	{Name: "narrow-changes", Description: "large configurations follow each other faster than routers apply them; nothing fails", Duration: 60e9, MinAnswered: 0.9,
+		Configure: limitedOptions(ResourceLimits{RouterBandwidth: routerBandwidth / 2, CoreBandwidth: coreBandwidth, RouterParseTime: 350e6}, nil),
 		Script: func(w *World) {
 			w.putChanges(10, 18, 0.3)
 			w.putChanges(28, 36, 0.12)
 		}},
-	{Name: "narrow-leave", About: "like narrow-changes, while servers leave", Duration: 60e9, MinAnswered: 0.85,
-		Configure: limitedOptions(Narrow{RouterBandwidth: routerBandwidth / 2, CoreBandwidth: coreBandwidth, RouterParseTime: 350e6}, nil),
+	{Name: "narrow-leave", Description: "like narrow-changes, while servers leave", Duration: 60e9, MinAnswered: 0.85,
+		Configure: limitedOptions(ResourceLimits{RouterBandwidth: routerBandwidth / 2, CoreBandwidth: coreBandwidth, RouterParseTime: 350e6}, nil),
 		Script: func(w *World) {
 			w.withdrawServers(10, 44, 2)
 			w.putChanges(10, 18, 0.3)
 			w.putChanges(28, 36, 0.12)
 		}},
-	{Name: "narrow-owner", About: "like narrow-leave, and the owner is killed, frozen and cut off", Duration: 70e9, MinAnswered: 0.7,
-		Configure: limitedOptions(Narrow{RouterBandwidth: routerBandwidth / 2, CoreBandwidth: coreBandwidth, RouterParseTime: 250e6}, nil),
+	{Name: "narrow-owner", Description: "like narrow-leave, and the owner is killed, frozen and cut off", Duration: 70e9, MinAnswered: 0.7,
+		Configure: limitedOptions(ResourceLimits{RouterBandwidth: routerBandwidth / 2, CoreBandwidth: coreBandwidth, RouterParseTime: 250e6}, nil),
 		Script: func(w *World) {
 			w.withdrawServers(14, 44, 4)
 			w.putChanges(10, 50, 0.5)
 			for t := 12.0; t < 50; t += 9 {
-				w.At(sec(t), func() { w.disruptOwner(clock.Span(w.rand.Int64N(4e9))) })
+				w.At(atSecond(t), func() { w.disruptOwner(clock.Span(w.rand.Int64N(4e9))) })
 			}
 		}},
 }
--- a/internal/simulator/narrow_test.go
+++ b/internal/simulator/narrow_test.go
@@ -17,7 +17,7 @@
 			t.Run(fmt.Sprintf("%s/%d", s.Name, seed), func(t *testing.T) {
 				t.Parallel()
 				w, _ := s.Run(Options{Seed: seed, Plan: hostedPlan()})
-				require.Empty(t, w.Check.Bad)
+				require.Empty(t, w.Check.Violations)
 			})
 		}
 	}
@@ -32,10 +32,10 @@
 // older than one acknowledged applyMs before, whatever the router itself assumes.
 func TestSlowCore(t *testing.T) { requireCleanRuns(t, slowCoreScenes, 6) }
 
-func init() { bites = append(bites, narrowGuardCases...) }
+func init() { guardCases = append(guardCases, narrowGuardCases...) }
 
 // narrowGuardCases disable guards of a router's leases where configurations arrive late.
-var narrowGuardCases = []bite{
+var narrowGuardCases = []guardCase{
 	{"narrow: a lease counts from what is lacked", "narrow-changes", "routes under epoch", []edit{
 		{"internal/controller/rollout.go", "return v.since, true", "return c.now, true"}}},
 	{"narrow: no lease by what was there before the term", "narrow-owner", "routes under epoch", []edit{
--- a/internal/simulator/partitions.go
+++ b/internal/simulator/partitions.go
@@ -18,7 +18,7 @@
 // Operators still reach the node.
 func (w *World) partitionNode(node string, kind partitionKind) {
 	fromAll := w.rand.IntN(2) == 0
-	for _, b := range w.boxes() {
+	for _, b := range w.machineNames() {
 		if b == node || !isCore(b) && !fromAll {
 			continue
 		}
@@ -36,7 +36,7 @@
 	w.tracef("deployment: %s", w.core)
 	var round func()
 	round = func() {
-		if w.now > sec(until) {
+		if w.now > atSecond(until) {
 			w.expectChangeConfirmed()
 			return
 		}
@@ -47,7 +47,7 @@
 		w.partitionOneNode()
 		w.After(confirmInterval, round)
 	}
-	w.At(sec(12), round)
+	w.At(atSecond(12), round)
 }
 
 // partitionOneNode cuts one node off for 14 to 25 s. Processes are restarted on both sides as far as the tolerance
@@ -55,11 +55,11 @@
 func (w *World) partitionOneNode() {
 	isolated := w.ownerSeat()
 	if w.rand.IntN(2) == 0 {
-		isolated = w.core.seats[w.rand.IntN(formingSeats)]
+		isolated = w.core.seats[w.rand.IntN(initialCoreNodes)]
 	}
 	duration := clock.Span(14e9 + w.rand.Int64N(11e9))
 	node := isolated.node
-	isolated.lostUntil = stillDown
+	isolated.lostUntil = noEnd
 	w.partitionNode(node, partitionKind(w.rand.IntN(int(partitionKindCount))))
 	w.callRepeatedly(node, duration+convergence, true)
 	start := float64(w.now) / 1e9
@@ -67,7 +67,7 @@
 	w.restartDuringPartition(isolated, w.now.Add(duration-5e9))
 	w.After(duration, func() {
 		w.Heal()
-		w.coreStarted(node)
+		w.noteCoreStart(node)
 		isolated.lostUntil = w.now.Add(convergence)
 		w.After(convergence, func() { w.Check.checkReplica(node) })
 	})
@@ -75,7 +75,7 @@
 
 // restartDuringPartition restarts, wipes and replaces random nodes until the given time; the isolated node is only
 // restarted.
-func (w *World) restartDuringPartition(isolated *seat, until clock.Tick) {
+func (w *World) restartDuringPartition(isolated *seat, until clock.Instant) {
 	w.After(clock.Span(1e9+w.rand.Int64N(3e9)), func() {
 		if w.now > until {
 			return
@@ -84,7 +84,7 @@
 		switch {
 		case s == isolated:
 			w.Restart(s.node, clock.Span(w.rand.Int64N(500e6)))
-		case s.lostUntil != stillDown && w.core.mayLose(s, w.now):
+		case s.lostUntil != noEnd && w.core.mayLose(s, w.now):
 			w.injectLoss(s, []lossKind{powerLoss, diskLoss, replacement}[w.rand.IntN(3)])
 		}
 		w.restartDuringPartition(isolated, until)
--- a/internal/simulator/resource_limits.go
+++ b/internal/simulator/resource_limits.go
@@ -6,9 +6,9 @@
 	"tidedeck/internal/router"
 )
 
-// Narrow limits the bandwidth of links between machines and the speed at which processes parse configurations. Without
+// ResourceLimits limits the bandwidth of links between machines and the speed at which processes parse configurations. Without
 // limits, transmission takes the same time for every message size, and processing takes no time.
-type Narrow struct {
+type ResourceLimits struct {
 	RouterBandwidth float64    // bandwidth of a router's link in bytes per second, in each direction
 	CoreBandwidth   float64    // bandwidth of a core node's link, likewise
 	RouterParseTime clock.Span // processing time of a router per configuration applied
@@ -21,36 +21,36 @@
 
 // transmissionDelay reserves time on the links between two machines for a message, and returns the resulting
 // transmission delay.
-func (w *World) carried(from, to *proc, e protocol.Env) clock.Span {
-	n := w.o.Narrow
+func (w *World) transmissionDelay(from, to *proc, e protocol.Envelope) clock.Span {
+	n := w.options.Narrow
 	if n == nil {
 		return 0
 	}
 	size := w.messageSize(e)
-	end := w.reserveLink("from "+from.box, w.now, size/n.bandwidth(from))
-	end = w.reserveLink("to "+to.box, end, size/n.bandwidth(to))
+	end := w.reserveLink("from "+from.machine, w.now, size/n.bandwidth(from))
+	end = w.reserveLink("to "+to.machine, end, size/n.bandwidth(to))
 	return end.Sub(w.now)
 }
 
 // bandwidth returns the bandwidth of a process's machine in bytes per second.
-func (n *Narrow) bandwidth(p *proc) float64 {
-	if isCore(p.box) {
+func (n *ResourceLimits) bandwidth(p *proc) float64 {
+	if isCore(p.machine) {
 		return n.CoreBandwidth
 	}
 	return n.RouterBandwidth
 }
 
 // reserveLink reserves a number of seconds on a link, after all earlier reservations, and returns their end.
-func (w *World) reserveLink(link string, earliest clock.Tick, seconds float64) clock.Tick {
-	end := max(earliest, w.links[link]).Add(clock.Span(seconds * 1e9))
-	w.links[link] = end
+func (w *World) reserveLink(link string, earliest clock.Instant, seconds float64) clock.Instant {
+	end := max(earliest, w.linkBusyUntil[link]).Add(clock.Span(seconds * 1e9))
+	w.linkBusyUntil[link] = end
 	return end
 }
 
 // messageSize returns the size of a message in bytes: the base size and the size of any configurations in it.
-func (w *World) messageSize(e protocol.Env) float64 {
+func (w *World) messageSize(e protocol.Envelope) float64 {
 	size := float64(baseMessageSize)
-	if news, ok := e.Body.(protocol.News); ok {
+	if news, ok := e.Body.(protocol.Updates); ok {
 		for _, i := range news.Items {
 			if i.Desired != nil {
 				encoded, err := i.MarshalJSON()
@@ -74,7 +74,7 @@
 		return &b.Value
 	case protocol.Promise:
 		return b.Value
-	case protocol.Value:
+	case protocol.FetchedValue:
 		return b.Value
 	}
 	return nil
@@ -82,14 +82,14 @@
 
 // chargeParseTime marks a process as busy for the time that it takes to parse the configurations in an input. A
 // router and its agent share one process.
-func (w *World) keepBusy(p *proc, in any) {
-	n := w.o.Narrow
+func (w *World) chargeParseTime(p *proc, in any) {
+	n := w.options.Narrow
 	if n == nil {
 		return
 	}
-	if e, ok := in.(protocol.Env); ok && isCore(p.box) {
+	if e, ok := in.(protocol.Envelope); ok && isCore(p.machine) {
 		if value := configurationIn(e.Body); value != nil && len(value.Plan) > 0 {
-			p.busy = max(w.now, p.busy).Add(n.CoreParseTime)
+			p.busyUntil = max(w.now, p.busyUntil).Add(n.CoreParseTime)
 		}
 		return
 	}
@@ -97,11 +97,11 @@
 	if !ok {
 		return
 	}
-	if plans := core.Counts().Plans; plans != p.plans {
-		p.plans = plans
+	if plans := core.Counts().Plans; plans != p.plansApplied {
+		p.plansApplied = plans
 		for _, other := range w.procs {
-			if other.box == p.box {
-				other.busy = max(w.now, other.busy).Add(n.RouterParseTime)
+			if other.machine == p.machine {
+				other.busyUntil = max(w.now, other.busyUntil).Add(n.RouterParseTime)
 			}
 		}
 	}
