--- a/internal/simulator/scenes.go
+++ b/internal/simulator/scenes.go
@@ -19,7 +19,7 @@
 // Scene is a scripted run of a simulated deployment with a set of failures.
 type Scene struct {
 	Name        string
-	About       string
+	Description string
 	Duration    clock.Span
 	RequestRate float64 // requests per second, 60 if zero
 	MinAnswered float64 // minimum share of valid requests that must be answered
@@ -29,13 +29,13 @@
 }
 
 // Run runs the scene and returns the world at its end with the statistics of the run.
-func (s Scene) Run(o Options) (*World, Seen) {
+func (s Scene) Run(o Options) (*World, Stats) {
 	if s.Configure != nil {
 		s.Configure(&o)
 	}
 	w := New(o)
 	w.After(1500e6, func() { w.putFirstPlan(o.Plan) })
-	next := w.mix()
+	next := w.requestSource()
 	rate := s.RequestRate
 	if rate == 0 {
 		rate = 60
@@ -44,15 +44,15 @@
 	s.Script(w)
 	w.Run(s.Duration)
 	seen := w.Check.Finish()
-	valid := seen.Asked
-	for _, k := range denials {
+	valid := seen.Requests
+	for _, k := range denialKinds {
 		valid -= seen.Kinds[string(k)] // the checker verifies each denial separately
 	}
 	if answered := float64(seen.Answered); answered < s.MinAnswered*float64(valid) {
-		w.Check.bad("only %d of %d proper requests were answered", seen.Answered, valid)
+		w.Check.violationf("only %d of %d proper requests were answered", seen.Answered, valid)
 	}
 	if s.NoAborts && seen.Cut+seen.Unclear > 0 {
-		w.Check.bad("%d answers were cut off or unclear although all events were planned", seen.Cut+seen.Unclear)
+		w.Check.violationf("%d answers were cut off or unclear although all events were planned", seen.Cut+seen.Unclear)
 	}
 	return w, seen
 }
@@ -64,25 +64,25 @@
 			w.After(200e6, func() { w.putFirstPlan(raw) })
 		}
 	}
-	if w.host != nil {
-		w.PutNumber("controller-2", raw, 0, 1, then)
+	if w.hosted != nil {
+		w.PutNumbered("controller-2", raw, 0, 1, then)
 		return
 	}
 	w.PutPlan("controller-2", raw, 0, true, then)
 }
 
 // GenerateTraffic sends requests at an average rate from one time to another.
-func (w *World) GenerateTraffic(from, to clock.Span, rate float64, next func() standin.Ask) {
+func (w *World) GenerateTraffic(from, to clock.Span, rate float64, next func() standin.Request) {
 	gap := clock.Span(1e9 / rate)
 	var send func()
 	send = func() {
-		if w.now >= clock.Tick(to) {
+		if w.now >= clock.Instant(to) {
 			return
 		}
 		w.Ask(next(), false)
 		w.After(gap/2+clock.Span(w.rand.Int64N(int64(gap))), send)
 	}
-	w.At(clock.Tick(from), send)
+	w.At(clock.Instant(from), send)
 }
 
 // WithName returns a plan under another name, so that the checkers can distinguish plans. A non-nil edit changes the
@@ -131,15 +131,15 @@
 }
 
 // simulationStart is the wall-clock time at which a simulation starts.
-var dawn = time.Date(2026, 3, 1, 4, 0, 0, 0, time.UTC)
+var simulationStart = time.Date(2026, 3, 1, 4, 0, 0, 0, time.UTC)
 
 // atSecond converts seconds since the start of the simulation to a tick.
-func sec(n float64) clock.Tick { return clock.Tick(n * 1e9) }
+func atSecond(n float64) clock.Instant { return clock.Instant(n * 1e9) }
 
 // randomNode returns a random process whose name has the given prefix.
-func (w *World) some(prefix string) string {
+func (w *World) randomNode(prefix string) string {
 	var names []string
-	for _, n := range w.order {
+	for _, n := range w.procNames {
 		if strings.HasPrefix(n, prefix) {
 			names = append(names, n)
 		}
@@ -150,7 +150,7 @@
 // owner returns the name of the duty's owner, or controller-1 if no core node owns the duty.
 func (w *World) owner() string {
 	for _, p := range w.controllers() {
-		if _, ok := p.core.(*controller.Core).Owns(p.tick(w.now)); ok {
+		if _, ok := p.core.(*controller.Core).Owns(p.localTime(w.now)); ok {
 			return p.name
 		}
 	}
@@ -159,28 +159,28 @@
 
 // setServerState changes a server's state at the platform.
 func (w *World) setServerState(s, state string) {
-	w.plat.Mark(ident.Server(s), state)
+	w.platform.Mark(ident.Server(s), state)
 	w.tracef("platform: %s is %s", s, state)
 	if state == "live" {
-		w.Check.Mend(s)
+		w.Check.MarkAvailable(s)
 	} else {
-		w.Check.Fault(s)
+		w.Check.MarkUnavailable(s)
 	}
 }
 
 // crashServer kills a server and restarts it empty after a delay.
 func (w *World) crashServer(s string, delay clock.Span) {
 	w.Kill(s)
-	w.Check.Fault(s)
-	w.After(delay, func() { w.Start(s); w.Check.Mend(s) })
+	w.Check.MarkUnavailable(s)
+	w.After(delay, func() { w.Start(s); w.Check.MarkAvailable(s) })
 }
 
 // failServers makes a random server crash, freeze, restart quickly or leave every 4 s.
 func (w *World) failServers(from, to float64) {
 	for t := from; t < to; t += 4 {
-		w.At(sec(t), func() {
-			s := w.some("server-")
-			if _, ok := w.Check.gone[s]; ok || !w.procs[s].up {
+		w.At(atSecond(t), func() {
+			s := w.randomNode("server-")
+			if _, ok := w.Check.unavailableSince[s]; ok || !w.procs[s].up {
 				return
 			}
 			switch w.rand.IntN(4) {
@@ -189,8 +189,8 @@
 			case 1:
 				d := clock.Span(2e9 + w.rand.Int64N(6e9))
 				w.Freeze(s, d)
-				w.Check.Fault(s)
-				w.After(d, func() { w.Check.Mend(s) })
+				w.Check.MarkUnavailable(s)
+				w.After(d, func() { w.Check.MarkAvailable(s) })
 			case 2:
 				w.crashServer(s, 20e6)
 			case 3:
@@ -204,10 +204,10 @@
 
 // shiftDemand sends requests for three rare models, and other ones every 4 s, so that keys must be moved.
 func (w *World) shiftDemand(from, to float64, rate float64) {
-	m := standin.NewMix(w.plan, w.o.Seed+7)
+	m := standin.NewWorkload(w.plan, w.options.Seed+7)
 	for t := from; t < to; t += 4 {
-		rare := []standin.Ask{m.Rare(), m.Rare(), m.Rare()}
-		w.GenerateTraffic(clock.Span(t*1e9), clock.Span((t+4)*1e9), rate, func() standin.Ask { return m.Of(rare[w.rand.IntN(len(rare))]) })
+		rare := []standin.Request{m.NextRare(), m.NextRare(), m.NextRare()}
+		w.GenerateTraffic(clock.Span(t*1e9), clock.Span((t+4)*1e9), rate, func() standin.Request { return m.Fill(rare[w.rand.IntN(len(rare))]) })
 	}
 }
 
@@ -220,33 +220,33 @@
 	for t := from; t < to; t += gap {
 		n++
 		name := fmt.Sprintf("plan-%d", n)
-		w.At(sec(t), func() { w.PutPlan(w.some("controller-"), WithName(w.o.Plan, name, nil), 0, true, nil) })
-		w.At(sec(t+gap/2), func() { w.Read(w.some("controller-"), nil) })
+		w.At(atSecond(t), func() { w.PutPlan(w.randomNode("controller-"), WithName(w.options.Plan, name, nil), 0, true, nil) })
+		w.At(atSecond(t+gap/2), func() { w.ReadPlan(w.randomNode("controller-"), nil) })
 	}
 }
 
 // Scenes lists all scenes.
 var Scenes = []Scene{
-	{Name: "calm", About: "nothing fails", Duration: 40e9, MinAnswered: 0.995, NoAborts: true, Script: func(w *World) {}},
-	{Name: "moves", About: "rare models are requested in turn on servers with little room, so that keys are constantly unloaded", Duration: 70e9, MinAnswered: 0.98, NoAborts: true, Configure: smallServers,
+	{Name: "calm", Description: "nothing fails", Duration: 40e9, MinAnswered: 0.995, NoAborts: true, Script: func(w *World) {}},
+	{Name: "moves", Description: "rare models are requested in turn on servers with little room, so that keys are constantly unloaded", Duration: 70e9, MinAnswered: 0.98, NoAborts: true, Configure: smallServers,
 		Script: func(w *World) { w.shiftDemand(8, 56, 20) }},
-	{Name: "moves-cut", About: "like moves, while routers are frozen and cut off with stale leases and messages get lost", Duration: 80e9, MinAnswered: 0.97,
-		Configure: func(o *Options) { smallServers(o); o.Loss, o.Twice = 0.02, 0.02 },
+	{Name: "moves-cut", Description: "like moves, while routers are frozen and cut off with stale leases and messages get lost", Duration: 80e9, MinAnswered: 0.97,
+		Configure: func(o *Options) { smallServers(o); o.LossOdds, o.DuplicateOdds = 0.02, 0.02 },
 		Script: func(w *World) {
 			w.shiftDemand(8, 60, 20)
 			for t := 10.0; t < 60; t += 3 {
-				w.At(sec(t), func() {
+				w.At(atSecond(t), func() {
 					switch w.rand.IntN(4) {
 					case 0:
-						w.Freeze(w.some("router-"), clock.Span(w.rand.Int64N(4e9)))
+						w.Freeze(w.randomNode("router-"), clock.Span(w.rand.Int64N(4e9)))
 					case 1:
-						w.Freeze(w.some("agent-"), clock.Span(w.rand.Int64N(4e9)))
+						w.Freeze(w.randomNode("agent-"), clock.Span(w.rand.Int64N(4e9)))
 					case 2: // the whole machine
-						n, d := w.rand.IntN(w.o.Routers)+1, clock.Span(w.rand.Int64N(4e9))
+						n, d := w.rand.IntN(w.options.Routers)+1, clock.Span(w.rand.Int64N(4e9))
 						w.Freeze(fmt.Sprintf("router-%d", n), d)
 						w.Freeze(fmt.Sprintf("agent-%d", n), d)
 					case 3:
-						r := fmt.Sprintf("router-%d", 1+w.rand.IntN(w.o.Routers))
+						r := fmt.Sprintf("router-%d", 1+w.rand.IntN(w.options.Routers))
 						for i := 1; i <= 3; i++ {
 							w.Cut(r, fmt.Sprintf("controller-%d", i), w.rand.IntN(2) == 0)
 							if w.rand.IntN(2) == 0 {
@@ -258,11 +258,11 @@
 				})
 			}
 		}},
-	{Name: "moves-owner", About: "keys move while the duty's owner is killed, frozen and cut off", Duration: 90e9, MinAnswered: 0.97, Configure: smallServers,
+	{Name: "moves-owner", Description: "keys move while the duty's owner is killed, frozen and cut off", Duration: 90e9, MinAnswered: 0.97, Configure: smallServers,
 		Script: func(w *World) {
 			w.shiftDemand(8, 70, 20)
 			for t := 12.0; t < 70; t += 7 {
-				w.At(sec(t), func() {
+				w.At(atSecond(t), func() {
 					o := w.owner()
 					switch w.rand.IntN(3) {
 					case 0:
@@ -270,28 +270,28 @@
 					case 1:
 						w.Freeze(o, clock.Span(w.rand.Int64N(5e9)))
 					case 2:
-						w.Part(map[string]bool{o: true})
+						w.Partition(map[string]bool{o: true})
 						w.After(clock.Span(w.rand.Int64N(5e9)), w.Heal)
 					}
 				})
 			}
 		}},
-	{Name: "servers", About: "servers crash, stop responding, restart empty, and are withdrawn at short notice", Duration: 80e9, MinAnswered: 0.96,
+	{Name: "servers", Description: "servers crash, stop responding, restart empty, and are withdrawn at short notice", Duration: 80e9, MinAnswered: 0.96,
 		Script: func(w *World) { w.failServers(10, 60) }},
-	{Name: "servers-cut", About: "like servers, while routers are cut off from the core and frozen, and the owner is killed", Duration: 80e9, MinAnswered: 0.95,
-		Configure: func(o *Options) { o.Loss, o.Twice = 0.01, 0.01 },
+	{Name: "servers-cut", Description: "like servers, while routers are cut off from the core and frozen, and the owner is killed", Duration: 80e9, MinAnswered: 0.95,
+		Configure: func(o *Options) { o.LossOdds, o.DuplicateOdds = 0.01, 0.01 },
 		Script: func(w *World) {
 			w.failServers(10, 60)
 			for t := 9.5; t < 60; t += 4 {
-				w.At(sec(t), func() {
+				w.At(atSecond(t), func() {
 					switch w.rand.IntN(4) {
 					case 0:
-						w.Freeze(w.some("router-"), clock.Span(w.rand.Int64N(4e9)))
+						w.Freeze(w.randomNode("router-"), clock.Span(w.rand.Int64N(4e9)))
 					case 1:
 						w.Restart(w.owner(), 1e9)
 					default:
-						r := fmt.Sprintf("router-%d", 1+w.rand.IntN(w.o.Routers))
-						for _, b := range w.boxes() {
+						r := fmt.Sprintf("router-%d", 1+w.rand.IntN(w.options.Routers))
+						for _, b := range w.machineNames() {
 							if b != r && !strings.HasPrefix(b, "server-") && b != "platform" {
 								w.Cut(r, b, w.rand.IntN(2) == 0)
 							}
@@ -301,63 +301,63 @@
 				})
 			}
 		}},
-	{Name: "roll", About: "servers are replaced one by one, each drained first", Duration: 110e9, MinAnswered: 0.995, NoAborts: true,
+	{Name: "roll", Description: "servers are replaced one by one, each drained first", Duration: 110e9, MinAnswered: 0.995, NoAborts: true,
 		Script: (*World).replaceServers},
-	{Name: "roll-core", About: "core nodes and agents are restarted one by one, as planned, while keys move and plans change", Duration: 80e9, MinAnswered: 0.99, NoAborts: true, Configure: smallServers,
+	{Name: "roll-core", Description: "core nodes and agents are restarted one by one, as planned, while keys move and plans change", Duration: 80e9, MinAnswered: 0.99, NoAborts: true, Configure: smallServers,
 		Script: func(w *World) {
 			w.shiftDemand(8, 60, 15)
 			w.putPlans(9, 66, 4)
 			for i, t := 0, 12.0; t < 60; i, t = i+1, t+6 {
 				n := fmt.Sprintf("controller-%d", 1+i%3)
-				w.At(sec(t), func() { w.Stop(n) })
-				w.At(sec(t+1), func() { w.Start(n) })
-				w.At(sec(t+3), func() { w.Restart(fmt.Sprintf("agent-%d", 1+i%w.o.Routers), 200e6) })
+				w.At(atSecond(t), func() { w.Stop(n) })
+				w.At(atSecond(t+1), func() { w.Start(n) })
+				w.At(atSecond(t+3), func() { w.Restart(fmt.Sprintf("agent-%d", 1+i%w.options.Routers), 200e6) })
 			}
 		}},
-	{Name: "routers", About: "single routers, agents and core nodes are killed and restarted", Duration: 70e9, MinAnswered: 0.95,
+	{Name: "routers", Description: "single routers, agents and core nodes are killed and restarted", Duration: 70e9, MinAnswered: 0.95,
 		Script: func(w *World) {
 			w.putPlans(9, 56, 5)
 			for t := 10.0; t < 55; t += 2 {
-				w.At(sec(t), func() {
-					w.Restart(w.some([]string{"router-", "agent-", "controller-"}[w.rand.IntN(3)]), clock.Span(w.rand.Int64N(2e9)))
+				w.At(atSecond(t), func() {
+					w.Restart(w.randomNode([]string{"router-", "agent-", "controller-"}[w.rand.IntN(3)]), clock.Span(w.rand.Int64N(2e9)))
 				})
 			}
 		}},
-	{Name: "plans", About: "plans change quickly, two operators submit plans concurrently, replies get lost, messages arrive late and duplicated", Duration: 70e9, MinAnswered: 0.99, NoAborts: true,
-		Configure: func(o *Options) { o.Loss, o.Twice = 0.03, 0.05 },
+	{Name: "plans", Description: "plans change quickly, two operators submit plans concurrently, replies get lost, messages arrive late and duplicated", Duration: 70e9, MinAnswered: 0.99, NoAborts: true,
+		Configure: func(o *Options) { o.LossOdds, o.DuplicateOdds = 0.03, 0.05 },
 		Script: func(w *World) {
-			w.At(sec(8), func() { w.ReplyLoss = 0.1 }) // the first plan is in force before traffic begins
+			w.At(atSecond(8), func() { w.ReplyLossOdds = 0.1 }) // the first plan is in force before traffic begins
 			n := 0
 			for t := 10.0; t < 55; t += 3 {
-				w.At(sec(t), func() {
+				w.At(atSecond(t), func() {
 					n++
 					base := ident.Epoch(0)
-					if s := w.Check.newest(w.now); s != nil {
+					if s := w.Check.latestConfirmed(w.now); s != nil {
 						base = s.epoch
 					}
 					for i, a := range []string{"left", "right"} {
 						name := fmt.Sprintf("%s-%d", a, n)
-						w.PutPlan(fmt.Sprintf("controller-%d", 1+(n+i)%3), WithName(w.o.Plan, name, nil), base, false, nil)
+						w.PutPlan(fmt.Sprintf("controller-%d", 1+(n+i)%3), WithName(w.options.Plan, name, nil), base, false, nil)
 					}
 				})
-				w.At(sec(t+1.5), func() { w.Read(w.some("controller-"), nil) })
+				w.At(atSecond(t+1.5), func() { w.ReadPlan(w.randomNode("controller-"), nil) })
 			}
 			// Some requests are for routes, adapters or kinds that the plan never allows.
-			m := standin.NewMix(w.plan, w.o.Seed+5)
-			w.GenerateTraffic(9e9, 55e9, 1, func() standin.Ask {
+			m := standin.NewWorkload(w.plan, w.options.Seed+5)
+			w.GenerateTraffic(9e9, 55e9, 1, func() standin.Request {
 				a := m.Next()
 				switch w.rand.IntN(3) {
 				case 0:
 					a.Route = "/v1/nowhere"
 				case 1:
-					a.Call.Extra = "nobody"
+					a.Call.Adapter = "nobody"
 				case 2:
 					a.Call.Kind = "unheard"
 				}
 				return a
 			})
 		}},
-	{Name: "grow", About: "the plan gains many routes and at times loses another, while routers are frozen and cut off", Duration: 70e9, MinAnswered: 0.96,
+	{Name: "grow", Description: "the plan gains many routes and at times loses another, while routers are frozen and cut off", Duration: 70e9, MinAnswered: 0.96,
 		Script: func(w *World) {
 			withRoutes := func(n int, removeOne bool) func(m map[string]any) {
 				return func(m map[string]any) {
@@ -371,19 +371,19 @@
 				}
 			}
 			for i, t := 0, 12.0; t < 55; i, t = i+1, t+5 {
-				w.At(sec(t), func() {
-					w.PutPlan(w.some("controller-"), WithName(w.o.Plan, fmt.Sprintf("grown-%d", i), withRoutes(i*40, i%2 == 1)), 0, true, nil)
+				w.At(atSecond(t), func() {
+					w.PutPlan(w.randomNode("controller-"), WithName(w.options.Plan, fmt.Sprintf("grown-%d", i), withRoutes(i*40, i%2 == 1)), 0, true, nil)
 				})
-				w.At(sec(t-0.5), func() {
+				w.At(atSecond(t-0.5), func() {
 					if w.rand.IntN(2) == 0 {
-						w.Freeze(w.some("router-"), clock.Span(w.rand.Int64N(4e9)))
+						w.Freeze(w.randomNode("router-"), clock.Span(w.rand.Int64N(4e9)))
 						return
 					}
-					r := fmt.Sprintf("router-%d", 1+w.rand.IntN(w.o.Routers))
+					r := fmt.Sprintf("router-%d", 1+w.rand.IntN(w.options.Routers))
 					for j := 1; j <= 3; j++ {
 						w.Cut(fmt.Sprintf("controller-%d", j), r, false)
 					}
-					for j := 1; j <= w.o.Routers; j++ {
+					for j := 1; j <= w.options.Routers; j++ {
 						if o := fmt.Sprintf("router-%d", j); o != r && w.rand.IntN(2) == 0 {
 							w.Cut(o, r, true)
 						}
@@ -392,29 +392,29 @@
 				})
 			}
 		}},
-	{Name: "zones", About: "zones are emptied and refilled while servers are withdrawn one by one and routers freeze", Duration: 80e9, MinAnswered: 0.995, NoAborts: true,
+	{Name: "zones", Description: "zones are emptied and refilled while servers are withdrawn one by one and routers freeze", Duration: 80e9, MinAnswered: 0.995, NoAborts: true,
 		Script: func(w *World) {
 			for i, t := 0, 12.0; t < 60; i, t = i+1, t+12 {
 				z := ident.Zone([]string{"za", "zb", "zc"}[i%3])
-				w.At(sec(t), func() { w.Zone(w.some("controller-"), "empty", z, nil) })
-				w.At(sec(t+7), func() { w.Zone(w.some("controller-"), "refill", z, nil) })
-				w.At(sec(t+0.2), func() { w.Freeze(w.some("router-"), 1500e6) })
-				s := fmt.Sprintf("server-%d", 1+i%w.o.Servers)
-				w.At(sec(t+1), func() { w.setServerState(s, "leaving") })
-				w.At(sec(t+9), func() { w.setServerState(s, "live") })
+				w.At(atSecond(t), func() { w.ChangeZone(w.randomNode("controller-"), "empty", z, nil) })
+				w.At(atSecond(t+7), func() { w.ChangeZone(w.randomNode("controller-"), "refill", z, nil) })
+				w.At(atSecond(t+0.2), func() { w.Freeze(w.randomNode("router-"), 1500e6) })
+				s := fmt.Sprintf("server-%d", 1+i%w.options.Servers)
+				w.At(atSecond(t+1), func() { w.setServerState(s, "leaving") })
+				w.At(atSecond(t+9), func() { w.setServerState(s, "live") })
 			}
 		}},
-	{Name: "core", About: "the core is partitioned in various ways, also in one direction only, and heals, while plans change", Duration: 90e9, MinAnswered: 0.94,
-		Configure: func(o *Options) { o.Loss, o.Twice = 0.02, 0.02 },
+	{Name: "core", Description: "the core is partitioned in various ways, also in one direction only, and heals, while plans change", Duration: 90e9, MinAnswered: 0.94,
+		Configure: func(o *Options) { o.LossOdds, o.DuplicateOdds = 0.02, 0.02 },
 		Script: func(w *World) {
-			w.At(sec(8), func() { w.ReplyLoss = 0.1 }) // the first plan is in force before traffic begins
+			w.At(atSecond(8), func() { w.ReplyLossOdds = 0.1 }) // the first plan is in force before traffic begins
 			w.putPlans(9, 70, 2)
 			for t := 10.0; t < 70; t += 5 {
-				w.At(sec(t), func() {
-					a, b := w.some("controller-"), w.some("controller-")
+				w.At(atSecond(t), func() {
+					a, b := w.randomNode("controller-"), w.randomNode("controller-")
 					switch w.rand.IntN(4) {
 					case 0:
-						w.Part(map[string]bool{a: true})
+						w.Partition(map[string]bool{a: true})
 					case 1:
 						w.Cut(a, b, false)
 					case 2:
@@ -425,20 +425,20 @@
 						w.Freeze(a, clock.Span(w.rand.Int64N(4e9)))
 					}
 				})
-				w.At(sec(t+3), w.Heal)
+				w.At(atSecond(t+3), w.Heal)
 			}
 		}},
-	{Name: "disks", About: "core nodes lose their disks one at a time, lose power right after a confirmation, and disks stall", Duration: 100e9, MinAnswered: 0.98,
+	{Name: "disks", Description: "core nodes lose their disks one at a time, lose power right after a confirmation, and disks stall", Duration: 100e9, MinAnswered: 0.98,
 		Script: func(w *World) {
 			n := 0
 			var change func()
 			change = func() {
-				if w.now > sec(80) {
+				if w.now > atSecond(80) {
 					return
 				}
 				n++
-				w.PutPlan(w.some("controller-"), WithName(w.o.Plan, fmt.Sprintf("kept-%d", n), nil), 0, true, func(r controller.Receipt) {
-					v := w.some("controller-")
+				w.PutPlan(w.randomNode("controller-"), WithName(w.options.Plan, fmt.Sprintf("kept-%d", n), nil), 0, true, func(r controller.Receipt) {
+					v := w.randomNode("controller-")
 					switch w.rand.IntN(3) {
 					case 0: // power loss right after the confirmation
 						w.Restart(v, clock.Span(w.rand.Int64N(2e9)))
@@ -447,175 +447,175 @@
 						w.Wipe(v)
 						w.After(clock.Span(w.rand.Int64N(1e9)), func() { w.Start(v) })
 					case 2:
-						w.procs[v].disk.stall = w.now.Add(clock.Span(w.rand.Int64N(3e9)))
+						w.procs[v].disk.stalledUntil = w.now.Add(clock.Span(w.rand.Int64N(3e9)))
 					}
-					w.After(500e6, func() { w.Read(w.some("controller-"), nil) })
+					w.After(500e6, func() { w.ReadPlan(w.randomNode("controller-"), nil) })
 					w.After(7e9, change)
 				})
 			}
-			w.At(sec(9), change)
+			w.At(atSecond(9), change)
 		}},
-	{Name: "power", About: "all machines but model servers lose power right after a confirmation, and restart", Duration: 60e9, MinAnswered: 0.9,
+	{Name: "power", Description: "all machines but model servers lose power right after a confirmation, and restart", Duration: 60e9, MinAnswered: 0.9,
 		Script: func(w *World) {
 			for _, p := range w.controllers() {
-				p.disk.late = 40e6
+				p.disk.syncDelay = 40e6
 			}
-			w.At(sec(20), func() {
-				w.PutPlan("controller-1", WithName(w.o.Plan, "last", nil), 0, true, func(r controller.Receipt) { w.restartAll(false, 2e9) })
+			w.At(atSecond(20), func() {
+				w.PutPlan("controller-1", WithName(w.options.Plan, "last", nil), 0, true, func(r controller.Receipt) { w.restartAll(false, 2e9) })
 			})
-			w.At(sec(30), func() { w.Read("controller-3", nil) })
-			w.At(sec(45), func() { w.Read("controller-1", nil) })
+			w.At(atSecond(30), func() { w.ReadPlan("controller-3", nil) })
+			w.At(atSecond(45), func() { w.ReadPlan("controller-1", nil) })
 		}},
-	{Name: "ruin", About: "all core disks are lost at once; agents still hold the plan", Duration: 60e9, MinAnswered: 0.98,
+	{Name: "ruin", Description: "all core disks are lost at once; agents still hold the plan", Duration: 60e9, MinAnswered: 0.98,
 		Script: func(w *World) {
-			w.At(sec(20), func() {
-				w.Check.loosen()
+			w.At(atSecond(20), func() {
+				w.Check.markDisksLost()
 				for i := 1; i <= 3; i++ {
 					n := fmt.Sprintf("controller-%d", i)
 					w.Kill(n)
 					w.Wipe(n)
 					w.After(clock.Span(w.rand.Int64N(1e9)), func() { w.Start(n) })
 				}
-				w.Check.healed = w.now.Add(1e9)
+				w.Check.healedAt = w.now.Add(1e9)
 			})
-			w.At(sec(45), func() {
-				w.Read("controller-1", func(r controller.Receipt) {
-					if r.Kind != failure.None || string(r.Plan) != string(w.o.Plan) {
-						w.Check.bad("the agents' plan did not come back: %q %d bytes", r.Kind, len(r.Plan))
+			w.At(atSecond(45), func() {
+				w.ReadPlan("controller-1", func(r controller.Receipt) {
+					if r.Kind != failure.None || string(r.Plan) != string(w.options.Plan) {
+						w.Check.violationf("the agents' plan did not come back: %q %d bytes", r.Kind, len(r.Plan))
 					}
 				})
 			})
 		}},
-	{Name: "replace", About: "a core machine is replaced by an empty one at a new address, then another", Duration: 100e9, MinAnswered: 0.99,
+	{Name: "replace", Description: "a core machine is replaced by an empty one at a new address, then another", Duration: 100e9, MinAnswered: 0.99,
 		Script: func(w *World) {
 			w.putPlans(9, 85, 4)
 			for i, t := range []float64{15, 50} {
-				w.At(sec(t), func() {
+				w.At(atSecond(t), func() {
 					w.Kill(fmt.Sprintf("controller-%d", 3-i))
 					w.AddSpareController(fmt.Sprintf("controller-%d", 4+i), ident.Zone([]string{"zc", "zb"}[i]))
 				})
 			}
-			w.At(sec(85), func() { w.checkCoreReady("the replacement") })
+			w.At(atSecond(85), func() { w.checkCoreReady("the replacement") })
 		}},
-	{Name: "crowd", About: "bursts of requests arrive for one rare model at a time, and servers are cold", Duration: 70e9, MinAnswered: 0.5,
+	{Name: "crowd", Description: "bursts of requests arrive for one rare model at a time, and servers are cold", Duration: 70e9, MinAnswered: 0.5,
 		Script: func(w *World) {
-			m := standin.NewMix(w.plan, w.o.Seed+3)
+			m := standin.NewWorkload(w.plan, w.options.Seed+3)
 			for t := 10.0; t < 50; t += 10 {
-				a := m.Rare()
-				w.GenerateTraffic(clock.Span(t*1e9), clock.Span((t+2)*1e9), 400, func() standin.Ask { return m.Of(a) })
-				w.At(sec(t+1), func() { w.crashServer(w.some("server-"), 1e9) })
+				a := m.NextRare()
+				w.GenerateTraffic(clock.Span(t*1e9), clock.Span((t+2)*1e9), 400, func() standin.Request { return m.Fill(a) })
+				w.At(atSecond(t+1), func() { w.crashServer(w.randomNode("server-"), 1e9) })
 			}
 		}},
-	{Name: "storm", About: "servers fail one after another under load, so that many requests need retries", Duration: 60e9, RequestRate: 200, MinAnswered: 0.7,
+	{Name: "storm", Description: "servers fail one after another under load, so that many requests need retries", Duration: 60e9, RequestRate: 200, MinAnswered: 0.7,
 		Script: func(w *World) {
 			for t := 10.0; t < 45; t += 1.5 {
-				w.At(sec(t), func() {
-					s := w.some("server-")
+				w.At(atSecond(t), func() {
+					s := w.randomNode("server-")
 					if w.procs[s].up {
 						w.crashServer(s, 800e6)
 					}
 				})
 			}
 		}},
-	{Name: "zone-loss", About: "a whole zone is lost: core node, routers and servers", Duration: 70e9, MinAnswered: 0.97,
+	{Name: "zone-loss", Description: "a whole zone is lost: core node, routers and servers", Duration: 70e9, MinAnswered: 0.97,
 		Script: func(w *World) {
-			w.At(sec(20), func() {
-				for _, n := range w.order {
+			w.At(atSecond(20), func() {
+				for _, n := range w.procNames {
 					if p := w.procs[n]; p.zone == "zc" {
 						w.Kill(n)
 						if p.server != "" {
-							w.Check.Fault(n)
+							w.Check.MarkUnavailable(n)
 						}
 					}
 				}
 			})
 		}},
-	{Name: "lag", About: "routers pause between the last check and the send", Duration: 70e9, MinAnswered: 0.94, Configure: smallServers,
+	{Name: "lag", Description: "routers pause between the last check and the send", Duration: 70e9, MinAnswered: 0.94, Configure: smallServers,
 		Script: func(w *World) {
-			w.LagOdds, w.Lag = 0.04, 6e9
+			w.SendLagOdds, w.SendLag = 0.04, 6e9
 			w.shiftDemand(8, 56, 20)
 			for i, t := 0, 12.0; t < 50; i, t = i+1, t+6 {
-				s, z := fmt.Sprintf("server-%d", 1+i%w.o.Servers), ident.Zone([]string{"za", "zb", "zc"}[i%3])
-				w.At(sec(t), func() { w.setServerState(s, "leaving") })
-				w.At(sec(t+5), func() { w.setServerState(s, "live") })
-				w.At(sec(t+1), func() { w.Zone(w.some("controller-"), "empty", z, nil) })
-				w.At(sec(t+5.8), func() { w.Zone(w.some("controller-"), "refill", z, nil) })
+				s, z := fmt.Sprintf("server-%d", 1+i%w.options.Servers), ident.Zone([]string{"za", "zb", "zc"}[i%3])
+				w.At(atSecond(t), func() { w.setServerState(s, "leaving") })
+				w.At(atSecond(t+5), func() { w.setServerState(s, "live") })
+				w.At(atSecond(t+1), func() { w.ChangeZone(w.randomNode("controller-"), "empty", z, nil) })
+				w.At(atSecond(t+5.8), func() { w.ChangeZone(w.randomNode("controller-"), "refill", z, nil) })
 			}
 		}},
-	{Name: "again", About: "callers whose connection broke repeat the request with the same id at another router, although it may have run", Duration: 70e9, MinAnswered: 0.85,
+	{Name: "again", Description: "callers whose connection broke repeat the request with the same id at another router, although it may have run", Duration: 70e9, MinAnswered: 0.85,
 		Script: func(w *World) {
-			w.Again = 0.8
+			w.CallerRepeatOdds = 0.8
 			for t := 12.0; t < 50; t += 2 {
-				w.At(sec(t), func() {
+				w.At(atSecond(t), func() {
 					if w.rand.IntN(4) == 0 {
-						w.crashServer(w.some("server-"), 2e9)
+						w.crashServer(w.randomNode("server-"), 2e9)
 						return
 					}
-					w.Restart(w.some("router-"), clock.Span(w.rand.Int64N(2e9)))
+					w.Restart(w.randomNode("router-"), clock.Span(w.rand.Int64N(2e9)))
 				})
-				w.At(sec(t+1), func() { w.ResetOdds = 0.1 })
-				w.At(sec(t+1.5), func() { w.ResetOdds = 0 })
+				w.At(atSecond(t+1), func() { w.ResetOdds = 0.1 })
+				w.At(atSecond(t+1.5), func() { w.ResetOdds = 0 })
 			}
 		}},
-	{Name: "dead", About: "a third of the servers crashes at once, so that every router calls crashed ones, and routers are restarted", Duration: 60e9, MinAnswered: 0.9, RequestRate: 120,
+	{Name: "dead", Description: "a third of the servers crashes at once, so that every router calls crashed ones, and routers are restarted", Duration: 60e9, MinAnswered: 0.9, RequestRate: 120,
 		Script: func(w *World) {
 			for _, t := range []float64{12, 24, 36} {
-				w.At(sec(t), func() {
+				w.At(atSecond(t), func() {
 					n := w.rand.IntN(3)
-					for i := range w.o.Servers / 3 {
+					for i := range w.options.Servers / 3 {
 						w.crashServer(fmt.Sprintf("server-%d", 1+3*i+n), 4e9)
 					}
 				})
-				w.At(sec(t+1), func() { w.Restart(w.some("router-"), 300e6) })
-				w.At(sec(t+2), func() { w.Restart(w.some("router-"), 300e6) })
+				w.At(atSecond(t+1), func() { w.Restart(w.randomNode("router-"), 300e6) })
+				w.At(atSecond(t+2), func() { w.Restart(w.randomNode("router-"), 300e6) })
 			}
 		}},
-	{Name: "medley", About: "many kinds of failures combined", Duration: 100e9, MinAnswered: 0.8,
-		Configure: func(o *Options) { smallServers(o); o.Loss, o.Twice = 0.02, 0.02 },
+	{Name: "medley", Description: "many kinds of failures combined", Duration: 100e9, MinAnswered: 0.8,
+		Configure: func(o *Options) { smallServers(o); o.LossOdds, o.DuplicateOdds = 0.02, 0.02 },
 		Script: func(w *World) {
 			w.shiftDemand(8, 80, 15)
 			w.putPlans(9, 80, 6)
-			w.LagOdds, w.Lag = 0.005, 3e9
-			w.Again = 0.5
+			w.SendLagOdds, w.SendLag = 0.005, 3e9
+			w.CallerRepeatOdds = 0.5
 			for t := 10.0; t < 80; t += 2 {
-				w.At(sec(t), func() {
+				w.At(atSecond(t), func() {
 					switch w.rand.IntN(8) {
 					case 0:
-						w.Restart(w.some("router-"), clock.Span(w.rand.Int64N(2e9)))
+						w.Restart(w.randomNode("router-"), clock.Span(w.rand.Int64N(2e9)))
 					case 1:
-						w.Restart(w.some("agent-"), clock.Span(w.rand.Int64N(2e9)))
+						w.Restart(w.randomNode("agent-"), clock.Span(w.rand.Int64N(2e9)))
 					case 2:
-						w.Restart(w.some("controller-"), clock.Span(w.rand.Int64N(2e9)))
+						w.Restart(w.randomNode("controller-"), clock.Span(w.rand.Int64N(2e9)))
 					case 3:
-						if s := w.some("server-"); w.procs[s].up {
+						if s := w.randomNode("server-"); w.procs[s].up {
 							w.crashServer(s, clock.Span(w.rand.Int64N(3e9)))
 						}
 					case 4:
-						w.Freeze(w.some("router-"), clock.Span(w.rand.Int64N(4e9)))
+						w.Freeze(w.randomNode("router-"), clock.Span(w.rand.Int64N(4e9)))
 					case 5:
-						w.Freeze(w.some("controller-"), clock.Span(w.rand.Int64N(4e9)))
+						w.Freeze(w.randomNode("controller-"), clock.Span(w.rand.Int64N(4e9)))
 					case 6:
-						w.Part(map[string]bool{w.some("controller-"): true})
+						w.Partition(map[string]bool{w.randomNode("controller-"): true})
 						w.After(2e9, w.Heal)
 					case 7:
 						z := ident.Zone([]string{"za", "zb", "zc"}[w.rand.IntN(3)])
-						w.Zone(w.some("controller-"), "empty", z, nil)
-						w.After(5e9, func() { w.Zone(w.some("controller-"), "refill", z, nil) })
+						w.ChangeZone(w.randomNode("controller-"), "empty", z, nil)
+						w.After(5e9, func() { w.ChangeZone(w.randomNode("controller-"), "refill", z, nil) })
 					}
 				})
 			}
 		}},
-	{Name: "clocks", About: "wall clocks of all processes jump, also backwards before restarts, and monotonic clock rates differ up to the permitted margin", Duration: 90e9, MinAnswered: 0.93,
-		Configure: func(o *Options) { smallServers(o); o.Rates = 0.036 },
+	{Name: "clocks", Description: "wall clocks of all processes jump, also backwards before restarts, and monotonic clock rates differ up to the permitted margin", Duration: 90e9, MinAnswered: 0.93,
+		Configure: func(o *Options) { smallServers(o); o.ClockRateSpread = 0.036 },
 		Script: func(w *World) {
 			w.shiftDemand(8, 70, 15)
 			w.putPlans(9, 75, 5)
 			for t := 10.0; t < 72; t += 3 {
-				w.At(sec(t), func() {
+				w.At(atSecond(t), func() {
 					for range 3 {
-						w.procs[w.order[w.rand.IntN(len(w.order))]].wall = time.Duration(w.rand.Int64N(4e12) - 2e12)
+						w.procs[w.procNames[w.rand.IntN(len(w.procNames))]].wallOffset = time.Duration(w.rand.Int64N(4e12) - 2e12)
 					}
-					n := w.some([]string{"router-", "agent-", "agent-", "controller-", "server-"}[w.rand.IntN(5)])
+					n := w.randomNode([]string{"router-", "agent-", "agent-", "controller-", "server-"}[w.rand.IntN(5)])
 					if w.procs[n].server != "" {
 						w.crashServer(n, clock.Span(w.rand.Int64N(2e9)))
 						return
@@ -624,84 +624,84 @@
 				})
 			}
 		}},
-	{Name: "ruin-clocks", About: "all core disks are lost, the core's clocks are set back, and all agents restart: only routers still have the plan", Duration: 70e9, MinAnswered: 0.98,
+	{Name: "ruin-clocks", Description: "all core disks are lost, the core's clocks are set back, and all agents restart: only routers still have the plan", Duration: 70e9, MinAnswered: 0.98,
 		Script: func(w *World) {
-			w.At(sec(20), func() {
-				w.Check.loosen()
+			w.At(atSecond(20), func() {
+				w.Check.markDisksLost()
 				for i := 1; i <= 3; i++ {
 					n := fmt.Sprintf("controller-%d", i)
 					w.Kill(n)
 					w.Wipe(n)
-					w.procs[n].wall = -3000 * time.Second
+					w.procs[n].wallOffset = -3000 * time.Second
 					w.After(200e6, func() { w.Start(n) })
 				}
-				for i := 1; i <= w.o.Routers; i++ {
+				for i := 1; i <= w.options.Routers; i++ {
 					w.Restart(fmt.Sprintf("agent-%d", i), 50e6)
 				}
 			})
-			w.At(sec(26), func() {
-				w.Read("controller-1", func(r controller.Receipt) {
-					if r.Kind != failure.None || string(r.Plan) != string(w.o.Plan) {
-						w.Check.bad("the routers' plan did not come back: %q %d bytes", r.Kind, len(r.Plan))
+			w.At(atSecond(26), func() {
+				w.ReadPlan("controller-1", func(r controller.Receipt) {
+					if r.Kind != failure.None || string(r.Plan) != string(w.options.Plan) {
+						w.Check.violationf("the routers' plan did not come back: %q %d bytes", r.Kind, len(r.Plan))
 					}
 				})
 			})
-			w.At(sec(28), func() { w.PutPlan("controller-1", WithName(w.o.Plan, "afresh", nil), 0, true, nil) })
-			w.At(sec(45), func() {
+			w.At(atSecond(28), func() { w.PutPlan("controller-1", WithName(w.options.Plan, "afresh", nil), 0, true, nil) })
+			w.At(atSecond(45), func() {
 				for _, p := range w.Routers() {
 					if n := p.core.(*router.Core).PlanName(); n != "afresh" {
-						w.Check.bad("%s applies plan %q after the core was formed anew", p.name, n)
+						w.Check.violationf("%s applies plan %q after the core was formed anew", p.name, n)
 					}
 				}
 			})
 		}},
-	{Name: "platform", About: "the platform does not answer, or returns empty, wrong or partial lists, across takeovers and a full outage", Duration: 100e9, MinAnswered: 0.9,
+	{Name: "platform", Description: "the platform does not answer, or returns empty, wrong or partial lists, across takeovers and a full outage", Duration: 100e9, MinAnswered: 0.9,
 		Script: func(w *World) {
-			alterations := []func(l []protocol.Listed) []protocol.Listed{
-				func([]protocol.Listed) []protocol.Listed { return nil },
-				func(l []protocol.Listed) []protocol.Listed { return l[:len(l)/3] },
-				func(l []protocol.Listed) []protocol.Listed { return append(l, l[0]) },
-				func(l []protocol.Listed) []protocol.Listed { l[0].State = "resting"; return l },
-				func(l []protocol.Listed) []protocol.Listed { l[1].Addr = ""; return l },
+			alterations := []func(l []protocol.ListedServer) []protocol.ListedServer{
+				func([]protocol.ListedServer) []protocol.ListedServer { return nil },
+				func(l []protocol.ListedServer) []protocol.ListedServer { return l[:len(l)/3] },
+				func(l []protocol.ListedServer) []protocol.ListedServer { return append(l, l[0]) },
+				func(l []protocol.ListedServer) []protocol.ListedServer { l[0].State = "resting"; return l },
+				func(l []protocol.ListedServer) []protocol.ListedServer { l[1].Addr = ""; return l },
 			}
 			for i, t := 0, 12.0; t < 60; i, t = i+1, t+8 {
-				w.At(sec(t), func() {
-					if w.platUp = i%6 != 0; w.platUp {
-						w.Lists = alterations[i%6-1]
+				w.At(atSecond(t), func() {
+					if w.platformUp = i%6 != 0; w.platformUp {
+						w.AlterServerList = alterations[i%6-1]
 					}
 				})
-				w.At(sec(t+1), func() { w.Restart(w.owner(), 2e9) })
-				w.At(sec(t+6), func() { w.Lists, w.platUp = nil, true })
+				w.At(atSecond(t+1), func() { w.Restart(w.owner(), 2e9) })
+				w.At(atSecond(t+6), func() { w.AlterServerList, w.platformUp = nil, true })
 			}
-			w.At(sec(64), func() { w.platUp = false })
-			w.At(sec(66), func() { w.restartAll(false, 2e9) })
-			w.At(sec(85), func() { w.platUp = true })
+			w.At(atSecond(64), func() { w.platformUp = false })
+			w.At(atSecond(66), func() { w.restartAll(false, 2e9) })
+			w.At(atSecond(85), func() { w.platformUp = true })
 		}},
-	{Name: "blind", About: "the owner reaches the core and the routers, but not the servers or the platform for a long time", Duration: 80e9, MinAnswered: 0.97,
+	{Name: "blind", Description: "the owner reaches the core and the routers, but not the servers or the platform for a long time", Duration: 80e9, MinAnswered: 0.97,
 		Script: func(w *World) {
 			for i, t := 0, 12.0; t < 60; i, t = i+1, t+16 {
-				w.At(sec(t), func() {
+				w.At(atSecond(t), func() {
 					o := w.owner()
-					for _, b := range w.boxes() {
+					for _, b := range w.machineNames() {
 						if b == "platform" && i%2 == 0 || strings.HasPrefix(b, "server-") && i < 2 {
 							w.Cut(o, b, true)
 						}
 					}
 					w.After(11e9, func() {
 						if n := w.owner(); n == o {
-							w.Check.bad("%s kept the duty, although it could not serve it", o)
+							w.Check.violationf("%s kept the duty, although it could not serve it", o)
 						}
 						w.Heal()
 					})
 				})
 			}
 		}},
-	{Name: "exchange", About: "all three seed machines are replaced by empty ones one after another while the core is partitioned, then agents restart with partly outdated seeds", Duration: 130e9, MinAnswered: 0.97,
+	{Name: "exchange", Description: "all three seed machines are replaced by empty ones one after another while the core is partitioned, then agents restart with partly outdated seeds", Duration: 130e9, MinAnswered: 0.97,
 		Script: func(w *World) {
 			w.putPlans(9, 115, 5)
 			for i := 1; i <= 3; i++ {
 				t := float64(15 + 25*(i-1))
-				w.At(sec(t), func() {
+				w.At(atSecond(t), func() {
 					if i == 3 {
 						w.Seeds = []string{"controller-4", "controller-2", "controller-3"} // after this replacement none of the first nodes is left
 					}
@@ -709,60 +709,60 @@
 					w.AddSpareController(fmt.Sprintf("controller-%d", 3+i), w.procs[fmt.Sprintf("controller-%d", i)].zone)
 				})
 				// While the new node waits for admission, it or another node is cut off for a while.
-				w.At(sec(t+4), func() {
-					w.Part(map[string]bool{fmt.Sprintf("controller-%d", 3+i): i%2 == 1, fmt.Sprintf("controller-%d", 1+i%3): i%2 == 0})
+				w.At(atSecond(t+4), func() {
+					w.Partition(map[string]bool{fmt.Sprintf("controller-%d", 3+i): i%2 == 1, fmt.Sprintf("controller-%d", 1+i%3): i%2 == 0})
 				})
-				w.At(sec(t+9), w.Heal)
+				w.At(atSecond(t+9), w.Heal)
 			}
-			for i := 1; i <= w.o.Routers; i++ {
-				w.At(sec(92+2*float64(i)), func() {
+			for i := 1; i <= w.options.Routers; i++ {
+				w.At(atSecond(92+2*float64(i)), func() {
 					w.Drain(fmt.Sprintf("router-%d", i))
 					w.Restart(fmt.Sprintf("agent-%d", i), 200e6)
 				})
 			}
-			w.At(sec(118), func() { w.checkCoreReady("the exchange") })
+			w.At(atSecond(118), func() { w.checkCoreReady("the exchange") })
 		}},
-	{Name: "zone-each", About: "each zone is lost in turn, the owner's included, while a plan is submitted or another zone is being emptied, and returns", Duration: 110e9, MinAnswered: 0.9,
+	{Name: "zone-each", Description: "each zone is lost in turn, the owner's included, while a plan is submitted or another zone is being emptied, and returns", Duration: 110e9, MinAnswered: 0.9,
 		Script: func(w *World) {
 			zones := []ident.Zone{"za", "zb", "zc"}
 			for i, z := range zones {
 				t := 14 + 28*float64(i)
-				w.At(sec(t-0.05), func() {
-					w.PutPlan(w.some("controller-"), WithName(w.o.Plan, fmt.Sprintf("as-%s-goes", z), nil), 0, true, nil)
+				w.At(atSecond(t-0.05), func() {
+					w.PutPlan(w.randomNode("controller-"), WithName(w.options.Plan, fmt.Sprintf("as-%s-goes", z), nil), 0, true, nil)
 					if i == 1 {
-						w.Zone("controller-1", "empty", zones[(i+1)%3], nil)
-						w.After(6e9, func() { w.Zone("controller-1", "refill", zones[(i+1)%3], nil) })
+						w.ChangeZone("controller-1", "empty", zones[(i+1)%3], nil)
+						w.After(6e9, func() { w.ChangeZone("controller-1", "refill", zones[(i+1)%3], nil) })
 					}
 				})
-				w.At(sec(t)+clock.Tick(w.rand.Int64N(60e6)), func() {
+				w.At(atSecond(t)+clock.Instant(w.rand.Int64N(60e6)), func() {
 					w.tracef("zone %s is lost", z)
-					for _, n := range w.order {
+					for _, n := range w.procNames {
 						if p := w.procs[n]; p.zone == z && p.up {
 							w.Kill(n)
 							if p.server != "" {
-								w.Check.Fault(n)
+								w.Check.MarkUnavailable(n)
 							}
-							w.After(12e9, func() { w.Start(n); w.Check.Mend(n) })
+							w.After(12e9, func() { w.Start(n); w.Check.MarkAvailable(n) })
 						}
 					}
 				})
-				w.At(sec(t+8), func() { w.Read(fmt.Sprintf("controller-%d", 1+(i+1)%3), nil) })
+				w.At(atSecond(t+8), func() { w.ReadPlan(fmt.Sprintf("controller-%d", 1+(i+1)%3), nil) })
 			}
 		}},
-	{Name: "rolls", About: "routers, agents, core nodes and servers are all restarted one by one as planned, during long streams, plan changes and takeovers", Duration: 150e9, MinAnswered: 0.98, NoAborts: true, RequestRate: 40,
+	{Name: "rolls", Description: "routers, agents, core nodes and servers are all restarted one by one as planned, during long streams, plan changes and takeovers", Duration: 150e9, MinAnswered: 0.98, NoAborts: true, RequestRate: 40,
 		Script: func(w *World) {
-			m := standin.NewMix(w.plan, w.o.Seed+13)
-			w.GenerateTraffic(8e9, 125e9, 4, func() standin.Ask {
+			m := standin.NewWorkload(w.plan, w.options.Seed+13)
+			w.GenerateTraffic(8e9, 125e9, 4, func() standin.Request {
 				a := m.Next()
-				a.Call.Max = 200 + w.rand.IntN(300)
+				a.Call.MaxTokens = 200 + w.rand.IntN(300)
 				return a
 			})
 			w.putPlans(9, 130, 7)
-			for i := 1; i <= w.o.Routers; i++ {
-				w.At(sec(10+13*float64(i-1)), func() { w.Drain(fmt.Sprintf("router-%d", i)) })
-				w.At(sec(16+13*float64(i-1)), func() { w.Restart(fmt.Sprintf("agent-%d", i), 200e6) })
+			for i := 1; i <= w.options.Routers; i++ {
+				w.At(atSecond(10+13*float64(i-1)), func() { w.Drain(fmt.Sprintf("router-%d", i)) })
+				w.At(atSecond(16+13*float64(i-1)), func() { w.Restart(fmt.Sprintf("agent-%d", i), 200e6) })
 			}
-			for i := range w.o.Servers {
+			for i := range w.options.Servers {
 				s := fmt.Sprintf("server-%d", i+1)
 				var stop func()
 				stop = func() {
@@ -773,32 +773,32 @@
 					w.Kill(s)
 					w.After(300e6, func() { w.Start(s); w.setServerState(s, "live") })
 				}
-				w.At(sec(12+13*float64(i)), func() { w.setServerState(s, "leaving"); w.After(4e9, stop) })
+				w.At(atSecond(12+13*float64(i)), func() { w.setServerState(s, "leaving"); w.After(4e9, stop) })
 			}
 			for i, t := 0, 14.0; t < 120; i, t = i+1, t+9 {
 				n := fmt.Sprintf("controller-%d", 1+i%3)
-				w.At(sec(t), func() { w.Stop(n) })
-				w.At(sec(t+1.5), func() { w.Start(n) })
+				w.At(atSecond(t), func() { w.Stop(n) })
+				w.At(atSecond(t+1.5), func() { w.Start(n) })
 			}
 		}},
-	{Name: "mangled", About: "servers send events that are malformed, late, duplicated, missing, or from another answer", Duration: 60e9, MinAnswered: 0.5,
+	{Name: "mangled", Description: "servers send events that are malformed, late, duplicated, missing, or from another answer", Duration: 60e9, MinAnswered: 0.5,
 		Script: func(w *World) {
-			w.At(sec(10), func() { w.Mangle = 0.02 })
-			w.At(sec(40), func() { w.Mangle = 0 })
+			w.At(atSecond(10), func() { w.MangleOdds = 0.02 })
+			w.At(atSecond(40), func() { w.MangleOdds = 0 })
 		}},
-	{Name: "mixed", About: "servers differ in room, slots and speed, and are replaced one by one", Duration: 110e9, MinAnswered: 0.99, NoAborts: true, Configure: func(o *Options) { o.Mixed = true },
+	{Name: "mixed", Description: "servers differ in room, slots and speed, and are replaced one by one", Duration: 110e9, MinAnswered: 0.99, NoAborts: true, Configure: func(o *Options) { o.MixedServers = true },
 		Script: (*World).replaceServers},
-	{Name: "shifts", About: "keys move constantly to balance servers, while owners are killed, frozen and cut off, servers crash and are withdrawn, the store slows down, plans drop keys and routers freeze", Duration: 110e9, MinAnswered: 0.95,
+	{Name: "shifts", Description: "keys move constantly to balance servers, while owners are killed, frozen and cut off, servers crash and are withdrawn, the store slows down, plans drop keys and routers freeze", Duration: 110e9, MinAnswered: 0.95,
 		Configure: func(o *Options) {
-			o.Controller.Even, o.Controller.Rest, o.Controller.Gap, o.Room = 300e6, 500e6, 0.1, 80
+			o.Controller.RebalanceInterval, o.Controller.MinResidence, o.Controller.MinImbalance, o.Room = 300e6, 500e6, 0.1, 80
 		},
 		Script: func(w *World) {
 			w.shiftDemand(8, 90, 10)
 			rate := w.store.Rate
 			for t := 10.0; t < 90; t += 1.5 {
-				w.At(sec(t), func() {
-					s := w.some("server-")
-					_, unavailable := w.Check.gone[s]
+				w.At(atSecond(t), func() {
+					s := w.randomNode("server-")
+					_, unavailable := w.Check.unavailableSince[s]
 					o := w.owner()
 					switch w.rand.IntN(9) {
 					case 0:
@@ -806,7 +806,7 @@
 					case 1:
 						w.Freeze(o, clock.Span(w.rand.Int64N(4e9)))
 					case 2:
-						w.Part(map[string]bool{o: true})
+						w.Partition(map[string]bool{o: true})
 						w.After(clock.Span(w.rand.Int64N(3e9)), w.Heal)
 					case 3:
 						if !unavailable && w.procs[s].up {
@@ -821,37 +821,37 @@
 						w.store.Rate = rate / 6
 						w.After(3e9, func() { w.store.Rate = rate })
 					case 7:
-						w.Freeze(w.some("router-"), clock.Span(w.rand.Int64N(4e9)))
+						w.Freeze(w.randomNode("router-"), clock.Span(w.rand.Int64N(4e9)))
 					case 8:
-						m := standin.NewMix(w.plan, w.rand.Uint64()).Rare()
-						w.PutPlan(w.some("controller-"), WithName(w.o.Plan, fmt.Sprintf("less-%d", w.admin), withoutModel(m.Call.Base)), 0, true, nil)
+						m := standin.NewWorkload(w.plan, w.rand.Uint64()).NextRare()
+						w.PutPlan(w.randomNode("controller-"), WithName(w.options.Plan, fmt.Sprintf("less-%d", w.lastAdmin), withoutModel(m.Call.Model)), 0, true, nil)
 						w.After(3e9, func() {
-							w.PutPlan(w.some("controller-"), WithName(w.o.Plan, fmt.Sprintf("again-%d", w.admin), nil), 0, true, nil)
+							w.PutPlan(w.randomNode("controller-"), WithName(w.options.Plan, fmt.Sprintf("again-%d", w.lastAdmin), nil), 0, true, nil)
 						})
 					}
 				})
 			}
 		}},
-	{Name: "return", About: "a zone is lost, returns empty, and takes its share again: keys with a floor of two are ready in two zones", Duration: 120e9, MinAnswered: 0.97,
+	{Name: "return", Description: "a zone is lost, returns empty, and takes its share again: keys with a floor of two are ready in two zones", Duration: 120e9, MinAnswered: 0.97,
 		Script: func(w *World) {
-			w.At(sec(14), func() {
-				for _, n := range w.order {
+			w.At(atSecond(14), func() {
+				for _, n := range w.procNames {
 					if p := w.procs[n]; p.zone == "zb" && p.server != "" {
 						w.crashServer(n, 15e9)
 					}
 				}
 			})
-			w.At(sec(118), func() {
+			w.At(atSecond(118), func() {
 				zones := map[ident.Key]map[ident.Zone]bool{}
 				low, high := 1.0, 0.0
-				for _, n := range w.order {
+				for _, n := range w.procNames {
 					v, ok := w.procs[n].core.(*standin.Server)
 					if !ok {
 						continue
 					}
 					share := float64(v.Used()) / float64(w.room(n))
 					low, high = min(low, share), max(high, share)
-					for k, h := range v.Holds() {
+					for k, h := range v.Held() {
 						if zones[k] == nil {
 							zones[k] = map[ident.Zone]bool{}
 						}
@@ -859,77 +859,77 @@
 					}
 				}
 				for k, m := range w.plan.Models {
-					if m.Floor > 1 && len(zones[k]) < 2 {
-						w.Check.bad("%s has a floor of %d and is ready in %d zones", k, m.Floor, len(zones[k]))
+					if m.MinReplicas > 1 && len(zones[k]) < 2 {
+						w.Check.violationf("%s has a floor of %d and is ready in %d zones", k, m.MinReplicas, len(zones[k]))
 					}
 				}
 				if high-low > 0.5 {
-					w.Check.bad("servers remain unevenly filled: from %.2f to %.2f", low, high)
+					w.Check.violationf("servers remain unevenly filled: from %.2f to %.2f", low, high)
 				}
 			})
 		}},
-	{Name: "odd", About: "servers send inconsistent reports: more held than there is room, negative or huge sizes, duplicate and empty keys", Duration: 70e9, MinAnswered: 0.9, Configure: smallServers,
+	{Name: "odd", Description: "servers send inconsistent reports: more held than there is room, negative or huge sizes, duplicate and empty keys", Duration: 70e9, MinAnswered: 0.9, Configure: smallServers,
 		Script: func(w *World) {
 			w.shiftDemand(8, 56, 15)
-			alterations := []func(r *protocol.Report){
-				func(r *protocol.Report) { r.Held[0].Size = -1000 },
-				func(r *protocol.Report) { r.Held[0].Size = 1 << 62 },
-				func(r *protocol.Report) { r.Held = append(r.Held, r.Held[0]) },
-				func(r *protocol.Report) { r.Held[0].Key = "" },
-				func(r *protocol.Report) { r.Room = -r.Room },
-				func(r *protocol.Report) { r.Room, r.Slots = 1, 0 },
-				func(r *protocol.Report) { r.Held[0].Active = -5 },
-				func(r *protocol.Report) { r.Held[0].Stage = "melted" },
+			alterations := []func(r *protocol.ServerReport){
+				func(r *protocol.ServerReport) { r.Held[0].Size = -1000 },
+				func(r *protocol.ServerReport) { r.Held[0].Size = 1 << 62 },
+				func(r *protocol.ServerReport) { r.Held = append(r.Held, r.Held[0]) },
+				func(r *protocol.ServerReport) { r.Held[0].Key = "" },
+				func(r *protocol.ServerReport) { r.Room = -r.Room },
+				func(r *protocol.ServerReport) { r.Room, r.Slots = 1, 0 },
+				func(r *protocol.ServerReport) { r.Held[0].Active = -5 },
+				func(r *protocol.ServerReport) { r.Held[0].Stage = "melted" },
 			}
-			w.At(sec(12), func() {
-				w.Bend = func(r protocol.Report) protocol.Report {
+			w.At(atSecond(12), func() {
+				w.AlterReport = func(r protocol.ServerReport) protocol.ServerReport {
 					n := int(w.now/5e9) % len(alterations)
 					if int(r.Server[len(r.Server)-1])%3 == n%3 && len(r.Held) > 0 {
-						r.Held = append([]protocol.Held{}, r.Held...)
+						r.Held = append([]protocol.HeldKey{}, r.Held...)
 						alterations[n](&r)
 					}
 					return r
 				}
 			})
-			w.At(sec(52), func() { w.Bend = nil })
-			w.At(sec(60), func() {
+			w.At(atSecond(52), func() { w.AlterReport = nil })
+			w.At(atSecond(60), func() {
 				n := uint64(0)
 				for _, p := range w.controllers() {
 					n += p.core.(*controller.Core).Counts().Odd
 				}
 				if n == 0 {
-					w.Check.bad("no core node counted an inconsistent report")
+					w.Check.violationf("no core node counted an inconsistent report")
 				}
 			})
 		}},
-	{Name: "sweep", About: "a core node is cut off while a plan is accepted, and reconnected: its disk has the plan soon, although there are no further changes", Duration: 60e9, MinAnswered: 0.99,
+	{Name: "sweep", Description: "a core node is cut off while a plan is accepted, and reconnected: its disk has the plan soon, although there are no further changes", Duration: 60e9, MinAnswered: 0.99,
 		Script: func(w *World) {
 			storedEpoch := func(n string) (e ident.Epoch) {
 				var stored struct{ Value protocol.Desired }
-				_ = json.Unmarshal(w.procs[n].disk.safe["accepted"], &stored)
+				_ = json.Unmarshal(w.procs[n].disk.synced["accepted"], &stored)
 				return stored.Value.Epoch
 			}
 			for i, t := range []float64{12, 34} {
 				n := fmt.Sprintf("controller-%d", 3-i)
-				w.At(sec(t), func() { w.Part(map[string]bool{n: true}) })
-				w.At(sec(t+1), func() {
-					w.PutPlan("controller-1", WithName(w.o.Plan, fmt.Sprintf("missed-%d", i), nil), 0, true, nil)
+				w.At(atSecond(t), func() { w.Partition(map[string]bool{n: true}) })
+				w.At(atSecond(t+1), func() {
+					w.PutPlan("controller-1", WithName(w.options.Plan, fmt.Sprintf("missed-%d", i), nil), 0, true, nil)
 				})
-				w.At(sec(t+4), w.Heal)
-				w.At(sec(t+20), func() {
+				w.At(atSecond(t+4), w.Heal)
+				w.At(atSecond(t+20), func() {
 					if a, b := storedEpoch(n), storedEpoch("controller-1"); a != b {
-						w.Check.bad("the disk of %s still has epoch %d, not %d", n, a, b)
+						w.Check.violationf("the disk of %s still has epoch %d, not %d", n, a, b)
 					}
 				})
 			}
 		}},
-	{Name: "spare", About: "a spare core node runs while core nodes are restarted, planned and unplanned: no restart costs a node its seat", Duration: 80e9, MinAnswered: 0.99,
+	{Name: "spare", Description: "a spare core node runs while core nodes are restarted, planned and unplanned: no restart costs a node its seat", Duration: 80e9, MinAnswered: 0.99,
 		Script: func(w *World) {
-			w.At(sec(9), func() { w.AddSpareController("controller-4", "za") })
+			w.At(atSecond(9), func() { w.AddSpareController("controller-4", "za") })
 			w.putPlans(10, 60, 6)
 			for i, t := 0, 14.0; t < 60; i, t = i+1, t+9 {
 				n := fmt.Sprintf("controller-%d", 1+i%3)
-				w.At(sec(t), func() {
+				w.At(atSecond(t), func() {
 					if w.rand.IntN(2) == 0 {
 						w.Restart(n, clock.Span(1e9+w.rand.Int64N(3e9)))
 						return
@@ -938,78 +938,78 @@
 					w.After(3e9, func() { w.Start(n) })
 				})
 			}
-			w.At(sec(79), func() {
-				if w.Check.Seen.Admits > 0 {
-					w.Check.bad("a seat was given away for a restart")
+			w.At(atSecond(79), func() {
+				if w.Check.Stats.VoterChanges > 0 {
+					w.Check.violationf("a seat was given away for a restart")
 				}
 			})
 		}},
-	{Name: "night", About: "there are hardly any requests, and servers crash one after another", Duration: 120e9, MinAnswered: 0.93, RequestRate: 1,
+	{Name: "night", Description: "there are hardly any requests, and servers crash one after another", Duration: 120e9, MinAnswered: 0.93, RequestRate: 1,
 		Script: func(w *World) {
 			for t := 10.0; t < 100; t += 6 {
-				w.At(sec(t), func() {
-					if s := w.some("server-"); w.procs[s].up {
+				w.At(atSecond(t), func() {
+					if s := w.randomNode("server-"); w.procs[s].up {
 						w.crashServer(s, 3e9)
 					}
 				})
 			}
 		}},
-	{Name: "unplan", About: "plans remove and restore models that are in use by long answers, while routers pause", Duration: 90e9, MinAnswered: 0.9, RequestRate: 40, NoAborts: true,
+	{Name: "unplan", Description: "plans remove and restore models that are in use by long answers, while routers pause", Duration: 90e9, MinAnswered: 0.9, RequestRate: 40, NoAborts: true,
 		Script: func(w *World) {
-			m := standin.NewMix(w.plan, w.o.Seed+11)
-			w.DialOdds, w.Dial = 0.1, 450e6
+			m := standin.NewWorkload(w.plan, w.options.Seed+11)
+			w.DialOdds, w.DialDelay = 0.1, 450e6
 			for i, t := 0, 14.0; t < 70; i, t = i+1, t+8 {
-				a := m.Rare()
-				for a.Call.Extra != "" {
-					a = m.Rare()
+				a := m.NextRare()
+				for a.Call.Adapter != "" {
+					a = m.NextRare()
 				}
-				w.GenerateTraffic(clock.Span((t-5)*1e9), clock.Span((t+0.1)*1e9), 60, func() standin.Ask {
-					b := m.Of(a)
-					b.Call.Max = 20 + w.rand.IntN(200)
+				w.GenerateTraffic(clock.Span((t-5)*1e9), clock.Span((t+0.1)*1e9), 60, func() standin.Request {
+					b := m.Fill(a)
+					b.Call.MaxTokens = 20 + w.rand.IntN(200)
 					return b
 				})
-				w.At(sec(t), func() {
-					w.PutPlan(w.some("controller-"), WithName(w.o.Plan, fmt.Sprintf("less-%d", i), withoutModel(a.Call.Base)), 0, true, nil)
-					w.Freeze(w.some("router-"), clock.Span(w.rand.Int64N(5e9)))
-					w.Freeze(w.some("router-"), clock.Span(w.rand.Int64N(5e9)))
+				w.At(atSecond(t), func() {
+					w.PutPlan(w.randomNode("controller-"), WithName(w.options.Plan, fmt.Sprintf("less-%d", i), withoutModel(a.Call.Model)), 0, true, nil)
+					w.Freeze(w.randomNode("router-"), clock.Span(w.rand.Int64N(5e9)))
+					w.Freeze(w.randomNode("router-"), clock.Span(w.rand.Int64N(5e9)))
 				})
-				w.At(sec(t+5), func() {
-					w.PutPlan(w.some("controller-"), WithName(w.o.Plan, fmt.Sprintf("again-%d", i), nil), 0, true, nil)
+				w.At(atSecond(t+5), func() {
+					w.PutPlan(w.randomNode("controller-"), WithName(w.options.Plan, fmt.Sprintf("again-%d", i), nil), 0, true, nil)
 				})
 			}
 		}},
-	{Name: "flap", About: "half of all connections break before the first event, so that many requests need retries", Duration: 60e9, MinAnswered: 0.7,
+	{Name: "flap", Description: "half of all connections break before the first event, so that many requests need retries", Duration: 60e9, MinAnswered: 0.7,
 		Script: func(w *World) {
-			w.At(sec(15), func() { w.ResetOdds = 0.5 })
-			w.At(sec(40), func() { w.ResetOdds = 0 })
+			w.At(atSecond(15), func() { w.ResetOdds = 0.5 })
+			w.At(atSecond(40), func() { w.ResetOdds = 0 })
 		}},
-	{Name: "amnesia", About: "a plan is accepted while a core node is cut off, then another node loses its disk and only these two are connected", Duration: 90e9, MinAnswered: 0.97,
+	{Name: "amnesia", Description: "a plan is accepted while a core node is cut off, then another node loses its disk and only these two are connected", Duration: 90e9, MinAnswered: 0.97,
 		Script: func(w *World) {
 			for i, t := 0, 12.0; t < 70; i, t = i+1, t+18 {
 				a, b, c := fmt.Sprintf("controller-%d", 1+i%3), fmt.Sprintf("controller-%d", 1+(i+1)%3), fmt.Sprintf("controller-%d", 1+(i+2)%3)
-				w.At(sec(t), func() {
+				w.At(atSecond(t), func() {
 					w.Cut(c, a, true)
 					w.Cut(c, b, true)
 				})
-				w.At(sec(t+0.2), func() {
-					w.PutPlan(a, WithName(w.o.Plan, fmt.Sprintf("known-%d", i), nil), 0, true, func(controller.Receipt) {
+				w.At(atSecond(t+0.2), func() {
+					w.PutPlan(a, WithName(w.options.Plan, fmt.Sprintf("known-%d", i), nil), 0, true, func(controller.Receipt) {
 						w.Kill(a)
 						w.Kill(b)
 						w.Wipe(b)
 						w.Heal()
 						w.Start(b)
-						w.After(1e9, func() { w.Read(c, nil) })
-						w.After(2e9, func() { w.Read(b, nil) })
+						w.After(1e9, func() { w.ReadPlan(c, nil) })
+						w.After(2e9, func() { w.ReadPlan(b, nil) })
 						w.After(4e9, func() { w.Start(a) })
-						w.After(9e9, func() { w.Read(b, nil) })
+						w.After(9e9, func() { w.ReadPlan(b, nil) })
 					})
 				})
 			}
 		}},
-	{Name: "fence", About: "the duty's owner is cut off from the core, but not from the routers, while a plan is accepted", Duration: 70e9, MinAnswered: 0.99,
+	{Name: "fence", Description: "the duty's owner is cut off from the core, but not from the routers, while a plan is accepted", Duration: 70e9, MinAnswered: 0.99,
 		Script: func(w *World) {
 			for i, t := 0, 12.0; t < 55; i, t = i+1, t+8 {
-				w.At(sec(t), func() {
+				w.At(atSecond(t), func() {
 					o, other := w.owner(), ""
 					for _, p := range w.controllers() {
 						if p.name != o {
@@ -1017,58 +1017,58 @@
 							other = p.name
 						}
 					}
-					w.After(100e6, func() { w.PutPlan(other, WithName(w.o.Plan, fmt.Sprintf("past-%d", i), nil), 0, true, nil) })
+					w.After(100e6, func() { w.PutPlan(other, WithName(w.options.Plan, fmt.Sprintf("past-%d", i), nil), 0, true, nil) })
 				})
-				w.At(sec(t+5), w.Heal)
+				w.At(atSecond(t+5), w.Heal)
 			}
 		}},
-	{Name: "windows", About: "maintenance windows of a server and a zone are respected, and then wall clocks jump in both directions", Duration: 90e9, MinAnswered: 0.995, NoAborts: true,
-		Configure: func(o *Options) { o.Controller.Lead = 5e9 },
+	{Name: "windows", Description: "maintenance windows of a server and a zone are respected, and then wall clocks jump in both directions", Duration: 90e9, MinAnswered: 0.995, NoAborts: true,
+		Configure: func(o *Options) { o.Controller.DrainLead = 5e9 },
 		Script: func(w *World) {
-			at := func(n float64) string { return dawn.Add(time.Duration(n * 1e9)).Format("20060102T150405Z") }
+			at := func(n float64) string { return simulationStart.Add(time.Duration(n * 1e9)).Format("20060102T150405Z") }
 			event := func(uid int, location string, from, to float64) string {
 				return fmt.Sprintf("BEGIN:VEVENT\r\nUID:%d\r\nDTSTAMP:20260101T000000Z\r\nLOCATION:%s\r\nDTSTART:%s\r\nDTEND:%s\r\nEND:VEVENT\r\n", uid, location, at(from), at(to))
 			}
 			calendar := "BEGIN:VCALENDAR\r\nVERSION:2.0\r\nPRODID:x\r\n" + event(1, "server server-1", 25, 35) + event(2, "zone zb", 40, 50) + "END:VCALENDAR\r\n"
-			w.At(sec(10), func() {
-				w.change("controller-2", controller.Admin{Op: "windows", Raw: []byte(calendar), Any: true}, nil)
+			w.At(atSecond(10), func() {
+				w.submitChange("controller-2", controller.Admin{Op: "windows", Raw: []byte(calendar), Any: true}, nil)
 			})
 			// The lead time is for draining: from the start of the window itself, no new requests may reach the
 			// servers.
 			expectClosed := func(s string, from, to float64) {
-				w.At(sec(from-boundGone/1e9), func() { w.Check.Fault(s) })
-				w.At(sec(to), func() { w.Check.Mend(s) })
+				w.At(atSecond(from-maxGoneLag/1e9), func() { w.Check.MarkUnavailable(s) })
+				w.At(atSecond(to), func() { w.Check.MarkAvailable(s) })
 			}
 			expectClosed("server-1", 25, 35)
-			for i := 2; i <= w.o.Servers; i += 3 {
+			for i := 2; i <= w.options.Servers; i += 3 {
 				expectClosed(fmt.Sprintf("server-%d", i), 40, 50)
 			}
 			for t := 52.0; t < 75; t += 3 {
-				w.At(sec(t), func() { w.procs[w.some("controller-")].wall = time.Duration(w.rand.Int64N(4e12) - 2e12) })
+				w.At(atSecond(t), func() { w.procs[w.randomNode("controller-")].wallOffset = time.Duration(w.rand.Int64N(4e12) - 2e12) })
 			}
 		}},
-	{Name: "far", About: "machines are 30 ms apart, messages get lost, keys move, plans change, servers fail and the owner is killed", Duration: 90e9, MinAnswered: 0.92,
-		Configure: func(o *Options) { smallServers(o); o.Far, o.Loss, o.Twice = 30e6, 0.01, 0.02 },
+	{Name: "far", Description: "machines are 30 ms apart, messages get lost, keys move, plans change, servers fail and the owner is killed", Duration: 90e9, MinAnswered: 0.92,
+		Configure: func(o *Options) { smallServers(o); o.ExtraLatency, o.LossOdds, o.DuplicateOdds = 30e6, 0.01, 0.02 },
 		Script: func(w *World) {
 			w.shiftDemand(8, 70, 15)
 			w.putPlans(9, 70, 5)
 			w.failServers(12, 65)
 			for t := 14.0; t < 70; t += 11 {
-				w.At(sec(t), func() { w.Restart(w.owner(), 2e9) })
-				w.At(sec(t+5), func() { w.Freeze(w.some("router-"), clock.Span(w.rand.Int64N(4e9))) })
+				w.At(atSecond(t), func() { w.Restart(w.owner(), 2e9) })
+				w.At(atSecond(t+5), func() { w.Freeze(w.randomNode("router-"), clock.Span(w.rand.Int64N(4e9))) })
 			}
 		}},
-	{Name: "blackout", About: "all processes are killed at once and restart, model servers empty", Duration: 60e9, MinAnswered: 0.87,
-		Script: func(w *World) { w.At(sec(20), func() { w.restartAll(true, 3e9) }) }},
+	{Name: "blackout", Description: "all processes are killed at once and restart, model servers empty", Duration: 60e9, MinAnswered: 0.87,
+		Script: func(w *World) { w.At(atSecond(20), func() { w.restartAll(true, 3e9) }) }},
 }
 
 // replaceServers restarts the servers one after another, each drained first.
 func (w *World) replaceServers() {
-	for i := range w.o.Servers {
+	for i := range w.options.Servers {
 		s := fmt.Sprintf("server-%d", i+1)
-		w.At(sec(10+9*float64(i)), func() { w.setServerState(s, "leaving") })
-		w.At(sec(17+9*float64(i)), func() { w.Kill(s) })
-		w.At(sec(17.2+9*float64(i)), func() { w.Start(s); w.setServerState(s, "live") })
+		w.At(atSecond(10+9*float64(i)), func() { w.setServerState(s, "leaving") })
+		w.At(atSecond(17+9*float64(i)), func() { w.Kill(s) })
+		w.At(atSecond(17.2+9*float64(i)), func() { w.Start(s); w.setServerState(s, "live") })
 	}
 }
 
@@ -1081,7 +1081,7 @@
 		}
 	}
 	if n < 3 {
-		w.Check.bad("only %d core nodes are ready after %s", n, event)
+		w.Check.violationf("only %d core nodes are ready after %s", n, event)
 	}
 }
 
@@ -1098,14 +1098,14 @@
 // restartAll kills all processes but the store and restarts them after a delay. It spares model servers unless
 // servers is set.
 func (w *World) restartAll(servers bool, delay clock.Span) {
-	for _, n := range w.order {
+	for _, n := range w.procNames {
 		if n == "store" || !servers && w.procs[n].server != "" {
 			continue
 		}
 		w.Kill(n)
 		w.After(delay, func() { w.Start(n) })
 	}
-	w.Check.healed = w.now.Add(delay)
+	w.Check.healedAt = w.now.Add(delay)
 }
 
 // AddSpareController starts an empty core node at a new address.
@@ -1114,8 +1114,8 @@
 	w.Start(name)
 }
 
-// Find returns the scene with the given name.
-func Find(name string) (Scene, bool) {
+// FindScene returns the scene with the given name.
+func FindScene(name string) (Scene, bool) {
 	for _, s := range Scenes {
 		if s.Name == name {
 			return s, true
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -23,7 +23,7 @@
 		t.Run(s.Name, func(t *testing.T) {
 			t.Parallel()
 			w, seen := s.Run(fleetOptions(t, []string{"corrib", "padana"}[i%2], uint64(300+i)))
-			require.Empty(t, w.Check.Bad, "replay: go run ./cmd/simulator --scene %s --fleet %s --seed %d --trace", s.Name, []string{"corrib", "padana"}[i%2], 300+i)
+			require.Empty(t, w.Check.Violations, "replay: go run ./cmd/simulator --scene %s --fleet %s --seed %d --trace", s.Name, []string{"corrib", "padana"}[i%2], 300+i)
 			require.NotZero(t, seen.Answered)
 		})
 	}
@@ -31,7 +31,7 @@
 
 // TestSameSeedSameTrace checks that runs are deterministic: the same seed gives the same trace hash.
 func TestSameSeedSameTrace(t *testing.T) {
-	s, _ := Find("medley")
+	s, _ := FindScene("medley")
 	a, _ := s.Run(fleetOptions(t, "corrib", 7))
 	b, _ := s.Run(fleetOptions(t, "corrib", 7))
 	c, _ := s.Run(fleetOptions(t, "corrib", 8))
@@ -45,12 +45,12 @@
 	if testing.Short() {
 		t.Skip("runs without the race detector")
 	}
-	s, _ := Find("moves-cut")
+	s, _ := FindScene("moves-cut")
 	for seed := uint64(1); seed <= 20; seed++ {
 		o := fleetOptions(t, "corrib", seed)
-		o.Rates = 0.6
-		if w, _ := s.Run(o); len(w.Check.Bad) > 0 {
-			t.Log(seed, w.Check.Bad[0])
+		o.ClockRateSpread = 0.6
+		if w, _ := s.Run(o); len(w.Check.Violations) > 0 {
+			t.Log(seed, w.Check.Violations[0])
 			return
 		}
 	}
--- a/internal/simulator/storms.go
+++ b/internal/simulator/storms.go
@@ -42,7 +42,7 @@
 	}
 	start := w.now
 	w.putNextPlan(s.pickNode(), "storm", func(accepted bool) {
-		s.accepted += b2i(accepted)
+		s.accepted += boolToInt(accepted)
 		pause := clock.Span(w.rand.Int64N(20e6))
 		if !accepted && w.now.Sub(start) < 50e6 {
 			pause += 200e6 // calls to a node that is down fail immediately
@@ -78,7 +78,7 @@
 // raceChanges has two operators change the same version. Each sends its change to several nodes, as an operator does
 // whose answers get lost.
 func (w *World) raceChanges(name string, then func(both [2]*racingChange)) {
-	w.Read(w.someUp(), func(r controller.Receipt) {
+	w.ReadPlan(w.randomRunningNode(), func(r controller.Receipt) {
 		if r.Kind != failure.None {
 			w.After(confirmInterval, func() { w.raceChanges(name, then) })
 			return
@@ -87,7 +87,7 @@
 		pending := concurrentOperators
 		for i := range both {
 			c := &racingChange{request: controller.Admin{Op: "put", Expect: r.Epoch, Number: r.Epoch + 1 + ident.Epoch(w.rand.IntN(3)),
-				Raw: WithName(w.o.Plan, fmt.Sprintf("%s-%d", name, i), nil), Change: fmt.Sprintf("%s-%d", name, i)}}
+				Raw: WithName(w.options.Plan, fmt.Sprintf("%s-%d", name, i), nil), Change: fmt.Sprintf("%s-%d", name, i)}}
 			both[i] = c
 			done := func(r controller.Receipt) {
 				c.accepted = c.accepted || r.Kind == failure.None
@@ -95,9 +95,9 @@
 					then(both)
 				}
 			}
-			w.change(w.someUp(), c.request, done)
+			w.submitChange(w.randomRunningNode(), c.request, done)
 			for range concurrentOperators/2 - 1 {
-				w.After(clock.Span(w.rand.Int64N(300e6)), func() { w.Admin(w.someUp(), c.request, done) })
+				w.After(clock.Span(w.rand.Int64N(300e6)), func() { w.Admin(w.randomRunningNode(), c.request, done) })
 			}
 		}
 	})
@@ -107,14 +107,14 @@
 // nodes.
 func (w *World) raceAndRepeat(round, changes int, limit clock.Span, then func()) {
 	w.raceChanges(fmt.Sprintf("race-%d", round), func(both [2]*racingChange) {
-		s := w.startStorm(w.someUp)
+		s := w.startStorm(w.randomRunningNode)
 		s.stopAfter(changes, limit, func() {
 			pending := concurrentOperators
 			for range concurrentOperators / 2 {
 				for _, c := range both {
-					w.Admin(w.someUp(), c.request, func(r controller.Receipt) {
-						if c.accepted && (r.Kind == failure.Conflict || r.Kind == failure.Faulty) {
-							w.Check.bad("change %q was accepted, but its repeat after %d changes was refused: %s", c.request.Change, s.accepted, r.Why)
+					w.Admin(w.randomRunningNode(), c.request, func(r controller.Receipt) {
+						if c.accepted && (r.Kind == failure.Conflict || r.Kind == failure.FaultyPlan) {
+							w.Check.violationf("change %q was accepted, but its repeat after %d changes was refused: %s", c.request.Change, s.accepted, r.Why)
 						}
 						if pending--; pending == 0 {
 							then()
@@ -132,14 +132,14 @@
 	round := 0
 	var next func()
 	next = func() {
-		if w.now > sec(until) {
+		if w.now > atSecond(until) {
 			return
 		}
 		round++
 		w.raceAndRepeat(round, changes, 30e9, next)
 	}
-	w.At(sec(10), func() {
-		w.ReplyLoss = 0.15
+	w.At(atSecond(10), func() {
+		w.ReplyLossOdds = 0.15
 		next()
 	})
 }
@@ -151,7 +151,7 @@
 	w.watchJointState(12)
 	var round func()
 	round = func() {
-		if w.now > sec(until) {
+		if w.now > atSecond(until) {
 			w.expectChangeConfirmed()
 			return
 		}
@@ -161,7 +161,7 @@
 		}
 		absent := w.core.seats[w.rand.IntN(len(w.core.seats))]
 		w.killSeatNode(absent, "is away")
-		s := w.startStorm(w.someUp)
+		s := w.startStorm(w.randomRunningNode)
 		s.stopAfter(changes, 30e9, func() {
 			w.restartSeatNode(absent)
 			changes := w.rand.IntN(2) == 0 // otherwise operators only read while the voter catches up
@@ -173,7 +173,7 @@
 			})
 		})
 	}
-	w.At(sec(10), round)
+	w.At(atSecond(10), round)
 }
 
 // powerOffOthers makes as many other core nodes lose power at once as the tolerance permits.
@@ -193,10 +193,10 @@
 		if w.now > end {
 			return
 		}
-		w.Read(node, nil)
-		if n := w.Check.newest(w.now); n != nil && changes && w.rand.IntN(2) == 0 {
-			name := fmt.Sprintf("called %d", w.admin)
-			w.PutNumber(node, WithName(w.o.Plan, name, nil), n.epoch, n.epoch+1, nil)
+		w.ReadPlan(node, nil)
+		if n := w.Check.latestConfirmed(w.now); n != nil && changes && w.rand.IntN(2) == 0 {
+			name := fmt.Sprintf("called %d", w.lastAdmin)
+			w.PutNumbered(node, WithName(w.options.Plan, name, nil), n.epoch, n.epoch+1, nil)
 		}
 		w.After(clock.Span(100e6+w.rand.Int64N(400e6)), next)
 	}
@@ -208,14 +208,14 @@
 
 // checkReplica checks that a voter's disk has the changes confirmed at least replicationTime ago.
 func (k *Checker) checkReplica(node string) {
-	p := k.w.procs[node]
-	if p == nil || !p.up || !isKnownVoter(k.w, node) {
+	p := k.world.procs[node]
+	if p == nil || !p.up || !isKnownVoter(k.world, node) {
 		return
 	}
-	confirmed := k.newest(k.w.now.Add(-replicationTime))
+	confirmed := k.latestConfirmed(k.world.now.Add(-replicationTime))
 	var stored struct{ Value *protocol.Desired }
-	if err := json.Unmarshal(p.disk.safe["accepted"], &stored); err != nil {
-		k.bad("the disk of %s cannot be decoded: %v", node, err)
+	if err := json.Unmarshal(p.disk.synced["accepted"], &stored); err != nil {
+		k.violationf("the disk of %s cannot be decoded: %v", node, err)
 		return
 	}
 	if confirmed == nil {
@@ -226,7 +226,7 @@
 		epoch = stored.Value.Epoch
 	}
 	if epoch < confirmed.epoch {
-		k.bad("%s is no full replica %v after its return: its disk has epoch %d, but epoch %d was confirmed", node, convergence, epoch, confirmed.epoch)
+		k.violationf("%s is no full replica %v after its return: its disk has epoch %d, but epoch %d was confirmed", node, convergence, epoch, confirmed.epoch)
 	}
 }
 
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -31,32 +31,32 @@
 
 // Options configures a World.
 type Options struct {
-	Seed          uint64
-	Routers       int
-	Servers       int
-	Plan          []byte
-	Trace         io.Writer
-	Controller    controller.Options // limits and durations; New fills in the rest
-	Router        router.Options
-	Far           clock.Span // mean extra latency between machines
-	Loss          float64
-	Twice         float64
-	RenewInterval clock.Span // interval at which agents renew their sessions
-	Room          int
-	Slots         int
-	StoreRate     float64 // bandwidth of the model store
-	Tenants       int     // number of tenants among callers; 0 uses the request generator's default
-	Mixed         bool    // servers differ in memory, slots and speed
-	PrefillBytes  int     // prompt bytes that a server prefills per step
-	Rates         float64 // maximum difference between the clock rates of two machines
-	Core          *Deployment
-	Hosted        *Hosted // if set, servers announce themselves and do not check fencing numbers
-	Narrow        *Narrow // if set, limits link bandwidth and processing speed
+	Seed            uint64
+	Routers         int
+	Servers         int
+	Plan            []byte
+	Trace           io.Writer
+	Controller      controller.Options // limits and durations; New fills in the rest
+	Router          router.Options
+	ExtraLatency    clock.Span // mean extra latency between machines
+	LossOdds        float64
+	DuplicateOdds   float64
+	RenewInterval   clock.Span // interval at which agents renew their sessions
+	Room            int
+	Slots           int
+	StoreRate       float64 // bandwidth of the model store
+	Tenants         int     // number of tenants among callers; 0 uses the request generator's default
+	MixedServers    bool    // servers differ in memory, slots and speed
+	PrefillBytes    int     // prompt bytes that a server prefills per step
+	ClockRateSpread float64 // maximum difference between the clock rates of two machines
+	Core            *Deployment
+	Hosted          *Hosted         // if set, servers announce themselves and do not check fencing numbers
+	Narrow          *ResourceLimits // if set, limits link bandwidth and processing speed
 }
 
 // event is a step scheduled for a point in virtual time; seq orders events of the same time.
 type event struct {
-	at  clock.Tick
+	at  clock.Instant
 	seq uint64
 	do  func()
 }
@@ -77,24 +77,24 @@
 }
 
 type processCore interface {
-	Step(now clock.Tick, in any) []any
+	Step(now clock.Instant, in any) []any
 }
 
 // proc is a process. Processes on the same machine share its clock.
 type proc struct {
 	name         string
-	box          string // machine that the process runs on
+	machine      string // machine that the process runs on
 	zone         ident.Zone
 	tickInterval clock.Span
 	core         processCore
 	up           bool
-	life         int
-	frozenUntil  clock.Tick
-	busy         clock.Tick // end of the time spent applying a configuration, where processing speed is limited
-	plans        uint64     // number of plans applied
-	clockOffset  clock.Tick
+	incarnation  int
+	frozenUntil  clock.Instant
+	busyUntil    clock.Instant // end of the time spent applying a configuration, where processing speed is limited
+	plansApplied uint64        // number of plans applied
+	clockOffset  clock.Instant
 	clockRate    float64
-	wall         time.Duration // error of the machine's wall clock
+	wallOffset   time.Duration // error of the machine's wall clock
 	disk         *simulatedDisk
 	newCore      func() processCore
 	nameDigest   uint64 // hash of the name, mixed into the trace hash
@@ -102,30 +102,30 @@
 	draining     bool // the platform sends it no new callers because a planned stop is under way
 }
 
-func (p *proc) tick(now clock.Tick) clock.Tick {
-	return p.clockOffset + clock.Tick(float64(now)*p.clockRate)
+func (p *proc) localTime(now clock.Instant) clock.Instant {
+	return p.clockOffset + clock.Instant(float64(now)*p.clockRate)
 }
 
 // simulatedDisk keeps synced writes. A process that is killed loses the writes that are not yet synced.
 type simulatedDisk struct {
-	safe     map[string][]byte
-	late     clock.Span
-	stall    clock.Tick
-	lastSync clock.Tick
+	synced       map[string][]byte
+	syncDelay    clock.Span
+	stalledUntil clock.Instant
+	lastSync     clock.Instant
 }
 
 // World is the state of one simulation run.
 type World struct {
-	o             Options
-	now           clock.Tick
+	options       Options
+	now           clock.Instant
 	seq           uint64
 	queue         eventQueue
 	rand          *rand.Rand
 	procs         map[string]*proc
-	order         []string
+	procNames     []string
 	cuts          map[[2]string]bool // blocked directions, as [from, to] machine names
-	plat          *standin.Platform
-	platUp        bool
+	platform      *standin.Platform
+	platformUp    bool
 	store         *standin.Store
 	pendingAsks   map[askKey]func(ok bool, code int, body []byte)
 	pendingPulls  map[uint64]func()
@@ -134,36 +134,36 @@
 	attempts      map[attemptKey]*attempt
 	lastToken     uint64
 	hash          uint64
-	messageCounts map[string]int        // messages between machines by kind
-	links         map[string]clock.Tick // time until which each link is occupied, where bandwidth is limited
+	messageCounts map[string]int           // messages between machines by kind
+	linkBusyUntil map[string]clock.Instant // time until which each link is occupied, where bandwidth is limited
 	Check         *Checker
 	plan          *fleetplan.Plan
 	pendingAdmin  map[uint64]func(controller.Receipt)
-	admin         uint64
-	host          *hosting
+	lastAdmin     uint64
+	hosted        *hosting
 	core          *coreFleet
 	disruptions   disruptions
 	// SendLagOdds is the probability of a pause of up to SendLag between a router's last check and the send.
-	LagOdds float64
-	Lag     clock.Span
+	SendLagOdds float64
+	SendLag     clock.Span
 	// ReplyLossOdds is the probability that the reply to an operator is lost.
-	ReplyLoss float64
+	ReplyLossOdds float64
 	// Seeds, if set, overrides the seed addresses of processes that start from now on.
 	Seeds []string
 	// MangleOdds is the probability that a server's event arrives malformed, twice or not at all, or names
 	// another server or attempt.
-	Mangle float64
+	MangleOdds float64
 	// AlterReport, if set, alters the reports that servers send.
-	Bend func(r protocol.Report) protocol.Report
+	AlterReport func(r protocol.ServerReport) protocol.ServerReport
 	// AlterServerList, if set, alters the server list that the platform returns.
-	Lists func(l []protocol.Listed) []protocol.Listed
+	AlterServerList func(l []protocol.ListedServer) []protocol.ListedServer
 	// CallerRepeatOdds is the probability that a caller repeats an interrupted request under the same ID.
-	Again float64
+	CallerRepeatOdds float64
 	// ResetOdds is the probability that a connection breaks before the first event.
 	ResetOdds float64
 	// DialOdds is the probability that opening a connection takes up to DialDelay longer.
-	DialOdds float64
-	Dial     clock.Span
+	DialOdds  float64
+	DialDelay clock.Span
 }
 
 // askKey identifies an outstanding HTTP request of a process.
@@ -187,18 +187,18 @@
 	launch      router.Launch
 	call        *call
 	eventCount  int
-	lastArrival clock.Tick
-	arrivedAt   clock.Tick
-	acceptedAt  clock.Tick // when the server accepted the connection
+	lastArrival clock.Instant
+	arrivedAt   clock.Instant
+	acceptedAt  clock.Instant // when the server accepted the connection
 	closed      bool
 	mangled     bool // one of its events was altered by fault injection
 }
 
 // call is a request from its caller's point of view.
 type call struct {
-	ask          standin.Ask
+	ask          standin.Request
 	router       string
-	askedAt      clock.Tick
+	askedAt      clock.Instant
 	eventCount   int
 	server       ident.Server
 	runID        string
@@ -207,7 +207,7 @@
 	sends        int
 	launches     int
 	unreached    map[string]int // failed connections by server address
-	firstSentAt  clock.Tick     // when the first attempt was sent
+	firstSentAt  clock.Instant  // when the first attempt was sent
 	runs         int
 	heldBack     bool // the router withheld the last attempt, which reached no server
 	callerRepeat bool // the caller's repeat of an interrupted request
@@ -221,15 +221,15 @@
 	generic.SetDefault(&o.Room, 80)
 	generic.SetDefault(&o.StoreRate, 60)
 	generic.SetDefault(&o.Slots, 16)
-	generic.SetDefault(&o.Rates, 0.016)
-	w := &World{o: o, rand: rand.New(rand.NewPCG(o.Seed, 99)), procs: map[string]*proc{}, cuts: map[[2]string]bool{},
-		pendingAsks: map[askKey]func(bool, int, []byte){}, pendingPulls: map[uint64]func(){}, pullOrigins: map[uint64]askKey{}, messageCounts: map[string]int{}, links: map[string]clock.Tick{}, attempts: map[attemptKey]*attempt{}, pendingAdmin: map[uint64]func(controller.Receipt){}, platUp: true}
+	generic.SetDefault(&o.ClockRateSpread, 0.016)
+	w := &World{options: o, rand: rand.New(rand.NewPCG(o.Seed, 99)), procs: map[string]*proc{}, cuts: map[[2]string]bool{},
+		pendingAsks: map[askKey]func(bool, int, []byte){}, pendingPulls: map[uint64]func(){}, pullOrigins: map[uint64]askKey{}, messageCounts: map[string]int{}, linkBusyUntil: map[string]clock.Instant{}, attempts: map[attemptKey]*attempt{}, pendingAdmin: map[uint64]func(controller.Receipt){}, platformUp: true}
 	w.plan, _ = w.parsePlan(o.Plan)
 	w.Check = newChecker(w)
 	w.disruptions = newDisruptions()
 	loads := 2
 	if w.plan != nil {
-		loads = w.plan.Loads
+		loads = w.plan.ConcurrentLoads
 	}
 	w.store = standin.NewStore(o.StoreRate, loads)
 	zones := []ident.Zone{"za", "zb", "zc"}
@@ -241,23 +241,23 @@
 			w.addController(fmt.Sprintf("controller-%d", i+1), zones[i], seeds)
 		}
 	}
-	var list []protocol.Listed
+	var list []protocol.ListedServer
 	if o.Hosted != nil {
-		w.host = newHosting(w)
+		w.hosted = newHosting(w)
 		o.Servers = 0
 	}
 	for i := range o.Servers {
 		n := fmt.Sprintf("server-%d", i+1)
 		z := zones[i%3]
-		list = append(list, protocol.Listed{ID: ident.Server(n), Addr: n, Zone: z, State: "live"})
+		list = append(list, protocol.ListedServer{ID: ident.Server(n), Addr: n, Zone: z, State: "live"})
 		w.addServer(n, z)
 	}
-	w.plat = standin.NewPlatform(list...)
+	w.platform = standin.NewPlatform(list...)
 	for i := range o.Routers {
 		w.addRouter(fmt.Sprint(i+1), zones[i%3])
 	}
-	w.addProcess(&proc{name: "store", box: "store", tickInterval: 10e6, clockRate: 1, newCore: func() processCore { return w.store }})
-	for _, n := range append([]string{}, w.order...) {
+	w.addProcess(&proc{name: "store", machine: "store", tickInterval: 10e6, clockRate: 1, newCore: func() processCore { return w.store }})
+	for _, n := range append([]string{}, w.procNames...) {
 		w.Start(n)
 	}
 	w.After(100e6, w.checkPeriodically)
@@ -269,75 +269,75 @@
 	box := "router-" + suffix
 	agentName, routerName := "agent-"+suffix, "router-"+suffix
 	offset, rate := w.randomClock()
-	w.addProcess(&proc{name: agentName, box: box, zone: z, tickInterval: 20e6, clockOffset: offset, clockRate: rate, newCore: func() processCore {
-		return agent.New(agent.Options{Me: protocol.Sibling{ID: ident.Node(agentName), Addr: agentName}, Zone: z, Inc: w.incarnation(agentName), Life: ident.Inc(w.now) + 1, Seeds: w.seeds(),
-			Router: protocol.Sibling{ID: ident.Node(routerName), Addr: routerName}, Rand: w.randomFor(agentName), Keep: w.o.RenewInterval})
+	w.addProcess(&proc{name: agentName, machine: box, zone: z, tickInterval: 20e6, clockOffset: offset, clockRate: rate, newCore: func() processCore {
+		return agent.New(agent.Options{Self: protocol.Peer{ID: ident.Node(agentName), Addr: agentName}, Zone: z, Inc: w.incarnation(agentName), Life: ident.Incarnation(w.now) + 1, Seeds: w.seeds(),
+			Router: protocol.Peer{ID: ident.Node(routerName), Addr: routerName}, Rand: w.randomFor(agentName), RenewInterval: w.options.RenewInterval})
 	}})
-	w.addProcess(&proc{name: routerName, box: box, zone: z, tickInterval: 20e6, clockOffset: offset, clockRate: rate, newCore: func() processCore {
-		options := w.o.Router
-		if w.host != nil {
-			w.host.setRouterOptions(&options, z)
+	w.addProcess(&proc{name: routerName, machine: box, zone: z, tickInterval: 20e6, clockOffset: offset, clockRate: rate, newCore: func() processCore {
+		options := w.options.Router
+		if w.hosted != nil {
+			w.hosted.setRouterOptions(&options, z)
 		}
-		options.Me, options.Agent, options.Inc = protocol.Sibling{ID: ident.Node(routerName), Addr: routerName}, protocol.Sibling{ID: ident.Node(agentName), Addr: agentName}, w.incarnation(routerName)
-		options.Restarted = w.host != nil && w.now > 0
+		options.Self, options.Agent, options.Inc = protocol.Peer{ID: ident.Node(routerName), Addr: routerName}, protocol.Peer{ID: ident.Node(agentName), Addr: agentName}, w.incarnation(routerName)
+		options.Restarted = w.hosted != nil && w.now > 0
 		return router.New(options)
 	}})
 }
 
-func (w *World) seeds() (l []protocol.Sibling) {
+func (w *World) seeds() (l []protocol.Peer) {
 	for _, n := range w.Seeds {
-		l = append(l, protocol.Sibling{Addr: n})
+		l = append(l, protocol.Peer{Addr: n})
 	}
 	if l != nil {
 		return l
 	}
 	for i := range 3 {
-		l = append(l, protocol.Sibling{Addr: fmt.Sprintf("controller-%d", i+1)})
+		l = append(l, protocol.Peer{Addr: fmt.Sprintf("controller-%d", i+1)})
 	}
 	return l
 }
 
 // randomClock returns a random clock offset and rate.
-func (w *World) randomClock() (clock.Tick, float64) {
-	return clock.Tick(w.rand.Int64N(1e15)), 1 + (w.rand.Float64()-0.5)*w.o.Rates
+func (w *World) randomClock() (clock.Instant, float64) {
+	return clock.Instant(w.rand.Int64N(1e15)), 1 + (w.rand.Float64()-0.5)*w.options.ClockRateSpread
 }
 
 // randomFor returns the random source of a process for its current incarnation.
 func (w *World) randomFor(name string) *rand.Rand {
 	h := fnv.New64a()
-	fmt.Fprint(h, name, w.procs[name].life)
-	return rand.New(rand.NewPCG(w.o.Seed, h.Sum64()))
+	fmt.Fprint(h, name, w.procs[name].incarnation)
+	return rand.New(rand.NewPCG(w.options.Seed, h.Sum64()))
 }
 
 // incarnation returns the incarnation number of a process. Later incarnations get higher numbers.
-func (w *World) incarnation(name string) ident.Inc {
+func (w *World) incarnation(name string) ident.Incarnation {
 	// Derived from the wall clock, as in production; the clock may have been set back.
-	at := uint64(int64(w.now) + int64(w.procs[name].wall) + 4e12)
-	return ident.Inc(at>>10<<10+uint64(len(w.order)*64)) + ident.Inc(w.procs[name].life) + 1
+	at := uint64(int64(w.now) + int64(w.procs[name].wallOffset) + 4e12)
+	return ident.Incarnation(at>>10<<10+uint64(len(w.procNames)*64)) + ident.Incarnation(w.procs[name].incarnation) + 1
 }
 
-func (w *World) addController(name string, z ident.Zone, seeds []protocol.Sibling) {
+func (w *World) addController(name string, z ident.Zone, seeds []protocol.Peer) {
 	offset, rate := w.randomClock()
-	w.addProcess(&proc{name: name, box: name, zone: z, tickInterval: 20e6, clockOffset: offset, clockRate: rate, disk: &simulatedDisk{safe: map[string][]byte{}, late: 2e6}, newCore: func() processCore {
-		options := w.o.Controller
-		options.Me, options.Zone, options.Inc, options.Seeds, options.Platform, options.Rand = protocol.Sibling{ID: ident.Node(name), Addr: name}, z, w.incarnation(name), seeds, "platform", w.randomFor(name)
-		if w.o.Hosted != nil {
-			w.o.Hosted.setControllerOptions(&options, w.procs[name].life > 1 || w.now > 1e9)
+	w.addProcess(&proc{name: name, machine: name, zone: z, tickInterval: 20e6, clockOffset: offset, clockRate: rate, disk: &simulatedDisk{synced: map[string][]byte{}, syncDelay: 2e6}, newCore: func() processCore {
+		options := w.options.Controller
+		options.Self, options.Zone, options.Inc, options.Seeds, options.Platform, options.Rand = protocol.Peer{ID: ident.Node(name), Addr: name}, z, w.incarnation(name), seeds, "platform", w.randomFor(name)
+		if w.options.Hosted != nil {
+			w.options.Hosted.setControllerOptions(&options, w.procs[name].incarnation > 1 || w.now > 1e9)
 		}
-		if w.o.Core != nil {
-			w.o.Core.setControllerOptions(&options, w.o.Hosted.Timing)
+		if w.options.Core != nil {
+			w.options.Core.setControllerOptions(&options, w.options.Hosted.Timing)
 		}
-		options.Wall = func() time.Time { return dawn.Add(time.Duration(w.now) + w.procs[name].wall) }
+		options.WallClock = func() time.Time { return simulationStart.Add(time.Duration(w.now) + w.procs[name].wallOffset) }
 		return controller.New(options)
 	}})
 }
 
 func (w *World) addServer(name string, z ident.Zone) {
 	offset, rate := w.randomClock()
-	w.addProcess(&proc{name: name, box: name, zone: z, tickInterval: 20e6, clockOffset: offset, clockRate: rate, server: ident.Server(name), newCore: func() processCore {
-		s := standin.ServerOptions{ID: ident.Server(name), Inc: w.incarnation(name), Room: w.room(name), Slots: w.o.Slots, Store: "store", Fill: w.o.PrefillBytes}
-		if w.o.Mixed {
-			s.Slots, s.Step = w.o.Slots*w.sizeQuarters(name)/4, 80e6/clock.Span(w.sizeQuarters(name))
+	w.addProcess(&proc{name: name, machine: name, zone: z, tickInterval: 20e6, clockOffset: offset, clockRate: rate, server: ident.Server(name), newCore: func() processCore {
+		s := standin.ServerOptions{ID: ident.Server(name), Inc: w.incarnation(name), Room: w.room(name), Slots: w.options.Slots, Store: "store", Fill: w.options.PrefillBytes}
+		if w.options.MixedServers {
+			s.Slots, s.Step = w.options.Slots*w.sizeQuarters(name)/4, 80e6/clock.Span(w.sizeQuarters(name))
 		}
 		return standin.NewServer(s)
 	}})
@@ -348,10 +348,10 @@
 func (w *World) sizeQuarters(name string) int { return 2 + 2*(int(name[len(name)-1])%3) }
 
 func (w *World) room(name string) int {
-	if w.o.Mixed {
-		return w.o.Room * (5 + w.sizeQuarters(name)) / 9
+	if w.options.MixedServers {
+		return w.options.Room * (5 + w.sizeQuarters(name)) / 9
 	}
-	return w.o.Room
+	return w.options.Room
 }
 
 func (w *World) addProcess(p *proc) {
@@ -359,11 +359,11 @@
 	fmt.Fprint(h, p.name)
 	p.nameDigest = h.Sum64()
 	w.procs[p.name] = p
-	w.order = append(w.order, p.name)
+	w.procNames = append(w.procNames, p.name)
 }
 
 // At schedules do for time t, or for now if t has passed.
-func (w *World) At(t clock.Tick, do func()) {
+func (w *World) At(t clock.Instant, do func()) {
 	w.seq++
 	heap.Push(&w.queue, event{max(t, w.now), w.seq, do})
 }
@@ -373,12 +373,12 @@
 
 // Run processes all events up to the given time since the start.
 func (w *World) Run(until clock.Span) {
-	for len(w.queue) > 0 && w.queue[0].at <= clock.Tick(until) {
+	for len(w.queue) > 0 && w.queue[0].at <= clock.Instant(until) {
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
 		e.do()
 	}
-	w.now = clock.Tick(until)
+	w.now = clock.Instant(until)
 }
 
 func (w *World) tracef(form string, a ...any) {
@@ -386,8 +386,8 @@
 	h := fnv.New64a()
 	fmt.Fprint(h, w.hash, w.now, s)
 	w.hash = h.Sum64()
-	if w.o.Trace != nil {
-		fmt.Fprintf(w.o.Trace, "%10.4f %s\n", float64(w.now)/1e9, s)
+	if w.options.Trace != nil {
+		fmt.Fprintf(w.options.Trace, "%10.4f %s\n", float64(w.now)/1e9, s)
 	}
 }
 
@@ -400,30 +400,30 @@
 	if p.up {
 		return
 	}
-	p.up, p.frozenUntil, p.busy, p.plans, p.draining = true, 0, 0, 0, false
-	p.life++
+	p.up, p.frozenUntil, p.busyUntil, p.plansApplied, p.draining = true, 0, 0, 0, false
+	p.incarnation++
 	p.core = p.newCore()
 	w.tracef("start %s", name)
-	w.coreStarted(name)
-	w.noteTrouble(p.box)
-	incarnation := p.life
+	w.noteCoreStart(name)
+	w.noteTrouble(p.machine)
+	incarnation := p.incarnation
 	if p.disk != nil {
 		m := map[string][]byte{}
-		for k, v := range p.disk.safe {
+		for k, v := range p.disk.synced {
 			m[k] = v
 		}
 		w.After(1e6, func() { w.step(p, incarnation, protocol.Start{Disk: m}) })
 	}
 	var runTimer func()
 	runTimer = func() {
-		if !p.up || p.life != incarnation {
+		if !p.up || p.incarnation != incarnation {
 			return
 		}
-		if until := max(p.frozenUntil, p.busy); w.now < until {
+		if until := max(p.frozenUntil, p.busyUntil); w.now < until {
 			w.At(until, runTimer)
 			return
 		}
-		w.step(p, incarnation, protocol.Beat{})
+		w.step(p, incarnation, protocol.TimerTick{})
 		w.After(p.tickInterval, runTimer)
 	}
 	w.After(clock.Span(w.rand.Int64N(int64(p.tickInterval))), runTimer)
@@ -437,7 +437,7 @@
 	}
 	w.tracef("kill %s", name)
 	w.noteCoreStop(name)
-	w.noteTrouble(p.box)
+	w.noteTrouble(p.machine)
 	p.up = false
 	if _, ok := p.core.(*router.Core); ok {
 		w.Check.routerStopped(name)
@@ -448,11 +448,11 @@
 		}
 	}
 	if p.server != "" {
-		w.After(w.delay(), func() { w.endPulls(name, p.life) })
+		w.After(w.delay(), func() { w.endPulls(name, p.incarnation) })
 	}
 	for _, k := range w.sortedAttemptKeys() {
 		f := w.attempts[k]
-		if k.server == name && k.incarnation == p.life {
+		if k.server == name && k.incarnation == p.incarnation {
 			delete(w.attempts, k)
 			if !f.closed {
 				f.closed = true
@@ -462,8 +462,8 @@
 		if f.router == p {
 			delete(w.attempts, k)
 			f.closed = true
-			if s := w.procs[k.server]; s.up && s.life == k.incarnation {
-				w.step(s, s.life, standin.WorkQuit{Token: k.token})
+			if s := w.procs[k.server]; s.up && s.incarnation == k.incarnation {
+				w.step(s, s.incarnation, standin.WorkQuit{Token: k.token})
 			}
 		}
 	}
@@ -475,7 +475,7 @@
 	for t := uint64(1); t <= w.lastPull; t++ {
 		if k, ok := w.pullOrigins[t]; ok && k.process == name && k.incarnation <= incarnation && w.pendingPulls[t] != nil {
 			delete(w.pendingPulls, t)
-			w.step(st, st.life, standin.PullQuit{Token: t})
+			w.step(st, st.incarnation, standin.PullQuit{Token: t})
 		}
 	}
 }
@@ -494,7 +494,7 @@
 // Stop ends a process as planned: the process is notified 100 ms before it is killed.
 func (w *World) Stop(name string) {
 	p := w.procs[name]
-	w.step(p, p.life, protocol.Stop{})
+	w.step(p, p.incarnation, protocol.Stop{})
 	w.After(100e6, func() { w.Kill(name) })
 }
 
@@ -506,10 +506,10 @@
 	}
 	p.draining = true
 	w.tracef("drain %s", name)
-	incarnation := p.life
+	incarnation := p.incarnation
 	var poll func()
 	poll = func() {
-		if !p.up || p.life != incarnation {
+		if !p.up || p.incarnation != incarnation {
 			return
 		}
 		for _, c := range w.Check.calls {
@@ -534,13 +534,13 @@
 func (w *World) Freeze(name string, s clock.Span) {
 	w.tracef("freeze %s %v", name, s)
 	w.procs[name].frozenUntil = w.now.Add(s)
-	w.noteFreeze(w.procs[name].box, w.now.Add(s))
+	w.noteFreeze(w.procs[name].machine, w.now.Add(s))
 }
 
 // Wipe erases a node's disk.
 func (w *World) Wipe(name string) {
 	w.tracef("wipe %s", name)
-	w.procs[name].disk.safe = map[string][]byte{}
+	w.procs[name].disk.synced = map[string][]byte{}
 }
 
 // Cut blocks traffic from machine a to machine b, and back if both is set, until Heal.
@@ -553,10 +553,10 @@
 	w.noteLinkTrouble(a, b)
 }
 
-// Part separates a set of machines from all others until Heal.
-func (w *World) Part(set map[string]bool) {
-	for _, a := range w.boxes() {
-		for _, b := range w.boxes() {
+// Partition separates a set of machines from all others until Heal.
+func (w *World) Partition(set map[string]bool) {
+	for _, a := range w.machineNames() {
+		for _, b := range w.machineNames() {
 			if set[a] != set[b] {
 				w.cuts[[2]string{a, b}] = true
 				w.noteLinkTrouble(a, b)
@@ -575,11 +575,11 @@
 	w.cuts = map[[2]string]bool{}
 }
 
-func (w *World) boxes() []string {
+func (w *World) machineNames() []string {
 	seen := map[string]bool{"platform": true}
 	l := []string{"platform"}
-	for _, n := range w.order {
-		if b := w.procs[n].box; !seen[b] {
+	for _, n := range w.procNames {
+		if b := w.procs[n].machine; !seen[b] {
 			seen[b] = true
 			l = append(l, b)
 		}
@@ -592,8 +592,8 @@
 
 func (w *World) delay() clock.Span {
 	d := clock.Span(100e3 + w.rand.Int64N(900e3))
-	if w.o.Far > 0 {
-		d += w.o.Far/2 + clock.Span(w.rand.Int64N(int64(w.o.Far)))
+	if w.options.ExtraLatency > 0 {
+		d += w.options.ExtraLatency/2 + clock.Span(w.rand.Int64N(int64(w.options.ExtraLatency)))
 	}
 	if w.rand.IntN(200) == 0 {
 		d += clock.Span(w.rand.Int64N(40e6))
@@ -603,15 +603,15 @@
 
 // step passes an input to a process, or defers it while the process is frozen or busy.
 func (w *World) step(p *proc, incarnation int, in any) {
-	if !p.up || p.life != incarnation {
+	if !p.up || p.incarnation != incarnation {
 		return
 	}
-	if until := max(p.frozenUntil, p.busy); w.now < until {
+	if until := max(p.frozenUntil, p.busyUntil); w.now < until {
 		w.At(until, func() { w.step(p, incarnation, in) })
 		return
 	}
 	outs := w.stepCore(p, in)
-	w.keepBusy(p, in)
+	w.chargeParseTime(p, in)
 	w.hash = (w.hash ^ uint64(w.now) ^ p.nameDigest ^ uint64(len(outs))<<56) * 1099511628211
 	for _, o := range outs {
 		w.handleOutput(p, o)
@@ -624,35 +624,35 @@
 		switch v := recover().(type) {
 		case nil:
 		case invariant.Violation:
-			w.Check.bad("%s: %v", p.name, v)
+			w.Check.violationf("%s: %v", p.name, v)
 		default:
 			panic(v)
 		}
 	}()
-	return p.core.Step(p.tick(w.now), in)
+	return p.core.Step(p.localTime(w.now), in)
 }
 
 // handleOutput carries out one output of a process's state machine.
 func (w *World) handleOutput(p *proc, o any) {
 	switch v := o.(type) {
-	case protocol.Env:
+	case protocol.Envelope:
 		w.send(p, v)
 	case protocol.Save:
 		w.save(p, v)
 	case protocol.Compute:
 		v.Run()
-		incarnation := p.life
+		incarnation := p.incarnation
 		w.At(w.now, func() { w.step(p, incarnation, protocol.Computed{Token: v.Token}) })
-	case protocol.Ask:
+	case protocol.HTTPRequest:
 		w.ask(p, v)
 	case router.Launch:
 		w.launch(p, v)
-	case router.Receipt:
+	case router.Refusal:
 		w.Check.checkReceipt(p.name, v)
 	case controller.Announced:
-		w.host.announcementAnswered(p, v)
+		w.hosted.announcementAnswered(p, v)
 	case standin.LoadDone:
-		w.host.noteLoaded(p, v)
+		w.hosted.noteLoaded(p, v)
 	case standin.WorkDrop, standin.Event, standin.OrderOut:
 		w.deliverOutput(p, o)
 	case standin.PullOut:
@@ -663,67 +663,67 @@
 	case controller.Receipt:
 		if f := w.pendingAdmin[v.Token]; f != nil {
 			delete(w.pendingAdmin, v.Token)
-			if w.ReplyLoss > 0 && w.rand.Float64() < w.ReplyLoss {
+			if w.ReplyLossOdds > 0 && w.rand.Float64() < w.ReplyLossOdds {
 				w.tracef("%s: a reply to an operator is lost", p.name)
 				return
 			}
 			w.After(w.delay(), func() { f(v) })
 		}
-	case protocol.Note:
+	case protocol.LogLine:
 		w.tracef("%s: %s%s", p.name, v.Text, formatFields(v))
 		if v.Text == "voter set changed" {
-			w.Check.Seen.Admits++
+			w.Check.Stats.VoterChanges++
 		}
 		if strings.Contains(v.Text, " moves from ") {
-			w.Check.Seen.Moves++
+			w.Check.Stats.Moves++
 		}
-	case protocol.Oops:
+	case protocol.ErrorReport:
 		w.tracef("%s: error: %s", p.name, v.Text)
 	}
 }
 
-func (w *World) send(p *proc, e protocol.Env) {
-	to := w.procs[e.Hop().Addr]
+func (w *World) send(p *proc, e protocol.Envelope) {
+	to := w.procs[e.NextHop().Addr]
 	if to == nil {
 		return
 	}
-	local := p.box == to.box
+	local := p.machine == to.machine
 	if !local {
 		w.messageCounts[protocol.Kind(e.Body)]++
-		if w.isCut(p.box, to.box) || w.rand.Float64() < w.o.Loss {
+		if w.isCut(p.machine, to.machine) || w.rand.Float64() < w.options.LossOdds {
 			return
 		}
-		if w.rand.Float64() < w.o.Twice {
-			w.After(w.delay()+clock.Span(w.rand.Int64N(300e6)), func() { w.step(to, to.life, e) })
+		if w.rand.Float64() < w.options.DuplicateOdds {
+			w.After(w.delay()+clock.Span(w.rand.Int64N(300e6)), func() { w.step(to, to.incarnation, e) })
 		}
 	}
-	d := w.delay() + w.regionDelay(p.box, to.box)
+	d := w.delay() + w.regionDelay(p.machine, to.machine)
 	if local {
 		d = 50e3
 	} else {
-		d += w.carried(p, to, e)
+		d += w.transmissionDelay(p, to, e)
 	}
-	w.After(d, func() { w.step(to, to.life, e) })
+	w.After(d, func() { w.step(to, to.incarnation, e) })
 }
 
 func (w *World) save(p *proc, s protocol.Save) {
 	d := p.disk
-	at := max(w.now.Add(d.late/2+clock.Span(w.rand.Int64N(int64(d.late)))), d.lastSync, d.stall)
+	at := max(w.now.Add(d.syncDelay/2+clock.Span(w.rand.Int64N(int64(d.syncDelay)))), d.lastSync, d.stalledUntil)
 	d.lastSync = at
-	incarnation := p.life
+	incarnation := p.incarnation
 	w.At(at, func() {
-		if !p.up || p.life != incarnation {
+		if !p.up || p.incarnation != incarnation {
 			return // the process ended before the sync
 		}
 		for k, v := range s.Puts {
-			d.safe[k] = v
+			d.synced[k] = v
 		}
 		w.step(p, incarnation, protocol.Saved{Token: s.Token})
 	})
 }
 
-func (w *World) ask(p *proc, a protocol.Ask) {
-	k := askKey{p.name, p.life, a.Token}
+func (w *World) ask(p *proc, a protocol.HTTPRequest) {
+	k := askKey{p.name, p.incarnation, a.Token}
 	answer := func(ok bool, code int, b []byte) {
 		f := w.pendingAsks[k]
 		if f == nil {
@@ -731,38 +731,38 @@
 		}
 		f(ok, code, b)
 	}
-	incarnation := p.life
+	incarnation := p.incarnation
 	w.pendingAsks[k] = func(ok bool, code int, b []byte) {
 		delete(w.pendingAsks, k)
-		w.step(p, incarnation, protocol.Told{Token: a.Token, OK: ok, Code: code, Body: b})
+		w.step(p, incarnation, protocol.HTTPResult{Token: a.Token, OK: ok, Code: code, Body: b})
 	}
-	w.After(a.Wait, func() { answer(false, 0, nil) })
-	if w.host != nil {
-		w.host.deliverAsk(p, a, answer)
+	w.After(a.Timeout, func() { answer(false, 0, nil) })
+	if w.hosted != nil {
+		w.hosted.deliverAsk(p, a, answer)
 		return
 	}
 	box := a.Addr
 	blocked := func(from, to string) bool { return w.cuts[[2]string{from, to}] }
-	if blocked(p.box, box) {
+	if blocked(p.machine, box) {
 		return
 	}
 	respond := func(b []byte) {
-		if blocked(box, p.box) {
+		if blocked(box, p.machine) {
 			return
 		}
 		w.After(w.delay(), func() { answer(true, 200, b) })
 	}
 	d := w.delay()
-	if w.rand.Float64() < w.o.Loss {
+	if w.rand.Float64() < w.options.LossOdds {
 		d += clock.Span(w.rand.Int64N(2e9)) // arrives late, perhaps after the sender has given up
 	}
 	w.After(d, func() {
 		switch a.Path {
 		case "/servers":
-			if w.platUp {
-				l := w.plat.List()
-				if w.Lists != nil {
-					l = w.Lists(l)
+			if w.platformUp {
+				l := w.platform.List()
+				if w.AlterServerList != nil {
+					l = w.AlterServerList(l)
 				}
 				b, _ := json.Marshal(l)
 				respond(b)
@@ -773,21 +773,21 @@
 			w.pendingPulls[t] = func() { respond([]byte("{}")) }
 			w.pullOrigins[t] = askKey{p.name, incarnation, a.Token}
 			st := w.procs["store"]
-			w.step(st, st.life, standin.PullIn{Token: t, Pull: a.Body.(standin.Pull)})
+			w.step(st, st.incarnation, standin.PullIn{Token: t, Pull: a.Body.(standin.Pull)})
 		case "/orders":
 			s := w.procs[a.Addr]
 			if s == nil || !s.up {
 				w.After(w.delay(), func() { answer(false, 0, nil) })
 				return
 			}
-			w.deliverOrder(s, s.life, a.Body.(protocol.Order), p.name, respond)
+			w.deliverOrder(s, s.incarnation, a.Body.(protocol.Order), p.name, respond)
 		}
 	})
 }
 
 // deliverOrder delivers an order to a server, which answers at once unless it is frozen.
 func (w *World) deliverOrder(s *proc, incarnation int, o protocol.Order, from string, respond func([]byte)) {
-	if !s.up || s.life != incarnation {
+	if !s.up || s.incarnation != incarnation {
 		return
 	}
 	if w.now < s.frozenUntil {
@@ -795,12 +795,12 @@
 		return
 	}
 	v := s.core.(*standin.Server)
-	heldBefore := v.Holds()
-	for _, x := range v.Step(s.tick(w.now), standin.OrderIn{Order: o}) {
+	heldBefore := v.Held()
+	for _, x := range v.Step(s.localTime(w.now), standin.OrderIn{Order: o}) {
 		if r, ok := x.(standin.OrderOut); ok {
 			w.Check.checkOrder(s, o, from, r.Report, heldBefore)
-			if w.Bend != nil {
-				r.Report = w.Bend(r.Report)
+			if w.AlterReport != nil {
+				r.Report = w.AlterReport(r.Report)
 			}
 			b, _ := json.Marshal(r.Report)
 			respond(b)
@@ -811,11 +811,11 @@
 }
 
 // Ask sends a caller's request to a random available router, as the platform's load balancer does.
-func (w *World) Ask(a standin.Ask, repeat bool) {
+func (w *World) Ask(a standin.Request, repeat bool) {
 	var l []*proc
-	for _, n := range w.order {
+	for _, n := range w.procNames {
 		p := w.procs[n]
-		if _, ok := p.core.(*router.Core); ok && p.up && !p.draining && w.now >= p.frozenUntil && !w.cuts[[2]string{"platform", p.box}] {
+		if _, ok := p.core.(*router.Core); ok && p.up && !p.draining && w.now >= p.frozenUntil && !w.cuts[[2]string{"platform", p.machine}] {
 			l = append(l, p)
 		}
 	}
@@ -830,21 +830,21 @@
 	ref := router.Ref(w.lastToken)
 	c.router, c.ref = p.name, ref
 	w.Check.openCalls[ref] = c
-	w.step(p, p.life, router.Call{Ref: ref, Route: a.Route, Call: a.Call})
+	w.step(p, p.incarnation, router.Call{Ref: ref, Route: a.Route, Request: a.Call})
 }
 
 func (w *World) launch(p *proc, v router.Launch) {
 	c := w.Check.openCalls[v.Ref]
-	f := &attempt{router: p, incarnation: p.life, launch: v, call: c}
+	f := &attempt{router: p, incarnation: p.incarnation, launch: v, call: c}
 	w.Check.countLaunch(c)
 	s := w.procAt(v.Addr)
-	if s == nil || w.cuts[[2]string{p.box, s.box}] || w.cuts[[2]string{s.box, p.box}] {
+	if s == nil || w.cuts[[2]string{p.machine, s.machine}] || w.cuts[[2]string{s.machine, p.machine}] {
 		w.After(500e6, func() { w.endAttempt(f, router.Unsent, "") })
 		return
 	}
 	d := w.delay()
 	if w.DialOdds > 0 && w.rand.Float64() < w.DialOdds {
-		d += clock.Span(w.rand.Int64N(int64(w.Dial)))
+		d += clock.Span(w.rand.Int64N(int64(w.DialDelay)))
 	}
 	w.After(d, func() {
 		if !s.up {
@@ -852,43 +852,43 @@
 			return
 		}
 		f.acceptedAt = w.now
-		w.sendAttempt(f, s, s.life)
+		w.sendAttempt(f, s, s.incarnation)
 	})
 }
 
 // sendAttempt runs when the connection is open: the router checks once more whether it may send, and then sends.
 func (w *World) sendAttempt(f *attempt, s *proc, incarnation int) {
 	p := f.router
-	if !p.up || p.life != f.incarnation {
+	if !p.up || p.incarnation != f.incarnation {
 		return
 	}
 	if w.now < p.frozenUntil {
 		w.At(p.frozenUntil, func() { w.sendAttempt(f, s, incarnation) })
 		return
 	}
-	if !p.core.(*router.Core).MaySend(p.tick(w.now), f.launch.Ref, f.launch.N) {
+	if !p.core.(*router.Core).MaySend(p.localTime(w.now), f.launch.Ref, f.launch.N) {
 		f.call.heldBack = true
 		w.endAttempt(f, router.Kept, "")
 		return
 	}
 	w.Check.checkSent(f, s)
 	d := w.delay()
-	if w.LagOdds > 0 && w.rand.Float64() < w.LagOdds {
-		d += clock.Span(w.rand.Int64N(int64(w.Lag)))
+	if w.SendLagOdds > 0 && w.rand.Float64() < w.SendLagOdds {
+		d += clock.Span(w.rand.Int64N(int64(w.SendLag)))
 	}
 	w.After(d, func() { w.deliverAttempt(f, s, incarnation) })
 }
 
 // deliverAttempt delivers an attempt to its server.
 func (w *World) deliverAttempt(f *attempt, s *proc, incarnation int) {
-	if !f.router.up || f.router.life != f.incarnation {
+	if !f.router.up || f.router.incarnation != f.incarnation {
 		return
 	}
-	if !s.up || s.life != incarnation {
+	if !s.up || s.incarnation != incarnation {
 		w.After(w.delay(), func() { w.endAttempt(f, router.Lost, "") })
 		return
 	}
-	if w.cuts[[2]string{f.router.box, s.box}] {
+	if w.cuts[[2]string{f.router.machine, s.machine}] {
 		w.After(10e9, func() { w.endAttempt(f, router.Lost, "") })
 		return
 	}
@@ -897,19 +897,19 @@
 		return
 	}
 	w.lastToken++
-	k := attemptKey{s.name, s.life, w.lastToken}
+	k := attemptKey{s.name, s.incarnation, w.lastToken}
 	w.attempts[k] = f
 	f.lastArrival, f.arrivedAt = w.now, w.now
 	w.watchIdle(f, w.now)
 	worksBefore := s.core.(workCounter).Counts().Works
-	if w.host != nil && f.launch.Server != s.server { // addressed to another server, so this one refuses it
+	if w.hosted != nil && f.launch.Server != s.server { // addressed to another server, so this one refuses it
 		f.closed = true
 		delete(w.attempts, k)
 		w.After(w.delay(), func() { w.endAttempt(f, router.Dropped, failure.Mismatch) })
 		return
 	}
-	w.step(s, s.life, standin.WorkIn{Token: k.token, Work: f.launch.Work, Since: s.tick(f.acceptedAt)})
-	if w.host != nil {
+	w.step(s, s.incarnation, standin.WorkIn{Token: k.token, Work: f.launch.Work, Since: s.localTime(f.acceptedAt)})
+	if w.hosted != nil {
 		w.Check.checkReached(f, s)
 	}
 	if s.core.(workCounter).Counts().Works > worksBefore {
@@ -917,14 +917,14 @@
 		if w.ResetOdds > 0 && w.rand.Float64() < w.ResetOdds {
 			f.closed = true
 			delete(w.attempts, k)
-			w.step(s, s.life, standin.WorkQuit{Token: k.token})
+			w.step(s, s.incarnation, standin.WorkQuit{Token: k.token})
 			w.After(w.delay(), func() { w.endAttempt(f, router.Lost, "") })
 		}
 	}
 }
 
 // watchIdle ends a stream that has been silent for 10 s, as the router's I/O layer does.
-func (w *World) watchIdle(f *attempt, at clock.Tick) {
+func (w *World) watchIdle(f *attempt, at clock.Instant) {
 	w.At(at.Add(10e9), func() {
 		if f.closed || f.call == nil || f.call.finished {
 			return
@@ -939,14 +939,14 @@
 }
 
 // endAttempt reports the end of an attempt to its router.
-func (w *World) endAttempt(f *attempt, how router.End, k failure.Kind) {
+func (w *World) endAttempt(f *attempt, how router.Outcome, k failure.Kind) {
 	if how == router.Unsent && f.call != nil {
 		if f.call.unreached == nil {
 			f.call.unreached = map[string]int{}
 		}
 		f.call.unreached[f.launch.Addr]++
 	}
-	w.step(f.router, f.incarnation, router.Ended{Ref: f.launch.Ref, N: f.launch.N, How: how, Kind: k})
+	w.step(f.router, f.incarnation, router.Ended{Ref: f.launch.Ref, N: f.launch.N, Outcome: how, Kind: k})
 }
 
 // deliverOutput carries a server's answer back to the router.
@@ -958,12 +958,12 @@
 	case standin.Event:
 		t = v.Token
 	}
-	k := attemptKey{s.name, s.life, t}
+	k := attemptKey{s.name, s.incarnation, t}
 	f := w.attempts[k]
 	if f == nil || f.closed {
 		return
 	}
-	if w.cuts[[2]string{s.box, f.router.box}] {
+	if w.cuts[[2]string{s.machine, f.router.machine}] {
 		f.closed = true // the stream is broken, which the router detects only by a timeout
 		delete(w.attempts, k)
 		w.After(10e9, func() { w.endAttempt(f, router.Lost, "") })
@@ -986,14 +986,14 @@
 // deliverEvent delivers one event of an answer to the router, altered if fault injection says so.
 func (w *World) deliverEvent(f *attempt, v standin.Event) {
 	p := f.router
-	if !p.up || p.life != f.incarnation || f.closed {
+	if !p.up || p.incarnation != f.incarnation || f.closed {
 		return
 	}
 	if w.now < p.frozenUntil {
 		w.At(p.frozenUntil, func() { w.deliverEvent(f, v) })
 		return
 	}
-	if w.Mangle > 0 && !f.mangled && w.rand.Float64() < w.Mangle {
+	if w.MangleOdds > 0 && !f.mangled && w.rand.Float64() < w.MangleOdds {
 		f.mangled = true // at most once per attempt: two alterations could cancel out, so that the event number fits again
 		switch w.rand.IntN(6) {
 		case 0:
@@ -1005,19 +1005,19 @@
 		case 3:
 			v.Go = "router-1-9-9-9"
 		case 4:
-			v.Server = ident.Server(w.some("server-"))
+			v.Server = ident.Server(w.randomNode("server-"))
 		case 5:
 			v.Go, v.Text, v.Done = "", "", w.rand.IntN(2) == 0 // not JSON, or of another attempt
 		}
 	}
-	x := router.Line{N: v.N, Go: v.Go, Server: v.Server, Done: v.Done}
-	if !x.Follows(f.launch, f.eventCount) {
+	x := router.StreamEvent{N: v.N, Go: v.Go, Server: v.Server, Done: v.Done}
+	if !x.IsNext(f.launch, f.eventCount) {
 		f.closed = true
 		w.endAttempt(f, router.Lost, "")
 		return
 	}
 	if f.eventCount == 0 {
-		w.step(p, p.life, router.Begun{Ref: f.launch.Ref, N: f.launch.N})
+		w.step(p, p.incarnation, router.Begun{Ref: f.launch.Ref, N: f.launch.N})
 	}
 	f.eventCount++
 	w.Check.checkEvent(f, v)
@@ -1030,8 +1030,8 @@
 
 // Admin sends an operator's request to a core node. The outcome is Unclear if no reply arrives within 6 s.
 func (w *World) Admin(node string, a controller.Admin, then func(controller.Receipt)) {
-	w.admin++
-	a.Token = w.admin
+	w.lastAdmin++
+	a.Token = w.lastAdmin
 	done := false
 	recordReply := w.recordOperation(node, a)
 	finish := func(r controller.Receipt) {
@@ -1052,13 +1052,13 @@
 			finish(controller.Receipt{Kind: failure.NotReady, Why: "unreached"})
 			return
 		}
-		w.step(p, p.life, a)
+		w.step(p, p.incarnation, a)
 	})
 }
 
 // Routers returns the running routers.
 func (w *World) Routers() (l []*proc) {
-	for _, n := range w.order {
+	for _, n := range w.procNames {
 		if strings.HasPrefix(n, "router-") && w.procs[n].up {
 			l = append(l, w.procs[n])
 		}
@@ -1068,7 +1068,7 @@
 
 // controllers returns the running core nodes.
 func (w *World) controllers() (l []*proc) {
-	for _, n := range w.order {
+	for _, n := range w.procNames {
 		if strings.HasPrefix(n, "controller-") && w.procs[n].up {
 			l = append(l, w.procs[n])
 		}
@@ -1083,7 +1083,7 @@
 }
 
 // formatFields formats the fields of a log line for the trace.
-func formatFields(n protocol.Note) string {
+func formatFields(n protocol.LogLine) string {
 	var b strings.Builder
 	for _, f := range n.Fields {
 		fmt.Fprintf(&b, " %s=%v", f.Name, f.Value)
--- a/internal/soak/bounds_test.go
+++ b/internal/soak/bounds_test.go
@@ -68,7 +68,7 @@
 
 // requestHead returns a request head of at least the given size.
 func requestHead(id string, bytes int) string {
-	line := fmt.Sprintf("GET %s%s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: 20000\r\n", pathPlain, id, requestHost, peer.HeaderID, id, peer.HeaderLeft)
+	line := fmt.Sprintf("GET %s%s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: 20000\r\n", pathPlain, id, requestHost, peer.HeaderID, id, peer.HeaderRemaining)
 	return line + "X-Filler: " + strings.Repeat("x", bytes) + "\r\n\r\n"
 }
 
@@ -151,7 +151,7 @@
 				return
 			}
 			defer c.Close()
-			_, _ = fmt.Fprintf(c, "POST /i/x HTTP/1.1\r\nHost: %s\r\n%s: b%d\r\n%s: 8000\r\nContent-Length: %d\r\n\r\n", requestHost, peer.HeaderID, i, peer.HeaderLeft, bytes)
+			_, _ = fmt.Fprintf(c, "POST /i/x HTTP/1.1\r\nHost: %s\r\n%s: b%d\r\n%s: 8000\r\nContent-Length: %d\r\n\r\n", requestHost, peer.HeaderID, i, peer.HeaderRemaining, bytes)
 			go func() { _, _ = io.WriteString(c, body) }()
 			response, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err != nil {
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -232,13 +232,13 @@
 	_ = c.conn.SetDeadline(time.Now().Add(requestTimeout + answerSlack))
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\nContent-Length: %d\r\n", q.method, q.target, requestHost,
-		peer.HeaderID, q.id, peer.HeaderLeft, requestTimeout.Milliseconds(), len(q.content))
+		peer.HeaderID, q.id, peer.HeaderRemaining, requestTimeout.Milliseconds(), len(q.content))
 	if q.model != "" {
 		fmt.Fprintf(&b, "%s: %s\r\n%s: %s\r\n%s: %s:%d\r\n", peer.HeaderModel, q.model, peer.HeaderTokens, peer.Tokens(promptTokens, answerTokens),
-			peer.HeaderParts, q.body, promptTokens)
+			peer.HeaderPromptPrefix, q.body, promptTokens)
 	}
 	if q.key != "" {
-		fmt.Fprintf(&b, "%s: %s\r\n", peer.HeaderKey, peer.Bearer(q.key))
+		fmt.Fprintf(&b, "%s: %s\r\n", peer.HeaderAuthorization, peer.Bearer(q.key))
 	}
 	if q.claimsTenant {
 		fmt.Fprintf(&b, "%s: %s\r\n", peer.HeaderTenant, fixedTenant)
--- a/internal/soak/machine.go
+++ b/internal/soak/machine.go
@@ -146,7 +146,7 @@
 func (f *fleet) writeSettings(m *machine) (path string, err error) {
 	s := peer.Settings{
 		Node: m.name, Role: string(m.role), Class: "edge", IP: m.advertisedIP, Zone: m.zone, Region: "r", Zones: map[string]string{},
-		Bind: map[string]string{}, Ports: [2]int{firstPeerPort, lastPeerPort}, First: m.firstBoot, PeerSource: "enrolled", EntryKind: "virtual_ip",
+		Bind: map[string]string{}, Ports: [2]int{firstPeerPort, lastPeerPort}, FirstStart: m.firstBoot, PeerSource: "enrolled", EntryKind: "virtual_ip",
 		PeriodMs: int(announceInterval.Milliseconds()), Tolerance: peer.Tolerance{Machines: 1}, Bounds: f.bounds,
 		Constraints: peer.Constraints{CPU: 1, Processors: 2, MemoryMb: memoryMb, Descriptors: 4096, Bandwidth: 1000},
 	}
@@ -161,11 +161,11 @@
 		s.Serves = []string{peer.ServesCallers}
 		s.Bind[peer.BindIngress], s.Bind[peer.BindReadiness] = hostPort(m.advertisedIP, portIngress), hostPort(m.advertisedIP, portReadiness)
 	} else {
-		s.Class, s.Counted, s.Constraints.DiskMb = "loop", true, 128
+		s.Class, s.QuorumMember, s.Constraints.DiskMb = "loop", true, 128
 		s.Serves = []string{peer.ServesControl}
 		s.Bind[peer.BindControl] = hostPort(m.advertisedIP, portControl)
 		data := filepath.Join(m.folder, "data")
-		s.Data = &data
+		s.StateDir = &data
 		if err := os.MkdirAll(data, 0o755); err != nil {
 			return "", err
 		}
@@ -198,7 +198,7 @@
 	}
 	defer log.Close()
 	cmd := exec.Command(filepath.Join(f.programs, string(m.role)), "--hosted", "--log-lines", "--bind-ip", m.bindIP, "--metrics-port", strconv.Itoa(portMetrics))
-	cmd.Env = []string{"PATH=" + os.Getenv("PATH"), "HOME=" + os.Getenv("HOME"), peer.Variable + "=" + path}
+	cmd.Env = []string{"PATH=" + os.Getenv("PATH"), "HOME=" + os.Getenv("HOME"), peer.SettingsVariable + "=" + path}
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	m.mu.Lock()
@@ -359,9 +359,9 @@
 		f.links.Cut(b, a)
 	}
 	return func() {
-		f.links.Mend(a, b)
+		f.links.Restore(a, b)
 		if !oneWay {
-			f.links.Mend(b, a)
+			f.links.Restore(b, a)
 		}
 	}
 }
--- a/internal/soak/operator.go
+++ b/internal/soak/operator.go
@@ -166,7 +166,7 @@
 func newConfiguration(revision uint64, movingService, holder string, extraRoutes int, note string) peer.Configuration {
 	route := func(path, mode, service string, pinned, resumes bool) peer.Route {
 		return peer.Route{Label: "r" + path, Host: requestHost, Prefix: path, Mode: mode, HorizonMs: int(requestTimeout.Milliseconds()), SetpointMs: 800,
-			Service: service, Tries: 3, Pinned: pinned, Continue: resumes, PauseMs: 400, Unkeyed: !needsKey(path)}
+			Service: service, Tries: 3, Pinned: pinned, Continue: resumes, EventGapMs: 400, Unkeyed: !needsKey(path)}
 	}
 	c := peer.Configuration{
 		Revision: revision, Note: note, Tenants: tenantsOf(holder),
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -326,7 +326,7 @@
 	lines := bufio.NewReaderSize(f, maxLogLine)
 	for {
 		line, err := lines.ReadString('\n')
-		for _, sign := range append([]string{invariant.Sign, "panic:", "fatal error:", "WARNING: DATA RACE"}, secretKeys...) {
+		for _, sign := range append([]string{invariant.ViolationPrefix, "panic:", "fatal error:", "WARNING: DATA RACE"}, secretKeys...) {
 			if strings.Contains(line, sign) {
 				found = append(found, strings.TrimSpace(line))
 				break
@@ -345,5 +345,5 @@
 func waitUntil(ctx context.Context, limit time.Duration, condition string, holds func() bool) error {
 	bounded, stop := context.WithTimeout(ctx, limit)
 	defer stop()
-	return localfleet.Until(bounded, condition, holds)
+	return localfleet.WaitUntil(bounded, condition, holds)
 }
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -356,7 +356,7 @@
 // decline answers that a request was not executed.
 func decline(w http.ResponseWriter, id string, status int) {
 	w.Header().Set(peer.HeaderID, id)
-	w.Header().Set(peer.HeaderNotRun, "1")
+	w.Header().Set(peer.HeaderNotExecuted, "1")
 	w.WriteHeader(status)
 }
 
@@ -402,11 +402,11 @@
 		i.active--
 		i.mu.Unlock()
 	}()
-	if keys := r.Header.Values(peer.HeaderKey); len(keys) > 0 {
+	if keys := r.Header.Values(peer.HeaderAuthorization); len(keys) > 0 {
 		i.checker.violate("UNASKED", "%s at %s contains %d key headers", id, i.id, len(keys))
 	}
 	i.checker.requestExecuted(execution{id: id, tenant: strings.Join(r.Header.Values(peer.HeaderTenant), " and "), server: i.id, service: i.service, router: hostOf(r.RemoteAddr), startedAt: time.Now(),
-		method: r.Method, target: r.RequestURI, body: digest(body), remainingMs: peer.LeftMs(r.Header), fault: f})
+		method: r.Method, target: r.RequestURI, body: digest(body), remainingMs: peer.RemainingMs(r.Header), fault: f})
 	if strings.HasPrefix(r.URL.Path, pathResumable) || strings.HasPrefix(r.URL.Path, pathStream) {
 		i.answerStream(w, r, id, f)
 		return
@@ -513,7 +513,7 @@
 
 // answerStream sends the events that follow the last one that the caller has seen.
 func (i *incarnation) answerStream(w http.ResponseWriter, r *http.Request, id string, f fault) {
-	seen, _ := strconv.ParseUint(r.Header.Get(peer.HeaderSeen), 10, 64)
+	seen, _ := strconv.ParseUint(r.Header.Get(peer.HeaderLastEvent), 10, 64)
 	if strings.HasPrefix(r.URL.Path, pathStream) {
 		seen = 0
 	}
--- a/internal/soak/trouble.go
+++ b/internal/soak/trouble.go
@@ -335,7 +335,7 @@
 	m := all[s.randomInt(len(all))]
 	defer s.beginTrouble("reset connections", false, m)()
 	for end := time.Now().Add(duration); time.Now().Before(end) && ctx.Err() == nil; {
-		s.run.fleet.links.BreakAt(m.advertisedIP)
+		s.run.fleet.links.CloseConnsAt(m.advertisedIP)
 		sleep(ctx, resetPause)
 	}
 }
--- a/internal/soak/trouble_load.go
+++ b/internal/soak/trouble_load.go
@@ -80,8 +80,8 @@
 func (s *scheduler) narrowLinks(ctx context.Context, duration time.Duration) {
 	s.run.checker.tracef("links of routers are narrow")
 	for _, m := range s.run.fleet.withRole(routerRole) {
-		s.run.fleet.links.Narrow(m.advertisedIP, narrowBytesPerSecond)
-		defer s.run.fleet.links.Narrow(m.advertisedIP, 0)
+		s.run.fleet.links.LimitRate(m.advertisedIP, narrowBytesPerSecond)
+		defer s.run.fleet.links.LimitRate(m.advertisedIP, 0)
 	}
 	sleep(ctx, duration)
 }
--- a/internal/standin/batch.go
+++ b/internal/standin/batch.go
@@ -12,19 +12,19 @@
 
 // BatchOptions configure a stand-in batch server that announces itself and does not check fencing tokens.
 type BatchOptions struct {
-	ID      ident.Server
-	Service string
-	Plain   bool // the server holds no models and accepts no orders
-	Slots   int
-	Room    int
-	Places  int        // adapters that fit
-	Step    clock.Span // interval between two decode steps of a nearly empty batch
-	Fill    int        // prompt bytes prefilled in one decode step
-	Lag     clock.Span // age of reports
-	Held    []ident.Key
-	Disk    map[ident.Key]bool // models that were loaded in this incarnation or an earlier one
-	Weight  func(ident.Key) int
-	Load    func(k ident.Key, disk bool) clock.Span // duration of a load that begins now
+	ID        ident.Server
+	Service   string
+	Plain     bool // the server holds no models and accepts no orders
+	Slots     int
+	Room      int
+	Places    int        // adapters that fit
+	Step      clock.Span // interval between two decode steps of a nearly empty batch
+	Fill      int        // prompt bytes prefilled in one decode step
+	ReportLag clock.Span // age of reports
+	Held      []ident.Key
+	Disk      map[ident.Key]bool // models that were loaded in this incarnation or an earlier one
+	Weight    func(ident.Key) int
+	Load      func(k ident.Key, disk bool) clock.Span // duration of a load that begins now
 }
 
 // BatchOrder is a received order or, without an operation, a request for the report.
@@ -35,10 +35,10 @@
 
 // BatchAnswer answers a BatchOrder. OverCapacity reports that the order exceeds the room or the places.
 type BatchAnswer struct {
-	Token  uint64
-	Code   int
-	Over   bool
-	Report protocol.Report
+	Token        uint64
+	Code         int
+	OverCapacity bool
+	Report       protocol.ServerReport
 }
 
 // LoadDone reports that a load has finished.
@@ -46,23 +46,23 @@
 
 // pastReport is a report with the time when it was made.
 type pastReport struct {
-	at     clock.Tick
-	report protocol.Report
+	at     clock.Instant
+	report protocol.ServerReport
 }
 
 // Batch is a stand-in batch server that announces itself. It does no I/O. It numbers the orders that it accepts and carries
 // out one at a time.
 type Batch struct {
 	options  BatchOptions
-	now      clock.Tick
+	now      clock.Instant
 	out      []any
-	held     map[ident.Key]clock.Tick // time when the key became ready
-	current  *protocol.Order          // order in progress
-	ready    clock.Tick               // time when its load ends
+	held     map[ident.Key]clock.Instant // time when the key became ready
+	current  *protocol.Order             // order in progress
+	ready    clock.Instant               // time when its load ends
 	orders   uint64
 	reports  []pastReport
 	jobs     []*job
-	nextStep clock.Tick
+	nextStep clock.Instant
 	tally    ServerTally
 }
 
@@ -71,8 +71,8 @@
 	generic.SetDefault(&o.Step, 20e6)
 	generic.SetDefault(&o.Fill, 4000)
 	generic.SetDefault(&o.Slots, 16)
-	generic.SetDefault(&o.Lag, 200e6)
-	s := &Batch{options: o, held: map[ident.Key]clock.Tick{}, tally: ServerTally{DropKinds: map[failure.Kind]uint64{}}}
+	generic.SetDefault(&o.ReportLag, 200e6)
+	s := &Batch{options: o, held: map[ident.Key]clock.Instant{}, tally: ServerTally{DropKinds: map[failure.Kind]uint64{}}}
 	for _, k := range o.Held {
 		s.held[k] = 0
 		s.options.Disk[k] = true
@@ -81,7 +81,7 @@
 }
 
 // Step processes one input and returns the outputs to carry out.
-func (s *Batch) Step(now clock.Tick, in any) []any {
+func (s *Batch) Step(now clock.Instant, in any) []any {
 	s.now, s.out = now, nil
 	s.finishOrder()
 	switch v := in.(type) {
@@ -91,7 +91,7 @@
 			break
 		}
 		code, over := s.acceptOrder(v.Order)
-		s.out = append(s.out, BatchAnswer{Token: v.Token, Code: code, Over: over})
+		s.out = append(s.out, BatchAnswer{Token: v.Token, Code: code, OverCapacity: over})
 	case WorkIn:
 		s.acceptWork(v)
 	case WorkQuit:
@@ -102,7 +102,7 @@
 				break
 			}
 		}
-	case protocol.Beat:
+	case protocol.TimerTick:
 		if now >= s.nextStep {
 			n := clock.Span(min(len(s.jobs), s.options.Slots))
 			s.nextStep = now.Add(s.options.Step + s.options.Step*n/clock.Span(s.options.Slots))
@@ -166,7 +166,7 @@
 	_, has := s.held[o.Key]
 	_, base := s.held[o.Key.Base()]
 	switch {
-	case s.options.Plain || o.Owner == "" || o.Duty == 0 || o.Key.Service() != s.options.Service || o.Op != "load" && o.Op != "unload":
+	case s.options.Plain || o.Owner == "" || o.Term == 0 || o.Key.Service() != s.options.Service || o.Op != "load" && o.Op != "unload":
 		return http.StatusBadRequest, false
 	case o.Expected != s.orders || s.current != nil:
 		s.tally.Stale++
@@ -187,10 +187,10 @@
 	return http.StatusAccepted, over
 }
 
-func (s *Batch) report() protocol.Report {
-	r := protocol.Report{Server: s.options.ID, Num: s.orders, Busy: s.current != nil, Held: []protocol.Held{}}
+func (s *Batch) report() protocol.ServerReport {
+	r := protocol.ServerReport{Server: s.options.ID, Num: s.orders, Busy: s.current != nil, Held: []protocol.HeldKey{}}
 	for _, k := range generic.SortedKeys(s.held) {
-		r.Held = append(r.Held, protocol.Held{Key: k, Stage: "ready"})
+		r.Held = append(r.Held, protocol.HeldKey{Key: k, Stage: "ready"})
 	}
 	return r
 }
@@ -198,19 +198,19 @@
 // recordReport records the current report and discards records that are older than the lag requires.
 func (s *Batch) recordReport() {
 	s.reports = append(s.reports, pastReport{s.now, s.report()})
-	for len(s.reports) > 1 && s.now.Sub(s.reports[1].at) >= s.options.Lag {
+	for len(s.reports) > 1 && s.now.Sub(s.reports[1].at) >= s.options.ReportLag {
 		s.reports = s.reports[1:]
 	}
 }
 
 // delayedReport returns the report as it was one lag ago.
-func (s *Batch) delayedReport() protocol.Report {
+func (s *Batch) delayedReport() protocol.ServerReport {
 	r := s.report()
 	if len(s.reports) > 0 {
 		r = s.reports[0].report
 	}
 	for _, x := range s.reports {
-		if s.now.Sub(x.at) >= s.options.Lag {
+		if s.now.Sub(x.at) >= s.options.ReportLag {
 			r = x.report
 		}
 	}
@@ -224,8 +224,8 @@
 }
 
 func (s *Batch) acceptWork(v WorkIn) {
-	k := ident.KeyOf(v.Work.Base, v.Work.Extra).In(s.options.Service)
-	if s.options.Plain || v.Work.Base == "" {
+	k := ident.NewKey(v.Work.Model, v.Work.Adapter).InService(s.options.Service)
+	if s.options.Plain || v.Work.Model == "" {
 		k = ident.ServiceKey(s.options.Service) // the request needs no model
 	} else if _, ok := s.held[k]; !ok {
 		s.refuse(v.Token, failure.Mismatch)
@@ -263,8 +263,8 @@
 			}
 		}
 		work := j.Work
-		event := Event{Token: j.Token, N: j.sent, Go: work.Go, Server: s.options.ID, Text: TokenText(work.ID, work.Base, work.Extra, j.sent)}
-		if j.sent >= work.Max {
+		event := Event{Token: j.Token, N: j.sent, Go: work.AttemptID, Server: s.options.ID, Text: TokenText(work.ID, work.Model, work.Adapter, j.sent)}
+		if j.sent >= work.MaxTokens {
 			event.Text, event.Done = "", true
 			s.tally.Done++
 		} else {
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -20,16 +20,16 @@
 )
 
 // Request is one request of a stand-in caller.
-type Ask struct {
+type Request struct {
 	Route string
-	Call  fleetplan.Call
+	Call  fleetplan.Request
 }
 
 // Workload generates random requests for the routes and models of a plan. Few keys are requested often, most of them rarely.
-type Mix struct {
+type Workload struct {
 	Tenants    int // number of tenants with different shared prompt parts
 	plan       *fleetplan.Plan
-	templates  []Ask
+	templates  []Request
 	cumulative []float64
 	rand       *rand.Rand
 	idPrefix   string
@@ -37,8 +37,8 @@
 }
 
 // NewWorkload creates a workload. The same seed gives the same requests.
-func NewMix(plan *fleetplan.Plan, seed uint64) *Mix {
-	mix := &Mix{plan: plan, rand: rand.New(rand.NewPCG(seed, 17)), idPrefix: fmt.Sprintf("c%x", seed)}
+func NewWorkload(plan *fleetplan.Plan, seed uint64) *Workload {
+	mix := &Workload{plan: plan, rand: rand.New(rand.NewPCG(seed, 17)), idPrefix: fmt.Sprintf("c%x", seed)}
 	seen := map[ident.Key]int{}
 	for _, route := range generic.SortedKeys(plan.Routes) {
 		for _, key := range generic.SortedKeys(plan.Services[plan.Routes[route].Service].Keys) {
@@ -47,15 +47,15 @@
 					seen[key] = len(seen)
 				}
 				base, extra, _ := strings.Cut(string(key), "+")
-				mix.templates = append(mix.templates, Ask{route, fleetplan.Call{Base: base, Extra: extra, Kind: kind}})
+				mix.templates = append(mix.templates, Request{route, fleetplan.Request{Model: base, Adapter: extra, Kind: kind}})
 			}
 		}
 	}
 	total := 0.0
 	for _, template := range mix.templates {
-		key := ident.KeyOf(template.Call.Base, template.Call.Extra)
+		key := ident.NewKey(template.Call.Model, template.Call.Adapter)
 		weight := 1 / float64(1+seen[key])
-		if plan.Models[key].Floor > 0 {
+		if plan.Models[key].MinReplicas > 0 {
 			weight *= 8 // models with a floor are the most requested ones
 		}
 		weight /= float64(1 + plan.Kinds[template.Call.Kind].Value)
@@ -66,44 +66,44 @@
 }
 
 // Next generates a request.
-func (m *Mix) Next() Ask {
+func (m *Workload) Next() Request {
 	f := m.rand.Float64() * m.cumulative[len(m.cumulative)-1]
 	i := sort.SearchFloat64s(m.cumulative, f)
-	return m.Of(m.templates[min(i, len(m.templates)-1)])
+	return m.Fill(m.templates[min(i, len(m.templates)-1)])
 }
 
 // NextRare generates a request for one of the least requested keys.
-func (m *Mix) Rare() Ask {
+func (m *Workload) NextRare() Request {
 	for range 50 {
 		a := m.templates[m.rand.IntN(len(m.templates))]
-		if m.plan.Models[ident.KeyOf(a.Call.Base, a.Call.Extra)].Floor == 0 {
-			return m.Of(a)
+		if m.plan.Models[ident.NewKey(a.Call.Model, a.Call.Adapter)].MinReplicas == 0 {
+			return m.Fill(a)
 		}
 	}
 	return m.Next()
 }
 
 // Fill generates a request with the route, model and kind of the given one.
-func (m *Mix) Of(a Ask) Ask {
+func (m *Workload) Fill(a Request) Request {
 	m.count++
 	a.Call.ID = fmt.Sprintf("%s-%d", m.idPrefix, m.count)
 	t := m.rand.IntN(max(6, m.Tenants))
 	a.Call.Parts = []string{strings.Repeat("system ", 60), strings.Repeat(fmt.Sprintf("tenant-%d ", t), 60)}
 	a.Call.Prompt = strings.Repeat("line ", 4+m.rand.IntN(60))
-	a.Call.Max = 4 + m.rand.IntN(28)
-	a.Call.Again = m.rand.IntN(3) > 0
+	a.Call.MaxTokens = 4 + m.rand.IntN(28)
+	a.Call.Repeatable = m.rand.IntN(3) > 0
 	return a
 }
 
 // Body returns the JSON body of the request.
-func (a Ask) Body() []byte {
+func (a Request) Body() []byte {
 	call := a.Call
-	body := map[string]any{"id": call.ID, "model": call.Base, "kind": call.Kind, "parts": call.Parts, "prompt": call.Prompt, "max_tokens": call.Max, "repeatable": call.Again}
-	if call.Extra != "" {
-		body["adapter"] = call.Extra
+	body := map[string]any{"id": call.ID, "model": call.Model, "kind": call.Kind, "parts": call.Parts, "prompt": call.Prompt, "max_tokens": call.MaxTokens, "repeatable": call.Repeatable}
+	if call.Adapter != "" {
+		body["adapter"] = call.Adapter
 	}
-	if call.Wait != 0 {
-		body["horizon_ms"] = call.Wait.Milliseconds()
+	if call.Horizon != 0 {
+		body["horizon_ms"] = call.Horizon.Milliseconds()
 	}
 	if call.Repeat {
 		body["repeat"] = true
@@ -114,34 +114,34 @@
 
 // CallReport summarizes the results of a run of callers.
 type CallReport struct {
-	Sent, Receipts, Events int
-	Kinds                  map[string]int
-	Wrong                  []string // violations seen in responses
-	Unreached, Reused      int
-	First                  []time.Duration // times to the first event
-	Repeats, Backs         int
-	ByRouter               map[string]int
+	Sent, Answers, Events int
+	Kinds                 map[string]int
+	Wrong                 []string // violations seen in responses
+	Unreached, Reused     int
+	First                 []time.Duration // times to the first event
+	Repeats, RetryHints   int
+	ByRouter              map[string]int
 }
 
 // CallOptions configure a run of callers.
 type CallOptions struct {
-	Routers []string
-	Next    func() Ask
-	Rate    float64 // requests per second
-	Total   int
-	Most    int  // maximum number of concurrent requests
-	Again   bool // let some callers repeat a refused request after the time that the router names
+	Routers       []string
+	Next          func() Request
+	Rate          float64 // requests per second
+	Total         int
+	MaxConcurrent int  // maximum number of concurrent requests
+	RepeatDropped bool // let some callers repeat a refused request after the time that the router names
 }
 
 // RunCalls sends requests to the routers in turn, checks every response, and returns a report.
-func Calls(ctx context.Context, options CallOptions) *CallReport {
+func RunCalls(ctx context.Context, options CallOptions) *CallReport {
 	report := &CallReport{Kinds: map[string]int{}, ByRouter: map[string]int{}}
 	var mu sync.Mutex // guards the report
 	var pending sync.WaitGroup
-	if options.Most == 0 {
-		options.Most = 512
+	if options.MaxConcurrent == 0 {
+		options.MaxConcurrent = 512
 	}
-	slot := make(chan struct{}, options.Most)
+	slot := make(chan struct{}, options.MaxConcurrent)
 	client := Client()
 	begin := time.Now()
 	for i := 0; i < options.Total && ctx.Err() == nil; i++ {
@@ -158,7 +158,7 @@
 			defer pending.Done()
 			defer func() { <-slot }()
 			retryAfter := Call(client, router, request, report, &mu)
-			if retryAfter > 0 && options.Again && request.Call.Again && i%10 == 0 {
+			if retryAfter > 0 && options.RepeatDropped && request.Call.Repeatable && i%10 == 0 {
 				// One caller in ten repeats the request after the time that the router names, and marks it as a repeat.
 				time.Sleep(retryAfter)
 				request.Call.Repeat = true
@@ -180,19 +180,19 @@
 
 // Outcome is the result of one request.
 type Outcome struct {
-	Kind     string        // empty for a complete response
-	Back     time.Duration // time after which the router allows a repeat
-	Events   int
-	Reused   int
-	First    time.Duration
-	Duration time.Duration
-	Wrong    string
+	Kind       string        // empty for a complete response
+	RetryAfter time.Duration // time after which the router allows a repeat
+	Events     int
+	Reused     int
+	First      time.Duration
+	Duration   time.Duration
+	Wrong      string
 }
 
 // Call sends one request, checks the complete response, and adds the outcome to a report. If the request was rejected, it
 // returns the time after which the router allows a repeat.
-func Call(client *http.Client, router string, request Ask, report *CallReport, mu *sync.Mutex) time.Duration {
-	outcome := One(client, router, request, true)
+func Call(client *http.Client, router string, request Request, report *CallReport, mu *sync.Mutex) time.Duration {
+	outcome := SendOne(client, router, request, true)
 	mu.Lock()
 	defer mu.Unlock()
 	report.Sent++
@@ -206,19 +206,19 @@
 		report.Wrong = append(report.Wrong, request.Call.ID+": "+outcome.Wrong)
 	}
 	if outcome.Kind == "" {
-		report.Receipts++
+		report.Answers++
 	} else {
 		report.Kinds[outcome.Kind]++
 	}
-	if outcome.Back > 0 {
-		report.Backs++
+	if outcome.RetryAfter > 0 {
+		report.RetryHints++
 	}
-	return outcome.Back
+	return outcome.RetryAfter
 }
 
 // SendOne sends one request and checks the complete response. With words set, it also checks that the text of every event is
 // the one that a stand-in server sends for this request.
-func One(client *http.Client, router string, request Ask, words bool) (outcome Outcome) {
+func SendOne(client *http.Client, router string, request Request, words bool) (outcome Outcome) {
 	begin := time.Now()
 	defer func() { outcome.Duration = time.Since(begin) }()
 	httpRequest, err := http.NewRequest(http.MethodPost, "http://"+router+request.Route, bytes.NewReader(request.Body()))
@@ -239,7 +239,7 @@
 		if json.NewDecoder(response.Body).Decode(&problem) != nil || problem.Kind == "" {
 			return Outcome{Kind: "no kind", Wrong: fmt.Sprintf("status %d without a kind", response.StatusCode)}
 		}
-		return Outcome{Kind: problem.Kind, Back: time.Duration(problem.BackMs) * time.Millisecond}
+		return Outcome{Kind: problem.Kind, RetryAfter: time.Duration(problem.BackMs) * time.Millisecond}
 	}
 	in := bufio.NewReader(response.Body)
 	server, run, failed := ident.Server(""), "", false
@@ -283,16 +283,16 @@
 }
 
 // CheckEvent returns a description of the fault in the n-th event of a response, or an empty string.
-func CheckEvent(request Ask, event Event, n int, server ident.Server, run string) string {
+func CheckEvent(request Request, event Event, n int, server ident.Server, run string) string {
 	call := request.Call
 	switch {
 	case event.N != n:
 		return fmt.Sprintf("event %d came as number %d", event.N, n)
 	case event.Server != server || event.Go != run:
 		return "events of two goes in one answer"
-	case event.Done && n != call.Max:
-		return fmt.Sprintf("ended after %d of %d", n, call.Max)
-	case !event.Done && event.Text != TokenText(call.ID, call.Base, call.Extra, n):
+	case event.Done && n != call.MaxTokens:
+		return fmt.Sprintf("ended after %d of %d", n, call.MaxTokens)
+	case !event.Done && event.Text != TokenText(call.ID, call.Model, call.Adapter, n):
 		return "an event that belongs to someone else"
 	}
 	return ""
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -32,8 +32,8 @@
 
 // Check validates the settings.
 func (s *ServerSettings) Check() (f fleetplan.Faults) {
-	f = append(f, host.Addr("listen", s.Listen)...)
-	f = append(f, host.Addr("store", s.Store)...)
+	f = append(f, host.CheckAddr("listen", s.Listen)...)
+	f = append(f, host.CheckAddr("store", s.Store)...)
 	for _, n := range []struct {
 		path string
 		val  int
@@ -113,19 +113,19 @@
 type replaceableCore struct{ server *Server }
 
 // Step passes the input to the current core.
-func (c *replaceableCore) Step(now clock.Tick, in any) []any { return c.server.Step(now, in) }
+func (c *replaceableCore) Step(now clock.Instant, in any) []any { return c.server.Step(now, in) }
 
 // ServerMain runs a stand-in model server until the process receives a stop signal.
 func ServerMain(settings ServerSettings) error {
-	ring := host.NewRing(settings.ID, os.Stderr)
+	ring := host.NewLog(settings.ID, os.Stderr)
 	newCore := func() *Server {
-		return NewServer(ServerOptions{ID: ident.Server(settings.ID), Inc: host.NewInc(), Room: settings.Room, Slots: settings.Slots, Store: settings.Store,
+		return NewServer(ServerOptions{ID: ident.Server(settings.ID), Inc: host.NewIncarnation(), Room: settings.Room, Slots: settings.Slots, Store: settings.Store,
 			Step: clock.Span(settings.StepMs) * 1e6, Fill: settings.Fill, Whole: clock.Span(settings.Whole) * 1e6})
 	}
 	core := &replaceableCore{newCore()}
 	requests := &requestTable{pending: map[uint64]chan any{}, responsive: make(chan struct{})}
 	close(requests.responsive)
-	requests.process = host.New(host.Options{Core: core, Beat: 5 * time.Millisecond, Ring: ring, Else: requests.dispatch})
+	requests.process = host.New(host.Options{Core: core, TickInterval: 5 * time.Millisecond, Log: ring, HandleOutput: requests.dispatch})
 	if err := requests.process.Run(); err != nil {
 		return err
 	}
@@ -141,26 +141,26 @@
 			t, ch := requests.register(1)
 			defer requests.unregister(t)
 			requests.process.Step(OrderIn{t, o})
-			host.JSON(w, 200, (<-ch).(OrderOut).Report)
+			host.WriteJSON(w, 200, (<-ch).(OrderOut).Report)
 		}, http.MethodPost)
 		mux.HandleFunc("/generate", requests.generate, http.MethodPost)
 	})
 	mux.HandleFunc("/count", func(w http.ResponseWriter, r *http.Request) {
 		var t ServerTally
 		var active, used int
-		requests.process.With(func(clock.Tick) { t, active, used = core.server.Counts(), core.server.Active(), core.server.Used() })
-		host.JSON(w, 200, map[string]any{"tally": t, "active": active, "used": used, "room": settings.Room})
+		requests.process.Locked(func(clock.Instant) { t, active, used = core.server.Counts(), core.server.Active(), core.server.Used() })
+		host.WriteJSON(w, 200, map[string]any{"tally": t, "active": active, "used": used, "room": settings.Room})
 	}, http.MethodGet)
 	mux.HandleFunc("/fault/:kind", func(w http.ResponseWriter, r *http.Request) {
 		inject := injectors[r.PathValue("kind")]
 		if inject == nil {
-			host.Error(w, failure.Unknown, 0, nil)
+			host.WriteError(w, failure.Unknown, 0, nil)
 			return
 		}
 		inject(requests, core, newCore)
-		host.JSON(w, 200, map[string]bool{"done": true})
+		host.WriteJSON(w, 200, map[string]bool{"done": true})
 	}, http.MethodPost)
-	return host.Web(settings.Listen, mux, ring, nil, 10*time.Minute)
+	return host.ServeUntilSignal(settings.Listen, mux, ring, nil, 10*time.Minute)
 }
 
 // injectors maps the kinds of injected faults to their effects.
@@ -181,8 +181,8 @@
 		}
 	},
 	"empty": func(h *requestTable, c *replaceableCore, newCore func() *Server) {
-		h.process.With(func(clock.Tick) { c.server = newCore() })
-		h.process.Forget()
+		h.process.Locked(func(clock.Instant) { c.server = newCore() })
+		h.process.AbortRequests()
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		for t, ch := range h.pending {
@@ -191,21 +191,21 @@
 		}
 	},
 	"slow": func(h *requestTable, c *replaceableCore, _ func() *Server) {
-		h.process.With(func(clock.Tick) { c.server.Slow(9) })
+		h.process.Locked(func(clock.Instant) { c.server.SetSlowdown(9) })
 	},
 	"fast": func(h *requestTable, c *replaceableCore, _ func() *Server) {
-		h.process.With(func(clock.Tick) { c.server.Slow(0) })
+		h.process.Locked(func(clock.Instant) { c.server.SetSlowdown(0) })
 	},
 }
 
 // decodeBody decodes the JSON body of a request. It sends an error response and returns false if the body is malformed.
 func decodeBody(w http.ResponseWriter, r *http.Request, v any) bool {
-	b, ok := host.Body(w, r, 8<<20)
+	b, ok := host.ReadBody(w, r, 8<<20)
 	if !ok {
 		return false
 	}
 	if err := json.Unmarshal(b, v); err != nil {
-		host.Error(w, failure.Malformed, 0, fleetplan.Faults{{Path: "$", Why: err.Error()}})
+		host.WriteError(w, failure.Malformed, 0, fleetplan.Faults{{Path: "$", Why: err.Error()}})
 		return false
 	}
 	return true
@@ -213,8 +213,8 @@
 
 // generate streams the events of a request.
 func (h *requestTable) generate(w http.ResponseWriter, r *http.Request) {
-	var work protocol.Work
-	accepted := host.Born(r)
+	var work protocol.ServerRequest
+	accepted := host.ConnAcceptedAt(r)
 	if !decodeBody(w, r, &work) {
 		return
 	}
@@ -234,7 +234,7 @@
 			}
 			switch v := o.(type) {
 			case WorkDrop:
-				host.Error(w, v.Kind, 0, nil)
+				host.WriteError(w, v.Kind, 0, nil)
 				return
 			case Event:
 				if !started {
@@ -265,14 +265,14 @@
 }
 
 // Check validates the settings.
-func (s *StoreSettings) Check() fleetplan.Faults { return host.Addr("listen", s.Listen) }
+func (s *StoreSettings) Check() fleetplan.Faults { return host.CheckAddr("listen", s.Listen) }
 
 // StoreMain runs a weight store until the process receives a stop signal.
 func StoreMain(settings StoreSettings) error {
-	ring := host.NewRing("store", os.Stderr)
+	ring := host.NewLog("store", os.Stderr)
 	core := NewStore(float64(settings.Rate), settings.Bear)
 	requests := &requestTable{pending: map[uint64]chan any{}}
-	requests.process = host.New(host.Options{Core: core, Beat: 10 * time.Millisecond, Ring: ring, Else: requests.dispatch})
+	requests.process = host.New(host.Options{Core: core, TickInterval: 10 * time.Millisecond, Log: ring, HandleOutput: requests.dispatch})
 	if err := requests.process.Run(); err != nil {
 		return err
 	}
@@ -288,17 +288,17 @@
 		requests.process.Step(PullIn{t, p})
 		select {
 		case <-ch:
-			host.JSON(w, 200, map[string]bool{"done": true})
+			host.WriteJSON(w, 200, map[string]bool{"done": true})
 		case <-r.Context().Done():
 			requests.process.Step(PullQuit{t})
 		}
 	}, http.MethodPost)
 	mux.HandleFunc("/count", func(w http.ResponseWriter, r *http.Request) {
 		var t StoreTally
-		requests.process.With(func(clock.Tick) { t = core.Counts() })
-		host.JSON(w, 200, t)
+		requests.process.Locked(func(clock.Instant) { t = core.Counts() })
+		host.WriteJSON(w, 200, t)
 	}, http.MethodGet)
-	return host.Web(settings.Listen, mux, ring, nil, 10*time.Second)
+	return host.ServeUntilSignal(settings.Listen, mux, ring, nil, 10*time.Second)
 }
 
 // PlatformSettings are the settings of a stand-in platform.
@@ -309,7 +309,7 @@
 
 // Check validates the settings.
 func (s *PlatformSettings) Check() (f fleetplan.Faults) {
-	f = host.Addr("listen", s.Listen)
+	f = host.CheckAddr("listen", s.Listen)
 	for i, x := range s.Servers {
 		if _, ok := parseListed(x); !ok {
 			f = append(f, fleetplan.Fault{Path: fmt.Sprintf("servers[%d]", i), Why: "must have the form id=ip:port=zone"})
@@ -319,7 +319,7 @@
 }
 
 // parseListed parses a server of the form id=ip:port=zone.
-func parseListed(s string) (protocol.Listed, bool) {
+func parseListed(s string) (protocol.ListedServer, bool) {
 	var fields [3]string
 	index := 0
 	for _, r := range s {
@@ -329,13 +329,13 @@
 		}
 		fields[index] += string(r)
 	}
-	server := protocol.Listed{ID: ident.Server(fields[0]), Addr: fields[1], Zone: ident.Zone(fields[2]), State: "live"}
-	return server, fields[0] != "" && fields[2] != "" && host.Addr("", fields[1]) == nil
+	server := protocol.ListedServer{ID: ident.Server(fields[0]), Addr: fields[1], Zone: ident.Zone(fields[2]), State: "live"}
+	return server, fields[0] != "" && fields[2] != "" && host.CheckAddr("", fields[1]) == nil
 }
 
 // PlatformMain runs a platform until the process receives a stop signal.
 func PlatformMain(settings PlatformSettings) error {
-	ring := host.NewRing("platform", os.Stderr)
+	ring := host.NewLog("platform", os.Stderr)
 	platform := NewPlatform()
 	for _, entry := range settings.Servers {
 		server, _ := parseListed(entry)
@@ -347,17 +347,17 @@
 		mu.Lock()
 		servers := platform.List()
 		mu.Unlock()
-		host.JSON(w, 200, servers)
+		host.WriteJSON(w, 200, servers)
 	}, http.MethodGet)
 	mux.HandleFunc("/servers", func(w http.ResponseWriter, r *http.Request) {
-		var server protocol.Listed
+		var server protocol.ListedServer
 		if !decodeBody(w, r, &server) {
 			return
 		}
 		mu.Lock()
 		platform.Set(server)
 		mu.Unlock()
-		host.JSON(w, 200, server)
+		host.WriteJSON(w, 200, server)
 	}, http.MethodPost)
 	mux.HandleFunc("/servers/:id/:state", func(w http.ResponseWriter, r *http.Request) {
 		state := r.PathValue("state")
@@ -365,10 +365,10 @@
 		ok := map[string]bool{"live": true, "leaving": true, "gone": true}[state] && platform.Mark(ident.Server(r.PathValue("id")), state)
 		mu.Unlock()
 		if !ok {
-			host.Error(w, failure.Unknown, 0, nil)
+			host.WriteError(w, failure.Unknown, 0, nil)
 			return
 		}
-		host.JSON(w, 200, map[string]string{"state": state})
+		host.WriteJSON(w, 200, map[string]string{"state": state})
 	}, http.MethodPost)
-	return host.Web(settings.Listen, mux, ring, nil, 5*time.Second)
+	return host.ServeUntilSignal(settings.Listen, mux, ring, nil, 5*time.Second)
 }
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -16,7 +16,7 @@
 // ServerOptions configure a stand-in model server.
 type ServerOptions struct {
 	ID    ident.Server
-	Inc   ident.Inc
+	Inc   ident.Incarnation
 	Room  int
 	Slots int
 	Store string
@@ -36,14 +36,14 @@
 // OrderOut answers an OrderIn.
 type OrderOut struct {
 	Token  uint64
-	Report protocol.Report
+	Report protocol.ServerReport
 }
 
 // WorkIn is a received request.
 type WorkIn struct {
 	Token uint64
-	Work  protocol.Work
-	Since clock.Tick // when its connection was accepted
+	Work  protocol.ServerRequest
+	Since clock.Instant // when its connection was accepted
 }
 
 // WorkQuit reports that the sender of a request has disconnected.
@@ -68,8 +68,8 @@
 
 // heldModel is a model or adapter that the server is loading or has ready.
 type heldModel struct {
-	protocol.Held
-	since clock.Tick
+	protocol.HeldKey
+	since clock.Instant
 }
 
 // job is a request that waits or runs.
@@ -84,18 +84,18 @@
 // Server is a stand-in model server. It does no I/O: Step takes inputs and returns outputs.
 type Server struct {
 	options       ServerOptions
-	now           clock.Tick
+	now           clock.Instant
 	out           []any
-	term          ident.Duty
+	term          ident.Term
 	orders        uint64
 	held          map[ident.Key]*heldModel
 	jobs          []*job
-	cache         map[string]clock.Tick
+	cache         map[string]clock.Instant
 	executed      map[string]bool
 	executedOrder []string
 	pulls         map[uint64]ident.Key
 	token         uint64
-	nextStep      clock.Tick
+	nextStep      clock.Instant
 	slowdown      int
 	tally         ServerTally
 }
@@ -118,13 +118,13 @@
 	generic.SetDefault(&o.Slots, 16)
 	generic.SetDefault(&o.Pull, 120e9)
 	generic.SetDefault(&o.Whole, 500e6)
-	return &Server{options: o, held: map[ident.Key]*heldModel{}, cache: map[string]clock.Tick{}, executed: map[string]bool{}, pulls: map[uint64]ident.Key{},
+	return &Server{options: o, held: map[ident.Key]*heldModel{}, cache: map[string]clock.Instant{}, executed: map[string]bool{}, pulls: map[uint64]ident.Key{},
 		token: uint64(o.Inc), // distinguishes answers to an earlier incarnation's requests from those to this one's
 		tally: ServerTally{DropKinds: map[failure.Kind]uint64{}}}
 }
 
 // Step processes one input and returns the outputs to carry out.
-func (s *Server) Step(now clock.Tick, in any) []any {
+func (s *Server) Step(now clock.Instant, in any) []any {
 	s.now, s.out = now, nil
 	switch v := in.(type) {
 	case OrderIn:
@@ -139,9 +139,9 @@
 				break
 			}
 		}
-	case protocol.Told:
+	case protocol.HTTPResult:
 		s.finishPull(v)
-	case protocol.Beat:
+	case protocol.TimerTick:
 		if now >= s.nextStep {
 			s.nextStep = now.Add(s.options.Step * clock.Span(1+s.slowdown))
 			s.decodeStep()
@@ -151,7 +151,7 @@
 }
 
 // SetSlowdown makes every decode step take 1+n times as long.
-func (s *Server) Slow(n int) { s.slowdown = n }
+func (s *Server) SetSlowdown(n int) { s.slowdown = n }
 
 func (s *Server) used() int {
 	n := 0
@@ -161,11 +161,11 @@
 	return n
 }
 
-func (s *Server) report(drop failure.Kind) protocol.Report {
-	r := protocol.Report{Server: s.options.ID, Inc: s.options.Inc, Duty: s.term, Num: s.orders, Room: s.options.Room, Slots: s.options.Slots, Drop: drop, Held: []protocol.Held{}}
+func (s *Server) report(drop failure.Kind) protocol.ServerReport {
+	r := protocol.ServerReport{Server: s.options.ID, Incarnation: s.options.Inc, Term: s.term, Num: s.orders, Room: s.options.Room, Slots: s.options.Slots, RefusedAs: drop, Held: []protocol.HeldKey{}}
 	for _, k := range generic.SortedKeys(s.held) {
 		h := s.held[k]
-		x := h.Held
+		x := h.HeldKey
 		x.AgeMs = s.now.Sub(h.since).Milliseconds()
 		for _, j := range s.jobs {
 			if j.key == k || j.key.Base() == k {
@@ -178,13 +178,13 @@
 }
 
 // acceptOrder carries out an order only if it is newer than the last one, by term and number.
-func (s *Server) acceptOrder(o protocol.Order) protocol.Report {
-	if o.Duty < s.term || o.Duty == s.term && o.Num <= s.orders {
+func (s *Server) acceptOrder(o protocol.Order) protocol.ServerReport {
+	if o.Term < s.term || o.Term == s.term && o.Num <= s.orders {
 		s.tally.Stale++
-		return s.report(failure.Stale)
+		return s.report(failure.StaleOrder)
 	}
-	s.term, s.orders = o.Duty, o.Num
-	if o.Op != "" && o.Inc != s.options.Inc {
+	s.term, s.orders = o.Term, o.Num
+	if o.Op != "" && o.Incarnation != s.options.Inc {
 		return s.report(failure.Mismatch)
 	}
 	switch o.Op {
@@ -198,10 +198,10 @@
 			return s.report(failure.NoRoom)
 		}
 		s.tally.Loads++
-		s.held[o.Key] = &heldModel{Held: protocol.Held{Key: o.Key, Size: o.Size, Stage: "loading"}, since: s.now}
+		s.held[o.Key] = &heldModel{HeldKey: protocol.HeldKey{Key: o.Key, Size: o.Size, Stage: "loading"}, since: s.now}
 		s.token++
 		s.pulls[s.token] = o.Key
-		s.out = append(s.out, protocol.Ask{Token: s.token, Addr: s.options.Store, Path: "/pull", Body: Pull{Server: s.options.ID, Key: o.Key, Size: o.Size}, Wait: s.options.Pull})
+		s.out = append(s.out, protocol.HTTPRequest{Token: s.token, Addr: s.options.Store, Path: "/pull", Body: Pull{Server: s.options.ID, Key: o.Key, Size: o.Size}, Timeout: s.options.Pull})
 	case "unload":
 		for _, j := range s.jobs {
 			if j.key == o.Key || j.key.Base() == o.Key {
@@ -218,7 +218,7 @@
 	return s.report(failure.None)
 }
 
-func (s *Server) finishPull(t protocol.Told) {
+func (s *Server) finishPull(t protocol.HTTPResult) {
 	k, ok := s.pulls[t.Token]
 	delete(s.pulls, t.Token)
 	h := s.held[k]
@@ -244,9 +244,9 @@
 		s.refuse(v.Token, failure.Late)
 		return
 	}
-	k := ident.KeyOf(v.Work.Base, v.Work.Extra)
+	k := ident.NewKey(v.Work.Model, v.Work.Adapter)
 	model, base := s.held[k], s.held[k.Base()]
-	if v.Work.Inc != s.options.Inc || model == nil || base == nil || model.Stage != "ready" || base.Stage != "ready" {
+	if v.Work.Incarnation != s.options.Inc || model == nil || base == nil || model.Stage != "ready" || base.Stage != "ready" {
 		s.refuse(v.Token, failure.Mismatch)
 		return
 	}
@@ -254,11 +254,11 @@
 		s.refuse(v.Token, failure.Busy)
 		return
 	}
-	if s.executed[v.Work.ID] && v.Work.Once {
+	if s.executed[v.Work.ID] && v.Work.NotRepeatable {
 		s.refuse(v.Token, failure.Repeated)
 		return
 	}
-	if v.Work.Once {
+	if v.Work.NotRepeatable {
 		s.executed[v.Work.ID] = true
 		if s.executedOrder = append(s.executedOrder, v.Work.ID); len(s.executedOrder) > 100_000 {
 			delete(s.executed, s.executedOrder[0])
@@ -330,11 +330,11 @@
 			}
 		}
 		work := j.Work
-		event := Event{Token: j.Token, N: j.sent, Go: work.Go, Server: s.options.ID, Text: TokenText(work.ID, work.Base, work.Extra, j.sent)}
+		event := Event{Token: j.Token, N: j.sent, Go: work.AttemptID, Server: s.options.ID, Text: TokenText(work.ID, work.Model, work.Adapter, j.sent)}
 		if j.sent == 0 {
 			event.Reused = j.cached
 		}
-		if j.sent >= work.Max {
+		if j.sent >= work.MaxTokens {
 			event.Text, event.Done = "", true
 			s.tally.Done++
 		} else {
@@ -350,7 +350,7 @@
 func (s *Server) Counts() ServerTally { return s.tally }
 
 // ReadyFor returns for how long the server has held a key ready, by its own clock.
-func (s *Server) Since(k ident.Key) (clock.Span, bool) {
+func (s *Server) ReadyFor(k ident.Key) (clock.Span, bool) {
 	h := s.held[k]
 	if h == nil || h.Stage != "ready" {
 		return 0, false
@@ -359,10 +359,10 @@
 }
 
 // Held returns the models and adapters that the server holds, for checkers.
-func (s *Server) Holds() map[ident.Key]protocol.Held {
-	m := map[ident.Key]protocol.Held{}
+func (s *Server) Held() map[ident.Key]protocol.HeldKey {
+	m := map[ident.Key]protocol.HeldKey{}
 	for k, h := range s.held {
-		m[k] = h.Held
+		m[k] = h.HeldKey
 	}
 	return m
 }
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -10,7 +10,7 @@
 	"tidedeck/internal/protocol"
 )
 
-func sendOrder(s *Server, at clock.Tick, o protocol.Order) protocol.Report {
+func sendOrder(s *Server, at clock.Instant, o protocol.Order) protocol.ServerReport {
 	for _, x := range s.Step(at, OrderIn{Order: o}) {
 		if r, ok := x.(OrderOut); ok {
 			return r.Report
@@ -28,19 +28,19 @@
 		drop failure.Kind
 		held int
 	}{
-		{"a request for the report", protocol.Order{Duty: 2, Num: 1}, "", 0},
-		{"a load", protocol.Order{Duty: 2, Num: 2, Inc: 4, Op: "load", Key: "m", Size: 6}, "", 1},
-		{"its repeat", protocol.Order{Duty: 2, Num: 2, Inc: 4, Op: "load", Key: "n", Size: 1}, failure.Stale, 1},
-		{"an older number", protocol.Order{Duty: 2, Num: 1, Inc: 4, Op: "unload", Key: "m"}, failure.Stale, 1},
-		{"an older term", protocol.Order{Duty: 1, Num: 9, Inc: 4, Op: "unload", Key: "m"}, failure.Stale, 1},
-		{"another incarnation", protocol.Order{Duty: 2, Num: 3, Inc: 3, Op: "unload", Key: "m"}, failure.Mismatch, 1},
-		{"more than the room", protocol.Order{Duty: 2, Num: 4, Inc: 4, Op: "load", Key: "n", Size: 5}, failure.NoRoom, 1},
-		{"an unknown operation", protocol.Order{Duty: 2, Num: 5, Inc: 4, Op: "polish", Key: "m"}, failure.Malformed, 1},
-		{"a newer term", protocol.Order{Duty: 3, Num: 1, Inc: 4, Op: "unload", Key: "m"}, "", 0},
-		{"the previous term", protocol.Order{Duty: 2, Num: 99, Inc: 4, Op: "load", Key: "m", Size: 6}, failure.Stale, 0},
+		{"a request for the report", protocol.Order{Term: 2, Num: 1}, "", 0},
+		{"a load", protocol.Order{Term: 2, Num: 2, Incarnation: 4, Op: "load", Key: "m", Size: 6}, "", 1},
+		{"its repeat", protocol.Order{Term: 2, Num: 2, Incarnation: 4, Op: "load", Key: "n", Size: 1}, failure.StaleOrder, 1},
+		{"an older number", protocol.Order{Term: 2, Num: 1, Incarnation: 4, Op: "unload", Key: "m"}, failure.StaleOrder, 1},
+		{"an older term", protocol.Order{Term: 1, Num: 9, Incarnation: 4, Op: "unload", Key: "m"}, failure.StaleOrder, 1},
+		{"another incarnation", protocol.Order{Term: 2, Num: 3, Incarnation: 3, Op: "unload", Key: "m"}, failure.Mismatch, 1},
+		{"more than the room", protocol.Order{Term: 2, Num: 4, Incarnation: 4, Op: "load", Key: "n", Size: 5}, failure.NoRoom, 1},
+		{"an unknown operation", protocol.Order{Term: 2, Num: 5, Incarnation: 4, Op: "polish", Key: "m"}, failure.Malformed, 1},
+		{"a newer term", protocol.Order{Term: 3, Num: 1, Incarnation: 4, Op: "unload", Key: "m"}, "", 0},
+		{"the previous term", protocol.Order{Term: 2, Num: 99, Incarnation: 4, Op: "load", Key: "m", Size: 6}, failure.StaleOrder, 0},
 	} {
 		r := sendOrder(s, 1e9, c.o)
-		require.Equal(t, c.drop, r.Drop, c.name)
+		require.Equal(t, c.drop, r.RefusedAs, c.name)
 		require.Len(t, r.Held, c.held, c.name)
 	}
 }
@@ -49,23 +49,23 @@
 // repeated only once. A refused request has not been executed.
 func TestWorks(t *testing.T) {
 	s := NewServer(ServerOptions{ID: "s", Inc: 4, Room: 10, Slots: 1})
-	sendOrder(s, 0, protocol.Order{Duty: 1, Num: 1, Inc: 4, Op: "load", Key: "m", Size: 6})
-	s.Step(0, protocol.Told{Token: 5, OK: true, Code: 200})
-	sendOrder(s, 0, protocol.Order{Duty: 1, Num: 2, Inc: 4, Op: "load", Key: "n", Size: 1})
+	sendOrder(s, 0, protocol.Order{Term: 1, Num: 1, Incarnation: 4, Op: "load", Key: "m", Size: 6})
+	s.Step(0, protocol.HTTPResult{Token: 5, OK: true, Code: 200})
+	sendOrder(s, 0, protocol.Order{Term: 1, Num: 2, Incarnation: 4, Op: "load", Key: "n", Size: 1})
 	for i, c := range []struct {
 		name string
-		w    protocol.Work
+		w    protocol.ServerRequest
 		drop failure.Kind
 	}{
-		{"held", protocol.Work{ID: "1", Base: "m", Inc: 4, Max: 3, Once: true}, ""},
-		{"a repeat", protocol.Work{ID: "1", Base: "m", Inc: 4, Max: 3, Once: true}, failure.Repeated},
-		{"another incarnation", protocol.Work{ID: "2", Base: "m", Inc: 3, Max: 3}, failure.Mismatch},
-		{"still loading", protocol.Work{ID: "3", Base: "n", Inc: 4, Max: 3}, failure.Mismatch},
-		{"not held", protocol.Work{ID: "4", Base: "x", Inc: 4, Max: 3}, failure.Mismatch},
-		{"an adapter that is not held", protocol.Work{ID: "5", Base: "m", Extra: "a", Inc: 4, Max: 3}, failure.Mismatch},
-		{"queued", protocol.Work{ID: "6", Base: "m", Inc: 4, Max: 3}, ""},
-		{"queued as well", protocol.Work{ID: "7", Base: "m", Inc: 4, Max: 3}, ""},
-		{"queue full", protocol.Work{ID: "8", Base: "m", Inc: 4, Max: 3}, failure.Busy},
+		{"held", protocol.ServerRequest{ID: "1", Model: "m", Incarnation: 4, MaxTokens: 3, NotRepeatable: true}, ""},
+		{"a repeat", protocol.ServerRequest{ID: "1", Model: "m", Incarnation: 4, MaxTokens: 3, NotRepeatable: true}, failure.Repeated},
+		{"another incarnation", protocol.ServerRequest{ID: "2", Model: "m", Incarnation: 3, MaxTokens: 3}, failure.Mismatch},
+		{"still loading", protocol.ServerRequest{ID: "3", Model: "n", Incarnation: 4, MaxTokens: 3}, failure.Mismatch},
+		{"not held", protocol.ServerRequest{ID: "4", Model: "x", Incarnation: 4, MaxTokens: 3}, failure.Mismatch},
+		{"an adapter that is not held", protocol.ServerRequest{ID: "5", Model: "m", Adapter: "a", Incarnation: 4, MaxTokens: 3}, failure.Mismatch},
+		{"queued", protocol.ServerRequest{ID: "6", Model: "m", Incarnation: 4, MaxTokens: 3}, ""},
+		{"queued as well", protocol.ServerRequest{ID: "7", Model: "m", Incarnation: 4, MaxTokens: 3}, ""},
+		{"queue full", protocol.ServerRequest{ID: "8", Model: "m", Incarnation: 4, MaxTokens: 3}, failure.Busy},
 	} {
 		var drop failure.Kind
 		for _, x := range s.Step(0, WorkIn{Token: uint64(i + 1), Work: c.w}) {
@@ -76,10 +76,10 @@
 		require.Equal(t, c.drop, drop, c.name)
 	}
 	require.EqualValues(t, 3, s.Counts().Works)
-	require.Equal(t, failure.Busy, sendOrder(s, 0, protocol.Order{Duty: 1, Num: 3, Inc: 4, Op: "unload", Key: "m"}).Drop)
+	require.Equal(t, failure.Busy, sendOrder(s, 0, protocol.Order{Term: 1, Num: 3, Incarnation: 4, Op: "unload", Key: "m"}).RefusedAs)
 	n := map[uint64]int{}
-	for at := clock.Tick(0); at < 1e9; at += 20e6 {
-		for _, x := range s.Step(at, protocol.Beat{}) {
+	for at := clock.Instant(0); at < 1e9; at += 20e6 {
+		for _, x := range s.Step(at, protocol.TimerTick{}) {
 			if e, ok := x.(Event); ok {
 				require.Equal(t, n[e.Token], e.N)
 				n[e.Token]++
@@ -87,7 +87,7 @@
 		}
 	}
 	require.Equal(t, map[uint64]int{1: 4, 7: 4, 8: 4}, n)
-	require.Empty(t, sendOrder(s, 0, protocol.Order{Duty: 1, Num: 4, Inc: 4, Op: "unload", Key: "m"}).Drop)
+	require.Empty(t, sendOrder(s, 0, protocol.Order{Term: 1, Num: 4, Incarnation: 4, Op: "unload", Key: "m"}).RefusedAs)
 }
 
 // All pulls share the store's bandwidth, and pulls beyond the maximum number are counted.
@@ -95,9 +95,9 @@
 	s := NewStore(10, 1)
 	s.Step(0, PullIn{1, Pull{Size: 10}})
 	s.Step(0, PullIn{2, Pull{Size: 10}})
-	done := map[uint64]clock.Tick{}
-	for at := clock.Tick(0); at < 4e9; at += 10e6 {
-		for _, x := range s.Step(at, protocol.Beat{}) {
+	done := map[uint64]clock.Instant{}
+	for at := clock.Instant(0); at < 4e9; at += 10e6 {
+		for _, x := range s.Step(at, protocol.TimerTick{}) {
 			done[x.(PullOut).Token] = at
 		}
 	}
@@ -109,8 +109,8 @@
 
 // CheckEvent detects every kind of wrong event.
 func TestCheckEvent(t *testing.T) {
-	a := Ask{}
-	a.Call.ID, a.Call.Base, a.Call.Max = "1", "m", 2
+	a := Request{}
+	a.Call.ID, a.Call.Model, a.Call.MaxTokens = "1", "m", 2
 	ok := Event{N: 1, Go: "g", Server: "s", Text: TokenText("1", "m", "", 1)}
 	require.Empty(t, CheckEvent(a, ok, 1, "s", "g"))
 	for name, change := range map[string]func(e *Event){
@@ -132,12 +132,12 @@
 // the sender may have chosen the server on old information.
 func TestLate(t *testing.T) {
 	for _, c := range []struct {
-		since, now clock.Tick
+		since, now clock.Instant
 		ran        bool
 	}{{1e9, 1e9, true}, {1e9, 1.5e9, true}, {1e9, 1.5e9 + 1, false}, {1e9, 9e9, false}, {0, 9e9, true}} {
 		s := NewServer(ServerOptions{ID: "s", Inc: 4, Room: 9, Store: "store"})
-		s.held["m"] = &heldModel{Held: protocol.Held{Key: "m", Size: 1, Stage: "ready"}}
-		out := s.Step(c.now, WorkIn{Token: 1, Since: c.since, Work: protocol.Work{ID: "1", Base: "m", Inc: 4, Max: 3}})
+		s.held["m"] = &heldModel{HeldKey: protocol.HeldKey{Key: "m", Size: 1, Stage: "ready"}}
+		out := s.Step(c.now, WorkIn{Token: 1, Since: c.since, Work: protocol.ServerRequest{ID: "1", Model: "m", Incarnation: 4, MaxTokens: 3}})
 		if c.ran {
 			require.Empty(t, out, "%+v", c)
 			require.EqualValues(t, 1, s.Counts().Works)
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -30,9 +30,9 @@
 // Store is a stand-in weight store. All pulls share its bandwidth.
 type Store struct {
 	Rate     float64            // size per second, shared by all pulls
-	Bear     int                // maximum number of concurrent pulls
+	MaxPulls int                // maximum number of concurrent pulls
 	pulls    map[uint64]float64 // size still to transfer, by token
-	lastStep clock.Tick
+	lastStep clock.Instant
 	tally    StoreTally
 }
 
@@ -44,11 +44,11 @@
 
 // NewStore creates a weight store.
 func NewStore(rate float64, bear int) *Store {
-	return &Store{Rate: rate, Bear: bear, pulls: map[uint64]float64{}}
+	return &Store{Rate: rate, MaxPulls: bear, pulls: map[uint64]float64{}}
 }
 
 // Step processes one input and returns the outputs to carry out.
-func (s *Store) Step(now clock.Tick, in any) (out []any) {
+func (s *Store) Step(now clock.Instant, in any) (out []any) {
 	elapsed := now.Sub(s.lastStep).Seconds()
 	s.lastStep = now
 	if n := len(s.pulls); n > 0 {
@@ -62,7 +62,7 @@
 		s.pulls[v.Token] = float64(v.Pull.Size)
 		s.tally.Pulls++
 		s.tally.Peak = max(s.tally.Peak, len(s.pulls))
-		if len(s.pulls) > s.Bear {
+		if len(s.pulls) > s.MaxPulls {
 			s.tally.Over++
 		}
 	case PullQuit:
@@ -87,12 +87,12 @@
 
 // Platform is the stand-in platform. It maintains the list of servers.
 type Platform struct {
-	list map[ident.Server]protocol.Listed
+	list map[ident.Server]protocol.ListedServer
 }
 
 // NewPlatform creates a platform with an initial list of servers.
-func NewPlatform(servers ...protocol.Listed) *Platform {
-	p := &Platform{list: map[ident.Server]protocol.Listed{}}
+func NewPlatform(servers ...protocol.ListedServer) *Platform {
+	p := &Platform{list: map[ident.Server]protocol.ListedServer{}}
 	for _, server := range servers {
 		p.list[server.ID] = server
 	}
@@ -100,7 +100,7 @@
 }
 
 // Set adds a server to the list or replaces its entry.
-func (p *Platform) Set(server protocol.Listed) { p.list[server.ID] = server }
+func (p *Platform) Set(server protocol.ListedServer) { p.list[server.ID] = server }
 
 // Mark changes a server's state to live, leaving or gone. It reports whether the server is known.
 func (p *Platform) Mark(id ident.Server, state string) bool {
@@ -113,8 +113,8 @@
 }
 
 // List returns the servers, sorted by id.
-func (p *Platform) List() []protocol.Listed {
-	servers := make([]protocol.Listed, 0, len(p.list))
+func (p *Platform) List() []protocol.ListedServer {
+	servers := make([]protocol.ListedServer, 0, len(p.list))
 	for _, server := range p.list {
 		servers = append(servers, server)
 	}
--- a/internal/tidedeckctl/tidedeckctl.go
+++ b/internal/tidedeckctl/tidedeckctl.go
@@ -80,10 +80,10 @@
 // Check validates the addresses on the command line.
 func (l *Line) Check() (f fleetplan.Faults) {
 	for i, a := range l.Admin {
-		f = append(f, host.Addr(fmt.Sprintf("admin[%d]", i), a)...)
+		f = append(f, host.CheckAddr(fmt.Sprintf("admin[%d]", i), a)...)
 	}
 	for i, a := range l.Requests.Router {
-		f = append(f, host.Addr(fmt.Sprintf("router[%d]", i), a)...)
+		f = append(f, host.CheckAddr(fmt.Sprintf("router[%d]", i), a)...)
 	}
 	return f
 }
@@ -154,7 +154,7 @@
 	}
 	if call.method != http.MethodGet && call.change == "" && call.expect != "" {
 		// A generated id makes it safe to send the change to a second node after a lost response.
-		call.change = fmt.Sprintf("tidedeckctl-%d", host.NewInc())
+		call.change = fmt.Sprintf("tidedeckctl-%d", host.NewIncarnation())
 	}
 	return l.send(call, body, cmd, out, errOut)
 }
--- a/internal/voterset/next.go
+++ b/internal/voterset/next.go
@@ -83,7 +83,7 @@
 	names := func(voters, excluded []protocol.Voter) []ident.Node {
 		var ids []ident.Node
 		for _, v := range voters {
-			if !Names(excluded, v.ID, v.Inc) {
+			if !Contains(excluded, v.ID, v.Incarnation) {
 				ids = append(ids, v.ID)
 			}
 		}
--- a/internal/voterset/voterset.go
+++ b/internal/voterset/voterset.go
@@ -12,12 +12,12 @@
 )
 
 // Equal reports whether two lists contain the same voters with the same incarnations.
-func Same(a, b []protocol.Voter) bool {
+func Equal(a, b []protocol.Voter) bool {
 	if len(a) != len(b) {
 		return false
 	}
 	for _, v := range a {
-		if !Names(b, v.ID, v.Inc) {
+		if !Contains(b, v.ID, v.Incarnation) {
 			return false
 		}
 	}
@@ -25,9 +25,9 @@
 }
 
 // Contains reports whether a list contains a node with the given incarnation.
-func Names(voters []protocol.Voter, id ident.Node, inc ident.Inc) bool {
+func Contains(voters []protocol.Voter, id ident.Node, inc ident.Incarnation) bool {
 	for _, v := range voters {
-		if v.ID == id && v.Inc == inc {
+		if v.ID == id && v.Incarnation == inc {
 			return true
 		}
 	}
@@ -35,7 +35,7 @@
 }
 
 // ContainsNode reports whether a list contains a node, with any incarnation.
-func Seats(voters []protocol.Voter, id ident.Node) bool {
+func ContainsNode(voters []protocol.Voter, id ident.Node) bool {
 	for _, v := range voters {
 		if v.ID == id {
 			return true
@@ -45,48 +45,48 @@
 }
 
 // IsVoter reports whether a value names a node with the given incarnation as a voter of either set.
-func In(v protocol.Desired, id ident.Node, inc ident.Inc) bool {
-	return Names(v.Voters, id, inc) || Names(v.Prior, id, inc)
+func IsVoter(v protocol.Desired, id ident.Node, inc ident.Incarnation) bool {
+	return Contains(v.Voters, id, inc) || Contains(v.PriorVoters, id, inc)
 }
 
 // Majority reports whether the nodes in yes are a majority of the voter set, each with the incarnation that the set
 // names, and also of the prior set while that one is being replaced.
-func Majority(v protocol.Desired, yes map[ident.Node]ident.Inc) bool {
+func Majority(v protocol.Desired, yes map[ident.Node]ident.Incarnation) bool {
 	isMajority := func(voters []protocol.Voter) bool {
 		n := 0
 		for _, voter := range voters {
-			if incarnation, ok := yes[voter.ID]; ok && incarnation == voter.Inc {
+			if incarnation, ok := yes[voter.ID]; ok && incarnation == voter.Incarnation {
 				n++
 			}
 		}
 		return n > len(voters)/2
 	}
-	return len(v.Voters) > 0 && isMajority(v.Voters) && (len(v.Prior) == 0 || isMajority(v.Prior))
+	return len(v.Voters) > 0 && isMajority(v.Voters) && (len(v.PriorVoters) == 0 || isMajority(v.PriorVoters))
 }
 
-// Siblings returns each voter of a value once.
-func Addresses(v protocol.Desired) []protocol.Sibling {
+// Peers returns each voter of a value once.
+func Peers(v protocol.Desired) []protocol.Peer {
 	seen := map[ident.Node]bool{}
-	var peers []protocol.Sibling
-	for _, voter := range append(append([]protocol.Voter{}, v.Voters...), v.Prior...) {
+	var peers []protocol.Peer
+	for _, voter := range append(append([]protocol.Voter{}, v.Voters...), v.PriorVoters...) {
 		if !seen[voter.ID] {
 			seen[voter.ID] = true
-			peers = append(peers, voter.Sibling)
+			peers = append(peers, voter.Peer)
 		}
 	}
 	return peers
 }
 
 // Joint returns a value that names the voters of both values.
-func Both(a, b protocol.Desired) protocol.Desired {
-	a.Prior = append(append(append([]protocol.Voter{}, a.Prior...), b.Voters...), b.Prior...)
+func Joint(a, b protocol.Desired) protocol.Desired {
+	a.PriorVoters = append(append(append([]protocol.Voter{}, a.PriorVoters...), b.Voters...), b.PriorVoters...)
 	return a
 }
 
 // CountChanged counts the seats of a voter set that the next set replaces, adds or removes.
-func Changed(old, next []protocol.Voter) (changed int) {
+func CountChanged(old, next []protocol.Voter) (changed int) {
 	for _, v := range next {
-		if !Names(old, v.ID, v.Inc) {
+		if !Contains(old, v.ID, v.Incarnation) {
 			changed++
 		}
 	}
--- a/internal/voterset/voterset_test.go
+++ b/internal/voterset/voterset_test.go
@@ -9,8 +9,8 @@
 	"tidedeck/internal/protocol"
 )
 
-func voter(id, zone string, inc ident.Inc) protocol.Voter {
-	return protocol.Voter{Sibling: protocol.Sibling{ID: ident.Node(id), Addr: "at-" + id}, Zone: ident.Zone(zone), Inc: inc}
+func voter(id, zone string, inc ident.Incarnation) protocol.Voter {
+	return protocol.Voter{Peer: protocol.Peer{ID: ident.Node(id), Addr: "at-" + id}, Zone: ident.Zone(zone), Incarnation: inc}
 }
 
 func voterSet(ids ...string) (l []protocol.Voter) {
@@ -21,8 +21,8 @@
 }
 
 // answers returns positive answers of the given voters, each with incarnation 1.
-func answers(ids ...string) map[ident.Node]ident.Inc {
-	m := map[ident.Node]ident.Inc{}
+func answers(ids ...string) map[ident.Node]ident.Incarnation {
+	m := map[ident.Node]ident.Incarnation{}
 	for _, id := range ids {
 		m[ident.Node(id)] = 1
 	}
@@ -33,7 +33,7 @@
 	for _, x := range []struct {
 		name          string
 		voters, prior []protocol.Voter
-		yes           map[ident.Node]ident.Inc
+		yes           map[ident.Node]ident.Incarnation
 		is            bool
 	}{
 		{"no voters", nil, nil, answers("a"), false},
@@ -41,29 +41,29 @@
 		{"one of three", voterSet("a", "b", "c"), nil, answers("a"), false},
 		{"half of four", voterSet("a", "b", "c", "d"), nil, answers("a", "b"), false},
 		{"non-voters do not count", voterSet("a", "b", "c"), nil, answers("a", "x", "y"), false},
-		{"another incarnation does not count", voterSet("a", "b", "c"), nil, map[ident.Node]ident.Inc{"a": 1, "b": 2}, false},
+		{"another incarnation does not count", voterSet("a", "b", "c"), nil, map[ident.Node]ident.Incarnation{"a": 1, "b": 2}, false},
 		{"majority of both sets", voterSet("a", "b", "d"), voterSet("a", "b", "c"), answers("a", "b"), true},
 		{"majority of the newer set only", voterSet("a", "d", "e"), voterSet("a", "b", "c"), answers("d", "e"), false},
 		{"majority of the older set only", voterSet("a", "d", "e"), voterSet("a", "b", "c"), answers("b", "c"), false},
 	} {
-		require.Equal(t, x.is, Majority(protocol.Desired{Voters: x.voters, Prior: x.prior}, x.yes), x.name)
+		require.Equal(t, x.is, Majority(protocol.Desired{Voters: x.voters, PriorVoters: x.prior}, x.yes), x.name)
 	}
 }
 
 func TestSameAndNames(t *testing.T) {
-	require.True(t, Same(voterSet("a", "b"), voterSet("b", "a")))
-	require.False(t, Same(voterSet("a", "b"), voterSet("a", "c")))
-	require.False(t, Same(voterSet("a"), voterSet("a", "b")))
-	require.False(t, Same(voterSet("a"), []protocol.Voter{voter("a", "z", 2)}))
-	require.True(t, Seats(voterSet("a"), "a"))
-	require.False(t, Names(voterSet("a"), "a", 2))
-	joint := protocol.Desired{Voters: voterSet("a", "d"), Prior: voterSet("a", "b")}
-	require.True(t, In(joint, "b", 1))
-	require.False(t, In(joint, "c", 1))
-	require.Len(t, Addresses(joint), 3)
-	require.Equal(t, 1, Changed(voterSet("a", "b"), voterSet("a", "c")))
-	require.Equal(t, 1, Changed(voterSet("a", "b"), voterSet("a", "b", "c")))
-	require.Equal(t, 2, Changed(voterSet("a", "b", "c"), voterSet("a")))
+	require.True(t, Equal(voterSet("a", "b"), voterSet("b", "a")))
+	require.False(t, Equal(voterSet("a", "b"), voterSet("a", "c")))
+	require.False(t, Equal(voterSet("a"), voterSet("a", "b")))
+	require.False(t, Equal(voterSet("a"), []protocol.Voter{voter("a", "z", 2)}))
+	require.True(t, ContainsNode(voterSet("a"), "a"))
+	require.False(t, Contains(voterSet("a"), "a", 2))
+	joint := protocol.Desired{Voters: voterSet("a", "d"), PriorVoters: voterSet("a", "b")}
+	require.True(t, IsVoter(joint, "b", 1))
+	require.False(t, IsVoter(joint, "c", 1))
+	require.Len(t, Peers(joint), 3)
+	require.Equal(t, 1, CountChanged(voterSet("a", "b"), voterSet("a", "c")))
+	require.Equal(t, 1, CountChanged(voterSet("a", "b"), voterSet("a", "b", "c")))
+	require.Equal(t, 2, CountChanged(voterSet("a", "b", "c"), voterSet("a")))
 }
 
 func TestNextSets(t *testing.T) {
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -17,7 +17,7 @@
 }
 
 // BaseSums counts the requests for a base and its adapters in all sessions.
-type Sums struct {
+type BaseSums struct {
 	Waiting int
 	Running int
 }
@@ -26,14 +26,14 @@
 type Index struct {
 	reports map[protocol.Session]*report
 	keys    map[ident.Key]*keySums
-	bases   map[ident.Key]Sums
+	bases   map[ident.Key]BaseSums
 	active  *list.List // reports of active sessions, least recently heard first
 }
 
 // report is the newest report of a session.
 type report struct {
-	loads     map[ident.Key]protocol.Burden
-	lastHeard clock.Tick
+	loads     map[ident.Key]protocol.KeyLoad
+	lastHeard clock.Instant
 	element   *list.Element // position in Index.active; nil if the session is inactive and its waiting requests are not counted
 }
 
@@ -50,11 +50,11 @@
 
 // NewIndex returns an empty index.
 func NewIndex() *Index {
-	return &Index{reports: map[protocol.Session]*report{}, keys: map[ident.Key]*keySums{}, bases: map[ident.Key]Sums{}, active: list.New()}
+	return &Index{reports: map[protocol.Session]*report{}, keys: map[ident.Key]*keySums{}, bases: map[ident.Key]BaseSums{}, active: list.New()}
 }
 
 // Report replaces a session's report. The caller must not modify the map afterwards.
-func (x *Index) Report(session protocol.Session, loads map[ident.Key]protocol.Burden, now clock.Tick) {
+func (x *Index) Report(session protocol.Session, loads map[ident.Key]protocol.KeyLoad, now clock.Instant) {
 	x.Forget(session)
 	if len(loads) == 0 {
 		return
@@ -64,12 +64,12 @@
 	x.reports[session] = r
 	for key, b := range loads {
 		x.addKey(key, b)
-		x.addBase(key.Base(), b.Wait, b.Work)
+		x.addBase(key.Base(), b.Waiting, b.Running)
 	}
 }
 
 // MarkActive marks a session as active without changing its report.
-func (x *Index) Heard(session protocol.Session, now clock.Tick) {
+func (x *Index) MarkActive(session protocol.Session, now clock.Instant) {
 	r := x.reports[session]
 	if r == nil {
 		return
@@ -87,7 +87,7 @@
 
 // Expire marks sessions last heard before the given time as inactive. Their waiting requests are not counted until
 // they are heard again.
-func (x *Index) Expire(before clock.Tick) {
+func (x *Index) Expire(before clock.Instant) {
 	for oldest := x.active.Front(); oldest != nil && oldest.Value.(*report).lastHeard < before; oldest = x.active.Front() {
 		r := oldest.Value.(*report)
 		x.active.Remove(oldest)
@@ -110,7 +110,7 @@
 	}
 	for key, b := range r.loads {
 		x.removeKey(key, b, r.element == nil)
-		x.addBase(key.Base(), -b.Wait, -b.Work)
+		x.addBase(key.Base(), -b.Waiting, -b.Running)
 	}
 }
 
@@ -124,7 +124,7 @@
 }
 
 // Outstanding returns the number of waiting and running requests for a key.
-func (x *Index) UnderWay(key ident.Key) int {
+func (x *Index) Outstanding(key ident.Key) int {
 	if sums := x.keys[key]; sums != nil {
 		return sums.outstanding
 	}
@@ -132,26 +132,26 @@
 }
 
 // OfBase returns the sums for a base and its adapters.
-func (x *Index) OfBase(base ident.Key) Sums { return x.bases[base] }
+func (x *Index) OfBase(base ident.Key) BaseSums { return x.bases[base] }
 
-func (x *Index) addKey(key ident.Key, b protocol.Burden) {
+func (x *Index) addKey(key ident.Key, b protocol.KeyLoad) {
 	sums := x.keys[key]
 	if sums == nil {
 		sums = &keySums{}
 		x.keys[key] = sums
 	}
 	sums.sessions++
-	sums.outstanding += b.Wait + b.Work
+	sums.outstanding += b.Waiting + b.Running
 	sums.addWaiting(b)
 }
 
-func (x *Index) removeKey(key ident.Key, b protocol.Burden, inactive bool) {
+func (x *Index) removeKey(key ident.Key, b protocol.KeyLoad, inactive bool) {
 	sums := x.keys[key]
 	if sums.sessions--; sums.sessions == 0 {
 		delete(x.keys, key)
 		return
 	}
-	sums.outstanding -= b.Wait + b.Work
+	sums.outstanding -= b.Waiting + b.Running
 	if !inactive {
 		sums.removeWaiting(b)
 	}
@@ -161,7 +161,7 @@
 	sums := x.bases[base]
 	sums.Waiting += waiting
 	sums.Running += running
-	if sums == (Sums{}) {
+	if sums == (BaseSums{}) {
 		delete(x.bases, base)
 		return
 	}
@@ -169,28 +169,28 @@
 }
 
 // addWaiting adds the waiting requests of a report.
-func (s *keySums) addWaiting(b protocol.Burden) {
-	if b.Wait <= 0 {
+func (s *keySums) addWaiting(b protocol.KeyLoad) {
+	if b.Waiting <= 0 {
 		return
 	}
-	s.waiting += b.Wait
+	s.waiting += b.Waiting
 	for i := range s.values {
-		if s.values[i].value == b.Top {
+		if s.values[i].value == b.TopValue {
 			s.values[i].sessions++
 			return
 		}
 	}
-	s.values = append(s.values, valueCount{value: b.Top, sessions: 1})
+	s.values = append(s.values, valueCount{value: b.TopValue, sessions: 1})
 }
 
 // removeWaiting subtracts the waiting requests of a report.
-func (s *keySums) removeWaiting(b protocol.Burden) {
-	if b.Wait <= 0 {
+func (s *keySums) removeWaiting(b protocol.KeyLoad) {
+	if b.Waiting <= 0 {
 		return
 	}
-	s.waiting -= b.Wait
+	s.waiting -= b.Waiting
 	for i := range s.values {
-		if s.values[i].value != b.Top {
+		if s.values[i].value != b.TopValue {
 			continue
 		}
 		if s.values[i].sessions--; s.values[i].sessions == 0 {
