--- a/internal/fleetplan/fleetplan.go
+++ b/internal/fleetplan/fleetplan.go
@@ -231,13 +231,13 @@
 func (p Cursor) Text(required bool, maxBytes int) string {
 	if !p.IsSet() {
 		if required || p.present {
-			p.Fault("wants a text")
+			p.Fault("must be a string")
 		}
 		return ""
 	}
 	text, ok := p.value.(string)
 	if !ok {
-		p.Fault("wants a text")
+		p.Fault("must be a string")
 		return ""
 	}
 	if len(text) > maxBytes || required && text == "" {
