--- a/internal/explorer/guards_test.go
+++ b/internal/explorer/guards_test.go
@@ -28,29 +28,29 @@
 var guardPackages = []string{"internal/controller", "internal/voterset"}
 
 var brokenGuards = []brokenGuard{
-	{"a majority takes a change", "cut-owner", "durably holds", []edit{{"return n > len(voters)/2", "return n >= len(voters)/2"}}},
+	{"a majority accepts a change", "cut-owner", "durably holds", []edit{{"return n > len(voters)/2", "return n >= len(voters)/2"}}},
 	{"expect the epoch", "cut-owner", "which expected epoch", []edit{{"if !a.Any && d.Epoch != a.Expect {", "if false {"}}},
 	{"a read sees the newest ballot", "cut-owner", "a read at|without change", []edit{{"if q.top.Less(b.Accepted) {", "if false {"}}},
-	{"redo no change", "race", "although it was taken", []edit{{"if x.ID == a.Change {\n\t\t\t\treturn d, failure.Repeated", "if x.ID == `no` {\n\t\t\t\treturn d, failure.Repeated"}, {"&& c.hasChosen(a.Change) {", "&& false {"}}},
+	{"apply no change twice", "race", "although it was taken", []edit{{"if x.ID == a.Change {\n\t\t\t\treturn d, failure.Repeated", "if x.ID == `no` {\n\t\t\t\treturn d, failure.Repeated"}, {"&& c.hasChosen(a.Change) {", "&& false {"}}},
 	{"keep a promise", "race-orders", "is chosen with plan|was confirmed for|without", []edit{
 		{"if b.Ballot.Less(c.acceptor.promised) {\n\t\tc.reply(e, protocol.Accepted{", "if false {\n\t\tc.reply(e, protocol.Accepted{"}}},
 	{"an emptied disk does not vote", "replace-orders", "durably holds|would go on", []edit{{"c.acceptor.inc = c.o.Inc", "c.acceptor.inc = 1"}}},
 	{"sync before an answer", "power", "durably holds|would go on", []edit{{"c.continuations[c.token] = then", "then()\n\tc.continuations[c.token] = func() {}"}}},
 	{"admit a wiped voter again", "replace", "is not filled", []edit{{"s.state.Incarnation == v.Incarnation && s.sibling.Addr == v.Addr {", "s.sibling.Addr == v.Addr {"}}},
 	{"leave a joint set", "replace-five", "joint voter set is not left", []edit{{"c.changeVoters(k, nil)", "_ = k"}}},
-	{"go on the newest accepted", "returner", "without", []edit{{"if value != nil && o.highestAccepted.Less(b.Accepted) {", "if value != nil && o.value == nil {"}}},
+	{"continue with the newest accepted value", "returner", "without", []edit{{"if value != nil && o.highestAccepted.Less(b.Accepted) {", "if value != nil && o.value == nil {"}}},
 	{"a restarted voter waits", "duty-restarts", "own the duty at once", []edit{
 		{"recentStart := c.now.Sub(c.acceptor.started) < grantSpan", "recentStart := false"}}},
-	{"no new owner beside a held duty", "duty-takeover", "own the duty at once", []edit{
+	{"no new leader during a granted lease", "duty-takeover", "own the duty at once", []edit{
 		{"|| !held && !recentStart)", "|| !recentStart)"}, {"inc) || !d.vacant {", "inc) {"}}},
-	{"a ballot names its proposer's life", "stalled-proposer", "would go on without|durably holds|is chosen with plan|without change", []edit{
+	{"a ballot names its proposer's incarnation", "stalled-proposer", "would go on without|durably holds|is chosen with plan|without change", []edit{
 		{"By: c.o.Self.ID, Incarnation: c.o.Inc}", "By: c.o.Self.ID}"}}},
-	{"a promise outlives a restart", "promised", "would go on without|durably holds|is chosen with plan|without change", []edit{
+	{"a promise survives a restart", "promised", "would go on without|durably holds|is chosen with plan|without change", []edit{
 		{"keyPromised: marshal(c.acceptor.promised), keyAccepted", "keyPromised: marshal(b.Ballot), keyAccepted"}}},
 	{"a promise is used once", "promised-again", "would go on without|durably holds|is chosen with plan|without change", []edit{
 		{"\tr.reserved = nil\n\tif p == nil || r.highestNumber > p.ballot.N || p.acceptedBallot.Less(r.knownBallot) {", "\tif p == nil {"}}},
-	{"lives have numbers of their own", "late-answers", "without change", []edit{{"return uint64(life) << roundBits", "return 0 * uint64(life)"}}},
-	{"a majority for the duty", "duty-restarts", "own the duty at once|was owned by", []edit{
+	{"incarnations have separate round numbers", "late-answers", "without change", []edit{{"return uint64(life) << roundBits", "return 0 * uint64(life)"}}},
+	{"a majority for the leadership lease", "duty-restarts", "own the duty at once|was owned by", []edit{
 		{"q.claim && voterset.Majority(q.set, q.grantors)", "q.claim"}, {"inc) || !d.vacant {", "inc) {"}}},
 }
 
--- a/internal/simulator/bites_test.go
+++ b/internal/simulator/bites_test.go
@@ -28,11 +28,11 @@
 // must detect this. docs/failures.md names the guarded lines. The test fails if an edit no longer matches the sources.
 var guardCases = []guardCase{
 	{"wait for acknowledgements", "moves-cut", "held a promise", []edit{{"internal/controller/evict.go", "if quiet && c.allAcked(p.unackedBreaks) {", "if quiet || true {"}}},
-	{"wait out the owner before", "medley", "held a promise", []edit{{"internal/controller/evict.go", "quiet := c.now > c.leadership.begunAt.Add(c.withDrift(c.o.RouterLease))", "quiet := true"}}},
-	{"drop on a break", "moves", "held a promise", []edit{{"internal/router/core.go", "c.tally.Breaks++\n\tdelete(c.entries, k)", "c.tally.Breaks++"}}},
+	{"wait out the previous leader's router leases", "medley", "held a promise", []edit{{"internal/controller/evict.go", "quiet := c.now > c.leadership.begunAt.Add(c.withDrift(c.o.RouterLease))", "quiet := true"}}},
+	{"remove a broken entry", "moves", "held a promise", []edit{{"internal/router/core.go", "c.tally.Breaks++\n\tdelete(c.entries, k)", "c.tally.Breaks++"}}},
 	{"drain before an unload", "unplan", "while work was under way", []edit{{"internal/controller/evict.go", "s.reportedAt > p.stageSince && p.running == 0 && !c.hasAdapters(s, p)", "true"}}},
 	{"check at the point of sending", "unplan", "after it was unloaded|which no plan allows", []edit{{"internal/router/attempts.go", "if !c.stillAllowed(r, attempt) {", "if attempt == nil {"}}},
-	{"route under a hold only", "moves-cut", "routes under epoch|after it was unloaded|after it was leaving", []edit{
+	{"route under a router lease only", "moves-cut", "routes under epoch|after it was unloaded|after it was leaving", []edit{
 		{"internal/router/core.go", "return c.now < c.leaseUntil }", "return true }"},
 		{"internal/router/queue.go", "if e == nil || !e.hasCallback {\n\t\t\tc.lookUp", "if e == nil {\n\t\t\tc.lookUp"},
 		{"internal/router/core.go", "return e != nil && (e.hasCallback && c.leased() ||", "return e != nil && (c.leased() ||"}}},
@@ -46,45 +46,45 @@
 		{"internal/controller/core.go", "c.continuations[c.token] = then", "then()\n\tc.continuations[c.token] = func() {}"}}},
 	{"grant under a fresh read", "fence", "routes under epoch", []edit{{"internal/controller/links.go", "old := c.now.Sub(c.knownSince())", "old := clock.Span(0)"}}},
 	{"grant after acknowledgement", "grow", "routes under epoch|held a promise", []edit{{"internal/controller/links.go", "if since, owes := c.unackedSince(l); owes {", "if since, owes := c.unackedSince(l); owes && false {"}}},
-	{"a majority for the duty", "core", "two own the duty|two controllers", []edit{
+	{"a majority for the leadership lease", "core", "two own the duty|two controllers", []edit{
 		{"internal/controller/duty.go", " || !d.vacant {", " {"}, {"internal/controller/reader.go", "q.claim && voterset.Majority(q.set, q.grantors)", "q.claim"}}},
-	{"no new owner beside a held duty", "core", "two own the duty|two controllers", []edit{{"internal/controller/acceptor.go", "|| !held && !recentStart)", "|| !recentStart)"}, {"internal/controller/duty.go", "inc) || !d.vacant {", "inc) {"}}},
+	{"no new leader during a granted lease", "core", "two own the duty|two controllers", []edit{{"internal/controller/acceptor.go", "|| !held && !recentStart)", "|| !recentStart)"}, {"internal/controller/duty.go", "inc) || !d.vacant {", "inc) {"}}},
 	{"expect the epoch", "plans", "that expected epoch", []edit{{"internal/controller/changes.go", "if !a.Any && d.Epoch != a.Expect {", "if false {"}}},
-	{"redo no change", "core", "was reached by", []edit{{"internal/controller/changes.go", "if x.ID == a.Change {\n\t\t\t\treturn d, failure.Repeated", "if x.ID == `no` {\n\t\t\t\treturn d, failure.Repeated"}, {"internal/controller/changes.go", "&& c.hasChosen(a.Change) {", "&& false {"}}},
-	{"see servers go", "servers", "after it was leaving or gone", []edit{
+	{"apply no change twice", "core", "was reached by", []edit{{"internal/controller/changes.go", "if x.ID == a.Change {\n\t\t\t\treturn d, failure.Repeated", "if x.ID == `no` {\n\t\t\t\treturn d, failure.Repeated"}, {"internal/controller/changes.go", "&& c.hasChosen(a.Change) {", "&& false {"}}},
+	{"notice that servers leave", "servers", "after it was leaving or gone", []edit{
 		{"internal/controller/server.go", "return !s.unreachable && s.known && c.inService(s)", "return s.known && c.inService(s)"},
 		{"internal/controller/server.go", `return s.State == "live" && !c.empty`, "return !c.empty"}}},
 	{"leave emptied zones", "zones", "in emptied zone", []edit{
 		{"internal/controller/server.go", `"live" && !c.empty[s.Zone] && !c.closed`, `"live" && !c.closed`},
 		{"internal/router/core.go", "return c.emptyZones[p.Zone] || !c.leased()", "return !c.leased()"}}},
-	{"repeat only what may be", "storm", "may not be repeated", []edit{
+	{"repeat only repeatable requests", "storm", "may not be repeated", []edit{
 		{"internal/router/ledger.go", "Lost:    {{kind: failure.Unclear}, {again: true, pay: true}}", "Lost:    {{again: true}, {again: true}}"},
 		{"internal/router/allowance.go", "if sum < 1 {", "if sum < 0 {"}}},
-	{"keep to the allowance", "flap", "to [0-9]* first attempts", []edit{
+	{"keep within the retry allowance", "flap", "to [0-9]* first attempts", []edit{
 		{"internal/router/allowance.go", "if sum < 1 {", "if sum < 0 {"}, {"internal/router/core.go", "generic.SetDefault(&o.MaxAttempts, 4)", "generic.SetDefault(&o.MaxAttempts, 1000)"}}},
-	{"one server's events", "storm", "came as number|two goes in one answer|after its end", []edit{
+	{"events of one server per answer", "storm", "came as number|two goes in one answer|after its end", []edit{
 		{"internal/router/ledger.go", "Split:   {{kind: failure.Cut}, {kind: failure.Cut}}", "Split:   {{again: true}, {again: true}}"}}},
 	{"route only what is allowed", "plans", "which no plan allows", []edit{
 		{"internal/router/admission.go", "case c.leased():\n\t\t\treturn why", "case why != failure.None && c.leased():"},
 		{"internal/router/admission.go", "return why\n}\n\n// admit", "_ = why\n\treturn failure.None\n}\n\n// admit"}}},
-	{"turn away under a hold only", "grow", "was turned away", []edit{{"internal/router/admission.go", "case c.leased():\n\t\t\treturn why", "case true:\n\t\t\treturn why"}}},
-	{"refuse what was sent late", "lag", "after it was leaving or gone|in emptied zone|which no plan allows", []edit{{"internal/standin/server.go", "s.now.Sub(v.Since) > s.options.Whole", "s.now.Sub(v.Since) > 1e15"}}},
-	{"one server for what runs once", "again", "may not be repeated", []edit{{"internal/router/choice.go", "if !r.repeatable() && !c.o.StatelessServers {\n\t\tif only", "if r == nil {\n\t\tif only"}}},
+	{"reject under a router lease only", "grow", "was turned away", []edit{{"internal/router/admission.go", "case c.leased():\n\t\t\treturn why", "case true:\n\t\t\treturn why"}}},
+	{"refuse requests that were sent late", "lag", "after it was leaving or gone|in emptied zone|which no plan allows", []edit{{"internal/standin/server.go", "s.now.Sub(v.Since) > s.options.Whole", "s.now.Sub(v.Since) > 1e15"}}},
+	{"one server for requests that run once", "again", "may not be repeated", []edit{{"internal/router/choice.go", "if !r.repeatable() && !c.o.StatelessServers {\n\t\tif only", "if r == nil {\n\t\tif only"}}},
 	{"routers give agents back the plan", "ruin-clocks", "the routers' plan did not come back", []edit{{"internal/router/core.go", "if hold.Session.AgentIncarnation != c.session.AgentIncarnation && c.desired != nil {", "if false {"}}},
-	{"agents' lives by the steady clock", "clocks", "proper requests were answered", []edit{{"internal/agent/core.go", "AgentIncarnation: c.o.Life, RouterIncarnation", "AgentIncarnation: c.o.Inc, RouterIncarnation"}}},
-	{"know the last list", "platform", "service came back|proper requests were answered", []edit{{"internal/controller/duty.go", "c.onList(c.list.List) //", "//"}}},
+	{"agents' sessions by the monotonic clock", "clocks", "proper requests were answered", []edit{{"internal/agent/core.go", "AgentIncarnation: c.o.Life, RouterIncarnation", "AgentIncarnation: c.o.Inc, RouterIncarnation"}}},
+	{"restore the last server list", "platform", "service came back|proper requests were answered", []edit{{"internal/controller/duty.go", "c.onList(c.list.List) //", "//"}}},
 	{"doubt a list without most servers", "platform", "proper requests were answered", []edit{{"internal/controller/list.go", "if 2*len(lost) <= there {", "if true {"}}},
-	{"let go of what cannot be served", "blind", "kept the duty", []edit{{"internal/controller/list.go", "c.reachability.since == 0 {\n\t\treturn\n\t}\n\tshould", "c.reachability.since != 1 {\n\t\treturn\n\t}\n\tshould"}}},
+	{"release the lease if servers are unreachable", "blind", "kept the duty", []edit{{"internal/controller/list.go", "c.reachability.since == 0 {\n\t\treturn\n\t}\n\tshould", "c.reachability.since != 1 {\n\t\treturn\n\t}\n\tshould"}}},
 	{"check every event", "mangled", "came as number|two goes in one answer|someone else|ended after", []edit{{"internal/router/serve.go", "return l.Go == v.Work.AttemptID && l.Server == v.Server && l.N == n", "return true"}}},
-	{"believe no report that contradicts itself", "odd", "past its room", []edit{
+	{"reject contradictory reports", "odd", "past its room", []edit{
 		{"internal/controller/fenced.go", "min(max(h.Size, c.sizeOf(h.Key)), maxSize), max(h.Active", "h.Size, max(h.Active"},
 		{"internal/controller/fenced.go", "contradiction(r); odd != s.contradiction", "``; odd != s.contradiction && contradiction(r) != ``"}}},
 	{"spread over zones", "return", "ready in 1 zones", []edit{{"internal/controller/moves.go", "if m.MinReplicas < 2 || has.count < 2", "if m.MinReplicas >= 0 || has.count < 2"}, {"internal/controller/place.go", "score += newZoneScore", "score += 0"}}},
-	{"even out", "return", "unevenly filled", []edit{{"internal/controller/moves.go", "if c.now.Sub(c.imbalancedSince) < c.o.RebalanceInterval {", "if c.imbalancedSince != 1 {"}}},
-	{"sweep what reads do not mend", "sweep", "still has epoch", []edit{{"internal/controller/reader.go", "if c.now.Sub(r.staleSince) > c.answerWait() {", "if false {"}}},
-	{"a seat outlives a restart", "spare", "a seat was given away", []edit{{"internal/controller/voters.go", "if since == 0 || c.now.Sub(since) <= c.o.ReplaceAfter {", "if since == 0 {"}}},
-	{"hear agents before a core forms anew", "ruin", "plan did not come back", []edit{{"internal/controller/forming.go", "if c.now.Sub(r.blankSince) < c.o.FormAfter {", "if c.now.Sub(r.blankSince) >= c.o.FormAfter {"}}},
-	{"come back soon", "power", "service came back", []edit{{"internal/controller/core.go", "generic.SetDefault(&o.LeadershipLease, 1200e6)", "generic.SetDefault(&o.LeadershipLease, 20e9)"}}},
+	{"rebalance", "return", "unevenly filled", []edit{{"internal/controller/moves.go", "if c.now.Sub(c.imbalancedSince) < c.o.RebalanceInterval {", "if c.imbalancedSince != 1 {"}}},
+	{"repair what reads do not repair", "sweep", "still has epoch", []edit{{"internal/controller/reader.go", "if c.now.Sub(r.staleSince) > c.answerWait() {", "if false {"}}},
+	{"a voter seat survives a restart", "spare", "a seat was given away", []edit{{"internal/controller/voters.go", "if since == 0 || c.now.Sub(since) <= c.o.ReplaceAfter {", "if since == 0 {"}}},
+	{"query agents before a core forms again", "ruin", "plan did not come back", []edit{{"internal/controller/forming.go", "if c.now.Sub(r.blankSince) < c.o.FormAfter {", "if c.now.Sub(r.blankSince) >= c.o.FormAfter {"}}},
+	{"recover soon", "power", "service came back", []edit{{"internal/controller/core.go", "generic.SetDefault(&o.LeadershipLease, 1200e6)", "generic.SetDefault(&o.LeadershipLease, 20e9)"}}},
 }
 
 // buildWithEdits builds the simulator with edits applied and returns the path of the binary.
--- a/internal/simulator/hosted_test.go
+++ b/internal/simulator/hosted_test.go
@@ -57,7 +57,7 @@
 
 // hostedGuardCases are the guard cases with servers that announce themselves and do not check fencing numbers.
 var hostedGuardCases = []guardCase{
-	{"announced: order while the duty's hold lasts", "announced-split", "of duty|ordered by", []edit{
+	{"announced: order only under a valid leadership lease", "announced-split", "of duty|ordered by", []edit{
 		{"internal/controller/duty.go", "if c.leadership.held && c.now > c.leadership.expiresAt(c).Add(renewableLeases*c.o.LeadershipLease) {", "if false {"},
 		{"internal/controller/duty.go", "return c.leadership.held && c.now <= c.leadership.expiresAt(c) }", "return c.leadership.held }"},
 		{"internal/controller/links.go", "old := c.now.Sub(c.knownSince())", "old := clock.Span(0)"}}},
@@ -72,14 +72,14 @@
 		{"internal/controller/weigh.go", "return min(atOnce, toBegin)", "return max(100, atOnce, toBegin)"}}},
 	{"announced: offer no leaving server", "announced-leave", "after its leaving was acknowledged|considers it live", []edit{
 		{"internal/controller/server.go", `return s.State == "live" && !c.empty`, "return !c.empty"}}},
-	{"announced: a leaving is known", "announced-minority", "considers it live", []edit{{"internal/controller/enrol.go", "if !departure.ownerKnows || value == nil || !voterset.Majority(*value, departure.knownBy) {", "if value == nil {"}}},
-	{"announced: know late words", "announced-late", "considers it live|after its leaving", []edit{
+	{"announced: a departure is known", "announced-minority", "considers it live", []edit{{"internal/controller/enrol.go", "if !departure.ownerKnows || value == nil || !voterset.Majority(*value, departure.knownBy) {", "if value == nil {"}}},
+	{"announced: detect late announcements", "announced-late", "considers it live|after its leaving", []edit{
 		{"internal/controller/enrol.go", `if b.Count <= e.Count || e.State == "gone" && !e.presumedGone {`, `if e.State == "gone" && !e.presumedGone {`},
 		{"internal/controller/enrol.go", "if stateRank[b.State] < stateRank[e.State] {", "if false {"}}},
 	{"announced: break before an unload", "announced-shift", "held a promise", []edit{{"internal/controller/evict.go", "if quiet && c.allAcked(p.unackedBreaks) {", "if quiet || true {"}}},
-	{"announced: repeat only what may be", "announced-reuse", "may not be repeated", []edit{
+	{"announced: repeat only repeatable requests", "announced-reuse", "may not be repeated", []edit{
 		{"internal/router/ledger.go", "Lost:    {{kind: failure.Unclear}, {again: true, pay: true}}", "Lost:    {{again: true}, {again: true}}"}}},
-	{"announced: drop only what did not run", "announced-reuse", "but had run|and ran", []edit{
+	{"announced: reject only requests that did not run", "announced-reuse", "but had run|and ran", []edit{
 		{"internal/router/ledger.go", "Lost:    {{kind: failure.Unclear}, {again: true, pay: true}}", "Lost:    {{kind: failure.NotReady}, {again: true, pay: true}}"},
 		{"internal/router/queue.go", "if failure.Responses[k].NotExecuted && r.mayHaveRun() {", "if r == nil {"}}},
 	{"announced: send a plan again", "announced-plans", "routes under epoch", []edit{{"internal/controller/links.go", "l.sentNum = l.ackedNum // una", "_ = l.ackedNum // una"}, {"internal/controller/links.go", "if since, owes := c.unackedSince(l); owes {", "if since, owes := c.unackedSince(l); owes && false {"}}},
