--- a/internal/simulator/control_test.go
+++ b/internal/simulator/control_test.go
@@ -15,7 +15,7 @@
 			"\tif v := c.register.known; v != nil {\n\t\tc.receipt(Receipt{Token: a.Token, Epoch: v.Epoch, Plan: v.Plan})\n\t\treturn\n\t}\n"}}},
 	{"control: answer a repeat as before", "control-race", "operators' history is not linearizable: change", []edit{
 		{"internal/controller/changes.go", "if x.ID == a.Change {\n\t\t\t\treturn d, failure.Repeated", "if x.ID == `no` {\n\t\t\t\treturn d, failure.Repeated"}, {"internal/controller/changes.go", "&& c.hasChosen(a.Change) {", "&& false {"}}},
-	{"control: expect the epoch", "control-race", "operators' history is not linearizable: a change that goes on version", []edit{
+	{"control: expect the epoch", "control-race", "operators' history is not linearizable: a change based on version", []edit{
 		{"internal/controller/changes.go", "if !a.Any && d.Epoch != a.Expect {", "if false {"}}},
 	{"control: leave a joint set", "control-five", "still in a joint state", []edit{
 		{"internal/controller/voters.go", "if c.leadership.shape == k.VoterSet {", "if false {"}}},
